--- a/lab/src/main/java/wheatspread/lab/CapacityCommand.java
+++ b/lab/src/main/java/wheatspread/lab/CapacityCommand.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import wheatspread.config.Fields;
+import wheatspread.config.JsonFields;
 import wheatspread.lab.capacity.Capacity;
 import wheatspread.lab.capacity.CapacityPage;
 import wheatspread.lab.capacity.CapacityPlan;
@@ -55,7 +55,7 @@
                 differences.forEach(one -> System.out.println(check + ", " + one));
                 return differences.isEmpty() ? 0 : 1;
             }
-        } catch (Fields.BadValue e) {
+        } catch (JsonFields.InvalidValueException e) {
             e.faults().forEach(System.err::println);
             return USAGE;
         } catch (IllegalArgumentException e) {
--- a/lab/src/main/java/wheatspread/lab/CrowdCommand.java
+++ b/lab/src/main/java/wheatspread/lab/CrowdCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Option;
 import wheatspread.lab.memory.MemoryCrowd;
 import wheatspread.lab.report.Report;
-import wheatspread.turns.TurnLimits;
+import wheatspread.scheduling.IterationBudget;
 
 /** More connections than a process has descriptors, on one loop in memory. */
 @Command(
@@ -25,10 +25,10 @@
     @Override
     public Integer call() throws Exception {
         Report report = new Report("idle-in-memory");
-        try (MemoryCrowd warming = new MemoryCrowd(Math.min(count, 5_000), TurnLimits.USUAL, IDLE)) {
+        try (MemoryCrowd warming = new MemoryCrowd(Math.min(count, 5_000), IterationBudget.USUAL, IDLE)) {
             warming.play(); // the JVM compiles meanwhile
         }
-        try (MemoryCrowd crowd = new MemoryCrowd(count, TurnLimits.USUAL, IDLE)) {
+        try (MemoryCrowd crowd = new MemoryCrowd(count, IterationBudget.USUAL, IDLE)) {
             report.put("crowd", crowd.play());
         }
         System.out.println(report.get("crowd").toString(1));
--- a/lab/src/main/java/wheatspread/lab/DemoCommand.java
+++ b/lab/src/main/java/wheatspread/lab/DemoCommand.java
@@ -18,8 +18,8 @@
 import org.json.JSONObject;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import wheatspread.lab.standins.Parties;
 import wheatspread.lab.standins.ServerProcess;
+import wheatspread.lab.standins.StandInServices;
 import wheatspread.uwsgi.UwsgiEncoder;
 import wheatspread.uwsgi.UwsgiPacket;
 
@@ -57,7 +57,7 @@
                          {"match": "exact", "path": "/plans", "class": "save-plan"}]}}
             """;
         CountDownLatch ended = new CountDownLatch(1);
-        try (Parties parties = new Parties(15_000, site == Kind.plain ? -1 : 5_000);
+        try (StandInServices parties = new StandInServices(15_000, site == Kind.plain ? -1 : 5_000);
                 ServerProcess server = new ServerProcess(
                         jar,
                         config(parties),
@@ -88,7 +88,7 @@
         return 0;
     }
 
-    private JSONObject config(Parties parties) {
+    private JSONObject config(StandInServices parties) {
         JSONObject config = Sites.config(parties, 512);
         return site == Kind.plain ? Sites.withoutCalls(config) : config;
     }
--- a/lab/src/main/java/wheatspread/lab/FaultsCommand.java
+++ b/lab/src/main/java/wheatspread/lab/FaultsCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import wheatspread.config.Fields;
+import wheatspread.config.JsonFields;
 import wheatspread.lab.faults.FaultsRun;
 import wheatspread.lab.faults.Scenario;
 import wheatspread.lab.report.Report;
@@ -53,7 +53,7 @@
             Map<String, Scenario> plays;
             try {
                 plays = plays(scenarios, pairs, seed);
-            } catch (Fields.BadValue e) {
+            } catch (JsonFields.InvalidValueException e) {
                 e.faults().forEach(System.err::println);
                 return USAGE;
             }
--- a/lab/src/main/java/wheatspread/lab/FleetCommand.java
+++ b/lab/src/main/java/wheatspread/lab/FleetMeasurementCommand.java
@@ -18,7 +18,7 @@
         name = "fleet",
         mixinStandardHelpOptions = true,
         description = "Rolls a fleet of servers under load and books every promise; some minutes.")
-final class FleetCommand implements Callable<Integer> {
+final class FleetMeasurementCommand implements Callable<Integer> {
     @Option(names = "--jar", defaultValue = "server/target/wheatspread.jar", description = "The server.")
     private Path jar;
 
--- a/lab/src/main/java/wheatspread/lab/IdleCommand.java
+++ b/lab/src/main/java/wheatspread/lab/IdleCommand.java
@@ -14,8 +14,8 @@
 import wheatspread.lab.load.HolderProcess;
 import wheatspread.lab.load.Load;
 import wheatspread.lab.report.Report;
-import wheatspread.lab.standins.Parties;
 import wheatspread.lab.standins.ServerProcess;
+import wheatspread.lab.standins.StandInServices;
 
 /** Many idle connections: what they cost, and what they take from those that ask. */
 @Command(
@@ -136,7 +136,7 @@
         return file.toString();
     }
 
-    private ServerProcess start(Path server, Parties parties, String transport, boolean uwsgi, int onCore)
+    private ServerProcess start(Path server, StandInServices parties, String transport, boolean uwsgi, int onCore)
             throws IOException, InterruptedException {
         return new ServerProcess(
                 server,
@@ -157,7 +157,7 @@
 
     private JSONObject measure(Path server, String transport, boolean uwsgi) throws Exception {
         JSONObject figures = new JSONObject();
-        try (Parties parties = new Parties(RUN_MICROS, CALL_MICROS);
+        try (StandInServices parties = new StandInServices(RUN_MICROS, CALL_MICROS);
                 ServerProcess process = start(server, parties, transport, uwsgi, core)) {
             // the platform's front is bound last
             try (Load load = new Load(process.port(uwsgi ? 1 : 0), 8, rate);
@@ -252,7 +252,7 @@
         JSONObject figures = new JSONObject();
         try {
             for (int i = 0; i < fleet; i++) {
-                Parties parties = new Parties(RUN_MICROS, CALL_MICROS);
+                StandInServices parties = new StandInServices(RUN_MICROS, CALL_MICROS);
                 open.add(parties);
                 ServerProcess process = start(jar, parties, transports.get(transports.size() - 1), false, -1);
                 open.add(process);
--- a/lab/src/main/java/wheatspread/lab/ModelCommand.java
+++ b/lab/src/main/java/wheatspread/lab/ModelCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import wheatspread.config.Fields;
+import wheatspread.config.JsonFields;
 import wheatspread.lab.faults.Scenario;
 import wheatspread.lab.model.CapacitySweep;
 import wheatspread.lab.model.ModelRun;
@@ -94,7 +94,7 @@
             Map<String, Scenario> plays;
             try {
                 plays = FaultsCommand.plays(scenarios, pairs, seed);
-            } catch (Fields.BadValue e) {
+            } catch (JsonFields.InvalidValueException e) {
                 e.faults().forEach(System.err::println);
                 return USAGE;
             }
--- a/lab/src/main/java/wheatspread/lab/Sites.java
+++ b/lab/src/main/java/wheatspread/lab/Sites.java
@@ -4,7 +4,7 @@
 import java.util.Random;
 import org.json.JSONArray;
 import org.json.JSONObject;
-import wheatspread.lab.standins.Parties;
+import wheatspread.lab.standins.StandInServices;
 
 /** A made-up site of the size of the one in service: its configuration, and what its callers ask. */
 public final class Sites {
@@ -56,7 +56,7 @@
     }
 
     /** The configuration of one server with so many descriptors. */
-    public static JSONObject config(Parties parties, int sockets) {
+    public static JSONObject config(StandInServices parties, int sockets) {
         return config(parties.kernel(), parties.records(), parties.announce(), sockets, 12);
     }
 
--- a/lab/src/main/java/wheatspread/lab/StartCommand.java
+++ b/lab/src/main/java/wheatspread/lab/StartCommand.java
@@ -17,8 +17,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import wheatspread.lab.report.Report;
-import wheatspread.lab.standins.Parties;
 import wheatspread.lab.standins.ServerProcess;
+import wheatspread.lab.standins.StandInServices;
 
 /** What a start costs on the platform, beside another jar's. */
 @Command(
@@ -92,7 +92,7 @@
 
     private JSONObject start(Path server, List<String> flags) throws Exception {
         long began = System.nanoTime();
-        try (Parties parties = new Parties(15_000, 5_000);
+        try (StandInServices parties = new StandInServices(15_000, 5_000);
                 ServerProcess process = new ServerProcess(server, Sites.config(parties, 512), null, flags, core)) {
             double wall = (System.nanoTime() - began) / 1e6;
             double answered = firstAnswer(process.port(0), began);
--- a/lab/src/main/java/wheatspread/lab/StoreCommand.java
+++ b/lab/src/main/java/wheatspread/lab/StoreMeasurementCommand.java
@@ -21,7 +21,7 @@
 import picocli.CommandLine.Option;
 import wheatspread.disk.FolderDisk;
 import wheatspread.lab.report.Report;
-import wheatspread.lab.standins.Folders;
+import wheatspread.lab.standins.TemporaryFolders;
 import wheatspread.lab.store.StoreRuns;
 import wheatspread.logging.EventLog;
 import wheatspread.store.Index;
@@ -33,7 +33,7 @@
         name = "store",
         mixinStandardHelpOptions = true,
         description = "Measures the store on a folder's disk, beside a plain log with a map and bare appends.")
-final class StoreCommand implements Callable<Integer> {
+final class StoreMeasurementCommand implements Callable<Integer> {
     private static final StoreSettings LARGE = StoreSettings.DEFAULT
             .withSizes(32 << 20, 8L << 30, 1L << 34)
             .withCompaction(1L << 30, 0.999, 0)
@@ -80,7 +80,7 @@
             System.out.println("compaction " + report.get("compaction"));
         }
         report.write(out);
-        Folders.delete(folder);
+        TemporaryFolders.delete(folder);
         return 0;
     }
 
@@ -101,7 +101,7 @@
                                 "group of " + group,
                                 Math.log10(figures.getJSONObject(one).getDouble("writes_per_s")));
             }
-            Folders.delete(folder);
+            TemporaryFolders.delete(folder);
         }
         Report.bars(out.resolve("store-writes.png"), "Durable writes a second", "log10 of writes a second", bars);
     }
@@ -148,7 +148,7 @@
         }
         for (int i = 1; i <= steps; i++) {
             int size = keys / steps * i;
-            Folders.delete(folder);
+            TemporaryFolders.delete(folder);
             fill(size);
             JSONObject with = open(size);
             try (Stream<Path> files = Files.list(folder)) {
@@ -251,7 +251,7 @@
     }
 
     private long steady(StoreSettings settings, Histogram to) throws Exception {
-        Folders.delete(folder);
+        TemporaryFolders.delete(folder);
         Random random = new Random(1);
         byte[] value = new byte[400];
         try (Store store =
--- a/lab/src/main/java/wheatspread/lab/bench/ConnectionsBenchmark.java
+++ b/lab/src/main/java/wheatspread/lab/bench/ConnectionsBenchmark.java
@@ -16,8 +16,8 @@
 import org.openjdk.jmh.annotations.Scope;
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
-import wheatspread.connections.Caller;
 import wheatspread.connections.Connection;
+import wheatspread.connections.ConnectionActions;
 import wheatspread.connections.ConnectionLimits;
 import wheatspread.connections.ConnectionTable;
 
@@ -47,7 +47,7 @@
         private long deadline;
     }
 
-    private static final class Nobody implements Caller {
+    private static final class Nobody implements ConnectionActions {
         @Override
         public void lastCall() {}
 
--- a/lab/src/main/java/wheatspread/lab/bench/DecisionBenchmark.java
+++ b/lab/src/main/java/wheatspread/lab/bench/DecisionBenchmark.java
@@ -14,20 +14,20 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.TearDown;
-import wheatspread.admission.Admission;
-import wheatspread.admission.Admission.Advice;
-import wheatspread.admission.Admission.Below;
-import wheatspread.admission.Admission.Callers;
-import wheatspread.admission.Admission.Dependency;
-import wheatspread.admission.Admission.Effect;
-import wheatspread.admission.Admission.Halt;
-import wheatspread.admission.Admission.Limits;
-import wheatspread.admission.Admission.Outcome;
-import wheatspread.admission.Admission.Request;
-import wheatspread.admission.Admission.RequestClass;
-import wheatspread.admission.Admission.Settings;
-import wheatspread.admission.Admission.Tenant;
-import wheatspread.admission.choice.Choice;
+import wheatspread.admission.AdmissionController;
+import wheatspread.admission.AdmissionRequest;
+import wheatspread.admission.AdmissionSettings;
+import wheatspread.admission.ClientSettings;
+import wheatspread.admission.DependencyKind;
+import wheatspread.admission.DependencyLimits;
+import wheatspread.admission.Idempotency;
+import wheatspread.admission.LoadFeedbackMode;
+import wheatspread.admission.Outcome;
+import wheatspread.admission.PreemptionMode;
+import wheatspread.admission.RequestClass;
+import wheatspread.admission.ServerLimits;
+import wheatspread.admission.Tenant;
+import wheatspread.admission.sfq.SfqAdmissionController;
 
 /**
  * What a decision costs while {@code held} requests wait, by how many tenants there are. The requests are held by
@@ -71,20 +71,20 @@
     private Server full;
 
     /** One module and the requests it runs. */
-    private final class Server implements Admission.Actions {
+    private final class Server implements AdmissionController.Actions {
         private final ArrayDeque<Long> running = new ArrayDeque<>();
         private final int holders = heldBy.equals(ALL) ? tenants : Math.min(Integer.parseInt(heldBy), tenants);
-        private final Choice choice;
+        private final SfqAdmissionController choice;
         private long now;
         private long lastId;
         private long arrivals;
         private long refusals;
 
         Server(double memoryKb) {
-            choice = new Choice(settings(memoryKb), 1);
+            choice = new SfqAdmissionController(settings(memoryKb), 1);
             for (int tenant = 0; tenant < tenants; tenant++) {
                 arrive(tenant);
-                choice.gone(lastId);
+                choice.onCancellation(lastId);
             }
             for (int run = 0; run < RUNS_LEARNED; run++) {
                 arrive();
@@ -111,17 +111,17 @@
 
         private void arrive(int tenant) {
             double hint = hints[(int) (++lastId & hints.length - 1)];
-            choice.arrived(new Request(lastId, tenant, 0, 0, 0, 0, false, false, false, HELD_KB, hint));
+            choice.onArrival(new AdmissionRequest(lastId, tenant, 0, 0, 0, 0, false, false, false, HELD_KB, hint));
         }
 
         private void complete() {
-            choice.completed(running.poll(), Outcome.OK, RUN_TIME);
+            choice.onCompletion(running.poll(), Outcome.OK, RUN_TIME);
         }
 
         private void decide() {
             choice.decide(this);
             now += STEP;
-            choice.begin(now);
+            choice.beginBatch(now);
         }
 
         private void check(long expectedRefusals) {
@@ -136,7 +136,7 @@
         }
 
         @Override
-        public void refuse(long id, long stayAway, boolean dontRetry) {
+        public void reject(long id, long stayAway, boolean dontRetry) {
             refusals++;
         }
 
@@ -144,51 +144,51 @@
         public void fail(long id) {}
 
         @Override
-        public void stop(long id) {}
+        public void preempt(long id) {}
 
         @Override
-        public void call(long id, long giveUpAfter) {}
+        public void callDependency(long id, long giveUpAfter) {}
 
         @Override
-        public void skipCall(long id) {}
+        public void skipDependency(long id) {}
 
         @Override
-        public void pin(long id, long ttl) {}
+        public void retainKey(long id, long ttl) {}
 
         @Override
-        public void unpin(long id) {}
+        public void releaseKey(long id) {}
 
         @Override
-        public void join(long id) {}
+        public void joinResult(long id) {}
 
         @Override
-        public void health(boolean good, boolean stored) {}
+        public void setHealth(boolean good, boolean stored) {}
 
         @Override
-        public void advise(double value) {}
+        public void setLoadFeedback(double value) {}
 
         @Override
-        public void closeIdle(long after) {}
+        public void setIdleTimeout(long after) {}
 
         @Override
-        public void wake(long after) {}
+        public void scheduleWakeup(long after) {}
 
         @Override
         public void log(String text) {}
     }
 
-    private Settings settings(double memoryKb) {
-        return new Settings(
+    private AdmissionSettings settings(double memoryKb) {
+        return new AdmissionSettings(
                 CORES,
                 1,
                 false,
-                Halt.ABORT,
+                PreemptionMode.ABORT,
                 0,
                 1_000,
-                new Limits(memoryKb, RUN_FACTOR, 1, 5, 1, 0, 0, 0),
-                new Below(Dependency.NONE, 0, 0, 0),
-                new Callers(1, Advice.NONE, 0, 0, false, 0, 0, 0),
-                List.of(new RequestClass(FAR_AHEAD, 0, FAR_AHEAD, Effect.IDEMPOTENT, 1, 0, 0, false, 0)),
+                new ServerLimits(memoryKb, RUN_FACTOR, 1, 5, 1, 0, 0, 0),
+                new DependencyLimits(DependencyKind.NONE, 0, 0, 0),
+                new ClientSettings(1, LoadFeedbackMode.NONE, 0, 0, false, 0, 0, 0),
+                List.of(new RequestClass(FAR_AHEAD, 0, FAR_AHEAD, Idempotency.IDEMPOTENT, 1, 0, 0, false, 0)),
                 Collections.nCopies(tenants, new Tenant(1)));
     }
 
--- a/lab/src/main/java/wheatspread/lab/capacity/CapacityPlan.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/CapacityPlan.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import wheatspread.config.Fields;
+import wheatspread.config.JsonFields;
 import wheatspread.config.JsonFile;
 
 /** The size that is planned for and the rows that are worked out for it; read from a file. */
@@ -24,7 +24,7 @@
         return read(JsonFile.read(file));
     }
 
-    static CapacityPlan read(Fields told) {
+    static CapacityPlan read(JsonFields told) {
         told.only(Set.of("quantities", "budgets", "assumed", "lines", "rows"));
         CapacityPlan plan = new CapacityPlan(
                 new LinkedHashMap<>(),
@@ -41,7 +41,7 @@
         return plan;
     }
 
-    private void readQuantity(Fields told) {
+    private void readQuantity(JsonFields told) {
         told.only(Set.of("name", "value", "unit", "text", "fixed", "assumed"));
         Quantity quantity = new Quantity(
                 newName(told),
@@ -53,7 +53,7 @@
         quantities.put(quantity.name(), quantity);
     }
 
-    private void readBudget(Fields told) {
+    private void readBudget(JsonFields told) {
         told.only(Set.of("name", "value", "unit", "text"));
         Budget budget = new Budget(told.text("name"), told.number("value"), told.text("unit"), told.text("text"));
         if (budget.value() <= 0 || budgets.put(budget.name(), budget) != null) {
@@ -61,14 +61,14 @@
         }
     }
 
-    private void readAssumption(Fields told) {
+    private void readAssumption(JsonFields told) {
         told.only(Set.of("name", "value", "unit", "because"));
         Assumption assumption =
                 new Assumption(newName(told), told.number("value"), told.text("unit"), told.text("because"));
         assumed.put(assumption.name(), assumption);
     }
 
-    private void readLine(Fields told) {
+    private void readLine(JsonFields told) {
         told.only(Set.of("name", "report", "series", "figures", "unit", "fit", "at", "virtual"));
         String name = newName(told);
         if (told.has("series") == told.has("figures")) {
@@ -79,7 +79,7 @@
             throw told.bad("at", "is no quantity: " + at + "; known are " + quantities.keySet());
         }
         List<LinePlan.At> figures = new ArrayList<>();
-        for (Fields one : told.objects("figures")) {
+        for (JsonFields one : told.objects("figures")) {
             one.only(Set.of("size", "keys"));
             figures.add(new LinePlan.At(one.number("size"), one.texts("keys")));
         }
@@ -96,7 +96,7 @@
                         told.flag("virtual", false)));
     }
 
-    private void readRow(Fields told) {
+    private void readRow(JsonFields told) {
         told.only(Set.of("role", "situation", "what", "unit", "value", "mechanism", "budget", "note"));
         Budget budget = budgets.get(told.text("budget", ""));
         if (told.has("budget") && budget == null) {
@@ -116,7 +116,7 @@
                 told.text("note", "")));
     }
 
-    private Expression expression(Fields told) {
+    private Expression expression(JsonFields told) {
         Expression expression;
         try {
             expression = Expression.parse(told.text("value"));
@@ -132,7 +132,7 @@
     }
 
     /** The classes of the program that a row names; a class that does not exist is a fault. */
-    private static List<String> mechanism(Fields told) {
+    private static List<String> mechanism(JsonFields told) {
         List<String> classes = told.texts("mechanism");
         if (classes.isEmpty()) {
             throw told.bad("mechanism", "is empty; where nothing carries the row it is [\"" + MISSING + "\"]");
@@ -150,7 +150,7 @@
         return classes;
     }
 
-    private String newName(Fields told) {
+    private String newName(JsonFields told) {
         String name = told.text("name");
         if (isNamed(name)) {
             throw told.bad("name", "is taken already: " + name);
--- a/lab/src/main/java/wheatspread/lab/deployments/Deployment.java
+++ b/lab/src/main/java/wheatspread/lab/deployments/Deployment.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 import org.json.JSONArray;
 import org.json.JSONObject;
-import wheatspread.admission.Admission.Effect;
+import wheatspread.admission.Idempotency;
 
 /**
  * A deployment drawn over all fields that may differ from one site to the next, or be absent. It is made of
@@ -33,7 +33,8 @@
     private static final int FIRST_ABSENT = 26;
 
     /** One class of requests; times in milliseconds. */
-    record Kind(String name, Effect effect, long aim, long deadline, long window, boolean calls, double skipWorth) {}
+    record Kind(
+            String name, Idempotency effect, long aim, long deadline, long window, boolean calls, double skipWorth) {}
 
     final List<Kind> kinds = new ArrayList<>();
     final List<String> tenants = new ArrayList<>();
@@ -64,17 +65,17 @@
         cores = pick(0, 4, 1, 2, 16);
         calls = pick(1, true, false);
         int classes = pick(2, 3, 1, 2, 30);
-        Effect[] effects = pick(
+        Idempotency[] effects = pick(
                 3,
-                new Effect[] {Effect.IDEMPOTENT, Effect.KEYED},
-                new Effect[] {Effect.IDEMPOTENT},
-                new Effect[] {Effect.KEYED},
-                new Effect[] {Effect.AT_MOST_ONCE},
-                new Effect[] {Effect.IDEMPOTENT, Effect.AT_MOST_ONCE, Effect.KEYED});
+                new Idempotency[] {Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENCY_KEY},
+                new Idempotency[] {Idempotency.IDEMPOTENT},
+                new Idempotency[] {Idempotency.IDEMPOTENCY_KEY},
+                new Idempotency[] {Idempotency.AT_MOST_ONCE},
+                new Idempotency[] {Idempotency.IDEMPOTENT, Idempotency.AT_MOST_ONCE, Idempotency.IDEMPOTENCY_KEY});
         double skip = absent("ClassSkipWorth") ? 0 : pick(5, 0.4, 0.0);
         for (int i = 0; i < classes; i++) {
             long deadline = pick(4, 3_000, 1_500, 8_000) + 100 * (i % 5);
-            Effect effect = effects[i % effects.length];
+            Idempotency effect = effects[i % effects.length];
             kinds.add(new Kind(
                     "kind-" + i,
                     effect,
@@ -82,7 +83,7 @@
                     deadline,
                     pick(7, 10_000, 2_000, 40_000),
                     calls && i % 2 == 0,
-                    effect == Effect.IDEMPOTENT && i % 3 == 0 ? skip : 0));
+                    effect == Idempotency.IDEMPOTENT && i % 3 == 0 ? skip : 0));
         }
         int parties = pick(8, 2, 0, 1, 12);
         for (int i = 0; i < parties; i++) {
@@ -166,13 +167,13 @@
                     .put("Deadline", (double) kind.deadline)
                     .put(
                             "Effect",
-                            kind.effect == Effect.IDEMPOTENT
+                            kind.effect == Idempotency.IDEMPOTENT
                                     ? "idempotent"
-                                    : kind.effect == Effect.KEYED ? "deduplicated" : "at_most_once");
+                                    : kind.effect == Idempotency.IDEMPOTENCY_KEY ? "deduplicated" : "at_most_once");
             if (kind.aim < kind.deadline) {
                 lane.put("Aim", (double) kind.aim).put("Worth", 2.0).put("LateWorth", 0.0);
             }
-            if (kind.effect == Effect.KEYED) {
+            if (kind.effect == Idempotency.IDEMPOTENCY_KEY) {
                 lane.put("Window", (double) kind.window);
             }
             lanes.put(lane);
--- a/lab/src/main/java/wheatspread/lab/deployments/DeploymentRun.java
+++ b/lab/src/main/java/wheatspread/lab/deployments/DeploymentRun.java
@@ -13,12 +13,12 @@
 import java.util.SplittableRandom;
 import java.util.function.UnaryOperator;
 import org.json.JSONObject;
-import wheatspread.config.Fields;
+import wheatspread.config.JsonFields;
 import wheatspread.config.OperatorConfig;
 import wheatspread.config.ServerConfig;
 import wheatspread.daemon.Server;
-import wheatspread.lab.deployments.Judge.Try;
-import wheatspread.life.Life.Phase;
+import wheatspread.lab.deployments.RuleChecker.Try;
+import wheatspread.lifecycle.Lifecycle.Phase;
 import wheatspread.logging.EventLog;
 
 /**
@@ -45,8 +45,8 @@
     private final Deployment deployment;
     private final Planted planted;
     private final SplittableRandom random;
-    private final Judge judge;
-    private final Kernel kernel;
+    private final RuleChecker judge;
+    private final SimulatedKernel kernel;
     private final RequestGenerator requests;
     private final EventQueue events = new EventQueue();
     private final HealthCheck healthCheck = new HealthCheck();
@@ -75,8 +75,9 @@
         this.planted = planted;
         random = new SplittableRandom(seed);
         requests = new RequestGenerator(deployment, random);
-        judge = new Judge(deployment);
-        kernel = new Kernel(deployment, judge, START + LIGHT_UNTIL, this::after, text -> kernelLink.write(text));
+        judge = new RuleChecker(deployment);
+        kernel = new SimulatedKernel(
+                deployment, judge, START + LIGHT_UNTIL, this::after, text -> kernelLink.write(text));
     }
 
     /** Plays it and returns the rules that were broken; empty where all held. */
@@ -89,7 +90,7 @@
                     "127.0.0.1:" + records.socket().getLocalPort(),
                     "127.0.0.1:9"));
             try {
-                ServerConfig config = ServerConfig.read(Fields.of(told.toMap(), ""));
+                ServerConfig config = ServerConfig.read(JsonFields.of(told.toMap(), ""));
                 server = new Server(
                         config,
                         OperatorConfig.NONE,
--- a/lab/src/main/java/wheatspread/lab/deployments/RequestGenerator.java
+++ b/lab/src/main/java/wheatspread/lab/deployments/RequestGenerator.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.json.JSONObject;
-import wheatspread.admission.Admission.Effect;
+import wheatspread.admission.Idempotency;
 import wheatspread.lab.deployments.Deployment.Kind;
-import wheatspread.lab.deployments.Judge.Try;
+import wheatspread.lab.deployments.RuleChecker.Try;
 
 /** Draws requests that a deployment's clients may send, repeats of keyed ones among them. */
 final class RequestGenerator {
@@ -29,7 +29,7 @@
     /** A request that comes now; {@code light} where the load is light. */
     Drawn draw(long now, boolean light) {
         Kind kind = deployment.kinds.get(random.nextInt(deployment.kinds.size()));
-        boolean repeats = kind.effect() == Effect.KEYED && !keyed.isEmpty() && random.nextInt(4) == 0;
+        boolean repeats = kind.effect() == Idempotency.IDEMPOTENCY_KEY && !keyed.isEmpty() && random.nextInt(4) == 0;
         Try first = repeats ? keyed.get(random.nextInt(keyed.size())) : null;
         String txn = String.format("%016x", random.nextLong());
         String key = first == null ? newKey(kind, txn) : first.key;
@@ -40,16 +40,16 @@
     }
 
     private String newKey(Kind kind, String txn) {
-        if (kind.effect() == Effect.KEYED) {
+        if (kind.effect() == Idempotency.IDEMPOTENCY_KEY) {
             return "unique-" + txn;
         }
-        boolean mayShare = kind.effect() == Effect.IDEMPOTENT && deployment.items && deployment.fresh > 0;
+        boolean mayShare = kind.effect() == Idempotency.IDEMPOTENT && deployment.items && deployment.fresh > 0;
         return mayShare ? "item-" + random.nextInt(20) + kind.name() : null;
     }
 
     /** The request is being sent: later ones may repeat it. */
     void sent(Drawn drawn) {
-        if (drawn.request().kind.effect() == Effect.KEYED && !drawn.repeats()) {
+        if (drawn.request().kind.effect() == Idempotency.IDEMPOTENCY_KEY && !drawn.repeats()) {
             keyed.add(drawn.request());
         }
     }
@@ -61,7 +61,7 @@
                 .put("txn", request.txn)
                 .put("door", request.door / 1_000)
                 .put("ram", request.ram)
-                .put("blob", Kernel.encode(request.body()));
+                .put("blob", SimulatedKernel.encode(request.body()));
         if (deployment.limited) {
             params.put("limit", (request.due - request.door) / 1_000);
         }
@@ -77,9 +77,9 @@
         if (deployment.marked && (drawn.repeats() || random.nextInt(5) == 0)) {
             params.put("second", 1);
         }
-        if (request.kind.effect() == Effect.KEYED) {
+        if (request.kind.effect() == Idempotency.IDEMPOTENCY_KEY) {
             params.put("unique", request.key);
-        } else if (deployment.items && request.kind.effect() == Effect.IDEMPOTENT) {
+        } else if (deployment.items && request.kind.effect() == Idempotency.IDEMPOTENT) {
             params.put("item", request.key == null ? "item-of-" + request.txn : request.key);
         }
         return params;
--- a/lab/src/main/java/wheatspread/lab/deployments/Judge.java
+++ b/lab/src/main/java/wheatspread/lab/deployments/RuleChecker.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.Map;
 import org.json.JSONObject;
-import wheatspread.admission.Admission.Effect;
+import wheatspread.admission.Idempotency;
 import wheatspread.lab.deployments.Deployment.Kind;
 
 /** Books every try, run and answer, and names each rule that one of them breaks. Times in microseconds. */
-final class Judge {
+final class RuleChecker {
     /** How much later than due an answer may come: the settings' slack and the 50 ms of sockets. */
     private static final long SLACK = 110_000;
 
@@ -42,7 +42,7 @@
         }
 
         String body() {
-            return "body of " + (kind.effect() == Effect.IDEMPOTENT ? txn : key);
+            return "body of " + (kind.effect() == Idempotency.IDEMPOTENT ? txn : key);
         }
     }
 
@@ -55,7 +55,7 @@
     private int light;
     private int lightServed;
 
-    Judge(Deployment deployment) {
+    RuleChecker(Deployment deployment) {
         this.deployment = deployment;
     }
 
@@ -85,11 +85,11 @@
             broken("changed: run of " + txn + " as " + kind);
             return false;
         }
-        boolean safe = request.kind.effect() == Effect.IDEMPOTENT;
+        boolean safe = request.kind.effect() == Idempotency.IDEMPOTENT;
         if (request.ran && !(safe && "abort".equals(deployment.halt))) {
             broken("duplicate: a second run of " + txn);
         }
-        if (request.kind.effect() == Effect.KEYED) {
+        if (request.kind.effect() == Idempotency.IDEMPOTENCY_KEY) {
             Long before = ranAt.get(request.key);
             if (before != null && !request.ran && request.door <= before + request.kind.window() * 1_000) {
                 broken("duplicate: " + txn + " of key " + request.key + " runs within the window");
--- a/lab/src/main/java/wheatspread/lab/deployments/Kernel.java
+++ b/lab/src/main/java/wheatspread/lab/deployments/SimulatedKernel.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.Map;
 import org.json.JSONObject;
-import wheatspread.admission.Admission.Effect;
-import wheatspread.lab.deployments.Judge.Try;
+import wheatspread.admission.Idempotency;
+import wheatspread.lab.deployments.RuleChecker.Try;
 
 /** The kernel and the records service of a run, on its time; what the site does not allow is a fault. */
-final class Kernel {
+final class SimulatedKernel {
     /** Times are microseconds; what is to happen later is handed over. */
     interface Later {
         void after(long micros, Runnable what);
@@ -36,7 +36,7 @@
     }
 
     private final Deployment deployment;
-    private final Judge judge;
+    private final RuleChecker judge;
     private final long wellUntil;
     private final Later later;
     private final Out out;
@@ -48,7 +48,7 @@
     private long crowdAt;
 
     /** {@code wellUntil}: calls go well up to this time. */
-    Kernel(Deployment deployment, Judge judge, long wellUntil, Later later, Out out) {
+    SimulatedKernel(Deployment deployment, RuleChecker judge, long wellUntil, Later later, Out out) {
         this.wellUntil = wellUntil;
         this.deployment = deployment;
         this.judge = judge;
@@ -194,7 +194,7 @@
     void called(String job, Out reply) {
         Run run = runs.get(job);
         String before = lastCall.get(job);
-        if (run != null && run.of.kind.effect() != Effect.IDEMPOTENT && before != null && !before.equals("WAIT")) {
+        if (run != null && run.of.kind.effect() != Idempotency.IDEMPOTENT && before != null && !before.equals("WAIT")) {
             judge.broken("duplicate: a second call of " + job + " after " + before);
         }
         int how = now < wellUntil ? WORDS.size() : Math.floorMod(job.hashCode() >> 8, 20);
--- a/lab/src/main/java/wheatspread/lab/deployments/SteppedClock.java
+++ b/lab/src/main/java/wheatspread/lab/deployments/SteppedClock.java
@@ -19,7 +19,7 @@
     }
 
     @Override
-    public long now() {
+    public long nowMicros() {
         return now;
     }
 
--- a/lab/src/main/java/wheatspread/lab/faults/CostRun.java
+++ b/lab/src/main/java/wheatspread/lab/faults/CostRun.java
@@ -7,11 +7,11 @@
 import java.util.stream.IntStream;
 import org.json.JSONArray;
 import org.json.JSONObject;
-import wheatspread.lab.rig.Member;
 import wheatspread.lab.rig.ProcessFigures;
 import wheatspread.lab.rig.Rig;
-import wheatspread.lab.standins.Doors;
-import wheatspread.lab.standins.Listening;
+import wheatspread.lab.rig.RigServer;
+import wheatspread.lab.standins.ControlClient;
+import wheatspread.lab.standins.StandInAddress;
 
 /** What membership costs servers under load: answers, processor time and memory, with it and without. */
 public final class CostRun {
@@ -72,7 +72,7 @@
         JSONArray seeds = new JSONArray();
         JSONObject[] told = new JSONObject[rig.members().size()];
         for (int i = 0; i < told.length; i++) {
-            String listen = Listening.text(rig.address());
+            String listen = StandInAddress.text(rig.address());
             told[i] = new JSONObject()
                     .put("cluster", "cost")
                     .put("listen", listen)
@@ -88,7 +88,7 @@
 
     private static double processorSeconds(Rig rig) throws IOException {
         double seconds = 0;
-        for (Member one : rig.members()) {
+        for (RigServer one : rig.members()) {
             seconds += ProcessFigures.processorSeconds(one.pid());
         }
         return seconds;
@@ -97,7 +97,7 @@
     /** Kilobytes, mean of a server. */
     private static double resident(Rig rig) throws IOException {
         double bytes = 0;
-        for (Member one : rig.members()) {
+        for (RigServer one : rig.members()) {
             bytes += ProcessFigures.residentBytes(one.pid());
         }
         return bytes / 1024 / rig.members().size();
@@ -106,7 +106,7 @@
     /** Kilobytes that a collection leaves, mean of a server. */
     private static double liveHeap(Rig rig) throws IOException, InterruptedException {
         double bytes = 0;
-        for (Member one : rig.members()) {
+        for (RigServer one : rig.members()) {
             bytes += ProcessFigures.liveHeapBytes(one.pid());
         }
         return bytes / 1024 / rig.members().size();
@@ -115,8 +115,8 @@
     /** Messages and bytes sent by all; nothing where membership is off. */
     private static long[] peers(Rig rig, boolean membership) {
         long[] sums = new long[2];
-        for (Member one : membership ? rig.members() : List.<Member>of()) {
-            String vars = Doors.ask(one.door(), "GET /_vars");
+        for (RigServer one : membership ? rig.members() : List.<RigServer>of()) {
+            String vars = ControlClient.ask(one.door(), "GET /_vars");
             for (String line : vars == null ? new String[0] : vars.split("\n")) {
                 sums[0] += line.startsWith("edge_gw.peers.sent=") ? value(line) : 0;
                 sums[1] += line.startsWith("edge_gw.peers.sent_bytes=") ? value(line) : 0;
--- a/lab/src/main/java/wheatspread/lab/faults/FaultsRun.java
+++ b/lab/src/main/java/wheatspread/lab/faults/FaultsRun.java
@@ -20,11 +20,11 @@
 import java.util.function.BooleanSupplier;
 import org.json.JSONArray;
 import org.json.JSONObject;
-import wheatspread.lab.rig.Member;
 import wheatspread.lab.rig.Rig;
-import wheatspread.lab.standins.Doors;
-import wheatspread.lab.standins.Listening;
-import wheatspread.lab.world.Ledger;
+import wheatspread.lab.rig.RigServer;
+import wheatspread.lab.standins.ControlClient;
+import wheatspread.lab.standins.StandInAddress;
+import wheatspread.lab.world.InvariantChecker;
 
 /**
  * Plays one scenario with real processes, each with its own kernel, with load from proxies and with relays on
@@ -98,7 +98,9 @@
             advertised.put(name, rig.address());
         }
         JSONArray seeds = new JSONArray();
-        scenario.members().subList(0, scenario.seeds()).forEach(one -> seeds.put(Listening.text(advertised.get(one))));
+        scenario.members()
+                .subList(0, scenario.seeds())
+                .forEach(one -> seeds.put(StandInAddress.text(advertised.get(one))));
         for (String name : scenario.members()) {
             rig.member(name)
                     .operator(
@@ -107,8 +109,8 @@
                                             "membership",
                                             new JSONObject()
                                                     .put("cluster", CLUSTER)
-                                                    .put("listen", Listening.text(real.get(name)))
-                                                    .put("advertise", Listening.text(advertised.get(name)))
+                                                    .put("listen", StandInAddress.text(real.get(name)))
+                                                    .put("advertise", StandInAddress.text(advertised.get(name)))
                                                     .put("seeds", seeds)
                                                     .put(
                                                             "zone",
@@ -157,7 +159,7 @@
         }
     }
 
-    private Callable<Void> deed(Fault fault, Member member) {
+    private Callable<Void> deed(Fault fault, RigServer member) {
         return () -> {
             sleepUntil(fault.at());
             long millis = fault.lasts() / 1_000;
@@ -205,12 +207,12 @@
         };
     }
 
-    private synchronized void gone(Member member) {
+    private synchronized void gone(RigServer member) {
         ended.add(member.name());
         rig.world().killed(member.name());
     }
 
-    private void excuse(Member member, long millis) {
+    private void excuse(RigServer member, long millis) {
         long now = System.currentTimeMillis();
         rig.world().paused(member.name(), now, now + millis);
     }
@@ -234,7 +236,7 @@
         sleepUntil(scenario.run());
         if (scenario.load() > 0) {
             figures.put("open_at_end", rig.settle());
-            Ledger ledger = rig.world().ledger();
+            InvariantChecker ledger = rig.world().ledger();
             faults.addAll(ledger.faults());
             figures.put("load", ledger.figures());
         }
@@ -243,7 +245,7 @@
         }
         readLogs();
         faults.addAll(verdict.faults());
-        for (Member member : rig.members()) {
+        for (RigServer member : rig.members()) {
             if (!member.isAlive() && !ended.contains(member.name())) {
                 faults.add(member.name() + " has ended by itself: " + tail(member));
             }
@@ -261,7 +263,7 @@
     }
 
     private synchronized void readLogs() {
-        for (Member member : rig.members()) {
+        for (RigServer member : rig.members()) {
             if (member.log() != null) {
                 verdict.read(member.name(), member.log().lines());
             }
@@ -281,7 +283,7 @@
         return await(
                 () -> rig.members().stream()
                         .filter(one -> !ended.contains(one.name()))
-                        .map(one -> Doors.members(one.door()))
+                        .map(one -> ControlClient.members(one.door()))
                         .allMatch(told -> told != null && told.getBoolean("in") && !told.getBoolean("stands")),
                 millis);
     }
@@ -299,11 +301,11 @@
 
     private boolean agree(int size) {
         Set<String> views = new HashSet<>();
-        for (Member member : rig.members()) {
+        for (RigServer member : rig.members()) {
             if (ended.contains(member.name())) {
                 continue;
             }
-            JSONObject told = Doors.members(member.door());
+            JSONObject told = ControlClient.members(member.door());
             if (told == null
                     || !told.getBoolean("stands")
                     || told.getJSONArray("members").length() != size) {
@@ -317,8 +319,8 @@
     /** What each says, in short. */
     private String states() {
         Map<String, String> states = new HashMap<>();
-        for (Member member : rig.members()) {
-            JSONObject told = ended.contains(member.name()) ? null : Doors.members(member.door());
+        for (RigServer member : rig.members()) {
+            JSONObject told = ended.contains(member.name()) ? null : ControlClient.members(member.door());
             states.put(
                     member.name(),
                     told == null
@@ -350,7 +352,7 @@
         return text.toString();
     }
 
-    private static String tail(Member member) {
+    private static String tail(RigServer member) {
         List<String> lines = member.log().lines();
         return String.join(" / ", lines.subList(Math.max(0, lines.size() - TAIL_LINES), lines.size()));
     }
--- a/lab/src/main/java/wheatspread/lab/faults/Relays.java
+++ b/lab/src/main/java/wheatspread/lab/faults/Relays.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import wheatspread.peers.Malformed;
+import wheatspread.peers.MalformedMessageException;
 import wheatspread.peers.MessageCodec;
 
 /**
@@ -208,7 +208,7 @@
                 out.setSoTimeout(1_000);
                 out.getInputStream().read(); // until it is taken
             }
-        } catch (IOException | Malformed e) {
+        } catch (IOException | MalformedMessageException e) {
             return; // the sender or the receiver is gone
         }
     }
--- a/lab/src/main/java/wheatspread/lab/faults/Scenario.java
+++ b/lab/src/main/java/wheatspread/lab/faults/Scenario.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import wheatspread.config.Fields;
+import wheatspread.config.JsonFields;
 import wheatspread.config.JsonFile;
 
 /**
@@ -80,17 +80,17 @@
         return read(JsonFile.read(file), seed);
     }
 
-    static Scenario read(Fields told, long seed) {
+    static Scenario read(JsonFields told, long seed) {
         told.only(Set.of("members", "zones", "seeds", "load_per_s", "run_s", "faults", "expect"));
         int size = told.integer("members", 0, 1, 2_000);
         Map<String, String> zones = zones(told, size);
         Random random = new Random(seed);
         List<Fault> faults = new ArrayList<>();
-        for (Fields one : told.objects("faults")) {
+        for (JsonFields one : told.objects("faults")) {
             faults.add(fault(one, zones, random));
         }
         faults.sort(Comparator.comparingLong(Fault::at));
-        Fields expect = told.object("expect", true);
+        JsonFields expect = told.object("expect", true);
         expect.only(Set.of("views_at_most", "final_members", "converged_within_s", "gone"));
         Scenario scenario = new Scenario(
                 zones,
@@ -107,9 +107,9 @@
         return scenario;
     }
 
-    private static Map<String, String> zones(Fields told, int size) {
+    private static Map<String, String> zones(JsonFields told, int size) {
         Map<String, String> zones = new LinkedHashMap<>();
-        Fields sizes = told.object("zones", true);
+        JsonFields sizes = told.object("zones", true);
         for (String zone : sizes.names()) {
             for (int i = sizes.integer(zone, 0, 1, 2_000); i > 0; i--) {
                 zones.put("m" + (zones.size() + 1), zone);
@@ -124,7 +124,7 @@
         return zones;
     }
 
-    private static Fault fault(Fields told, Map<String, String> zones, Random random) {
+    private static Fault fault(JsonFields told, Map<String, String> zones, Random random) {
         Fault.Kind kind = told.word("do", Fault.Kind.words());
         told.only(Set.of("at_s", "for_s", "do", "from", "to", "on", "share", "ms", "period_ms"));
         Set<String> on = targets(told, "on", zones, random);
@@ -145,12 +145,12 @@
                 extra);
     }
 
-    private static long seconds(Fields told, String key, double absent) {
+    private static long seconds(JsonFields told, String key, double absent) {
         return Math.round(told.number(key, absent, 0, MOST_SECONDS) * 1e6);
     }
 
     /** The members that a list of targets means; all where it is absent. */
-    private static Set<String> targets(Fields told, String key, Map<String, String> zones, Random random) {
+    private static Set<String> targets(JsonFields told, String key, Map<String, String> zones, Random random) {
         Set<String> chosen = new LinkedHashSet<>();
         if (!told.has(key)) {
             return new LinkedHashSet<>(zones.keySet());
--- a/lab/src/main/java/wheatspread/lab/fleet/FleetProcess.java
+++ b/lab/src/main/java/wheatspread/lab/fleet/FleetProcess.java
@@ -16,7 +16,7 @@
 import org.json.JSONObject;
 import wheatspread.lab.Sites;
 import wheatspread.lab.rig.Ports;
-import wheatspread.lab.standins.Folders;
+import wheatspread.lab.standins.TemporaryFolders;
 import wheatspread.lab.world.World;
 
 /**
@@ -227,6 +227,6 @@
             }
         }
         world.close();
-        Folders.delete(dir);
+        TemporaryFolders.delete(dir);
     }
 }
--- a/lab/src/main/java/wheatspread/lab/fleet/FleetRoll.java
+++ b/lab/src/main/java/wheatspread/lab/fleet/FleetRoll.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import org.json.JSONObject;
-import wheatspread.lab.world.Ledger;
+import wheatspread.lab.world.InvariantChecker;
 
 /**
  * One run of a fleet under load: from nothing, through what is done to it, to its end, with the ledger's
@@ -91,7 +91,7 @@
                 TimeUnit.MILLISECONDS.sleep(50);
             }
             figures.put("went_down", fleet.down(DOWN_MS));
-            Ledger ledger = fleet.world().ledger();
+            InvariantChecker ledger = fleet.world().ledger();
             ledger.figures().toMap().forEach(figures::put);
             return new Outcome(figures.put("broken_promises", ledger.broken()), ledger.bySecond(), ledger.faults());
         }
--- a/lab/src/main/java/wheatspread/lab/memory/MemoryCrowd.java
+++ b/lab/src/main/java/wheatspread/lab/memory/MemoryCrowd.java
@@ -11,29 +11,29 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.json.JSONObject;
-import wheatspread.admission.Admission.Outcome;
-import wheatspread.admission.choice.Choice;
-import wheatspread.config.Fields;
+import wheatspread.admission.Outcome;
+import wheatspread.admission.sfq.SfqAdmissionController;
+import wheatspread.config.JsonFields;
 import wheatspread.config.ServerConfig;
 import wheatspread.connections.Connection.State;
 import wheatspread.connections.ConnectionLimits;
 import wheatspread.core.Clock;
 import wheatspread.core.Core;
 import wheatspread.core.Kernel;
-import wheatspread.daemon.LoopClock;
+import wheatspread.daemon.EventLoopClock;
 import wheatspread.jsonrpc.RpcFront;
 import wheatspread.lab.Sites;
-import wheatspread.lab.standins.Parties;
+import wheatspread.lab.standins.StandInServices;
 import wheatspread.logging.EventLog;
-import wheatspread.sockets.Listener;
-import wheatspread.sockets.Turns;
-import wheatspread.turns.TurnLimits;
+import wheatspread.scheduling.IterationBudget;
+import wheatspread.transport.EventLoopScheduler;
+import wheatspread.transport.Listener;
 
 /** A crowd on one loop in memory: its heap, its longest turn, and whether all are answered once. */
 public final class MemoryCrowd implements AutoCloseable {
     private static final long RUN = 15_000;
 
-    private final Turns turns;
+    private final EventLoopScheduler turns;
     private final MultiThreadIoEventLoopGroup group;
     private final EventLoop loop;
     private final Clock clock;
@@ -44,20 +44,20 @@
     private final int count;
 
     /** Who rests for {@code idle} microseconds is closed in the end. */
-    public MemoryCrowd(int count, TurnLimits limits, long idle) {
+    public MemoryCrowd(int count, IterationBudget limits, long idle) {
         this.count = count;
-        turns = new Turns(new MemoryTransport(), limits, 1, EventLog.NONE);
+        turns = new EventLoopScheduler(new MemoryTransport(), limits, 1, EventLog.NONE);
         group = new MultiThreadIoEventLoopGroup(1, turns);
         loop = group.next();
-        clock = new LoopClock(turns);
-        turns.usedBy(clock::now);
+        clock = new EventLoopClock(turns);
+        turns.usedBy(clock::nowMicros);
         Core core;
-        try (Parties parties = new Parties(RUN, RUN)) {
+        try (StandInServices parties = new StandInServices(RUN, RUN)) {
             ServerConfig config =
-                    ServerConfig.read(Fields.of(Sites.config(parties, 1_000).toMap(), ""));
+                    ServerConfig.read(JsonFields.of(Sites.config(parties, 1_000).toMap(), ""));
             core = new Core(
                     config.site(),
-                    settings -> new Choice(settings, 1),
+                    settings -> new SfqAdmissionController(settings, 1),
                     clock,
                     (job, body, patience, to) -> clock.after(RUN, () -> to.ended(Outcome.OK, body))::cancel,
                     accepting -> {},
--- a/lab/src/main/java/wheatspread/lab/memory/MemoryTransport.java
+++ b/lab/src/main/java/wheatspread/lab/memory/MemoryTransport.java
@@ -13,9 +13,9 @@
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.locks.LockSupport;
-import wheatspread.sockets.CallerHandle;
-import wheatspread.sockets.Transport;
-import wheatspread.sockets.Turns;
+import wheatspread.transport.ClientChannel;
+import wheatspread.transport.EventLoopScheduler;
+import wheatspread.transport.Transport;
 
 /**
  * A transport whose sockets are queues in memory, for crowds that no process has descriptors for. Like a
@@ -51,12 +51,12 @@
     }
 
     @Override
-    public CallerHandle defer(IoHandle handle, Turns turns) {
+    public ClientChannel defer(IoHandle handle, EventLoopScheduler turns) {
         return new Deferring(handle, turns);
     }
 
-    private static final class Deferring extends CallerHandle {
-        Deferring(IoHandle handle, Turns turns) {
+    private static final class Deferring extends ClientChannel {
+        Deferring(IoHandle handle, EventLoopScheduler turns) {
             super(handle, turns);
         }
 
--- a/lab/src/main/java/wheatspread/lab/rig/HandoverRun.java
+++ b/lab/src/main/java/wheatspread/lab/rig/HandoverRun.java
@@ -12,10 +12,10 @@
 import java.util.function.BooleanSupplier;
 import org.json.JSONObject;
 import wheatspread.lab.Sites;
-import wheatspread.lab.standins.Door;
-import wheatspread.lab.standins.Doors;
-import wheatspread.lab.standins.Folders;
-import wheatspread.lab.world.Ledger;
+import wheatspread.lab.standins.ControlClient;
+import wheatspread.lab.standins.StandInEndpoint;
+import wheatspread.lab.standins.TemporaryFolders;
+import wheatspread.lab.world.InvariantChecker;
 import wheatspread.lab.world.World;
 
 /**
@@ -54,7 +54,7 @@
         List<String> faults = new ArrayList<>();
         Path dir = Files.createTempDirectory("wheatspread-handover");
         try (HandedSocket socket = new HandedSocket();
-                Signals signals = new Signals();
+                ProcessSignals signals = new ProcessSignals();
                 World world = new World(Map.of(NAME, new InetSocketAddress("127.0.0.1", socket.port())))) {
             Ports ports = new Ports();
             InetSocketAddress oldDoor = ports.next();
@@ -63,12 +63,12 @@
             try {
                 ProcessHandle old = start(dir, "old", socket, world, world.kernelDoor(NAME), oldDoor);
                 all.add(old);
-                await("the old one", () -> Doors.isReady(oldDoor));
+                await("the old one", () -> ControlClient.isReady(oldDoor));
                 TimeUnit.MILLISECONDS.sleep(2_300); // proxies see the list late
                 world.mostPerLink(3);
                 world.ask(rate);
                 TimeUnit.MILLISECONDS.sleep(LOAD_MS);
-                Door heir = world.heirDoor(NAME, end == End.NEW_DIES_BEFORE_READY ? UP_MS : BOOT_LATE_MS);
+                StandInEndpoint heir = world.heirDoor(NAME, end == End.NEW_DIES_BEFORE_READY ? UP_MS : BOOT_LATE_MS);
                 ProcessHandle next = start(dir, "new", socket, world, heir, newDoor);
                 all.add(next);
                 if (end == End.NEW_DIES_BEFORE_READY) {
@@ -77,7 +77,7 @@
                     signals.send("KILL", next);
                     socket.awaitEnd(next, UP_MS);
                 } else {
-                    await("the new one", () -> Doors.isReady(newDoor));
+                    await("the new one", () -> ControlClient.isReady(newDoor));
                     TimeUnit.MILLISECONDS.sleep(random.nextInt(300));
                     if (end == End.OLD_KILLED) {
                         world.mayLose(NAME, 500);
@@ -103,7 +103,7 @@
                     one.destroyForcibly();
                 }
             }
-            Ledger ledger = world.ledger();
+            InvariantChecker ledger = world.ledger();
             faults.addAll(ledger.faults());
             JSONObject figures = ledger.figures().put("seed", seed);
             if (end != End.OLD_KILLED && figures.getLong("refused") + figures.getLong("failed") > 0) {
@@ -111,12 +111,12 @@
             }
             return new ReloadRun.Outcome(figures, faults);
         } finally {
-            Folders.delete(dir);
+            TemporaryFolders.delete(dir);
         }
     }
 
     private ProcessHandle start(
-            Path dir, String which, HandedSocket socket, World world, Door kernel, InetSocketAddress door)
+            Path dir, String which, HandedSocket socket, World world, StandInEndpoint kernel, InetSocketAddress door)
             throws IOException, InterruptedException {
         Path config = Files.writeString(
                 dir.resolve(which + ".json"),
--- a/lab/src/main/java/wheatspread/lab/rig/Signals.java
+++ b/lab/src/main/java/wheatspread/lab/rig/ProcessSignals.java
@@ -9,12 +9,12 @@
  * Sends signals to processes of the rig, through one shell that stays: a process for each signal would take
  * longer than the slices in which others are starved.
  */
-final class Signals implements AutoCloseable {
+final class ProcessSignals implements AutoCloseable {
     private final Process shell;
     private final Writer out;
     private final BufferedReader in;
 
-    Signals() throws IOException {
+    ProcessSignals() throws IOException {
         shell = new ProcessBuilder("/bin/sh").redirectErrorStream(true).start();
         out = shell.outputWriter(StandardCharsets.US_ASCII);
         in = shell.inputReader(StandardCharsets.US_ASCII);
--- a/lab/src/main/java/wheatspread/lab/rig/ReloadRun.java
+++ b/lab/src/main/java/wheatspread/lab/rig/ReloadRun.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import org.json.JSONObject;
-import wheatspread.lab.world.Ledger;
+import wheatspread.lab.world.InvariantChecker;
 import wheatspread.lab.world.World;
 
 /**
@@ -82,10 +82,10 @@
                 TimeUnit.MILLISECONDS.sleep(BETWEEN_MS);
             }
             int open = rig.settle();
-            Ledger ledger = rig.world().ledger();
+            InvariantChecker ledger = rig.world().ledger();
             faults.addAll(ledger.faults());
             long left = 0;
-            for (Member member : rig.members()) {
+            for (RigServer member : rig.members()) {
                 int code = member.leave();
                 left += code == 0 ? 1 : 0;
                 if (code != 0) {
@@ -101,14 +101,14 @@
             throws IOException, InterruptedException {
         List<Trouble> troubles = new ArrayList<>(List.of(Trouble.values()));
         Collections.shuffle(troubles, random);
-        Map<Member, Integer> linksBefore = new HashMap<>();
-        for (Member member : rig.members()) {
+        Map<RigServer, Integer> linksBefore = new HashMap<>();
+        for (RigServer member : rig.members()) {
             linksBefore.put(member, rig.world().links(member.name()));
         }
         int moves = twice ? 2 : 1;
         List<Callable<Void>> deeds = new ArrayList<>();
         for (int i = 0; i < troubles.size(); i++) {
-            Member member = rig.members().get(i);
+            RigServer member = rig.members().get(i);
             Trouble trouble = troubles.get(i);
             long millis = 200 + random.nextInt(1_300);
             deeds.add(() -> {
@@ -126,7 +126,7 @@
                         going.add(hands.submit(deed));
                     }
                 }
-                for (Member member : rig.members()) {
+                for (RigServer member : rig.members()) {
                     rig.configure(member);
                     member.signal("HUP");
                 }
@@ -141,7 +141,7 @@
             hands.shutdownNow();
         }
         for (int i = 0; i < troubles.size(); i++) {
-            Member member = rig.members().get(i);
+            RigServer member = rig.members().get(i);
             String at = "kernel=/" + rig.world().kernelDoor(member.name()).text();
             boolean told = member.log()
                             .await(
@@ -156,7 +156,7 @@
         }
     }
 
-    private static boolean linksAbove(Rig rig, Member member, int before) throws InterruptedException {
+    private static boolean linksAbove(Rig rig, RigServer member, int before) throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(FOUND_MS);
         while (System.nanoTime() < until) {
             if (rig.world().links(member.name()) > before) {
@@ -186,7 +186,7 @@
         }
     }
 
-    private static void meet(World world, Member member, Trouble trouble, long millis)
+    private static void meet(World world, RigServer member, Trouble trouble, long millis)
             throws IOException, InterruptedException {
         long from = System.currentTimeMillis();
         switch (trouble) {
@@ -212,7 +212,7 @@
         }
     }
 
-    private static String tail(Member member) {
+    private static String tail(RigServer member) {
         List<String> lines = member.log().lines();
         return String.join(" / ", lines.subList(Math.max(0, lines.size() - 5), lines.size()));
     }
--- a/lab/src/main/java/wheatspread/lab/rig/Rig.java
+++ b/lab/src/main/java/wheatspread/lab/rig/Rig.java
@@ -12,8 +12,8 @@
 import java.util.stream.IntStream;
 import org.json.JSONObject;
 import wheatspread.lab.Sites;
-import wheatspread.lab.standins.Folders;
-import wheatspread.lab.standins.Listening;
+import wheatspread.lab.standins.StandInAddress;
+import wheatspread.lab.standins.TemporaryFolders;
 import wheatspread.lab.world.World;
 
 /**
@@ -31,8 +31,8 @@
     private final Ports ports = new Ports();
     private final Path dir;
     private final World world;
-    private final Signals signals = new Signals();
-    private final Map<String, Member> members = new LinkedHashMap<>();
+    private final ProcessSignals signals = new ProcessSignals();
+    private final Map<String, RigServer> members = new LinkedHashMap<>();
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
 
     /** {@code flags} are those of the JVMs. */
@@ -53,7 +53,7 @@
         command.addAll(List.of("-jar", jar.toAbsolutePath().toString(), "serve"));
         for (String name : names) {
             addresses.put(name, ports.next());
-            members.put(name, new Member(name, command, dir, signals));
+            members.put(name, new RigServer(name, command, dir, signals));
         }
         world = new World(addresses);
     }
@@ -62,7 +62,7 @@
         return world;
     }
 
-    public List<Member> members() {
+    public List<RigServer> members() {
         return List.copyOf(members.values());
     }
 
@@ -71,31 +71,32 @@
         return ports.next();
     }
 
-    public Member member(String name) {
+    public RigServer member(String name) {
         return members.get(name);
     }
 
     /** Starts all and waits until they serve and the proxies know them. */
     public void start() throws IOException, InterruptedException {
-        for (Member member : members.values()) {
+        for (RigServer member : members.values()) {
             configure(member);
             member.start();
         }
-        for (Member member : members.values()) {
+        for (RigServer member : members.values()) {
             member.awaitServing();
         }
         TimeUnit.MILLISECONDS.sleep(SEEN_MS);
     }
 
     /** Writes the configuration of a server with the addresses of this moment. */
-    public void configure(Member member) throws IOException {
+    public void configure(RigServer member) throws IOException {
         JSONObject config = Sites.config(
                 world.kernelDoor(member.name()).text(),
                 world.recordsDoor().text(),
                 world.announceDoor().text(),
                 SOCKETS,
                 members.size());
-        member.configure(config.put("name", member.name()).put("listen", Listening.text(addresses.get(member.name()))));
+        member.configure(
+                config.put("name", member.name()).put("listen", StandInAddress.text(addresses.get(member.name()))));
     }
 
     /** Ends the load and waits until every request is over; returns how many still lack an answer. */
@@ -110,7 +111,7 @@
 
     @Override
     public void close() throws IOException {
-        for (Member member : members.values()) {
+        for (RigServer member : members.values()) {
             if (member.isAlive()) {
                 try {
                     member.kill();
@@ -121,6 +122,6 @@
         }
         signals.close();
         world.close();
-        Folders.delete(dir);
+        TemporaryFolders.delete(dir);
     }
 }
--- a/lab/src/main/java/wheatspread/lab/rig/Member.java
+++ b/lab/src/main/java/wheatspread/lab/rig/RigServer.java
@@ -9,11 +9,11 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.json.JSONObject;
-import wheatspread.lab.standins.Listening;
 import wheatspread.lab.standins.ProcessLog;
+import wheatspread.lab.standins.StandInAddress;
 
 /** One server of a rig: its files, its process, and what may be done to it from outside. */
-public final class Member {
+public final class RigServer {
     private static final long UP_MS = 30_000;
     private static final long LEAVE_MS = 20_000;
     private static final long SLICE_MS = 100;
@@ -21,7 +21,7 @@
     private final String name;
     private final List<String> command;
     private final Path config;
-    private final Signals signals;
+    private final ProcessSignals signals;
     /** Its operator's file; null for none. */
     private Path operator;
     /** Where its operators' door listens; null for none. */
@@ -31,7 +31,7 @@
     private ProcessLog log;
 
     /** {@code command} starts the program up to {@code serve}; {@code dir} is for its files. */
-    Member(String name, List<String> command, Path dir, Signals signals) {
+    RigServer(String name, List<String> command, Path dir, ProcessSignals signals) {
         this.name = name;
         this.command = List.copyOf(command);
         this.signals = signals;
@@ -65,7 +65,7 @@
     /** Writes its configuration, whole at once. */
     void configure(JSONObject told) throws IOException {
         if (door != null) {
-            told.put("control", Listening.text(door));
+            told.put("control", StandInAddress.text(door));
         }
         Path aside = config.resolveSibling(name + ".json.new");
         Files.writeString(aside, told.toString());
--- a/lab/src/main/java/wheatspread/lab/scale/FaultPlayer.java
+++ b/lab/src/main/java/wheatspread/lab/scale/FaultPlayer.java
@@ -30,7 +30,7 @@
      */
     JSONObject play(FaultKind kind) throws IOException, InterruptedException {
         int before = fleet.members();
-        Window window = new Window(fleet);
+        ObservationWindow window = new ObservationWindow(fleet);
         Played played = carryOut(kind, window);
         double view = window.awaitView(played.since, kind.limitSeconds());
         window.watch(played.leastSeconds - window.seconds());
@@ -53,7 +53,7 @@
      */
     private record Played(long since, double leastSeconds, int members) {}
 
-    private Played carryOut(FaultKind kind, Window window) throws IOException, InterruptedException {
+    private Played carryOut(FaultKind kind, ObservationWindow window) throws IOException, InterruptedException {
         return switch (kind) {
             case CRASH -> crash(drawn(fleet.alive(), 1));
             case RACK -> crash(rack());
@@ -81,7 +81,7 @@
         return new Played(begun, LEAST_SECONDS, hit);
     }
 
-    private Played untilMended(Window window, int hit) throws IOException, InterruptedException {
+    private Played untilMended(ObservationWindow window, int hit) throws IOException, InterruptedException {
         window.watch(LASTS_SECONDS);
         fleet.mendLinks();
         return new Played(System.nanoTime(), LEAST_SECONDS, hit);
@@ -104,7 +104,7 @@
     }
 
     /** Restarts different members at a steady rate, every other one clean, each in the middle of its interval. */
-    private Played restart(Window window, int count, double rate) throws IOException, InterruptedException {
+    private Played restart(ObservationWindow window, int count, double rate) throws IOException, InterruptedException {
         List<MemberSpec> chosen = drawn(fleet.alive(), count);
         double begun = window.seconds();
         for (int i = 0; i < chosen.size(); i++) {
--- a/lab/src/main/java/wheatspread/lab/scale/HollowCheck.java
+++ b/lab/src/main/java/wheatspread/lab/scale/HollowCheck.java
@@ -68,11 +68,11 @@
         try (ScaleFleet fleet = new ScaleFleet(settings, hollow, real)) {
             fleet.start();
             fleet.startNext(servers);
-            if (Double.isNaN(new Window(fleet).awaitView(System.nanoTime(), FORM_SECONDS))) {
+            if (Double.isNaN(new ObservationWindow(fleet).awaitView(System.nanoTime(), FORM_SECONDS))) {
                 throw new IOException("no view of " + fleet.members() + " servers in " + FORM_SECONDS + " s");
             }
-            new Window(fleet).watch(WARM_SECONDS);
-            Window window = new Window(fleet);
+            new ObservationWindow(fleet).watch(WARM_SECONDS);
+            ObservationWindow window = new ObservationWindow(fleet);
             window.watch(WATCH_SECONDS);
             JSONObject told = window.figures();
             boolean ofReal = real > 0;
--- a/lab/src/main/java/wheatspread/lab/scale/HollowHost.java
+++ b/lab/src/main/java/wheatspread/lab/scale/HollowHost.java
@@ -11,11 +11,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import wheatspread.daemon.LoopClock;
+import wheatspread.daemon.EventLoopClock;
 import wheatspread.logging.EventLog;
-import wheatspread.sockets.Transport;
-import wheatspread.sockets.Turns;
-import wheatspread.turns.TurnLimits;
+import wheatspread.scheduling.IterationBudget;
+import wheatspread.transport.EventLoopScheduler;
+import wheatspread.transport.Transport;
 
 /** The hollow servers of one process, on a few of the program's own event loops. One thread calls it. */
 public final class HollowHost implements AutoCloseable {
@@ -29,7 +29,7 @@
     private static final class Lane {
         final MultiThreadIoEventLoopGroup group;
         final EventLoop loop;
-        final LoopClock clock;
+        final EventLoopClock clock;
         final HollowMember.Surroundings around;
         final Map<String, HollowMember> members = new HashMap<>();
         final Set<String> removed = new HashSet<>();
@@ -39,10 +39,10 @@
         long overRate;
 
         Lane(Transport transport, String cluster, List<String> seeds, long seed) {
-            Turns turns = new Turns(transport, TurnLimits.USUAL, seed, EventLog.NONE);
+            EventLoopScheduler turns = new EventLoopScheduler(transport, IterationBudget.USUAL, seed, EventLog.NONE);
             group = new MultiThreadIoEventLoopGroup(1, turns);
             loop = group.next();
-            clock = new LoopClock(turns);
+            clock = new EventLoopClock(turns);
             around = new HollowMember.Surroundings(cluster, seeds, transport, loop, clock, seed);
         }
 
--- a/lab/src/main/java/wheatspread/lab/scale/HollowMember.java
+++ b/lab/src/main/java/wheatspread/lab/scale/HollowMember.java
@@ -13,10 +13,10 @@
 import wheatspread.membership.MemberId;
 import wheatspread.membership.Membership;
 import wheatspread.peers.PeerAddress;
-import wheatspread.peers.PeerCounts;
-import wheatspread.peers.Peers;
-import wheatspread.sockets.Transport;
-import wheatspread.sockets.Turns;
+import wheatspread.peers.PeerCounters;
+import wheatspread.peers.PeerTransport;
+import wheatspread.transport.EventLoopScheduler;
+import wheatspread.transport.Transport;
 
 /**
  * One hollow server: the program's own membership on sockets of its own, and nothing else of a server. All methods
@@ -27,7 +27,7 @@
     private static final long LEAVE_MICROS = 6_000_000;
 
     private final MemberSpec spec;
-    private final Peers peers;
+    private final PeerTransport peers;
     private final FaultyLinks links;
     private final Clock clock;
     private final Consumer<Set<String>> removed;
@@ -47,7 +47,7 @@
         clock = around.clock();
         long drawn = around.seed() * 31 + spec.start() + spec.name().hashCode();
         links = new FaultyLinks(spec.address(), new SplittableRandom(~drawn));
-        peers = new Peers(
+        peers = new PeerTransport(
                 around.cluster(),
                 PeerAddress.parse(spec.address()),
                 new Member(new MemberId(spec.name(), spec.start()), spec.address(), spec.zone(), "hollow", 0),
@@ -96,7 +96,7 @@
         links.set(faults);
     }
 
-    PeerCounts counts() {
+    PeerCounters counts() {
         return peers.counts();
     }
 
@@ -111,7 +111,7 @@
 
     /** Whether it thinks that its view is old. */
     boolean isOld() {
-        return !peers.membership().stands(Turns.micros());
+        return !peers.membership().stands(EventLoopScheduler.micros());
     }
 
     /** Whether it waits longer than usual before it accuses others. */
--- a/lab/src/main/java/wheatspread/lab/scale/HollowPlan.java
+++ b/lab/src/main/java/wheatspread/lab/scale/HollowPlan.java
@@ -38,7 +38,7 @@
 
     /** Event loops of a process: all processes together have at least one for each core. */
     int loops() {
-        return Math.max(LEAST_LOOPS, Machine.cores() / Math.max(1, processes()));
+        return Math.max(LEAST_LOOPS, MachineResources.cores() / Math.max(1, processes()));
     }
 
     /** The least Java heap of a process with which a fleet can be formed. */
--- a/lab/src/main/java/wheatspread/lab/scale/Machine.java
+++ b/lab/src/main/java/wheatspread/lab/scale/MachineResources.java
@@ -6,11 +6,11 @@
 import java.util.List;
 
 /** What this machine has, and how busy it is. */
-final class Machine {
+final class MachineResources {
     private static final int IDLE = 3;
     private static final int WAITING = 4;
 
-    private Machine() {}
+    private MachineResources() {}
 
     /** Processor time of the whole machine so far, in ticks. */
     record Ticks(long busy, long all) {
--- a/lab/src/main/java/wheatspread/lab/scale/Window.java
+++ b/lab/src/main/java/wheatspread/lab/scale/ObservationWindow.java
@@ -9,7 +9,7 @@
 import org.json.JSONObject;
 
 /** A stretch of time in which a fleet is watched, and its figures. */
-final class Window {
+final class ObservationWindow {
     private static final long LOOK_MILLIS = 200;
     private static final double WORST_SECONDS = 10;
     private static final double PERCENT = 100;
@@ -21,19 +21,19 @@
     private final double hollowSeconds;
     private final double[] realSeconds;
     private final RealServers.Sent realSent;
-    private final Machine.Ticks ticks;
+    private final MachineResources.Ticks ticks;
     private int mostOld;
     private int mostDistrusting;
 
     /** Begins now. */
-    Window(ScaleFleet fleet) throws IOException {
+    ObservationWindow(ScaleFleet fleet) throws IOException {
         this.fleet = fleet;
         fleet.takeWronglyRemoved();
         look();
         hollowSeconds = fleet.hollowProcessorSeconds();
         realSeconds = fleet.real().processorSeconds();
         realSent = fleet.real().sent();
-        ticks = Machine.ticks();
+        ticks = MachineResources.ticks();
     }
 
     private Observation look() throws IOException {
@@ -78,8 +78,8 @@
         int real = fleet.real().size();
         int hollow = Math.max(1, last.members() - real);
         Set<String> wrongly = fleet.takeWronglyRemoved();
-        double load = Machine.loadAverage();
-        double busy = Machine.ticks().percentSince(ticks);
+        double load = MachineResources.loadAverage();
+        double busy = MachineResources.ticks().percentSince(ticks);
         double used = PERCENT * (fleet.hollowProcessorSeconds() - hollowSeconds) / seconds;
         int loops = Math.max(1, fleet.plan().processes() * fleet.plan().loops());
         JSONObject figures = new JSONObject()
@@ -99,7 +99,7 @@
                 .put("hollow_loop_cpu_percent", used / loops)
                 .put("load_average", load)
                 .put("machine_cpu_percent", busy)
-                .put("machine_busy", load > Machine.cores() || busy > BUSY_PERCENT);
+                .put("machine_busy", load > MachineResources.cores() || busy > BUSY_PERCENT);
         return real == 0 ? figures : withReal(figures, seconds, real);
     }
 
--- a/lab/src/main/java/wheatspread/lab/scale/Preflight.java
+++ b/lab/src/main/java/wheatspread/lab/scale/Preflight.java
@@ -21,7 +21,10 @@
     /** What a machine offers. */
     record Offer(long totalMb, long availableMb, long descriptors) {
         static Offer ofThisMachine() throws IOException {
-            return new Offer(Machine.memoryMb("MemTotal"), Machine.memoryMb("MemAvailable"), Machine.mostDescriptors());
+            return new Offer(
+                    MachineResources.memoryMb("MemTotal"),
+                    MachineResources.memoryMb("MemAvailable"),
+                    MachineResources.mostDescriptors());
         }
     }
 
--- a/lab/src/main/java/wheatspread/lab/scale/RealServers.java
+++ b/lab/src/main/java/wheatspread/lab/scale/RealServers.java
@@ -12,11 +12,11 @@
 import java.util.stream.IntStream;
 import org.json.JSONArray;
 import org.json.JSONObject;
-import wheatspread.lab.rig.Member;
 import wheatspread.lab.rig.ProcessFigures;
 import wheatspread.lab.rig.Rig;
-import wheatspread.lab.standins.Doors;
-import wheatspread.lab.standins.Listening;
+import wheatspread.lab.rig.RigServer;
+import wheatspread.lab.standins.ControlClient;
+import wheatspread.lab.standins.StandInAddress;
 
 /**
  * The real servers of a fleet: whole processes with load. What they hold is read from their logs and doors. They are
@@ -43,7 +43,7 @@
                 IntStream.rangeClosed(1, count).mapToObj(i -> "m" + i).toList());
         Runtime.getRuntime().addShutdownHook(onInterrupt);
         for (int i = 0; i < count; i++) {
-            addresses.add(Listening.text(rig.address()));
+            addresses.add(StandInAddress.text(rig.address()));
         }
     }
 
@@ -80,7 +80,7 @@
     /** Reads what the logs tell since the last look; returns members that went and not by themselves. */
     Set<String> look() {
         Set<String> removed = new LinkedHashSet<>();
-        for (Member one : rig.members()) {
+        for (RigServer one : rig.members()) {
             List<String> lines = one.log().lines();
             for (int i = linesRead.getOrDefault(one.name(), 0); i < lines.size(); i++) {
                 ViewEvents.Seen seen = ViewEvents.parse(lines.get(i));
@@ -111,7 +111,7 @@
     /** Why the first server with an old view says that it is old; empty where none does. */
     String whyOld() {
         return rig.members().stream()
-                .map(one -> Doors.members(one.door()))
+                .map(one -> ControlClient.members(one.door()))
                 .filter(told -> told != null && !told.getBoolean("stands"))
                 .map(told -> told.getString("name") + ": " + told.getString("why_not"))
                 .findFirst()
@@ -122,7 +122,7 @@
     Sent sent() {
         long messages = 0;
         long bytes = 0;
-        for (Member one : rig.members()) {
+        for (RigServer one : rig.members()) {
             messages += Math.max(0, value(one, "sent"));
             bytes += Math.max(0, value(one, "sent_bytes"));
         }
@@ -130,8 +130,8 @@
     }
 
     /** A figure of a server's door; -1 where it does not tell. */
-    private static long value(Member member, String name) {
-        String vars = member.door() == null ? null : Doors.ask(member.door(), "GET /_vars");
+    private static long value(RigServer member, String name) {
+        String vars = member.door() == null ? null : ControlClient.ask(member.door(), "GET /_vars");
         return vars == null
                 ? -1
                 : vars.lines()
@@ -154,7 +154,7 @@
     /** Bytes, mean of a server. */
     double residentBytes() throws IOException {
         double bytes = 0;
-        for (Member one : rig.members()) {
+        for (RigServer one : rig.members()) {
             bytes += ProcessFigures.residentBytes(one.pid());
         }
         return bytes / size();
@@ -163,7 +163,7 @@
     /** Bytes of heap that a collection leaves, mean of a server. */
     double liveHeapBytes() throws IOException, InterruptedException {
         double bytes = 0;
-        for (Member one : rig.members()) {
+        for (RigServer one : rig.members()) {
             bytes += ProcessFigures.liveHeapBytes(one.pid());
         }
         return bytes / size();
--- a/lab/src/main/java/wheatspread/lab/scale/ScaleFleet.java
+++ b/lab/src/main/java/wheatspread/lab/scale/ScaleFleet.java
@@ -16,7 +16,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import wheatspread.lab.rig.ProcessFigures;
-import wheatspread.lab.standins.Listening;
+import wheatspread.lab.standins.StandInAddress;
 
 /**
  * One fleet of hollow and real servers in two regions of four zones each, with what the rig does to it. All real
@@ -57,7 +57,7 @@
         for (int i = 0; i < hollow; i++) {
             int region = i < firstOfSecondRegion ? 1 : 2;
             String name = "h" + (i + 1);
-            waiting.add(new MemberSpec(name, lastStart, Listening.text(real.freeAddress()), zone(region, i)));
+            waiting.add(new MemberSpec(name, lastStart, StandInAddress.text(real.freeAddress()), zone(region, i)));
         }
     }
 
--- a/lab/src/main/java/wheatspread/lab/scale/ScaleStep.java
+++ b/lab/src/main/java/wheatspread/lab/scale/ScaleStep.java
@@ -74,7 +74,7 @@
 
     /** Starts the members batch by batch; returns whether all came to one view. */
     private boolean form(ScaleFleet fleet, JSONObject figures) throws IOException, InterruptedException {
-        Window forming = new Window(fleet);
+        ObservationWindow forming = new ObservationWindow(fleet);
         int batch = settings.batch() > 0 ? settings.batch() : hollow;
         JSONArray took = new JSONArray();
         boolean formed = true;
@@ -96,8 +96,8 @@
 
     private void idle(ScaleFleet fleet, JSONObject figures, Map<String, Double> points)
             throws IOException, InterruptedException {
-        new Window(fleet).watch(WARM_SECONDS);
-        Window window = new Window(fleet);
+        new ObservationWindow(fleet).watch(WARM_SECONDS);
+        ObservationWindow window = new ObservationWindow(fleet);
         window.watch(IDLE_SECONDS);
         JSONObject told = window.figures();
         figures.put("idle", told);
@@ -120,7 +120,7 @@
         points.put("membership.heap_bytes", told.getDouble("hollow_heap_bytes"));
         points.put("membership.resident_bytes", told.getDouble("hollow_resident_bytes"));
         points.put("membership.descriptors", told.getDouble("hollow_descriptors"));
-        new Window(fleet).awaitView(System.nanoTime(), AFTER_HEAP_SECONDS);
+        new ObservationWindow(fleet).awaitView(System.nanoTime(), AFTER_HEAP_SECONDS);
     }
 
     private void faults(ScaleFleet fleet, JSONObject figures, Map<String, Double> points)
--- a/lab/src/main/java/wheatspread/lab/settings/AnswerTimes.java
+++ b/lab/src/main/java/wheatspread/lab/settings/AnswerTimes.java
@@ -24,14 +24,14 @@
     }
 
     /** Times are those of {@link System#nanoTime}; {@code run} is null where the kernel did not run it. */
-    synchronized void answered(long sent, long now, Sites.Kind kind, Callers.Outcome outcome, TimedKernel.Run run) {
+    synchronized void answered(long sent, long now, Sites.Kind kind, LoadClients.Outcome outcome, TimedKernel.Run run) {
         switch (outcome) {
             case SERVED -> served++;
             case REFUSED -> refused++;
             default -> failed++;
         }
         late += now - sent > TimeUnit.MILLISECONDS.toNanos(kind.deadline() + SLACK_MS) ? 1 : 0;
-        if (outcome == Callers.Outcome.SERVED && run != null) {
+        if (outcome == LoadClients.Outcome.SERVED && run != null) {
             added.recordValue(Math.max(1, (now - sent - run.nanos()) / 1_000));
             afterRun.recordValue(Math.max(1, (now - run.ended()) / 1_000));
         }
--- a/lab/src/main/java/wheatspread/lab/settings/DelayMeasurement.java
+++ b/lab/src/main/java/wheatspread/lab/settings/DelayMeasurement.java
@@ -20,7 +20,7 @@
      * Asks so often for {@code millis} in each of some rounds, after a while that does not count, and returns the
      * figures of the round with the median p99: on a machine with other work single rounds say little.
      */
-    static JSONObject measure(Callers callers, double rate, long millis, List<String> faults)
+    static JSONObject measure(LoadClients callers, double rate, long millis, List<String> faults)
             throws InterruptedException {
         callers.begin();
         callers.ask(rate);
@@ -50,7 +50,7 @@
         }
     }
 
-    private static Round round(Callers callers, long millis) throws InterruptedException {
+    private static Round round(LoadClients callers, long millis) throws InterruptedException {
         AnswerTimes answers = callers.begin();
         try (WakeProbe probe = new WakeProbe()) {
             TimeUnit.MILLISECONDS.sleep(millis);
--- a/lab/src/main/java/wheatspread/lab/settings/HeldMeasurement.java
+++ b/lab/src/main/java/wheatspread/lab/settings/HeldMeasurement.java
@@ -20,7 +20,7 @@
     private HeldMeasurement() {}
 
     /** Keeps so many requests open for so long; {@code held} in the figures is the mean of what was held. */
-    static JSONObject measure(Callers callers, TimedKernel kernel, CheckProbe probe, int open, long millis)
+    static JSONObject measure(LoadClients callers, TimedKernel kernel, CheckProbe probe, int open, long millis)
             throws InterruptedException {
         callers.begin();
         callers.keepOpen(open);
@@ -48,7 +48,7 @@
                 .put("served_per_second", answers.served() * 1e3 / millis);
     }
 
-    private static double meanHeld(Callers callers, TimedKernel kernel, long millis) throws InterruptedException {
+    private static double meanHeld(LoadClients callers, TimedKernel kernel, long millis) throws InterruptedException {
         long looks = millis / LOOK_MS;
         double sum = 0;
         for (long i = 0; i < looks; i++) {
--- a/lab/src/main/java/wheatspread/lab/settings/JsonRpcWire.java
+++ b/lab/src/main/java/wheatspread/lab/settings/JsonRpcWire.java
@@ -10,7 +10,7 @@
 import org.json.JSONObject;
 
 /** The platform's front: JSON-RPC 2.0, a message a line. */
-final class JsonRpcWire implements Callers.Wire {
+final class JsonRpcWire implements LoadClients.Wire {
     private static final int LONGEST_LINE = 1 << 16;
     private static final int REFUSED = -32066;
     private static final double RAM_KB = 24.5;
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public ByteBuf encode(Callers.Request request) {
+    public ByteBuf encode(LoadClients.Request request) {
         String number = Long.toString(request.number());
         String body = Base64.getEncoder().encodeToString(number.getBytes(StandardCharsets.US_ASCII));
         JSONObject params = new JSONObject()
@@ -64,15 +64,15 @@
     }
 
     @Override
-    public Callers.Outcome outcome(Object message) {
+    public LoadClients.Outcome outcome(Object message) {
         JSONObject told = new JSONObject((String) message);
         if (told.optLong("id") == 0) {
-            return Callers.Outcome.NONE; // a greeting's, or a notification
+            return LoadClients.Outcome.NONE; // a greeting's, or a notification
         }
         JSONObject error = told.optJSONObject("error");
         if (error == null) {
-            return Callers.Outcome.SERVED;
+            return LoadClients.Outcome.SERVED;
         }
-        return error.optInt("code") == REFUSED ? Callers.Outcome.REFUSED : Callers.Outcome.FAILED;
+        return error.optInt("code") == REFUSED ? LoadClients.Outcome.REFUSED : LoadClients.Outcome.FAILED;
     }
 }
--- a/lab/src/main/java/wheatspread/lab/settings/Callers.java
+++ b/lab/src/main/java/wheatspread/lab/settings/LoadClients.java
@@ -27,7 +27,7 @@
  * either at a steady rate whatever becomes of the answers, the times drawn as a Poisson process, or so that always
  * the same number of requests is open.
  */
-final class Callers implements AutoCloseable {
+final class LoadClients implements AutoCloseable {
     private static final long TICK_MICROS = 500;
     private static final long ASK_AGAIN_MS = 100;
     private static final long SETTLE_MS = 16_000;
@@ -81,7 +81,7 @@
 
     private record Sent(long at, Request request, AnswerTimes times) {}
 
-    Callers(Wire wire, InetSocketAddress to, int count, TimedKernel kernel, Drawn drawn) {
+    LoadClients(Wire wire, InetSocketAddress to, int count, TimedKernel kernel, Drawn drawn) {
         this.wire = wire;
         this.kernel = kernel;
         this.drawn = drawn;
--- a/lab/src/main/java/wheatspread/lab/settings/MeasuredServer.java
+++ b/lab/src/main/java/wheatspread/lab/settings/MeasuredServer.java
@@ -13,9 +13,9 @@
 import java.util.regex.Pattern;
 import org.json.JSONObject;
 import wheatspread.lab.rig.ProcessFigures;
-import wheatspread.lab.standins.Doors;
-import wheatspread.lab.standins.Folders;
+import wheatspread.lab.standins.ControlClient;
 import wheatspread.lab.standins.ProcessLog;
+import wheatspread.lab.standins.TemporaryFolders;
 
 /** One real server process, which may fail to start, with what can be seen of it and done to it from outside. */
 final class MeasuredServer implements AutoCloseable {
@@ -72,7 +72,7 @@
 
     /** Waits until the door says that it is ready. */
     boolean awaitReady(long millis) throws InterruptedException {
-        return await(() -> Doors.isReady(door), millis);
+        return await(() -> ControlClient.isReady(door), millis);
     }
 
     /** A condition that is looked at again and again. */
@@ -126,7 +126,7 @@
 
     /** The reloads it has counted; null where its door does not answer. */
     Reloads reloads() {
-        String vars = Doors.ask(door, "GET /_vars");
+        String vars = ControlClient.ask(door, "GET /_vars");
         return vars == null ? null : new Reloads(value(vars, "reload_success"), value(vars, "reload_failure"));
     }
 
@@ -184,6 +184,6 @@
     @Override
     public void close() throws IOException {
         process.destroyForcibly().onExit().join();
-        Folders.delete(folder);
+        TemporaryFolders.delete(folder);
     }
 }
--- a/lab/src/main/java/wheatspread/lab/settings/Stage.java
+++ b/lab/src/main/java/wheatspread/lab/settings/MeasurementSetup.java
@@ -5,15 +5,15 @@
 import java.util.List;
 import org.json.JSONObject;
 import wheatspread.lab.rig.Ports;
-import wheatspread.lab.standins.Listening;
-import wheatspread.lab.standins.Parties;
+import wheatspread.lab.standins.StandInAddress;
+import wheatspread.lab.standins.StandInServices;
 
 /** One server with everybody round it played: a kernel that books its runs, records, announce, and its files. */
-final class Stage implements AutoCloseable {
+final class MeasurementSetup implements AutoCloseable {
     /** A call of a run takes so long; none is made, since the kernel's runs call nothing. */
     private static final long CALL_MICROS = 5_000;
 
-    private final Parties parties;
+    private final StandInServices parties;
     private final TimedKernel kernel;
     private final InetSocketAddress listen;
     private final InetSocketAddress uwsgi;
@@ -25,18 +25,18 @@
     record Size(int tenants, int routes, long runMicros) {}
 
     /** Starts a server; {@code command} starts the program up to {@code serve}. */
-    Stage(List<String> command, Size size) throws IOException {
+    MeasurementSetup(List<String> command, Size size) throws IOException {
         this.size = size;
-        parties = new Parties(size.runMicros, CALL_MICROS);
+        parties = new StandInServices(size.runMicros, CALL_MICROS);
         kernel = new TimedKernel(size.runMicros);
         Ports ports = new Ports();
         listen = ports.next();
         uwsgi = ports.next();
         InetSocketAddress control = ports.next();
         SettingsFiles.Addresses at = new SettingsFiles.Addresses(
-                Listening.text(listen),
-                Listening.text(uwsgi),
-                Listening.text(control),
+                StandInAddress.text(listen),
+                StandInAddress.text(uwsgi),
+                StandInAddress.text(control),
                 kernel.address(),
                 parties.records(),
                 parties.announce());
--- a/lab/src/main/java/wheatspread/lab/settings/ReloadMeasurement.java
+++ b/lab/src/main/java/wheatspread/lab/settings/ReloadMeasurement.java
@@ -28,11 +28,11 @@
 
     private final MeasuredServer server;
     private final JSONObject configuration;
-    private final Callers callers;
+    private final LoadClients callers;
     private final List<String> faults;
 
     /** What is broken is added to {@code faults}. */
-    ReloadMeasurement(MeasuredServer server, JSONObject configuration, Callers callers, List<String> faults) {
+    ReloadMeasurement(MeasuredServer server, JSONObject configuration, LoadClients callers, List<String> faults) {
         this.server = server;
         this.configuration = configuration;
         this.callers = callers;
--- a/lab/src/main/java/wheatspread/lab/settings/ServerMeasurement.java
+++ b/lab/src/main/java/wheatspread/lab/settings/ServerMeasurement.java
@@ -44,8 +44,8 @@
 
     /** Start, delay on the platform's front, and reloads with so many tenants. */
     public JSONObject ofTenants(int tenants, int routes) throws IOException, InterruptedException {
-        return played(new Stage.Size(tenants, routes, RUN_MICROS), (stage, drawn, figures, faults) -> {
-            try (Callers callers = jsonRpc(stage, drawn, FEW_CONNECTIONS);
+        return played(new MeasurementSetup.Size(tenants, routes, RUN_MICROS), (stage, drawn, figures, faults) -> {
+            try (LoadClients callers = jsonRpc(stage, drawn, FEW_CONNECTIONS);
                     CheckProbe probe = new CheckProbe(stage.listen())) {
                 figures.put("delay", DelayMeasurement.measure(callers, load.rate, load.millis, faults));
                 JSONObject reload = new JSONObject();
@@ -58,9 +58,9 @@
 
     /** Start and delay on the uwsgi front with so many routes. */
     public JSONObject ofRoutes(int tenants, int routes) throws IOException, InterruptedException {
-        return played(new Stage.Size(tenants, routes, RUN_MICROS), (stage, drawn, figures, faults) -> {
-            try (Callers callers =
-                    new Callers(new UwsgiWire(), stage.uwsgi(), UWSGI_CONNECTIONS, stage.kernel(), drawn)) {
+        return played(new MeasurementSetup.Size(tenants, routes, RUN_MICROS), (stage, drawn, figures, faults) -> {
+            try (LoadClients callers =
+                    new LoadClients(new UwsgiWire(), stage.uwsgi(), UWSGI_CONNECTIONS, stage.kernel(), drawn)) {
                 figures.put("delay", DelayMeasurement.measure(callers, load.rate, load.millis, faults));
             }
         });
@@ -68,8 +68,8 @@
 
     /** What is added while so many requests are open, most of them held. */
     public JSONObject ofHeld(int tenants, int routes, int open) throws IOException, InterruptedException {
-        return played(new Stage.Size(tenants, routes, HELD_RUN_MICROS), (stage, drawn, figures, faults) -> {
-            try (Callers callers = jsonRpc(stage, drawn, FEW_CONNECTIONS);
+        return played(new MeasurementSetup.Size(tenants, routes, HELD_RUN_MICROS), (stage, drawn, figures, faults) -> {
+            try (LoadClients callers = jsonRpc(stage, drawn, FEW_CONNECTIONS);
                     CheckProbe probe = new CheckProbe(stage.listen())) {
                 figures.put("held", HeldMeasurement.measure(callers, stage.kernel(), probe, open, load.millis));
             }
@@ -78,9 +78,9 @@
 
     /** Delay with so many connections, and the heap that each of them takes. */
     public JSONObject ofConnections(int tenants, int routes, int connections) throws IOException, InterruptedException {
-        return played(new Stage.Size(tenants, routes, RUN_MICROS), (stage, drawn, figures, faults) -> {
+        return played(new MeasurementSetup.Size(tenants, routes, RUN_MICROS), (stage, drawn, figures, faults) -> {
             long before = stage.server().liveHeapBytes();
-            try (Callers callers = jsonRpc(stage, drawn, connections)) {
+            try (LoadClients callers = jsonRpc(stage, drawn, connections)) {
                 TimeUnit.MILLISECONDS.sleep(IDLE_MS);
                 long after = stage.server().liveHeapBytes();
                 figures.put("idle_connection_bytes", (after - before) / (double) connections);
@@ -91,12 +91,12 @@
 
     /** What is measured once a server serves. */
     private interface Act {
-        void play(Stage stage, Callers.Drawn drawn, JSONObject figures, List<String> faults)
+        void play(MeasurementSetup stage, LoadClients.Drawn drawn, JSONObject figures, List<String> faults)
                 throws IOException, InterruptedException;
     }
 
     /** A port that was free may be taken by another process of the machine before the server listens on it. */
-    private JSONObject played(Stage.Size size, Act act) throws IOException, InterruptedException {
+    private JSONObject played(MeasurementSetup.Size size, Act act) throws IOException, InterruptedException {
         JSONObject figures = playedOnce(size, act);
         for (int i = 1; i < MOST_PORTS && isPortTaken(figures.getJSONObject("start")); i++) {
             figures = playedOnce(size, act);
@@ -108,10 +108,10 @@
         return !start.getBoolean("started") && start.getString("message").contains(PORT_TAKEN);
     }
 
-    private JSONObject playedOnce(Stage.Size size, Act act) throws IOException, InterruptedException {
+    private JSONObject playedOnce(MeasurementSetup.Size size, Act act) throws IOException, InterruptedException {
         JSONObject figures = new JSONObject().put("tenants", size.tenants()).put("routes", size.routes());
         List<String> faults = new ArrayList<>();
-        try (Stage stage = new Stage(command, size)) {
+        try (MeasurementSetup stage = new MeasurementSetup(command, size)) {
             JSONObject start = StartMeasurement.measure(stage.server());
             figures.put("start", start);
             if (start.getBoolean("started")) {
@@ -123,11 +123,12 @@
         return figures.put("faults", new JSONArray(faults));
     }
 
-    private void play(Stage stage, Act act, JSONObject figures, List<String> faults) throws InterruptedException {
-        Stage.Size size = stage.size();
+    private void play(MeasurementSetup stage, Act act, JSONObject figures, List<String> faults)
+            throws InterruptedException {
+        MeasurementSetup.Size size = stage.size();
         MeasuredServer server = stage.server();
         try {
-            act.play(stage, new Callers.Drawn(size.tenants(), size.routes(), load.seed), figures, faults);
+            act.play(stage, new LoadClients.Drawn(size.tenants(), size.routes(), load.seed), figures, faults);
         } catch (IOException e) { // the point is lost, the others are not
             faults.add("not measured to the end: " + e.getMessage());
         }
@@ -138,8 +139,8 @@
         }
     }
 
-    private static Callers jsonRpc(Stage stage, Callers.Drawn drawn, int connections) {
-        return new Callers(
+    private static LoadClients jsonRpc(MeasurementSetup stage, LoadClients.Drawn drawn, int connections) {
+        return new LoadClients(
                 new JsonRpcWire(stage.size().runMicros() / 1e3), stage.listen(), connections, stage.kernel(), drawn);
     }
 }
--- a/lab/src/main/java/wheatspread/lab/settings/TimedKernel.java
+++ b/lab/src/main/java/wheatspread/lab/settings/TimedKernel.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 import org.json.JSONObject;
-import wheatspread.lab.standins.Door;
+import wheatspread.lab.standins.StandInEndpoint;
 
 /**
  * A kernel whose runs all take the same time, and which books how long each really took, so that a caller can take
@@ -27,7 +27,7 @@
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final long runMicros;
-    private final Door door;
+    private final StandInEndpoint door;
     private final Map<Long, Run> ended = new ConcurrentHashMap<>();
     private final Map<String, Running> running = new HashMap<>();
     private Histogram dispatches = newHistogram();
@@ -46,7 +46,7 @@
     /** Every run takes {@code runMicros}. */
     TimedKernel(long runMicros) {
         this.runMicros = runMicros;
-        door = new Door(group, Link::new, true);
+        door = new StandInEndpoint(group, Link::new, true);
     }
 
     /** Where it listens, as {@code host:port}. */
--- a/lab/src/main/java/wheatspread/lab/settings/UwsgiWire.java
+++ b/lab/src/main/java/wheatspread/lab/settings/UwsgiWire.java
@@ -13,7 +13,7 @@
 import wheatspread.uwsgi.UwsgiPacket;
 
 /** The uwsgi front: packets of vars with a body behind them, answered in their order as HTTP. */
-final class UwsgiWire implements Callers.Wire {
+final class UwsgiWire implements LoadClients.Wire {
     private static final int LONGEST_ANSWER = 1 << 16;
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
@@ -30,7 +30,7 @@
 
     /** The class comes from the route, as an operator's file has it, and the rest from the request. */
     @Override
-    public ByteBuf encode(Callers.Request request) {
+    public ByteBuf encode(LoadClients.Request request) {
         String number = Long.toString(request.number());
         Map<String, String> vars = new LinkedHashMap<>();
         vars.put("PATH_INFO", request.path());
@@ -53,10 +53,10 @@
     }
 
     @Override
-    public Callers.Outcome outcome(Object message) {
+    public LoadClients.Outcome outcome(Object message) {
         int status = ((FullHttpResponse) message).status().code();
         return status == OK
-                ? Callers.Outcome.SERVED
-                : status == UNAVAILABLE ? Callers.Outcome.REFUSED : Callers.Outcome.FAILED;
+                ? LoadClients.Outcome.SERVED
+                : status == UNAVAILABLE ? LoadClients.Outcome.REFUSED : LoadClients.Outcome.FAILED;
     }
 }
--- a/lab/src/main/java/wheatspread/lab/standins/Doors.java
+++ b/lab/src/main/java/wheatspread/lab/standins/ControlClient.java
@@ -9,10 +9,10 @@
 import org.json.JSONObject;
 
 /** Asks a server's operators' door. */
-public final class Doors {
+public final class ControlClient {
     private static final int PATIENCE_MS = 1_000;
 
-    private Doors() {}
+    private ControlClient() {}
 
     /** The body of the answer; null where there is none in time. */
     public static String ask(InetSocketAddress door, String call) {
--- a/lab/src/main/java/wheatspread/lab/standins/RecordsHandler.java
+++ b/lab/src/main/java/wheatspread/lab/standins/RecordsHandler.java
@@ -31,7 +31,7 @@
             return;
         }
         in.skipBytes(end + 1 + body + 2);
-        Parties.after(ctx, callMicros, () -> ctx.writeAndFlush(words[1] + " DONE 5\r\nreply\r\n"));
+        StandInServices.after(ctx, callMicros, () -> ctx.writeAndFlush(words[1] + " DONE 5\r\nreply\r\n"));
     }
 
     @Override
--- a/lab/src/main/java/wheatspread/lab/standins/Listening.java
+++ b/lab/src/main/java/wheatspread/lab/standins/StandInAddress.java
@@ -6,12 +6,12 @@
 import java.util.function.Supplier;
 
 /** The address of a stand-in that stays where it is. */
-public final class Listening {
-    private Listening() {}
+public final class StandInAddress {
+    private StandInAddress() {}
 
     /** {@code lines}: whether the handler gets lines of text, or the bytes as they come. */
     public static InetSocketAddress on(EventLoopGroup group, Supplier<ChannelHandler> handler, boolean lines) {
-        return new Door(group, handler, lines).address();
+        return new StandInEndpoint(group, handler, lines).address();
     }
 
     /** As configurations have it. */
--- a/lab/src/main/java/wheatspread/lab/standins/Door.java
+++ b/lab/src/main/java/wheatspread/lab/standins/StandInEndpoint.java
@@ -22,7 +22,7 @@
  * Where a stand-in listens: a free port of the loopback address, which may change as the protocol's page has
  * it: the old address takes nothing new from then on, and what is open there ends after a while.
  */
-public final class Door implements AutoCloseable {
+public final class StandInEndpoint implements AutoCloseable {
     private static final String HOST = "127.0.0.1";
     private static final int LONGEST_LINE = 1 << 20;
 
@@ -34,7 +34,7 @@
     private int port;
 
     /** {@code lines}: whether the handler gets lines of text, or the bytes as they come. */
-    public Door(EventLoopGroup group, Supplier<ChannelHandler> handler, boolean lines) {
+    public StandInEndpoint(EventLoopGroup group, Supplier<ChannelHandler> handler, boolean lines) {
         this.group = group;
         this.handler = handler;
         this.lines = lines;
--- a/lab/src/main/java/wheatspread/lab/standins/Parties.java
+++ b/lab/src/main/java/wheatspread/lab/standins/StandInServices.java
@@ -16,7 +16,7 @@
  * many there are, a records service that answers every call, and an announce service that answers every
  * report.
  */
-public final class Parties implements AutoCloseable {
+public final class StandInServices implements AutoCloseable {
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final long runMicros;
     private final long callMicros;
@@ -26,24 +26,24 @@
     private volatile long runs;
 
     /** A run takes {@code runMicros} and a call {@code callMicros}, under 0 where no class makes any. */
-    public Parties(long runMicros, long callMicros) {
+    public StandInServices(long runMicros, long callMicros) {
         this.runMicros = runMicros;
         this.callMicros = callMicros;
-        kernel = Listening.on(group, Kernel::new, true);
-        records = Listening.on(group, () -> new RecordsHandler(this.callMicros), false);
-        announce = Listening.on(group, Announce::new, true);
+        kernel = StandInAddress.on(group, Kernel::new, true);
+        records = StandInAddress.on(group, () -> new RecordsHandler(this.callMicros), false);
+        announce = StandInAddress.on(group, Announce::new, true);
     }
 
     public String kernel() {
-        return Listening.text(kernel);
+        return StandInAddress.text(kernel);
     }
 
     public String records() {
-        return Listening.text(records);
+        return StandInAddress.text(records);
     }
 
     public String announce() {
-        return Listening.text(announce);
+        return StandInAddress.text(announce);
     }
 
     /** How many runs were started. */
--- a/lab/src/main/java/wheatspread/lab/standins/Folders.java
+++ b/lab/src/main/java/wheatspread/lab/standins/TemporaryFolders.java
@@ -7,8 +7,8 @@
 import java.util.stream.Stream;
 
 /** Folders that a measurement made. */
-public final class Folders {
-    private Folders() {}
+public final class TemporaryFolders {
+    private TemporaryFolders() {}
 
     /** Deletes a folder with all that is in it; nothing where it is not there. */
     public static void delete(Path folder) throws IOException {
--- a/lab/src/main/java/wheatspread/lab/world/BookingKernel.java
+++ b/lab/src/main/java/wheatspread/lab/world/BookingKernel.java
@@ -23,7 +23,7 @@
     private static final int KEPT = 4_000;
 
     private final String server;
-    private final Ledger ledger;
+    private final InvariantChecker ledger;
     private final boolean heir;
     private final Map<String, Run> runs = new HashMap<>();
     private final Deque<String> notices = new ArrayDeque<>();
@@ -45,7 +45,7 @@
     }
 
     /** {@code heir}: of a second process of the server, which comes while the first one still serves. */
-    BookingKernel(String server, Ledger ledger, boolean heir) {
+    BookingKernel(String server, InvariantChecker ledger, boolean heir) {
         this.server = server;
         this.ledger = ledger;
         this.heir = heir;
--- a/lab/src/main/java/wheatspread/lab/world/Ledger.java
+++ b/lab/src/main/java/wheatspread/lab/world/InvariantChecker.java
@@ -15,7 +15,7 @@
  * Books every try, answer and run of a fleet, and checks every promise by itself. All calls come from one
  * thread; times are Unix milliseconds.
  */
-public final class Ledger {
+public final class InvariantChecker {
     /**
      * Answers may be this late: the slack of the settings, that of the protocol's page, and the proxies' own.
      */
--- a/lab/src/main/java/wheatspread/lab/world/ServerList.java
+++ b/lab/src/main/java/wheatspread/lab/world/ServerList.java
@@ -21,13 +21,13 @@
     private static final long LOOK = 100;
 
     private final EventLoop loop;
-    private final Ledger ledger;
+    private final InvariantChecker ledger;
     private final Random random = new Random(9);
     private final Map<String, Boolean> accepting = new LinkedHashMap<>();
     private final Map<String, Long> reported = new LinkedHashMap<>();
     private final List<Map<String, Boolean>> views = new ArrayList<>();
 
-    ServerList(EventLoop loop, Ledger ledger, int proxies) {
+    ServerList(EventLoop loop, InvariantChecker ledger, int proxies) {
         this.loop = loop;
         this.ledger = ledger;
         for (int i = 0; i < proxies; i++) {
--- a/lab/src/main/java/wheatspread/lab/world/Callers.java
+++ b/lab/src/main/java/wheatspread/lab/world/SimulatedProxy.java
@@ -25,15 +25,15 @@
 import java.util.concurrent.TimeUnit;
 import org.json.JSONObject;
 import wheatspread.lab.Sites;
-import wheatspread.lab.world.Ledger.Asked;
-import wheatspread.lab.world.Ledger.Tried;
+import wheatspread.lab.world.InvariantChecker.Asked;
+import wheatspread.lab.world.InvariantChecker.Tried;
 
 /**
  * One proxy with its clients. It chooses in turns or by the request's subject, goes on through its list after
  * refusals, comes again with a write at the same server where a connection broke, and heeds what servers
  * tell it, or does not.
  */
-final class Callers {
+final class SimulatedProxy {
     private static final int MOST_OPEN = 32;
     private static final long LEAST_LEFT = 300;
     private static final long COMES_AGAIN = 400;
@@ -44,7 +44,7 @@
     private final boolean bySubject;
     private final boolean heeds;
     private final EventLoop loop;
-    private final Ledger ledger;
+    private final InvariantChecker ledger;
     private final ServerList list;
     private final Map<String, InetSocketAddress> addresses;
     private final Random random;
@@ -55,12 +55,12 @@
     private long lastTxn;
     private int mostPerLink = Integer.MAX_VALUE;
 
-    Callers(
+    SimulatedProxy(
             int number,
             boolean bySubject,
             boolean heeds,
             EventLoop loop,
-            Ledger ledger,
+            InvariantChecker ledger,
             ServerList list,
             Map<String, InetSocketAddress> addresses) {
         this.number = number;
--- a/lab/src/main/java/wheatspread/lab/world/World.java
+++ b/lab/src/main/java/wheatspread/lab/world/World.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import wheatspread.lab.Sites;
-import wheatspread.lab.standins.Door;
 import wheatspread.lab.standins.RecordsHandler;
+import wheatspread.lab.standins.StandInEndpoint;
 
 /**
  * Everybody round a fleet, on one loop: kernels, records, announce, proxies, and the ledger that books them.
@@ -27,14 +27,14 @@
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final Ledger ledger = new Ledger();
+    private final InvariantChecker ledger = new InvariantChecker();
     private final Map<String, BookingKernel> kernels = new LinkedHashMap<>();
-    private final Map<String, Door> kernelDoors = new HashMap<>();
+    private final Map<String, StandInEndpoint> kernelDoors = new HashMap<>();
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
-    private final List<Callers> callers = new ArrayList<>();
+    private final List<SimulatedProxy> callers = new ArrayList<>();
     private final Random random = new Random(77);
-    private final Door records;
-    private final Door announce;
+    private final StandInEndpoint records;
+    private final StandInEndpoint announce;
     private double perSecond;
     private long next;
 
@@ -45,26 +45,26 @@
         for (String name : servers.keySet()) {
             BookingKernel kernel = new BookingKernel(name, ledger, false);
             kernels.put(name, kernel);
-            kernelDoors.put(name, new Door(group, () -> kernel.new Link(), true));
+            kernelDoors.put(name, new StandInEndpoint(group, () -> kernel.new Link(), true));
         }
-        records = new Door(group, () -> new RecordsHandler(CALL_MICROS), false);
-        announce = new Door(group, () -> list.new Reports(), true);
+        records = new StandInEndpoint(group, () -> new RecordsHandler(CALL_MICROS), false);
+        announce = new StandInEndpoint(group, () -> list.new Reports(), true);
         for (int i = 0; i < PROXIES; i++) {
-            callers.add(new Callers(i, i % 2 == 1, i != PROXIES - 1, loop, ledger, list, addresses));
+            callers.add(new SimulatedProxy(i, i % 2 == 1, i != PROXIES - 1, loop, ledger, list, addresses));
         }
         loop.scheduleAtFixedRate(this::tick, 0, TICK_MICROS, TimeUnit.MICROSECONDS);
     }
 
     /** Where the kernel of a server listens. */
-    public Door kernelDoor(String name) {
+    public StandInEndpoint kernelDoor(String name) {
         return kernelDoors.get(name);
     }
 
     /** The kernel of a second process of a server, told {@code BOOTED} after so many milliseconds. */
-    public Door heirDoor(String name, long bootedAfter) {
+    public StandInEndpoint heirDoor(String name, long bootedAfter) {
         BookingKernel kernel = new BookingKernel(name, ledger, true);
         kernel.bootLate(bootedAfter);
-        return new Door(group, () -> kernel.new Link(), true);
+        return new StandInEndpoint(group, () -> kernel.new Link(), true);
     }
 
     /** Proxies close a connection after so many requests on it from now on. */
@@ -83,11 +83,11 @@
         });
     }
 
-    public Door recordsDoor() {
+    public StandInEndpoint recordsDoor() {
         return records;
     }
 
-    public Door announceDoor() {
+    public StandInEndpoint announceDoor() {
         return announce;
     }
 
@@ -178,7 +178,7 @@
     }
 
     /** What came of it; to be looked at when nothing more is asked. */
-    public Ledger ledger() {
+    public InvariantChecker ledger() {
         on(() -> {
             ledger.close(System.currentTimeMillis());
             return null;
--- a/lab/src/test/java/wheatspread/lab/faults/FaultsRunTest.java
+++ b/lab/src/test/java/wheatspread/lab/faults/FaultsRunTest.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import wheatspread.config.Fields;
+import wheatspread.config.JsonFields;
 import wheatspread.config.JsonFile;
 
 /** Six real processes with faults between them, and that what must never be would be seen. */
@@ -62,7 +62,7 @@
             {"{'members': 3, 'run': 5}", "run is an unknown key; known are [expect, faults"}
         }) {
             assertThatThrownBy(() -> scenario(one[0].replace('\'', '"')))
-                    .isInstanceOf(Fields.BadValue.class)
+                    .isInstanceOf(JsonFields.InvalidValueException.class)
                     .hasMessageContaining(one[1]);
         }
     }
--- a/lab/src/test/java/wheatspread/lab/memory/MemoryCrowdTest.java
+++ b/lab/src/test/java/wheatspread/lab/memory/MemoryCrowdTest.java
@@ -4,7 +4,7 @@
 
 import org.json.JSONObject;
 import org.junit.jupiter.api.Test;
-import wheatspread.turns.TurnLimits;
+import wheatspread.scheduling.IterationBudget;
 
 class MemoryCrowdTest {
     /**
@@ -12,7 +12,7 @@
      */
     @Test
     void aCrowdThatWakesAtOnceIsAnsweredOnceEachAndGoesWhenItsTimeIsOver() throws Exception {
-        TurnLimits allAsleep = new TurnLimits(256 * 1024, 32, 1_000_000, 0, 8, 64, 32);
+        IterationBudget allAsleep = new IterationBudget(256 * 1024, 32, 1_000_000, 0, 8, 64, 32);
         try (MemoryCrowd crowd = new MemoryCrowd(3_000, allAsleep, 1_000_000)) {
             JSONObject figures = crowd.play();
             assertThat(figures.getInt("spoke")).isEqualTo(3_000);
--- a/lab/src/test/java/wheatspread/lab/rig/OffTest.java
+++ b/lab/src/test/java/wheatspread/lab/rig/OffTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import wheatspread.lab.Sites;
-import wheatspread.lab.standins.Parties;
 import wheatspread.lab.standins.ServerProcess;
+import wheatspread.lab.standins.StandInServices;
 
 /** What no operator asked for costs a server nothing: it loads no class of it. */
 class OffTest {
@@ -21,7 +21,7 @@
     @Timeout(60)
     void aServerThatIsNotToldToLoadsNothingOfTheFleetsOwnAffairs() throws Exception {
         Path loaded = dir.resolve("classes.txt");
-        try (Parties parties = new Parties(1_000, 1_000);
+        try (StandInServices parties = new StandInServices(1_000, 1_000);
                 ServerProcess server = new ServerProcess(
                         Path.of("../server/target/wheatspread.jar"),
                         Sites.config(parties, 512),
--- a/lab/src/test/java/wheatspread/lab/rig/ReloadRunTest.java
+++ b/lab/src/test/java/wheatspread/lab/rig/ReloadRunTest.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import wheatspread.lab.world.Ledger;
+import wheatspread.lab.world.InvariantChecker;
 
 /** Six real processes whose parties move while each has its own trouble; and a fault the ledger must see. */
 class ReloadRunTest {
@@ -29,7 +29,7 @@
         try (Rig rig = new Rig(JAR, FLAGS, 1)) {
             rig.start();
             rig.world().ask(30);
-            Member member = rig.members().get(0);
+            RigServer member = rig.members().get(0);
             while (rig.world().served() < 3) {
                 TimeUnit.MILLISECONDS.sleep(5);
             }
@@ -40,7 +40,7 @@
             }
             member.kill();
             rig.settle();
-            Ledger ledger = rig.world().ledger();
+            InvariantChecker ledger = rig.world().ledger();
             assertThat(ledger.broken()).isPositive();
             assertThat(ledger.faults()).anyMatch(fault -> fault.startsWith("unanswered"));
         }
--- a/lab/src/test/java/wheatspread/lab/scale/ScaleStepTest.java
+++ b/lab/src/test/java/wheatspread/lab/scale/ScaleStepTest.java
@@ -11,7 +11,7 @@
 import org.json.JSONObject;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import wheatspread.lab.standins.Doors;
+import wheatspread.lab.standins.ControlClient;
 
 /** Sixty hollow servers and three real ones under load lose a rack of twenty. */
 class ScaleStepTest {
@@ -33,7 +33,7 @@
         try (ScaleFleet fleet = new ScaleFleet(SETTINGS, HOLLOW, REAL)) {
             fleet.start();
             fleet.startNext(HOLLOW);
-            assertThat(new Window(fleet).awaitView(System.nanoTime(), FORM_SECONDS))
+            assertThat(new ObservationWindow(fleet).awaitView(System.nanoTime(), FORM_SECONDS))
                     .as("seconds until one view of all")
                     .isNotNaN();
             fleet.real().rig().world().ask(SETTINGS.rate());
@@ -54,7 +54,8 @@
     }
 
     private static Set<String> membersOfARealServer(ScaleFleet fleet) {
-        JSONObject told = Doors.members(fleet.real().rig().members().get(0).door());
+        JSONObject told =
+                ControlClient.members(fleet.real().rig().members().get(0).door());
         Set<String> names = new TreeSet<>();
         told.getJSONArray("members").forEach(one -> names.add(((JSONObject) one).getString("name")));
         return names;
--- a/lab/src/test/java/wheatspread/lab/settings/ServerMeasurementTest.java
+++ b/lab/src/test/java/wheatspread/lab/settings/ServerMeasurementTest.java
@@ -67,9 +67,9 @@
         for (int i = 0; i < 3; i++) {
             times.asked();
         }
-        times.answered(0, 1_000_000, kind, Callers.Outcome.SERVED, new TimedKernel.Run(200_000, 700_000));
+        times.answered(0, 1_000_000, kind, LoadClients.Outcome.SERVED, new TimedKernel.Run(200_000, 700_000));
         assertThat(times.addedMillis(50)).isBetween(0.499, 0.501);
-        times.answered(0, limit + 100_000_000, kind, Callers.Outcome.REFUSED, null);
+        times.answered(0, limit + 100_000_000, kind, LoadClients.Outcome.REFUSED, null);
         assertThat(times.lateOrLost()).isEqualTo(2);
     }
 }
--- /dev/null
+++ b/server/src/main/java/wheatspread/admission/PreemptionMode.java
@@ -0,0 +1,8 @@
+package wheatspread.admission;
+
+/** What the host can do with running work. */
+public enum PreemptionMode {
+    NONE,
+    ABORT,
+    SUSPEND
+}
--- a/server/src/main/java/wheatspread/admission/TenantList.java
+++ b/server/src/main/java/wheatspread/admission/TenantList.java
@@ -4,7 +4,6 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.RandomAccess;
-import wheatspread.admission.Admission.Tenant;
 
 /**
  * An immutable list of tenants that keeps 8 bytes for each: their quotas stand in one array, and
@@ -29,7 +28,8 @@
     static TenantList copyOf(List<Tenant> tenants) {
         return tenants instanceof TenantList list
                 ? list
-                : new TenantList(tenants.stream().mapToDouble(Tenant::quota).toArray());
+                : new TenantList(
+                        tenants.stream().mapToDouble(Tenant::quotaPerSecond).toArray());
     }
 
     @Override
--- a/server/src/main/java/wheatspread/admission/choice/State.java
+++ /dev/null
@@ -1,3 +0,0 @@
-package wheatspread.admission.choice;
-
-enum State { HELD, RUNNING, STANDING, CALLING, JOINING, OVER }
--- a/server/src/main/java/wheatspread/admission/choice/Calls.java
+++ b/server/src/main/java/wheatspread/admission/sfq/Calls.java
@@ -1,7 +1,9 @@
-package wheatspread.admission.choice;
+package wheatspread.admission.sfq;
 
 import java.util.ArrayList;
 import java.util.List;
+import wheatspread.admission.AdmissionSettings;
+import wheatspread.admission.Outcome;
 
 /** The calls below that runs wait for, bounded by what the dependency survives. */
 abstract class Calls extends Depth {
@@ -20,13 +22,15 @@
     /** Calls for one request at one point before it is given up; each further one waits a tick more. */
     private static final int TRIES = 5;
 
-    private final double told = settings.below().callsOut();
+    private final double told = settings.dependency().maxConcurrentCalls();
     private int out;
     private long countedAt;
     private double bound = told, outMean, usual, lately;
     private final List<Long> lingering = new ArrayList<>();
 
-    Calls(Settings settings) { super(settings); }
+    Calls(AdmissionSettings settings) {
+        super(settings);
+    }
 
     abstract void giveUp(Job job);
 
@@ -35,15 +39,16 @@
         List<Job> waiting = new ArrayList<>(standing);
         waiting.removeIf(job -> job.answered);
         waiting.sort((a, b) -> a.aim < now != b.aim < now
-            ? Boolean.compare(a.aim < now, b.aim < now) : Double.compare(a.start, b.start));
+                ? Boolean.compare(a.aim < now, b.aim < now)
+                : Double.compare(a.start, b.start));
         for (Job job : waiting) {
-            boolean skippable = job.kind.skipWorth() > 0;
-            boolean waited = now - job.since > SKIP_AFTER * job.kind.aim();
+            boolean skippable = job.kind.degradedResponseWeight() > 0;
+            boolean waited = now - job.since > SKIP_AFTER * job.kind.latencyObjectiveMicros();
             boolean rested = now >= job.since + job.calls * TICK;
             if (!job.callSpent && rested && room(skippable)) {
                 call(job);
             } else if (skippable && (job.callSpent || waited)) {
-                actions.skipCall(job.id());
+                actions.skipDependency(job.id());
                 job.callSpent = false;
                 job.since = now;
                 move(job, State.RUNNING);
@@ -55,16 +60,17 @@
 
     private void call(Job job) {
         long left = Math.min(job.due, stopAt - STOP_MARGIN) - settle - now;
-        if (job.kind.skipWorth() > 0) {
-            left = Math.min(left, (long) (PATIENCE * job.kind.aim()));
-        } else if (job.kind.lateWorth() == 0) {
-            left = Math.min(left, Math.max(job.aim - now, job.kind.aim() / 2)); // later it earns nothing
+        if (job.kind.degradedResponseWeight() > 0) {
+            left = Math.min(left, (long) (PATIENCE * job.kind.latencyObjectiveMicros()));
+        } else if (job.kind.lateWeightFactor() == 0) {
+            left = Math.min(
+                    left, Math.max(job.aim - now, job.kind.latencyObjectiveMicros() / 2)); // later it earns nothing
         }
         job.calls++;
         job.since = now;
         out++;
         move(job, State.CALLING);
-        actions.call(job.id(), Math.max(settle, left));
+        actions.callDependency(job.id(), Math.max(settle, left));
     }
 
     private boolean room(boolean skippable) {
@@ -78,12 +84,14 @@
     /** Mean of calls in the dependency's hands, those given up too, over the told window. */
     private void count() {
         lingering.removeIf(until -> until < now);
-        double weight = Math.exp(-(now - countedAt) / Math.max(1.0, settings.below().window()));
+        double weight = Math.exp(
+                -(now - countedAt) / Math.max(1.0, settings.dependency().averagingWindowMicros()));
         outMean = outMean * weight + (out + lingering.size()) * (1 - weight);
         countedAt = now;
     }
 
-    @Override public void called(long id, Outcome outcome, long elapsed) {
+    @Override
+    public void onCallCompleted(long id, Outcome outcome, long elapsed) {
         Job job = jobs.get(id);
         if (job == null || job.state != State.CALLING) {
             return;
@@ -111,7 +119,7 @@
     }
 
     private void linger() {
-        lingering.add(now + settings.below().linger());
+        lingering.add(now + settings.dependency().abandonedCallLingerMicros());
     }
 
     private void ended(boolean seen, long elapsed) {
@@ -137,8 +145,11 @@
     /** The median age of the calls in hand: a mean would take one lost reply for a slow service, and so would
      * a single call, unless hardly more may be in hand. */
     private double age() {
-        long[] ages = jobs.values().stream().filter(job -> job.state == State.CALLING)
-            .mapToLong(job -> now - job.since).sorted().toArray();
+        long[] ages = jobs.values().stream()
+                .filter(job -> job.state == State.CALLING)
+                .mapToLong(job -> now - job.since)
+                .sorted()
+                .toArray();
         double enough = Math.max(1, Math.min(2, told / 2));
         return ages.length < enough ? 0 : ages[(ages.length - 1) / 2];
     }
--- a/server/src/main/java/wheatspread/admission/choice/Depth.java
+++ b/server/src/main/java/wheatspread/admission/sfq/Depth.java
@@ -1,9 +1,13 @@
-package wheatspread.admission.choice;
+package wheatspread.admission.sfq;
+
+import wheatspread.admission.AdmissionSettings;
+import wheatspread.admission.LoadGauges;
 
 /** D, how many requests run at once, set by the gauges; and the bound on what is held, by its drain time. */
 abstract class Depth extends RunTimes {
     /** Core use under which cores count as idle, as a share; the gauge looks back half a second. */
     private static final double CORES_IDLE = 0.92;
+
     private static final double CROWDED = 1.4; // things on the cores, per core, above which D shrinks
     private static final int CROWDED_TICKS = 3; // in a row until D gives up one slot: the hysteresis
     private static final double CEILING = 0.6; // of D, as a share of the crowd that the server survives
@@ -16,9 +20,11 @@
 
     int depth = settings.cores();
     private int crowdedTicks, sameTicks;
-    Gauges lastGauges;
+    LoadGauges lastGauges;
 
-    Depth(Settings settings) { super(settings); }
+    Depth(AdmissionSettings settings) {
+        super(settings);
+    }
 
     boolean depthToRun() {
         return running < depth && begun < (int) (BEGUN_CEILING * survivable());
@@ -38,7 +44,7 @@
     }
 
     private boolean stuckNow() {
-        boolean readable = gauges.coreUse() >= 0 && gauges.onCores() >= 0;
+        boolean readable = gauges.coreUtilization() >= 0 && gauges.runnableTasks() >= 0;
         boolean same = gauges.equals(lastGauges) && begun > 0;
         sameTicks = !readable || same ? sameTicks + (readable ? 1 : STUCK_TICKS) : 0;
         lastGauges = gauges;
@@ -46,12 +52,15 @@
     }
 
     private void step() {
-        double crowd = gauges.onCores() / settings.cores();
+        double crowd = gauges.runnableTasks() / settings.cores();
         crowdedTicks = crowd > CROWDED ? crowdedTicks + 1 : 0;
         if (crowdedTicks >= CROWDED_TICKS) {
             depth--;
             crowdedTicks = 0;
-        } else if (held > 0 && running >= depth && crowd < CROWDED && (crowd < 1 || gauges.coreUse() < CORES_IDLE)) {
+        } else if (held > 0
+                && running >= depth
+                && crowd < CROWDED
+                && (crowd < 1 || gauges.coreUtilization() < CORES_IDLE)) {
             depth++;
         }
     }
--- a/server/src/main/java/wheatspread/admission/choice/FairQueue.java
+++ b/server/src/main/java/wheatspread/admission/sfq/FairQueue.java
@@ -1,6 +1,8 @@
-package wheatspread.admission.choice;
+package wheatspread.admission.sfq;
 
 import java.util.List;
+import wheatspread.admission.AdmissionSettings;
+import wheatspread.admission.Tenant;
 import wheatspread.heap.IndexedHeap;
 
 /** The flows with the virtual clock: S = max(v, F_prev), F = S + c/phi. Heaps order those that wait. */
@@ -11,22 +13,23 @@
     private final Flow[] flows; // by tenant; null until its first request
     /** Tenants that wait, by the start tag of their first request, and by how far ahead they are, negated. */
     private final IndexedHeap starts, leads;
+
     double virtualTime, largestServed;
 
-    FairQueue(Settings settings) {
+    FairQueue(AdmissionSettings settings) {
         super(settings);
         tenants = settings.tenants();
         flows = new Flow[Math.max(1, tenants.size())];
         starts = new IndexedHeap(flows.length);
         leads = new IndexedHeap(flows.length);
-        quotas = tenants.stream().mapToDouble(Tenant::quota).sum();
-        told = tenants.stream().allMatch(t -> t.quota() > 0) && quotas > 0;
+        quotas = tenants.stream().mapToDouble(Tenant::quotaPerSecond).sum();
+        told = tenants.stream().allMatch(t -> t.quotaPerSecond() > 0) && quotas > 0;
     }
 
     Flow flow(int tenant) {
         int index = tenant < flows.length && tenant >= 0 ? tenant : 0;
         if (flows[index] == null) {
-            flows[index] = new Flow(index, told ? tenants.get(index).quota() / quotas * flows.length : 1);
+            flows[index] = new Flow(index, told ? tenants.get(index).quotaPerSecond() / quotas * flows.length : 1);
         }
         return flows[index];
     }
--- a/server/src/main/java/wheatspread/admission/choice/Flow.java
+++ b/server/src/main/java/wheatspread/admission/sfq/Flow.java
@@ -1,4 +1,4 @@
-package wheatspread.admission.choice;
+package wheatspread.admission.sfq;
 
 import java.util.ArrayDeque;
 
--- a/server/src/main/java/wheatspread/admission/choice/Job.java
+++ b/server/src/main/java/wheatspread/admission/sfq/Job.java
@@ -1,12 +1,12 @@
-package wheatspread.admission.choice;
+package wheatspread.admission.sfq;
 
-import wheatspread.admission.Admission.Effect;
-import wheatspread.admission.Admission.Request;
-import wheatspread.admission.Admission.RequestClass;
+import wheatspread.admission.AdmissionRequest;
+import wheatspread.admission.Idempotency;
+import wheatspread.admission.RequestClass;
 
 /** One request in hand; times in us. */
 final class Job {
-    final Request request;
+    final AdmissionRequest request;
     final RequestClass kind;
     final Flow flow;
     final long arrival, due, aim;
@@ -16,28 +16,30 @@
     int joiners, calls;
     long since, onCores;
 
-    Job(Request request, RequestClass kind, Flow flow, long now, long spent) {
+    Job(AdmissionRequest request, RequestClass kind, Flow flow, long now, long spent) {
         this.request = request;
         this.kind = kind;
         this.flow = flow;
-        arrival = now - request.age();
-        due = request.left() > 0 ? now + request.left() : arrival + kind.deadline();
-        long aimLength = Math.min(kind.deadline(), kind.aim() + (long) (kind.aimStretch() * request.hint()));
+        arrival = now - request.ageMicros();
+        due = request.timeoutMicros() > 0 ? now + request.timeoutMicros() : arrival + kind.deadlineMicros();
+        long aimLength = Math.min(
+                kind.deadlineMicros(),
+                kind.latencyObjectiveMicros() + (long) (kind.objectiveStretch() * request.expectedWorkMicros()));
         aim = Math.min(due, arrival + aimLength - spent);
         since = now;
     }
 
     boolean mayRunAgain() {
-        return kind.effect() == Effect.IDEMPOTENT;
+        return kind.idempotency() == Idempotency.IDEMPOTENT;
     }
 
     boolean worthless(long now) {
-        return now > aim && kind.lateWorth() == 0;
+        return now > aim && kind.lateWeightFactor() == 0;
     }
 
     /** What its run earns, for those too that wait for its answer. */
     double worth() {
-        return kind.worth() * (1 + joiners);
+        return kind.weight() * (1 + joiners);
     }
 
     boolean isBegun() {
--- a/server/src/main/java/wheatspread/admission/choice/Choice.java
+++ b/server/src/main/java/wheatspread/admission/sfq/SfqAdmissionController.java
@@ -1,4 +1,4 @@
-package wheatspread.admission.choice;
+package wheatspread.admission.sfq;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -6,11 +6,18 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
+import wheatspread.admission.AdmissionRequest;
+import wheatspread.admission.AdmissionSettings;
+import wheatspread.admission.Idempotency;
+import wheatspread.admission.LoadGauges;
+import wheatspread.admission.Outcome;
+import wheatspread.admission.PreemptionMode;
+import wheatspread.admission.RequestClass;
 
 /** SFQ(D): tenants are flows with FIFO queues. A request gets S = max(v, F_prev) and F = S + c/phi; the
  * smallest start tag is dispatched while fewer than D requests run, and v follows it. The rest of the
  * module sets D, bounds the hold, keeps the four rules and tells callers how much to send. */
-public final class Choice extends Signals {
+public final class SfqAdmissionController extends Signals {
     /** Runs per core that start whatever the estimate says, or a slow server would never find out. */
     private static final double PROBES = 0.34;
 
@@ -20,12 +27,13 @@
     private long nextTick;
 
     /** The seed only spreads the times after which refused callers come back. */
-    public Choice(Settings settings, long seed) {
+    public SfqAdmissionController(AdmissionSettings settings, long seed) {
         super(settings);
         random = new SplittableRandom(seed);
     }
 
-    @Override public void begin(long clock) {
+    @Override
+    public void beginBatch(long clock) {
         now = clock;
         if (startedAt < 0) {
             startedAt = clock;
@@ -37,11 +45,13 @@
         }
     }
 
-    @Override public void arrived(Request request) {
-        if (request.kind() < 0 || request.kind() >= settings.classes().size()) {
-            throw new IllegalArgumentException("request of unknown class " + request.kind());
+    @Override
+    public void onArrival(AdmissionRequest request) {
+        if (request.requestClass() < 0
+                || request.requestClass() >= settings.classes().size()) {
+            throw new IllegalArgumentException("request of unknown class " + request.requestClass());
         }
-        RequestClass kind = settings.classes().get(request.kind());
+        RequestClass kind = settings.classes().get(request.requestClass());
         Job job = new Job(request, kind, flow(request.tenant()), now, spent(request, kind));
         move(job, State.HELD);
         jobs.put(job.id(), job);
@@ -49,7 +59,8 @@
         countArrival(job);
     }
 
-    @Override public void completed(long id, Outcome outcome, long elapsed) {
+    @Override
+    public void onCompletion(long id, Outcome outcome, long elapsed) {
         Job job = jobs.get(id);
         if (job == null) {
             return;
@@ -74,7 +85,8 @@
         }
     }
 
-    @Override public void blocked(long id) {
+    @Override
+    public void onBlocked(long id) {
         Job job = jobs.get(id);
         if (job != null && job.state == State.RUNNING) {
             job.onCores += now - job.since;
@@ -84,7 +96,8 @@
         }
     }
 
-    @Override public void gone(long id) {
+    @Override
+    public void onCancellation(long id) {
         Job job = jobs.get(id);
         if (job == null) {
             return;
@@ -95,20 +108,23 @@
         }
     }
 
-    @Override public void retiring(long left) {
+    @Override
+    public void onDrain(long left) {
         retiredAt = now;
         stopAt = now + left;
     }
 
-    @Override public void timer(Gauges reading) {
+    @Override
+    public void onTimer(LoadGauges reading) {
         gauges = reading;
     }
 
-    @Override public void decide(Actions sink) {
+    @Override
+    public void decide(Actions sink) {
         actions = sink;
         boolean tick = now >= nextTick;
         if (nextTick == 0) {
-            sink.health(true, true);
+            sink.setHealth(true, true);
         }
         if (tick) {
             dropOldKeys();
@@ -125,7 +141,7 @@
         if (tick) {
             steer();
             nextTick = now + TICK;
-            sink.wake(TICK);
+            sink.scheduleWakeup(TICK);
         }
         if (held + begun == 0) {
             virtualTime = Math.max(virtualTime, largestServed);
@@ -148,13 +164,15 @@
         }
         arrivals.clear();
         if (soonest < nextTick) {
-            actions.wake(Math.max(1, soonest - now));
+            actions.scheduleWakeup(Math.max(1, soonest - now));
         }
     }
 
     /** A paused run that owes its answer goes on, once: it kept its memory, and a write may not run anew. */
     private void takeUp(Job job) {
-        if (settings.halt() == Halt.SUSPEND && !job.takenUp && now < Math.min(job.due, stopAt) - settle) {
+        if (settings.preemptionMode() == PreemptionMode.SUSPEND
+                && !job.takenUp
+                && now < Math.min(job.due, stopAt) - settle) {
             job.takenUp = true;
             job.callSpent = false;
             job.since = now;
@@ -167,21 +185,21 @@
     }
 
     private void take(Job job) {
-        Request request = job.request;
+        AdmissionRequest request = job.request;
         boolean repeat = request.duplicateOf() != 0 && !neverRan.contains(request.duplicateOf());
-        if (repeat && job.kind.effect() != Effect.AT_MOST_ONCE) {
+        if (repeat && job.kind.idempotency() != Idempotency.AT_MOST_ONCE) {
             move(job, State.JOINING);
             if (memoryFull()) {
                 giveUp(job); // repeats pile up; what it repeats may have run, so it is not refused
             } else {
-                actions.join(job.id());
+                actions.joinResult(job.id());
             }
-        } else if (retiredAt >= 0 && job.arrival > retiredAt + limits.drainGrace() || job.worthless(now)) {
+        } else if (retiredAt >= 0 && job.arrival > retiredAt + limits.drainGraceMicros() || job.worthless(now)) {
             refuse(job, true);
-        } else if (job.kind.effect() == Effect.KEYED && !pin(job, true)) {
+        } else if (job.kind.idempotency() == Idempotency.IDEMPOTENCY_KEY && !pin(job, true)) {
             refuse(job, false);
         } else {
-            if (settings.fresh() > 0 && job.mayRunAgain() && request.keyed() && !request.write()) {
+            if (settings.cacheTtlMicros() > 0 && job.mayRunAgain() && request.cacheable() && !request.write()) {
                 pin(job, false); // its answer may serve others that read the same
             }
             enqueue(job, cost(job));
@@ -219,8 +237,8 @@
     private void refuse(Job job, boolean dontRetry) {
         countTurn(1);
         boolean pressed = pressure() > 1;
-        long most = settings.callers().maxStayAway();
-        actions.refuse(job.id(), pressed ? (long) (most * (1 + random.nextDouble()) / 3) : 0, dontRetry || pressed);
+        long most = settings.clients().maxRetryAfterMicros();
+        actions.reject(job.id(), pressed ? (long) (most * (1 + random.nextDouble()) / 3) : 0, dontRetry || pressed);
         neverRan.add(job.id());
         unpin(job);
         forget(job);
@@ -242,14 +260,15 @@
                 if (over || now > job.aim) {
                     refuse(job, true);
                 }
-            } else if (over || job.worthless(now) && job.kind.effect() != Effect.KEYED) {
+            } else if (over || job.worthless(now) && job.kind.idempotency() != Idempotency.IDEMPOTENCY_KEY) {
                 giveUp(job);
             }
         }
     }
 
     /** Answers a begun or joining request with an error, and stops its work where that is possible. */
-    @Override void giveUp(Job job) {
+    @Override
+    void giveUp(Job job) {
         actions.fail(job.id());
         job.answered = true;
         if (job.state == State.JOINING) {
@@ -260,9 +279,10 @@
     }
 
     private boolean stop(Job job) {
-        boolean may = job.state == State.RUNNING && job.joiners == 0 && settings.halt() != Halt.NONE;
+        boolean may =
+                job.state == State.RUNNING && job.joiners == 0 && settings.preemptionMode() != PreemptionMode.NONE;
         if (may) {
-            actions.stop(job.id());
+            actions.preempt(job.id());
         }
         return may;
     }
--- a/server/src/main/java/wheatspread/admission/choice/Signals.java
+++ b/server/src/main/java/wheatspread/admission/sfq/Signals.java
@@ -1,4 +1,8 @@
-package wheatspread.admission.choice;
+package wheatspread.admission.sfq;
+
+import wheatspread.admission.AdmissionSettings;
+import wheatspread.admission.ClientSettings;
+import wheatspread.admission.LoadFeedbackMode;
 
 /** What callers hear: health, advice how much to send, and for how long an unused connection stays. */
 abstract class Signals extends Calls {
@@ -7,19 +11,23 @@
     private static final double UNREAD_MARK = 0.1; // time unread, as a share of the aim, that does so too
     /** Share refused that counts as a pressure of one, where callers can be told what to leave out. */
     private static final double REFUSED_MARK = 0.25;
+
     private static final double PRESSURE_MOST = 3; // more of it changes nothing
     private static final double PRESSURE_MEAN = 0.05; // smoothing, per request, of the refused share
     private static final double UNREAD_MEAN = 0.2; // the same of the unread time
     private static final double ADVICE_MOST = 0.5; // kept away at most: a server must not starve itself
     /** Time unread, as a share of the aim, at which all that is read is too late: the server is jammed. */
     private static final double JAMMED = 0.35;
+
     private static final double JAM_OVER = 0.15; // the share under which a jam is over
     /** Rate of tries over what the quotas give a server of the mean above which the fleet counts as flooded:
      * quotas may promise half of what the fleet can do, and load may go beyond that by a quarter. */
     private static final double FLOODED = 2.5;
+
     private static final double ROOM_MOST = 4; // times twice D that callers may have out there, in clumps
     /** Growth of that multiple per tick while the pressure is under this mark; it shrinks twice as fast. */
     private static final double ROOM_GAIN = 0.1;
+
     private static final double IDLE_PRESSURE = 0.3;
     private static final double ADVICE_STEP = 0.02; // a smaller change of advice is not sent
     /** Mean time between two tries of one caller, as a share of the idle time told, above which connections
@@ -27,24 +35,28 @@
     private static final double SILENT = 0.2;
     /** Rest of such a connection, as a share of the shortest aim: long for a burst, short to the next try. */
     private static final double LINK_REST = 0.1;
+
     private static final double RATE_MEAN = 0.01; // smoothing of the rate of arrivals, per tick: some seconds
 
     private boolean healthTold = true;
     /** A late timer shows that the process stood still: tries that come in a clump then are no load. */
     long stall, stallOver;
+
     private int arrivedSinceTick, ticks;
     private double unread, refused, perTick;
     private boolean jammed, closing;
     private long restSent;
     private double advice, adviceSent, room = ROOM_MOST, roomSent = ROOM_MOST;
 
-    Signals(Settings settings) { super(settings); }
+    Signals(AdmissionSettings settings) {
+        super(settings);
+    }
 
     void countArrival(Job job) {
         arrivedSinceTick++;
-        long age = job.request.age();
+        long age = job.request.ageMicros();
         long waited = now <= stallOver ? Math.max(0, age - stall) : age;
-        unread += UNREAD_MEAN * ((double) waited / job.kind.aim() - unread);
+        unread += UNREAD_MEAN * ((double) waited / job.kind.latencyObjectiveMicros() - unread);
     }
 
     void countTurn(int away) {
@@ -61,9 +73,9 @@
         boolean healthy = retiredAt < 0 && !(jammed && slowNotFlooded());
         if (healthy != healthTold) {
             healthTold = healthy;
-            actions.health(healthy, true);
+            actions.setHealth(healthy, true);
         }
-        if (settings.callers().advice() == Advice.NONE) {
+        if (settings.clients().feedbackMode() == LoadFeedbackMode.NONE) {
             return;
         }
         advice += ADVICE_GAIN * (Math.min(PRESSURE_MOST, pressure()) - 1);
@@ -73,12 +85,12 @@
         room = Math.max(1, Math.min(ROOM_MOST, room));
         double wanted = Math.max(advice, Math.min(1, (unread - UNREAD_MARK) / (JAMMED - UNREAD_MARK)));
         double offered = room * shown();
-        boolean moved = settings.callers().advice() == Advice.WINDOW
-            && Math.abs(offered - roomSent) > ROOM_GAIN * roomSent;
+        boolean moved = settings.clients().feedbackMode() == LoadFeedbackMode.WINDOW
+                && Math.abs(offered - roomSent) > ROOM_GAIN * roomSent;
         if (moved || Math.abs(wanted - adviceSent) >= ADVICE_STEP || wanted == 0 && adviceSent > 0) {
             adviceSent = wanted;
             roomSent = offered;
-            actions.advise(value());
+            actions.setLoadFeedback(value());
         }
     }
 
@@ -89,22 +101,24 @@
      * away. May harm where few of many told callers send nearly all. No gauge: callers close them. */
     private void closeSilent() {
         perTick += Math.max(RATE_MEAN, 1.0 / ++ticks) * (arrivedSinceTick - perTick);
-        Callers callers = settings.callers();
-        if (callers.idle() == 0 || lastGauges == null || now <= startedAt + callers.idle() / 10) {
+        ClientSettings callers = settings.clients();
+        if (callers.idleTimeoutMicros() == 0
+                || lastGauges == null
+                || now <= startedAt + callers.idleTimeoutMicros() / 10) {
             return;
         }
         double gap = callers.count() * TICK / Math.max(perTick, 1e-9);
-        double spare = lastGauges.connections() - begun - held;
-        double saved = Math.min(1, callers.idle() / gap) * callers.openingPrice();
-        boolean dear = spare / 100 * callers.connectionPrice() > saved;
-        boolean silent = gap > callers.idle() * SILENT * (closing ? 0.5 : 1);
+        double spare = lastGauges.openConnections() - begun - held;
+        double saved = Math.min(1, callers.idleTimeoutMicros() / gap) * callers.connectionOpenCost();
+        boolean dear = spare / 100 * callers.idleConnectionsCost() > saved;
+        boolean silent = gap > callers.idleTimeoutMicros() * SILENT * (closing ? 0.5 : 1);
         boolean readable = !Double.isNaN(spare) && !stuck();
         closing = readable && (silent && (closing || spare > settings.cores()) || dear);
         double rest = shortestAim * (unread > UNREAD_MARK ? 1 : LINK_REST);
-        long wanted = closing ? Math.min(callers.idle(), (long) rest) : 0;
+        long wanted = closing ? Math.min(callers.idleTimeoutMicros(), (long) rest) : 0;
         if (wanted != restSent) {
             restSent = wanted;
-            actions.closeIdle(wanted);
+            actions.setIdleTimeout(wanted);
         }
     }
 
@@ -128,16 +142,23 @@
     /** How far the worst of hold, wait unread and refusals is beyond its mark; 1 is at it. */
     double pressure() {
         double waiting = Math.max(fill() / FILL_MARK, unread / UNREAD_MARK);
-        boolean byRank = settings.callers().advice() == Advice.THRESHOLD;
+        boolean byRank = settings.clients().feedbackMode() == LoadFeedbackMode.THRESHOLD;
         return byRank ? Math.max(waiting, refused / REFUSED_MARK) : waiting;
     }
 
     private double value() {
-        return switch (settings.callers().advice()) {
+        return switch (settings.clients().feedbackMode()) {
             case THRESHOLD -> adviceSent;
             case SHARE -> 1 - adviceSent;
-            default -> Math.max(1, 2.0 * depth * room * shown() * (1 - adviceSent)
-                / Math.max(1, settings.callers().count()));
+            default ->
+                Math.max(
+                        1,
+                        2.0
+                                * depth
+                                * room
+                                * shown()
+                                * (1 - adviceSent)
+                                / Math.max(1, settings.clients().count()));
         };
     }
 }
--- /dev/null
+++ b/server/src/main/java/wheatspread/admission/sfq/State.java
@@ -0,0 +1,10 @@
+package wheatspread.admission.sfq;
+
+enum State {
+    HELD,
+    RUNNING,
+    STANDING,
+    CALLING,
+    JOINING,
+    OVER
+}
--- a/server/src/main/java/wheatspread/commands/BenchlinkCommand.java
+++ b/server/src/main/java/wheatspread/commands/BenchlinkCommand.java
@@ -15,9 +15,9 @@
     public Integer call() throws IOException {
         try {
             new BenchLink(System.in, System.out).serve();
-            return Exit.OK;
+            return ExitCodes.OK;
         } catch (BenchLink.BadInput e) {
-            throw new Exit.Failure(Exit.DATA, e.getMessage());
+            throw new ExitCodes.Failure(ExitCodes.DATA, e.getMessage());
         }
     }
 }
--- a/server/src/main/java/wheatspread/commands/CheckCommand.java
+++ b/server/src/main/java/wheatspread/commands/CheckCommand.java
@@ -10,11 +10,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import wheatspread.admission.choice.Choice;
+import wheatspread.admission.sfq.SfqAdmissionController;
+import wheatspread.config.ConfigProblems;
 import wheatspread.config.Configuration;
-import wheatspread.config.Faults;
-import wheatspread.config.Fields;
 import wheatspread.config.FleetConfig;
+import wheatspread.config.JsonFields;
 
 /** Reads settings files and names each fault. */
 @Command(
@@ -44,14 +44,14 @@
     @Override
     public Integer call() {
         Map<String, String> environment = environment(config);
-        Faults faults = new Faults();
+        ConfigProblems faults = new ConfigProblems();
         if (fleet != null) {
             gather(faults, () -> FleetConfig.readFile(fleet).checkMembers(faults::add));
         }
         if (operatorFile != null || environment.containsKey("GW_CONFIG") || fleet == null) {
             gather(faults, () -> {
                 Configuration all = Configuration.load(environment, operatorFile);
-                new Choice(all.server().site().settings(), 1); // the module's own complaints
+                new SfqAdmissionController(all.server().site().settings(), 1); // the module's own complaints
             });
         }
         PrintWriter out = spec.commandLine().getOut();
@@ -62,18 +62,18 @@
         out.println(
                 faults.isEmpty() ? "nothing is wrong" : faults.count() + (faults.count() == 1 ? " fault" : " faults"));
         out.flush();
-        return faults.isEmpty() ? Exit.OK : Exit.CONFIG;
+        return faults.isEmpty() ? ExitCodes.OK : ExitCodes.CONFIG;
     }
 
-    private static void gather(Faults faults, Runnable reading) {
+    private static void gather(ConfigProblems faults, Runnable reading) {
         try {
             reading.run();
-        } catch (Fields.BadValue e) {
+        } catch (JsonFields.InvalidValueException e) {
             faults.addAll(e);
         } catch (IllegalArgumentException e) {
             faults.add("settings: " + e.getMessage());
         } catch (OutOfMemoryError e) {
-            faults.addAll(Fields.BadValue.outOfMemory("what the settings ask for"));
+            faults.addAll(JsonFields.InvalidValueException.outOfMemory("what the settings ask for"));
         }
     }
 
--- a/server/src/main/java/wheatspread/commands/CompletionCommand.java
+++ b/server/src/main/java/wheatspread/commands/CompletionCommand.java
@@ -21,6 +21,6 @@
     public Integer call() {
         spec.commandLine().getOut().println(AutoComplete.bash("wheatspread", Wheatspread.commands()));
         spec.commandLine().getOut().flush();
-        return Exit.OK;
+        return ExitCodes.OK;
     }
 }
--- a/server/src/main/java/wheatspread/commands/Exit.java
+++ b/server/src/main/java/wheatspread/commands/ExitCodes.java
@@ -1,10 +1,10 @@
 package wheatspread.commands;
 
 import picocli.CommandLine;
-import wheatspread.config.Fields;
+import wheatspread.config.JsonFields;
 
 /** Exit codes, as in sysexits.h, and which fault ends with which. */
-final class Exit {
+final class ExitCodes {
     static final int OK = 0;
     static final int USAGE = 64;
     static final int DATA = 65;
@@ -28,7 +28,7 @@
         "78:A settings file is wrong."
     };
 
-    private Exit() {}
+    private ExitCodes() {}
 
     /** A fault that ends the command with a message and no trace. */
     static final class Failure extends RuntimeException {
@@ -45,10 +45,10 @@
     static int handle(Exception fault, CommandLine command, CommandLine.ParseResult parsed) {
         int code = fault instanceof Failure failure
                 ? failure.code
-                : fault instanceof Fields.BadValue
+                : fault instanceof JsonFields.InvalidValueException
                         ? CONFIG
                         : fault instanceof IllegalArgumentException ? DATA : SOFTWARE;
-        String kind = fault instanceof Fields.BadValue ? "configuration: " : "";
+        String kind = fault instanceof JsonFields.InvalidValueException ? "configuration: " : "";
         String text = fault instanceof Failure || fault instanceof IllegalArgumentException
                 ? fault.getMessage()
                 : fault.toString();
--- a/server/src/main/java/wheatspread/commands/FleetCommand.java
+++ b/server/src/main/java/wheatspread/commands/FleetCommand.java
@@ -14,13 +14,13 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import wheatspread.config.FleetConfig;
-import wheatspread.daemon.Signals;
+import wheatspread.daemon.SignalHandlers;
 import wheatspread.logging.EventLog;
 import wheatspread.logging.LogSetup;
 import wheatspread.logging.RepeatLimit;
 import wheatspread.logging.StructuredLog;
+import wheatspread.supervisor.CommandSpool;
 import wheatspread.supervisor.FleetRunner;
-import wheatspread.supervisor.Spool;
 import wheatspread.supervisor.StatusFile;
 
 /** Starts, watches, rolls and replaces the servers of a fleet on this machine. */
@@ -78,17 +78,17 @@
         /** Gives a command to the supervisor. */
         JSONObject ask(FleetConfig config, JSONObject command) throws InterruptedException {
             try {
-                JSONObject answer = new Spool(config.dir()).ask(command, ANSWER_MS);
+                JSONObject answer = new CommandSpool(config.dir()).ask(command, ANSWER_MS);
                 if (answer == null) {
-                    throw new Exit.Failure(
-                            Exit.TRY_LATER,
+                    throw new ExitCodes.Failure(
+                            ExitCodes.TRY_LATER,
                             "no supervisor answers for " + config.dir() + "; the command waits for one");
                 } else if (answer.has("error")) {
-                    throw new Exit.Failure(Exit.UNAVAILABLE, answer.getString("error"));
+                    throw new ExitCodes.Failure(ExitCodes.UNAVAILABLE, answer.getString("error"));
                 }
                 return answer;
             } catch (IOException e) {
-                throw new Exit.Failure(Exit.UNAVAILABLE, e.toString());
+                throw new ExitCodes.Failure(ExitCodes.UNAVAILABLE, e.toString());
             }
         }
     }
@@ -119,9 +119,9 @@
                             config.log().window()),
                     () -> System.nanoTime() / 1_000);
             FleetRunner runner = new FleetRunner(config, log);
-            Signals.handle("TERM", runner::goDown);
-            Signals.handle("INT", runner::goDown);
-            if (!Signals.handle("HUP", runner::reload)) {
+            SignalHandlers.handle("TERM", runner::goDown);
+            SignalHandlers.handle("INT", runner::goDown);
+            if (!SignalHandlers.handle("HUP", runner::reload)) {
                 log.error(
                         "signal_ignored",
                         "signals",
@@ -132,9 +132,9 @@
             }
             try {
                 runner.run();
-                return Exit.OK;
+                return ExitCodes.OK;
             } catch (FleetRunner.Busy e) {
-                throw new Exit.Failure(Exit.TRY_LATER, e.getMessage());
+                throw new ExitCodes.Failure(ExitCodes.TRY_LATER, e.getMessage());
             } finally {
                 LogSetup.flush();
             }
@@ -182,7 +182,7 @@
                                     .put("names", names)
                                     .put("count", count))
                     .getLong("at");
-            return noWait ? Exit.OK : follow(new StatusFile(config.dir()), at);
+            return noWait ? ExitCodes.OK : follow(new StatusFile(config.dir()), at);
         }
 
         private int follow(StatusFile file, long since) throws IOException, InterruptedException {
@@ -201,11 +201,11 @@
                     told = line;
                     switch (roll.getString("status")) {
                         case "DONE" -> {
-                            return Exit.OK;
+                            return ExitCodes.OK;
                         }
                         case "STOPPED", "ROLLED_BACK" ->
-                            throw new Exit.Failure(
-                                    Exit.UNAVAILABLE,
+                            throw new ExitCodes.Failure(
+                                    ExitCodes.UNAVAILABLE,
                                     "the roll to "
                                             + to + " "
                                             + (roll.getString("status").equals("STOPPED")
@@ -227,7 +227,7 @@
         @Override
         public final Integer call() throws InterruptedException {
             ask(config(), order());
-            return Exit.OK;
+            return ExitCodes.OK;
         }
     }
 
--- a/server/src/main/java/wheatspread/commands/ImportNginxCommand.java
+++ b/server/src/main/java/wheatspread/commands/ImportNginxCommand.java
@@ -35,15 +35,15 @@
     @Override
     public Integer call() {
         if (!Files.isReadable(conf)) {
-            throw new Exit.Failure(Exit.NO_INPUT, conf + " cannot be read");
+            throw new ExitCodes.Failure(ExitCodes.NO_INPUT, conf + " cannot be read");
         }
         Importer.Result result = Importer.read(conf, listen);
         result.report().forEach(System.err::println);
         try {
             Files.writeString(file, result.file().toString(2) + "\n");
         } catch (IOException e) {
-            throw new Exit.Failure(Exit.CANNOT_CREATE, e.toString());
+            throw new ExitCodes.Failure(ExitCodes.CANNOT_CREATE, e.toString());
         }
-        return Exit.OK;
+        return ExitCodes.OK;
     }
 }
--- a/server/src/main/java/wheatspread/commands/MembersCommand.java
+++ b/server/src/main/java/wheatspread/commands/MembersCommand.java
@@ -72,7 +72,7 @@
             Screen.show(() -> table(members()));
         }
         spec.commandLine().getOut().flush();
-        return isWell(told) ? Exit.OK : Exit.UNAVAILABLE;
+        return isWell(told) ? ExitCodes.OK : ExitCodes.UNAVAILABLE;
     }
 
     /** Founds the fleet anew, where its quorum is gone for good. */
@@ -89,25 +89,27 @@
     int form() throws IOException {
         HttpResponse<String> answer = ask("POST", "/_members/form");
         if (answer.statusCode() != 200) {
-            throw new Exit.Failure(
-                    Exit.UNAVAILABLE, door + " refuses: " + answer.body().strip());
+            throw new ExitCodes.Failure(
+                    ExitCodes.UNAVAILABLE, door + " refuses: " + answer.body().strip());
         }
         spec.commandLine().getOut().println(door + " founds a new epoch; see members --door " + door);
         spec.commandLine().getOut().flush();
-        return Exit.OK;
+        return ExitCodes.OK;
     }
 
     private JSONObject members() throws IOException {
         HttpResponse<String> answer = ask("GET", "/_members");
         if (answer.statusCode() == 404) {
-            throw new Exit.Failure(
-                    Exit.UNAVAILABLE, door + " has no membership: its operator's file lacks " + "the key membership");
+            throw new ExitCodes.Failure(
+                    ExitCodes.UNAVAILABLE,
+                    door + " has no membership: its operator's file lacks " + "the key membership");
         }
         try {
             return new JSONObject(answer.body());
         } catch (JSONException e) {
-            throw new Exit.Failure(
-                    Exit.UNAVAILABLE, door + " answers " + answer.statusCode() + " with what is no list of members");
+            throw new ExitCodes.Failure(
+                    ExitCodes.UNAVAILABLE,
+                    door + " answers " + answer.statusCode() + " with what is no list of members");
         }
     }
 
@@ -124,9 +126,9 @@
                                     .build(),
                             HttpResponse.BodyHandlers.ofString());
         } catch (ConnectException | HttpTimeoutException e) {
-            throw new Exit.Failure(Exit.UNAVAILABLE, door + " does not answer");
+            throw new ExitCodes.Failure(ExitCodes.UNAVAILABLE, door + " does not answer");
         } catch (IllegalArgumentException e) {
-            throw new Exit.Failure(Exit.USAGE, "--door is no HOST:PORT: " + door);
+            throw new ExitCodes.Failure(ExitCodes.USAGE, "--door is no HOST:PORT: " + door);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
--- a/server/src/main/java/wheatspread/commands/ServeCommand.java
+++ b/server/src/main/java/wheatspread/commands/ServeCommand.java
@@ -9,15 +9,15 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import wheatspread.config.Configuration;
-import wheatspread.config.Fields;
+import wheatspread.config.JsonFields;
 import wheatspread.config.LogConfig;
 import wheatspread.config.OperatorConfig;
 import wheatspread.config.ServerConfig;
-import wheatspread.daemon.LoopClock;
-import wheatspread.daemon.Marks;
+import wheatspread.daemon.EventLoopClock;
+import wheatspread.daemon.ProcessMarkerFiles;
 import wheatspread.daemon.Server;
-import wheatspread.daemon.Signals;
-import wheatspread.life.Life.Event;
+import wheatspread.daemon.SignalHandlers;
+import wheatspread.lifecycle.Lifecycle.Event;
 import wheatspread.logging.EventLog;
 import wheatspread.logging.LogSetup;
 import wheatspread.logging.RepeatLimit;
@@ -100,7 +100,7 @@
         try {
             server = started(config, operator, mark, log, whenListening);
         } catch (OutOfMemoryError e) {
-            throw Fields.BadValue.outOfMemory("what the settings ask for");
+            throw JsonFields.InvalidValueException.outOfMemory("what the settings ask for");
         }
         int code = server.awaitStopped();
         if (code == Server.LOOP_ENDED) {
@@ -114,16 +114,16 @@
             ServerConfig config, OperatorConfig operator, String mark, EventLog log, Consumer<Server> whenListening) {
         Server server;
         try {
-            server = new Server(config, operator, (loop, turns) -> new LoopClock(turns), log);
+            server = new Server(config, operator, (loop, turns) -> new EventLoopClock(turns), log);
         } catch (IllegalArgumentException e) {
-            throw new Fields.BadValue("settings: " + e.getMessage());
+            throw new JsonFields.InvalidValueException("settings: " + e.getMessage());
         }
         try {
             server.lock(mark);
-        } catch (Marks.Taken e) {
-            throw new Exit.Failure(Exit.TRY_LATER, e.getMessage());
+        } catch (ProcessMarkerFiles.Taken e) {
+            throw new ExitCodes.Failure(ExitCodes.TRY_LATER, e.getMessage());
         } catch (IOException e) {
-            throw new Exit.Failure(Exit.CANNOT_CREATE, e.toString());
+            throw new ExitCodes.Failure(ExitCodes.CANNOT_CREATE, e.toString());
         }
         listenToSignals(server, log);
         server.warmUp();
@@ -132,7 +132,7 @@
                 whenListening.accept(server);
             }
         } catch (IllegalStateException e) {
-            throw new Exit.Failure(Exit.UNAVAILABLE, e.getMessage());
+            throw new ExitCodes.Failure(ExitCodes.UNAVAILABLE, e.getMessage());
         }
         return server;
     }
@@ -140,10 +140,10 @@
     /** From here on a notice to leave finds somebody, in every phase. */
     private static void listenToSignals(Server server, EventLog log) {
         AtomicBoolean interrupted = new AtomicBoolean();
-        boolean heard = Signals.handle("TERM", () -> server.notice(Event.NOTICE));
+        boolean heard = SignalHandlers.handle("TERM", () -> server.notice(Event.NOTICE));
         // at a terminal the second Ctrl-C means that somebody waits
-        Signals.handle("INT", () -> server.notice(interrupted.getAndSet(true) ? Event.HURRY : Event.NOTICE));
-        heard &= Signals.handle("HUP", () -> server.reload(() -> ServerConfig.fromEnvironment(System.getenv())));
+        SignalHandlers.handle("INT", () -> server.notice(interrupted.getAndSet(true) ? Event.HURRY : Event.NOTICE));
+        heard &= SignalHandlers.handle("HUP", () -> server.reload(() -> ServerConfig.fromEnvironment(System.getenv())));
         if (!heard) { // every reload, or the notice, would pass unseen
             log.error(
                     "signal_ignored",
--- a/server/src/main/java/wheatspread/commands/ShowConfigCommand.java
+++ b/server/src/main/java/wheatspread/commands/ShowConfigCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import wheatspread.config.Configuration;
-import wheatspread.config.Source;
+import wheatspread.config.SettingsSource;
 
 /** Prints what holds. */
 @Command(
@@ -37,16 +37,16 @@
 
     @Override
     public Integer call() {
-        List<Source> sources = Configuration.load(CheckCommand.environment(config), operatorFile)
+        List<SettingsSource> sources = Configuration.load(CheckCommand.environment(config), operatorFile)
                 .sources();
         PrintWriter out = spec.commandLine().getOut();
         JSONArray list = new JSONArray();
-        for (Source source : sources) {
+        for (SettingsSource source : sources) {
             int widest = source.settings().stream()
                     .mapToInt(one -> one.key().length())
                     .max()
                     .orElse(0);
-            for (Source.Setting one : source.settings()) {
+            for (SettingsSource.Setting one : source.settings()) {
                 if (json) {
                     list.put(new JSONObject()
                             .put("file", source.file())
@@ -62,6 +62,6 @@
             out.println(list.toString(1));
         }
         out.flush();
-        return Exit.OK;
+        return ExitCodes.OK;
     }
 }
--- a/server/src/main/java/wheatspread/commands/StatusCommand.java
+++ b/server/src/main/java/wheatspread/commands/StatusCommand.java
@@ -38,7 +38,7 @@
         StatusFile file = new StatusFile(config().dir());
         JSONObject status = file.read();
         if (status == null) {
-            throw new Exit.Failure(Exit.TRY_LATER, "no supervisor has run for this fleet");
+            throw new ExitCodes.Failure(ExitCodes.TRY_LATER, "no supervisor has run for this fleet");
         }
         if (json) {
             out().println(status.toString(1));
@@ -48,7 +48,7 @@
             Screen.show(() -> table(file.read(), System.currentTimeMillis()));
         }
         out().flush();
-        return inService(status, System.currentTimeMillis()) ? Exit.OK : Exit.UNAVAILABLE;
+        return inService(status, System.currentTimeMillis()) ? ExitCodes.OK : ExitCodes.UNAVAILABLE;
     }
 
     private static boolean isStale(JSONObject status, long now) {
--- a/server/src/main/java/wheatspread/commands/StoreCommand.java
+++ b/server/src/main/java/wheatspread/commands/StoreCommand.java
@@ -20,7 +20,7 @@
 import wheatspread.disk.Disk;
 import wheatspread.disk.FolderDisk;
 import wheatspread.logging.EventLog;
-import wheatspread.store.Offline;
+import wheatspread.store.OfflineTools;
 import wheatspread.store.StoreSettings;
 import wheatspread.store.WriteState;
 
@@ -68,14 +68,14 @@
             try {
                 disk = FolderDisk.of(folder);
             } catch (IOException e) {
-                throw new Exit.Failure(Exit.NO_INPUT, e.getMessage());
+                throw new ExitCodes.Failure(ExitCodes.NO_INPUT, e.getMessage());
             }
             try {
                 return on(disk, out);
             } catch (Disk.TakenException e) {
-                throw new Exit.Failure(Exit.TRY_LATER, e.getMessage());
+                throw new ExitCodes.Failure(ExitCodes.TRY_LATER, e.getMessage());
             } catch (IOException e) {
-                throw new Exit.Failure(Exit.DATA, folder + ": " + e.getMessage());
+                throw new ExitCodes.Failure(ExitCodes.DATA, folder + ": " + e.getMessage());
             } finally {
                 out.flush();
             }
@@ -99,7 +99,7 @@
 
         @Override
         int on(Disk disk, PrintWriter out) throws IOException {
-            Offline.Look look = Offline.check(disk, System.currentTimeMillis());
+            OfflineTools.Look look = OfflineTools.check(disk, System.currentTimeMillis());
             if (json) {
                 out.println(json(look).toString(1));
             } else {
@@ -107,7 +107,7 @@
                 out.println(look.files().size() + " files, " + look.stats().keys() + " keys, "
                         + (look.damages() == 0 ? "nothing is lost" : look.damages() + " places are damaged"));
             }
-            return look.damages() == 0 ? CommandLine.ExitCode.OK : Exit.DATA;
+            return look.damages() == 0 ? CommandLine.ExitCode.OK : ExitCodes.DATA;
         }
     }
 
@@ -118,13 +118,13 @@
 
         @Override
         int on(Disk disk, PrintWriter out) throws IOException {
-            Offline.Look look = Offline.stat(disk, System.currentTimeMillis());
+            OfflineTools.Look look = OfflineTools.stat(disk, System.currentTimeMillis());
             if (json) {
                 out.println(json(look).toString(1));
             } else {
                 print(look, out);
             }
-            return Exit.OK;
+            return ExitCodes.OK;
         }
     }
 
@@ -147,7 +147,7 @@
         @Override
         int on(Disk disk, PrintWriter out) throws IOException {
             byte[] begin = prefix.getBytes(StandardCharsets.UTF_8);
-            long unread = Offline.dump(disk, System.currentTimeMillis(), entry -> {
+            long unread = OfflineTools.dump(disk, System.currentTimeMillis(), entry -> {
                 if (entry.key().length >= begin.length
                         && java.util.Arrays.equals(begin, 0, begin.length, entry.key(), 0, begin.length)) {
                     JSONObject line = new JSONObject();
@@ -159,9 +159,9 @@
                 }
             });
             if (unread > 0) {
-                throw new Exit.Failure(Exit.DATA, unread + " records could not be read");
+                throw new ExitCodes.Failure(ExitCodes.DATA, unread + " records could not be read");
             }
-            return Exit.OK;
+            return ExitCodes.OK;
         }
 
         private static void text(JSONObject line, String name, byte[] bytes) {
@@ -194,20 +194,20 @@
         @Override
         int on(Disk disk, PrintWriter out) throws IOException {
             print(
-                    Offline.compact(
+                    OfflineTools.compact(
                             disk,
                             StoreSettings.DEFAULT,
                             System.currentTimeMillis(),
                             acceptLoss,
                             EventLog.lines(out::println)),
                     out);
-            return Exit.OK;
+            return ExitCodes.OK;
         }
     }
 
-    private static void print(Offline.Look look, PrintWriter out) {
+    private static void print(OfflineTools.Look look, PrintWriter out) {
         out.printf("%-34s %12s %12s %10s%n", "file", "bytes", "live bytes", "records");
-        for (Offline.FileLook file : look.files()) {
+        for (OfflineTools.FileLook file : look.files()) {
             out.printf("%-34s %12d %12d %10d%n", file.name(), file.bytes(), file.liveBytes(), file.records());
         }
         out.println(look.stats().keys() + " keys, " + look.stats().usedBytes() + " bytes, "
@@ -220,7 +220,7 @@
         }
     }
 
-    private static JSONObject json(Offline.Look look) {
+    private static JSONObject json(OfflineTools.Look look) {
         JSONArray files = new JSONArray();
         look.files()
                 .forEach(file -> files.put(new JSONObject()
--- a/server/src/main/java/wheatspread/commands/TrainCommand.java
+++ b/server/src/main/java/wheatspread/commands/TrainCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 import wheatspread.config.Configuration;
-import wheatspread.life.Life.Event;
+import wheatspread.lifecycle.Lifecycle.Event;
 import wheatspread.logging.EventLog;
 import wheatspread.logging.LogSetup;
 import wheatspread.logging.RepeatLimit;
@@ -39,6 +39,6 @@
         } catch (Exception e) {
             System.err.println("wheatspread: no training: " + e);
         }
-        return Exit.OK;
+        return ExitCodes.OK;
     }
 }
--- a/server/src/main/java/wheatspread/commands/Wheatspread.java
+++ b/server/src/main/java/wheatspread/commands/Wheatspread.java
@@ -51,9 +51,9 @@
 
     static CommandLine prepared(Object command) {
         return new CommandLine(command)
-                .setExecutionExceptionHandler(Exit::handle)
-                .setParameterExceptionHandler(Exit::misused)
-                .setExitCodeExceptionMapper(e -> Exit.SOFTWARE);
+                .setExecutionExceptionHandler(ExitCodes::handle)
+                .setParameterExceptionHandler(ExitCodes::misused)
+                .setExitCodeExceptionMapper(e -> ExitCodes.SOFTWARE);
     }
 
     @Override
--- a/server/src/main/java/wheatspread/config/Faults.java
+++ b/server/src/main/java/wheatspread/config/ConfigProblems.java
@@ -7,7 +7,7 @@
  * Complaints about settings, in the order in which they were found. The first ones are kept and the others
  * counted, so that a file with a fault in each of its lines takes no memory for them.
  */
-public final class Faults {
+public final class ConfigProblems {
     /** How many complaints are kept. */
     public static final int MOST_KEPT = 100;
 
@@ -24,7 +24,7 @@
     }
 
     /** Adds what another reading complained of. */
-    public void addAll(Fields.BadValue complaint) {
+    public void addAll(JsonFields.InvalidValueException complaint) {
         complaint.faults().forEach(this::add);
         dropped += complaint.count() - complaint.faults().size();
     }
--- a/server/src/main/java/wheatspread/config/Configuration.java
+++ b/server/src/main/java/wheatspread/config/Configuration.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import wheatspread.core.Site;
+import wheatspread.core.DeploymentSettings;
 
 /**
  * All settings of one server: what the platform told it and the operator's own file, checked each by itself
@@ -12,7 +12,7 @@
  *
  * @param sources the files, for what holds and where it comes from
  */
-public record Configuration(ServerConfig server, OperatorConfig operator, List<Source> sources) {
+public record Configuration(ServerConfig server, OperatorConfig operator, List<SettingsSource> sources) {
     /** Descriptors for kernel, announce, listeners, the JVM's own files and callers about to be closed. */
     private static final int OWN_SOCKETS = 32;
     /** Connections to the records service, as a share of all descriptors and at most. */
@@ -29,13 +29,14 @@
     public static int platformConnections(ServerConfig server, OperatorConfig operator) {
         int sockets = server.sockets() - OWN_SOCKETS - recordsConnections(server.sockets());
         if (operator.mostConnections() > sockets) {
-            throw new Fields.BadValue(
+            throw new JsonFields.InvalidValueException(
                     "connections.max is " + operator.mostConnections() + ", and limits.sockets leaves " + sockets);
         }
         sockets = operator.mostConnections() > 0 ? operator.mostConnections() : sockets;
         sockets -= operator.uwsgi() == null ? 0 : operator.uwsgi().mostConnections();
         if (sockets < 1) {
-            throw new Fields.BadValue("uwsgi.max_connections leaves no sockets to the platform's front");
+            throw new JsonFields.InvalidValueException(
+                    "uwsgi.max_connections leaves no sockets to the platform's front");
         }
         return sockets;
     }
@@ -48,26 +49,26 @@
         try {
             return loadAll(environment, operatorFile);
         } catch (OutOfMemoryError e) {
-            throw Fields.BadValue.outOfMemory("what the settings ask for");
+            throw JsonFields.InvalidValueException.outOfMemory("what the settings ask for");
         }
     }
 
     private static Configuration loadAll(Map<String, String> environment, Path operatorFile) {
-        Faults faults = new Faults();
-        List<Source> sources = new ArrayList<>();
+        ConfigProblems faults = new ConfigProblems();
+        List<SettingsSource> sources = new ArrayList<>();
         ServerConfig server = null;
         String file = environment.get("GW_CONFIG");
-        Site site = null;
+        DeploymentSettings site = null;
         if (file == null) {
             faults.add("GW_CONFIG is missing from the environment");
         } else {
-            Fields told = null;
+            JsonFields told = null;
             try {
                 told = ServerConfig.fields(Path.of(file), environment);
                 sources.add(told.source());
                 server = ServerConfig.read(told);
                 site = server.site();
-            } catch (Fields.BadValue e) {
+            } catch (JsonFields.InvalidValueException e) {
                 faults.addAll(e);
                 site = told == null ? null : ServerConfig.siteOf(told);
             }
@@ -75,22 +76,22 @@
         OperatorConfig operator = OperatorConfig.NONE;
         if (operatorFile != null) {
             try {
-                Fields told = OperatorConfig.fields(operatorFile, site);
+                JsonFields told = OperatorConfig.fields(operatorFile, site);
                 sources.add(told.source());
                 operator = OperatorConfig.read(told, site);
-            } catch (Fields.BadValue e) {
+            } catch (JsonFields.InvalidValueException e) {
                 faults.addAll(e);
             }
         }
         if (faults.isEmpty()) {
             try {
                 platformConnections(server, operator);
-            } catch (Fields.BadValue e) {
+            } catch (JsonFields.InvalidValueException e) {
                 faults.addAll(e);
             }
         }
         if (!faults.isEmpty()) {
-            throw new Fields.BadValue(faults);
+            throw new JsonFields.InvalidValueException(faults);
         }
         return new Configuration(server, operator, sources);
     }
--- a/server/src/main/java/wheatspread/config/FleetConfig.java
+++ b/server/src/main/java/wheatspread/config/FleetConfig.java
@@ -48,14 +48,14 @@
         return read(file, JsonFile.read(file));
     }
 
-    static FleetConfig read(Path file, Fields told) {
+    static FleetConfig read(Path file, JsonFields told) {
         told.only(KEYS);
         Path root = file.toAbsolutePath().getParent();
         Map<String, Build> builds = builds(told, root);
         List<MemberConfig> members = members(told, root);
-        Fields checks = told.object("checks", true);
+        JsonFields checks = told.object("checks", true);
         checks.only(Set.of("every_ms", "timeout_ms", "stale_ms", "bad_after", "hung_ms"));
-        Fields start = told.object("start", true);
+        JsonFields start = told.object("start", true);
         start.only(Set.of("at_once", "timeout_ms", "settle_ms"));
         String build = told.text("build");
         if (!build.isEmpty() && !builds.containsKey(build)) {
@@ -86,11 +86,11 @@
         return config;
     }
 
-    private static Map<String, Build> builds(Fields told, Path root) {
+    private static Map<String, Build> builds(JsonFields told, Path root) {
         Map<String, Build> builds = new LinkedHashMap<>();
-        Fields all = told.object("builds", false);
+        JsonFields all = told.object("builds", false);
         for (String label : all.names()) {
-            Fields one = all.object(label, false);
+            JsonFields one = all.object(label, false);
             one.only(Set.of("command", "environment"));
             List<String> command = new ArrayList<>(one.texts("command"));
             if (command.isEmpty()) {
@@ -102,7 +102,7 @@
                             Path.of(System.getProperty("java.home"), "bin", "java")
                                     .toString()));
             Map<String, String> environment = new LinkedHashMap<>();
-            Fields vars = one.object("environment", true);
+            JsonFields vars = one.object("environment", true);
             vars.names().forEach(name -> environment.put(name, vars.text(name)));
             builds.put(label, new Build(label, command, environment));
         }
@@ -112,11 +112,11 @@
         return builds;
     }
 
-    private static List<MemberConfig> members(Fields told, Path root) {
+    private static List<MemberConfig> members(JsonFields told, Path root) {
         List<MemberConfig> members = new ArrayList<>();
         Map<String, String> taken = new HashMap<>();
         String usual = told.text("config", "");
-        for (Fields one : told.objects("members")) {
+        for (JsonFields one : told.objects("members")) {
             one.only(Set.of("name", "listen", "config"));
             String name = one.text("name");
             if (!name.matches("[A-Za-z0-9][A-Za-z0-9_-]{0,63}")) {
@@ -143,7 +143,7 @@
         return members;
     }
 
-    private static FleetPlan.Rolling rolling(Fields told) {
+    private static FleetPlan.Rolling rolling(JsonFields told) {
         told.only(Set.of(
                 "out_share",
                 "out_most",
@@ -164,7 +164,7 @@
                 told.flag("roll_back", true));
     }
 
-    private static FleetPlan.Backoff backoff(Fields told) {
+    private static FleetPlan.Backoff backoff(JsonFields told) {
         told.only(Set.of(
                 "first_ms",
                 "factor",
@@ -190,10 +190,10 @@
         members.stream().map(MemberConfig::config).distinct().forEach(path -> {
             try {
                 if (!Files.isReadable(path)) {
-                    throw new Fields.BadValue(path + " cannot be read");
+                    throw new JsonFields.InvalidValueException(path + " cannot be read");
                 }
                 ServerConfig.read(ServerConfig.fields(path, Map.of("GW_NAME", "checked", "GW_LISTEN", "127.0.0.1:0")));
-            } catch (Fields.BadValue e) {
+            } catch (JsonFields.InvalidValueException e) {
                 e.faults().forEach(faults);
             }
         });
--- a/server/src/main/java/wheatspread/config/Fields.java
+++ b/server/src/main/java/wheatspread/config/JsonFields.java
@@ -12,48 +12,48 @@
  * a message the first fault is thrown. Of a file all faults are gathered, a harmless value standing in for
  * each, and {@link #settle} throws them together.
  */
-public final class Fields {
+public final class JsonFields {
     private static final int HOUR_MS = 3_600_000;
     /** Of a longer value, a complaint shows only the beginning; characters. */
     private static final int LONGEST_SHOWN = 64;
 
     private final Map<String, Object> map;
     private final String path;
-    private final Source source;
+    private final SettingsSource source;
 
-    private Fields(Map<String, Object> map, String path, Source source) {
+    private JsonFields(Map<String, Object> map, String path, SettingsSource source) {
         this.map = map;
         this.path = path;
         this.source = source;
     }
 
     /** A value is missing, ill-typed or out of range; the message names its key. */
-    public static final class BadValue extends IllegalArgumentException {
+    public static final class InvalidValueException extends IllegalArgumentException {
         private static final long serialVersionUID = 1L;
 
         private final transient List<String> faults;
         private final long count;
 
-        public BadValue(String message) {
+        public InvalidValueException(String message) {
             super(message);
             faults = List.of(message);
             count = 1;
         }
 
         /** What {@code what} stands for does not go into the heap of this process. */
-        public static BadValue outOfMemory(String what) {
-            return new BadValue(what + " takes more memory than is left of a heap of "
+        public static InvalidValueException outOfMemory(String what) {
+            return new InvalidValueException(what + " takes more memory than is left of a heap of "
                     + (Runtime.getRuntime().maxMemory() >> 20) + " MiB");
         }
 
         /** Several at once; the message tells the first, and how many there are besides. */
-        BadValue(Faults faults) {
+        InvalidValueException(ConfigProblems faults) {
             super(faults.kept().get(0) + besides(faults));
             this.faults = faults.kept();
             count = faults.count();
         }
 
-        private static String besides(Faults faults) {
+        private static String besides(ConfigProblems faults) {
             if (faults.count() == 1) {
                 return "";
             }
@@ -74,26 +74,26 @@
         }
     }
 
-    public static Fields of(Object value, String path) {
-        Fields object = of(value, path, null);
+    public static JsonFields of(Object value, String path) {
+        JsonFields object = of(value, path, null);
         if (object == null) {
-            throw new BadValue(path + " is not an object");
+            throw new InvalidValueException(path + " is not an object");
         }
         return object;
     }
 
     /** Null where the value is no object. */
     @SuppressWarnings("unchecked")
-    private static Fields of(Object value, String path, Source source) {
-        return value instanceof Map<?, ?> map ? new Fields((Map<String, Object>) map, path, source) : null;
+    private static JsonFields of(Object value, String path, SettingsSource source) {
+        return value instanceof Map<?, ?> map ? new JsonFields((Map<String, Object>) map, path, source) : null;
     }
 
-    static Fields of(Map<String, Object> map, Source source) {
-        return new Fields(map, "", source);
+    static JsonFields of(Map<String, Object> map, SettingsSource source) {
+        return new JsonFields(map, "", source);
     }
 
     /** The file it stands in; null for a message. */
-    public Source source() {
+    public SettingsSource source() {
         return source;
     }
 
@@ -157,12 +157,12 @@
     }
 
     /** The object under a key; an empty one where it may be absent and is. */
-    public Fields object(String name, boolean mayBeAbsent) {
-        Fields inner = of(map.get(name), key(name), source);
+    public JsonFields object(String name, boolean mayBeAbsent) {
+        JsonFields inner = of(map.get(name), key(name), source);
         if (inner == null && (!mayBeAbsent || has(name))) {
             fault(name, "is not an object" + told(name), null);
         }
-        return inner == null ? new Fields(Map.of(), key(name), source) : inner;
+        return inner == null ? new JsonFields(Map.of(), key(name), source) : inner;
     }
 
     public boolean has(String name) {
@@ -298,12 +298,12 @@
     }
 
     /** The objects of a list, each with its path. */
-    public List<Fields> objects(String name) {
-        List<Fields> objects = new ArrayList<>();
+    public List<JsonFields> objects(String name) {
+        List<JsonFields> objects = new ArrayList<>();
         int index = 0;
         for (Object one : list(name)) {
             String at = name + "[" + index++ + "]";
-            Fields inner = of(one, key(at), source);
+            JsonFields inner = of(one, key(at), source);
             if (inner == null) {
                 fault(at, "is not an object: " + shown(one), null);
             } else {
@@ -333,19 +333,19 @@
     }
 
     /** Hands an element of a large list to its reader. */
-    static void read(Object element, String path, Source source, int index, ListReader reader) {
-        Fields told = of(element, path, source);
+    static void read(Object element, String path, SettingsSource source, int index, ListReader reader) {
+        JsonFields told = of(element, path, source);
         if (told != null) {
             reader.read(index, told);
         } else if (source != null) {
             source.fault(path, "is not an object: " + shown(element));
         } else {
-            throw new BadValue(path + " is not an object: " + shown(element));
+            throw new InvalidValueException(path + " is not an object: " + shown(element));
         }
     }
 
-    public BadValue bad(String name, String complaint) {
-        return new BadValue(key(name) + " " + complaint);
+    public InvalidValueException bad(String name, String complaint) {
+        return new InvalidValueException(key(name) + " " + complaint);
     }
 
     /** A misspelt key must not pass for an absent one. */
--- a/server/src/main/java/wheatspread/config/JsonFile.java
+++ b/server/src/main/java/wheatspread/config/JsonFile.java
@@ -59,44 +59,44 @@
             .build();
 
     private final JsonParser parser;
-    private final Source source;
+    private final SettingsSource source;
     private final Map<String, Supplier<? extends ListReader>> lists;
     private int treeBytes;
 
-    private JsonFile(JsonParser parser, Source source, Map<String, Supplier<? extends ListReader>> lists) {
+    private JsonFile(JsonParser parser, SettingsSource source, Map<String, Supplier<? extends ListReader>> lists) {
         this.parser = parser;
         this.source = source;
         this.lists = lists;
     }
 
     /** The object in a file; its complaints name file, line and key. */
-    public static Fields read(Path file) {
+    public static JsonFields read(Path file) {
         return read(file, Map.of());
     }
 
     /** The same, where the lists under the keys of {@code lists} are read by what is made for each. */
-    static Fields read(Path file, Map<String, Supplier<? extends ListReader>> lists) {
+    static JsonFields read(Path file, Map<String, Supplier<? extends ListReader>> lists) {
         try {
             BasicFileAttributes before = Files.readAttributes(file, BasicFileAttributes.class);
             if (before.size() > MOST_BYTES) {
-                throw new Fields.BadValue(file + " is longer than " + MOST_BYTES + " bytes");
+                throw new JsonFields.InvalidValueException(file + " is longer than " + MOST_BYTES + " bytes");
             }
-            Fields told;
+            JsonFields told;
             try (Reader text = Files.newBufferedReader(file)) {
                 told = parse(file.toString(), text, lists);
             }
             requireUnchanged(file, before);
             return told;
         } catch (IOException e) {
-            throw new Fields.BadValue(file + " cannot be read: "
+            throw new JsonFields.InvalidValueException(file + " cannot be read: "
                     + (e instanceof NoSuchFileException ? "there is no such file" : e.toString()));
         } catch (OutOfMemoryError e) {
-            throw Fields.BadValue.outOfMemory(file.toString());
+            throw JsonFields.InvalidValueException.outOfMemory(file.toString());
         }
     }
 
     /** The same of a text in memory; {@code name} is how complaints call it. */
-    public static Fields read(String name, String text) {
+    public static JsonFields read(String name, String text) {
         try {
             return parse(name, new StringReader(text), Map.of());
         } catch (IOException e) {
@@ -110,25 +110,26 @@
         boolean sameFile = before.isRegularFile() && Objects.equals(before.fileKey(), after.fileKey());
         if (sameFile
                 && (before.size() != after.size() || !before.lastModifiedTime().equals(after.lastModifiedTime()))) {
-            throw new Fields.BadValue(file + " was changed while it was read; write it aside and rename it");
+            throw new JsonFields.InvalidValueException(
+                    file + " was changed while it was read; write it aside and rename it");
         }
     }
 
-    private static Fields parse(String name, Reader text, Map<String, Supplier<? extends ListReader>> lists)
+    private static JsonFields parse(String name, Reader text, Map<String, Supplier<? extends ListReader>> lists)
             throws IOException {
         try (JsonParser parser = FACTORY.createParser(text)) {
-            Source source = new Source(name);
+            SettingsSource source = new SettingsSource(name);
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new Fields.BadValue(name + ":1: is not a JSON object");
+                throw new JsonFields.InvalidValueException(name + ":1: is not a JSON object");
             }
             Map<String, Object> map = new JsonFile(parser, source, lists).object("");
             if (parser.nextToken() != null) {
-                throw new Fields.BadValue(
+                throw new JsonFields.InvalidValueException(
                         name + ":" + parser.currentTokenLocation().getLineNr() + ": something follows the object");
             }
-            return Fields.of(map, source);
+            return JsonFields.of(map, source);
         } catch (JsonProcessingException e) {
-            throw new Fields.BadValue(name + ":"
+            throw new JsonFields.InvalidValueException(name + ":"
                     + (e.getLocation() == null ? 1 : e.getLocation().getLineNr()) + ": is not a JSON object: "
                     + e.getOriginalMessage().split("\n")[0]);
         }
@@ -173,14 +174,14 @@
         int outside = treeBytes;
         for (int index = 0; parser.nextToken() != JsonToken.END_ARRAY; index++) {
             if (index == reader.most()) {
-                throw new Fields.BadValue(
+                throw new JsonFields.InvalidValueException(
                         source.place(path) + ": " + path + " has more than " + reader.most() + " elements");
             }
             treeBytes = 0;
             source.beginElement(index);
             String key = path + "[" + index + "]";
             keep(key);
-            Fields.read(value(key), key, source, index, reader);
+            JsonFields.read(value(key), key, source, index, reader);
         }
         source.endElements();
         treeBytes = outside;
@@ -201,7 +202,7 @@
     private void charge(int bytes) {
         treeBytes += bytes;
         if (treeBytes > MOST_TREE) {
-            throw new Fields.BadValue(source.file() + ":"
+            throw new JsonFields.InvalidValueException(source.file() + ":"
                     + parser.currentTokenLocation().getLineNr() + ": the settings take over " + MOST_TREE
                     + " bytes up to here; only "
                     + (lists.isEmpty() ? "other files" : String.join(", ", lists.keySet())) + " may be large");
