--- a/server/src/main/java/wheatspread/config/LifeConfig.java
+++ b/server/src/main/java/wheatspread/config/LifeConfig.java
@@ -18,7 +18,7 @@
     /** What holds where a file says nothing, as on the platform. */
     public static final LifeConfig USUAL = new LifeConfig(null, null, null, 0);
 
-    static LifeConfig read(Fields told) {
+    static LifeConfig read(JsonFields told) {
         told.only(Set.of("ready_file", "lock_file", "report_file", "kernel_wait_ms"));
         return new LifeConfig(
                 path(told, "ready_file"),
@@ -27,7 +27,7 @@
                 told.micros("kernel_wait_ms", 0, 0));
     }
 
-    private static Path path(Fields told, String key) {
+    private static Path path(JsonFields told, String key) {
         String text = told.text(key, "");
         try {
             return text.isEmpty() ? null : Path.of(text);
--- a/server/src/main/java/wheatspread/config/ListReader.java
+++ b/server/src/main/java/wheatspread/config/ListReader.java
@@ -9,5 +9,5 @@
     int most();
 
     /** Takes the next element; it, and the lines its complaints name, hold no longer than this call. */
-    void read(int index, Fields element);
+    void read(int index, JsonFields element);
 }
--- a/server/src/main/java/wheatspread/config/LogConfig.java
+++ b/server/src/main/java/wheatspread/config/LogConfig.java
@@ -11,7 +11,7 @@
     /** What holds where a file says nothing. */
     public static final LogConfig USUAL = new LogConfig(false, "info", 20, 10_000_000);
 
-    static LogConfig read(Fields told) {
+    static LogConfig read(JsonFields told) {
         told.only(Set.of("format", "level", "repeats", "repeats_ms"));
         return new LogConfig(
                 told.word("format", Map.of("json", true, "text", false), USUAL.json),
--- a/server/src/main/java/wheatspread/config/MembershipConfig.java
+++ b/server/src/main/java/wheatspread/config/MembershipConfig.java
@@ -20,7 +20,7 @@
         String cluster, InetSocketAddress listen, String advertise, List<String> seeds, String zone) {
     private static final int MOST_TEXT = 64;
 
-    static MembershipConfig read(Fields told) {
+    static MembershipConfig read(JsonFields told) {
         told.only(Set.of("cluster", "listen", "advertise", "seeds", "zone"));
         String cluster = text(told, "cluster", told.text("cluster"));
         if (cluster.isBlank() && told.has("cluster")) {
@@ -47,14 +47,14 @@
                 cluster, PeerAddress.parse(listen), advertise, seeds, text(told, "zone", told.text("zone", "")));
     }
 
-    private static String text(Fields told, String key, String text) {
+    private static String text(JsonFields told, String key, String text) {
         return text.length() <= MOST_TEXT
                 ? text
                 : told.fault(key, "has " + text.length() + " characters; allowed are " + MOST_TEXT, "");
     }
 
     /** Names are not looked up: that would hold the loop. */
-    private static String address(Fields told, String key, String text) {
+    private static String address(JsonFields told, String key, String text) {
         if (PeerAddress.isOne(text)) {
             return text;
         }
--- a/server/src/main/java/wheatspread/config/OperatorConfig.java
+++ b/server/src/main/java/wheatspread/config/OperatorConfig.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 import wheatspread.connections.ConnectionLimits;
 import wheatspread.connections.ConnectionLimits.Refusal;
-import wheatspread.core.Site;
-import wheatspread.turns.TurnLimits;
+import wheatspread.core.DeploymentSettings;
+import wheatspread.scheduling.IterationBudget;
 
 /**
  * The operator's file: the second front, what holds for connections, and how the event loop spends its turns.
@@ -24,7 +24,7 @@
         UwsgiConfig uwsgi,
         int mostConnections,
         ConnectionLimits connections,
-        TurnLimits turns,
+        IterationBudget turns,
         String transport,
         int reportSeconds,
         LogConfig log,
@@ -36,7 +36,7 @@
             null,
             0,
             ConnectionLimits.usual(0),
-            TurnLimits.USUAL,
+            IterationBudget.USUAL,
             "nio",
             0,
             LogConfig.USUAL,
@@ -49,20 +49,20 @@
     private static final Map<String, String> TRANSPORTS = Map.of("nio", "nio", "epoll", "epoll", "auto", "auto");
 
     /** Complaints name the file and the key. */
-    public static OperatorConfig readFile(Path file, Site site) {
+    public static OperatorConfig readFile(Path file, DeploymentSettings site) {
         return read(fields(file, site), site);
     }
 
     /** The file's keys; {@code site} may be null. */
-    static Fields fields(Path file, Site site) {
+    static JsonFields fields(Path file, DeploymentSettings site) {
         return JsonFile.read(file, Map.of("uwsgi.routes", () -> new RouteReader(site)));
     }
 
-    static OperatorConfig read(Fields told, Site site) {
+    static OperatorConfig read(JsonFields told, DeploymentSettings site) {
         told.only(
                 Set.of("uwsgi", "connections", "turns", "transport", "report_s", "log", "life", "stats", "membership"));
         UwsgiConfig uwsgi = told.has("uwsgi") ? UwsgiConfig.read(told.object("uwsgi", false), site) : null;
-        Fields connections = told.object("connections", true);
+        JsonFields connections = told.object("connections", true);
         OperatorConfig config = new OperatorConfig(
                 uwsgi,
                 connections.integer("max", 0, 0, 1 << 20),
@@ -78,7 +78,7 @@
         return config;
     }
 
-    private static ConnectionLimits limits(Fields told) {
+    private static ConnectionLimits limits(JsonFields told) {
         told.only(Set.of(
                 "max",
                 "max_per_source",
@@ -108,10 +108,10 @@
                 told.word("refused", REFUSALS, usual.refusal()));
     }
 
-    private static TurnLimits turns(Fields told) {
+    private static IterationBudget turns(JsonFields told) {
         told.only(Set.of("read_kb", "requests", "read_us", "lately_ms", "sleepers_part", "crowd", "expiring"));
-        TurnLimits usual = TurnLimits.USUAL;
-        return new TurnLimits(
+        IterationBudget usual = IterationBudget.USUAL;
+        return new IterationBudget(
                 told.integer("read_kb", usual.mostBytes() >> 10, 4, 1 << 16) << 10,
                 told.integer("requests", usual.mostRequests(), 1, 100_000),
                 told.integer("read_us", usual.mostMicros(), 100, 1_000_000),
--- a/server/src/main/java/wheatspread/config/RouteReader.java
+++ b/server/src/main/java/wheatspread/config/RouteReader.java
@@ -9,7 +9,7 @@
 import wheatspread.config.UwsgiConfig.Defaults;
 import wheatspread.config.UwsgiConfig.Match;
 import wheatspread.config.UwsgiConfig.Route;
-import wheatspread.core.Site;
+import wheatspread.core.DeploymentSettings;
 
 /**
  * Reads the list of routes. A route takes over what it does not say from the defaults of the front, and these
@@ -36,11 +36,11 @@
 
     private static final Defaults ALL_UNTOLD = new Defaults(UNTOLD, UNTOLD, UNTOLD, UNTOLD, UNTOLD);
 
-    private final Site site;
+    private final DeploymentSettings site;
     private final List<Route> routes = new ArrayList<>();
 
     /** {@code site} may be null: nothing can be said of its names then. */
-    RouteReader(Site site) {
+    RouteReader(DeploymentSettings site) {
         this.site = site;
     }
 
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public void read(int index, Fields element) {
+    public void read(int index, JsonFields element) {
         Match match = element.word("match", MATCHES);
         String path = element.text("path");
         element.only(KEYS);
@@ -62,11 +62,11 @@
                 within(element).routes));
     }
 
-    private RouteReader within(Fields element) {
+    private RouteReader within(JsonFields element) {
         return element.large("routes", RouteReader.class, () -> new RouteReader(site));
     }
 
-    private static Pattern pattern(Fields told, Match match, String path) {
+    private static Pattern pattern(JsonFields told, Match match, String path) {
         try {
             return switch (match) {
                 case REGEX -> Pattern.compile(path);
@@ -110,7 +110,7 @@
     }
 
     /** Reads what holds where a packet does not say; {@code outer} is taken over for absent keys. */
-    static Defaults defaults(Fields told, Defaults outer, Site site) {
+    static Defaults defaults(JsonFields told, Defaults outer, DeploymentSettings site) {
         return new Defaults(
                 index(told, "class", site == null ? null : site.classes(), outer.kind()),
                 index(told, "tenant", site == null ? null : site.tenants(), outer.tenant()),
@@ -119,14 +119,14 @@
                 told.has("ram_kb") ? positive(told, "ram_kb") : outer.ramKb());
     }
 
-    private static double positive(Fields told, String key) {
+    private static double positive(JsonFields told, String key) {
         double value = told.number(key);
         return value >= 0 && value < 1e6
                 ? value
                 : told.fault(key, "is out of range: " + value + "; allowed is 0 to under 1000000", 0.0);
     }
 
-    private static int index(Fields told, String key, List<String> names, int absent) {
+    private static int index(JsonFields told, String key, List<String> names, int absent) {
         if (!told.has(key) || names == null) {
             return absent;
         }
--- a/server/src/main/java/wheatspread/config/ServerConfig.java
+++ b/server/src/main/java/wheatspread/config/ServerConfig.java
@@ -3,9 +3,9 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.Map;
-import wheatspread.admission.Admission.Dependency;
-import wheatspread.admission.Admission.RequestClass;
-import wheatspread.core.Site;
+import wheatspread.admission.DependencyKind;
+import wheatspread.admission.RequestClass;
+import wheatspread.core.DeploymentSettings;
 
 /**
  * What a real server is told: addresses, limits, the seed, and the settings of its site. What a deployment
@@ -28,7 +28,7 @@
         long seed,
         long stopMicros,
         int sockets,
-        Site site,
+        DeploymentSettings site,
         InetSocketAddress control,
         int inherited,
         Path shared) {
@@ -41,14 +41,15 @@
     public static ServerConfig fromEnvironment(Map<String, String> environment) {
         String file = environment.get("GW_CONFIG");
         if (file == null) {
-            throw new Fields.BadValue("GW_CONFIG is missing from the environment");
+            throw new JsonFields.InvalidValueException("GW_CONFIG is missing from the environment");
         }
         return read(fields(Path.of(file), environment));
     }
 
     /** The file's keys, with what the environment puts over them. */
-    static Fields fields(Path file, Map<String, String> environment) {
-        Fields told = JsonFile.read(file, Map.of("settings." + SettingsReader.TENANTS, () -> new TenantReader(true)));
+    static JsonFields fields(Path file, Map<String, String> environment) {
+        JsonFields told =
+                JsonFile.read(file, Map.of("settings." + SettingsReader.TENANTS, () -> new TenantReader(true)));
         for (var key : Map.of("name", "GW_NAME", "listen", "GW_LISTEN", "control", "GW_CONTROL")
                 .entrySet()) {
             if (environment.get(key.getValue()) != null) {
@@ -95,13 +96,13 @@
 
     private static void requireStill(String key, InetSocketAddress had, InetSocketAddress has) {
         if (had != null && has == null) {
-            throw new Fields.BadValue(key + " is missing, and this server has used " + had);
+            throw new JsonFields.InvalidValueException(key + " is missing, and this server has used " + had);
         }
     }
 
-    public static ServerConfig read(Fields told) {
-        Fields limits = told.object("limits", true);
-        Site site = site(told.object("settings", false));
+    public static ServerConfig read(JsonFields told) {
+        JsonFields limits = told.object("limits", true);
+        DeploymentSettings site = site(told.object("settings", false));
         ServerConfig config = new ServerConfig(
                 told.text("name"),
                 address(told, "listen"),
@@ -120,7 +121,7 @@
     }
 
     /** The site alone, for the checks of another file that speaks of its classes; null where it is faulty. */
-    static Site siteOf(Fields told) {
+    static DeploymentSettings siteOf(JsonFields told) {
         try {
             return told.has("settings") ? site(told.object("settings", false)) : null;
         } catch (IllegalArgumentException e) {
@@ -128,10 +129,10 @@
         }
     }
 
-    private static Site site(Fields settings) {
+    private static DeploymentSettings site(JsonFields settings) {
         TenantReader tenants = settings.large(SettingsReader.TENANTS, TenantReader.class, () -> new TenantReader(true));
         settings.summary(SettingsReader.TENANTS, tenants.summary());
-        Site site = new Site(
+        DeploymentSettings site = new DeploymentSettings(
                 SettingsReader.read(settings, tenants),
                 SettingsReader.names(settings, "Lanes"),
                 tenants.names(),
@@ -142,7 +143,7 @@
         return site;
     }
 
-    private static long seed(Fields told) {
+    private static long seed(JsonFields told) {
         try {
             return told.has("seed") ? Long.parseUnsignedLong(told.text("seed"), 16) : 0;
         } catch (NumberFormatException e) {
@@ -151,18 +152,18 @@
     }
 
     /** Where calls go: it must be there as soon as a class of the site may call, and only then. */
-    private static InetSocketAddress records(Fields told, Site site) {
-        boolean calls = site.settings().below().kind() != Dependency.NONE
-                && site.settings().classes().stream().anyMatch(RequestClass::calls);
+    private static InetSocketAddress records(JsonFields told, DeploymentSettings site) {
+        boolean calls = site.settings().dependency().kind() != DependencyKind.NONE
+                && site.settings().classes().stream().anyMatch(RequestClass::callsDependency);
         return calls ? address(told, "records") : addressOrNone(told, "records");
     }
 
-    private static InetSocketAddress addressOrNone(Fields told, String key) {
+    private static InetSocketAddress addressOrNone(JsonFields told, String key) {
         return told.has(key) ? address(told, key) : null;
     }
 
     /** An address as host and port; the host stands as a number, since there is no DNS. */
-    static InetSocketAddress address(Fields told, String key) {
+    static InetSocketAddress address(JsonFields told, String key) {
         String text = told.text(key);
         int colon = text.lastIndexOf(':');
         if (colon < 1
--- a/server/src/main/java/wheatspread/config/SettingsReader.java
+++ b/server/src/main/java/wheatspread/config/SettingsReader.java
@@ -3,24 +3,38 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import wheatspread.admission.Admission;
-import wheatspread.admission.Admission.Advice;
-import wheatspread.admission.Admission.Dependency;
-import wheatspread.admission.Admission.Effect;
-import wheatspread.admission.Admission.Halt;
-import wheatspread.admission.Admission.RequestClass;
-import wheatspread.admission.Admission.Settings;
+import wheatspread.admission.AdmissionSettings;
+import wheatspread.admission.ClientSettings;
+import wheatspread.admission.DependencyKind;
+import wheatspread.admission.DependencyLimits;
+import wheatspread.admission.Idempotency;
+import wheatspread.admission.LoadFeedbackMode;
+import wheatspread.admission.PreemptionMode;
+import wheatspread.admission.RequestClass;
+import wheatspread.admission.ServerLimits;
 
 /** The settings of one instance, the same on the simulator's wire and in a real server's configuration. */
 public final class SettingsReader {
-    private static final Map<String, Effect> EFFECTS =
-            Map.of("idempotent", Effect.IDEMPOTENT, "deduplicated", Effect.KEYED, "at_most_once", Effect.AT_MOST_ONCE);
-    private static final Map<String, Dependency> DEPENDENCIES =
-            Map.of("silent", Dependency.NONE, "shared", Dependency.SHARED, "tier", Dependency.TIER);
-    private static final Map<String, Halt> HALTS =
-            Map.of("silent", Halt.NONE, "abort", Halt.ABORT, "suspend", Halt.SUSPEND);
-    private static final Map<String, Advice> ADVICE = Map.of(
-            "silent", Advice.NONE, "threshold", Advice.THRESHOLD, "window", Advice.WINDOW, "share_of", Advice.SHARE);
+    private static final Map<String, Idempotency> EFFECTS = Map.of(
+            "idempotent",
+            Idempotency.IDEMPOTENT,
+            "deduplicated",
+            Idempotency.IDEMPOTENCY_KEY,
+            "at_most_once",
+            Idempotency.AT_MOST_ONCE);
+    private static final Map<String, DependencyKind> DEPENDENCIES =
+            Map.of("silent", DependencyKind.NONE, "shared", DependencyKind.SHARED, "tier", DependencyKind.TIER);
+    private static final Map<String, PreemptionMode> HALTS =
+            Map.of("silent", PreemptionMode.NONE, "abort", PreemptionMode.ABORT, "suspend", PreemptionMode.SUSPEND);
+    private static final Map<String, LoadFeedbackMode> ADVICE = Map.of(
+            "silent",
+            LoadFeedbackMode.NONE,
+            "threshold",
+            LoadFeedbackMode.THRESHOLD,
+            "window",
+            LoadFeedbackMode.WINDOW,
+            "share_of",
+            LoadFeedbackMode.SHARE);
 
     /** The key of the list of tenants. */
     static final String TENANTS = "Parties";
@@ -28,21 +42,21 @@
     private SettingsReader() {}
 
     /** The settings in a message, whose tenants need no names. */
-    public static Settings read(Fields info) {
+    public static AdmissionSettings read(JsonFields info) {
         return read(info, info.large(TENANTS, TenantReader.class, () -> new TenantReader(false)));
     }
 
     /** The settings with tenants that have been read. */
-    static Settings read(Fields info, TenantReader tenants) {
-        Fields family = info.object("FamilyInfo", false);
-        Fields rules = info.object("Rules", false);
-        Fields ceilings = info.object("Ceilings", true);
-        Fields prices = info.object("Tariffs", true);
+    static AdmissionSettings read(JsonFields info, TenantReader tenants) {
+        JsonFields family = info.object("FamilyInfo", false);
+        JsonFields rules = info.object("Rules", false);
+        JsonFields ceilings = info.object("Ceilings", true);
+        JsonFields prices = info.object("Tariffs", true);
         List<RequestClass> classes = new ArrayList<>();
-        for (Fields lane : info.objects("Lanes")) {
+        for (JsonFields lane : info.objects("Lanes")) {
             classes.add(requestClass(lane, family, classes.size()));
         }
-        Admission.Limits limits = new Admission.Limits(
+        ServerLimits limits = new ServerLimits(
                 family.number("MemoryKb"),
                 family.number("RunFactor", 1),
                 family.number("KbPerKey", 0),
@@ -51,25 +65,25 @@
                 rules.time("Cold", 0),
                 rules.time("AnswerSlack", 0),
                 rules.time("DrainGrace", 0));
-        Admission.Below below = new Admission.Below(
-                family.word("DependsOn", DEPENDENCIES, Dependency.NONE),
+        DependencyLimits below = new DependencyLimits(
+                family.word("DependsOn", DEPENDENCIES, DependencyKind.NONE),
                 family.number("CallsOut", 0),
                 family.time("DepWindow", 0),
                 family.time("Linger", 0));
-        Admission.Callers callers = new Admission.Callers(
+        ClientSettings callers = new ClientSettings(
                 (int) family.number("Callers", 0),
-                family.word("Say", ADVICE, Advice.NONE),
+                family.word("Say", ADVICE, LoadFeedbackMode.NONE),
                 family.time("Heeded", 0),
                 ceilings.flag("RetryAfter") ? ceilings.time("MaxRetryAfter", 0) : 0,
                 family.flag("RegistryFollows"),
                 family.time("Idle", 0),
                 prices.number("Handshake", 0),
                 prices.number("Connection", 0));
-        return new Settings(
+        return new AdmissionSettings(
                 (int) family.integer("NCores"),
                 (int) info.number("ReplicasOfMe", 0),
                 family.flag("Cold"),
-                family.word("Halt", HALTS, Halt.NONE),
+                family.word("Halt", HALTS, PreemptionMode.NONE),
                 family.time("Fresh", 0),
                 info.time("Resolution", 0),
                 limits,
@@ -79,7 +93,7 @@
                 tenants.tenants());
     }
 
-    private static RequestClass requestClass(Fields lane, Fields family, int index) {
+    private static RequestClass requestClass(JsonFields lane, JsonFields family, int index) {
         long deadline = lane.time("Deadline");
         return new RequestClass(
                 lane.time("Aim", deadline),
@@ -93,20 +107,20 @@
                 nth(family, "ClassSkipWorth", index) instanceof Number n ? n.doubleValue() : 0);
     }
 
-    private static Object nth(Fields fields, String name, int index) {
+    private static Object nth(JsonFields fields, String name, int index) {
         List<Object> list = fields.list(name);
         return index < list.size() ? list.get(index) : null;
     }
 
     /** The names of the gauges, in the order in which readings come. */
-    public static List<String> gauges(Fields info) {
+    public static List<String> gauges(JsonFields info) {
         List<String> names = new ArrayList<>();
         info.object("FamilyInfo", false).list("Gauges").forEach(g -> names.add(String.valueOf(g)));
         return names;
     }
 
     /** The names listed under a key, as those of classes are. */
-    static List<String> names(Fields info, String list) {
+    static List<String> names(JsonFields info, String list) {
         return info.objects(list).stream().map(one -> one.text("Name")).toList();
     }
 }
--- a/server/src/main/java/wheatspread/config/Source.java
+++ b/server/src/main/java/wheatspread/config/SettingsSource.java
@@ -10,7 +10,7 @@
  * over from where. A whole file is read before its faults are told, so that all of them are. Of the elements
  * of a large list, the lines are known while the element is read, and only the first ones are shown.
  */
-public final class Source {
+public final class SettingsSource {
     /** So many elements of a large list are shown one by one. */
     static final int ELEMENTS_SHOWN = 32;
     /** A longer complaint is cut. */
@@ -19,7 +19,7 @@
     private final String file;
     private final Map<String, Integer> lines = new HashMap<>();
     private final Map<String, Integer> elementLines = new HashMap<>();
-    private final Faults faults = new Faults();
+    private final ConfigProblems faults = new ConfigProblems();
     private final Map<String, Setting> settings = new LinkedHashMap<>();
     private final Map<String, String> over = new LinkedHashMap<>();
     private boolean inElement;
@@ -28,7 +28,7 @@
     /** One value that holds, and where it comes from: {@code FILE:LINE}, a variable, or {@code default}. */
     public record Setting(String key, Object value, String origin) {}
 
-    Source(String file) {
+    SettingsSource(String file) {
         this.file = file;
     }
 
@@ -110,7 +110,7 @@
     /** Complains of all faults at once, if there are any. */
     void settle() {
         if (!faults.isEmpty()) {
-            throw new Fields.BadValue(faults);
+            throw new JsonFields.InvalidValueException(faults);
         }
     }
 }
--- a/server/src/main/java/wheatspread/config/TenantReader.java
+++ b/server/src/main/java/wheatspread/config/TenantReader.java
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public void read(int index, Fields element) {
+    public void read(int index, JsonFields element) {
         if (size == quotas.length) {
             quotas = Arrays.copyOf(quotas, size + size / 2);
         }
@@ -46,7 +46,7 @@
         }
     }
 
-    private void name(int index, Fields element) {
+    private void name(int index, JsonFields element) {
         String name = element.text("Name");
         if (!(element.get("Name") instanceof String)) {
             return; // text() has complained
@@ -73,7 +73,7 @@
         return lines[first] > 0 ? " on line " + lines[first] : "";
     }
 
-    private void add(int index, Fields element, String name) {
+    private void add(int index, JsonFields element, String name) {
         if (distinct == elements.length) {
             elements = Arrays.copyOf(elements, distinct + distinct / 2);
             lines = Arrays.copyOf(lines, distinct + distinct / 2);
--- a/server/src/main/java/wheatspread/config/UwsgiConfig.java
+++ b/server/src/main/java/wheatspread/config/UwsgiConfig.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.regex.Pattern;
-import wheatspread.core.Site;
+import wheatspread.core.DeploymentSettings;
 
 /**
  * The operator's file: where the uwsgi front listens, its bounds, which vars carry what, and what holds for
@@ -64,9 +64,9 @@
      */
     public record Route(Match match, String path, Pattern pattern, Defaults defaults, List<Route> routes) {}
 
-    static UwsgiConfig read(Fields told, Site site) {
+    static UwsgiConfig read(JsonFields told, DeploymentSettings site) {
         told.only(KEYS);
-        Fields names = told.object("vars", true);
+        JsonFields names = told.object("vars", true);
         names.only(Set.of("class", "tenant", "limit_ms", "cpu_ms", "ram_kb", "unique", "item"));
         Vars usual = Vars.USUAL;
         Vars vars = new Vars(
@@ -78,7 +78,7 @@
                 names.text("unique", usual.unique),
                 names.text("item", usual.item));
         Defaults none = new Defaults(-1, -1, 0, 0, 24);
-        Fields absent = told.object("defaults", true);
+        JsonFields absent = told.object("defaults", true);
         absent.only(DEFAULT_KEYS);
         Defaults defaults = RouteReader.defaults(absent, none, site);
         RouteReader routes = told.large("routes", RouteReader.class, () -> new RouteReader(site));
--- a/server/src/main/java/wheatspread/connections/Connection.java
+++ b/server/src/main/java/wheatspread/connections/Connection.java
@@ -23,8 +23,8 @@
         GONE
     }
 
-    final Caller caller;
-    final Sources.Source source;
+    final ConnectionActions caller;
+    final SourceAddressTable.Source source;
     State state = State.GONE;
     /** Since when it is in this state: since its first byte where it speaks, since its last use otherwise. */
     long since;
@@ -47,7 +47,7 @@
 
     Connection nextOfSource;
 
-    Connection(Caller caller, Sources.Source source) {
+    Connection(ConnectionActions caller, SourceAddressTable.Source source) {
         this.caller = caller;
         this.source = source;
     }
--- a/server/src/main/java/wheatspread/connections/Caller.java
+++ b/server/src/main/java/wheatspread/connections/ConnectionActions.java
@@ -1,7 +1,7 @@
 package wheatspread.connections;
 
 /** What a front does to a connection of its own when its table decides so. */
-public interface Caller {
+public interface ConnectionActions {
     /** Asks the caller to send nothing new here. */
     void lastCall();
 
--- a/server/src/main/java/wheatspread/connections/ConnectionTable.java
+++ b/server/src/main/java/wheatspread/connections/ConnectionTable.java
@@ -7,7 +7,7 @@
 /**
  * The connections of one front: who is let in, whose time is over, and who makes room. It reads no clock and
  * closes nothing by itself; times are microseconds that never go back, and what it decides it tells the
- * {@link Caller}s. Each state has a list in the order of time, and all in one list have the same limit, so
+ * {@link ConnectionActions}s. Each state has a list in the order of time, and all in one list have the same limit, so
  * that the first of each list tells all there is to know: a connection has no timer, and one that is used
  * again only moves to the end of a list.
  */
@@ -17,7 +17,7 @@
     private static final int MAX_PASSED_OVER = 64;
 
     private final ConnectionLimits limits;
-    private final Sources sources = new Sources();
+    private final SourceAddressTable sources = new SourceAddressTable();
     private final TokenBucket accepts;
     private final ConnectionCounters counters = new ConnectionCounters();
     private final Connection[] first = new Connection[LISTS];
@@ -64,7 +64,7 @@
      * Lets a caller in, for which another one may have to go, or refuses it: then the result is null, and the
      * socket gets what {@link ConnectionLimits#refusal} says. {@code address} tells sources apart.
      */
-    public Connection admit(Caller caller, long address, long now) {
+    public Connection admit(ConnectionActions caller, long address, long now) {
         if (limits.mostOfSource() > 0
                 && sources.connectionsOf(address) >= limits.mostOfSource()
                 && !evictFrom(address)) {
@@ -371,7 +371,7 @@
     }
 
     /** Does something to every connection; it may be closed meanwhile. */
-    public void forEach(Consumer<Caller> what) {
+    public void forEach(Consumer<ConnectionActions> what) {
         Connection[] all = new Connection[size];
         int count = 0;
         for (Connection head : first) {
--- a/server/src/main/java/wheatspread/connections/Sources.java
+++ b/server/src/main/java/wheatspread/connections/SourceAddressTable.java
@@ -8,7 +8,7 @@
  * equally many stand in one list, and a source moves by one list at a time, so that everything here takes
  * constant time.
  */
-final class Sources {
+final class SourceAddressTable {
     /** One address, with what it holds. */
     static final class Source {
         final long address;
--- a/server/src/main/java/wheatspread/control/ControlConnection.java
+++ b/server/src/main/java/wheatspread/control/ControlConnection.java
@@ -3,11 +3,11 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
-import wheatspread.sockets.CallerHandler;
-import wheatspread.sockets.Listener;
+import wheatspread.transport.ClientChannelHandler;
+import wheatspread.transport.Listener;
 
 /** One caller of the operators' door: reads the head of one call, answers it, and closes. */
-final class ControlConnection extends CallerHandler {
+final class ControlConnection extends ClientChannelHandler {
     private final ControlFront front;
     private boolean answered;
 
@@ -53,7 +53,7 @@
         String head =
                 bytes.readCharSequence(length, StandardCharsets.ISO_8859_1).toString();
         bytes.skipBytes(bytes.readableBytes()); // one call a connection: a body or more calls are not read
-        answer(Calls.answer(head, front.ready.getAsBoolean(), front.vars, front.more));
+        answer(ControlEndpoints.answer(head, front.ready.getAsBoolean(), front.vars, front.more));
         return 1;
     }
 
--- a/server/src/main/java/wheatspread/control/Calls.java
+++ b/server/src/main/java/wheatspread/control/ControlEndpoints.java
@@ -3,8 +3,8 @@
 import java.util.function.Supplier;
 
 /** What the operators' door makes of the head of a call: the response, with no I/O of its own. */
-final class Calls {
-    private Calls() {}
+final class ControlEndpoints {
+    private ControlEndpoints() {}
 
     /** The response to a call whose head, up to its blank line, is {@code head}. */
     static byte[] answer(String head, boolean ready, Supplier<String> vars, ControlFront.More more) {
--- a/server/src/main/java/wheatspread/control/ControlFront.java
+++ b/server/src/main/java/wheatspread/control/ControlFront.java
@@ -4,9 +4,9 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 import wheatspread.connections.ConnectionLimits;
-import wheatspread.sockets.CallerHandler;
-import wheatspread.sockets.Front;
-import wheatspread.sockets.Listener;
+import wheatspread.transport.ClientChannelHandler;
+import wheatspread.transport.Front;
+import wheatspread.transport.Listener;
 
 /**
  * The operators' door: HTTP/1.1 with one call a connection, {@code GET /_ready} and {@code GET /_vars}. It
@@ -64,7 +64,7 @@
     }
 
     @Override
-    public CallerHandler caller(Listener listener) {
+    public ClientChannelHandler caller(Listener listener) {
         return new ControlConnection(listener, this);
     }
 
--- a/server/src/main/java/wheatspread/control/Vars.java
+++ b/server/src/main/java/wheatspread/control/MetricsPage.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 import java.util.Map;
-import wheatspread.core.Counts;
+import wheatspread.core.RequestCounters;
 
 /** The figures of {@code GET /_vars}, one {@code name=value} a line, by the names the operators read. */
-public final class Vars {
+public final class MetricsPage {
     private static final String PREFIX = "edge_gw.";
 
-    private Vars() {}
+    private MetricsPage() {}
 
     /**
      * The figures from the start of the process: each class's final answers, the runs handed to the
@@ -16,7 +16,7 @@
      * the site is named, with 0 where nothing came.
      */
     public static String text(
-            Counts counts, List<String> classes, int concurrent, long reloadSuccess, long reloadFailure) {
+            RequestCounters counts, List<String> classes, int concurrent, long reloadSuccess, long reloadFailure) {
         StringBuilder text = new StringBuilder(256);
         Map<Integer, long[]> byClass = counts.byClass();
         for (int kind = 0; kind < classes.size(); kind++) {
--- a/server/src/main/java/wheatspread/core/Carrier.java
+++ b/server/src/main/java/wheatspread/core/ActionExecutor.java
@@ -1,49 +1,52 @@
 package wheatspread.core;
 
-import wheatspread.admission.Admission;
-import wheatspread.admission.Admission.Outcome;
+import wheatspread.admission.AdmissionController;
+import wheatspread.admission.Outcome;
+import wheatspread.admission.RequestClass;
 
 /** Carries out the module's actions. */
-final class Carrier implements Admission.Actions {
+final class ActionExecutor implements AdmissionController.Actions {
     /** What the module fails this shortly before it is due, it fails for want of time; us. */
     private static final long NEARLY_DUE = 100_000;
 
     private final Core core;
 
-    Carrier(Core core) {
+    ActionExecutor(Core core) {
         this.core = core;
     }
 
     @Override
     public void run(long id) {
-        Try one = core.table.byNumber(id);
-        if (one == null || one.answered() && one.run == Try.Run.NONE) {
+        Attempt one = core.table.byNumber(id);
+        if (one == null || one.answered() && one.run == Attempt.Run.NONE) {
             moot(id);
-        } else if (one.run == Try.Run.PAUSED) {
-            one.run = Try.Run.ACTIVE;
+        } else if (one.run == Attempt.Run.PAUSED) {
+            one.run = Attempt.Run.ACTIVE;
             one.stopAsked = false;
             core.counts.resumed++;
             core.kernel.resume(one.submission.job());
-        } else if (one.run == Try.Run.NONE && repeats(one)) {
-            join(id); // no second run, whatever the module says, and no refusal after a run
-        } else if (one.run == Try.Run.NONE && !mayRun(one)) {
+        } else if (one.run == Attempt.Run.NONE && repeats(one)) {
+            joinResult(id); // no second run, whatever the module says, and no refusal after a run
+        } else if (one.run == Attempt.Run.NONE && !mayRun(one)) {
             moot(id);
-            core.answers.finish(one, Answer.Kind.REFUSED, null, 0, false);
-        } else if (one.run == Try.Run.NONE) {
-            one.run = Try.Run.ACTIVE;
+            core.answers.finish(one, Answer.Kind.REJECTED, null, 0, false);
+        } else if (one.run == Attempt.Run.NONE) {
+            one.run = Attempt.Run.ACTIVE;
             core.counts.runs++;
             core.kernel.run(
-                    one.submission.job(), core.site().classes().get(one.submission.kind()), one.submission.body());
+                    one.submission.job(),
+                    core.site().classes().get(one.submission.requestClass()),
+                    one.submission.body());
         }
     }
 
     private void moot(long id) {
-        core.batches.event(m -> m.completed(id, Outcome.IGNORED, 0));
+        core.batches.event(m -> m.onCompletion(id, Outcome.IGNORED, 0));
     }
 
     /** Whether another try stands for the key. */
-    private boolean repeats(Try one) {
-        if (one.submission.unique() == null) {
+    private boolean repeats(Attempt one) {
+        if (one.submission.idempotencyKey() == null) {
             return false;
         }
         standForKey(one);
@@ -54,60 +57,62 @@
      * Where the try that it repeats was let go without a run, a try stands for the key itself, unless another
      * one that repeated the same was first.
      */
-    private void standForKey(Try one) {
+    private void standForKey(Attempt one) {
         boolean free = one.entry == null
                 || one.entry.owner != one
                         && !core.keys.holds(one.entry)
-                        && (one.submission.unique() == null || !one.entry.owner.everRan());
+                        && (one.submission.idempotencyKey() == null || !one.entry.owner.everRan());
         if (free) {
-            KeyTable.Entry other = core.keys.find(one.submission, core.batches.now());
+            IdempotencyTable.Entry other = core.keys.find(one.submission, core.batches.now());
             one.entry = other == null ? core.keys.put(one) : other;
         }
     }
 
     /** Guards against a run past the grace, and one of a key that the other process of an upgrade ran. */
-    private boolean mayRun(Try one) {
-        Submission s = one.submission;
-        if (one.late || core.graceIsOver(s.door())) {
+    private boolean mayRun(Attempt one) {
+        InboundRequest s = one.submission;
+        if (one.late || core.graceIsOver(s.arrivalMicros())) {
             return false;
         }
-        return s.unique() == null || core.claims.claim(one.entry.key, s.door(), core.keys.window(s.kind()));
+        return s.idempotencyKey() == null
+                || core.claims.claim(one.entry.key, s.arrivalMicros(), core.keys.window(s.requestClass()));
     }
 
     @Override
-    public void refuse(long id, long stayAway, boolean dontRetry) {
-        Try one = core.table.byNumber(id);
+    public void reject(long id, long stayAway, boolean dontRetry) {
+        Attempt one = core.table.byNumber(id);
         if (one != null) {
-            Answer.Kind kind = one.everRan() ? Answer.Kind.FAILED : Answer.Kind.REFUSED;
+            Answer.Kind kind = one.everRan() ? Answer.Kind.FAILED : Answer.Kind.REJECTED;
             core.answers.finish(one, kind, null, stayAway, dontRetry);
         }
     }
 
     @Override
     public void fail(long id) {
-        Try one = core.table.byNumber(id);
+        Attempt one = core.table.byNumber(id);
         if (one != null) {
-            Admission.RequestClass kind = core.site().settings().classes().get(one.submission.kind());
-            Submission s = one.submission;
+            RequestClass kind = core.site().settings().classes().get(one.submission.requestClass());
+            InboundRequest s = one.submission;
             long now = core.batches.now();
-            boolean late = now > s.door() + kind.aim() || now > s.due() - NEARLY_DUE;
-            core.answers.finish(one, late ? Answer.Kind.OUT_OF_TIME : Answer.Kind.FAILED, null, 0, false);
+            boolean late =
+                    now > s.arrivalMicros() + kind.latencyObjectiveMicros() || now > s.deadlineMicros() - NEARLY_DUE;
+            core.answers.finish(one, late ? Answer.Kind.DEADLINE_EXCEEDED : Answer.Kind.FAILED, null, 0, false);
         }
     }
 
     @Override
-    public void stop(long id) {
-        Try one = core.table.byNumber(id);
+    public void preempt(long id) {
+        Attempt one = core.table.byNumber(id);
         // the module asks again at every tick until the stop is confirmed; the kernel is asked once
-        if (one != null && one.run == Try.Run.ACTIVE && !one.stopAsked) {
+        if (one != null && one.run == Attempt.Run.ACTIVE && !one.stopAsked) {
             one.stopAsked = true;
             core.kernel.pause(one.submission.job());
         }
     }
 
     @Override
-    public void call(long id, long giveUpAfter) {
-        Try one = core.table.byNumber(id);
+    public void callDependency(long id, long giveUpAfter) {
+        Attempt one = core.table.byNumber(id);
         if (one == null || one.notice == 0 || one.answered()) {
             return; // nobody waits: the kernel ends the run at its call, and tells
         }
@@ -115,16 +120,16 @@
     }
 
     @Override
-    public void skipCall(long id) {
-        Try one = core.table.byNumber(id);
+    public void skipDependency(long id) {
+        Attempt one = core.table.byNumber(id);
         if (one != null && one.notice != 0) {
             core.calls.skip(one, core.kernel);
         }
     }
 
     @Override
-    public void pin(long id, long ttl) {
-        Try one = core.table.byNumber(id);
+    public void retainKey(long id, long ttl) {
+        Attempt one = core.table.byNumber(id);
         if (one == null) {
             return;
         }
@@ -133,21 +138,21 @@
     }
 
     @Override
-    public void unpin(long id) {
-        Try one = core.table.byNumber(id);
+    public void releaseKey(long id) {
+        Attempt one = core.table.byNumber(id);
         if (one != null && one.entry != null && one.entry.owner == one) {
             one.entry.pinnedUntil = 0; // the sweep takes it once no second run can follow
         }
     }
 
     @Override
-    public void join(long id) {
-        Try one = core.table.byNumber(id);
+    public void joinResult(long id) {
+        Attempt one = core.table.byNumber(id);
         if (one == null || one.answered()) {
             return;
         }
         core.counts.joins++;
-        one.joinedAt = core.clock.now();
+        one.joinedAt = core.clock.nowMicros();
         if (one.entry.end != null) {
             core.answers.joined(one, one.entry.end, one.entry.result);
         } else {
@@ -156,22 +161,22 @@
     }
 
     @Override
-    public void health(boolean good, boolean stored) {
+    public void setHealth(boolean good, boolean stored) {
         core.healthy(good);
     }
 
     @Override
-    public void advise(double value) {
+    public void setLoadFeedback(double value) {
         core.answers.advise(value);
     }
 
     @Override
-    public void closeIdle(long after) {
+    public void setIdleTimeout(long after) {
         core.idleCloser.accept(after);
     }
 
     @Override
-    public void wake(long after) {
+    public void scheduleWakeup(long after) {
         core.batches.wake(after);
     }
 
--- a/server/src/main/java/wheatspread/core/Try.java
+++ b/server/src/main/java/wheatspread/core/Attempt.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** One try in hand, from its reading until both its answer is given and its run, if any, has ended. */
-final class Try {
+final class Attempt {
     /** Where its run stands. */
     enum Run {
         NONE,
@@ -16,7 +16,7 @@
     /** The number by which the module knows it. */
     final long number;
 
-    final Submission submission;
+    final InboundRequest submission;
     Reply reply;
     /** It was read over the grace after the notice to leave, and must not run. */
     boolean late;
@@ -29,7 +29,7 @@
 
     Clock.Timer dueTimer;
     /** The key's entry it stands in or repeats; null where it has no key. */
-    KeyTable.Entry entry;
+    IdempotencyTable.Entry entry;
     /** When it asked for the result of another try, in Unix microseconds; 0 if it did not. */
     long joinedAt;
 
@@ -37,13 +37,13 @@
     long notice;
 
     byte[] callBody;
-    Records.Call call;
+    RecordsService.Call call;
     Clock.Timer callTimer;
 
     /** The tries that wait for this one's result. */
-    final List<Try> joiners = new ArrayList<>();
+    final List<Attempt> joiners = new ArrayList<>();
 
-    Try(long number, Submission submission, Reply reply) {
+    Attempt(long number, InboundRequest submission, Reply reply) {
         this.number = number;
         this.submission = submission;
         this.reply = reply;
--- a/server/src/main/java/wheatspread/core/RequestTable.java
+++ b/server/src/main/java/wheatspread/core/AttemptTable.java
@@ -7,27 +7,27 @@
 import java.util.Map;
 
 /** The tries in hand, by the module's number and by the name that kernel and records know. */
-final class RequestTable {
-    private final Map<Long, Try> byNumber = new LinkedHashMap<>();
-    private final Map<String, Try> byJob = new HashMap<>();
+final class AttemptTable {
+    private final Map<Long, Attempt> byNumber = new LinkedHashMap<>();
+    private final Map<String, Attempt> byJob = new HashMap<>();
     private long lastNumber;
 
-    Try add(Submission submission, Reply reply) {
-        Try one = new Try(++lastNumber, submission, reply);
+    Attempt add(InboundRequest submission, Reply reply) {
+        Attempt one = new Attempt(++lastNumber, submission, reply);
         byNumber.put(one.number, one);
         byJob.put(submission.job(), one);
         return one;
     }
 
-    Try byNumber(long number) {
+    Attempt byNumber(long number) {
         return byNumber.get(number);
     }
 
-    Try byJob(String job) {
+    Attempt byJob(String job) {
         return byJob.get(job);
     }
 
-    void remove(Try one) {
+    void remove(Attempt one) {
         if (byNumber.remove(one.number) != null) {
             byJob.remove(one.submission.job());
         }
@@ -38,9 +38,9 @@
     }
 
     /** Those that still owe an answer; a copy, since answering takes tries out. */
-    List<Try> unanswered() {
-        List<Try> open = new ArrayList<>(byNumber.values());
-        open.removeIf(Try::answered);
+    List<Attempt> unanswered() {
+        List<Attempt> open = new ArrayList<>(byNumber.values());
+        open.removeIf(Attempt::answered);
         return open;
     }
 }
--- a/server/src/main/java/wheatspread/core/Clock.java
+++ b/server/src/main/java/wheatspread/core/Clock.java
@@ -3,7 +3,7 @@
 /** Unix time and timers, all on the one thread that owns the core; tests inject their own. */
 public interface Clock {
     /** Unix time in microseconds. */
-    long now();
+    long nowMicros();
 
     /** Runs a task once, after so many microseconds. */
     Timer after(long micros, Runnable task);
--- a/server/src/main/java/wheatspread/core/Core.java
+++ b/server/src/main/java/wheatspread/core/Core.java
@@ -2,10 +2,11 @@
 
 import java.util.function.Consumer;
 import java.util.function.Function;
-import wheatspread.admission.Admission;
-import wheatspread.admission.Admission.Effect;
-import wheatspread.admission.Admission.Outcome;
-import wheatspread.admission.Admission.Settings;
+import wheatspread.admission.AdmissionController;
+import wheatspread.admission.AdmissionRequest;
+import wheatspread.admission.AdmissionSettings;
+import wheatspread.admission.Idempotency;
+import wheatspread.admission.Outcome;
 import wheatspread.logging.EventLog;
 
 /**
@@ -23,24 +24,24 @@
     /** Tries in hand beyond which new ones are refused unseen: a bound on memory, far over what is usual. */
     private static final int MOST_IN_HAND = 2_000;
 
-    private Site site;
+    private DeploymentSettings site;
     /** Whether the kernel started cold, as its first boot said. */
     private boolean cold;
 
-    private final Function<Settings, Admission> newModule;
+    private final Function<AdmissionSettings, AdmissionController> newModule;
     final Clock clock;
-    final Calls calls;
+    final DependencyCalls calls;
     private final Announcer announcer;
     final EventLog log;
-    final RequestTable table = new RequestTable();
-    final KeyTable keys;
-    Claims claims = Claims.NONE;
-    final Counts counts = new Counts();
-    private final Carrier carrier = new Carrier(this);
+    final AttemptTable table = new AttemptTable();
+    final IdempotencyTable keys;
+    IdempotencyClaims claims = IdempotencyClaims.NONE;
+    final RequestCounters counts = new RequestCounters();
+    private final ActionExecutor carrier = new ActionExecutor(this);
     Kernel kernel;
     Consumer<Long> idleCloser = after -> {};
 
-    final Batches batches;
+    final EventBatcher batches;
     final FinalAnswers answers;
     private boolean healthy = true;
     private long retiredAt = Long.MAX_VALUE;
@@ -48,10 +49,10 @@
     private Runnable whenUp = () -> {};
 
     public Core(
-            Site site,
-            Function<Settings, Admission> newModule,
+            DeploymentSettings site,
+            Function<AdmissionSettings, AdmissionController> newModule,
             Clock clock,
-            Records records,
+            RecordsService records,
             Announcer announcer,
             EventLog log) {
         this.site = site;
@@ -59,34 +60,35 @@
         this.clock = clock;
         this.announcer = announcer;
         this.log = log;
-        batches = new Batches(clock, () -> kernel.askGauges(), log);
-        calls = new Calls(clock, records, batches::event, counts);
-        keys = new KeyTable(windows(site));
+        batches = new EventBatcher(clock, () -> kernel.askGauges(), log);
+        calls = new DependencyCalls(clock, records, batches::event, counts);
+        keys = new IdempotencyTable(windows(site));
         answers = new FinalAnswers(table, keys, counts, batches, clock);
     }
 
-    private static long[] windows(Site site) {
+    private static long[] windows(DeploymentSettings site) {
         return site.settings().classes().stream()
-                .mapToLong(c -> c.effect() == Effect.KEYED ? c.window() : 0)
+                .mapToLong(c -> c.idempotency() == Idempotency.IDEMPOTENCY_KEY ? c.idempotencyWindowMicros() : 0)
                 .toArray();
     }
 
     /**
-     * Takes the classes of a site retuned at SIGHUP (see {@link Site#retunedTo}) and returns the site that
+     * Takes the classes of a site retuned at SIGHUP (see {@link DeploymentSettings#retunedTo}) and returns the site
+     * that
      * now holds; the module hears of it before any request of a new class.
      */
-    public Site retune(Site next) {
-        Site merged = site.retunedTo(next);
+    public DeploymentSettings retune(DeploymentSettings next) {
+        DeploymentSettings merged = site.retunedTo(next);
         site = merged;
         keys.retune(windows(merged));
         if (batches.begun()) {
-            event(m -> m.retuned(merged.settings(cold)));
+            event(m -> m.onSettingsChanged(merged.settings(cold)));
         }
         return merged;
     }
 
     /** Where two processes of this server share one name: the runs of keys the other one made. */
-    public void shareKeysWith(Claims shared) {
+    public void shareKeysWith(IdempotencyClaims shared) {
         claims = shared;
     }
 
@@ -111,7 +113,7 @@
     /** What owes an answer now; a paused run counts where a repeat waits for it. */
     public InHand inHand() {
         int[] of = new int[5];
-        for (Try one : table.unanswered()) {
+        for (Attempt one : table.unanswered()) {
             of[one.joinedAt > 0 ? 4 : one.notice != 0 ? 3 : one.run.ordinal()]++;
         }
         return new InHand(of[0], of[1], of[2], of[3], of[4]);
@@ -119,54 +121,54 @@
 
     /** How long until this server is warm at the latest, in microseconds; 0 once it is. */
     public long warmIn() {
-        return Math.max(0, warmAt - clock.now());
+        return Math.max(0, warmAt - clock.nowMicros());
     }
 
     /** The counts of this moment. */
-    public Counts countsNow() {
+    public RequestCounters countsNow() {
         return counts.copy();
     }
 
-    public Site site() {
+    public DeploymentSettings site() {
         return site;
     }
 
-    public Counts counts() {
+    public RequestCounters counts() {
         return counts;
     }
 
     // ---- what fronts say ----
 
     /**
-     * Takes a try into the hold; its reply gets one answer. The result is the ticket for {@link #gone}, or
+     * Takes a try into the hold; its reply gets one answer. The result is the ticket for {@link #onCancellation}, or
      * null if it was answered already.
      */
-    public Long submit(Submission submission, Reply reply) {
+    public Long submit(InboundRequest submission, Reply reply) {
         counts.read++;
-        boolean tooLate = submission.due() - DUE_MARGIN <= clock.now();
+        boolean tooLate = submission.deadlineMicros() - DUE_MARGIN <= clock.nowMicros();
         if (!batches.begun() || tooLate || table.size() >= MOST_IN_HAND) {
-            counts.count(submission.kind(), Answer.Kind.REFUSED);
-            reply.answer(new Answer(Answer.Kind.REFUSED, null, 0, false, feedback()));
+            counts.count(submission.requestClass(), Answer.Kind.REJECTED);
+            reply.answer(new Answer(Answer.Kind.REJECTED, null, 0, false, feedback()));
             return null;
         }
         if (table.byJob(submission.job()) != null) {
-            counts.count(submission.kind(), Answer.Kind.CONFLICT);
+            counts.count(submission.requestClass(), Answer.Kind.CONFLICT);
             reply.answer(new Answer(Answer.Kind.CONFLICT, null, 0, false, feedback())); // that name is in use
             return null;
         }
-        Try one = table.add(submission, reply);
-        one.late = graceIsOver(clock.now()); // its last byte came now, whenever its first one did
-        long left = submission.due() - DUE_MARGIN - clock.now();
+        Attempt one = table.add(submission, reply);
+        one.late = graceIsOver(clock.nowMicros()); // its last byte came now, whenever its first one did
+        long left = submission.deadlineMicros() - DUE_MARGIN - clock.nowMicros();
         one.dueTimer = clock.after(Math.max(0, left), () -> answers.due(one));
         event(m -> arrive(m, one));
         return one.number;
     }
 
-    private void arrive(Admission to, Try one) {
-        Submission s = one.submission;
+    private void arrive(AdmissionController to, Attempt one) {
+        InboundRequest s = one.submission;
         long now = batches.now();
-        KeyTable.Entry entry = keys.find(s, now);
-        boolean reads = s.unique() == null;
+        IdempotencyTable.Entry entry = keys.find(s, now);
+        boolean reads = s.idempotencyKey() == null;
         one.entry = entry;
         if (entry == null && !reads) {
             one.entry = keys.put(one);
@@ -180,19 +182,19 @@
             answers.finish(one, Answer.Kind.CONFLICT, null, 0, false);
             return;
         }
-        boolean write = site.settings().classes().get(s.kind()).effect() != Effect.IDEMPOTENT;
-        to.arrived(new Admission.Request(
+        boolean write = site.settings().classes().get(s.requestClass()).idempotency() != Idempotency.IDEMPOTENT;
+        to.onArrival(new AdmissionRequest(
                 one.number,
                 s.tenant(),
-                s.kind(),
-                Math.max(0, now - s.door()),
-                s.limited() ? Math.max(1, s.due() - now) : 0,
+                s.requestClass(),
+                Math.max(0, now - s.arrivalMicros()),
+                s.hasClientTimeout() ? Math.max(1, s.deadlineMicros() - now) : 0,
                 entry == null ? 0 : entry.owner.number,
-                s.further(),
-                s.item() != null,
+                s.retry(),
+                s.cacheKey() != null,
                 write,
                 s.heldKb(),
-                s.hint()));
+                s.expectedWorkMicros()));
     }
 
     /**
@@ -201,35 +203,35 @@
      */
     public void turnAway(int kind, Reply reply, long later) {
         counts.read++;
-        counts.count(kind, Answer.Kind.REFUSED);
+        counts.count(kind, Answer.Kind.REJECTED);
         long stayAway = Math.min(later, mostStayAway());
-        reply.answer(new Answer(Answer.Kind.REFUSED, null, stayAway, false, feedback()));
+        reply.answer(new Answer(Answer.Kind.REJECTED, null, stayAway, false, feedback()));
     }
 
     /** How long a caller may be asked to stay away; 0 where the settings don't allow it. */
     public long mostStayAway() {
-        return site.settings().callers().maxStayAway();
+        return site.settings().clients().maxRetryAfterMicros();
     }
 
     /** The caller of a try no longer waits: no answer is owed. */
     public void gone(Long ticket) {
-        Try one = ticket == null ? null : table.byNumber(ticket);
+        Attempt one = ticket == null ? null : table.byNumber(ticket);
         if (one == null || one.answered()) {
             return;
         }
         counts.gone++;
         one.reply = null;
         one.dueTimer.cancel();
-        event(m -> m.gone(one.number));
+        event(m -> m.onCancellation(one.number));
         answers.letGo(one);
     }
 
     /** The caller of a try can say nothing more, but may still read: refuses the try if it never ran. */
     public void refuseUnlessBegun(Long ticket) {
-        Try one = ticket == null ? null : table.byNumber(ticket);
+        Attempt one = ticket == null ? null : table.byNumber(ticket);
         if (one != null && !one.answered() && !one.everRan() && one.joinedAt == 0) {
-            event(m -> m.gone(one.number));
-            answers.finish(one, Answer.Kind.REFUSED, null, 0, false);
+            event(m -> m.onCancellation(one.number));
+            answers.finish(one, Answer.Kind.REJECTED, null, 0, false);
         }
     }
 
@@ -258,23 +260,23 @@
         retiredAt = noticeAt;
         healthy = false;
         announcer.announce(false);
-        long left = Math.max(0, noticeAt + stopAfter - clock.now());
-        event(m -> m.retiring(left));
+        long left = Math.max(0, noticeAt + stopAfter - clock.nowMicros());
+        event(m -> m.onDrain(left));
         clock.after(Math.max(0, left - STOP_MARGIN), () -> table.unanswered().forEach(answers::due));
     }
 
     /** Whether what is written now is written over the grace after the notice, and must not run. */
     boolean graceIsOver(long at) {
         return retiredAt != Long.MAX_VALUE
-                && at > retiredAt + site.settings().limits().drainGrace();
+                && at > retiredAt + site.settings().limits().drainGraceMicros();
     }
 
     /** Answers all that is open, now: who was not begun hears that it never ran. */
     public void answerAll() {
-        for (Try one : table.unanswered()) {
+        for (Attempt one : table.unanswered()) {
             boolean ran = one.everRan() || one.joinedAt > 0;
-            event(m -> m.gone(one.number));
-            answers.finish(one, ran ? Answer.Kind.FAILED : Answer.Kind.REFUSED, null, 0, true);
+            event(m -> m.onCancellation(one.number));
+            answers.finish(one, ran ? Answer.Kind.FAILED : Answer.Kind.REJECTED, null, 0, true);
         }
     }
 
@@ -286,9 +288,9 @@
             return; // the link came back; the module goes on
         }
         this.cold = cold;
-        Admission module = newModule.apply(site.settings(cold));
-        batches.begin(module, carrier, clock.now() - age);
-        warmAt = cold ? clock.now() - age + site.settings().limits().coldFor() : 0;
+        AdmissionController module = newModule.apply(site.settings(cold));
+        batches.begin(module, carrier, clock.nowMicros() - age);
+        warmAt = cold ? clock.nowMicros() - age + site.settings().limits().warmUpMicros() : 0;
         clock.after(SWEEP, this::sweep);
         if (retiredAt == Long.MAX_VALUE) {
             announcer.announce(true);
@@ -298,22 +300,22 @@
 
     @Override
     public void blocked(String job, long notice, byte[] call) {
-        Try one = table.byJob(job);
+        Attempt one = table.byJob(job);
         if (one == null) {
             return;
         }
         one.notice = notice;
         one.callBody = call;
-        event(m -> m.blocked(one.number));
+        event(m -> m.onBlocked(one.number));
     }
 
     @Override
     public void ended(String job, Kernel.End end, long took, byte[] result) {
-        Try one = table.byJob(job);
+        Attempt one = table.byJob(job);
         if (one == null) {
             return;
         }
-        Calls.drop(one);
+        DependencyCalls.drop(one);
         switch (end) {
             case OK -> answers.over(one, end, result, Outcome.OK, took);
             case ERROR -> answers.over(one, end, null, Outcome.FAILED, took);
@@ -322,8 +324,8 @@
                 if (one.answered()) {
                     answers.over(one, end, null, Outcome.CANCELED, took);
                 } else {
-                    one.run = Try.Run.PAUSED; // it still owes an answer, and the module decides which
-                    event(m -> m.completed(one.number, Outcome.CANCELED, took));
+                    one.run = Attempt.Run.PAUSED; // it still owes an answer, and the module decides which
+                    event(m -> m.onCompletion(one.number, Outcome.CANCELED, took));
                 }
             }
             default -> notTakenUp(one);
@@ -331,7 +333,7 @@
     }
 
     /** The kernel ended a try at its word: it never ran, unless it was paused before and taken up again. */
-    private void notTakenUp(Try one) {
+    private void notTakenUp(Attempt one) {
         if (one.paused) {
             answers.over(one, Kernel.End.STOPPED, null, Outcome.CANCELED, 0); // a second run is forbidden all the same
         } else {
@@ -340,16 +342,16 @@
     }
 
     /** The kernel started nothing: the try never ran, and gives its key free. */
-    private void neverStarted(Try one) {
-        one.run = Try.Run.NONE;
-        event(m -> m.completed(one.number, Outcome.IGNORED, 0));
+    private void neverStarted(Attempt one) {
+        one.run = Attempt.Run.NONE;
+        event(m -> m.onCompletion(one.number, Outcome.IGNORED, 0));
         answers.finish(one, Answer.Kind.FAILED, null, 0, false);
     }
 
     @Override
     public void notStarted(String job) {
-        Try one = table.byJob(job);
-        if (one != null && one.run == Try.Run.ACTIVE) {
+        Attempt one = table.byJob(job);
+        if (one != null && one.run == Attempt.Run.ACTIVE) {
             log.warn("kernel_not_started", "job", job);
             notTakenUp(one);
         }
@@ -357,11 +359,11 @@
 
     @Override
     public void gauges(double[] row) {
-        batches.read(Site.reading(site.gauges(), i -> i < row.length ? row[i] : Double.NaN));
+        batches.read(DeploymentSettings.reading(site.gauges(), i -> i < row.length ? row[i] : Double.NaN));
     }
 
     private void sweep() {
-        keys.sweep(clock.now());
+        keys.sweep(clock.nowMicros());
         clock.after(SWEEP, this::sweep);
     }
 
@@ -373,7 +375,7 @@
         announcer.announce(healthy);
     }
 
-    private void event(Consumer<Admission> event) {
+    private void event(Consumer<AdmissionController> event) {
         batches.event(event);
     }
 }
--- a/server/src/main/java/wheatspread/core/Calls.java
+++ b/server/src/main/java/wheatspread/core/DependencyCalls.java
@@ -1,17 +1,21 @@
 package wheatspread.core;
 
 import java.util.function.Consumer;
-import wheatspread.admission.Admission;
-import wheatspread.admission.Admission.Outcome;
+import wheatspread.admission.AdmissionController;
+import wheatspread.admission.Outcome;
 
 /** The calls that runs wait for: made, given up in time, skipped, and their replies handed to the kernel. */
-final class Calls {
+final class DependencyCalls {
     private final Clock clock;
-    private final Records records;
-    private final Consumer<Consumer<Admission>> events;
-    private final Counts counts;
+    private final RecordsService records;
+    private final Consumer<Consumer<AdmissionController>> events;
+    private final RequestCounters counts;
 
-    Calls(Clock clock, Records records, Consumer<Consumer<Admission>> events, Counts counts) {
+    DependencyCalls(
+            Clock clock,
+            RecordsService records,
+            Consumer<Consumer<AdmissionController>> events,
+            RequestCounters counts) {
         this.clock = clock;
         this.records = records;
         this.events = events;
@@ -19,10 +23,10 @@
     }
 
     /** Makes the call that a run waits for, and gives it up after so many microseconds. */
-    void make(Try one, long giveUpAfter, Kernel kernel) {
+    void make(Attempt one, long giveUpAfter, Kernel kernel) {
         drop(one);
         counts.calls++;
-        long began = clock.now();
+        long began = clock.nowMicros();
         one.callTimer = clock.after(giveUpAfter, () -> {
             drop(one);
             ended(one, Outcome.TIMED_OUT, began);
@@ -38,24 +42,24 @@
         });
     }
 
-    private void ended(Try one, Outcome outcome, long began) {
-        long took = clock.now() - began;
-        events.accept(m -> m.called(one.number, outcome, took));
+    private void ended(Attempt one, Outcome outcome, long began) {
+        long took = clock.nowMicros() - began;
+        events.accept(m -> m.onCallCompleted(one.number, outcome, took));
     }
 
-    void skip(Try one, Kernel kernel) {
+    void skip(Attempt one, Kernel kernel) {
         counts.skips++;
         kernel.skipCall(one.submission.job(), one.notice);
         goOn(one);
     }
 
-    private static void goOn(Try one) {
+    private static void goOn(Attempt one) {
         one.notice = 0;
         one.callBody = null;
     }
 
     /** Gives up the call in hand, if any; nothing more is heard of it. */
-    static void drop(Try one) {
+    static void drop(Attempt one) {
         if (one.call != null) {
             one.call.giveUp();
             one.call = null;
--- a/server/src/main/java/wheatspread/core/Site.java
+++ b/server/src/main/java/wheatspread/core/DeploymentSettings.java
@@ -5,19 +5,21 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.IntToDoubleFunction;
-import wheatspread.admission.Admission.Gauges;
-import wheatspread.admission.Admission.RequestClass;
-import wheatspread.admission.Admission.Settings;
+import wheatspread.admission.AdmissionSettings;
+import wheatspread.admission.LoadGauges;
+import wheatspread.admission.RequestClass;
 
 /** The settings with the names of their classes and tenants, by index, and the order of the gauges. */
-public record Site(Settings settings, List<String> classes, NameTable tenants, List<String> gauges) {
-    public Site {
+public record DeploymentSettings(
+        AdmissionSettings settings, List<String> classes, NameTable tenants, List<String> gauges) {
+    public DeploymentSettings {
         classes = List.copyOf(classes);
         gauges = List.copyOf(gauges);
     }
 
     /** The same of tenants' names that stand in any list; they must be distinct. */
-    public Site(Settings settings, List<String> classes, List<String> tenants, List<String> gauges) {
+    public DeploymentSettings(
+            AdmissionSettings settings, List<String> classes, List<String> tenants, List<String> gauges) {
         this(settings, classes, NameTable.copyOf(tenants), gauges);
     }
 
@@ -27,7 +29,7 @@
      * {@code next} drops stays, so that requests in hand, and those that proxies send until they have heard,
      * keep their class. All else stays as it is.
      */
-    public Site retunedTo(Site next) {
+    public DeploymentSettings retunedTo(DeploymentSettings next) {
         List<String> names = new ArrayList<>(classes);
         List<RequestClass> kinds = new ArrayList<>(settings.classes());
         for (int i = 0; i < next.classes().size(); i++) {
@@ -38,17 +40,17 @@
             }
             // a class that stays keeps its figures: its window holds for the tries that ran before the retune
         }
-        return new Site(
-                new Settings(
+        return new DeploymentSettings(
+                new AdmissionSettings(
                         settings.cores(),
                         settings.servers(),
                         settings.cold(),
-                        settings.halt(),
-                        settings.fresh(),
-                        settings.resolution(),
+                        settings.preemptionMode(),
+                        settings.cacheTtlMicros(),
+                        settings.timerResolutionMicros(),
                         settings.limits(),
-                        settings.below(),
-                        settings.callers(),
+                        settings.dependency(),
+                        settings.clients(),
                         kinds,
                         settings.tenants()),
                 names,
@@ -57,28 +59,28 @@
     }
 
     /** The settings of a process whose kernel says whether it started cold. */
-    Settings settings(boolean cold) {
-        return new Settings(
+    AdmissionSettings settings(boolean cold) {
+        return new AdmissionSettings(
                 settings.cores(),
                 settings.servers(),
                 cold,
-                settings.halt(),
-                settings.fresh(),
-                settings.resolution(),
+                settings.preemptionMode(),
+                settings.cacheTtlMicros(),
+                settings.timerResolutionMicros(),
                 settings.limits(),
-                settings.below(),
-                settings.callers(),
+                settings.dependency(),
+                settings.clients(),
                 settings.classes(),
                 settings.tenants());
     }
 
     /** A row of readings by their names; NaN where one is missing. */
-    public static Gauges reading(List<String> names, IntToDoubleFunction row) {
+    public static LoadGauges reading(List<String> names, IntToDoubleFunction row) {
         Map<String, Double> values = new HashMap<>();
         for (int i = 0; i < names.size(); i++) {
             values.put(names.get(i), row.applyAsDouble(i));
         }
-        return new Gauges(
+        return new LoadGauges(
                 values.getOrDefault("core_use", Double.NaN),
                 values.getOrDefault("on_cores", Double.NaN),
                 values.getOrDefault("heap_share", Double.NaN),
--- a/server/src/main/java/wheatspread/core/Batches.java
+++ b/server/src/main/java/wheatspread/core/EventBatcher.java
@@ -4,15 +4,15 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
-import wheatspread.admission.Admission;
-import wheatspread.admission.Admission.Gauges;
+import wheatspread.admission.AdmissionController;
+import wheatspread.admission.LoadGauges;
 import wheatspread.logging.EventLog;
 
 /**
  * Hands events to the module as the simulator does: all of one turn of the loop together, with the gauges
  * where one of its timers rang, and one decision behind them.
  */
-final class Batches {
+final class EventBatcher {
     /** The gauges are asked for this long before the module looks at them; us. */
     private static final long GAUGES_AHEAD = 10_000;
     /** A reading older than this counts as missing; us. */
@@ -20,32 +20,32 @@
     /** The module is woken this long after it failed; us. */
     private static final long AFTER_FAULT = 50_000;
 
-    private static final Gauges NO_GAUGES = new Gauges(Double.NaN, Double.NaN, Double.NaN, Double.NaN);
+    private static final LoadGauges NO_GAUGES = new LoadGauges(Double.NaN, Double.NaN, Double.NaN, Double.NaN);
 
     private final Clock clock;
     private final Runnable askGauges;
     private final EventLog log;
-    private Admission module;
-    private Admission.Actions actions;
-    private List<Consumer<Admission>> events = new ArrayList<>();
+    private AdmissionController module;
+    private AdmissionController.Actions actions;
+    private List<Consumer<AdmissionController>> events = new ArrayList<>();
     private boolean flushing;
     private long now;
     private final PriorityQueue<Long> wakes = new PriorityQueue<>();
-    private Gauges reading = NO_GAUGES;
+    private LoadGauges reading = NO_GAUGES;
     private long readAt;
 
-    Batches(Clock clock, Runnable askGauges, EventLog log) {
+    EventBatcher(Clock clock, Runnable askGauges, EventLog log) {
         this.clock = clock;
         this.askGauges = askGauges;
         this.log = log;
     }
 
     /** The module takes its first batch for the start of the kernel, and a cold one warms since then. */
-    void begin(Admission started, Admission.Actions carrier, long startedAt) {
+    void begin(AdmissionController started, AdmissionController.Actions carrier, long startedAt) {
         module = started;
         actions = carrier;
         now = startedAt;
-        module.begin(now);
+        module.beginBatch(now);
         flushSoon();
     }
 
@@ -58,12 +58,12 @@
         return now;
     }
 
-    void read(Gauges gauges) {
+    void read(LoadGauges gauges) {
         reading = gauges;
-        readAt = clock.now();
+        readAt = clock.nowMicros();
     }
 
-    void event(Consumer<Admission> event) {
+    void event(Consumer<AdmissionController> event) {
         if (module != null) {
             events.add(event);
             flushSoon();
@@ -80,10 +80,10 @@
     /** Hands over all that has come in and has the module decide; what that brings about is a later batch. */
     private void flush() {
         flushing = false;
-        List<Consumer<Admission>> batch = events;
+        List<Consumer<AdmissionController>> batch = events;
         events = new ArrayList<>();
-        now = Math.max(now, clock.now());
-        module.begin(now);
+        now = Math.max(now, clock.nowMicros());
+        module.beginBatch(now);
         boolean bell = false;
         while (!wakes.isEmpty() && wakes.peek() <= now) {
             wakes.poll();
@@ -91,7 +91,7 @@
         }
         if (bell) {
             // before all else, so that the module's tick never runs without its gauges
-            module.timer(now - readAt <= GAUGES_STALE ? reading : NO_GAUGES);
+            module.onTimer(now - readAt <= GAUGES_STALE ? reading : NO_GAUGES);
         }
         try {
             batch.forEach(event -> event.accept(module));
@@ -114,9 +114,9 @@
 
     /** Timers may fire a little early by the Unix clock; a bell rung early would be the module's last. */
     private void ringAt(long at) {
-        long left = at - clock.now();
+        long left = at - clock.nowMicros();
         clock.after(Math.max(0, left), () -> {
-            if (clock.now() < at) {
+            if (clock.nowMicros() < at) {
                 ringAt(at);
             } else {
                 flushSoon();
--- a/server/src/main/java/wheatspread/core/Claims.java
+++ b/server/src/main/java/wheatspread/core/IdempotencyClaims.java
@@ -4,9 +4,9 @@
  * Runs of keyed requests that another process of this server may have made: during an upgrade, two processes
  * serve one name, and a try that ran in one must not run again in the other within its window.
  */
-public interface Claims {
+public interface IdempotencyClaims {
     /** For a server that is one process alone. */
-    Claims NONE = (key, door, window) -> true;
+    IdempotencyClaims NONE = (key, door, window) -> true;
 
     /**
      * Whether this process may run a try of {@code key} that came at {@code door}, in microseconds of the
--- a/server/src/main/java/wheatspread/core/KeyTable.java
+++ b/server/src/main/java/wheatspread/core/IdempotencyTable.java
@@ -9,7 +9,7 @@
  * the first try, pinned or not, and once that try ran it stays for the class's window: no matter what the
  * module forgets, a second try finds it. An entry whose try ends without a run is gone at once.
  */
-final class KeyTable {
+final class IdempotencyTable {
     /** Repeats are found by when they were written; those still unread when the window ends get this long. */
     private static final long READ_LATE = 5_000_000;
     /** On sockets every limit of time is longer by this (PROTOCOL, "The rules on sockets"); us. */
@@ -18,7 +18,7 @@
     /** One key in the table. */
     static final class Entry {
         final String key;
-        final Try owner;
+        final Attempt owner;
         /** Until when the module keeps it; a read's entry lives by this alone. */
         long pinnedUntil;
         /** How the owner's run ended; null while it has not. */
@@ -26,13 +26,13 @@
 
         byte[] result;
 
-        Entry(String key, Try owner) {
+        Entry(String key, Attempt owner) {
             this.key = key;
             this.owner = owner;
         }
 
         /** All tries of one keyed request carry the same body; another body claims a key not its own. */
-        boolean sameBody(Submission other) {
+        boolean sameBody(InboundRequest other) {
             return Arrays.equals(owner.submission.body(), other.body());
         }
     }
@@ -41,7 +41,7 @@
     private long[] windows;
 
     /** {@code windows}: by class, how long after its door a try that ran forbids another; 0 if reads. */
-    KeyTable(long[] windows) {
+    IdempotencyTable(long[] windows) {
         retune(windows);
     }
 
@@ -55,36 +55,36 @@
         return windows[kind] + SLACK;
     }
 
-    static String keyOf(Submission s) {
-        if (s.unique() != null) {
+    static String keyOf(InboundRequest s) {
+        if (s.idempotencyKey() != null) {
             // by the request alone: after a retune, its tries may come under a class of another name
-            return "u " + s.unique();
+            return "u " + s.idempotencyKey();
         }
-        return s.item() == null ? null : "i " + s.kind() + ' ' + s.item();
+        return s.cacheKey() == null ? null : "i " + s.requestClass() + ' ' + s.cacheKey();
     }
 
     /** The living entry that a new try repeats, or null. */
-    Entry find(Submission s, long now) {
+    Entry find(InboundRequest s, long now) {
         String key = keyOf(s);
         Entry entry = key == null ? null : entries.get(key);
         if (entry == null) {
             return null;
         }
-        return (s.unique() == null ? mayBeRead(entry, now) : forbids(entry, s)) ? entry : null;
+        return (s.idempotencyKey() == null ? mayBeRead(entry, now) : forbids(entry, s)) ? entry : null;
     }
 
     private static boolean mayBeRead(Entry entry, long now) {
         return entry.end == null ? !entry.owner.answered() : entry.end == Kernel.End.OK && now < entry.pinnedUntil;
     }
 
-    private boolean forbids(Entry entry, Submission s) {
+    private boolean forbids(Entry entry, InboundRequest s) {
         return !entry.owner.everRan()
-                || s.door()
-                        <= entry.owner.submission.door()
-                                + Math.max(window(s.kind()), window(entry.owner.submission.kind()));
+                || s.arrivalMicros()
+                        <= entry.owner.submission.arrivalMicros()
+                                + Math.max(window(s.requestClass()), window(entry.owner.submission.requestClass()));
     }
 
-    Entry put(Try owner) {
+    Entry put(Attempt owner) {
         Entry entry = new Entry(keyOf(owner.submission), owner);
         entries.put(entry.key, entry);
         return entry;
@@ -97,9 +97,12 @@
 
     /** Whether forgetting this entry could let a second try run. */
     private boolean mustStay(Entry entry, long now) {
-        return entry.owner.submission.unique() != null
+        return entry.owner.submission.idempotencyKey() != null
                 && entry.owner.everRan()
-                && now <= entry.owner.submission.door() + window(entry.owner.submission.kind()) + READ_LATE;
+                && now
+                        <= entry.owner.submission.arrivalMicros()
+                                + window(entry.owner.submission.requestClass())
+                                + READ_LATE;
     }
 
     boolean holds(Entry entry) {
--- a/server/src/main/java/wheatspread/core/Records.java
+++ b/server/src/main/java/wheatspread/core/RecordsService.java
@@ -1,9 +1,9 @@
 package wheatspread.core;
 
-import wheatspread.admission.Admission.Outcome;
+import wheatspread.admission.Outcome;
 
 /** The records service that runs call. */
-public interface Records {
+public interface RecordsService {
     /** Makes a call, which the service may hold for {@code patience} microseconds. */
     Call call(String job, byte[] body, long patience, Listener listener);
 
--- a/server/src/main/java/wheatspread/core/Counts.java
+++ b/server/src/main/java/wheatspread/core/RequestCounters.java
@@ -4,7 +4,7 @@
 import java.util.TreeMap;
 
 /** What became of the tries of this process, for its log, the operators' door and tests. */
-public final class Counts {
+public final class RequestCounters {
     /**
      * Final answers of each class: served, refused, failed, in that order. Only classes of the site come
      * here, so it holds no more than the settings name.
@@ -34,7 +34,7 @@
                 served++;
                 of[0]++;
             }
-            case REFUSED -> {
+            case REJECTED -> {
                 refused++;
                 of[1]++;
             }
@@ -58,8 +58,8 @@
     }
 
     /** The counts so far, for what becomes of tries from now on. */
-    Counts copy() {
-        Counts copy = new Counts();
+    RequestCounters copy() {
+        RequestCounters copy = new RequestCounters();
         copy.read = read;
         copy.served = served;
         copy.refused = refused;
@@ -76,7 +76,7 @@
     }
 
     /** What came since another count, as names and values in turns. */
-    public Object[] since(Counts old) {
+    public Object[] since(RequestCounters old) {
         return new Object[] {
             "read",
             read - old.read,
@@ -105,7 +105,7 @@
 
     /** All of them, as names and values in turns. */
     public Object[] fields() {
-        return since(new Counts());
+        return since(new RequestCounters());
     }
 
     @Override
--- a/server/src/main/java/wheatspread/daemon/WholeFile.java
+++ b/server/src/main/java/wheatspread/daemon/AtomicFile.java
@@ -10,8 +10,8 @@
 import java.nio.file.StandardOpenOption;
 
 /** Files that are read by other processes while they are written: written beside, then renamed into place. */
-public final class WholeFile {
-    private WholeFile() {}
+public final class AtomicFile {
+    private AtomicFile() {}
 
     /** Who reads the file finds the old text or this one whole; a crash of the machine may lose it. */
     public static void write(Path file, String text) throws IOException {
--- a/server/src/main/java/wheatspread/daemon/Reloads.java
+++ b/server/src/main/java/wheatspread/daemon/ConfigReloader.java
@@ -7,7 +7,7 @@
 import wheatspread.logging.EventLog;
 
 /** What SIGHUP brings: reads and checks a configuration whole before anything changes, and counts. */
-final class Reloads {
+final class ConfigReloader {
     private final ServerConfig config;
     private final Consumer<ServerConfig> takeOver;
     private final EventLog log;
@@ -18,7 +18,7 @@
      * {@code config} is what the process was started with; {@code takeOver} takes one over and calls
      * {@link #taken}, or throws.
      */
-    Reloads(ServerConfig config, Consumer<ServerConfig> takeOver, EventLog log) {
+    ConfigReloader(ServerConfig config, Consumer<ServerConfig> takeOver, EventLog log) {
         this.config = config;
         this.takeOver = takeOver;
         this.log = log;
--- a/server/src/main/java/wheatspread/daemon/Reports.java
+++ b/server/src/main/java/wheatspread/daemon/CounterReporter.java
@@ -9,24 +9,24 @@
 import wheatspread.core.Clock;
 import wheatspread.core.Core;
 import wheatspread.logging.EventLog;
-import wheatspread.sockets.Listener;
-import wheatspread.sockets.Turns;
+import wheatspread.transport.EventLoopScheduler;
+import wheatspread.transport.Listener;
 
 /** The counters in the log: every few seconds where the operator asks for it, and at the end. */
-final class Reports {
+final class CounterReporter {
     private final Core core;
     private final Map<Listener, InetSocketAddress> fronts;
-    private final Turns turns;
+    private final EventLoopScheduler turns;
     private final Clock clock;
     private final int seconds;
     private final BooleanSupplier goesOn;
     private final EventLog log;
 
     /** Every so many {@code seconds}, 0 for never, as long as {@code goesOn}. */
-    Reports(
+    CounterReporter(
             Core core,
             Map<Listener, InetSocketAddress> fronts,
-            Turns turns,
+            EventLoopScheduler turns,
             Clock clock,
             int seconds,
             BooleanSupplier goesOn,
--- a/server/src/main/java/wheatspread/daemon/LoopClock.java
+++ b/server/src/main/java/wheatspread/daemon/EventLoopClock.java
@@ -2,14 +2,14 @@
 
 import java.time.Instant;
 import wheatspread.core.Clock;
-import wheatspread.sockets.Turns;
 import wheatspread.timers.TimerWheel;
+import wheatspread.transport.EventLoopScheduler;
 
 /** The system's Unix clock, with the timers and turns of the one event loop. */
-public final class LoopClock implements Clock {
-    private final Turns turns;
+public final class EventLoopClock implements Clock {
+    private final EventLoopScheduler turns;
 
-    public LoopClock(Turns turns) {
+    public EventLoopClock(EventLoopScheduler turns) {
         this.turns = turns;
     }
 
@@ -20,14 +20,14 @@
     }
 
     @Override
-    public long now() {
+    public long nowMicros() {
         return unixMicros();
     }
 
     @Override
     public Timer after(long micros, Runnable task) {
         Bell bell = new Bell(task);
-        turns.wheel().set(bell, Turns.micros() + micros);
+        turns.wheel().set(bell, EventLoopScheduler.micros() + micros);
         return bell;
     }
 
--- a/server/src/main/java/wheatspread/daemon/Fronts.java
+++ b/server/src/main/java/wheatspread/daemon/FrontListeners.java
@@ -5,10 +5,10 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import wheatspread.sockets.Listener;
+import wheatspread.transport.Listener;
 
 /** The listeners of one server with the addresses they are to listen on, and those they were bound to. */
-final class Fronts {
+final class FrontListeners {
     /** In the order in which they are bound. */
     private final Map<Listener, InetSocketAddress> addresses = new LinkedHashMap<>();
 
@@ -22,7 +22,7 @@
 
     private volatile InetSocketAddress doorAddress;
 
-    Fronts(Map<Listener, InetSocketAddress> addresses, Listener platform, int inherited, Listener door) {
+    FrontListeners(Map<Listener, InetSocketAddress> addresses, Listener platform, int inherited, Listener door) {
         this.addresses.putAll(addresses);
         this.platform = platform;
         this.inherited = inherited;
--- a/server/src/main/java/wheatspread/daemon/GracefulShutdown.java
+++ b/server/src/main/java/wheatspread/daemon/GracefulShutdown.java
@@ -7,15 +7,15 @@
 import org.json.JSONObject;
 import wheatspread.core.Clock;
 import wheatspread.core.Core;
-import wheatspread.core.Counts;
-import wheatspread.life.Drain;
-import wheatspread.life.Life.Event;
+import wheatspread.core.RequestCounters;
+import wheatspread.lifecycle.DrainDeadlines;
+import wheatspread.lifecycle.Lifecycle.Event;
 import wheatspread.logging.EventLog;
-import wheatspread.sockets.Listener;
+import wheatspread.transport.Listener;
 
 /**
  * The graceful shutdown of one server: from the notice to leave to the end of its last connection. What is
- * due when {@link Drain} says; here it is done to the core and the listeners. Only the loop's thread calls.
+ * due when {@link DrainDeadlines} says; here it is done to the core and the listeners. Only the loop's thread calls.
  */
 final class GracefulShutdown {
     /** How often the drain is looked after; us. */
@@ -26,12 +26,12 @@
     private final Core core;
     private final List<Listener> fronts;
     private final Clock clock;
-    private final Marks marks;
+    private final ProcessMarkerFiles marks;
     private final EventLog log;
     private final BooleanSupplier unread;
     private final Consumer<Event> life;
-    private Drain drain;
-    private Counts atNotice;
+    private DrainDeadlines drain;
+    private RequestCounters atNotice;
     private Core.InHand handAtNotice;
 
     /**
@@ -42,7 +42,7 @@
             Core core,
             List<Listener> fronts,
             Clock clock,
-            Marks marks,
+            ProcessMarkerFiles marks,
             EventLog log,
             BooleanSupplier unread,
             Consumer<Event> life) {
@@ -55,11 +55,11 @@
         this.life = life;
     }
 
-    /** The notice was heard at {@code noticeAt}, Unix microseconds; for the rest see {@link Drain}. */
+    /** The notice was heard at {@code noticeAt}, Unix microseconds; for the rest see {@link DrainDeadlines}. */
     void begin(long noticeAt, long stopAfter, long grace, boolean listed) {
         atNotice = core.countsNow();
         handAtNotice = core.inHand();
-        drain = new Drain(noticeAt, stopAfter, grace, listed);
+        drain = new DrainDeadlines(noticeAt, stopAfter, grace, listed);
         core.drain(noticeAt, stopAfter);
         fronts.forEach(Listener::lastCall);
         look();
@@ -68,7 +68,7 @@
     /** A second notice that asks not to wait. */
     void hurry() {
         if (drain != null && !drain.hurried()) {
-            drain.hurry(clock.now());
+            drain.hurry(clock.nowMicros());
         }
     }
 
@@ -77,15 +77,15 @@
      * New tries come until the listener is closed, so none is left before.
      */
     private void look() {
-        Drain.Step step = drain.look(clock.now(), core.open() + (unread.getAsBoolean() ? 1 : 0));
-        if (step != Drain.Step.LISTEN) {
+        DrainDeadlines.Step step = drain.look(clock.nowMicros(), core.open() + (unread.getAsBoolean() ? 1 : 0));
+        if (step != DrainDeadlines.Step.LISTEN) {
             fronts.forEach(Listener::stopListening);
         }
-        if (step == Drain.Step.ANSWER_ALL) {
+        if (step == DrainDeadlines.Step.ANSWER_ALL) {
             core.answerAll();
         }
-        if (step == Drain.Step.LEAVE_EMPTY || step == Drain.Step.LEAVE_IN_TIME) {
-            life.accept(step == Drain.Step.LEAVE_EMPTY ? Event.EMPTY : Event.TIME_UP);
+        if (step == DrainDeadlines.Step.LEAVE_EMPTY || step == DrainDeadlines.Step.LEAVE_IN_TIME) {
+            life.accept(step == DrainDeadlines.Step.LEAVE_EMPTY ? Event.EMPTY : Event.TIME_UP);
         } else {
             clock.after(DRAIN_LOOK, this::look);
         }
@@ -95,7 +95,7 @@
     void tell() {
         List<Object> fields = new ArrayList<>(List.of(
                 "took_ms",
-                drain.took(clock.now()) / 1000,
+                drain.took(clock.nowMicros()) / 1000,
                 "held",
                 handAtNotice.held(),
                 "running",
@@ -123,12 +123,12 @@
             all.add(door);
         }
         all.forEach(Listener::close);
-        awaitClosed(all, clock.now(), ended);
+        awaitClosed(all, clock.nowMicros(), ended);
     }
 
     private void awaitClosed(List<Listener> all, long closingAt, Runnable ended) {
         long pending = all.stream().mapToLong(Listener::pendingBytes).sum();
-        if (all.stream().allMatch(Listener::isEmpty) || !drain.lingers(clock.now(), closingAt, pending)) {
+        if (all.stream().allMatch(Listener::isEmpty) || !drain.lingers(clock.nowMicros(), closingAt, pending)) {
             all.forEach(Listener::cut);
             clock.soon(ended);
         } else {
--- a/server/src/main/java/wheatspread/daemon/FleetView.java
+++ b/server/src/main/java/wheatspread/daemon/MembershipService.java
@@ -14,33 +14,34 @@
 import wheatspread.membership.MemberId;
 import wheatspread.membership.Membership;
 import wheatspread.membership.View;
-import wheatspread.peers.Peers;
-import wheatspread.sockets.Transport;
-import wheatspread.sockets.Turns;
+import wheatspread.peers.PeerTransport;
+import wheatspread.transport.EventLoopScheduler;
+import wheatspread.transport.Transport;
 
 /** This server among its peers, and what operators are told of that. */
-final class FleetView {
+final class MembershipService {
     /** How often a socket is tried again that the process before this one still holds; us. */
     private static final long BIND_AGAIN = 250_000;
 
     private final String cluster;
     private final String name;
-    private final Peers peers;
+    private final PeerTransport peers;
     private final Clock clock;
     private final EventLog log;
     private boolean closed;
 
-    FleetView(MembershipConfig config, String name, Transport transport, EventLoop loop, Clock clock, EventLog log) {
+    MembershipService(
+            MembershipConfig config, String name, Transport transport, EventLoop loop, Clock clock, EventLog log) {
         cluster = config.cluster();
         this.name = name;
         this.clock = clock;
         this.log = log;
-        long start = clock.now() / 1_000;
-        Package program = FleetView.class.getPackage();
+        long start = clock.nowMicros() / 1_000;
+        Package program = MembershipService.class.getPackage();
         String build = program.getImplementationVersion() == null ? "" : program.getImplementationVersion();
         Member self = new Member(new MemberId(name, start), config.advertise(), config.zone(), build, 0);
         // drawn apart from all other servers of the fleet, or all would do everything at once
-        peers = new Peers(
+        peers = new PeerTransport(
                 cluster,
                 config.listen(),
                 self,
@@ -92,7 +93,7 @@
         View view = membership.view();
         return peers.counts().text("edge_gw.peers.") + "edge_gw.peers.members="
                 + (view == null ? 0 : view.size()) + "\nedge_gw.peers.stands="
-                + (membership.stands(Turns.micros()) ? 1 : 0) + "\n";
+                + (membership.stands(EventLoopScheduler.micros()) ? 1 : 0) + "\n";
     }
 
     /** The operators' calls that there are with this; null for any other. */
@@ -116,7 +117,7 @@
     }
 
     private JSONObject members() {
-        long now = Turns.micros();
+        long now = EventLoopScheduler.micros();
         Membership membership = peers.membership();
         View view = membership.view();
         JSONArray members = new JSONArray();
--- a/server/src/main/java/wheatspread/daemon/Marks.java
+++ b/server/src/main/java/wheatspread/daemon/ProcessMarkerFiles.java
@@ -24,7 +24,7 @@
  * the report of its drain. They are written by a thread of their own, since a disk may stall; what fails is
  * logged, and the process goes on.
  */
-public final class Marks implements AutoCloseable {
+public final class ProcessMarkerFiles implements AutoCloseable {
     private static final int LAST_WRITE_MS = 300;
     private static final int LOCK_TRIES = 6;
     private static final int LOCK_WAIT_MS = 40;
@@ -43,7 +43,7 @@
     private final ExecutorService disk;
     private FileChannel lock;
 
-    Marks(LifeConfig files, EventLog log) {
+    ProcessMarkerFiles(LifeConfig files, EventLog log) {
         this.files = files;
         this.log = log;
         boolean none = files.readyFile() == null && files.reportFile() == null;
@@ -134,7 +134,7 @@
         CompletableFuture.runAsync(
                 () -> {
                     try {
-                        WholeFile.write(file, text + "\n");
+                        AtomicFile.write(file, text + "\n");
                     } catch (IOException e) {
                         log.warn("mark_failed", "file", file, "error", e);
                     }
--- a/server/src/main/java/wheatspread/daemon/TakeOver.java
+++ b/server/src/main/java/wheatspread/daemon/ReloadApplier.java
@@ -3,7 +3,7 @@
 import wheatspread.announce.AnnounceClient;
 import wheatspread.config.ServerConfig;
 import wheatspread.core.Core;
-import wheatspread.core.Site;
+import wheatspread.core.DeploymentSettings;
 import wheatspread.jsonrpc.RpcFront;
 import wheatspread.kernel.KernelLink;
 import wheatspread.logging.EventLog;
@@ -11,7 +11,7 @@
 import wheatspread.uwsgi.UwsgiFront;
 
 /** Brings the addresses and the classes of a new configuration to the parts of a running server. */
-final class TakeOver {
+final class ReloadApplier {
     private final ServerConfig started;
     private final Core core;
     private final KernelLink kernel;
@@ -22,7 +22,7 @@
     private final EventLog log;
 
     /** {@code started} is what the process was started with; {@code uwsgi} is null where that front is off. */
-    TakeOver(
+    ReloadApplier(
             ServerConfig started,
             Core core,
             KernelLink kernel,
@@ -43,7 +43,7 @@
 
     /** On the loop's thread. The classes come first: they are what may yet be refused, and that is thrown. */
     void of(ServerConfig next) {
-        Site site = core.retune(next.site());
+        DeploymentSettings site = core.retune(next.site());
         log.info(
                 "reload",
                 "kernel",
--- a/server/src/main/java/wheatspread/daemon/Server.java
+++ b/server/src/main/java/wheatspread/daemon/Server.java
@@ -14,32 +14,32 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiFunction;
 import java.util.function.Supplier;
-import wheatspread.admission.choice.Choice;
+import wheatspread.admission.sfq.SfqAdmissionController;
 import wheatspread.announce.AnnounceClient;
 import wheatspread.config.Configuration;
 import wheatspread.config.OperatorConfig;
 import wheatspread.config.ServerConfig;
 import wheatspread.control.ControlFront;
-import wheatspread.control.Vars;
+import wheatspread.control.MetricsPage;
 import wheatspread.core.Clock;
 import wheatspread.core.Core;
-import wheatspread.core.Counts;
-import wheatspread.handover.SharedClaims;
+import wheatspread.core.RequestCounters;
+import wheatspread.handover.SharedIdempotencyClaims;
 import wheatspread.jsonrpc.RpcFront;
 import wheatspread.kernel.KernelLink;
-import wheatspread.life.Life;
-import wheatspread.life.Life.Event;
-import wheatspread.life.Life.Phase;
+import wheatspread.lifecycle.Lifecycle;
+import wheatspread.lifecycle.Lifecycle.Event;
+import wheatspread.lifecycle.Lifecycle.Phase;
 import wheatspread.logging.EventLog;
 import wheatspread.records.RecordsClient;
-import wheatspread.sockets.Listener;
-import wheatspread.sockets.Transport;
-import wheatspread.sockets.Turns;
+import wheatspread.transport.EventLoopScheduler;
+import wheatspread.transport.Listener;
+import wheatspread.transport.Transport;
 import wheatspread.uwsgi.UwsgiFront;
 
 /**
  * One server process: wires core, links and fronts to one event loop, and leads it from start to exit by what
- * {@link Life} and {@link Drain} say.
+ * {@link Lifecycle} and {@link Drain} say.
  */
 public final class Server {
     /** EX_SOFTWARE of sysexits.h. */
@@ -51,7 +51,7 @@
     private final ServerConfig config;
     private final EventLog log;
     private final OperatorConfig operator;
-    private final Turns turns;
+    private final EventLoopScheduler turns;
     private final MultiThreadIoEventLoopGroup group;
     private final EventLoop loop;
     private final Clock clock;
@@ -59,46 +59,54 @@
     private final RecordsClient records;
     private final AnnounceClient announcer;
     private final Core core;
-    private final Fronts fronts;
+    private final FrontListeners fronts;
     /** This server among its peers; null where the operator's file does not ask for that. */
-    private final FleetView fleet;
+    private final MembershipService fleet;
 
-    private final Reloads reloads;
-    private final TakeOver takeOver;
+    private final ConfigReloader reloads;
+    private final ReloadApplier takeOver;
     private final CountDownLatch stopped = new CountDownLatch(1);
-    private final Life life = new Life(this::entered);
-    private final Marks marks;
+    private final Lifecycle life = new Lifecycle(this::entered);
+    private final ProcessMarkerFiles marks;
     private final GracefulShutdown shutdown;
-    private final Reports reports;
+    private final CounterReporter reports;
     /** When the notice to leave was heard, in Unix microseconds; the loop may come to it later. */
     private long noticeAt;
 
     /** {@code newClock} makes the clock of the loop. */
     public Server(
-            ServerConfig config, OperatorConfig operator, BiFunction<EventLoop, Turns, Clock> newClock, EventLog log) {
+            ServerConfig config,
+            OperatorConfig operator,
+            BiFunction<EventLoop, EventLoopScheduler, Clock> newClock,
+            EventLog log) {
         this.config = config;
         this.operator = operator;
         this.log = log;
         Transport transport = Transport.named(operator.transport());
-        turns = new Turns(transport, operator.turns(), config.seed(), log);
+        turns = new EventLoopScheduler(transport, operator.turns(), config.seed(), log);
         group = new MultiThreadIoEventLoopGroup(1, turns);
         loop = group.next();
         // without its loop a server reads and answers nothing, and nobody would learn of it
         group.terminationFuture().addListener(ended -> stopped.countDown());
         clock = newClock.apply(loop, turns);
-        turns.usedBy(clock::now);
+        turns.usedBy(clock::nowMicros);
         Bootstrap clients =
                 new Bootstrap().group(loop).channel(transport.clientChannel()).option(ChannelOption.TCP_NODELAY, true);
         int calls = Configuration.recordsConnections(config.sockets());
         records = new RecordsClient(clients, config.records(), calls, clock, log);
         announcer = new AnnounceClient(clients, config.announce(), config.name(), log);
         core = new Core(
-                config.site(), settings -> new Choice(settings, config.seed()), clock, records, this::announce, log);
+                config.site(),
+                settings -> new SfqAdmissionController(settings, config.seed()),
+                clock,
+                records,
+                this::announce,
+                log);
         kernel = new KernelLink(clients, config.kernel(), core, log);
         core.attach(kernel);
         if (config.shared() != null) {
             try {
-                core.shareKeysWith(new SharedClaims(
+                core.shareKeysWith(new SharedIdempotencyClaims(
                         config.shared().resolve(config.name()),
                         ProcessHandle.current().pid(),
                         log));
@@ -107,8 +115,8 @@
             }
         }
         core.whenUp(() -> on(Event.KERNEL_UP));
-        marks = new Marks(operator.life(), log);
-        reloads = new Reloads(config, next -> onLoop(() -> takeOver(next)), log);
+        marks = new ProcessMarkerFiles(operator.life(), log);
+        reloads = new ConfigReloader(config, next -> onLoop(() -> takeOver(next)), log);
         int sockets = Configuration.platformConnections(config, operator);
         UwsgiFront uwsgi =
                 operator.uwsgi() == null ? null : new UwsgiFront(core, clock, operator.uwsgi(), config.seed());
@@ -119,7 +127,7 @@
                     operator.uwsgi().listen());
         }
         RpcFront platform = new RpcFront(core, clock);
-        takeOver = new TakeOver(config, core, kernel, records, announcer, platform, uwsgi, log);
+        takeOver = new ReloadApplier(config, core, kernel, records, announcer, platform, uwsgi, log);
         if (operator.stats()) {
             platform.tellStats(() -> life.phase().name());
         }
@@ -128,7 +136,7 @@
         addresses.put(platformFront, config.listen());
         fleet = operator.membership() == null
                 ? null
-                : new FleetView(operator.membership(), config.name(), transport, loop, clock, log);
+                : new MembershipService(operator.membership(), config.name(), transport, loop, clock, log);
         Listener door = config.control() == null
                 ? null
                 : new Listener(
@@ -139,7 +147,7 @@
                                 () -> life.phase() == Phase.SERVING, this::vars, fleet == null ? null : fleet::answer),
                         ControlFront.limits(),
                         log);
-        fronts = new Fronts(addresses, platformFront, config.inherited(), door);
+        fronts = new FrontListeners(addresses, platformFront, config.inherited(), door);
         shutdown = new GracefulShutdown(
                 core,
                 fronts.listeners(),
@@ -148,7 +156,7 @@
                 log,
                 () -> !turns.order().isEmpty(),
                 this::on);
-        reports = new Reports(
+        reports = new CounterReporter(
                 core,
                 addresses,
                 turns,
@@ -174,7 +182,7 @@
 
     /** The figures of the operators' door; on the loop's thread. */
     private String vars() {
-        String own = Vars.text(
+        String own = MetricsPage.text(
                 core.counts(), core.site().classes(), core.open(), reloads.takenSoFar(), reloads.refusedSoFar());
         return fleet == null ? own : own + fleet.vars();
     }
@@ -194,7 +202,7 @@
         switch (to) {
             case BINDING -> kernel.open();
             case WAITING -> {
-                new KernelWait(
+                new KernelReadiness(
                                 clock,
                                 operator.life().kernelWait(),
                                 config.kernel(),
@@ -209,10 +217,10 @@
                     reports.begin();
                 }
                 fronts.acceptHeld();
-                marks.ready(config.name(), fronts.bound(), clock.now() / 1000);
+                marks.ready(config.name(), fronts.bound(), clock.nowMicros() / 1000);
             }
             case DRAINING -> {
-                noticeAt = noticeAt == 0 ? clock.now() : noticeAt; // a kernel that was given up on sends none
+                noticeAt = noticeAt == 0 ? clock.nowMicros() : noticeAt; // a kernel that was given up on sends none
                 beginDrain();
             }
             case CLOSING -> close();
@@ -222,7 +230,7 @@
     }
 
     /** Takes the operator's lock; only one process of this name may go on. {@code mark} stands in it. */
-    public void lock(String mark) throws IOException, Marks.Taken {
+    public void lock(String mark) throws IOException, ProcessMarkerFiles.Taken {
         marks.lock(config.name(), mark);
     }
 
@@ -340,7 +348,7 @@
 
     /** The notice to leave, or a second one that asks not to wait; any thread may call. */
     public void notice(Event event) {
-        long heardAt = clock.now();
+        long heardAt = clock.nowMicros();
         loop.execute(() -> {
             noticeAt = noticeAt == 0 ? heardAt : noticeAt;
             on(event);
@@ -355,7 +363,7 @@
     private void beginDrain() {
         marks.notReady();
         shutdown.begin(
-                noticeAt, config.stopMicros(), config.site().settings().limits().drainGrace(), life.kernelUp());
+                noticeAt, config.stopMicros(), config.site().settings().limits().drainGraceMicros(), life.kernelUp());
         if (fleet != null) {
             fleet.leave();
         }
@@ -375,7 +383,7 @@
     }
 
     /** What became of the tries so far. */
-    Counts counts() {
+    RequestCounters counts() {
         return core.counts();
     }
 
--- a/server/src/main/java/wheatspread/daemon/Signals.java
+++ b/server/src/main/java/wheatspread/daemon/SignalHandlers.java
@@ -6,8 +6,8 @@
  * Signals, on which the JVM ends if nobody handles them. The JDK exports them to everybody, but in a package
  * whose use the compiler warns of without a way to say that it is meant; so they are looked up.
  */
-public final class Signals {
-    private Signals() {}
+public final class SignalHandlers {
+    private SignalHandlers() {}
 
     /**
      * Runs a task, on a thread of the JVM's, whenever a signal such as {@code HUP} comes. Returns whether it
@@ -19,7 +19,7 @@
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
             Object proxy = Proxy.newProxyInstance(
-                    Signals.class.getClassLoader(),
+                    SignalHandlers.class.getClassLoader(),
                     new Class<?>[] {handler},
                     (self, method, arguments) -> switch (method.getName()) {
                         case "handle" -> {
--- a/server/src/main/java/wheatspread/daemon/WarmUp.java
+++ b/server/src/main/java/wheatspread/daemon/WarmUp.java
@@ -12,28 +12,28 @@
 import java.util.PriorityQueue;
 import java.util.function.BooleanSupplier;
 import org.json.JSONObject;
-import wheatspread.admission.Admission.Effect;
-import wheatspread.admission.Admission.Outcome;
-import wheatspread.admission.Admission.RequestClass;
-import wheatspread.admission.choice.Choice;
+import wheatspread.admission.Idempotency;
+import wheatspread.admission.Outcome;
+import wheatspread.admission.RequestClass;
+import wheatspread.admission.sfq.SfqAdmissionController;
 import wheatspread.connections.ConnectionLimits;
 import wheatspread.core.Clock;
 import wheatspread.core.Core;
+import wheatspread.core.DeploymentSettings;
 import wheatspread.core.Kernel;
-import wheatspread.core.Records;
-import wheatspread.core.Site;
+import wheatspread.core.RecordsService;
 import wheatspread.jsonrpc.RpcFront;
 import wheatspread.logging.EventLog;
-import wheatspread.sockets.Transport;
-import wheatspread.sockets.Turns;
-import wheatspread.turns.TurnLimits;
+import wheatspread.scheduling.IterationBudget;
+import wheatspread.transport.EventLoopScheduler;
+import wheatspread.transport.Transport;
 
 /**
  * Takes some requests through a front, a core and a module of its own before the process listens, without a
  * socket. Guards against the first seconds of service: until the JVM has loaded and compiled what a request
  * needs, a part of a core is too slow for the load, tries wait unread, and good ones are refused.
  */
-final class WarmUp implements Clock, Kernel, Records {
+final class WarmUp implements Clock, Kernel, RecordsService {
     private static final int ROUNDS = 400;
     /** It ends early where the core is slow: a server that comes late serves nobody. */
     static final long LONGEST_NS = 1_500_000_000L;
@@ -43,7 +43,7 @@
 
     private record Task(long at, long number, Runnable what) {}
 
-    private final Site site;
+    private final DeploymentSettings site;
     private final Core core;
     private final PriorityQueue<Task> tasks =
             new PriorityQueue<>(Comparator.comparingLong(Task::at).thenComparingLong(Task::number));
@@ -52,9 +52,10 @@
     private long set;
     private long notices;
 
-    WarmUp(Site site) {
+    WarmUp(DeploymentSettings site) {
         this.site = site;
-        core = new Core(site, settings -> new Choice(settings, 1), this, this, accepting -> {}, EventLog.NONE);
+        core = new Core(
+                site, settings -> new SfqAdmissionController(settings, 1), this, this, accepting -> {}, EventLog.NONE);
         core.attach(this);
         core.booted(false, 0);
     }
@@ -65,8 +66,9 @@
      */
     int play(long longest, BooleanSupplier over) {
         long until = System.nanoTime() + longest;
-        Turns turns = new Turns(Transport.named("nio"), TurnLimits.USUAL, 1, EventLog.NONE);
-        var listener = new wheatspread.sockets.Listener(
+        EventLoopScheduler turns =
+                new EventLoopScheduler(Transport.named("nio"), IterationBudget.USUAL, 1, EventLog.NONE);
+        var listener = new wheatspread.transport.Listener(
                 null, turns, this, new RpcFront(core, this), ConnectionLimits.usual(1), EventLog.NONE);
         EmbeddedChannel channel = new EmbeddedChannel(listener.callerOf(0));
         int served = 0;
@@ -92,7 +94,7 @@
                 .put("txn", String.format("%016x", round))
                 .put("door", now / 1000)
                 .put("lb", 1)
-                .put("limit", told.deadline() / 1000)
+                .put("limit", told.deadlineMicros() / 1000)
                 .put("cpu", 20.5)
                 .put("ram", 20.5)
                 .put("standing", 0.5)
@@ -100,7 +102,7 @@
         if (!site.tenants().isEmpty()) {
             params.put("team", site.tenants().get(round % site.tenants().size()));
         }
-        params.put(told.effect() == Effect.KEYED ? "unique" : "item", "warm-up-" + round);
+        params.put(told.idempotency() == Idempotency.IDEMPOTENCY_KEY ? "unique" : "item", "warm-up-" + round);
         return new JSONObject()
                 .put("jsonrpc", "2.0")
                 .put("id", round)
@@ -128,7 +130,7 @@
     // ---- the clock ----
 
     @Override
-    public long now() {
+    public long nowMicros() {
         return now;
     }
 
@@ -149,7 +151,7 @@
     @Override
     public void run(String job, String kind, byte[] body) {
         boolean calls =
-                site.settings().classes().get(site.classes().indexOf(kind)).calls();
+                site.settings().classes().get(site.classes().indexOf(kind)).callsDependency();
         after(STEP, () -> {
             if (calls) {
                 core.blocked(job, ++notices, body);
@@ -187,7 +189,7 @@
     // ---- the records service ----
 
     @Override
-    public Call call(String job, byte[] body, long patience, Records.Listener listener) {
+    public Call call(String job, byte[] body, long patience, RecordsService.Listener listener) {
         Timer reply = after(STEP, () -> listener.ended(Outcome.OK, body));
         return reply::cancel;
     }
--- a/server/src/main/java/wheatspread/fleet/Fleet.java
+++ b/server/src/main/java/wheatspread/fleet/FleetController.java
@@ -4,14 +4,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import wheatspread.fleet.FleetInstance.Health;
+import wheatspread.fleet.FleetInstance.State;
 import wheatspread.fleet.FleetState.Found;
-import wheatspread.fleet.Member.Health;
-import wheatspread.fleet.Member.State;
 import wheatspread.logging.EventLog;
 
 /**
- * All decisions of a supervisor: who starts, who gets its notice, who is ended, by {@link Roster},
- * {@link Restarts} and {@link Rollout}. It does no I/O and reads no clock; what is to be done comes back as
+ * All decisions of a supervisor: who starts, who gets its notice, who is ended, by {@link InstanceTable},
+ * {@link RestartBackoff} and {@link Rollout}. It does no I/O and reads no clock; what is to be done comes back as
  * {@link Action}s, after the state that tells of them can be written down. Times are Unix microseconds.
  *
  * <p>One rule carries the recovery: a member is started only after its earlier process is known to have
@@ -19,24 +19,24 @@
  * given time to show itself by its lock before another generation is started, and the lock lets one process
  * of a name go on.
  */
-public final class Fleet {
+public final class FleetController {
     private final FleetPlan plan;
     private final FleetLog log;
-    private final Roster roster;
-    private final Restarts restarts;
+    private final InstanceTable roster;
+    private final RestartBackoff restarts;
     private final List<Action> due = new ArrayList<>();
     private Rollout roll;
     private boolean down;
 
     /** {@code seed} spreads the pauses of restarts. */
-    public Fleet(FleetPlan plan, long seed, EventLog log) {
+    public FleetController(FleetPlan plan, long seed, EventLog log) {
         this.plan = plan;
         this.log = new FleetLog(log);
-        roster = new Roster(plan);
-        restarts = new Restarts(plan.backoff(), seed);
+        roster = new InstanceTable(plan);
+        restarts = new RestartBackoff(plan.backoff(), seed);
     }
 
-    public Roster roster() {
+    public InstanceTable roster() {
         return roster;
     }
 
@@ -47,7 +47,7 @@
 
     /** Whether the fleet is to go down and every process has ended. */
     public boolean isDown() {
-        return down && roster.all().stream().noneMatch(Member::lives);
+        return down && roster.all().stream().noneMatch(FleetInstance::lives);
     }
 
     public boolean goingDown() {
@@ -68,7 +68,7 @@
             throw new IllegalArgumentException("a roll to " + roll.to() + " goes on");
         }
         List<String> chosen = new ArrayList<>();
-        for (Member member : roster.all()) {
+        for (FleetInstance member : roster.all()) {
             boolean named = names.isEmpty() ? member.wanted : names.contains(member.name);
             if (named && (count == 0 || chosen.size() < count)) {
                 chosen.add(member.name);
@@ -97,7 +97,7 @@
 
     /** A member leaves and stays away. */
     public void drain(String name, long now) {
-        Member member = member(name);
+        FleetInstance member = member(name);
         member.wanted = false;
         leave(member, now);
         if (member.state == State.HELD) {
@@ -107,7 +107,7 @@
 
     /** A member that was drained or is held starts again. */
     public void start(String name, long now) {
-        Member member = member(name);
+        FleetInstance member = member(name);
         member.wanted = true;
         restarts.forgive(name);
         if (member.state == State.HELD) {
@@ -124,8 +124,8 @@
         roster.all().forEach(member -> leave(member, now));
     }
 
-    private Member member(String name) {
-        Member member = roster.get(name);
+    private FleetInstance member(String name) {
+        FleetInstance member = roster.get(name);
         if (member == null) {
             throw new IllegalArgumentException("there is no member " + name);
         }
@@ -136,7 +136,7 @@
 
     /** The process of a member has a number. */
     public void spawned(String name, int generation, long pid) {
-        Member member = roster.get(name);
+        FleetInstance member = roster.get(name);
         if (member != null && member.generation == generation) {
             member.pid = pid;
             member.unsureUntil = 0;
@@ -145,7 +145,7 @@
 
     /** A check was answered; {@code generation} is the one that was asked. */
     public void heard(String name, int generation, Health health, long now) {
-        Member member = roster.get(name);
+        FleetInstance member = roster.get(name);
         if (member != null && roster.heard(member, generation, health, now)) {
             log.stateChanged(member, now);
         }
@@ -153,15 +153,15 @@
 
     /** A check was refused, or not answered in time. */
     public void unheard(String name, int generation, long now) {
-        Member member = roster.get(name);
+        FleetInstance member = roster.get(name);
         if (member != null && roster.unheard(member, generation, now)) {
             log.stateChanged(member, now);
         }
     }
 
-    /** The process of a member ended; {@code code} is {@link Member#UNKNOWN_CODE} where nobody heard it. */
+    /** The process of a member ended; {@code code} is {@link FleetInstance#UNKNOWN_CODE} where nobody heard it. */
     public void ended(String name, int generation, int code, long now) {
-        Member member = roster.get(name);
+        FleetInstance member = roster.get(name);
         if (member == null || member.generation != generation || !member.lives()) {
             return;
         }
@@ -194,7 +194,7 @@
 
     /** Looks at everything, and returns what is to be done, once the state is written down. */
     public List<Action> look(long now) {
-        for (Member member : roster.all()) {
+        for (FleetInstance member : roster.all()) {
             watch(member, now);
         }
         if (roll != null && !roll.over()) {
@@ -208,7 +208,7 @@
         return actions;
     }
 
-    private void watch(Member member, long now) {
+    private void watch(FleetInstance member, long now) {
         if (member.unsureUntil > 0 && now >= member.unsureUntil) {
             // it never came about, or was gone at once; that is no fault of its build, and the next one will
             // tell
@@ -240,7 +240,7 @@
         }
     }
 
-    private void kill(Member member, String why, long now) {
+    private void kill(FleetInstance member, String why, long now) {
         if (!member.killed) {
             member.killed = true;
             due.add(new Action.Kill(member.name, member.generation, why));
@@ -249,7 +249,7 @@
     }
 
     /** The notice, where there is a process that has not had it. */
-    private void leave(Member member, long now) {
+    private void leave(FleetInstance member, long now) {
         if (!member.lives() || member.state == State.LEAVING) {
             return;
         }
@@ -261,7 +261,7 @@
     private void lookAtRoll(long now) {
         boolean paused = roll.paused();
         Rollout.Status before = roll.status();
-        for (Member member : roll.look(roster, now)) {
+        for (FleetInstance member : roll.look(roster, now)) {
             leave(member, now);
         }
         if (roll.paused() != paused) {
@@ -275,7 +275,7 @@
     /** Members that want a process and have none, as many at once as may start together. */
     private void startDue(long now) {
         int starting = roster.count(State.STARTING);
-        for (Member member : roster.all()) {
+        for (FleetInstance member : roster.all()) {
             boolean led = roll != null && roll.leads(member.name);
             if (member.state == State.HELD && member.wanted && !restarts.held(member.name, now)) {
                 member.enter(State.ABSENT, now);
@@ -314,7 +314,7 @@
         Map<String, Found> left = new LinkedHashMap<>(alive);
         for (FleetState.Of savedMember : saved.members()) {
             Found found = left.remove(savedMember.name());
-            Member member = roster.get(savedMember.name());
+            FleetInstance member = roster.get(savedMember.name());
             if (member == null && found == null) {
                 continue;
             }
@@ -331,7 +331,7 @@
         log.restored(saved.members().size(), alive.size(), roll);
     }
 
-    private void adopt(Member member, Found found, long now) {
+    private void adopt(FleetInstance member, Found found, long now) {
         if (found != null) {
             member.pid = found.pid();
             member.generation = Math.max(member.generation, found.generation());
@@ -348,13 +348,13 @@
         } else if (member.state == State.STARTING) {
             member.unsureUntil = now + plan.settle();
         } else if (member.lives()) {
-            ended(member.name, member.generation, Member.UNKNOWN_CODE, now);
+            ended(member.name, member.generation, FleetInstance.UNKNOWN_CODE, now);
         }
     }
 
     /** Whether an earlier supervisor wrote a start of it down, and nobody knows yet whether it came about. */
     public boolean isUnsure(String name) {
-        Member member = roster.get(name);
+        FleetInstance member = roster.get(name);
         return member != null && member.unsureUntil > 0;
     }
 }
--- a/server/src/main/java/wheatspread/fleet/Member.java
+++ b/server/src/main/java/wheatspread/fleet/FleetInstance.java
@@ -1,7 +1,7 @@
 package wheatspread.fleet;
 
 /** One server of a fleet as its supervisor knows it. Times are Unix microseconds. */
-public final class Member {
+public final class FleetInstance {
     /**
      * {@code ABSENT}: no process, and none is wanted or it is not time yet; {@code STARTING}: from the
      * decision to start it until it is well; {@code UP}, {@code UNWELL}: by its checks; {@code LEAVING}: it
@@ -52,7 +52,7 @@
     boolean everEnded;
     boolean killed;
 
-    Member(String name, String build) {
+    FleetInstance(String name, String build) {
         this.name = name;
         this.build = build;
     }
--- a/server/src/main/java/wheatspread/fleet/FleetLog.java
+++ b/server/src/main/java/wheatspread/fleet/FleetLog.java
@@ -22,7 +22,7 @@
     // ---- members ----
 
     /** A check has changed a member's state. */
-    void stateChanged(Member member, long now) {
+    void stateChanged(FleetInstance member, long now) {
         log.info(
                 "member",
                 "name",
@@ -37,25 +37,25 @@
                 (now - member.startedAt) / MICROS_PER_MS);
     }
 
-    void starts(Member member) {
+    void starts(FleetInstance member) {
         log.info("member_starts", "name", member.name, "build", member.build, "generation", member.generation);
     }
 
     /** A start that an earlier supervisor wrote down never showed itself. */
-    void startUnseen(Member member) {
+    void startUnseen(FleetInstance member) {
         log.info("start_unseen", "name", member.name, "generation", member.generation);
     }
 
-    void leaves(Member member) {
+    void leaves(FleetInstance member) {
         log.info("member_leaves", "name", member.name, "build", member.build, "generation", member.generation);
     }
 
-    void killed(Member member, String why) {
+    void killed(FleetInstance member, String why) {
         log.warn("member_killed", "name", member.name, "generation", member.generation, "why", why);
     }
 
     /** A process ended; {@code asked} says whether it had got its notice. */
-    void ended(Member member, boolean asked, long now) {
+    void ended(FleetInstance member, boolean asked, long now) {
         log.log(
                 asked ? Level.INFO : Level.WARN,
                 "member_ended",
@@ -74,7 +74,7 @@
     }
 
     /** A member is in a crash loop. */
-    void held(Member member, Backoff backoff) {
+    void held(FleetInstance member, Backoff backoff) {
         log.error(
                 "member_held",
                 "name",
--- a/server/src/main/java/wheatspread/fleet/FleetState.java
+++ b/server/src/main/java/wheatspread/fleet/FleetState.java
@@ -10,7 +10,7 @@
  */
 public record FleetState(List<Of> members, Roll roll, boolean down) {
     /** What is to be written down of a fleet now; {@code roll} is null where there was none. */
-    static FleetState of(Roster roster, Restarts restarts, Rollout roll, boolean down) {
+    static FleetState of(InstanceTable roster, RestartBackoff restarts, Rollout roll, boolean down) {
         List<Of> members = roster.all().stream()
                 .map(member -> Of.of(member, restarts.of(member.name)))
                 .toList();
@@ -20,7 +20,7 @@
     /** One member. */
     public record Of(
             String name,
-            Member.State state,
+            FleetInstance.State state,
             boolean wanted,
             String build,
             int generation,
@@ -33,7 +33,7 @@
             long notBefore,
             long heldUntil) {
 
-        private static Of of(Member member, Restarts.Ends ends) {
+        private static Of of(FleetInstance member, RestartBackoff.Ends ends) {
             return new Of(
                     member.name,
                     member.state,
--- a/server/src/main/java/wheatspread/fleet/Roster.java
+++ b/server/src/main/java/wheatspread/fleet/InstanceTable.java
@@ -5,38 +5,38 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import wheatspread.fleet.Member.Health;
-import wheatspread.fleet.Member.State;
+import wheatspread.fleet.FleetInstance.Health;
+import wheatspread.fleet.FleetInstance.State;
 
 /**
  * The members of a fleet, their generations, and their states from checks and from the ends of their
  * processes. What was not heard lately is said to be stale, and a stale member does not count as in service.
  * No I/O.
  */
-public final class Roster {
-    private final Map<String, Member> members = new LinkedHashMap<>();
+public final class InstanceTable {
+    private final Map<String, FleetInstance> members = new LinkedHashMap<>();
     private final long stale;
     private final int badAfter;
 
-    Roster(FleetPlan plan) {
+    InstanceTable(FleetPlan plan) {
         stale = plan.stale();
         badAfter = plan.badAfter();
-        plan.members().forEach(name -> members.put(name, new Member(name, plan.build())));
+        plan.members().forEach(name -> members.put(name, new FleetInstance(name, plan.build())));
     }
 
     /** A member by its name; null if there is none. */
-    public Member get(String name) {
+    public FleetInstance get(String name) {
         return members.get(name);
     }
 
     /** One that a plan no longer has, but that lives. */
-    Member add(String name, String build) {
-        Member member = new Member(name, build);
+    FleetInstance add(String name, String build) {
+        FleetInstance member = new FleetInstance(name, build);
         members.put(name, member);
         return member;
     }
 
-    public Collection<Member> all() {
+    public Collection<FleetInstance> all() {
         return members.values();
     }
 
@@ -48,20 +48,20 @@
     }
 
     /** Whether what is known of it is too old to go by. */
-    public boolean isStale(Member member, long now) {
+    public boolean isStale(FleetInstance member, long now) {
         boolean checked = member.state == State.UP || member.state == State.UNWELL;
         return checked && now - Math.max(member.heardAt, member.wellAt) > stale;
     }
 
     /** Whether it takes work, as far as is known. */
-    public boolean inService(Member member, long now) {
+    public boolean inService(FleetInstance member, long now) {
         return member.state == State.UP && !isStale(member, now);
     }
 
     /** Those wanted that are not in service. */
-    public List<Member> out(long now) {
-        List<Member> out = new ArrayList<>();
-        for (Member member : members.values()) {
+    public List<FleetInstance> out(long now) {
+        List<FleetInstance> out = new ArrayList<>();
+        for (FleetInstance member : members.values()) {
             if (member.wanted && !inService(member, now)) {
                 out.add(member);
             }
@@ -70,7 +70,7 @@
     }
 
     /** A check was answered. Checks of an earlier generation say nothing. */
-    boolean heard(Member member, int generation, Health health, long now) {
+    boolean heard(FleetInstance member, int generation, Health health, long now) {
         if (member.generation != generation || !member.lives()) {
             return false;
         }
@@ -91,7 +91,7 @@
     }
 
     /** A check was not answered in time, or refused. */
-    boolean unheard(Member member, int generation, long now) {
+    boolean unheard(FleetInstance member, int generation, long now) {
         State before = member.state;
         if (member.generation == generation) {
             bad(member, now);
@@ -99,7 +99,7 @@
         return member.state != before;
     }
 
-    private void bad(Member member, long now) {
+    private void bad(FleetInstance member, long now) {
         if (member.state == State.UP && ++member.badChecks >= badAfter) {
             member.enter(State.UNWELL, now);
         }
--- a/server/src/main/java/wheatspread/fleet/Restarts.java
+++ b/server/src/main/java/wheatspread/fleet/RestartBackoff.java
@@ -13,7 +13,7 @@
  * all once its ends are a crash loop. Each member has a count of its own, so a bad one stops no other. No
  * I/O; times are microseconds.
  */
-public final class Restarts {
+public final class RestartBackoff {
     private static final int MOST_KEPT = 64;
 
     private final Backoff backoff;
@@ -29,7 +29,7 @@
         long heldUntil = -1;
     }
 
-    Restarts(Backoff backoff, long seed) {
+    RestartBackoff(Backoff backoff, long seed) {
         this.backoff = backoff;
         random = new SplittableRandom(seed);
     }
--- a/server/src/main/java/wheatspread/fleet/Rollout.java
+++ b/server/src/main/java/wheatspread/fleet/Rollout.java
@@ -4,8 +4,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import wheatspread.fleet.FleetInstance.State;
 import wheatspread.fleet.FleetPlan.Rolling;
-import wheatspread.fleet.Member.State;
 
 /**
  * Replaces a build by another, member by member: never more of the fleet out of service than is allowed,
@@ -129,7 +129,7 @@
     }
 
     /** A process of a member ended; {@code asked} says whether it had got its notice. */
-    void ended(Member member, boolean asked, long now) {
+    void ended(FleetInstance member, boolean asked, long now) {
         Step step = steps.get(member.name);
         if (over() || step == null) {
             return;
@@ -146,18 +146,20 @@
             failed(
                     member,
                     "ended with "
-                            + (member.lastCode == Member.UNKNOWN_CODE ? "an unknown code" : "code " + member.lastCode)
+                            + (member.lastCode == FleetInstance.UNKNOWN_CODE
+                                    ? "an unknown code"
+                                    : "code " + member.lastCode)
                             + " " + when(member, now),
                     now);
         }
     }
 
-    private static String when(Member member, long now) {
+    private static String when(FleetInstance member, long now) {
         return member.wellAt == 0 ? "before it was well" : (now - member.wellAt) / 1_000 + " ms after it was well";
     }
 
     /** It was not well in time, or fails too much of what it is asked. */
-    void failed(Member member, String how, long now) {
+    void failed(FleetInstance member, String how, long now) {
         failures++;
         if (status == Status.RUNNING && failures >= rules.mostFailures()) {
             reason = member.name + ": generation " + member.generation + " of build " + to + " " + how;
@@ -173,14 +175,14 @@
     }
 
     /** A successor that was failing got its notice, and another generation gets a try. */
-    void again(Member member) {
+    void again(FleetInstance member) {
         if (steps.containsKey(member.name)) {
             steps.put(member.name, Step.LEAVING);
         }
     }
 
     /** A member of it is held as a crash loop: that ends the roll, or the way back as far as it goes. */
-    void giveUp(Member member, long now) {
+    void giveUp(FleetInstance member, long now) {
         if (status == Status.ROLLING_BACK) {
             reason += "; " + member.name + " is held";
             steps.put(member.name, Step.DONE);
@@ -222,26 +224,26 @@
      * Looks at everybody, and returns who is to get the notice now. {@code roster} tells who is in service; a
      * successor that has yet to prove itself does not count as such.
      */
-    List<Member> look(Roster roster, long now) {
+    List<FleetInstance> look(InstanceTable roster, long now) {
         if (over()) {
             return List.of();
         }
         for (Map.Entry<String, Step> entry : steps.entrySet()) {
-            Member member = roster.get(entry.getKey());
+            FleetInstance member = roster.get(entry.getKey());
             if (member == null || !member.wanted && entry.getValue() == Step.WAITING) {
                 entry.setValue(Step.DONE); // it left the fleet, or an operator has taken it out
             } else {
                 entry.setValue(advance(entry.getValue(), member, now));
             }
         }
-        List<Member> next = next(roster, now);
+        List<FleetInstance> next = next(roster, now);
         if (!over() && steps.values().stream().allMatch(step -> step == Step.DONE)) {
             end(status == Status.RUNNING ? Status.DONE : Status.ROLLED_BACK, now);
         }
         return next;
     }
 
-    private Step advance(Step step, Member member, long now) {
+    private Step advance(Step step, FleetInstance member, long now) {
         if (step == Step.STARTING && member.state == State.UP) {
             return status == Status.ROLLING_BACK ? Step.DONE : Step.PROVING;
         }
@@ -258,7 +260,7 @@
     }
 
     /** Well for long enough, and with answers to show or well for so long that nobody asks. */
-    private boolean proven(Member member, long now) {
+    private boolean proven(FleetInstance member, long now) {
         if (member.state != State.UP || member.health == null || member.wellAt == 0) {
             return false;
         }
@@ -268,7 +270,7 @@
     }
 
     /** Whether a successor fails more of what it is asked than is allowed, by enough answers to tell. */
-    boolean failing(Member member) {
+    boolean failing(FleetInstance member) {
         if (over()
                 || status == Status.ROLLING_BACK
                 || member.health == null
@@ -280,24 +282,24 @@
         return answers >= Math.max(10, rules.provenAnswers()) && member.health.failed() > rules.failedShare() * answers;
     }
 
-    private List<Member> next(Roster roster, long now) {
+    private List<FleetInstance> next(InstanceTable roster, long now) {
         int most = rules.mostOut(roster.all().size());
         int out = 0;
         int strangers = 0;
-        for (Member member : roster.all()) {
+        for (FleetInstance member : roster.all()) {
             boolean led = leads(member.name);
             if (led || member.wanted && !roster.inService(member, now)) {
                 out++;
                 strangers += led ? 0 : 1;
             }
         }
-        List<Member> next = new ArrayList<>();
+        List<FleetInstance> next = new ArrayList<>();
         boolean waiting = false;
         for (Map.Entry<String, Step> entry : steps.entrySet()) {
             if (entry.getValue() != Step.WAITING) {
                 continue;
             }
-            Member member = roster.get(entry.getKey());
+            FleetInstance member = roster.get(entry.getKey());
             // one that is known to be out loses nothing by its change; one not heard lately may well serve
             boolean free = member.wanted && member.state != State.UP;
             if (out < most || free) {
--- a/server/src/main/java/wheatspread/handover/SharedClaims.java
+++ b/server/src/main/java/wheatspread/handover/SharedIdempotencyClaims.java
@@ -11,7 +11,7 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.ArrayDeque;
 import java.util.HexFormat;
-import wheatspread.core.Claims;
+import wheatspread.core.IdempotencyClaims;
 import wheatspread.logging.EventLog;
 
 /**
@@ -23,7 +23,7 @@
  * 20 us. Where the folder cannot be written, claims are given, and that is logged once: the process serves as
  * it would alone.
  */
-public final class SharedClaims implements Claims {
+public final class SharedIdempotencyClaims implements IdempotencyClaims {
     /** Claims of this process that are still to be deleted, oldest first. */
     private final ArrayDeque<Made> made = new ArrayDeque<>();
 
@@ -36,7 +36,7 @@
     private record Made(Path file, long until) {}
 
     /** {@code self} names this process in its claims. */
-    public SharedClaims(Path folder, long self, EventLog log) throws IOException {
+    public SharedIdempotencyClaims(Path folder, long self, EventLog log) throws IOException {
         this.folder = Files.createDirectories(folder);
         this.self = Long.toString(self);
         this.log = log;
--- a/server/src/main/java/wheatspread/jsonrpc/RequestReader.java
+++ b/server/src/main/java/wheatspread/jsonrpc/RequestReader.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Map;
 import org.json.JSONObject;
-import wheatspread.admission.Admission.Effect;
-import wheatspread.admission.Admission.RequestClass;
-import wheatspread.core.Site;
-import wheatspread.core.Submission;
+import wheatspread.admission.Idempotency;
+import wheatspread.admission.RequestClass;
+import wheatspread.core.DeploymentSettings;
+import wheatspread.core.InboundRequest;
 
 /** Reads the parameters of a class's method into a submission; complaints name the parameter. */
 final class RequestReader {
@@ -21,7 +21,7 @@
     /** A limit or a cost over so many deadlines of the class is no figure to plan with. */
     private static final double MOST_DEADLINES = 10;
 
-    private final Site site;
+    private final DeploymentSettings site;
     private final Map<String, Integer> kinds;
 
     /** A parameter is missing, ill-typed or out of range. */
@@ -33,7 +33,7 @@
         }
     }
 
-    RequestReader(Site site) {
+    RequestReader(DeploymentSettings site) {
         this.site = site;
         kinds = indexes(site.classes());
     }
@@ -49,7 +49,7 @@
     }
 
     /** {@code now} is Unix time in microseconds. */
-    Submission read(String method, JSONObject params, long now) {
+    InboundRequest read(String method, JSONObject params, long now) {
         int kind = kinds.get(method);
         String txn = text(params, "txn");
         if (!txn.matches("[0-9a-fA-F]{16}")) {
@@ -57,11 +57,11 @@
         }
         RequestClass told = site.settings().classes().get(kind);
         // guards what the module learns of costs and times, and its tags, against figures nobody means
-        double most = MOST_DEADLINES * told.deadline() / 1000;
+        double most = MOST_DEADLINES * told.deadlineMicros() / 1000;
         long door = Math.round(number(params, "door", 0, now / 1000.0 + DOOR_AHEAD)) * 1000;
         // where a deployment's callers do not tell how long they wait, a try is due at its class's deadline
         boolean limited = params.has("limit");
-        long limit = limited ? Math.round(number(params, "limit", 0, most) * 1000) : told.deadline();
+        long limit = limited ? Math.round(number(params, "limit", 0, most) * 1000) : told.deadlineMicros();
         boolean further = optional(params, "second", 1) > 0;
         double ram = number(params, "ram", 0, MOST_RAM);
         long cpu = Math.round(optional(params, "cpu", most) * 1000);
@@ -71,12 +71,12 @@
         }
         String unique = null;
         String item = null;
-        if (told.effect() == Effect.KEYED) {
+        if (told.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
             unique = key(params, "unique");
         } else if (params.has("item")) {
             item = key(params, "item");
         }
-        return new Submission(
+        return new InboundRequest(
                 txn, kind, tenant(params), door, door + limit, limited, further, ram, cpu, unique, item, body(params));
     }
 
--- a/server/src/main/java/wheatspread/jsonrpc/RpcConnection.java
+++ b/server/src/main/java/wheatspread/jsonrpc/RpcConnection.java
@@ -9,11 +9,11 @@
 import org.json.JSONParserConfiguration;
 import wheatspread.core.Answer;
 import wheatspread.logging.EventLog;
-import wheatspread.sockets.CallerHandler;
-import wheatspread.sockets.Listener;
+import wheatspread.transport.ClientChannelHandler;
+import wheatspread.transport.Listener;
 
 /** One proxy's connection: reads JSON-RPC lines, hands tries to the core and writes their answers. */
-final class RpcConnection extends CallerHandler {
+final class RpcConnection extends ClientChannelHandler {
     static final int REFUSED = -32066;
     static final int FAILED = -32000;
     static final int OUT_OF_TIME = -32001;
@@ -188,8 +188,8 @@
             return;
         }
         try {
-            var submission = front.reader.read(method, params, front.clock.now());
-            if (turnedAway(front.core, submission.kind(), answer -> respond(id, answer))) {
+            var submission = front.reader.read(method, params, front.clock.nowMicros());
+            if (turnedAway(front.core, submission.requestClass(), answer -> respond(id, answer))) {
                 return;
             }
             Open one = new Open(id, submission.job(), ofCrowd());
@@ -211,19 +211,19 @@
 
     private void respond(String id, Answer answer) {
         JSONObject data = new JSONObject();
-        addFeedback(data, answer.feedback());
+        addFeedback(data, answer.loadFeedback());
         switch (answer.kind()) {
             case SERVED -> result(id, data.put("blob", Base64.getEncoder().encodeToString(answer.body())));
-            case REFUSED -> {
-                if (answer.later() > 0) {
-                    data.put("later", Math.max(1, answer.later() / 1000));
+            case REJECTED -> {
+                if (answer.retryAfterMicros() > 0) {
+                    data.put("later", Math.max(1, answer.retryAfterMicros() / 1000));
                 }
-                if (answer.last()) {
+                if (answer.doNotRetry()) {
                     data.put("giveup", 1);
                 }
                 error(id, REFUSED, "refused: this try never ran", data);
             }
-            case OUT_OF_TIME -> error(id, OUT_OF_TIME, "out of time", data);
+            case DEADLINE_EXCEEDED -> error(id, OUT_OF_TIME, "out of time", data);
             case CONFLICT -> error(id, CONFLICT, "txn is in use, or unique has another body", data);
             default -> error(id, FAILED, "failed", data);
         }
--- a/server/src/main/java/wheatspread/jsonrpc/RpcFront.java
+++ b/server/src/main/java/wheatspread/jsonrpc/RpcFront.java
@@ -4,10 +4,10 @@
 import java.util.function.Supplier;
 import wheatspread.core.Clock;
 import wheatspread.core.Core;
-import wheatspread.core.Site;
-import wheatspread.sockets.CallerHandler;
-import wheatspread.sockets.Front;
-import wheatspread.sockets.Listener;
+import wheatspread.core.DeploymentSettings;
+import wheatspread.transport.ClientChannelHandler;
+import wheatspread.transport.Front;
+import wheatspread.transport.Listener;
 
 /** The platform's front: JSON-RPC 2.0, one message a line. */
 public final class RpcFront implements Front {
@@ -38,7 +38,7 @@
     }
 
     @Override
-    public CallerHandler caller(Listener listener) {
+    public ClientChannelHandler caller(Listener listener) {
         return new RpcConnection(listener, this);
     }
 
@@ -50,7 +50,7 @@
     }
 
     /** Reads the classes of a retuned site from now on; on the loop's thread. */
-    public void retune(Site site) {
+    public void retune(DeploymentSettings site) {
         reader = new RequestReader(site);
     }
 }
--- a/server/src/main/java/wheatspread/life/Drain.java
+++ b/server/src/main/java/wheatspread/lifecycle/DrainDeadlines.java
@@ -1,11 +1,11 @@
-package wheatspread.life;
+package wheatspread.lifecycle;
 
 /**
  * The clock of a drain: how long callers are still listened to, when the rest must be answered, and when the
  * process goes. Callers hear late of the notice, so what comes within the grace is served; what comes later
  * is refused; nobody is cut off. It reads no clock; times are microseconds.
  */
-public final class Drain {
+public final class DrainDeadlines {
     /** The process ends this long before it would be killed. */
     public static final long STOP_MARGIN = 120_000;
     /** What was accepted just before the listener closed gets this long to be read. */
@@ -36,7 +36,7 @@
      * @param grace how long callers may send what still runs
      * @param listed whether callers can know this server: one whose kernel never came up is on no list
      */
-    public Drain(long now, long stopAfter, long grace, boolean listed) {
+    public DrainDeadlines(long now, long stopAfter, long grace, boolean listed) {
         noticeAt = now;
         leaveBy = now + Math.max(STOP_MARGIN, stopAfter - STOP_MARGIN);
         cutBy = Math.max(leaveBy, now + stopAfter - CUT_MARGIN);
--- a/server/src/main/java/wheatspread/life/Life.java
+++ b/server/src/main/java/wheatspread/lifecycle/Lifecycle.java
@@ -1,4 +1,4 @@
-package wheatspread.life;
+package wheatspread.lifecycle;
 
 import java.util.EnumMap;
 import java.util.Map;
@@ -7,7 +7,7 @@
  * The phases of a process and every way from one to the next. What may happen in a phase stands in one table;
  * anything else is a fault of the program and thrown. It does no I/O and reads no clock.
  */
-public final class Life {
+public final class Lifecycle {
     /**
      * {@code REHEARSING} warms the JVM and {@code BINDING} opens the listeners; {@code RETREATING} is a
      * start that is to end as soon as its listeners are known; {@code WAITING} listens for want of a kernel
@@ -176,7 +176,7 @@
     private volatile int exitCode = OK;
     private boolean kernelUp;
 
-    public Life(Listener listener) {
+    public Lifecycle(Listener listener) {
         this.listener = listener;
     }
 
--- a/server/src/main/java/wheatspread/membership/Founding.java
+++ b/server/src/main/java/wheatspread/membership/ClusterBootstrap.java
@@ -20,7 +20,7 @@
  *
  * <p>It sends nothing and reads no clock; times are microseconds.
  */
-final class Founding {
+final class ClusterBootstrap {
     /** What is to be done now. */
     enum Step {
         NOTHING,
@@ -71,7 +71,7 @@
 
     private record Knocked(Member member, long at) {}
 
-    Founding(List<String> seeds, String address, RandomGenerator random) {
+    ClusterBootstrap(List<String> seeds, String address, RandomGenerator random) {
         if (seeds.size() > MOST_SEEDS) {
             throw new IllegalArgumentException("at most " + MOST_SEEDS + " seeds");
         }
--- a/server/src/main/java/wheatspread/membership/CutTally.java
+++ b/server/src/main/java/wheatspread/membership/CutDetector.java
@@ -17,7 +17,7 @@
  *
  * <p>It sends nothing and reads no clock.
  */
-final class CutTally {
+final class CutDetector {
     private final View view;
     private final int[][] counters;
     /** As the counters, with odd for "suspected": no report yet, and often none in the end. */
@@ -29,7 +29,7 @@
     /** What follows from all this, until something else is heard; most messages bring nothing new. */
     private Summary summary;
 
-    private record Summary(long digest, Change whole, Change hasty) {}
+    private record Summary(long digest, ViewChange whole, ViewChange hasty) {}
 
     /** Somebody who wants to become a member, with what those who would watch it say. */
     static final class Joiner {
@@ -45,7 +45,7 @@
     }
 
     /** Beyond {@code mostJoiners} nobody else is heard of until the next view. */
-    CutTally(View view, int mostJoiners) {
+    CutDetector(View view, int mostJoiners) {
         this.view = view;
         this.mostJoiners = mostJoiners;
         counters = new int[view.size()][];
@@ -160,7 +160,7 @@
      * The change that the reports lead to; null while there is none, or while somebody stands between the
      * marks. Who is {@code hasty} has waited for these long enough, and leaves them in.
      */
-    Change change(boolean hasty) {
+    ViewChange change(boolean hasty) {
         return hasty ? summary().hasty : summary().whole;
     }
 
@@ -251,7 +251,7 @@
         return unstable;
     }
 
-    private Change computeChange(BitSet unstable, boolean hasty) {
+    private ViewChange computeChange(BitSet unstable, boolean hasty) {
         List<MemberId> out = new ArrayList<>();
         for (int i = 0; i < view.size(); i++) {
             boolean gone = leaving.get(i) || unstable.get(i) && against(i, unstable) >= View.high(counters[i].length);
@@ -274,7 +274,7 @@
                 return null;
             }
         }
-        Change change = Change.of(out, in);
+        ViewChange change = ViewChange.of(out, in);
         return change.isEmpty() ? null : change;
     }
 }
--- a/server/src/main/java/wheatspread/membership/Watch.java
+++ b/server/src/main/java/wheatspread/membership/FailureDetector.java
@@ -8,7 +8,7 @@
  *
  * <p>It sends nothing, reads no clock and holds no random source; times are microseconds.
  */
-final class Watch {
+final class FailureDetector {
     /** Where it stands. */
     enum State {
         WELL,
@@ -28,7 +28,7 @@
     }
 
     private final DetectorSettings settings;
-    private final SelfHealth health;
+    private final LocalHealth health;
     private State state = State.WELL;
     /** When the present probe began, or when the next one is due. */
     private long probeAt;
@@ -40,7 +40,7 @@
     private int enough;
 
     /** The first probe is due at {@code first}. */
-    Watch(DetectorSettings settings, SelfHealth health, long first) {
+    FailureDetector(DetectorSettings settings, LocalHealth health, long first) {
         this.settings = settings;
         this.health = health;
         probeAt = first;
--- a/server/src/main/java/wheatspread/membership/Damping.java
+++ b/server/src/main/java/wheatspread/membership/FlapDamping.java
@@ -10,7 +10,7 @@
  * vouched for, the longer the more points it has. Who left by itself counts none. It reads no clock; times
  * are microseconds.
  */
-final class Damping {
+final class FlapDamping {
     static final long HALF = 180_000_000;
     static final long FIRST = 10_000_000;
     static final long LONGEST = 300_000_000;
--- a/server/src/main/java/wheatspread/membership/NewsQueue.java
+++ b/server/src/main/java/wheatspread/membership/GossipQueue.java
@@ -12,7 +12,7 @@
  * was passed on least first. Newer news of a subject takes the place of older. A message takes time for the
  * pieces that it takes, not for all that wait: under loss these are many.
  */
-final class NewsQueue {
+final class GossipQueue {
     /** Each piece is passed on so many times the logarithm of the fleet's size. */
     private static final int TIMES = 4;
     /** So many times as many entries as are in use may wait, and so many more, before they are sorted out. */
@@ -27,10 +27,10 @@
     private int waiting;
 
     private static final class Entry {
-        final News news;
+        final GossipUpdate news;
         int left;
 
-        Entry(News news, int left) {
+        Entry(GossipUpdate news, int left) {
             this.news = news;
             this.left = left;
         }
@@ -46,7 +46,7 @@
         }
     }
 
-    void add(News news) {
+    void add(GossipUpdate news) {
         Entry entry = new Entry(news, byLeft.size());
         entries.put(news.subject(), entry);
         await(entry);
@@ -71,7 +71,7 @@
     }
 
     /** Up to so many pieces for one message. */
-    List<News> take(int most) {
+    List<GossipUpdate> take(int most) {
         List<Entry> chosen = new ArrayList<>();
         for (int left = byLeft.size(); left > 0 && chosen.size() < most; left--) {
             Deque<Entry> some = byLeft.get(left - 1);
@@ -83,7 +83,7 @@
                 }
             }
         }
-        List<News> taken = new ArrayList<>(chosen.size());
+        List<GossipUpdate> taken = new ArrayList<>(chosen.size());
         for (Entry entry : chosen) {
             taken.add(entry.news);
             if (--entry.left > 0) {
--- a/server/src/main/java/wheatspread/membership/SelfHealth.java
+++ b/server/src/main/java/wheatspread/membership/LocalHealth.java
@@ -5,11 +5,11 @@
  * turns run late, whose probes fail while none of those asked for help says anything, or who has to refute
  * that it is gone, waits longer before it accuses. It reads no clock; times are microseconds.
  */
-final class SelfHealth {
+final class LocalHealth {
     private final DetectorSettings settings;
     private int score;
 
-    SelfHealth(DetectorSettings settings) {
+    LocalHealth(DetectorSettings settings) {
         this.settings = settings;
     }
 
--- a/server/src/main/java/wheatspread/membership/Membership.java
+++ b/server/src/main/java/wheatspread/membership/Membership.java
@@ -19,7 +19,7 @@
  */
 public final class Membership {
     /** A list of seeds holds so many at most. */
-    public static final int MOST_SEEDS = Founding.MOST_SEEDS;
+    public static final int MOST_SEEDS = ClusterBootstrap.MOST_SEEDS;
     /** How often news alone goes out while there is any, and to how many. */
     private static final long GOSSIP = 100_000;
 
@@ -77,19 +77,19 @@
     private final DetectorSettings settings;
     private final RandomGenerator random;
     private final Actions actions;
-    private final SelfHealth health;
-    private final NewsQueue queue = new NewsQueue();
-    private final Founding founding;
-    private final Damping damping = new Damping();
+    private final LocalHealth health;
+    private final GossipQueue queue = new GossipQueue();
+    private final ClusterBootstrap founding;
+    private final FlapDamping damping = new FlapDamping();
     private final Map<MemberId, Subject> subjects = new LinkedHashMap<>();
     private final Map<Long, Relay> relays = new LinkedHashMap<>();
     private final Map<MemberId, Long> toldAt = new HashMap<>();
     private View view;
     private int index = -1;
-    private CutTally tally;
-    private Standing standing;
-    private Agreement agreement;
-    private Change proposed;
+    private CutDetector tally;
+    private QuorumReachability standing;
+    private ViewAgreement agreement;
+    private ViewChange proposed;
     private long lastNumber;
     private long expectedTurn = Long.MAX_VALUE;
     private long gossipAt;
@@ -116,7 +116,7 @@
     /** Somebody whom this member watches. */
     private static final class Subject {
         final Member member;
-        final Watch watch;
+        final FailureDetector watch;
         /** Its place among the watchers. */
         int slot;
 
@@ -130,7 +130,7 @@
         int asked;
         int nacks;
 
-        Subject(Member member, Watch watch) {
+        Subject(Member member, FailureDetector watch) {
             this.member = member;
             this.watch = watch;
         }
@@ -147,8 +147,8 @@
         this.settings = settings;
         this.random = random;
         this.actions = actions;
-        health = new SelfHealth(settings);
-        founding = new Founding(seeds, self.address(), random);
+        health = new LocalHealth(settings);
+        founding = new ClusterBootstrap(seeds, self.address(), random);
     }
 
     /** This member as it is known now. */
@@ -217,7 +217,7 @@
     public void leave() {
         leaves = true;
         if (isIn()) {
-            learn(new News.Leaving(index));
+            learn(new GossipUpdate.Leaving(index));
         }
     }
 
@@ -257,8 +257,8 @@
             found();
         }
         for (Subject one : List.copyOf(subjects.values())) {
-            Watch.Step step = one.watch.step(now);
-            while (step != Watch.Step.NOTHING) {
+            FailureDetector.Step step = one.watch.step(now);
+            while (step != FailureDetector.Step.NOTHING) {
                 act(one, step);
                 step = one.watch.step(now);
             }
@@ -322,10 +322,10 @@
         if (founding.isOrdered() && stands(now)) {
             founding.inside(); // the quorum came back before the order was carried out
         }
-        Founding.Step step = founding.step(self, now, actions.unixMillis());
-        if (step == Founding.Step.FOUND) {
+        ClusterBootstrap.Step step = founding.step(self, now, actions.unixMillis());
+        if (step == ClusterBootstrap.Step.FOUND) {
             install(founding.first(), null);
-        } else if (step == Founding.Step.ASK) {
+        } else if (step == ClusterBootstrap.Step.ASK) {
             Set<String> asked = new LinkedHashSet<>(seeds);
             if (founding.isOrdered() && view != null) {
                 view.members().forEach(one -> asked.add(one.address()));
@@ -335,7 +335,7 @@
         }
     }
 
-    private void act(Subject one, Watch.Step step) {
+    private void act(Subject one, FailureDetector.Step step) {
         switch (step) {
             case PROBE -> {
                 one.number = ++lastNumber;
@@ -373,7 +373,7 @@
             int member = view.indexOf(one.member.id());
             int counter = tally.suspicion(member, one.slot);
             if ((counter & 1) == 1 != suspected) {
-                learn(new News.Suspicion(member, one.slot, counter + 1));
+                learn(new GossipUpdate.Suspicion(member, one.slot, counter + 1));
             }
         }
     }
@@ -381,16 +381,16 @@
     /** This watcher's word: on a member whether it is down, on a joiner whether it is heard. */
     private void say(Subject one, boolean gone) {
         if (one.joiner) {
-            CutTally.Joiner of = tally.joiner(one.member.id());
+            CutDetector.Joiner of = tally.joiner(one.member.id());
             if (of != null && (of.counters[one.slot] & 1) == 1 == gone) {
-                learn(new News.Heard(one.member.id(), one.slot, of.counters[one.slot] + 1));
+                learn(new GossipUpdate.Heard(one.member.id(), one.slot, of.counters[one.slot] + 1));
             }
             return;
         }
         int member = view.indexOf(one.member.id());
         int counter = tally.counter(member, one.slot);
         if ((counter & 1) == 1 != gone) {
-            learn(new News.Report(member, one.slot, counter + 1));
+            learn(new GossipUpdate.Report(member, one.slot, counter + 1));
         }
     }
 
@@ -431,7 +431,7 @@
             if (isIn()) {
                 message.news().forEach(this::hear);
                 if (message.digest() != digest() && sender >= 0 && now >= tellAllAt && mayTell(message.from())) {
-                    List<News> all = all();
+                    List<GossipUpdate> all = all();
                     tellAllAt = now + Math.max(TELL_ALL, all.size() * TELL_ALL_PIECE);
                     actions.send(
                             address, new Message(self.id(), viewId(), stands(now), digest(), new Body.Gossip(), all));
@@ -449,8 +449,8 @@
     }
 
     private boolean goesBefore(Message message) {
-        boolean mineStands = isIn() ? stands(now) : view != null && now < stoodAt + Founding.QUIET;
-        return Precedence.goesBefore(message.view(), message.stands(), viewId(), mineStands);
+        boolean mineStands = isIn() ? stands(now) : view != null && now < stoodAt + ClusterBootstrap.QUIET;
+        return ViewPrecedence.goesBefore(message.view(), message.stands(), viewId(), mineStands);
     }
 
     private boolean mayTell(MemberId whom) {
@@ -507,7 +507,7 @@
         } else if (view.indexOf(member.id()) >= 0) {
             sendBare(address, new Body.ViewIs(view));
         } else {
-            hear(new News.Joining(member));
+            hear(new GossipUpdate.Joining(member));
             sendBare(address, new Body.Gossip()); // there is a fleet, so none is to be founded
         }
     }
@@ -534,24 +534,24 @@
     // ---- news ----
 
     /** This member's own news. */
-    private void learn(News news) {
+    private void learn(GossipUpdate news) {
         if (take(news)) {
             queue.add(news);
         }
     }
 
-    private void hear(News news) {
+    private void hear(GossipUpdate news) {
         if (take(news)) {
-            boolean ofRound = news instanceof News.FastVotes
-                    || news instanceof News.Accepted
-                    || news instanceof News.Prepare
-                    || news instanceof News.Promised;
-            if (!ofRound || news instanceof News.Promised) {
+            boolean ofRound = news instanceof GossipUpdate.FastVotes
+                    || news instanceof GossipUpdate.Accepted
+                    || news instanceof GossipUpdate.Prepare
+                    || news instanceof GossipUpdate.Promised;
+            if (!ofRound || news instanceof GossipUpdate.Promised) {
                 queue.add(news);
             }
             if (ofRound) {
                 queueRound();
-            } else if (!(news instanceof News.Suspicion)) {
+            } else if (!(news instanceof GossipUpdate.Suspicion)) {
                 reportedAt = now;
             }
         }
@@ -563,21 +563,21 @@
     }
 
     /** What is known of votes and of the round, with the promises of these members. */
-    private List<News> ofRound(IntPredicate promising) {
-        List<News> known = new ArrayList<>();
+    private List<GossipUpdate> ofRound(IntPredicate promising) {
+        List<GossipUpdate> known = new ArrayList<>();
         agreement
                 .fastVotes()
-                .forEach((change, voters) -> known.add(new News.FastVotes(change, (BitSet) voters.clone())));
+                .forEach((change, voters) -> known.add(new GossipUpdate.FastVotes(change, (BitSet) voters.clone())));
         long ballot = agreement.ballot();
-        if (ballot > Agreement.FAST) {
-            known.add(new News.Prepare(ballot));
+        if (ballot > ViewAgreement.FAST) {
+            known.add(new GossipUpdate.Prepare(ballot));
             agreement.promises().forEach((member, promise) -> {
                 if (promising.test(member)) {
-                    known.add(new News.Promised(ballot, member, promise));
+                    known.add(new GossipUpdate.Promised(ballot, member, promise));
                 }
             });
             if (agreement.asked() != null) {
-                known.add(new News.Accepted(
+                known.add(new GossipUpdate.Accepted(
                         ballot, agreement.asked(), (BitSet) agreement.accepted().clone()));
             }
         }
@@ -585,28 +585,28 @@
     }
 
     /** Takes a piece of news in; returns whether it was news. What names nobody of this view is none. */
-    private boolean take(News news) {
-        if (news instanceof News.Report one) {
+    private boolean take(GossipUpdate news) {
+        if (news instanceof GossipUpdate.Report one) {
             boolean is = inView(one.member()) && tally.reported(one.member(), one.slot(), one.counter());
             if (is && one.member() == index && (one.counter() & 1) == 1) {
                 health.accused();
             }
             return is;
-        } else if (news instanceof News.Suspicion one) {
+        } else if (news instanceof GossipUpdate.Suspicion one) {
             return inView(one.member()) && suspected(one);
-        } else if (news instanceof News.Leaving one) {
+        } else if (news instanceof GossipUpdate.Leaving one) {
             return inView(one.member()) && tally.leaves(one.member());
-        } else if (news instanceof News.Joining one) {
+        } else if (news instanceof GossipUpdate.Joining one) {
             return view.indexOf(one.member().id()) < 0 && tally.joins(one.member()) && watchJoiner(one.member());
-        } else if (news instanceof News.Heard one) {
+        } else if (news instanceof GossipUpdate.Heard one) {
             return tally.heard(one.joiner(), one.slot(), one.counter());
-        } else if (news instanceof News.FastVotes one) {
+        } else if (news instanceof GossipUpdate.FastVotes one) {
             return one.voters().length() <= view.size() && agreement.heardFast(one.change(), one.voters());
-        } else if (news instanceof News.Prepare one) {
+        } else if (news instanceof GossipUpdate.Prepare one) {
             return agreement.heardPrepare(one.ballot());
-        } else if (news instanceof News.Promised one) {
+        } else if (news instanceof GossipUpdate.Promised one) {
             return inView(one.member()) && agreement.heardPromise(one.ballot(), one.member(), one.promise());
-        } else if (news instanceof News.Accepted one) {
+        } else if (news instanceof GossipUpdate.Accepted one) {
             return one.voters().length() <= view.size()
                     && agreement.heardAccepted(one.ballot(), one.change(), one.voters());
         }
@@ -617,7 +617,7 @@
         return member >= 0 && member < view.size();
     }
 
-    private boolean suspected(News.Suspicion news) {
+    private boolean suspected(GossipUpdate.Suspicion news) {
         if (!tally.suspected(news.member(), news.slot(), news.counter())) {
             return false;
         }
@@ -634,7 +634,7 @@
         subjects.values().removeIf(one -> one.joiner && tally.joiner(one.member.id()) == null);
         for (int slot = 0; slot < watchers.length; slot++) {
             if (watchers[slot] == index) {
-                Subject subject = new Subject(joiner, new Watch(settings, health, 0));
+                Subject subject = new Subject(joiner, new FailureDetector(settings, health, 0));
                 subject.slot = slot;
                 subject.joiner = true;
                 subjects.put(joiner.id(), subject);
@@ -644,21 +644,21 @@
     }
 
     /** All that is known of this view. */
-    private List<News> all() {
-        List<News> all = new ArrayList<>();
+    private List<GossipUpdate> all() {
+        List<GossipUpdate> all = new ArrayList<>();
         for (int member = 0; member < view.size(); member++) {
             for (int slot = 0; slot < tally.watchers(member); slot++) {
                 if (tally.counter(member, slot) > 0) {
-                    all.add(new News.Report(member, slot, tally.counter(member, slot)));
+                    all.add(new GossipUpdate.Report(member, slot, tally.counter(member, slot)));
                 }
             }
         }
-        tally.leaving().stream().forEach(member -> all.add(new News.Leaving(member)));
+        tally.leaving().stream().forEach(member -> all.add(new GossipUpdate.Leaving(member)));
         tally.joiners().forEach((id, one) -> {
-            all.add(new News.Joining(one.member));
+            all.add(new GossipUpdate.Joining(one.member));
             for (int slot = 0; slot < one.counters.length; slot++) {
                 if (one.counters[slot] > 0) {
-                    all.add(new News.Heard(id, slot, one.counters[slot]));
+                    all.add(new GossipUpdate.Heard(id, slot, one.counters[slot]));
                 }
             }
         });
@@ -681,12 +681,12 @@
             standing.missed(tally.missed());
         }
         standing.agreeing(agreement.underWay(), now);
-        Change whole = tally.change(false);
-        Change hasty = whole == null ? tally.change(true) : null;
+        ViewChange whole = tally.change(false);
+        ViewChange hasty = whole == null ? tally.change(true) : null;
         if (hasty == null) {
             unstableSince = now;
         }
-        Change change = hasty != null && now >= unstableSince + PATIENCE ? hasty : whole;
+        ViewChange change = hasty != null && now >= unstableSince + PATIENCE ? hasty : whole;
         if (change != null && !change.equals(proposed) && now >= reportedAt + SETTLE) {
             proposed = change;
             agreement.propose(change);
@@ -707,7 +707,7 @@
         }
     }
 
-    private void install(View next, Change change) {
+    private void install(View next, ViewChange change) {
         View before = view;
         List<Departure> gone = departures(before, next, change);
         if (wasIn && next.id().epoch() != viewId().epoch() && next.id().epoch() <= latestEpoch) {
@@ -723,7 +723,7 @@
         view = next;
         index = next.indexOf(self.id());
         proposed = null;
-        roundSeen = Agreement.FAST;
+        roundSeen = ViewAgreement.FAST;
         reportedAt = now;
         unstableSince = now;
         queue.clear(next.size());
@@ -735,9 +735,9 @@
             tellLeft = TELL_ROUNDS;
             founding.inside();
             seekAt = now + random.nextLong(LEAST_SEEK);
-            standing = new Standing(next, index, now);
-            tally = new CutTally(next, MOST_JOINERS);
-            agreement = new Agreement(next, index);
+            standing = new QuorumReachability(next, index, now);
+            tally = new CutDetector(next, MOST_JOINERS);
+            agreement = new ViewAgreement(next, index);
             for (int member = 0; member < next.size(); member++) {
                 int[] watchers = next.watchersOf(member);
                 for (int slot = 0; slot < watchers.length; slot++) {
@@ -755,7 +755,7 @@
     }
 
     /** Who goes and why. Whoever goes without having said so is remembered by name. */
-    private List<Departure> departures(View before, View next, Change change) {
+    private List<Departure> departures(View before, View next, ViewChange change) {
         List<Departure> gone = new ArrayList<>();
         for (int i = 0; before != null && i < before.size(); i++) {
             MemberId one = before.members().get(i).id();
@@ -806,8 +806,9 @@
     /** For how long this member has suspected another, in us; 0 where it does not. */
     public long suspectedFor(MemberId other, long at) {
         Subject one = subjects.get(other);
-        boolean does =
-                one != null && (one.watch.state() == Watch.State.SUSPECT || one.watch.state() == Watch.State.DOWN);
+        boolean does = one != null
+                && (one.watch.state() == FailureDetector.State.SUSPECT
+                        || one.watch.state() == FailureDetector.State.DOWN);
         return does ? at - one.watch.suspectSince() : 0;
     }
 
@@ -815,16 +816,16 @@
     private void watch(Member member, int slot, Map<MemberId, Subject> before) {
         Subject one = before.get(member.id());
         if (one == null) {
-            one = new Subject(member, new Watch(settings, health, now + random.nextLong(settings.period())));
+            one = new Subject(member, new FailureDetector(settings, health, now + random.nextLong(settings.period())));
         }
         one.slot = slot;
         one.joiner = false;
         subjects.put(member.id(), one);
-        Watch.State state = one.watch.state();
-        if (state == Watch.State.SUSPECT || state == Watch.State.DOWN) {
+        FailureDetector.State state = one.watch.state();
+        if (state == FailureDetector.State.SUSPECT || state == FailureDetector.State.DOWN) {
             suspect(one, true);
         }
-        if (state == Watch.State.DOWN) {
+        if (state == FailureDetector.State.DOWN) {
             say(one, true);
         }
     }
--- a/server/src/main/java/wheatspread/membership/Message.java
+++ b/server/src/main/java/wheatspread/membership/Message.java
@@ -11,7 +11,7 @@
  * @param digest of all that the sender knows about that view
  * @param news about that view
  */
-public record Message(MemberId from, ViewId view, boolean stands, long digest, Body body, List<News> news) {
+public record Message(MemberId from, ViewId view, boolean stands, long digest, Body body, List<GossipUpdate> news) {
     /** What it is about, besides the news. */
     public sealed interface Body {
         /** Asks {@code to}, and no other process at its address, for an {@link Ack}. */
--- a/server/src/main/java/wheatspread/membership/Standing.java
+++ b/server/src/main/java/wheatspread/membership/QuorumReachability.java
@@ -19,7 +19,7 @@
  * <p>It may be wrong for moments in either direction, so nothing is decided by it that two sides must not
  * decide differently: such things take a view. It reads no clock; times are microseconds.
  */
-final class Standing {
+final class QuorumReachability {
     /** Who was not heard for so long is not counted: some four probes. */
     static final long HEARD = 4_000_000;
     /** An agreement usually ends within 2 s. */
@@ -33,7 +33,7 @@
     private int missed;
 
     /** A view begins at {@code now}; its beginning was agreed by a quorum, so all count as heard then. */
-    Standing(View view, int index, long now) {
+    QuorumReachability(View view, int index, long now) {
         size = view.size();
         quorum = view.classicQuorum();
         BitSet near = new BitSet();
--- a/server/src/main/java/wheatspread/membership/View.java
+++ b/server/src/main/java/wheatspread/membership/View.java
@@ -155,7 +155,7 @@
     }
 
     /** The view that a change leads to. */
-    public View after(Change change) {
+    public View after(ViewChange change) {
         List<Member> next = new ArrayList<>();
         for (Member one : members) {
             if (!change.out().contains(one.id())) {
--- a/server/src/main/java/wheatspread/membership/Agreement.java
+++ b/server/src/main/java/wheatspread/membership/ViewAgreement.java
@@ -19,7 +19,7 @@
  * its votes must not vote again; that is so because a restarted one has another start number and is no
  * member of the view.
  */
-public final class Agreement {
+public final class ViewAgreement {
     /** The ballot of the fast round. */
     public static final long FAST = 0;
     /** Of who has not voted. */
@@ -35,28 +35,28 @@
     private long promised = FAST;
 
     private long votedIn = NEVER;
-    private Change voted;
+    private ViewChange voted;
     /** Who voted for what in the fast round. */
-    private final Map<Change, BitSet> fastVotes = new LinkedHashMap<>();
+    private final Map<ViewChange, BitSet> fastVotes = new LinkedHashMap<>();
     /** The highest ballot that was heard of, with what is known of it. What is below it is forgotten. */
     private long ballot = FAST;
 
     private final TreeMap<Integer, Promise> promises = new TreeMap<>();
-    private Change asked;
+    private ViewChange asked;
     private final BitSet accepted = new BitSet();
-    private Change preferred;
-    private Change decided;
+    private ViewChange preferred;
+    private ViewChange decided;
 
     /** What a member had voted when it promised to vote in no lower ballot. */
-    public record Promise(long votedIn, Change voted) {}
+    public record Promise(long votedIn, ViewChange voted) {}
 
     /** {@code self} is the index of this member in the view. */
-    Agreement(View view, int self) {
+    ViewAgreement(View view, int self) {
         this(view, self, view.classicQuorum(), view.fastQuorum());
     }
 
     /** With quorums of another size: for tests that show what these would do. */
-    Agreement(View view, int self, int classicQuorum, int fastQuorum) {
+    ViewAgreement(View view, int self, int classicQuorum, int fastQuorum) {
         this.view = view;
         this.self = self;
         this.classicQuorum = classicQuorum;
@@ -64,7 +64,7 @@
     }
 
     /** A copy of the moment. */
-    Agreement(Agreement other) {
+    ViewAgreement(ViewAgreement other) {
         this(other.view, other.self, other.classicQuorum, other.fastQuorum);
         promised = other.promised;
         votedIn = other.votedIn;
@@ -81,7 +81,7 @@
     // ---- what this member does ----
 
     /** What this member would have decided; it votes for it where it may still vote in the fast round. */
-    void propose(Change change) {
+    void propose(ViewChange change) {
         preferred = change;
         if (promised == FAST && votedIn == NEVER) {
             votedIn = FAST;
@@ -99,7 +99,7 @@
 
     // ---- what it hears; each says whether that was news ----
 
-    boolean heardFast(Change change, BitSet voters) {
+    boolean heardFast(ViewChange change, BitSet voters) {
         if (fastVotes.size() >= view.size() && !fastVotes.containsKey(change)) {
             return false; // each member votes once, so somebody talks nonsense
         }
@@ -121,7 +121,7 @@
         return of == ballot && of > FAST && promises.putIfAbsent(from, promise) == null && advance();
     }
 
-    boolean heardAccept(long of, Change change) {
+    boolean heardAccept(long of, ViewChange change) {
         raise(of);
         if (of != ballot || asked != null || of <= FAST) {
             return false;
@@ -130,7 +130,7 @@
         return advance();
     }
 
-    boolean heardAccepted(long of, Change change, BitSet voters) {
+    boolean heardAccepted(long of, ViewChange change, BitSet voters) {
         boolean news = heardAccept(of, change);
         if (of != ballot || of <= FAST) {
             return news;
@@ -143,7 +143,7 @@
     /**
      * Somebody knows what was decided. Who knows takes no part in rounds any more, and tells this instead.
      */
-    boolean heardDecided(Change change) {
+    boolean heardDecided(ViewChange change) {
         boolean news = decided == null;
         decided = news ? change : decided;
         return news;
@@ -189,10 +189,10 @@
     }
 
     /** The one change that may have been decided in a lower ballot, or the one that this member prefers. */
-    private Change choose() {
+    private ViewChange choose() {
         long latest =
                 promises.values().stream().mapToLong(Promise::votedIn).max().orElse(NEVER);
-        Map<Change, Integer> counts = new HashMap<>();
+        Map<ViewChange, Integer> counts = new HashMap<>();
         for (Promise one : promises.values()) {
             if (one.votedIn == latest && latest > FAST) {
                 return one.voted;
@@ -203,9 +203,9 @@
         }
         // so many of those heard must have voted for it, if it was decided in the fast round
         int enough = promises.size() + fastQuorum - view.size();
-        Change most = preferred;
+        ViewChange most = preferred;
         int votes = 0;
-        for (Map.Entry<Change, Integer> one : counts.entrySet()) {
+        for (Map.Entry<ViewChange, Integer> one : counts.entrySet()) {
             if (one.getValue() >= Math.max(1, enough)) {
                 return one.getKey();
             }
@@ -224,7 +224,7 @@
     }
 
     /** The change that was decided; null while none is known to be. */
-    Change decided() {
+    ViewChange decided() {
         return decided;
     }
 
@@ -238,7 +238,7 @@
         return preferred != null || !fastVotes.isEmpty();
     }
 
-    Map<Change, BitSet> fastVotes() {
+    Map<ViewChange, BitSet> fastVotes() {
         return fastVotes;
     }
 
@@ -250,7 +250,7 @@
         return promises;
     }
 
-    Change asked() {
+    ViewChange asked() {
         return asked;
     }
 
--- a/server/src/main/java/wheatspread/membership/Change.java
+++ b/server/src/main/java/wheatspread/membership/ViewChange.java
@@ -9,18 +9,18 @@
  * What leads from one view to the next: who goes and who comes, each in order, so that the same change is
  * equal whoever made it.
  */
-public record Change(List<MemberId> out, List<Member> in) {
-    public Change {
+public record ViewChange(List<MemberId> out, List<Member> in) {
+    public ViewChange {
         out = List.copyOf(out);
         in = List.copyOf(in);
     }
 
-    public static Change of(Collection<MemberId> out, Collection<Member> in) {
+    public static ViewChange of(Collection<MemberId> out, Collection<Member> in) {
         List<MemberId> going = new ArrayList<>(out);
         going.sort(null);
         List<Member> coming = new ArrayList<>(in);
         coming.sort(Comparator.comparing(Member::id));
-        return new Change(going, coming);
+        return new ViewChange(going, coming);
     }
 
     public boolean isEmpty() {
--- a/server/src/main/java/wheatspread/membership/Precedence.java
+++ b/server/src/main/java/wheatspread/membership/ViewPrecedence.java
@@ -5,8 +5,8 @@
  * epochs, that is between fleets, numbers say nothing; a fleet that has lost its quorum gives way to one
  * that has it, and of two that have it the later founded to the earlier.
  */
-final class Precedence {
-    private Precedence() {}
+final class ViewPrecedence {
+    private ViewPrecedence() {}
 
     /**
      * Whether a view that is told of goes before the one that is held.
--- a/server/src/main/java/wheatspread/peers/RateLimit.java
+++ b/server/src/main/java/wheatspread/peers/InboundRateLimit.java
@@ -4,7 +4,7 @@
  * How many messages of peers are read: so many in each slice of time, and no more until the next. A fleet
  * of thousands stays far below it, and a flood takes a bounded share of the loop. Times are microseconds.
  */
-final class RateLimit {
+final class InboundRateLimit {
     static final long SLICE = 50_000;
     static final int MOST = 200;
 
--- a/server/src/main/java/wheatspread/peers/Malformed.java
+++ b/server/src/main/java/wheatspread/peers/MalformedMessageException.java
@@ -1,7 +1,7 @@
 package wheatspread.peers;
 
 /** A message that is not read. */
-public final class Malformed extends Exception {
+public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /** What it is counted under. */
@@ -18,7 +18,7 @@
 
     private final Kind kind;
 
-    Malformed(Kind kind, String message) {
+    MalformedMessageException(Kind kind, String message) {
         super(message, null, false, false); // garbage comes in crowds: no stack is gathered
         this.kind = kind;
     }
--- a/server/src/main/java/wheatspread/peers/MessageCodec.java
+++ b/server/src/main/java/wheatspread/peers/MessageCodec.java
@@ -7,14 +7,14 @@
 import java.util.BitSet;
 import java.util.List;
 import java.util.zip.CRC32C;
-import wheatspread.membership.Agreement;
-import wheatspread.membership.Change;
+import wheatspread.membership.GossipUpdate;
 import wheatspread.membership.Member;
 import wheatspread.membership.MemberId;
 import wheatspread.membership.Message;
 import wheatspread.membership.Message.Body;
-import wheatspread.membership.News;
 import wheatspread.membership.View;
+import wheatspread.membership.ViewAgreement;
+import wheatspread.membership.ViewChange;
 import wheatspread.membership.ViewId;
 
 /**
@@ -108,26 +108,26 @@
         }
     }
 
-    private static Format.Piece piece(News news) {
+    private static Format.Piece piece(GossipUpdate news) {
         Format.Piece.Builder to = Format.Piece.newBuilder();
-        if (news instanceof News.Report one) {
+        if (news instanceof GossipUpdate.Report one) {
             to.setReport(edge(one.member(), one.slot(), one.counter()));
-        } else if (news instanceof News.Suspicion one) {
+        } else if (news instanceof GossipUpdate.Suspicion one) {
             to.setSuspicion(edge(one.member(), one.slot(), one.counter()));
-        } else if (news instanceof News.Leaving one) {
+        } else if (news instanceof GossipUpdate.Leaving one) {
             to.setLeaving(one.member());
-        } else if (news instanceof News.Joining one) {
+        } else if (news instanceof GossipUpdate.Joining one) {
             to.setJoining(person(one.member()));
-        } else if (news instanceof News.Heard one) {
+        } else if (news instanceof GossipUpdate.Heard one) {
             to.setHeard(Format.Heard.newBuilder()
                     .setJoiner(id(one.joiner()))
                     .setSlot(one.slot())
                     .setCounter(one.counter()));
-        } else if (news instanceof News.FastVotes one) {
+        } else if (news instanceof GossipUpdate.FastVotes one) {
             to.setFastVotes(votes(0, one.change(), one.voters()));
-        } else if (news instanceof News.Prepare one) {
+        } else if (news instanceof GossipUpdate.Prepare one) {
             to.setPrepare(one.ballot());
-        } else if (news instanceof News.Promised one) {
+        } else if (news instanceof GossipUpdate.Promised one) {
             Format.Promised.Builder promised = Format.Promised.newBuilder()
                     .setBallot(one.ballot())
                     .setMember(one.member())
@@ -136,13 +136,13 @@
                 promised.setVoted(step(one.promise().voted()));
             }
             to.setPromised(promised);
-        } else if (news instanceof News.Accepted one) {
+        } else if (news instanceof GossipUpdate.Accepted one) {
             to.setAccepted(votes(one.ballot(), one.change(), one.voters()));
         }
         return to.build();
     }
 
-    private static Format.Votes votes(long ballot, Change change, BitSet voters) {
+    private static Format.Votes votes(long ballot, ViewChange change, BitSet voters) {
         return Format.Votes.newBuilder()
                 .setBallot(ballot)
                 .setChange(step(change))
@@ -150,7 +150,7 @@
                 .build();
     }
 
-    private static Format.Step step(Change change) {
+    private static Format.Step step(ViewChange change) {
         Format.Step.Builder to = Format.Step.newBuilder();
         change.out().forEach(one -> to.addOut(id(one)));
         change.in().forEach(one -> to.addIn(person(one)));
@@ -188,26 +188,27 @@
 
     // ---- from bytes ----
 
-    public Received decode(byte[] bytes) throws Malformed {
+    public Received decode(byte[] bytes) throws MalformedMessageException {
         if (bytes.length < Integer.BYTES || ByteBuffer.wrap(bytes).getInt() != checksum(bytes, Integer.BYTES)) {
-            throw new Malformed(Malformed.Kind.SPOILT, "checksum");
+            throw new MalformedMessageException(MalformedMessageException.Kind.SPOILT, "checksum");
         }
         Format.Envelope told;
         try {
             told = Format.Envelope.parseFrom(ByteString.copyFrom(bytes, Integer.BYTES, bytes.length - Integer.BYTES));
         } catch (InvalidProtocolBufferException e) {
-            throw new Malformed(Malformed.Kind.GARBAGE, "no message: " + e.getMessage());
+            throw new MalformedMessageException(
+                    MalformedMessageException.Kind.GARBAGE, "no message: " + e.getMessage());
         }
         if (told.getMajor() != MAJOR) {
-            throw new Malformed(Malformed.Kind.VERSION, "format " + told.getMajor());
+            throw new MalformedMessageException(MalformedMessageException.Kind.VERSION, "format " + told.getMajor());
         }
         if (!told.getCluster().equals(cluster)) {
-            throw new Malformed(Malformed.Kind.FOREIGN, "another cluster");
+            throw new MalformedMessageException(MalformedMessageException.Kind.FOREIGN, "another cluster");
         }
-        List<News> news = new ArrayList<>();
+        List<GossipUpdate> news = new ArrayList<>();
         within(told.getNewsCount(), 0, MOST_NEWS, "pieces of news");
         for (Format.Piece one : told.getNewsList()) {
-            News piece = piece(one);
+            GossipUpdate piece = piece(one);
             if (piece != null) { // null: of a later minor version
                 news.add(piece);
             }
@@ -224,7 +225,7 @@
     }
 
     /** What a later minor version says is news alone to this one. */
-    private static Body body(Format.Envelope told) throws Malformed {
+    private static Body body(Format.Envelope told) throws MalformedMessageException {
         return switch (told.getBodyCase()) {
             case PING ->
                 new Body.Ping(told.getPing().getNumber(), id(told.getPing().getTo()));
@@ -249,7 +250,7 @@
         };
     }
 
-    private static View fleet(Format.Fleet told) throws Malformed {
+    private static View fleet(Format.Fleet told) throws MalformedMessageException {
         within(told.getMembersCount(), 1, MOST_MEMBERS, "members");
         ViewId id = number(told.getId());
         within(id.number(), 1, MOST_NUMBER, "number of a view");
@@ -260,34 +261,35 @@
         try {
             return new View(id, members);
         } catch (IllegalArgumentException e) {
-            throw new Malformed(Malformed.Kind.GARBAGE, e.getMessage());
+            throw new MalformedMessageException(MalformedMessageException.Kind.GARBAGE, e.getMessage());
         }
     }
 
-    private static News piece(Format.Piece told) throws Malformed {
+    private static GossipUpdate piece(Format.Piece told) throws MalformedMessageException {
         return switch (told.getWhatCase()) {
             case REPORT ->
-                new News.Report(
+                new GossipUpdate.Report(
                         index(told.getReport().getMember()),
                         slot(told.getReport().getSlot()),
                         counter(told.getReport().getCounter()));
             case SUSPICION ->
-                new News.Suspicion(
+                new GossipUpdate.Suspicion(
                         index(told.getSuspicion().getMember()),
                         slot(told.getSuspicion().getSlot()),
                         counter(told.getSuspicion().getCounter()));
-            case LEAVING -> new News.Leaving(index(told.getLeaving()));
-            case JOINING -> new News.Joining(person(told.getJoining()));
+            case LEAVING -> new GossipUpdate.Leaving(index(told.getLeaving()));
+            case JOINING -> new GossipUpdate.Joining(person(told.getJoining()));
             case HEARD ->
-                new News.Heard(
+                new GossipUpdate.Heard(
                         id(told.getHeard().getJoiner()),
                         slot(told.getHeard().getSlot()),
                         counter(told.getHeard().getCounter()));
-            case FAST_VOTES -> new News.FastVotes(step(told.getFastVotes().getChange()), voters(told.getFastVotes()));
-            case PREPARE -> new News.Prepare(ballot(told.getPrepare()));
+            case FAST_VOTES ->
+                new GossipUpdate.FastVotes(step(told.getFastVotes().getChange()), voters(told.getFastVotes()));
+            case PREPARE -> new GossipUpdate.Prepare(ballot(told.getPrepare()));
             case PROMISED -> promised(told.getPromised());
             case ACCEPTED ->
-                new News.Accepted(
+                new GossipUpdate.Accepted(
                         ballot(told.getAccepted().getBallot()),
                         step(told.getAccepted().getChange()),
                         voters(told.getAccepted()));
@@ -295,20 +297,20 @@
         };
     }
 
-    private static News promised(Format.Promised told) throws Malformed {
+    private static GossipUpdate promised(Format.Promised told) throws MalformedMessageException {
         boolean voted = told.hasVoted();
-        if (voted != told.getVotedIn() >= Agreement.FAST) {
-            throw new Malformed(Malformed.Kind.GARBAGE, "a vote without its ballot");
+        if (voted != told.getVotedIn() >= ViewAgreement.FAST) {
+            throw new MalformedMessageException(MalformedMessageException.Kind.GARBAGE, "a vote without its ballot");
         }
-        return new News.Promised(
+        return new GossipUpdate.Promised(
                 ballot(told.getBallot()),
                 index(told.getMember()),
-                new Agreement.Promise(
-                        within(told.getVotedIn(), Agreement.NEVER, told.getBallot() - 1, "vote"),
+                new ViewAgreement.Promise(
+                        within(told.getVotedIn(), ViewAgreement.NEVER, told.getBallot() - 1, "vote"),
                         voted ? step(told.getVoted()) : null));
     }
 
-    private static Change step(Format.Step told) throws Malformed {
+    private static ViewChange step(Format.Step told) throws MalformedMessageException {
         within(told.getOutCount() + told.getInCount(), 1, 2 * MOST_MEMBERS, "members in a change");
         List<MemberId> out = new ArrayList<>();
         for (Format.Id one : told.getOutList()) {
@@ -318,28 +320,28 @@
         for (Format.Person one : told.getInList()) {
             in.add(person(one));
         }
-        return Change.of(out, in);
+        return ViewChange.of(out, in);
     }
 
-    private static BitSet voters(Format.Votes told) throws Malformed {
+    private static BitSet voters(Format.Votes told) throws MalformedMessageException {
         within(told.getVoters().size(), 0, MOST_MEMBERS / 8, "bytes of voters");
         return BitSet.valueOf(told.getVoters().toByteArray());
     }
 
-    private static MemberId id(Format.Id told) throws Malformed {
+    private static MemberId id(Format.Id told) throws MalformedMessageException {
         if (told.getName().isEmpty()) {
-            throw new Malformed(Malformed.Kind.GARBAGE, "no name");
+            throw new MalformedMessageException(MalformedMessageException.Kind.GARBAGE, "no name");
         }
         return new MemberId(text(told.getName()), within(told.getStart(), 0, MOST_NUMBER, "start"));
     }
 
-    private static ViewId number(Format.ViewNumber told) throws Malformed {
+    private static ViewId number(Format.ViewNumber told) throws MalformedMessageException {
         return new ViewId(
                 within(told.getEpoch(), 0, MOST_NUMBER, "epoch"),
                 within(told.getNumber(), 0, MOST_NUMBER, "number of a view"));
     }
 
-    private static Member person(Format.Person told) throws Malformed {
+    private static Member person(Format.Person told) throws MalformedMessageException {
         return new Member(
                 id(told.getId()),
                 address(told.getAddress()),
@@ -349,37 +351,37 @@
     }
 
     /** Only IPv4 addresses: to look a name up would hold the loop. */
-    private static String address(String told) throws Malformed {
+    private static String address(String told) throws MalformedMessageException {
         if (!PeerAddress.isOne(told)) {
-            throw new Malformed(Malformed.Kind.GARBAGE, "no address");
+            throw new MalformedMessageException(MalformedMessageException.Kind.GARBAGE, "no address");
         }
         return told;
     }
 
-    private static String text(String told) throws Malformed {
+    private static String text(String told) throws MalformedMessageException {
         within(told.length(), 0, MOST_TEXT, "characters");
         return told;
     }
 
-    private static int index(int told) throws Malformed {
+    private static int index(int told) throws MalformedMessageException {
         return (int) within(told, 0, MOST_MEMBERS - 1, "member");
     }
 
-    private static int slot(int told) throws Malformed {
+    private static int slot(int told) throws MalformedMessageException {
         return (int) within(told, 0, View.WATCHERS - 1, "slot");
     }
 
-    private static int counter(int told) throws Malformed {
+    private static int counter(int told) throws MalformedMessageException {
         return (int) within(told, 0, MOST_COUNTER, "counter");
     }
 
-    private static long ballot(long told) throws Malformed {
+    private static long ballot(long told) throws MalformedMessageException {
         return within(told, 1, MOST_NUMBER, "ballot");
     }
 
-    private static long within(long value, long least, long most, String what) throws Malformed {
+    private static long within(long value, long least, long most, String what) throws MalformedMessageException {
         if (value < least || value > most) {
-            throw new Malformed(Malformed.Kind.GARBAGE, what + ": " + value);
+            throw new MalformedMessageException(MalformedMessageException.Kind.GARBAGE, what + ": " + value);
         }
         return value;
     }
