--- a/server/src/main/java/wheatspread/peers/PeerCounts.java
+++ b/server/src/main/java/wheatspread/peers/PeerCounters.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** What went to and came from peers since the start, and what of it was not read. */
-public final class PeerCounts {
+public final class PeerCounters {
     private long sent;
     private long sentBytes;
     private long received;
@@ -12,7 +12,8 @@
     private long large;
     private long unsent;
     private long overRate;
-    private final Map<Malformed.Kind, Long> malformed = new EnumMap<>(Malformed.Kind.class);
+    private final Map<MalformedMessageException.Kind, Long> malformed =
+            new EnumMap<>(MalformedMessageException.Kind.class);
 
     void sent(int bytes) {
         sent++;
@@ -39,7 +40,7 @@
         overRate++;
     }
 
-    void malformed(Malformed.Kind kind) {
+    void malformed(MalformedMessageException.Kind kind) {
         malformed.merge(kind, 1L, Long::sum);
     }
 
@@ -72,7 +73,7 @@
         line(text, prefix + "large", large);
         line(text, prefix + "unsent", unsent);
         line(text, prefix + "over_rate", overRate);
-        for (Malformed.Kind kind : Malformed.Kind.values()) {
+        for (MalformedMessageException.Kind kind : MalformedMessageException.Kind.values()) {
             line(
                     text,
                     prefix + "unread_" + kind.name().toLowerCase(java.util.Locale.ROOT),
--- a/server/src/main/java/wheatspread/peers/Peers.java
+++ b/server/src/main/java/wheatspread/peers/PeerTransport.java
@@ -28,15 +28,15 @@
 import wheatspread.membership.Membership;
 import wheatspread.membership.Message;
 import wheatspread.membership.View;
-import wheatspread.sockets.Transport;
-import wheatspread.sockets.Turns;
+import wheatspread.transport.EventLoopScheduler;
+import wheatspread.transport.Transport;
 
 /**
  * The thin I/O under {@link Membership}: datagrams, a stream for what does not fit in one, and its turns.
- * All of it runs on the one event loop and holds it only for a message at a time, of which {@link RateLimit}
+ * All of it runs on the one event loop and holds it only for a message at a time, of which {@link InboundRateLimit}
  * bounds the number.
  */
-public final class Peers {
+public final class PeerTransport {
     /** What goes in one datagram on any network. */
     static final int MOST_DATAGRAM = 1_200;
 
@@ -55,8 +55,8 @@
     private final InetSocketAddress listen;
     private final MessageCodec codec;
     private final Membership membership;
-    private final PeerCounts counts = new PeerCounts();
-    private final RateLimit rate = new RateLimit();
+    private final PeerCounters counts = new PeerCounters();
+    private final InboundRateLimit rate = new InboundRateLimit();
     private LinkFilter links = LinkFilter.NONE;
     private Channel datagrams;
     private Channel streams;
@@ -67,7 +67,7 @@
     private boolean closed;
 
     /** {@code self} says where others reach this server, which listens at {@code listen}. */
-    public Peers(
+    public PeerTransport(
             String cluster,
             InetSocketAddress listen,
             Member self,
@@ -133,13 +133,13 @@
             return;
         }
         begun = true;
-        membership.start(Turns.micros());
+        membership.start(EventLoopScheduler.micros());
         plan();
     }
 
     /** An operator's order to found the fleet anew; why not, or null. On the loop's thread. */
     public String found() {
-        String refused = membership.found(Turns.micros());
+        String refused = membership.found(EventLoopScheduler.micros());
         plan();
         return refused;
     }
@@ -168,7 +168,7 @@
         return membership;
     }
 
-    public PeerCounts counts() {
+    public PeerCounters counts() {
         return counts;
     }
 
@@ -185,7 +185,7 @@
         }
         timerAt = next;
         if (next != Long.MAX_VALUE) {
-            timer = clock.after(Math.max(0, next - Turns.micros()), this::turn);
+            timer = clock.after(Math.max(0, next - EventLoopScheduler.micros()), this::turn);
         }
     }
 
@@ -193,7 +193,7 @@
         timer = null;
         timerAt = Long.MAX_VALUE;
         if (!closed) {
-            membership.turn(Turns.micros());
+            membership.turn(EventLoopScheduler.micros());
             plan();
         }
     }
@@ -201,7 +201,7 @@
     private void read(ByteBuf bytes) {
         int length = bytes.readableBytes();
         counts.received(length);
-        if (closed || !rate.take(Turns.micros())) {
+        if (closed || !rate.take(EventLoopScheduler.micros())) {
             counts.overRate();
             return;
         }
@@ -210,9 +210,9 @@
             if (!links.receives(told.address())) {
                 return;
             }
-            membership.received(told.address(), told.message(), Turns.micros());
+            membership.received(told.address(), told.message(), EventLoopScheduler.micros());
             plan();
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
             counts.malformed(e.kind());
         }
     }
@@ -272,7 +272,7 @@
 
         @Override
         public long unixMillis() {
-            return clock.now() / 1_000;
+            return clock.nowMicros() / 1_000;
         }
     }
 
@@ -352,7 +352,7 @@
 
                                 @Override
                                 public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                                    counts.malformed(Malformed.Kind.GARBAGE);
+                                    counts.malformed(MalformedMessageException.Kind.GARBAGE);
                                     ctx.close();
                                 }
                             });
--- a/server/src/main/java/wheatspread/records/RecordsClient.java
+++ b/server/src/main/java/wheatspread/records/RecordsClient.java
@@ -16,9 +16,9 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
-import wheatspread.admission.Admission.Outcome;
+import wheatspread.admission.Outcome;
 import wheatspread.core.Clock;
-import wheatspread.core.Records;
+import wheatspread.core.RecordsService;
 import wheatspread.logging.EventLog;
 
 /**
@@ -26,7 +26,7 @@
  * spoilt or never comes makes its connection useless to all that is on it, so each call has one to itself
  * as long as there are enough of them.
  */
-public final class RecordsClient implements Records {
+public final class RecordsClient implements RecordsService {
     /** Unused for longer, a connection may be closed or forgotten by the service, which would cost a call. */
     private static final long IDLE_MOST = 1_000_000;
     /** A connection that hangs longer counts as refused: nothing was sent on it. */
@@ -155,7 +155,7 @@
         private final Set<String> seen = new HashSet<>();
 
         private Channel channel;
-        private long usedAt = clock.now();
+        private long usedAt = clock.nowMicros();
 
         void open() {
             clients.clone()
@@ -175,7 +175,7 @@
         }
 
         long idleFor() {
-            return pending.isEmpty() ? clock.now() - usedAt : 0;
+            return pending.isEmpty() ? clock.nowMicros() - usedAt : 0;
         }
 
         void close() {
@@ -200,7 +200,7 @@
         }
 
         void add(Pending call) {
-            usedAt = clock.now();
+            usedAt = clock.nowMicros();
             seen.add(call.job);
             pending.put(call.job, call);
             if (channel != null) {
@@ -243,7 +243,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ReplyDecoder.Reply reply) {
-            usedAt = clock.now();
+            usedAt = clock.nowMicros();
             Pending call = pending.remove(reply.job());
             if (call != null) {
                 call.listener.ended(outcome(reply.word()), reply.body());
--- a/server/src/main/java/wheatspread/turns/TurnLimits.java
+++ b/server/src/main/java/wheatspread/scheduling/IterationBudget.java
@@ -1,4 +1,4 @@
-package wheatspread.turns;
+package wheatspread.scheduling;
 
 /**
  * What one turn of the event loop may spend on new requests.
@@ -11,8 +11,8 @@
  * @param crowd so many sleepers that wait at once are a crowd, see {@link CrowdGate}
  * @param mostExpiring timers, and connections whose limit is over, that a turn deals with
  */
-public record TurnLimits(
+public record IterationBudget(
         int mostBytes, int mostRequests, int mostMicros, long lately, int sleepersPart, int crowd, int mostExpiring) {
     /** What holds unless an operator's file says otherwise. */
-    public static final TurnLimits USUAL = new TurnLimits(256 * 1024, 128, 4_000, 5_000_000, 8, 64, 16);
+    public static final IterationBudget USUAL = new IterationBudget(256 * 1024, 128, 4_000, 5_000_000, 8, 64, 16);
 }
--- a/server/src/main/java/wheatspread/turns/Ready.java
+++ b/server/src/main/java/wheatspread/scheduling/PendingRead.java
@@ -1,14 +1,14 @@
-package wheatspread.turns;
+package wheatspread.scheduling;
 
-/** A connection with something to read, as {@link ReadOrder} queues it. */
-public abstract class Ready {
-    Ready next;
+/** A connection with something to read, as {@link ReadScheduler} queues it. */
+public abstract class PendingRead {
+    PendingRead next;
     boolean sleeper;
-    int queue = ReadOrder.NONE;
+    int queue = ReadScheduler.NONE;
 
     /** Whether it waits to be read. */
     public final boolean isQueued() {
-        return queue != ReadOrder.NONE;
+        return queue != ReadScheduler.NONE;
     }
 
     /** Whether it was queued as a sleeper when it was queued last. */
--- a/server/src/main/java/wheatspread/turns/ReadOrder.java
+++ b/server/src/main/java/wheatspread/scheduling/ReadScheduler.java
@@ -1,4 +1,4 @@
-package wheatspread.turns;
+package wheatspread.scheduling;
 
 /**
  * Which connections are read in a turn of the event loop, in what order, and when the turn has read enough.
@@ -6,16 +6,16 @@
  * they became ready. Sleepers get a small part of every turn whatever the others do. It does no I/O and reads
  * no clock.
  */
-public final class ReadOrder {
+public final class ReadScheduler {
     static final int NONE = -1;
     private static final int OPEN = 0;
     private static final int LATELY = 1;
     private static final int SLEEPER = 2;
     private static final int QUEUES = 3;
 
-    private final TurnLimits limits;
-    private final Ready[] first = new Ready[QUEUES];
-    private final Ready[] last = new Ready[QUEUES];
+    private final IterationBudget limits;
+    private final PendingRead[] first = new PendingRead[QUEUES];
+    private final PendingRead[] last = new PendingRead[QUEUES];
     private final int[] sizes = new int[QUEUES];
     private long startedAt;
     private int bytes;
@@ -25,12 +25,12 @@
     private long exhausted;
     private long sleepers;
 
-    public ReadOrder(TurnLimits limits) {
+    public ReadScheduler(IterationBudget limits) {
         this.limits = limits;
     }
 
     /** A connection has something to read. */
-    public void add(Ready ready, long now) {
+    public void add(PendingRead ready, long now) {
         if (ready.queue != NONE) {
             return;
         }
@@ -63,7 +63,7 @@
     }
 
     /** The next connection to read, which is queued no longer; null if there is none or the turn is over. */
-    public Ready take(long now) {
+    public PendingRead take(long now) {
         if (isEmpty()) {
             return null;
         }
@@ -85,7 +85,7 @@
         if (queue == SLEEPER) {
             sinceSleeper = 0;
         }
-        Ready ready = first[queue];
+        PendingRead ready = first[queue];
         first[queue] = ready.next;
         if (first[queue] == null) {
             last[queue] = null;
--- a/server/src/main/java/wheatspread/turns/CrowdGate.java
+++ b/server/src/main/java/wheatspread/scheduling/ReconnectBurstLimiter.java
@@ -1,4 +1,4 @@
-package wheatspread.turns;
+package wheatspread.scheduling;
 
 import java.util.SplittableRandom;
 
@@ -9,7 +9,7 @@
  * additive increase and multiplicative decrease (D. Chiu and R. Jain, 1989): one more for each that was
  * served, half as many once anybody is refused. It does no I/O and reads no clock; times are microseconds.
  */
-public final class CrowdGate {
+public final class ReconnectBurstLimiter {
     private static final int LEAST = 4;
     private static final int FIRST = 16;
     private static final int MOST = 512;
@@ -26,7 +26,7 @@
     private long turnedAway;
 
     /** So many sleepers that wait to be read make a crowd; the seed spreads when they come back. */
-    public CrowdGate(int crowd, long seed) {
+    public ReconnectBurstLimiter(int crowd, long seed) {
         this.crowd = crowd;
         random = new SplittableRandom(seed);
     }
--- a/server/src/main/java/wheatspread/store/BackgroundLoop.java
+++ b/server/src/main/java/wheatspread/store/BackgroundLoop.java
@@ -18,7 +18,7 @@
     @Override
     public void run() {
         RateLimiter rateLimiter = new RateLimiter(settings.compactBytesPerS(), time.nanos());
-        for (Job job = queue.awaitJob(); job != null; job = queue.awaitJob()) {
+        for (MaintenanceJob job = queue.awaitJob(); job != null; job = queue.awaitJob()) {
             IOException failure = null;
             try {
                 if (!runSteps(job, rateLimiter)) {
@@ -34,7 +34,7 @@
     }
 
     /** Runs a job to its end; false if the store closes before. */
-    private boolean runSteps(Job job, RateLimiter rateLimiter) throws IOException {
+    private boolean runSteps(MaintenanceJob job, RateLimiter rateLimiter) throws IOException {
         while (job.step()) {
             LockSupport.parkNanos(rateLimiter.delayAfter(job.bytesMoved, time.nanos()));
             if (queue.isClosing()) {
--- a/server/src/main/java/wheatspread/store/CheckpointJob.java
+++ b/server/src/main/java/wheatspread/store/CheckpointJob.java
@@ -11,11 +11,11 @@
  * newer than the place of the log that the checkpoint names, and what the log says behind that place puts
  * it right.
  */
-final class CheckpointJob extends Job {
+final class CheckpointJob extends MaintenanceJob {
     private static final int CHUNK = 4_096;
 
     private final Disk disk;
-    private final Catalog catalog;
+    private final SegmentCatalog catalog;
     private final String name;
     private final int segment;
     private final int offset;
@@ -34,7 +34,7 @@
      * @param segment all of the log before this number and offset is in the index
      * @param waits whether the writer has to sync, and then {@link #publish}
      */
-    CheckpointJob(Disk disk, Catalog catalog, long number, int segment, int offset, long nowMs, boolean waits) {
+    CheckpointJob(Disk disk, SegmentCatalog catalog, long number, int segment, int offset, long nowMs, boolean waits) {
         this.disk = disk;
         this.catalog = catalog;
         this.name = Layout.checkpoint(number);
--- a/server/src/main/java/wheatspread/store/Checkpoints.java
+++ b/server/src/main/java/wheatspread/store/Checkpoints.java
@@ -35,8 +35,8 @@
 
     /** One frame of a checkpoint; behind the last one stands its size in 4 bytes. */
     static ByteBuffer frame(Format.CheckpointFrame frame, boolean last) {
-        ByteBuffer bytes = ByteBuffer.allocate(Frames.sizeOf(frame.getSerializedSize()) + (last ? 4 : 0));
-        Frames.write(ByteBuffer.wrap(frame.toByteArray()), bytes);
+        ByteBuffer bytes = ByteBuffer.allocate(RecordFraming.sizeOf(frame.getSerializedSize()) + (last ? 4 : 0));
+        RecordFraming.write(ByteBuffer.wrap(frame.toByteArray()), bytes);
         if (last) {
             bytes.putInt(bytes.position());
         }
@@ -49,25 +49,25 @@
     /** The seed of a checkpoint, for a store none of whose segments tells it. */
     static long seedOf(Disk disk, String name, LongSupplier otherwise) throws IOException {
         try (DiskFile file = disk.open(name)) {
-            Window window = new Window(file, file.size());
+            ReadWindow window = new ReadWindow(file, file.size());
             Format.CheckpointFrame head = isOurs(window) ? read(window, PREAMBLE) : null;
             return head != null && head.hasHead() ? head.getHead().getSeed() : otherwise.getAsLong();
         }
     }
 
-    private static boolean isOurs(Window window) throws IOException {
+    private static boolean isOurs(ReadWindow window) throws IOException {
         return window.at(0, PREAMBLE).remaining() >= PREAMBLE
                 && window.at(0, PREAMBLE).slice(0, PREAMBLE).equals(preamble());
     }
 
     /** The frame at a place, or null. */
-    private static Format.CheckpointFrame read(Window window, long at) throws IOException {
-        ByteBuffer head = window.at(at, Frames.HEAD);
-        if (head.remaining() < Frames.HEAD || head.getInt(0) < 0 || head.getInt(0) > Frames.LONGEST) {
+    private static Format.CheckpointFrame read(ReadWindow window, long at) throws IOException {
+        ByteBuffer head = window.at(at, RecordFraming.HEAD);
+        if (head.remaining() < RecordFraming.HEAD || head.getInt(0) < 0 || head.getInt(0) > RecordFraming.LONGEST) {
             return null;
         }
         ByteBuffer[] body = new ByteBuffer[1];
-        if (Frames.read(window.at(at, Frames.HEAD + head.getInt(0)), body) != Frames.Found.WHOLE) {
+        if (RecordFraming.read(window.at(at, RecordFraming.HEAD + head.getInt(0)), body) != RecordFraming.Found.WHOLE) {
             return null;
         }
         try {
@@ -78,12 +78,12 @@
     }
 
     /** Fills the index of a catalog, which must be empty; null if the checkpoint does not hold. */
-    static Loaded load(Disk disk, String name, Catalog into) throws IOException {
+    static Loaded load(Disk disk, String name, SegmentCatalog into) throws IOException {
         try (DiskFile file = disk.open(name)) {
             long size = file.size();
             ByteBuffer tail = ByteBuffer.allocate(4);
             file.read(tail, Math.max(0, size - 4));
-            Window window = new Window(file, size - 4);
+            ReadWindow window = new ReadWindow(file, size - 4);
             if (size < PREAMBLE + 4 || !isOurs(window)) {
                 return null;
             }
@@ -104,7 +104,7 @@
             // an entry takes 28 bytes here, so that no wrong number asks for more than the file has
             into.index.reserve((int) Math.min(end.getEnd().getEntries(), size / 28));
             long entries = 0;
-            long at = PREAMBLE + Frames.sizeOf(head.getSerializedSize());
+            long at = PREAMBLE + RecordFraming.sizeOf(head.getSerializedSize());
             while (at < endAt) {
                 Format.CheckpointFrame some = read(window, at);
                 if (some == null || !some.hasEntries()) {
@@ -114,7 +114,7 @@
                 if (!loaded.entries(some.getEntries(), into.index)) {
                     return null;
                 }
-                at += Frames.sizeOf(some.getSerializedSize());
+                at += RecordFraming.sizeOf(some.getSerializedSize());
             }
             into.doubts.load(end.getEnd());
             return at == endAt && entries == end.getEnd().getEntries() ? loaded : null;
@@ -125,13 +125,13 @@
     static final class Loaded {
         private final int segment;
         private final int offset;
-        private final Catalog catalog;
+        private final SegmentCatalog catalog;
         private final Map<SegmentName, Known> known = new HashMap<>();
         private final Map<Integer, SegmentName> names = new HashMap<>();
         private final Map<Integer, Integer> ids = new HashMap<>();
         private final Set<Integer> stale = new HashSet<>();
 
-        private Loaded(Format.CheckpointHead head, Catalog catalog) {
+        private Loaded(Format.CheckpointHead head, SegmentCatalog catalog) {
             segment = head.getSegment();
             offset = head.getOffset();
             this.catalog = catalog;
@@ -184,7 +184,7 @@
                     return false;
                 }
                 // what came behind the place is read from the log, which may have lost it
-                if (Doubts.compare(name.first(), some.getOffsets(i), segment, offset) < 0) {
+                if (SuspectedLosses.compare(name.first(), some.getOffsets(i), segment, offset) < 0) {
                     index.add(
                             some.getHashes(i),
                             Index.at(ids.get(some.getFiles(i)), some.getOffsets(i)),
--- a/server/src/main/java/wheatspread/store/CompactionJob.java
+++ b/server/src/main/java/wheatspread/store/CompactionJob.java
@@ -16,7 +16,7 @@
  * of it is on the disk; until then, and until every entry points to it, the old ones stand. A crash at any
  * moment leaves the old files, or the new one with or without them, and each of these says the same.
  */
-final class CompactionJob extends Job {
+final class CompactionJob extends MaintenanceJob {
     private static final int GROUP = 64 << 10;
     private static final int PIECE = 128 << 10;
     private static final int SYNC_EVERY = 1 << 20;
@@ -34,7 +34,7 @@
     private record Loss(LongArrayList hashes, boolean all, int place, long from) {}
 
     private final Disk disk;
-    private final Catalog catalog;
+    private final SegmentCatalog catalog;
     private final List<Segment> run;
     private final Parameters parameters;
     private final GroupEncoder group = new GroupEncoder();
@@ -56,7 +56,7 @@
     private boolean begun;
     private boolean dropsDoubts;
 
-    CompactionJob(Disk disk, Catalog catalog, List<Segment> run, Parameters parameters) {
+    CompactionJob(Disk disk, SegmentCatalog catalog, List<Segment> run, Parameters parameters) {
         this.disk = disk;
         this.catalog = catalog;
         this.run = List.copyOf(run);
@@ -80,7 +80,7 @@
             begun = true;
             disk.delete(newName());
             out = disk.create(newName());
-            write(Headers.write(parameters.name(), catalog.seed, parameters.mark(), parameters.nowMs()));
+            write(FileHeader.write(parameters.name(), catalog.seed, parameters.mark(), parameters.nowMs()));
             group.begin(MOST_RECORDS);
             return true;
         }
@@ -122,14 +122,15 @@
                 long hash = catalog.hash(at);
                 long from = Index.at(run.get(input).id, (int) at.at);
                 long expires = record.getExpiresMs();
-                if (Catalog.isOver(expires, parameters.nowMs())) {
+                if (SegmentCatalog.isOver(expires, parameters.nowMs())) {
                     // an older value must not come back, whether or not this one has been counted out
                     expired.addLong(hash);
                     expired.addLong(from);
                     delete(at);
                 } else if (catalog.index.has(hash, from)) {
                     int place = group.add(hash, record);
-                    pending.add(new Copy(hash, from, place, group.length(place), Catalog.expirySeconds(expires)));
+                    pending.add(
+                            new Copy(hash, from, place, group.length(place), SegmentCatalog.expirySeconds(expires)));
                     records++;
                     latestExpiry = Math.max(latestExpiry, expires == 0 ? Segment.NEVER : expires);
                 }
@@ -145,7 +146,7 @@
                 }
             }
             case DOUBT -> {
-                if (!dropsDoubts && !Catalog.isOver(record.getDoubt().getUntilMs(), parameters.nowMs())) {
+                if (!dropsDoubts && !SegmentCatalog.isOver(record.getDoubt().getUntilMs(), parameters.nowMs())) {
                     group.add(0, record);
                 }
             }
@@ -236,7 +237,7 @@
                 if (catalog.index.move(
                         moves.getLong(installed), moves.getLong(installed + 1), to, (int) (packed >>> 32), (int)
                                 packed)) {
-                    result.liveBytes += Catalog.weight(packed >>> 32);
+                    result.liveBytes += SegmentCatalog.weight(packed >>> 32);
                 }
             }
         }
--- a/server/src/main/java/wheatspread/store/CompactionPlanner.java
+++ b/server/src/main/java/wheatspread/store/CompactionPlanner.java
@@ -16,7 +16,7 @@
     private final Disk disk;
     private final StoreSettings settings;
     private final LongSupplier random;
-    private final Catalog catalog;
+    private final SegmentCatalog catalog;
     private final SegmentWriter writer;
     private final CompactionPolicy policy;
     /** The numbers before which files are missing. */
@@ -102,7 +102,7 @@
                 run,
                 new CompactionJob.Parameters(
                         new SegmentName(first, last, generation),
-                        Headers.newMark(random),
+                        FileHeader.newMark(random),
                         catalog.isExpiredBefore(first, nowMs),
                         originalsBefore(first),
                         nowMs,
--- a/server/src/main/java/wheatspread/store/CompactionPolicy.java
+++ b/server/src/main/java/wheatspread/store/CompactionPolicy.java
@@ -18,7 +18,7 @@
     static final double LEAST_UNDER_PRESSURE = 0.05;
 
     /** What any file takes that holds one group: its header, the group's frame and the seal. */
-    private static final long FIXED = Headers.SIZE + 96;
+    private static final long FIXED = FileHeader.SIZE + 96;
 
     /** What is known of one sealed segment; {@code latestExpiryMs} is that of its last living record. */
     record Candidate(long bytes, long liveBytes, long latestExpiryMs) {}
--- a/server/src/main/java/wheatspread/store/DeleteJob.java
+++ b/server/src/main/java/wheatspread/store/DeleteJob.java
@@ -8,7 +8,7 @@
 import wheatspread.disk.Disk;
 
 /** Takes away files that nothing needs, and sets damaged ones aside. */
-final class DeleteJob extends Job {
+final class DeleteJob extends MaintenanceJob {
     private final Disk disk;
     private final Deque<String> left;
     private final List<String> names;
--- a/server/src/main/java/wheatspread/store/DiskSpace.java
+++ b/server/src/main/java/wheatspread/store/DiskSpace.java
@@ -11,7 +11,7 @@
     private final Disk disk;
     private final StoreSettings settings;
     private final EventLog log;
-    private final Catalog catalog;
+    private final SegmentCatalog catalog;
     private final AuxiliaryFiles files;
     private final MaintenanceJobs jobs;
     private final WriteState state;
--- a/server/src/main/java/wheatspread/store/ExpirySweep.java
+++ b/server/src/main/java/wheatspread/store/ExpirySweep.java
@@ -8,7 +8,7 @@
     private static final int CELLS_AT_ONCE = 8_192;
     private static final long EVERY_MS = 10;
 
-    private final Catalog catalog;
+    private final SegmentCatalog catalog;
     private final StoreStats.Counters counters;
     private long sweptAt = Long.MIN_VALUE / 2;
     private int table;
--- a/server/src/main/java/wheatspread/store/Headers.java
+++ b/server/src/main/java/wheatspread/store/FileHeader.java
@@ -9,7 +9,7 @@
 import wheatspread.disk.DiskFile;
 
 /** The begin of a file: twice the same block, so that one damaged place leaves the other. No state. */
-final class Headers {
+final class FileHeader {
     /** Bytes before the first group. */
     static final int SIZE = 256;
 
@@ -17,7 +17,7 @@
     private static final byte[] MAGIC = "wheatlog".getBytes(StandardCharsets.US_ASCII);
     private static final int BLOCK = SIZE / 2;
 
-    private Headers() {}
+    private FileHeader() {}
 
     /** A mark for a new file, which begins every group of it; 0 stands for none. */
     static long newMark(LongSupplier random) {
@@ -37,7 +37,7 @@
         ByteBuffer all = ByteBuffer.allocate(SIZE);
         for (int at = 0; at < SIZE; at += BLOCK) {
             all.position(at).put(MAGIC).putInt(VERSION);
-            Frames.write(ByteBuffer.wrap(header.toByteArray()), all);
+            RecordFraming.write(ByteBuffer.wrap(header.toByteArray()), all);
         }
         return all.clear();
     }
@@ -59,7 +59,7 @@
             block.get(magic);
             versions[i] = Arrays.equals(magic, MAGIC) ? block.getInt() : 0;
             ByteBuffer[] body = new ByteBuffer[1];
-            if (versions[i] == VERSION && Frames.read(block, body) == Frames.Found.WHOLE) {
+            if (versions[i] == VERSION && RecordFraming.read(block, body) == RecordFraming.Found.WHOLE) {
                 return checked(parse(body[0]), name);
             }
         }
--- a/server/src/main/java/wheatspread/store/GroupEncoder.java
+++ b/server/src/main/java/wheatspread/store/GroupEncoder.java
@@ -99,7 +99,7 @@
 
     /** The length of the frame that {@link #add} wrote at this place. */
     int length(int at) {
-        return Frames.sizeOf(ByteBuffer.wrap(bytes).getInt(start + at));
+        return RecordFraming.sizeOf(ByteBuffer.wrap(bytes).getInt(start + at));
     }
 
     /**
@@ -124,7 +124,7 @@
                 + CodedOutputStream.computeTagSize(Format.Record.GROUP_FIELD_NUMBER)
                 + CodedOutputStream.computeUInt32SizeNoTag(groupSize)
                 + groupSize;
-        headSize = Frames.sizeOf(size);
+        headSize = RecordFraming.sizeOf(size);
         frameAt(start - headSize, size, to -> {
             to.writeEnum(Format.Record.KIND_FIELD_NUMBER, Format.Record.Kind.GROUP_VALUE);
             to.writeTag(Format.Record.GROUP_FIELD_NUMBER, WireFormat.WIRETYPE_LENGTH_DELIMITED);
@@ -161,8 +161,8 @@
                 .setKind(Format.Record.Kind.SEAL)
                 .setSeal(Format.Seal.newBuilder().setMark(mark).setAt(at))
                 .build();
-        ByteBuffer frame = ByteBuffer.allocate(Frames.sizeOf(record.getSerializedSize()));
-        Frames.write(ByteBuffer.wrap(record.toByteArray()), frame);
+        ByteBuffer frame = ByteBuffer.allocate(RecordFraming.sizeOf(record.getSerializedSize()));
+        RecordFraming.write(ByteBuffer.wrap(record.toByteArray()), frame);
         return frame.flip();
     }
 
@@ -175,7 +175,7 @@
     private int frame(long hash, int size, Body body) {
         hashes.addLong(hash);
         int at = end;
-        end += Frames.sizeOf(size);
+        end += RecordFraming.sizeOf(size);
         if (end > bytes.length) {
             bytes = Arrays.copyOf(bytes, Math.max(end, bytes.length * 2));
         }
@@ -185,12 +185,12 @@
 
     private void frameAt(int at, int size, Body body) {
         try {
-            CodedOutputStream to = CodedOutputStream.newInstance(bytes, at + Frames.HEAD, size);
+            CodedOutputStream to = CodedOutputStream.newInstance(bytes, at + RecordFraming.HEAD, size);
             body.to(to);
             to.checkNoSpaceLeft();
         } catch (IOException e) {
             throw new UncheckedIOException(e); // an array has no disk
         }
-        Frames.close(bytes, at, size, checksum);
+        RecordFraming.close(bytes, at, size, checksum);
     }
 }
--- a/server/src/main/java/wheatspread/store/IndexUpdate.java
+++ b/server/src/main/java/wheatspread/store/IndexUpdate.java
@@ -10,9 +10,9 @@
  * replaces, for which records may have to be read; once the group is held, the entries change under one lock.
  */
 final class IndexUpdate {
-    private final Catalog catalog;
+    private final SegmentCatalog catalog;
 
-    IndexUpdate(Catalog catalog) {
+    IndexUpdate(SegmentCatalog catalog) {
         this.catalog = catalog;
     }
 
@@ -72,9 +72,9 @@
             }
             return;
         }
-        int expiry = Catalog.expirySeconds(write.expiresMs);
+        int expiry = SegmentCatalog.expirySeconds(write.expiresMs);
         segment.countRecord(write.expiresMs);
-        segment.liveBytes += Catalog.weight(write.length);
+        segment.liveBytes += SegmentCatalog.weight(write.length);
         if (old[0] == 0 || !catalog.index.move(write.hash, old[0], at, write.length, expiry)) {
             catalog.index.add(write.hash, at, write.length, expiry);
         }
--- a/server/src/main/java/wheatspread/store/Log.java
+++ b/server/src/main/java/wheatspread/store/Log.java
@@ -17,7 +17,7 @@
     private static final long TICK_EVERY_MS = 50;
 
     private final Closeable lock;
-    private final Catalog catalog;
+    private final SegmentCatalog catalog;
     private final Recovery.Report recovered;
     private final WriteState state = new WriteState();
     private final StoreStats.Counters counters = new StoreStats.Counters();
@@ -134,7 +134,7 @@
     }
 
     /** What should be done beside the writing now, or null. One job at a time. */
-    Job nextJob(long nowMs) {
+    MaintenanceJob nextJob(long nowMs) {
         return jobs.next(nowMs, space::usedBytes, !state.mustRecover());
     }
 
@@ -175,7 +175,7 @@
         return state.mode();
     }
 
-    Catalog catalog() {
+    SegmentCatalog catalog() {
         return catalog;
     }
 
--- a/server/src/main/java/wheatspread/store/Job.java
+++ b/server/src/main/java/wheatspread/store/MaintenanceJob.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 
 /** Work beside the writer's, done piece by piece on another thread, and ended on the writer's. */
-abstract class Job {
+abstract class MaintenanceJob {
     /** Bytes read and written by the last piece. */
     long bytesMoved;
 
--- a/server/src/main/java/wheatspread/store/MaintenanceJobs.java
+++ b/server/src/main/java/wheatspread/store/MaintenanceJobs.java
@@ -19,14 +19,14 @@
     private final Disk disk;
     private final StoreSettings settings;
     private final EventLog log;
-    private final Catalog catalog;
+    private final SegmentCatalog catalog;
     private final SegmentWriter writer;
     private final CompactionPlanner compactions;
     private final CheckpointProgress checkpoints;
     private final AuxiliaryFiles files;
     private final StoreStats.Counters counters;
     /** The job in hand; null if there is none. */
-    private Job job;
+    private MaintenanceJob job;
     /** The steps of the job are done, and what it made is being installed. */
     private boolean installing;
 
@@ -53,7 +53,7 @@
     // ---- what is to be done ----
 
     /** Begins the job that should be done now, if there is one and none is in hand; null otherwise. */
-    Job next(long nowMs, LongSupplier usedBytes, boolean mayCheckpoint) {
+    MaintenanceJob next(long nowMs, LongSupplier usedBytes, boolean mayCheckpoint) {
         if (job != null || nowMs < retryAt) {
             return null;
         }
@@ -134,7 +134,7 @@
         }
     }
 
-    private static void runSteps(Job job) throws IOException {
+    private static void runSteps(MaintenanceJob job) throws IOException {
         while (job.step()) {
             continue;
         }
--- a/server/src/main/java/wheatspread/store/Offline.java
+++ b/server/src/main/java/wheatspread/store/OfflineTools.java
@@ -9,10 +9,10 @@
 import wheatspread.logging.EventLog;
 
 /** What may be done to a store that no process has open. Times are milliseconds since 1970. */
-public final class Offline {
+public final class OfflineTools {
     private static final SecureRandom RANDOM = new SecureRandom();
 
-    private Offline() {}
+    private OfflineTools() {}
 
     /** A file of the log. */
     public record FileLook(String name, long bytes, long liveBytes, long records, long latestExpiryMs, int cut) {}
@@ -67,11 +67,11 @@
                 List<long[]> places = new ArrayList<>();
                 log.catalog().index.copy(table, (hash, at, length, expiry) -> places.add(new long[] {at, length}));
                 for (long[] place : places) {
-                    Format.Record record = Catalog.read(
+                    Format.Record record = SegmentCatalog.read(
                             log.catalog().byId(Index.file(place[0])), Index.offset(place[0]), (int) place[1]);
                     if (record == null) {
                         unread[0]++;
-                    } else if (!Catalog.isOver(record.getExpiresMs(), nowMs)) {
+                    } else if (!SegmentCatalog.isOver(record.getExpiresMs(), nowMs)) {
                         to.accept(new Entry(
                                 record.getKey().toByteArray(), record.getValue().toByteArray(), record.getExpiresMs()));
                     }
--- a/server/src/main/java/wheatspread/store/Window.java
+++ b/server/src/main/java/wheatspread/store/ReadWindow.java
@@ -5,7 +5,7 @@
 import wheatspread.disk.DiskFile;
 
 /** A file read from its begin to its end through one buffer, which grows with the longest frame. */
-final class Window {
+final class ReadWindow {
     private static final int USUAL = 256 << 10;
 
     private final DiskFile file;
@@ -15,7 +15,7 @@
     private long read;
 
     /** @param end what is behind it is taken as not there */
-    Window(DiskFile file, long end) {
+    ReadWindow(DiskFile file, long end) {
         this.file = file;
         this.end = end;
     }
--- a/server/src/main/java/wheatspread/store/Frames.java
+++ b/server/src/main/java/wheatspread/store/RecordFraming.java
@@ -8,7 +8,7 @@
  * Castagnoli) of length and body (4 bytes), and the body. A frame is whole or it is not there: what a crash
  * leaves of the last one is told apart from damage by whether the file ends within it. No I/O.
  */
-public final class Frames {
+public final class RecordFraming {
     /** Bytes before a body. */
     public static final int HEAD = 8;
     /** The longest body; a length beyond it can only be damage. */
@@ -22,7 +22,7 @@
         DAMAGED
     }
 
-    private Frames() {}
+    private RecordFraming() {}
 
     /** How many bytes a body of this length takes. */
     public static int sizeOf(int body) {
--- a/server/src/main/java/wheatspread/store/RecordReader.java
+++ b/server/src/main/java/wheatspread/store/RecordReader.java
@@ -10,7 +10,7 @@
  * and their segments are held open until they have been read.
  */
 final class RecordReader {
-    private final Catalog catalog;
+    private final SegmentCatalog catalog;
     private final EventLog log;
 
     RecordReader(StoreContext context) {
@@ -53,15 +53,15 @@
 
     /** What the record at a place says of a key; null if it is another key's. */
     private Store.Got read(byte[] key, Place place, long nowMs) throws IOException {
-        Format.Record there = Catalog.read(place.segment(), place.offset(), place.length());
+        Format.Record there = SegmentCatalog.read(place.segment(), place.offset(), place.length());
         if (there == null) {
             log.error("store_damage", "file", place.segment().name, "at", place.offset(), "keys", 1);
             return Store.Got.DOUBTFUL;
         }
-        if (!Catalog.isKey(there, key)) {
+        if (!SegmentCatalog.isKey(there, key)) {
             return null;
         }
-        if (Catalog.isOver(there.getExpiresMs(), nowMs)) {
+        if (SegmentCatalog.isOver(there.getExpiresMs(), nowMs)) {
             return place.inDoubt() ? Store.Got.DOUBTFUL : Store.Got.ABSENT;
         }
         return new Store.Got(
--- a/server/src/main/java/wheatspread/store/Recovery.java
+++ b/server/src/main/java/wheatspread/store/Recovery.java
@@ -23,7 +23,7 @@
     private final long now;
     private final Purpose purpose;
 
-    private Catalog catalog;
+    private SegmentCatalog catalog;
     private final TreeMap<Integer, Integer> pendingCuts = new TreeMap<>();
     private final Map<Integer, Integer> cuts = new HashMap<>();
     private Layout layout;
@@ -77,14 +77,14 @@
         for (SegmentName name : layout.chain()) {
             DiskFile file = disk.open(name.toString());
             files.add(file);
-            Format.SegmentHeader header = Headers.read(file, name);
+            Format.SegmentHeader header = FileHeader.read(file, name);
             if (header != null && seed != null && header.getSeed() != seed) {
                 throw new StoreException("file " + name + " belongs to another store");
             }
             seed = header != null ? Long.valueOf(header.getSeed()) : seed;
         }
         for (String name : layout.checkpoints()) {
-            Catalog fresh = catalog(seed != null ? seed : Checkpoints.seedOf(disk, name, random), files);
+            SegmentCatalog fresh = catalog(seed != null ? seed : Checkpoints.seedOf(disk, name, random), files);
             checkpoint = Checkpoints.load(disk, name, fresh);
             if (checkpoint == null) {
                 log.warn("store_checkpoint_unusable", "file", name);
@@ -105,8 +105,8 @@
         }
     }
 
-    private Catalog catalog(long seed, List<DiskFile> files) throws IOException {
-        Catalog fresh = new Catalog(seed);
+    private SegmentCatalog catalog(long seed, List<DiskFile> files) throws IOException {
+        SegmentCatalog fresh = new SegmentCatalog(seed);
         for (int i = 0; i < files.size(); i++) {
             fresh.append(new Segment(
                     fresh.newId(),
@@ -122,9 +122,16 @@
         int last = chain.size() - 1;
         while (last >= 0 && isUnbegun(chain.get(last))) {
             Segment one = chain.get(last--);
-            if (one.bytes > Headers.SIZE) {
-                log.warn("store_torn_tail", "file", one.name, "at", Headers.SIZE, "bytes", one.bytes - Headers.SIZE);
-                cutBytes += one.bytes - Headers.SIZE;
+            if (one.bytes > FileHeader.SIZE) {
+                log.warn(
+                        "store_torn_tail",
+                        "file",
+                        one.name,
+                        "at",
+                        FileHeader.SIZE,
+                        "bytes",
+                        one.bytes - FileHeader.SIZE);
+                cutBytes += one.bytes - FileHeader.SIZE;
             }
             one.cut = 0;
             one.bytes = 0;
@@ -251,8 +258,8 @@
             case PUT -> {
                 segment.countRecord(record.getExpiresMs());
                 long hash = catalog.hash(scan);
-                boolean living = !Catalog.isOver(record.getExpiresMs(), now);
-                int expiry = Catalog.expirySeconds(record.getExpiresMs());
+                boolean living = !SegmentCatalog.isOver(record.getExpiresMs(), now);
+                int expiry = SegmentCatalog.expirySeconds(record.getExpiresMs());
                 if (again && checkpoint.repoint(catalog.index, segment, hash, at, scan.length, expiry)) {
                     return;
                 }
@@ -263,7 +270,7 @@
             case DELETE -> put(catalog.hash(scan), record.getKey().toByteArray(), at, 0, 0, false);
             case DOUBT -> {
                 Format.Doubt doubt = record.getDoubt();
-                if (!Catalog.isOver(doubt.getUntilMs(), now)) {
+                if (!SegmentCatalog.isOver(doubt.getUntilMs(), now)) {
                     LongArrayList hashes = new LongArrayList();
                     doubt.getHashesList().forEach(hashes::addLong);
                     catalog.markLost(
@@ -302,7 +309,7 @@
         }
     }
 
-    Catalog catalog() {
+    SegmentCatalog catalog() {
         return catalog;
     }
 
--- a/server/src/main/java/wheatspread/store/Catalog.java
+++ b/server/src/main/java/wheatspread/store/SegmentCatalog.java
@@ -15,16 +15,16 @@
  * The files of the log in its order, the index over them, and what is in doubt. One thread changes it; what
  * others may read is guarded by the lock of the index.
  */
-final class Catalog {
+final class SegmentCatalog {
     final Index index = new Index();
-    final Doubts doubts = new Doubts();
+    final SuspectedLosses doubts = new SuspectedLosses();
     final long seed;
     private final Hasher64 hasher;
     private final List<Segment> chain = new ArrayList<>();
     private final Map<Integer, Segment> byId = new HashMap<>();
     private int ids;
 
-    Catalog(long seed) {
+    SegmentCatalog(long seed) {
         this.seed = seed;
         hasher = Hashing.polymurHash2_0(seed, seed ^ 0x9E3779B97F4A7C15L);
     }
@@ -131,7 +131,7 @@
 
     /** Whether one place of the log is before another; both in files that are known. */
     boolean isBefore(long at, long other) {
-        return Doubts.compare(
+        return SuspectedLosses.compare(
                         byId.get(Index.file(at)).name.first(),
                         Index.offset(at),
                         byId.get(Index.file(other)).name.first(),
@@ -174,7 +174,7 @@
         ByteBuffer bytes = ByteBuffer.allocate(length);
         segment.file.read(bytes, Integer.toUnsignedLong(offset));
         ByteBuffer[] body = new ByteBuffer[1];
-        if (Frames.read(bytes.flip(), body) != Frames.Found.WHOLE || bytes.hasRemaining()) {
+        if (RecordFraming.read(bytes.flip(), body) != RecordFraming.Found.WHOLE || bytes.hasRemaining()) {
             return null;
         }
         try {
--- a/server/src/main/java/wheatspread/store/SegmentScan.java
+++ b/server/src/main/java/wheatspread/store/SegmentScan.java
@@ -46,10 +46,10 @@
     /** A seal holds nothing that could be lost: with so many wrong bits it can still be nothing else. */
     private static final int SEAL_TOLERANCE = 8;
     /** Bytes between the begin of a group's frame and its mark: head, kind, tag and length, tag. */
-    private static final int SMALLEST_GROUP = Frames.HEAD + 25;
+    private static final int SMALLEST_GROUP = RecordFraming.HEAD + 25;
 
     private final DiskFile file;
-    private final Window window;
+    private final ReadWindow window;
     private final boolean durable;
     private final boolean sealed;
     private final boolean cut;
@@ -83,21 +83,21 @@
         this.file = file;
         long size = file.size();
         this.cut = cut != UNCUT;
-        Format.SegmentHeader header = cut == 0 ? null : Headers.read(file, name);
+        Format.SegmentHeader header = cut == 0 ? null : FileHeader.read(file, name);
         mark = header == null ? 0 : header.getMark();
         sealed = header != null && !this.cut && isSealed(size);
         long limit = sealed ? size - SEAL_SIZE : this.cut ? Math.min(cut, size) : size;
-        window = new Window(file, limit);
+        window = new ReadWindow(file, limit);
         // a rewritten file is synced before it has its name
         durable = sealed || this.cut || !newest || !name.isOriginal();
-        next = Math.max(from, Headers.SIZE);
+        next = Math.max(from, FileHeader.SIZE);
         groupEnd = next;
         tailLost = this.cut && size < cut; // acknowledged once, and not there
         if (header == null && cut != 0) {
             ended = true;
             end = End.VOID;
             at = 0;
-            tailLost = size > Headers.SIZE || cut > Headers.SIZE || !newest && !this.cut;
+            tailLost = size > FileHeader.SIZE || cut > FileHeader.SIZE || !newest && !this.cut;
         }
     }
 
@@ -112,7 +112,7 @@
 
     private boolean isSealed(long size) throws IOException {
         long from = size - SEAL_SIZE;
-        if (from < Headers.SIZE) {
+        if (from < FileHeader.SIZE) {
             return false;
         }
         ByteBuffer bytes = ByteBuffer.allocate(SEAL_SIZE);
@@ -191,11 +191,11 @@
         lost.clear();
         lostAll = !hashesKnown;
         at = next;
-        ByteBuffer head = window.at(next, Frames.HEAD);
-        int told = head.remaining() < Frames.HEAD ? -1 : head.getInt(0);
-        long behind = next + Frames.HEAD + told;
+        ByteBuffer head = window.at(next, RecordFraming.HEAD);
+        int told = head.remaining() < RecordFraming.HEAD ? -1 : head.getInt(0);
+        long behind = next + RecordFraming.HEAD + told;
         boolean lengthHolds = told >= 0
-                && told <= Frames.LONGEST
+                && told <= RecordFraming.LONGEST
                 && behind <= groupEnd
                 && (behind == groupEnd && index == hashes.size() - 1 || behind < groupEnd && frame(behind) != null);
         if (hashesKnown && lengthHolds && index < hashes.size()) {
@@ -219,11 +219,11 @@
         }
         at = next;
         lost.clear();
-        ByteBuffer head = window.at(next, Frames.HEAD);
-        int told = head.remaining() < Frames.HEAD ? -1 : head.getInt(0);
+        ByteBuffer head = window.at(next, RecordFraming.HEAD);
+        int told = head.remaining() < RecordFraming.HEAD ? -1 : head.getInt(0);
         long until = nextGroup(next + 1);
-        long first = next + Frames.HEAD + told;
-        if (told >= 0 && told <= Frames.LONGEST && first < until && chain(first, until)) {
+        long first = next + RecordFraming.HEAD + told;
+        if (told >= 0 && told <= RecordFraming.LONGEST && first < until && chain(first, until)) {
             next = first;
             groupEnd = until;
             hashesKnown = false;
@@ -274,10 +274,10 @@
         for (long place = from; place + SMALLEST_GROUP <= window.end(); place++) {
             ByteBuffer head = window.at(place, SMALLEST_GROUP);
             int told = head.getInt(0);
-            if (told >= SMALLEST_GROUP - Frames.HEAD
-                    && told <= Frames.LONGEST
-                    && head.get(Frames.HEAD) == 8
-                    && head.get(Frames.HEAD + 1) == Format.Record.Kind.GROUP_VALUE) {
+            if (told >= SMALLEST_GROUP - RecordFraming.HEAD
+                    && told <= RecordFraming.LONGEST
+                    && head.get(RecordFraming.HEAD) == 8
+                    && head.get(RecordFraming.HEAD + 1) == Format.Record.Kind.GROUP_VALUE) {
                 Format.Record found = frame(place);
                 if (found != null && isGroup(found, place)) {
                     return place;
@@ -295,19 +295,19 @@
 
     /** The record whose frame stands whole at a place, with {@link #length} set; null if none does. */
     private Format.Record frame(long place) throws IOException {
-        ByteBuffer head = window.at(place, Frames.HEAD);
-        if (head.remaining() < Frames.HEAD) {
+        ByteBuffer head = window.at(place, RecordFraming.HEAD);
+        if (head.remaining() < RecordFraming.HEAD) {
             return null;
         }
         int told = head.getInt(0);
-        if (told < 0 || told > Frames.LONGEST || place + Frames.HEAD + told > window.end()) {
+        if (told < 0 || told > RecordFraming.LONGEST || place + RecordFraming.HEAD + told > window.end()) {
             return null;
         }
         ByteBuffer[] body = new ByteBuffer[1];
-        if (Frames.read(window.at(place, Frames.HEAD + told), body) != Frames.Found.WHOLE) {
+        if (RecordFraming.read(window.at(place, RecordFraming.HEAD + told), body) != RecordFraming.Found.WHOLE) {
             return null;
         }
-        length = Frames.sizeOf(told);
+        length = RecordFraming.sizeOf(told);
         return parse(body[0]);
     }
 
--- a/server/src/main/java/wheatspread/store/SegmentWriter.java
+++ b/server/src/main/java/wheatspread/store/SegmentWriter.java
@@ -19,7 +19,7 @@
     private final StoreSettings settings;
     private final EventLog log;
     private final LongSupplier random;
-    private final Catalog catalog;
+    private final SegmentCatalog catalog;
     private final CheckpointProgress checkpoints;
     private final StoreStats.Counters counters;
     private final GroupEncoder group = new GroupEncoder();
@@ -76,7 +76,7 @@
 
     /** Sees that there is a segment with room for this many bytes. */
     void reserve(long size) throws IOException {
-        if (active != null && active.bytes > Headers.SIZE && active.bytes + size > settings.segmentBytes()) {
+        if (active != null && active.bytes > FileHeader.SIZE && active.bytes + size > settings.segmentBytes()) {
             seal();
         }
         if (active == null) {
@@ -101,14 +101,14 @@
         SegmentName name = SegmentName.original(nextNumber);
         disk.delete(name.toString()); // left by a creation that failed half-way
         DiskFile file = disk.create(name.toString());
-        active = new Segment(catalog.newId(), name, file, Headers.SIZE);
+        active = new Segment(catalog.newId(), name, file, FileHeader.SIZE);
         catalog.append(active);
         nextNumber++;
-        mark = Headers.newMark(random);
-        file.append(Headers.write(name, catalog.seed, mark, 0));
+        mark = FileHeader.newMark(random);
+        file.append(FileHeader.write(name, catalog.seed, mark, 0));
         file.sync();
         disk.syncNames();
-        syncedTo = Headers.SIZE;
+        syncedTo = FileHeader.SIZE;
         dirty = false;
     }
 
@@ -178,7 +178,7 @@
         Segment failed = active;
         active = null;
         dirty = false;
-        if (failed.bytes <= Headers.SIZE) {
+        if (failed.bytes <= FileHeader.SIZE) {
             discard(failed);
         } else {
             failed.cut = (int) failed.bytes;
--- a/server/src/main/java/wheatspread/store/StoreContext.java
+++ b/server/src/main/java/wheatspread/store/StoreContext.java
@@ -14,5 +14,5 @@
         StoreSettings settings,
         EventLog log,
         LongSupplier random,
-        Catalog catalog,
+        SegmentCatalog catalog,
         StoreStats.Counters counters) {}
--- a/server/src/main/java/wheatspread/store/StoreSettings.java
+++ b/server/src/main/java/wheatspread/store/StoreSettings.java
@@ -71,7 +71,7 @@
         within("segment_bytes", segmentBytes, 1 << 10, 1 << 30);
         within("max_bytes", maxBytes, 4L * segmentBytes, 1L << 50);
         within("min_free_bytes", minFreeBytes, 0, 1L << 50);
-        within("record_bytes", recordBytes, 16, Math.min(segmentBytes / 4, Frames.LONGEST / 2));
+        within("record_bytes", recordBytes, 16, Math.min(segmentBytes / 4, RecordFraming.LONGEST / 2));
         within("queue_records", queueRecords, 1, 10_000_000);
         within("queue_bytes", queueBytes, recordBytes, 1L << 32);
         within("group_records", groupRecords, 1, 100_000);
--- a/server/src/main/java/wheatspread/store/Doubts.java
+++ b/server/src/main/java/wheatspread/store/SuspectedLosses.java
@@ -9,7 +9,7 @@
  * there. Where the keys are not known, every key is in doubt whose entry is older than the damage. A doubt
  * ends when all that could have been lost has expired. No I/O, no clock; not for several threads.
  */
-final class Doubts {
+final class SuspectedLosses {
     /** Beyond so many keys, all are in doubt. */
     static final int MOST = 100_000;
 
--- a/server/src/main/java/wheatspread/store/WriterLoop.java
+++ b/server/src/main/java/wheatspread/store/WriterLoop.java
@@ -66,7 +66,7 @@
 
     private void offerJob() {
         if (queue.takesJob()) {
-            Job next = files.nextJob(time.nowMs());
+            MaintenanceJob next = files.nextJob(time.nowMs());
             if (next != null) {
                 queue.offerJob(next);
             }
--- a/server/src/main/java/wheatspread/store/WriterQueue.java
+++ b/server/src/main/java/wheatspread/store/WriterQueue.java
@@ -18,7 +18,7 @@
      *
      * @param failure null unless a step failed
      */
-    record FinishedJob(Job job, IOException failure) {}
+    record FinishedJob(MaintenanceJob job, IOException failure) {}
 
     private final StoreSettings settings;
     private final Store.Time time;
@@ -26,7 +26,7 @@
     private long waitingBytes;
     private int refusedFull;
     private boolean closing;
-    private Job offered;
+    private MaintenanceJob offered;
     private FinishedJob finished;
 
     WriterQueue(StoreSettings settings, Store.Time time) {
@@ -87,13 +87,13 @@
     }
 
     /** Offers a job to the background thread. */
-    synchronized void offerJob(Job job) {
+    synchronized void offerJob(MaintenanceJob job) {
         offered = job;
         notifyAll();
     }
 
     /** Waits for a job and returns it; null when the store closes. */
-    synchronized Job awaitJob() {
+    synchronized MaintenanceJob awaitJob() {
         while (offered == null && !closing) {
             await(this, LONGEST_WAIT_MS);
         }
--- a/server/src/main/java/wheatspread/supervisor/Spool.java
+++ b/server/src/main/java/wheatspread/supervisor/CommandSpool.java
@@ -9,21 +9,21 @@
 import java.util.stream.Stream;
 import org.json.JSONException;
 import org.json.JSONObject;
-import wheatspread.daemon.WholeFile;
+import wheatspread.daemon.AtomicFile;
 
 /**
  * How commands reach a supervisor: as files in a folder, renamed into place, so that one that was given
  * while the supervisor was dead is carried out when it comes back. An answer is a file beside the command.
  * Who may write to the folder may command the fleet; its mode is the operator's.
  */
-public final class Spool {
+public final class CommandSpool {
     private static final int LOOK_MS = 50;
     /** Commands that wait; further ones are refused. */
     private static final int MOST_WAITING = 100;
 
     private final Path folder;
 
-    public Spool(Path fleetDir) throws IOException {
+    public CommandSpool(Path fleetDir) throws IOException {
         folder = Files.createDirectories(fleetDir.resolve("commands"));
     }
 
@@ -38,7 +38,7 @@
         String name = String.format(
                 "%016d-%d", System.currentTimeMillis(), ProcessHandle.current().pid());
         Path answer = folder.resolve(name + ".done");
-        WholeFile.write(folder.resolve(name + ".json"), command + "\n");
+        AtomicFile.write(folder.resolve(name + ".json"), command + "\n");
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         while (System.nanoTime() < until) {
             try {
@@ -75,7 +75,7 @@
     /** Answers a command and takes it away; the answer first, or a crash would lose it. */
     void answer(Command command, JSONObject told) throws IOException {
         String name = command.file().getFileName().toString();
-        WholeFile.write(folder.resolve(name.replace(".json", ".done")), told + "\n");
+        AtomicFile.write(folder.resolve(name.replace(".json", ".done")), told + "\n");
         Files.deleteIfExists(command.file());
     }
 }
--- a/server/src/main/java/wheatspread/supervisor/FleetRunner.java
+++ b/server/src/main/java/wheatspread/supervisor/FleetRunner.java
@@ -9,10 +9,10 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.json.JSONException;
 import org.json.JSONObject;
-import wheatspread.config.Fields;
 import wheatspread.config.FleetConfig;
-import wheatspread.daemon.LoopClock;
-import wheatspread.fleet.Fleet;
+import wheatspread.config.JsonFields;
+import wheatspread.daemon.EventLoopClock;
+import wheatspread.fleet.FleetController;
 import wheatspread.logging.EventLog;
 
 /**
@@ -28,9 +28,9 @@
     private final AtomicBoolean askedReload = new AtomicBoolean();
     private final AtomicBoolean detached = new AtomicBoolean();
     private FleetConfig config;
-    private Fleet fleet;
+    private FleetController fleet;
     private Supervisor supervisor;
-    private Processes machine;
+    private LocalHost machine;
 
     /** Another supervisor has the fleet. */
     public static final class Busy extends Exception {
@@ -64,7 +64,7 @@
             if (lock.tryLock() == null) {
                 throw new Busy("a supervisor runs already for " + config.dir());
             }
-            machine = new Processes(config);
+            machine = new LocalHost(config);
             begin();
             try {
                 loop();
@@ -75,9 +75,9 @@
     }
 
     private void begin() throws IOException {
-        fleet = new Fleet(config.plan(), System.nanoTime(), log);
+        fleet = new FleetController(config.plan(), System.nanoTime(), log);
         supervisor = new Supervisor(fleet, machine, config.checkEvery(), log);
-        supervisor.begin(LoopClock.unixMicros());
+        supervisor.begin(EventLoopClock.unixMicros());
         log.info(
                 "supervisor_began",
                 "dir",
@@ -88,18 +88,18 @@
 
     private void loop() throws IOException, InterruptedException {
         StatusFile status = new StatusFile(config.dir());
-        Spool spool = new Spool(config.dir());
+        CommandSpool spool = new CommandSpool(config.dir());
         long nextStatus = 0;
         boolean done = false;
         while (!done && !detached.get()) {
-            long now = LoopClock.unixMicros();
+            long now = EventLoopClock.unixMicros();
             if (askedDown.getAndSet(false)) {
                 fleet.goDown(now);
             }
             if (askedReload.getAndSet(false)) {
                 readAgain();
             }
-            Spool.Command command = spool.next();
+            CommandSpool.Command command = spool.next();
             JSONObject answer = command == null ? null : carryOut(command.told(), now);
             done = supervisor.turn(now); // writes the state down, before the command counts as carried out
             if (command != null) {
@@ -146,12 +146,12 @@
         try {
             FleetConfig next = FleetConfig.readFile(config.file());
             if (!next.dir().equals(config.dir())) {
-                throw new Fields.BadValue("dir cannot change while the fleet runs");
+                throw new JsonFields.InvalidValueException("dir cannot change while the fleet runs");
             }
             config = next;
             machine.use(next);
             begin();
-        } catch (Fields.BadValue e) {
+        } catch (JsonFields.InvalidValueException e) {
             log.warn("reload_refused", "reason", e.getMessage());
         }
     }
--- a/server/src/main/java/wheatspread/supervisor/Checks.java
+++ b/server/src/main/java/wheatspread/supervisor/HealthChecks.java
@@ -19,16 +19,16 @@
 import java.util.function.Consumer;
 import org.json.JSONException;
 import org.json.JSONObject;
-import wheatspread.fleet.Member.Health;
+import wheatspread.fleet.FleetInstance.Health;
 
 /** Health checks, each on a connection of its own, as the platform's proxies make them. */
-final class Checks implements AutoCloseable {
+final class HealthChecks implements AutoCloseable {
     private static final int LONGEST_LINE = 16 * 1024;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final long timeoutMillis;
 
-    Checks(long timeoutMillis) {
+    HealthChecks(long timeoutMillis) {
         this.timeoutMillis = timeoutMillis;
     }
 
--- a/server/src/main/java/wheatspread/supervisor/Machine.java
+++ b/server/src/main/java/wheatspread/supervisor/HostOperations.java
@@ -3,15 +3,15 @@
 import java.io.IOException;
 import java.util.Map;
 import java.util.function.Consumer;
+import wheatspread.fleet.FleetInstance.Health;
 import wheatspread.fleet.FleetState;
 import wheatspread.fleet.FleetState.Found;
-import wheatspread.fleet.Member.Health;
 
 /**
  * All that a supervisor does to the machine it runs on, so that a test can let any step of it fail. One
  * thread calls it.
  */
-interface Machine {
+interface HostOperations {
     /** What was written down; null if nothing was. */
     FleetState load() throws IOException;
 
--- a/server/src/main/java/wheatspread/supervisor/Processes.java
+++ b/server/src/main/java/wheatspread/supervisor/LocalHost.java
@@ -18,28 +18,28 @@
 import org.json.JSONException;
 import org.json.JSONObject;
 import wheatspread.config.FleetConfig;
+import wheatspread.fleet.FleetInstance;
+import wheatspread.fleet.FleetInstance.Health;
 import wheatspread.fleet.FleetState;
 import wheatspread.fleet.FleetState.Found;
-import wheatspread.fleet.Member;
-import wheatspread.fleet.Member.Health;
 
 /**
  * The machine itself. Members write their logs to files of the fleet's folder, not to a pipe, so that they
  * outlive the supervisor; each holds a lock there, by which a later supervisor finds it.
  */
-final class Processes implements Machine, AutoCloseable {
+final class LocalHost implements HostOperations, AutoCloseable {
     private FleetConfig config;
     private final StateFile state;
-    private final Checks checks;
+    private final HealthChecks checks;
     private final Map<String, Process> children = new HashMap<>();
     private final Map<String, ProcessHandle> found = new HashMap<>();
     private final Queue<Runnable> answers = new ConcurrentLinkedQueue<>();
 
-    Processes(FleetConfig config) throws IOException {
+    LocalHost(FleetConfig config) throws IOException {
         this.config = config;
         Files.createDirectories(config.dir());
         state = new StateFile(config.dir().resolve("state.json"));
-        checks = new Checks(config.checkTimeout() / 1_000);
+        checks = new HealthChecks(config.checkTimeout() / 1_000);
     }
 
     /** The fleet's file was read again. */
@@ -140,7 +140,7 @@
         });
         found.forEach((name, process) -> {
             if (!process.isAlive()) {
-                ended.put(name, Member.UNKNOWN_CODE);
+                ended.put(name, FleetInstance.UNKNOWN_CODE);
             }
         });
         children.keySet().removeAll(ended.keySet());
--- a/server/src/main/java/wheatspread/supervisor/StateFile.java
+++ b/server/src/main/java/wheatspread/supervisor/StateFile.java
@@ -10,9 +10,9 @@
 import org.json.JSONArray;
 import org.json.JSONException;
 import org.json.JSONObject;
-import wheatspread.daemon.WholeFile;
+import wheatspread.daemon.AtomicFile;
+import wheatspread.fleet.FleetInstance;
 import wheatspread.fleet.FleetState;
-import wheatspread.fleet.Member;
 import wheatspread.fleet.Rollout;
 
 /**
@@ -45,7 +45,7 @@
     }
 
     void save(FleetState state) throws IOException {
-        WholeFile.writeSynced(file, write(state).toString(1) + "\n");
+        AtomicFile.writeSynced(file, write(state).toString(1) + "\n");
     }
 
     static JSONObject write(FleetState state) {
@@ -96,7 +96,7 @@
             one.getJSONArray("ends").forEach(at -> ends.add(((Number) at).longValue()));
             members.add(new FleetState.Of(
                     one.getString("name"),
-                    Member.State.valueOf(one.getString("state")),
+                    FleetInstance.State.valueOf(one.getString("state")),
                     one.getBoolean("wanted"),
                     one.getString("build"),
                     one.getInt("generation"),
--- a/server/src/main/java/wheatspread/supervisor/StatusFile.java
+++ b/server/src/main/java/wheatspread/supervisor/StatusFile.java
@@ -6,9 +6,9 @@
 import org.json.JSONArray;
 import org.json.JSONException;
 import org.json.JSONObject;
-import wheatspread.daemon.WholeFile;
-import wheatspread.fleet.Fleet;
-import wheatspread.fleet.Member;
+import wheatspread.daemon.AtomicFile;
+import wheatspread.fleet.FleetController;
+import wheatspread.fleet.FleetInstance;
 import wheatspread.fleet.Rollout;
 
 /** What a supervisor tells of its fleet, in a file that anybody may read as often as they like. */
@@ -32,13 +32,13 @@
     }
 
     void write(JSONObject status) throws IOException {
-        WholeFile.write(file, status + "\n");
+        AtomicFile.write(file, status + "\n");
     }
 
     /** Times in milliseconds; an age of -1 means never. */
-    static JSONObject of(Fleet fleet, long now) {
+    static JSONObject of(FleetController fleet, long now) {
         JSONArray members = new JSONArray();
-        for (Member one : fleet.roster().all()) {
+        for (FleetInstance one : fleet.roster().all()) {
             long age = one.age(now);
             JSONObject told = new JSONObject()
                     .put("name", one.name())
--- a/server/src/main/java/wheatspread/supervisor/Supervisor.java
+++ b/server/src/main/java/wheatspread/supervisor/Supervisor.java
@@ -6,20 +6,21 @@
 import java.util.List;
 import java.util.Map;
 import wheatspread.fleet.Action;
-import wheatspread.fleet.Fleet;
+import wheatspread.fleet.FleetController;
+import wheatspread.fleet.FleetInstance;
 import wheatspread.fleet.FleetState;
 import wheatspread.fleet.FleetState.Found;
-import wheatspread.fleet.Member;
 import wheatspread.logging.EventLog;
 
 /**
- * Carries out what a {@link Fleet} decides on a {@link Machine}. The order of each turn makes a crash at any
+ * Carries out what a {@link FleetController} decides on a {@link HostOperations}. The order of each turn makes a
+ * crash at any
  * step harmless: look, write the state down, then act. Whoever comes next finds the intent written, and the
  * processes by their locks.
  */
 final class Supervisor {
-    private final Fleet fleet;
-    private final Machine machine;
+    private final FleetController fleet;
+    private final HostOperations machine;
     private final long checkEvery;
     private final EventLog log;
     private final Map<String, Long> nextCheck = new HashMap<>();
@@ -28,7 +29,7 @@
     private long clock;
 
     /** {@code checkEvery}: microseconds between two checks of a member. */
-    Supervisor(Fleet fleet, Machine machine, long checkEvery, EventLog log) {
+    Supervisor(FleetController fleet, HostOperations machine, long checkEvery, EventLog log) {
         this.fleet = fleet;
         this.machine = machine;
         this.checkEvery = checkEvery;
@@ -59,7 +60,7 @@
         for (Map.Entry<String, Integer> end : machine.ended().entrySet()) {
             fleet.ended(end.getKey(), fleet.roster().get(end.getKey()).generation(), end.getValue(), now);
         }
-        for (Member one : List.copyOf(fleet.roster().all())) {
+        for (FleetInstance one : List.copyOf(fleet.roster().all())) {
             resolve(one);
             check(one, now);
         }
@@ -76,7 +77,7 @@
     }
 
     /** A start that an earlier supervisor may or may not have made: the lock tells as soon as it is taken. */
-    private void resolve(Member one) throws IOException {
+    private void resolve(FleetInstance one) throws IOException {
         if (fleet.isUnsure(one.name())) {
             Found found = machine.holder(one.name());
             if (found != null && found.generation() == one.generation()) {
@@ -86,8 +87,10 @@
         }
     }
 
-    private void check(Member one, long now) {
-        if (!one.lives() || one.state() == Member.State.LEAVING || nextCheck.getOrDefault(one.name(), 0L) > now) {
+    private void check(FleetInstance one, long now) {
+        if (!one.lives()
+                || one.state() == FleetInstance.State.LEAVING
+                || nextCheck.getOrDefault(one.name(), 0L) > now) {
             return;
         }
         nextCheck.put(one.name(), now + checkEvery);
@@ -95,7 +98,7 @@
         machine.check(one.name(), generation, health -> answered(one.name(), generation, health));
     }
 
-    private void answered(String name, int generation, Member.Health health) {
+    private void answered(String name, int generation, FleetInstance.Health health) {
         if (health == null) {
             fleet.unheard(name, generation, clock);
         } else {
@@ -118,7 +121,7 @@
                 fleet.spawned(name, start.generation(), machine.start(name, start.build(), start.generation()));
             } catch (IOException e) {
                 log.error("spawn_failed", "name", name, "build", start.build(), "error", e.getMessage());
-                fleet.ended(name, start.generation(), Member.UNKNOWN_CODE, now);
+                fleet.ended(name, start.generation(), FleetInstance.UNKNOWN_CODE, now);
             }
         } else if (pid > 0 && action instanceof Action.Notice) {
             machine.terminate(name, pid);
--- a/server/src/main/java/wheatspread/sockets/CallerHandle.java
+++ b/server/src/main/java/wheatspread/transport/ClientChannel.java
@@ -1,4 +1,4 @@
-package wheatspread.sockets;
+package wheatspread.transport;
 
 import io.netty.channel.IoEvent;
 import io.netty.channel.IoHandle;
@@ -9,23 +9,23 @@
 import io.netty.channel.nio.NioIoOps;
 import java.nio.channels.SelectableChannel;
 import wheatspread.connections.Connection;
-import wheatspread.turns.Ready;
+import wheatspread.scheduling.PendingRead;
 
 /**
  * Stands between the event loop and a caller's channel: what is to be written goes on at once, what is to be
  * read waits for its turn. While it waits, what the channel wants to hear of is kept from the selector, or
  * every turn would be told of it again.
  */
-public abstract class CallerHandle extends Ready implements IoHandle, IoRegistration {
+public abstract class ClientChannel extends PendingRead implements IoHandle, IoRegistration {
     protected final IoHandle handle;
-    private final Turns turns;
+    private final EventLoopScheduler turns;
     private final Connection connection;
     private IoRegistration registration;
     private IoOps wanted;
     private IoEvent event;
     private boolean muted;
 
-    protected CallerHandle(IoHandle handle, Turns turns) {
+    protected ClientChannel(IoHandle handle, EventLoopScheduler turns) {
         this.handle = handle;
         this.turns = turns;
         connection = turns.registering();
@@ -140,8 +140,8 @@
     }
 
     /** On the JDK's selectors, whose channels look at the selector's own record of what they want. */
-    static final class Nio extends CallerHandle implements NioIoHandle {
-        Nio(IoHandle handle, Turns turns) {
+    static final class Nio extends ClientChannel implements NioIoHandle {
+        Nio(IoHandle handle, EventLoopScheduler turns) {
             super(handle, turns);
         }
 
--- a/server/src/main/java/wheatspread/sockets/CallerHandler.java
+++ b/server/src/main/java/wheatspread/transport/ClientChannelHandler.java
@@ -1,4 +1,4 @@
-package wheatspread.sockets;
+package wheatspread.transport;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -9,8 +9,8 @@
 import io.netty.channel.socket.DuplexChannel;
 import io.netty.util.concurrent.Future;
 import java.io.IOException;
-import wheatspread.connections.Caller;
 import wheatspread.connections.Connection;
+import wheatspread.connections.ConnectionActions;
 import wheatspread.core.Answer;
 import wheatspread.core.Core;
 import wheatspread.core.Reply;
@@ -24,7 +24,7 @@
  * read and thrown away until the caller closes too. A close over unread bytes would have the system reset the
  * connection (RFC 1122, 4.2.2.13), and the reset takes along the answers that the caller has not read yet.
  */
-public abstract class CallerHandler extends ChannelInboundHandlerAdapter implements Caller {
+public abstract class ClientChannelHandler extends ChannelInboundHandlerAdapter implements ConnectionActions {
     protected final Listener listener;
     protected ChannelHandlerContext ctx;
     /** The beginning of a message whose end is missing; null if there is none. */
@@ -60,7 +60,7 @@
         long pendingThen = Long.MAX_VALUE;
     }
 
-    protected CallerHandler(Listener listener) {
+    protected ClientChannelHandler(Listener listener) {
         this.listener = listener;
     }
 
@@ -303,7 +303,7 @@
      * once. Then it has been answered, with a time to come back.
      */
     protected final boolean turnedAway(Core core, int kind, Reply reply) {
-        Turns turns = listener.turns();
+        EventLoopScheduler turns = listener.turns();
         if (turns.admits()) {
             return false;
         }
@@ -322,7 +322,7 @@
         if (ofCrowd) {
             listener.turns().gate().ended(kind == Answer.Kind.SERVED);
         }
-        if (kind == Answer.Kind.REFUSED) {
+        if (kind == Answer.Kind.REJECTED) {
             listener.refused();
         }
     }
--- a/server/src/main/java/wheatspread/sockets/EpollTransport.java
+++ b/server/src/main/java/wheatspread/transport/EpollTransport.java
@@ -1,4 +1,4 @@
-package wheatspread.sockets;
+package wheatspread.transport;
 
 import io.netty.channel.Channel;
 import io.netty.channel.IoEvent;
@@ -80,12 +80,12 @@
     }
 
     @Override
-    public CallerHandle defer(IoHandle handle, Turns turns) {
+    public ClientChannel defer(IoHandle handle, EventLoopScheduler turns) {
         return new Deferring(handle, turns);
     }
 
-    private static final class Deferring extends CallerHandle implements EpollIoHandle {
-        Deferring(IoHandle handle, Turns turns) {
+    private static final class Deferring extends ClientChannel implements EpollIoHandle {
+        Deferring(IoHandle handle, EventLoopScheduler turns) {
             super(handle, turns);
         }
 
--- a/server/src/main/java/wheatspread/sockets/Turns.java
+++ b/server/src/main/java/wheatspread/transport/EventLoopScheduler.java
@@ -1,4 +1,4 @@
-package wheatspread.sockets;
+package wheatspread.transport;
 
 import io.netty.channel.IoHandle;
 import io.netty.channel.IoHandler;
@@ -14,44 +14,44 @@
 import java.util.function.LongSupplier;
 import wheatspread.connections.Connection;
 import wheatspread.logging.EventLog;
+import wheatspread.scheduling.IterationBudget;
+import wheatspread.scheduling.ReadScheduler;
+import wheatspread.scheduling.ReconnectBurstLimiter;
 import wheatspread.timers.TimerWheel;
-import wheatspread.turns.CrowdGate;
-import wheatspread.turns.ReadOrder;
-import wheatspread.turns.TurnLimits;
 
 /**
  * Orders the work of each turn of the event loop. First comes what the selector brings of the kernel, the
  * records service and the listeners, and what callers take of their answers; then timers that are due, and
- * the decisions and answers that all this leads to; then new requests, as {@link ReadOrder} has them and
+ * the decisions and answers that all this leads to; then new requests, as {@link ReadScheduler} has them and
  * within its budget, and what they lead to; last the connections whose time is over. What a turn leaves
  * unread stays in the sockets.
  */
-public final class Turns implements IoHandlerFactory {
+public final class EventLoopScheduler implements IoHandlerFactory {
     /** So many handles that have to wait are kept from the selector in one turn. */
     private static final int MOST_MUTED = 1_024;
     /** Tasks behind tasks in one phase of a turn; what is left is run by the next phase. */
     private static final int MOST_SOON = 256;
 
     private final Transport transport;
-    private final TurnLimits limits;
+    private final IterationBudget limits;
     private final EventLog log;
-    private final ReadOrder order;
+    private final ReadScheduler order;
     private final TimerWheel wheel = new TimerWheel(micros());
     private final Deque<Runnable> soon = new ArrayDeque<>();
     private final Deque<Runnable> last = new ArrayDeque<>();
-    private final List<CallerHandle> unmuted = new ArrayList<>();
-    private final TurnTimes times = new TurnTimes();
+    private final List<ClientChannel> unmuted = new ArrayList<>();
+    private final IterationTimes times = new IterationTimes();
     private LongSupplier now = () -> System.currentTimeMillis() * 1_000;
-    private final CrowdGate gate;
+    private final ReconnectBurstLimiter gate;
     private Connection registering;
     private boolean sleeper;
 
-    public Turns(Transport transport, TurnLimits limits, long seed, EventLog log) {
+    public EventLoopScheduler(Transport transport, IterationBudget limits, long seed, EventLog log) {
         this.transport = transport;
         this.limits = limits;
         this.log = log;
-        order = new ReadOrder(limits);
-        gate = new CrowdGate(limits.crowd(), seed);
+        order = new ReadScheduler(limits);
+        gate = new ReconnectBurstLimiter(limits.crowd(), seed);
     }
 
     /** The clock by which connections were used, in microseconds. */
@@ -63,15 +63,15 @@
         return transport;
     }
 
-    public TurnLimits limits() {
+    public IterationBudget limits() {
         return limits;
     }
 
-    public ReadOrder order() {
+    public ReadScheduler order() {
         return order;
     }
 
-    public TurnTimes times() {
+    public IterationTimes times() {
         return times;
     }
 
@@ -126,11 +126,11 @@
         return sleeper;
     }
 
-    public CrowdGate gate() {
+    public ReconnectBurstLimiter gate() {
         return gate;
     }
 
-    void ready(CallerHandle handle) {
+    void ready(ClientChannel handle) {
         order.add(handle, now.getAsLong());
         unmuted.add(handle);
     }
@@ -168,13 +168,13 @@
     private void readCallers() {
         order.begin(micros());
         for (var ready = order.take(micros()); ready != null; ready = order.take(micros())) {
-            CallerHandle handle = (CallerHandle) ready;
+            ClientChannel handle = (ClientChannel) ready;
             run(handle::read);
         }
         sleeper = false;
         int kept = 0;
         int muted = 0;
-        for (CallerHandle handle : unmuted) {
+        for (ClientChannel handle : unmuted) {
             if (handle.isQueued() && muted++ < MOST_MUTED) {
                 handle.mute();
             } else if (handle.isQueued()) {
@@ -218,7 +218,7 @@
             if (registering == null) {
                 return selector.register(handle);
             }
-            CallerHandle caller = transport.defer(handle, Turns.this);
+            ClientChannel caller = transport.defer(handle, EventLoopScheduler.this);
             return caller.registered(selector.register((IoHandle) caller));
         }
 
--- a/server/src/main/java/wheatspread/sockets/Front.java
+++ b/server/src/main/java/wheatspread/transport/Front.java
@@ -1,9 +1,9 @@
-package wheatspread.sockets;
+package wheatspread.transport;
 
 /** What a protocol makes of the sockets that a {@link Listener} accepts. */
 public interface Front {
     /** The handler of one more caller. */
-    CallerHandler caller(Listener listener);
+    ClientChannelHandler caller(Listener listener);
 
     /** What one that can't be taken gets, where the limits say that it gets an answer. */
     byte[] refusal();
--- a/server/src/main/java/wheatspread/sockets/TurnTimes.java
+++ b/server/src/main/java/wheatspread/transport/IterationTimes.java
@@ -1,10 +1,10 @@
-package wheatspread.sockets;
+package wheatspread.transport;
 
 /**
  * How long the turns of the event loop took without their waiting: counts by powers of two, and the longest
  * one. Times are nanoseconds inside and microseconds outside.
  */
-public final class TurnTimes {
+public final class IterationTimes {
     private final long[] counts = new long[40];
     private long turns;
     private long busy;
--- a/server/src/main/java/wheatspread/sockets/Listener.java
+++ b/server/src/main/java/wheatspread/transport/Listener.java
@@ -1,4 +1,4 @@
-package wheatspread.sockets;
+package wheatspread.transport;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
@@ -22,8 +22,8 @@
 import java.util.Comparator;
 import java.util.LinkedHashSet;
 import java.util.Set;
-import wheatspread.connections.Caller;
 import wheatspread.connections.Connection;
+import wheatspread.connections.ConnectionActions;
 import wheatspread.connections.ConnectionLimits;
 import wheatspread.connections.ConnectionLimits.Refusal;
 import wheatspread.connections.ConnectionTable;
@@ -47,12 +47,12 @@
     private static final int READ = 4 * 1024;
 
     private final EventLoop loop;
-    private final Turns turns;
+    private final EventLoopScheduler turns;
     private final Clock clock;
     private final Front front;
     private final ConnectionTable table;
     private final EventLog log;
-    private final Set<CallerHandler> stalled = new LinkedHashSet<>();
+    private final Set<ClientChannelHandler> stalled = new LinkedHashSet<>();
     /** One handle reads for all callers, one after another; each has but one read a turn. */
     private final RecvByteBufAllocator.ExtendedHandle reading = (RecvByteBufAllocator.ExtendedHandle)
             new FixedRecvByteBufAllocator(READ).maxMessagesPerRead(1).newHandle();
@@ -68,13 +68,14 @@
     private boolean watching;
     private boolean leaving;
 
-    public Listener(EventLoop loop, Turns turns, Clock clock, Front front, ConnectionLimits limits, EventLog log) {
+    public Listener(
+            EventLoop loop, EventLoopScheduler turns, Clock clock, Front front, ConnectionLimits limits, EventLog log) {
         this.loop = loop;
         this.turns = turns;
         this.clock = clock;
         this.front = front;
         this.log = log;
-        table = new ConnectionTable(limits, clock.now(), this::arm);
+        table = new ConnectionTable(limits, clock.nowMicros(), this::arm);
     }
 
     /** The connections; only the loop's thread may look at them. */
@@ -133,7 +134,7 @@
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             Channel channel = (Channel) message;
-            long pause = table.pauseAfterAccept(clock.now());
+            long pause = table.pauseAfterAccept(clock.nowMicros());
             if (pause > 0) {
                 rest(pause); // the others wait in the backlog
             }
@@ -156,8 +157,8 @@
 
     /** Takes in a channel that was accepted, here or by something else on the same loop. */
     public void accept(Channel channel) {
-        CallerHandler caller = front.caller(this);
-        Connection connection = table.admit(caller, sourceOf(channel.remoteAddress()), clock.now());
+        ClientChannelHandler caller = front.caller(this);
+        Connection connection = table.admit(caller, sourceOf(channel.remoteAddress()), clock.nowMicros());
         if (connection == null) {
             refuse(channel);
             return;
@@ -208,21 +209,21 @@
     }
 
     /** A caller on a channel that something else opened: for rehearsals and tests. */
-    public CallerHandler callerOf(long address) {
-        CallerHandler caller = front.caller(this);
-        caller.connection = table.admit(caller, address, clock.now());
+    public ClientChannelHandler callerOf(long address) {
+        ClientChannelHandler caller = front.caller(this);
+        caller.connection = table.admit(caller, address, clock.nowMicros());
         return caller;
     }
 
     // ---- what callers do ----
 
-    void opened(CallerHandler caller) {
+    void opened(ClientChannelHandler caller) {
         if (leaving) {
             caller.lastCall();
         }
     }
 
-    void closed(CallerHandler caller) {
+    void closed(ClientChannelHandler caller) {
         stalled.remove(caller);
         table.closed(caller.connection);
     }
@@ -231,24 +232,24 @@
         turns.order().spent(bytes, requests);
     }
 
-    void read(CallerHandler caller, boolean whole, int bytes) {
-        table.read(caller.connection, clock.now(), whole, caller.open(), bytes);
+    void read(ClientChannelHandler caller, boolean whole, int bytes) {
+        table.read(caller.connection, clock.nowMicros(), whole, caller.open(), bytes);
     }
 
-    void answered(CallerHandler caller) {
-        table.answered(caller.connection, clock.now(), caller.open());
+    void answered(ClientChannelHandler caller) {
+        table.answered(caller.connection, clock.nowMicros(), caller.open());
     }
 
-    void left(CallerHandler caller) {
-        table.leave(caller.connection, clock.now());
+    void left(ClientChannelHandler caller) {
+        table.leave(caller.connection, clock.nowMicros());
     }
 
-    Turns turns() {
+    EventLoopScheduler turns() {
         return turns;
     }
 
     void refused() {
-        turns.gate().refused(clock.now());
+        turns.gate().refused(clock.nowMicros());
     }
 
     EventLog log() {
@@ -270,7 +271,7 @@
             if (timer != null) {
                 timer.cancel();
             }
-            timer = clock.after(Math.max(0, soonest - clock.now()), () -> {
+            timer = clock.after(Math.max(0, soonest - clock.nowMicros()), () -> {
                 timer = null;
                 expire();
             });
@@ -284,7 +285,7 @@
         }
         armedFor = Long.MAX_VALUE;
         int most = turns.limits().mostExpiring();
-        if (table.expire(clock.now(), most) >= most && table.soonest() <= clock.now()) {
+        if (table.expire(clock.nowMicros(), most) >= most && table.soonest() <= clock.nowMicros()) {
             armedFor = 0; // the rest follows in the next turn, behind what is owed to anybody
             turns.atEnd(this::expire);
         } else {
@@ -294,7 +295,7 @@
 
     // ---- what waits to be written ----
 
-    void stalled(CallerHandler caller, boolean stalls) {
+    void stalled(ClientChannelHandler caller, boolean stalls) {
         if (!stalls) {
             stalled.remove(caller);
         } else if (stalled.add(caller) && !watching) {
@@ -305,10 +306,11 @@
 
     /** Guards the heap against many callers that ask and do not read: the one furthest behind is closed. */
     private void closeStalled() {
-        long waiting = stalled.stream().mapToLong(Caller::waitingBytes).sum();
+        long waiting =
+                stalled.stream().mapToLong(ConnectionActions::waitingBytes).sum();
         while (waiting > table.limits().mostWaiting()) {
-            CallerHandler worst = stalled.stream()
-                    .max(Comparator.comparingLong(Caller::waitingBytes))
+            ClientChannelHandler worst = stalled.stream()
+                    .max(Comparator.comparingLong(ConnectionActions::waitingBytes))
                     .orElseThrow();
             waiting -= worst.waitingBytes();
             stalled.remove(worst);
@@ -325,7 +327,7 @@
     /** Tells all callers that nothing new may come on what they hold open. */
     public void lastCall() {
         leaving = true;
-        table.forEach(Caller::lastCall);
+        table.forEach(ConnectionActions::lastCall);
     }
 
     /**
@@ -354,7 +356,7 @@
     /** Accepts no more, and ends every connection by a lingering close; {@link #isEmpty} tells when. */
     public void close() {
         stopListening();
-        table.forEach(Caller::leave);
+        table.forEach(ConnectionActions::leave);
     }
 
     /** Whether no connection is left. */
@@ -371,6 +373,6 @@
 
     /** Ends what is left of the connections at once. */
     public void cut() {
-        table.forEach(Caller::close);
+        table.forEach(ConnectionActions::close);
     }
 }
--- a/server/src/main/java/wheatspread/sockets/NioListening.java
+++ b/server/src/main/java/wheatspread/transport/NioListenSocket.java
@@ -1,4 +1,4 @@
-package wheatspread.sockets;
+package wheatspread.transport;
 
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import java.io.IOException;
@@ -7,11 +7,11 @@
 import java.util.List;
 
 /** A listening socket on the JDK's selectors whose queue can be emptied before it closes. */
-public final class NioListening extends NioServerSocketChannel {
+public final class NioListenSocket extends NioServerSocketChannel {
     /** Netty makes one of the class. */
-    public NioListening() {}
+    public NioListenSocket() {}
 
-    NioListening(ServerSocketChannel handedOver) {
+    NioListenSocket(ServerSocketChannel handedOver) {
         super(handedOver);
     }
 
--- a/server/src/main/java/wheatspread/sockets/Transport.java
+++ b/server/src/main/java/wheatspread/transport/Transport.java
@@ -1,4 +1,4 @@
-package wheatspread.sockets;
+package wheatspread.transport;
 
 import io.netty.channel.Channel;
 import io.netty.channel.IoHandle;
@@ -46,7 +46,7 @@
     }
 
     /** A handle that has the reads of a caller's socket wait for their turn. */
-    CallerHandle defer(IoHandle handle, Turns turns);
+    ClientChannel defer(IoHandle handle, EventLoopScheduler turns);
 
     /** The transport of that name; {@code auto} is epoll where it works. */
     static Transport named(String name) {
@@ -79,7 +79,7 @@
 
         @Override
         public Class<? extends ServerChannel> serverChannel() {
-            return NioListening.class;
+            return NioListenSocket.class;
         }
 
         /** The JDK hands over descriptor 0 alone, as the channel it inherited. */
@@ -88,12 +88,12 @@
             if (fd != 0 || !(System.inheritedChannel() instanceof ServerSocketChannel inherited)) {
                 throw new IOException("descriptor " + fd + " is no listening socket that nio can take");
             }
-            return new NioListening(inherited);
+            return new NioListenSocket(inherited);
         }
 
         @Override
         public void acceptAll(ServerChannel listening) throws IOException {
-            ((NioListening) listening).acceptAll();
+            ((NioListenSocket) listening).acceptAll();
         }
 
         @Override
@@ -107,8 +107,8 @@
         }
 
         @Override
-        public CallerHandle defer(IoHandle handle, Turns turns) {
-            return new CallerHandle.Nio(handle, turns);
+        public ClientChannel defer(IoHandle handle, EventLoopScheduler turns) {
+            return new ClientChannel.Nio(handle, turns);
         }
     }
 }
--- a/server/src/main/java/wheatspread/uwsgi/UwsgiConnection.java
+++ b/server/src/main/java/wheatspread/uwsgi/UwsgiConnection.java
@@ -4,12 +4,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import wheatspread.core.Answer;
-import wheatspread.core.Submission;
-import wheatspread.sockets.CallerHandler;
-import wheatspread.sockets.Listener;
+import wheatspread.core.InboundRequest;
+import wheatspread.transport.ClientChannelHandler;
+import wheatspread.transport.Listener;
 
 /** One uwsgi caller: hands its requests to the core, and writes one response for each, in their order. */
-final class UwsgiConnection extends CallerHandler {
+final class UwsgiConnection extends ClientChannelHandler {
     /** Requests that may wait for their answers; no more is read while they do. */
     private static final int MOST_OPEN = 32;
 
@@ -139,8 +139,8 @@
             respond(slot, well ? "200 OK" : "503 Service Unavailable", text(well ? "well" : "ill"), "");
         } else {
             try {
-                Submission submission = front.reader.read(vars, request.body(), front.clock.now());
-                if (turnedAway(front.core, submission.kind(), answer -> respond(slot, answer))) {
+                InboundRequest submission = front.reader.read(vars, request.body(), front.clock.nowMicros());
+                if (turnedAway(front.core, submission.requestClass(), answer -> respond(slot, answer))) {
                     return;
                 }
                 slot.ofCrowd = ofCrowd();
@@ -157,18 +157,19 @@
     }
 
     private void respond(Slot slot, Answer answer) {
-        String feedback = Double.isNaN(answer.feedback()) ? "" : "X-Recipe-Feedback: " + answer.feedback() + "\r\n";
+        String feedback =
+                Double.isNaN(answer.loadFeedback()) ? "" : "X-Recipe-Feedback: " + answer.loadFeedback() + "\r\n";
         switch (answer.kind()) {
             case SERVED -> respond(slot, "200 OK", answer.body(), feedback);
-            case REFUSED ->
+            case REJECTED ->
                 respond(
                         slot,
                         "503 Service Unavailable",
                         text("refused"),
                         feedback
-                                + "Retry-After: " + retryAfter(answer.later()) + "\r\n"
-                                + (answer.last() ? "X-Recipe-Give-Up: 1\r\n" : ""));
-            case OUT_OF_TIME -> respond(slot, "504 Gateway Timeout", text("out of time"), feedback);
+                                + "Retry-After: " + retryAfter(answer.retryAfterMicros()) + "\r\n"
+                                + (answer.doNotRetry() ? "X-Recipe-Give-Up: 1\r\n" : ""));
+            case DEADLINE_EXCEEDED -> respond(slot, "504 Gateway Timeout", text("out of time"), feedback);
             case CONFLICT -> respond(slot, "409 Conflict", text("key has another body"), feedback);
             default -> respond(slot, "500 Internal Server Error", text("failed"), feedback);
         }
--- a/server/src/main/java/wheatspread/uwsgi/UwsgiFront.java
+++ b/server/src/main/java/wheatspread/uwsgi/UwsgiFront.java
@@ -5,10 +5,10 @@
 import wheatspread.config.UwsgiConfig;
 import wheatspread.core.Clock;
 import wheatspread.core.Core;
-import wheatspread.core.Site;
-import wheatspread.sockets.CallerHandler;
-import wheatspread.sockets.Front;
-import wheatspread.sockets.Listener;
+import wheatspread.core.DeploymentSettings;
+import wheatspread.transport.ClientChannelHandler;
+import wheatspread.transport.Front;
+import wheatspread.transport.Listener;
 
 /** The second front: the uwsgi protocol, on the same core and under the same rules. */
 public final class UwsgiFront implements Front {
@@ -28,7 +28,7 @@
     }
 
     @Override
-    public CallerHandler caller(Listener listener) {
+    public ClientChannelHandler caller(Listener listener) {
         return new UwsgiConnection(listener, this);
     }
 
@@ -40,12 +40,12 @@
     }
 
     /** Reads the classes of a retuned site from now on; on the loop's thread. */
-    public void retune(Site site) {
+    public void retune(DeploymentSettings site) {
         reader = readerOf(site);
     }
 
     /** A reader of the classes of {@code site}, whose jobs go on from the names this front gave. */
-    private VarsReader readerOf(Site site) {
+    private VarsReader readerOf(DeploymentSettings site) {
         return new VarsReader(site, config, () -> String.format("%016x", ++lastJob));
     }
 }
--- a/server/src/main/java/wheatspread/uwsgi/VarsReader.java
+++ b/server/src/main/java/wheatspread/uwsgi/VarsReader.java
@@ -3,18 +3,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
-import wheatspread.admission.Admission.Effect;
-import wheatspread.admission.Admission.RequestClass;
+import wheatspread.admission.Idempotency;
+import wheatspread.admission.RequestClass;
 import wheatspread.config.UwsgiConfig;
 import wheatspread.config.UwsgiConfig.Defaults;
-import wheatspread.core.Site;
-import wheatspread.core.Submission;
+import wheatspread.core.DeploymentSettings;
+import wheatspread.core.InboundRequest;
 
 /** Reads a request's vars into a submission; what they leave out comes from its route's defaults. */
 final class VarsReader {
     private static final double MOST_RAM = 2_000;
 
-    private final Site site;
+    private final DeploymentSettings site;
     private final UwsgiConfig config;
     private final Routes routes;
     private final Supplier<String> newJob;
@@ -28,7 +28,7 @@
         }
     }
 
-    VarsReader(Site site, UwsgiConfig config, Supplier<String> newJob) {
+    VarsReader(DeploymentSettings site, UwsgiConfig config, Supplier<String> newJob) {
         this.site = site;
         this.config = config;
         this.newJob = newJob;
@@ -41,7 +41,7 @@
         return query < 0 ? uri : uri.substring(0, query);
     }
 
-    Submission read(Map<String, String> vars, byte[] body, long now) {
+    InboundRequest read(Map<String, String> vars, byte[] body, long now) {
         Defaults defaults = routes.find(path(vars));
         UwsgiConfig.Vars names = config.vars();
         int kind = index(vars, names.kind(), site.classes(), defaults.kind());
@@ -50,7 +50,7 @@
         long limit = micros(vars, names.limit(), defaults.limit());
         boolean limited = limit > 0;
         if (!limited) {
-            limit = told.deadline();
+            limit = told.deadlineMicros();
         }
         double ram = number(vars, names.ram(), defaults.ramKb());
         if (ram > MOST_RAM) {
@@ -58,7 +58,7 @@
         }
         String unique = null;
         String item = null;
-        if (told.effect() == Effect.KEYED) {
+        if (told.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
             unique = text(vars, names.unique());
             if (unique == null) {
                 throw new BadVar(names.unique() + " is missing, and this class needs it");
@@ -66,7 +66,7 @@
         } else {
             item = text(vars, names.item());
         }
-        return new Submission(
+        return new InboundRequest(
                 newJob.get(),
                 kind,
                 tenant,
