--- a/server/src/test/java/wheatspread/handover/SharedClaimsTest.java
+++ b/server/src/test/java/wheatspread/handover/SharedIdempotencyClaimsTest.java
@@ -10,7 +10,7 @@
 import wheatspread.logging.EventLog;
 
 /** Two processes of one server, as during an upgrade: a key that one ran the other does not run again. */
-class SharedClaimsTest {
+class SharedIdempotencyClaimsTest {
     private static final long WINDOW = 5_000_000;
 
     @TempDir
@@ -18,8 +18,8 @@
 
     @Test
     void aKeyRunInOneProcessIsNotRunInTheOtherWithinItsWindow() throws IOException {
-        SharedClaims old = new SharedClaims(folder, 101, EventLog.lines(line -> {}));
-        SharedClaims next = new SharedClaims(folder, 202, EventLog.lines(line -> {}));
+        SharedIdempotencyClaims old = new SharedIdempotencyClaims(folder, 101, EventLog.lines(line -> {}));
+        SharedIdempotencyClaims next = new SharedIdempotencyClaims(folder, 202, EventLog.lines(line -> {}));
         assertThat(old.claim("u 3 k1", 1_000_000, WINDOW)).isTrue();
         assertThat(next.claim("u 3 k1", 3_350_000, WINDOW))
                 .as("a retry within the window")
@@ -36,7 +36,7 @@
 
     @Test
     void claimsAreDeletedByTheirMakerOnceTheirWindowIsOver() throws IOException {
-        SharedClaims one = new SharedClaims(folder, 7, EventLog.lines(line -> {}));
+        SharedIdempotencyClaims one = new SharedIdempotencyClaims(folder, 7, EventLog.lines(line -> {}));
         for (int i = 0; i < 100; i++) {
             assertThat(one.claim("u 0 key-" + i, 1_000_000 + i, WINDOW)).isTrue();
         }
@@ -54,7 +54,7 @@
     @Test
     void aFolderThatCannotBeWrittenGivesEveryClaim() throws IOException {
         Path file = Files.writeString(folder.resolve("not-a-folder"), "x");
-        SharedClaims one = new SharedClaims(folder, 7, EventLog.lines(line -> {}));
+        SharedIdempotencyClaims one = new SharedIdempotencyClaims(folder, 7, EventLog.lines(line -> {}));
         Files.delete(file);
         Files.delete(folder);
         assertThat(one.claim("u 0 k", 1, WINDOW)).isTrue();
--- a/server/src/test/java/wheatspread/life/LifeTest.java
+++ b/server/src/test/java/wheatspread/lifecycle/LifecycleTest.java
@@ -1,4 +1,4 @@
-package wheatspread.life;
+package wheatspread.lifecycle;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -10,12 +10,12 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import wheatspread.life.Life.Event;
-import wheatspread.life.Life.Phase;
+import wheatspread.lifecycle.Lifecycle.Event;
+import wheatspread.lifecycle.Lifecycle.Phase;
 
-class LifeTest {
+class LifecycleTest {
     private final List<String> entered = new ArrayList<>();
-    private final Life life = new Life((from, to, by) -> entered.add(to.name()));
+    private final Lifecycle life = new Lifecycle((from, to, by) -> entered.add(to.name()));
 
     /**
      * Every phase against every event: a signal may come in any of them, and leads nowhere but towards the
@@ -25,12 +25,12 @@
     void signalsAreLegalInEveryPhaseAndNoneLeadsBack() {
         for (Phase phase : Phase.values()) {
             for (Event signal : Set.of(Event.NOTICE, Event.HURRY, Event.RELOAD)) {
-                Phase next = Life.next(phase, signal);
+                Phase next = Lifecycle.next(phase, signal);
                 assertThat(next).as("%s in %s", signal, phase).isNotNull().isGreaterThanOrEqualTo(phase);
                 assertThat(signal == Event.RELOAD && next != phase).isFalse();
             }
             for (Event event : Event.values()) {
-                Phase next = Life.next(phase, event);
+                Phase next = Lifecycle.next(phase, event);
                 assertThat(next == null || next.compareTo(phase) >= 0)
                         .as("%s in %s", event, phase)
                         .isTrue();
@@ -45,14 +45,14 @@
         for (Phase phase : Phase.values()) {
             Set<Phase> reached = EnumSet.noneOf(Phase.class);
             for (Event event : Event.values()) {
-                if (Life.next(phase, event) != null) {
-                    reached.add(Life.next(phase, event));
+                if (Lifecycle.next(phase, event) != null) {
+                    reached.add(Lifecycle.next(phase, event));
                 }
             }
             onward.put(phase, reached);
         }
         for (Phase phase : Phase.values()) {
-            Set<Phase> seen = EnumSet.of(Life.next(phase, Event.NOTICE));
+            Set<Phase> seen = EnumSet.of(Lifecycle.next(phase, Event.NOTICE));
             for (int i = 0; i < Phase.values().length; i++) {
                 for (Phase one : EnumSet.copyOf(seen)) {
                     seen.addAll(onward.get(one));
@@ -90,32 +90,33 @@
         life.on(Event.NOTICE);
         assertThat(life.phase()).isEqualTo(Phase.RETREATING);
         life.on(Event.BIND_FAILED);
-        assertThat(life.exitCode()).isEqualTo(Life.UNAVAILABLE);
-        Life other = new Life((from, to, by) -> {});
+        assertThat(life.exitCode()).isEqualTo(Lifecycle.UNAVAILABLE);
+        Lifecycle other = new Lifecycle((from, to, by) -> {});
         other.on(Event.START);
         other.on(Event.REHEARSED);
         other.on(Event.BOUND);
         other.on(Event.KERNEL_GIVEN_UP);
         assertThat(other.phase()).isEqualTo(Phase.DRAINING);
-        assertThat(other.exitCode()).isEqualTo(Life.UNAVAILABLE);
+        assertThat(other.exitCode()).isEqualTo(Lifecycle.UNAVAILABLE);
     }
 
     @Test
     void aDrainListensForTheGraceThenWaitsForAnswersAndLeavesInTime() {
-        Drain drain = new Drain(0, 4_000_000, 2_500_000, true);
-        assertThat(drain.look(2_499_999, 0)).isEqualTo(Drain.Step.LISTEN);
-        assertThat(drain.look(2_500_000, 0)).isEqualTo(Drain.Step.STOP_LISTENING); // what was just accepted
-        assertThat(drain.look(2_650_000, 1)).isEqualTo(Drain.Step.STOP_LISTENING);
-        assertThat(drain.look(2_650_000, 0)).isEqualTo(Drain.Step.LEAVE_EMPTY);
-        assertThat(drain.look(3_880_000, 1)).isEqualTo(Drain.Step.LEAVE_IN_TIME);
-        assertThat(new Drain(0, 1_000_000, 2_500_000, true).look(640_000, 0))
-                .isEqualTo(Drain.Step.STOP_LISTENING); // a short stop leaves time to answer
-        assertThat(new Drain(0, 4_000_000, 2_500_000, false).look(150_000, 0)).isEqualTo(Drain.Step.LEAVE_EMPTY);
-        drain = new Drain(0, 4_000_000, 2_500_000, true);
+        DrainDeadlines drain = new DrainDeadlines(0, 4_000_000, 2_500_000, true);
+        assertThat(drain.look(2_499_999, 0)).isEqualTo(DrainDeadlines.Step.LISTEN);
+        assertThat(drain.look(2_500_000, 0)).isEqualTo(DrainDeadlines.Step.STOP_LISTENING); // what was just accepted
+        assertThat(drain.look(2_650_000, 1)).isEqualTo(DrainDeadlines.Step.STOP_LISTENING);
+        assertThat(drain.look(2_650_000, 0)).isEqualTo(DrainDeadlines.Step.LEAVE_EMPTY);
+        assertThat(drain.look(3_880_000, 1)).isEqualTo(DrainDeadlines.Step.LEAVE_IN_TIME);
+        assertThat(new DrainDeadlines(0, 1_000_000, 2_500_000, true).look(640_000, 0))
+                .isEqualTo(DrainDeadlines.Step.STOP_LISTENING); // a short stop leaves time to answer
+        assertThat(new DrainDeadlines(0, 4_000_000, 2_500_000, false).look(150_000, 0))
+                .isEqualTo(DrainDeadlines.Step.LEAVE_EMPTY);
+        drain = new DrainDeadlines(0, 4_000_000, 2_500_000, true);
         drain.hurry(100_000);
         drain.hurry(900_000);
-        assertThat(drain.look(200_000, 3)).isEqualTo(Drain.Step.STOP_LISTENING);
-        assertThat(drain.look(250_000, 3)).isEqualTo(Drain.Step.ANSWER_ALL);
-        assertThat(drain.look(250_000, 0)).isEqualTo(Drain.Step.LEAVE_EMPTY);
+        assertThat(drain.look(200_000, 3)).isEqualTo(DrainDeadlines.Step.STOP_LISTENING);
+        assertThat(drain.look(250_000, 3)).isEqualTo(DrainDeadlines.Step.ANSWER_ALL);
+        assertThat(drain.look(250_000, 0)).isEqualTo(DrainDeadlines.Step.LEAVE_EMPTY);
     }
 }
--- a/server/src/test/java/wheatspread/membership/FoundingTest.java
+++ b/server/src/test/java/wheatspread/membership/ClusterBootstrapTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Timeout;
 
 /** How fleets come to be, meet, stand still and are founded anew, on virtual time. */
-class FoundingTest {
+class ClusterBootstrapTest {
     private static final long SECOND = MembershipTest.SECOND;
     private static final List<String> SEEDS = List.of("m000", "m001", "m002");
 
@@ -236,10 +236,10 @@
             for (ViewId other : ids) {
                 for (boolean stands : either) {
                     for (boolean otherStands : either) {
-                        assertThat(Precedence.goesBefore(one, stands, other, otherStands)
-                                        && Precedence.goesBefore(other, otherStands, one, stands))
+                        assertThat(ViewPrecedence.goesBefore(one, stands, other, otherStands)
+                                        && ViewPrecedence.goesBefore(other, otherStands, one, stands))
                                 .isFalse();
-                        assertThat(Precedence.goesBefore(one, stands, one, otherStands))
+                        assertThat(ViewPrecedence.goesBefore(one, stands, one, otherStands))
                                 .isFalse();
                     }
                 }
--- a/server/src/test/java/wheatspread/membership/CutTallyTest.java
+++ b/server/src/test/java/wheatspread/membership/CutDetectorTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Which reports lead to which change. */
-class CutTallyTest {
+class CutDetectorTest {
     private static Member member(int number, long start) {
         return new Member(new MemberId(String.format("m%03d", number), start), "", "", "", 0);
     }
@@ -25,7 +25,7 @@
         return new View(new ViewId(1, 1), all);
     }
 
-    private static void report(CutTally tally, int member, int watchers) {
+    private static void report(CutDetector tally, int member, int watchers) {
         for (int slot = 0; slot < watchers; slot++) {
             tally.reported(member, slot, 1);
         }
@@ -35,7 +35,7 @@
     void oneWordMovesNothingAndTheHighMarkDoes() {
         for (int size : new int[] {3, 4, 7, 30}) {
             View view = view(size);
-            CutTally tally = new CutTally(view, 10);
+            CutDetector tally = new CutDetector(view, 10);
             int watchers = view.watchersOf(1).length;
             report(tally, 1, 1);
             assertThat(tally.change(true)).as("one of %d", watchers).isNull();
@@ -43,14 +43,14 @@
             assertThat(tally.change(true)).isNull();
             report(tally, 1, View.high(watchers));
             assertThat(tally.change(false))
-                    .isEqualTo(Change.of(List.of(view.members().get(1).id()), List.of()));
+                    .isEqualTo(ViewChange.of(List.of(view.members().get(1).id()), List.of()));
         }
     }
 
     @Test
     void whoStandsBetweenTheMarksIsWaitedForAndStays() {
         View view = view(30);
-        CutTally tally = new CutTally(view, 10);
+        CutDetector tally = new CutDetector(view, 10);
         report(tally, 1, 10);
         report(tally, 2, 4);
         assertThat(tally.change(false)).isNull();
@@ -70,7 +70,7 @@
     @Test
     void aZoneThatFallsIsOneChange() {
         View view = view(30);
-        CutTally tally = new CutTally(view, 10);
+        CutDetector tally = new CutDetector(view, 10);
         for (int i = 0; i < 10; i++) {
             int[] watchers = view.watchersOf(i);
             for (int slot = 0; slot < watchers.length; slot++) {
@@ -87,7 +87,7 @@
     @Test
     void aServerThatWasRestartedUnnoticedTakesItsOldPlaceInOneChange() {
         View view = view(12);
-        CutTally tally = new CutTally(view, 2);
+        CutDetector tally = new CutDetector(view, 2);
         Member next = member(3, 8);
         assertThat(tally.joins(member(3, 6))).as("an older start").isFalse();
         assertThat(tally.joins(next)).isTrue();
@@ -98,7 +98,7 @@
             tally.heard(next.id(), slot, 1);
         }
         assertThat(tally.change(true))
-                .isEqualTo(Change.of(List.of(view.members().get(3).id()), List.of(next)));
+                .isEqualTo(ViewChange.of(List.of(view.members().get(3).id()), List.of(next)));
         assertThat(tally.joins(member(20, 1))).isTrue();
         assertThat(tally.joins(member(21, 1))).as("beyond the bound").isFalse();
     }
@@ -106,7 +106,7 @@
     @Test
     void whoLeavesGoesByItsOwnWord() {
         View view = view(5);
-        CutTally tally = new CutTally(view, 2);
+        CutDetector tally = new CutDetector(view, 2);
         assertThat(tally.leaves(4)).isTrue();
         assertThat(tally.leaves(4)).isFalse();
         assertThat(tally.change(false).out())
@@ -123,13 +123,13 @@
             int slots = view.watchersOf(subject).length;
             news.add(new int[] {subject, random.nextInt(slots), 1 + random.nextInt(3)});
         }
-        CutTally one = new CutTally(view, 10);
+        CutDetector one = new CutDetector(view, 10);
         news.forEach(word -> one.reported(word[0], word[1], word[2]));
         Collections.shuffle(news, random);
-        CutTally other = new CutTally(view, 10);
+        CutDetector other = new CutDetector(view, 10);
         news.forEach(word -> other.reported(word[0], word[1], word[2]));
         for (boolean hasty : new boolean[] {false, true}) {
-            Change change = one.change(hasty);
+            ViewChange change = one.change(hasty);
             assertThat(other.change(hasty)).isEqualTo(change);
             if (change != null) {
                 for (MemberId gone : change.out()) {
--- a/server/src/test/java/wheatspread/membership/WatchTest.java
+++ b/server/src/test/java/wheatspread/membership/FailureDetectorTest.java
@@ -7,16 +7,18 @@
 import org.junit.jupiter.api.Test;
 
 /** What one member makes of another that answers, does not, or answers late; and of itself. */
-class WatchTest {
+class FailureDetectorTest {
     private static final DetectorSettings USUAL = DetectorSettings.USUAL;
-    private final SelfHealth health = new SelfHealth(USUAL);
-    private final Watch watch = new Watch(USUAL, health, 0);
+    private final LocalHealth health = new LocalHealth(USUAL);
+    private final FailureDetector watch = new FailureDetector(USUAL, health, 0);
 
     /** All steps until then, with their times in milliseconds. */
-    private static List<String> run(Watch watch, long from, long until) {
+    private static List<String> run(FailureDetector watch, long from, long until) {
         List<String> steps = new ArrayList<>();
         for (long now = from; now <= until; now = Math.max(now, watch.nextAt())) {
-            for (Watch.Step step = watch.step(now); step != Watch.Step.NOTHING; step = watch.step(now)) {
+            for (FailureDetector.Step step = watch.step(now);
+                    step != FailureDetector.Step.NOTHING;
+                    step = watch.step(now)) {
                 steps.add(step + "@" + now / 1_000);
             }
         }
@@ -27,7 +29,7 @@
     void whoNeverAnswersIsReportedAfterTheLongestSuspicion() {
         List<String> steps = run(watch, 0, 3_700_000);
         assertThat(steps).containsSubsequence("PROBE@0", "ASK_AROUND@300", "SUSPECT@700", "REPORT@3700");
-        assertThat(watch.state()).isEqualTo(Watch.State.DOWN);
+        assertThat(watch.state()).isEqualTo(FailureDetector.State.DOWN);
     }
 
     @Test
@@ -47,11 +49,11 @@
         run(watch, 0, 200_000);
         assertThat(watch.answered()).as("nothing was said of it").isFalse();
         run(watch, 200_000, 2_000_000);
-        assertThat(watch.state()).isEqualTo(Watch.State.SUSPECT);
+        assertThat(watch.state()).isEqualTo(FailureDetector.State.SUSPECT);
         assertThat(watch.answered()).isTrue();
-        assertThat(watch.state()).isEqualTo(Watch.State.WELL);
+        assertThat(watch.state()).isEqualTo(FailureDetector.State.WELL);
         run(watch, 2_000_000, 9_000_000);
-        assertThat(watch.state()).isEqualTo(Watch.State.DOWN);
+        assertThat(watch.state()).isEqualTo(FailureDetector.State.DOWN);
         assertThat(watch.answered()).isTrue();
     }
 
@@ -61,9 +63,9 @@
         assertThat(health.turned(5_000_000)).isTrue();
         watch.stoppedFor(5_000_000);
         assertThat(run(watch, 5_100_000, 5_100_000)).isEmpty();
-        assertThat(watch.state()).isEqualTo(Watch.State.ASKED);
+        assertThat(watch.state()).isEqualTo(FailureDetector.State.ASKED);
         // without that it would: the probe that was under way counts as missed at once
-        Watch naive = new Watch(USUAL.suspicious(), new SelfHealth(USUAL.suspicious()), 0);
+        FailureDetector naive = new FailureDetector(USUAL.suspicious(), new LocalHealth(USUAL.suspicious()), 0);
         run(naive, 0, 100_000);
         assertThat(run(naive, 5_100_000, 5_100_000)).contains("SUSPECT@5100");
     }
@@ -85,7 +87,7 @@
 
     @Test
     void plainSwimReportsTheFirstProbeThatFails() {
-        Watch plain = new Watch(USUAL.plain(), new SelfHealth(USUAL.plain()), 0);
+        FailureDetector plain = new FailureDetector(USUAL.plain(), new LocalHealth(USUAL.plain()), 0);
         assertThat(run(plain, 0, 700_000)).contains("REPORT@700");
     }
 }
--- a/server/src/test/java/wheatspread/membership/NewsQueueTest.java
+++ b/server/src/test/java/wheatspread/membership/GossipQueueTest.java
@@ -6,23 +6,23 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class NewsQueueTest {
-    private static NewsQueue queue() {
-        NewsQueue queue = new NewsQueue();
+class GossipQueueTest {
+    private static GossipQueue queue() {
+        GossipQueue queue = new GossipQueue();
         queue.clear(3); // 8 times each
         return queue;
     }
 
     @Test
     void eachPieceGoesOutABoundedNumberOfTimesAndTheNewestFirst() {
-        NewsQueue queue = queue();
-        News.Leaving first = new News.Leaving(1);
-        News.Leaving second = new News.Leaving(2);
+        GossipQueue queue = queue();
+        GossipUpdate.Leaving first = new GossipUpdate.Leaving(1);
+        GossipUpdate.Leaving second = new GossipUpdate.Leaving(2);
         queue.add(first);
         assertThat(queue.take(2)).containsExactly(first);
         queue.add(second);
         assertThat(queue.take(1)).containsExactly(second);
-        List<News> taken = new ArrayList<>();
+        List<GossipUpdate> taken = new ArrayList<>();
         while (!queue.isEmpty()) {
             taken.addAll(queue.take(2));
         }
@@ -32,19 +32,20 @@
 
     @Test
     void newerNewsOfASubjectTakesThePlaceOfOlder() {
-        NewsQueue queue = queue();
-        queue.add(new News.Report(1, 2, 1));
-        queue.add(new News.Report(1, 2, 2));
-        queue.add(new News.Report(1, 3, 1));
-        assertThat(queue.take(16)).containsExactlyInAnyOrder(new News.Report(1, 2, 2), new News.Report(1, 3, 1));
+        GossipQueue queue = queue();
+        queue.add(new GossipUpdate.Report(1, 2, 1));
+        queue.add(new GossipUpdate.Report(1, 2, 2));
+        queue.add(new GossipUpdate.Report(1, 3, 1));
+        assertThat(queue.take(16))
+                .containsExactlyInAnyOrder(new GossipUpdate.Report(1, 2, 2), new GossipUpdate.Report(1, 3, 1));
     }
 
     /** Where news never ends, what was replaced must not pile up behind it. */
     @Test
     void replacedNewsDoesNotPileUp() {
-        NewsQueue queue = queue();
+        GossipQueue queue = queue();
         for (int i = 1; i <= 200_000; i++) {
-            queue.add(new News.Suspicion(i % 10, 0, i));
+            queue.add(new GossipUpdate.Suspicion(i % 10, 0, i));
             if (i % 5 == 0) {
                 queue.take(1);
             }
--- a/server/src/test/java/wheatspread/membership/AgreementSearchTest.java
+++ b/server/src/test/java/wheatspread/membership/ViewAgreementSearchTest.java
@@ -24,19 +24,19 @@
  * it. So the votes of the fast round and of those who accepted need not be delivered; {@link AgreementTest}
  * plays their way.
  */
-class AgreementSearchTest {
-    private static final Change X = Change.of(List.of(new MemberId("x", 1)), List.of());
-    private static final Change Y = Change.of(List.of(new MemberId("y", 1)), List.of());
+class ViewAgreementSearchTest {
+    private static final ViewChange X = ViewChange.of(List.of(new MemberId("x", 1)), List.of());
+    private static final ViewChange Y = ViewChange.of(List.of(new MemberId("y", 1)), List.of());
 
     /** What may be told: of a ballot, who says it, and what goes with it. */
-    private record Item(char kind, long ballot, int from, long votedIn, Change change) {}
+    private record Item(char kind, long ballot, int from, long votedIn, ViewChange change) {}
 
     /** What a search may do. */
     private record Bounds(int members, int rounds, int restarts, int classicQuorum, int fastQuorum, boolean swapped) {}
 
     /** All members at one moment, with all messages so far. */
     private static final class Moment {
-        final Agreement[] members;
+        final ViewAgreement[] members;
         final Set<Item> sent = new LinkedHashSet<>();
         final Set<Item> votes = new HashSet<>();
         int rounds;
@@ -44,9 +44,9 @@
         int proposed;
 
         Moment(Bounds bounds, View view) {
-            members = new Agreement[bounds.members];
+            members = new ViewAgreement[bounds.members];
             for (int i = 0; i < members.length; i++) {
-                members[i] = new Agreement(view, i, bounds.classicQuorum, bounds.fastQuorum);
+                members[i] = new ViewAgreement(view, i, bounds.classicQuorum, bounds.fastQuorum);
             }
         }
 
@@ -60,16 +60,16 @@
         }
 
         /** A copy in which one member has another state, once it has told all that it votes and asks. */
-        Moment with(int who, Agreement next) {
+        Moment with(int who, ViewAgreement next) {
             Moment moment = new Moment(this);
             moment.members[who] = next;
             next.fastVotes()
                     .forEach((change, voters) ->
                             voters.stream().forEach(one -> moment.votes.add(new Item('v', 0, one, 0, change))));
             long ballot = next.ballot();
-            if (ballot > Agreement.FAST) {
+            if (ballot > ViewAgreement.FAST) {
                 moment.sent.add(new Item('p', ballot, 0, 0, null));
-                Agreement.Promise mine = next.promises().get(who);
+                ViewAgreement.Promise mine = next.promises().get(who);
                 if (mine != null) {
                     moment.sent.add(new Item('r', ballot, who, mine.votedIn(), mine.voted()));
                 }
@@ -83,9 +83,9 @@
         }
 
         /** The changes that a quorum voted for in one ballot. */
-        Set<Change> chosen(Bounds bounds) {
+        Set<ViewChange> chosen(Bounds bounds) {
             Map<String, Integer> counts = new HashMap<>();
-            Set<Change> chosen = new HashSet<>();
+            Set<ViewChange> chosen = new HashSet<>();
             for (Item vote : votes) {
                 int count = counts.merge(vote.ballot + "/" + vote.change, 1, Integer::sum);
                 if (count >= (vote.ballot == 0 ? bounds.fastQuorum : bounds.classicQuorum)) {
@@ -97,7 +97,7 @@
 
         String key() {
             StringBuilder key = new StringBuilder();
-            for (Agreement one : members) {
+            for (ViewAgreement one : members) {
                 key.append(one).append('\n');
             }
             List<String> all = new ArrayList<>();
@@ -112,10 +112,11 @@
         }
     }
 
-    private static void hear(Agreement member, Item item) {
+    private static void hear(ViewAgreement member, Item item) {
         switch (item.kind) {
             case 'p' -> member.heardPrepare(item.ballot);
-            case 'r' -> member.heardPromise(item.ballot, item.from, new Agreement.Promise(item.votedIn, item.change));
+            case 'r' ->
+                member.heardPromise(item.ballot, item.from, new ViewAgreement.Promise(item.votedIn, item.change));
             default -> member.heardAccept(item.ballot, item.change);
         }
     }
@@ -149,23 +150,23 @@
     private static List<Moment> successors(Moment moment, Bounds bounds, View view) {
         List<Moment> next = new ArrayList<>();
         for (int who = 0; who < bounds.members; who++) {
-            Agreement member = moment.members[who];
+            ViewAgreement member = moment.members[who];
             if ((moment.proposed & 1 << who) == 0) {
-                Agreement proposing = new Agreement(member);
+                ViewAgreement proposing = new ViewAgreement(member);
                 proposing.propose(who % 2 == 0 != bounds.swapped ? X : Y);
                 Moment after = moment.with(who, proposing);
                 after.proposed |= 1 << who;
                 next.add(after);
             }
             if (moment.rounds < bounds.rounds && member.hasCandidate() && member.decided() == null) {
-                Agreement beginning = new Agreement(member);
+                ViewAgreement beginning = new ViewAgreement(member);
                 beginning.begin();
                 Moment after = moment.with(who, beginning);
                 after.rounds++;
                 next.add(after);
             }
             if (moment.restarts < bounds.restarts) {
-                Moment after = moment.with(who, new Agreement(view, who, bounds.classicQuorum, bounds.fastQuorum));
+                Moment after = moment.with(who, new ViewAgreement(view, who, bounds.classicQuorum, bounds.fastQuorum));
                 after.restarts++;
                 after.proposed &= ~(1 << who);
                 next.add(after);
@@ -174,7 +175,7 @@
                 if (item.kind == 'r' && (item.ballot & 0xFFFFF) != who) {
                     continue; // a promise matters to who leads the round alone
                 }
-                Agreement hearing = new Agreement(member);
+                ViewAgreement hearing = new ViewAgreement(member);
                 hear(hearing, item);
                 if (!hearing.toString().equals(member.toString())) {
                     next.add(moment.with(who, hearing));
--- a/server/src/test/java/wheatspread/membership/AgreementTest.java
+++ b/server/src/test/java/wheatspread/membership/ViewAgreementTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Timeout;
 
 /** Members that tell each other all they know, in drawn orders with losses, until one change is decided. */
-class AgreementTest {
+class ViewAgreementTest {
     private static View view(int members) {
         List<Member> all = new ArrayList<>();
         for (int i = 0; i < members; i++) {
@@ -21,13 +21,13 @@
         return new View(new ViewId(1, 1), all);
     }
 
-    private static void tell(Agreement from, Agreement to) {
+    private static void tell(ViewAgreement from, ViewAgreement to) {
         if (from.decided() != null) {
             to.heardDecided(from.decided());
             return;
         }
         from.fastVotes().forEach((change, voters) -> to.heardFast(change, (BitSet) voters.clone()));
-        if (from.ballot() > Agreement.FAST) {
+        if (from.ballot() > ViewAgreement.FAST) {
             to.heardPrepare(from.ballot());
             from.promises().forEach((one, promise) -> to.heardPromise(from.ballot(), one, promise));
             if (from.asked() != null) {
@@ -37,23 +37,23 @@
         }
     }
 
-    private static Change out(String name) {
-        return Change.of(List.of(new MemberId(name, 1)), List.of());
+    private static ViewChange out(String name) {
+        return ViewChange.of(List.of(new MemberId(name, 1)), List.of());
     }
 
     @Test
     void equalVotesDecideWithoutACoordinator() {
         View view = view(5);
-        List<Agreement> members = new ArrayList<>();
+        List<ViewAgreement> members = new ArrayList<>();
         for (int i = 0; i < 4; i++) { // the fifth is the one that goes, and says nothing
-            members.add(new Agreement(view, i));
+            members.add(new ViewAgreement(view, i));
             members.get(i).propose(out("m04"));
         }
         for (int i = 0; i < 3; i++) {
             tell(members.get(i), members.get(3));
             assertThat(members.get(3).decided()).isEqualTo(i < 2 ? null : out("m04"));
         }
-        assertThat(members.get(3).ballot()).isEqualTo(Agreement.FAST);
+        assertThat(members.get(3).ballot()).isEqualTo(ViewAgreement.FAST);
         assertThat(view.after(out("m04")).members()).hasSize(4);
         assertThat(view.after(out("m04")).id()).isEqualTo(new ViewId(1, 2));
     }
@@ -61,8 +61,8 @@
     @Test
     void lessThanAQuorumDecidesNothing() {
         View view = view(5);
-        Agreement one = new Agreement(view, 0);
-        Agreement other = new Agreement(view, 1);
+        ViewAgreement one = new ViewAgreement(view, 0);
+        ViewAgreement other = new ViewAgreement(view, 1);
         for (int round = 0; round < 10; round++) {
             one.propose(out("m04"));
             other.propose(out("m04"));
@@ -80,21 +80,21 @@
     @Test
     @Timeout(60)
     void splitVotesAndLossesEndInOneChangeWithAnyMinorityGone() {
-        Set<Change> seen = new HashSet<>();
+        Set<ViewChange> seen = new HashSet<>();
         for (int seed = 0; seed < 3_000; seed++) {
             Random random = new Random(seed);
             int size = 1 + random.nextInt(9);
             View view = view(size);
             int alive = view.classicQuorum() + random.nextInt(size - view.classicQuorum() + 1);
-            List<Agreement> members = new ArrayList<>();
+            List<ViewAgreement> members = new ArrayList<>();
             for (int i = 0; i < alive; i++) {
-                members.add(new Agreement(view, i));
+                members.add(new ViewAgreement(view, i));
             }
-            Change decided = null;
+            ViewChange decided = null;
             boolean all = false;
             for (int step = 0; step < 20_000 && !all; step++) {
-                Agreement from = members.get(random.nextInt(alive));
-                Agreement to = members.get(random.nextInt(alive));
+                ViewAgreement from = members.get(random.nextInt(alive));
+                ViewAgreement to = members.get(random.nextInt(alive));
                 int what = random.nextInt(100);
                 if (what < 10) {
                     from.propose(out("m0" + random.nextInt(3)));
@@ -104,7 +104,7 @@
                     tell(from, to);
                 }
                 all = true;
-                for (Agreement one : members) {
+                for (ViewAgreement one : members) {
                     if (one.decided() != null) {
                         assertThat(decided == null || decided.equals(one.decided()))
                                 .as("seed %d: %s and %s", seed, decided, one.decided())
--- a/server/src/test/java/wheatspread/membership/ViewTest.java
+++ b/server/src/test/java/wheatspread/membership/ViewTest.java
@@ -72,12 +72,12 @@
         View view = view(4);
         MemberId old = view.members().get(2).id();
         Member next = member(old.name(), 8);
-        View after = view.after(Change.of(List.of(old), List.of(next)));
+        View after = view.after(ViewChange.of(List.of(old), List.of(next)));
         assertThat(after.indexOf(old)).isEqualTo(-1);
         assertThat(after.indexOf(next.id())).isEqualTo(2);
         assertThat(after.named(old.name())).isEqualTo(next);
         assertThat(after.id()).isGreaterThan(view.id());
-        assertThatThrownBy(() -> view.after(Change.of(List.of(), List.of(next))))
+        assertThatThrownBy(() -> view.after(ViewChange.of(List.of(), List.of(next))))
                 .isInstanceOf(IllegalArgumentException.class)
                 .hasMessageContaining(old.name());
     }
--- a/server/src/test/java/wheatspread/nginx/ImporterTest.java
+++ b/server/src/test/java/wheatspread/nginx/ImporterTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import wheatspread.config.OperatorConfig;
 import wheatspread.config.UwsgiConfig;
-import wheatspread.core.Site;
+import wheatspread.core.DeploymentSettings;
 
 class ImporterTest {
     private static final Path FOLDER = Path.of("src/test/resources/nginx");
@@ -36,7 +36,8 @@
         Path written = folder.resolve("operator.json");
         Files.writeString(
                 written, Importer.read(FOLDER.resolve("site.conf"), null).file().toString());
-        Site site = new Site(null, List.of("search", "save-plan"), List.of("school-feeding"), List.of());
+        DeploymentSettings site =
+                new DeploymentSettings(null, List.of("search", "save-plan"), List.of("school-feeding"), List.of());
         UwsgiConfig config = OperatorConfig.readFile(written, site).uwsgi();
         assertThat(config.mostConnections()).isEqualTo(120);
         assertThat(config.routes()).hasSize(7);
--- a/server/src/test/java/wheatspread/peers/MessageCodecTest.java
+++ b/server/src/test/java/wheatspread/peers/MessageCodecTest.java
@@ -13,17 +13,17 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import wheatspread.membership.Agreement;
-import wheatspread.membership.Change;
 import wheatspread.membership.Departure;
 import wheatspread.membership.DetectorSettings;
+import wheatspread.membership.GossipUpdate;
 import wheatspread.membership.Member;
 import wheatspread.membership.MemberId;
 import wheatspread.membership.Membership;
 import wheatspread.membership.Message;
 import wheatspread.membership.Message.Body;
-import wheatspread.membership.News;
 import wheatspread.membership.View;
+import wheatspread.membership.ViewAgreement;
+import wheatspread.membership.ViewChange;
 import wheatspread.membership.ViewId;
 
 class MessageCodecTest {
@@ -42,19 +42,19 @@
         return new View(new ViewId(54_400_000_161_760L, 3), members);
     }
 
-    private static List<News> news() {
-        Change change = Change.of(List.of(member(1).id()), List.of(member(200)));
+    private static List<GossipUpdate> news() {
+        ViewChange change = ViewChange.of(List.of(member(1).id()), List.of(member(200)));
         return List.of(
-                new News.Report(3, 9, 5),
-                new News.Suspicion(0, 0, 1),
-                new News.Leaving(11),
-                new News.Joining(member(20)),
-                new News.Heard(member(20).id(), 2, 1),
-                new News.FastVotes(change, BitSet.valueOf(new long[] {0b1011})),
-                new News.Prepare(1 << 20),
-                new News.Promised(1 << 20, 4, new Agreement.Promise(Agreement.NEVER, null)),
-                new News.Promised(1 << 20, 5, new Agreement.Promise(Agreement.FAST, change)),
-                new News.Accepted(1 << 20, change, BitSet.valueOf(new long[] {0b11})));
+                new GossipUpdate.Report(3, 9, 5),
+                new GossipUpdate.Suspicion(0, 0, 1),
+                new GossipUpdate.Leaving(11),
+                new GossipUpdate.Joining(member(20)),
+                new GossipUpdate.Heard(member(20).id(), 2, 1),
+                new GossipUpdate.FastVotes(change, BitSet.valueOf(new long[] {0b1011})),
+                new GossipUpdate.Prepare(1 << 20),
+                new GossipUpdate.Promised(1 << 20, 4, new ViewAgreement.Promise(ViewAgreement.NEVER, null)),
+                new GossipUpdate.Promised(1 << 20, 5, new ViewAgreement.Promise(ViewAgreement.FAST, change)),
+                new GossipUpdate.Accepted(1 << 20, change, BitSet.valueOf(new long[] {0b11})));
     }
 
     private static List<Message> messages() {
@@ -90,13 +90,15 @@
         Message one = messages().get(0);
         assertThatThrownBy(() -> new MessageCodec("pantry", HERE).decode(CODEC.encode(one)))
                 .isInstanceOfSatisfying(
-                        Malformed.class, e -> assertThat(e.kind()).isEqualTo(Malformed.Kind.FOREIGN));
+                        MalformedMessageException.class,
+                        e -> assertThat(e.kind()).isEqualTo(MalformedMessageException.Kind.FOREIGN));
         Format.Envelope told = Format.Envelope.parseFrom(envelope(one));
         byte[] next = MessageCodec.seal(
                 told.toBuilder().setMajor(MessageCodec.MAJOR + 1).build().toByteArray());
         assertThatThrownBy(() -> CODEC.decode(next))
                 .isInstanceOfSatisfying(
-                        Malformed.class, e -> assertThat(e.kind()).isEqualTo(Malformed.Kind.VERSION));
+                        MalformedMessageException.class,
+                        e -> assertThat(e.kind()).isEqualTo(MalformedMessageException.Kind.VERSION));
         // a piece of news and a field that this version has never heard of
         byte[] unknown = {(byte) 0x4a, 0x03, (byte) 0xa0, 0x06, 0x01, (byte) 0xa8, 0x06, 0x05};
         byte[] said = told.toBuilder().setMinor(MessageCodec.MINOR + 1).build().toByteArray();
@@ -169,7 +171,7 @@
         List<byte[]> said = messages().stream().map(CODEC::encode).toList();
         List<byte[]> bare = messages().stream().map(MessageCodecTest::envelope).toList();
         SplittableRandom random = new SplittableRandom(21);
-        Map<Malformed.Kind, Integer> unread = new EnumMap<>(Malformed.Kind.class);
+        Map<MalformedMessageException.Kind, Integer> unread = new EnumMap<>(MalformedMessageException.Kind.class);
         int read = 0;
         for (int i = 0; i < 1_250_000; i++) {
             boolean sealed = i % 5 == 4;
@@ -182,13 +184,13 @@
                 if (!sealed || !told.message().view().equals(view.id())) { // else it may well be true
                     self.received(told.address(), told.message(), i);
                 }
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 unread.merge(e.kind(), 1, Integer::sum);
             }
         }
         assertThat(views).as("only the first view").containsExactly(view);
-        assertThat(unread.get(Malformed.Kind.SPOILT)).isGreaterThan(990_000);
-        assertThat(unread.get(Malformed.Kind.GARBAGE)).isGreaterThan(100_000);
+        assertThat(unread.get(MalformedMessageException.Kind.SPOILT)).isGreaterThan(990_000);
+        assertThat(unread.get(MalformedMessageException.Kind.GARBAGE)).isGreaterThan(100_000);
         assertThat(read).isGreaterThan(1_000);
         assertThat(sent[0]).as("answers to garbage are bounded").isLessThan(read);
     }
--- a/server/src/test/java/wheatspread/turns/ReadOrderTest.java
+++ b/server/src/test/java/wheatspread/scheduling/ReadSchedulerTest.java
@@ -1,4 +1,4 @@
-package wheatspread.turns;
+package wheatspread.scheduling;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -6,12 +6,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class ReadOrderTest {
+class ReadSchedulerTest {
     private static final long NOW = 100_000_000;
 
-    private final ReadOrder order = new ReadOrder(new TurnLimits(10_000, 20, 4_000, 5_000_000, 4, 64, 10));
+    private final ReadScheduler order = new ReadScheduler(new IterationBudget(10_000, 20, 4_000, 5_000_000, 4, 64, 10));
 
-    private static final class One extends Ready {
+    private static final class One extends PendingRead {
         private final String name;
         private final int open;
         private final long usedAt;
@@ -46,7 +46,7 @@
         List<String> read = new ArrayList<>();
         long now = NOW;
         order.begin(now);
-        for (Ready one = order.take(now); one != null; one = order.take(now)) {
+        for (PendingRead one = order.take(now); one != null; one = order.take(now)) {
             assertThat(one.isQueued()).isFalse();
             read.add(one.toString());
             order.spent(bytes, requests);
--- a/server/src/test/java/wheatspread/turns/CrowdGateTest.java
+++ b/server/src/test/java/wheatspread/scheduling/ReconnectBurstLimiterTest.java
@@ -1,4 +1,4 @@
-package wheatspread.turns;
+package wheatspread.scheduling;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,8 +10,8 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-class CrowdGateTest {
-    private final CrowdGate gate = new CrowdGate(64, 3);
+class ReconnectBurstLimiterTest {
+    private final ReconnectBurstLimiter gate = new ReconnectBurstLimiter(64, 3);
 
     private int admitted(int tries, int waiting) {
         int admitted = 0;
@@ -74,7 +74,7 @@
     @Property(tries = 200, seed = "5")
     void neverMoreInHandThanTheWindow(@ForAll long seed) {
         Random random = new Random(seed);
-        CrowdGate one = new CrowdGate(10, seed);
+        ReconnectBurstLimiter one = new ReconnectBurstLimiter(10, seed);
         Deque<Integer> inHand = new ArrayDeque<>();
         for (int step = 0; step < 500; step++) {
             int window = one.window();
--- a/server/src/test/java/wheatspread/store/Bench.java
+++ b/server/src/test/java/wheatspread/store/Bench.java
@@ -99,7 +99,7 @@
 
     void jobs() {
         for (int i = 0; i < 20; i++) {
-            Job job = log.nextJob(now);
+            MaintenanceJob job = log.nextJob(now);
             if (job == null) {
                 return;
             }
@@ -107,7 +107,7 @@
         }
     }
 
-    void run(Job job) {
+    void run(MaintenanceJob job) {
         try {
             while (job.step()) {
                 continue;
--- a/server/src/test/java/wheatspread/store/DamageTest.java
+++ b/server/src/test/java/wheatspread/store/DamageTest.java
@@ -130,7 +130,7 @@
                 .orElseThrow();
         byte[] bytes = whole.disk.bytes(name).clone();
         bytes[11] = 2;
-        bytes[Headers.SIZE / 2 + 11] = 2;
+        bytes[FileHeader.SIZE / 2 + 11] = 2;
         assertThatThrownBy(() -> with(whole, name, bytes))
                 .isInstanceOf(StoreException.class)
                 .hasMessageContaining("is of version 2; this program reads version 1");
@@ -139,7 +139,7 @@
         other.log.shut();
         other.disk = whole.disk.restarted(FaultyDisk.Unsynced.KEPT, 1);
         SegmentName next = SegmentName.original(Layout.of(other.disk.list()).next());
-        other.disk.replace(next.toString(), Headers.write(next, 77, 5, 0).array());
+        other.disk.replace(next.toString(), FileHeader.write(next, 77, 5, 0).array());
         assertThatThrownBy(other::open)
                 .isInstanceOf(StoreException.class)
                 .hasMessageContaining("belongs to another store");
--- a/server/src/test/java/wheatspread/store/GroupEncoderTest.java
+++ b/server/src/test/java/wheatspread/store/GroupEncoderTest.java
@@ -29,7 +29,7 @@
                 .setKind(Format.Record.Kind.DELETE)
                 .setKey(ByteString.copyFrom(key))
                 .build();
-        int length = Frames.sizeOf(put.getSerializedSize()) + Frames.sizeOf(delete.getSerializedSize());
+        int length = RecordFraming.sizeOf(put.getSerializedSize()) + RecordFraming.sizeOf(delete.getSerializedSize());
         Format.Record head = Format.Record.newBuilder()
                 .setKind(Format.Record.Kind.GROUP)
                 .setGroup(Format.Group.newBuilder()
@@ -41,7 +41,7 @@
                 .build();
         for (Format.Record one : List.of(head, put, delete)) {
             ByteBuffer[] body = new ByteBuffer[1];
-            assertThat(Frames.read(bytes, body)).isEqualTo(Frames.Found.WHOLE);
+            assertThat(RecordFraming.read(bytes, body)).isEqualTo(RecordFraming.Found.WHOLE);
             byte[] there = new byte[body[0].remaining()];
             body[0].get(there);
             assertThat(there).isEqualTo(one.toByteArray());
--- a/server/src/test/java/wheatspread/store/FramesTest.java
+++ b/server/src/test/java/wheatspread/store/RecordFramingTest.java
@@ -8,23 +8,23 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import wheatspread.store.Frames.Found;
+import wheatspread.store.RecordFraming.Found;
 
-class FramesTest {
+class RecordFramingTest {
     private static final List<String> BODIES = List.of("first", "", "a third one that is longer", "4");
 
     private static ByteBuffer file() {
         ByteBuffer file = ByteBuffer.allocate(200);
-        BODIES.forEach(body -> Frames.write(ByteBuffer.wrap(body.getBytes(StandardCharsets.UTF_8)), file));
+        BODIES.forEach(body -> RecordFraming.write(ByteBuffer.wrap(body.getBytes(StandardCharsets.UTF_8)), file));
         return file.flip();
     }
 
     private static Found readAll(ByteBuffer file, List<String> read) {
         ByteBuffer[] body = new ByteBuffer[1];
-        Found found = Frames.read(file, body);
+        Found found = RecordFraming.read(file, body);
         while (found == Found.WHOLE) {
             read.add(StandardCharsets.UTF_8.decode(body[0]).toString());
-            found = Frames.read(file, body);
+            found = RecordFraming.read(file, body);
         }
         return found;
     }
@@ -33,7 +33,7 @@
     void cutAtEveryByteWhatIsWholeIsReadAndTheRestIsTorn() {
         ByteBuffer file = file();
         List<Integer> ends = new ArrayList<>(List.of(0));
-        BODIES.forEach(body -> ends.add(ends.get(ends.size() - 1) + Frames.sizeOf(body.length())));
+        BODIES.forEach(body -> ends.add(ends.get(ends.size() - 1) + RecordFraming.sizeOf(body.length())));
         for (int cut = 0; cut <= file.limit(); cut++) {
             List<String> read = new ArrayList<>();
             Found found = readAll(file.slice(0, cut), read);
@@ -60,7 +60,8 @@
 
     @Test
     void aRecordThatIsTooLongIsRefused() {
-        assertThatThrownBy(() -> Frames.write(ByteBuffer.allocate(Frames.LONGEST + 1), ByteBuffer.allocate(8)))
-                .hasMessageContaining("is over " + Frames.LONGEST);
+        assertThatThrownBy(() ->
+                        RecordFraming.write(ByteBuffer.allocate(RecordFraming.LONGEST + 1), ByteBuffer.allocate(8)))
+                .hasMessageContaining("is over " + RecordFraming.LONGEST);
     }
 }
--- a/server/src/test/java/wheatspread/supervisor/SimMachine.java
+++ b/server/src/test/java/wheatspread/supervisor/SimulatedHost.java
@@ -10,17 +10,17 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
+import wheatspread.fleet.FleetInstance;
+import wheatspread.fleet.FleetInstance.Health;
 import wheatspread.fleet.FleetState;
 import wheatspread.fleet.FleetState.Found;
-import wheatspread.fleet.Member;
-import wheatspread.fleet.Member.Health;
 
 /**
  * A machine in memory with a clock of its own. Processes start, lock, become well, leave and die as their
  * build says; the supervisor can be crashed before and after each thing it does. It notes what must never
  * happen.
  */
-final class SimMachine implements Machine {
+final class SimulatedHost implements HostOperations {
     static final long MS = 1_000;
 
     /** The supervisor died. */
@@ -179,7 +179,7 @@
         Map<String, Integer> ended = new LinkedHashMap<>();
         watched.forEach((name, child) -> {
             if (!procs.get(name).alive) {
-                ended.put(name, child ? procs.get(name).code : Member.UNKNOWN_CODE);
+                ended.put(name, child ? procs.get(name).code : FleetInstance.UNKNOWN_CODE);
             }
         });
         watched.keySet().removeAll(ended.keySet());
--- a/server/src/test/java/wheatspread/supervisor/StateFileTest.java
+++ b/server/src/test/java/wheatspread/supervisor/StateFileTest.java
@@ -11,8 +11,8 @@
 import org.json.JSONObject;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import wheatspread.fleet.FleetInstance;
 import wheatspread.fleet.FleetState;
-import wheatspread.fleet.Member;
 import wheatspread.fleet.Rollout;
 
 class StateFileTest {
@@ -21,7 +21,19 @@
 
     private static FleetState state(int generation, boolean rolled) {
         FleetState.Of one = new FleetState.Of(
-                "n1", Member.State.LEAVING, true, "v1", generation, 77, 5, 4, 3, List.of(1L, 2L), 2, 9, Long.MAX_VALUE);
+                "n1",
+                FleetInstance.State.LEAVING,
+                true,
+                "v1",
+                generation,
+                77,
+                5,
+                4,
+                3,
+                List.of(1L, 2L),
+                2,
+                9,
+                Long.MAX_VALUE);
         return new FleetState(
                 List.of(one),
                 rolled
@@ -60,10 +72,10 @@
 
     @Test
     void commandsWaitForTheirSupervisorAndAreAnsweredOnce() throws Exception {
-        Spool spool = new Spool(dir);
+        CommandSpool spool = new CommandSpool(dir);
         assertThat(spool.ask(new JSONObject().put("do", "down"), 0)).isNull(); // nobody reads yet
         Files.writeString(dir.resolve("commands/0.json"), "no JSON");
-        Spool.Command command = spool.next();
+        CommandSpool.Command command = spool.next();
         assertThat(command.told().getString("do")).isEqualTo("down");
         assertThat(dir.resolve("commands/0.done")).content().contains("not a JSON object");
         spool.answer(command, new JSONObject().put("ok", true));
--- a/server/src/test/java/wheatspread/supervisor/SupervisorTest.java
+++ b/server/src/test/java/wheatspread/supervisor/SupervisorTest.java
@@ -11,23 +11,23 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import wheatspread.fleet.Fleet;
+import wheatspread.fleet.FleetController;
+import wheatspread.fleet.FleetInstance;
+import wheatspread.fleet.FleetInstance.State;
 import wheatspread.fleet.FleetPlan;
-import wheatspread.fleet.Member;
-import wheatspread.fleet.Member.State;
 import wheatspread.fleet.Rollout.Status;
 import wheatspread.logging.EventLog;
-import wheatspread.supervisor.SimMachine.Behaviour;
+import wheatspread.supervisor.SimulatedHost.Behaviour;
 
 /** A supervisor on a machine in memory, which lets it die at every step. */
 class SupervisorTest {
-    private static final long MS = SimMachine.MS;
+    private static final long MS = SimulatedHost.MS;
     private static final long TURN = 50 * MS;
     private static final FleetPlan.Backoff BACKOFF =
             new FleetPlan.Backoff(200 * MS, 2, 5_000 * MS, 0.2, 60_000 * MS, 4, 60_000 * MS, 0);
 
-    private SimMachine machine = new SimMachine();
-    private Fleet fleet;
+    private SimulatedHost machine = new SimulatedHost();
+    private FleetController fleet;
     private Supervisor supervisor;
     private int mostOut;
     /** Whether the fleet was whole once, after which its members out of service are counted. */
@@ -63,7 +63,7 @@
 
     private void supervise() {
         try {
-            fleet = new Fleet(plan, 7, EventLog.NONE);
+            fleet = new FleetController(plan, 7, EventLog.NONE);
             supervisor = new Supervisor(fleet, machine, 200 * MS, EventLog.NONE);
             supervisor.begin(machine.now);
         } catch (IOException e) {
@@ -76,7 +76,7 @@
         for (long end = machine.now + most; machine.now < end && !until.getAsBoolean(); ) {
             try {
                 supervisor.turn(machine.now);
-            } catch (SimMachine.Crash crash) {
+            } catch (SimulatedHost.Crash crash) {
                 machine.reborn();
                 machine.pass(400 * MS);
                 supervise();
@@ -132,7 +132,7 @@
         int steps = machine.steps;
         assertThat(steps).isGreaterThan(60);
         for (int at = 0; at < steps; at++) {
-            machine = new SimMachine();
+            machine = new SimulatedHost();
             machine.crashAt = at;
             mostOut = 0;
             whole = false;
@@ -214,7 +214,7 @@
     @Test
     void aRollPausesWhileOthersAreOutAndGoesOn() {
         plan = plan(20, 0.2);
-        machine = new SimMachine();
+        machine = new SimulatedHost();
         supervise();
         up();
         fleet.roll("v2", List.of(), 17, machine.now);
@@ -299,7 +299,7 @@
     /** Members and supervisor die at random while a roll goes on; in the end everybody runs, once. */
     @Property(tries = 150, seed = "41")
     void whateverDiesTheFleetComesBack(@ForAll long seed) {
-        machine = new SimMachine();
+        machine = new SimulatedHost();
         SplittableRandom random = new SplittableRandom(seed);
         supervise();
         for (int i = 0; i < 12; i++) {
@@ -321,7 +321,7 @@
                                 .allMatch(one -> one.state() == State.UP || one.state() == State.HELD));
         assertThat(fleet.roll() == null || fleet.roll().over()).isTrue();
         assertThat(fleet.roster().all()).allMatch(one -> one.state() == State.UP || one.state() == State.HELD);
-        for (Member one : fleet.roster().all()) {
+        for (FleetInstance one : fleet.roster().all()) {
             assertThat(machine.serves(one.name())).isEqualTo(one.state() == State.UP);
         }
     }
--- a/server/src/test/java/wheatspread/sockets/ListenerTest.java
+++ b/server/src/test/java/wheatspread/transport/ListenerTest.java
@@ -1,4 +1,4 @@
-package wheatspread.sockets;
+package wheatspread.transport;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -14,21 +14,22 @@
 import wheatspread.connections.ConnectionLimits;
 import wheatspread.core.FakeClock;
 import wheatspread.logging.EventLog;
-import wheatspread.turns.TurnLimits;
+import wheatspread.scheduling.IterationBudget;
 
 class ListenerTest {
     private static final int MEGABYTE = 1024 * 1024;
 
     private final FakeClock clock = new FakeClock(100_000_000, Runnable::run);
     private final List<String> heard = new ArrayList<>();
-    private final Turns turns = new Turns(Transport.named("nio"), TurnLimits.USUAL, 1, EventLog.lines(heard::add));
+    private final EventLoopScheduler turns =
+            new EventLoopScheduler(Transport.named("nio"), IterationBudget.USUAL, 1, EventLog.lines(heard::add));
     private final Listener listener =
             new Listener(null, turns, clock, new Echo(), ConnectionLimits.usual(100), EventLog.lines(heard::add));
 
     /** A front whose messages are words of three bytes; it owes an answer to each until it is told. */
     private final class Echo implements Front {
         @Override
-        public CallerHandler caller(Listener of) {
+        public ClientChannelHandler caller(Listener of) {
             return new Word(of);
         }
 
@@ -38,7 +39,7 @@
         }
     }
 
-    private final class Word extends CallerHandler {
+    private final class Word extends ClientChannelHandler {
         private int open;
 
         Word(Listener of) {
--- a/server/src/test/java/wheatspread/sockets/TransportTest.java
+++ b/server/src/test/java/wheatspread/transport/TransportTest.java
@@ -1,4 +1,4 @@
-package wheatspread.sockets;
+package wheatspread.transport;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
