--- a/lab/src/main/java/wheatspread/lab/SettingsCommand.java
+++ b/lab/src/main/java/wheatspread/lab/SettingsCommand.java
@@ -147,7 +147,7 @@
             // the mean of what was held is less than what was open
             Object held = figures.optQuery("/held/held");
             series.add(held instanceof Number mean ? mean.doubleValue() : size, figures);
-            kept &= figures.getJSONArray("faults").isEmpty();
+            kept = kept && figures.getJSONArray("faults").isEmpty();
             report.put(word + " " + size, figures);
             System.out.println(word + " " + size + " " + figures);
         }
--- a/lab/src/main/java/wheatspread/lab/deployments/RuleChecker.java
+++ b/lab/src/main/java/wheatspread/lab/deployments/RuleChecker.java
@@ -1,5 +1,6 @@
 package wheatspread.lab.deployments;
 
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Base64;
 import java.util.HashMap;
@@ -81,7 +82,7 @@
         Try request = tries.get(txn);
         if (request == null
                 || !request.kind.name().equals(kind)
-                || !new String(Base64.getDecoder().decode(data)).equals(request.body())) {
+                || !new String(Base64.getDecoder().decode(data), StandardCharsets.UTF_8).equals(request.body())) {
             broken("changed: run of " + txn + " as " + kind);
             return false;
         }
@@ -122,7 +123,8 @@
         }
         if (error == null) {
             String result = new String(
-                    Base64.getDecoder().decode(answer.getJSONObject("result").getString("blob")));
+                    Base64.getDecoder().decode(answer.getJSONObject("result").getString("blob")),
+                    StandardCharsets.UTF_8);
             if (!results.getOrDefault(request.key == null ? request.txn : request.key, List.of())
                     .contains(result)) {
                 broken("lost: " + txn + " served with what no run made");
--- a/lab/src/main/java/wheatspread/lab/deployments/SimulatedKernel.java
+++ b/lab/src/main/java/wheatspread/lab/deployments/SimulatedKernel.java
@@ -1,5 +1,6 @@
 package wheatspread.lab.deployments;
 
+import java.nio.charset.StandardCharsets;
 import java.util.Base64;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -234,6 +235,6 @@
     }
 
     static String encode(String text) {
-        return Base64.getEncoder().encodeToString(text.getBytes());
+        return Base64.getEncoder().encodeToString(text.getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/lab/src/main/java/wheatspread/lab/standins/StandInServices.java
+++ b/lab/src/main/java/wheatspread/lab/standins/StandInServices.java
@@ -9,6 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
 import org.json.JSONObject;
 
 /**
@@ -23,7 +24,7 @@
     private final InetSocketAddress kernel;
     private final InetSocketAddress records;
     private final InetSocketAddress announce;
-    private volatile long runs;
+    private final AtomicLong runs = new AtomicLong();
 
     /** A run takes {@code runMicros} and a call {@code callMicros}, under 0 where no class makes any. */
     public StandInServices(long runMicros, long callMicros) {
@@ -48,7 +49,7 @@
 
     /** How many runs were started. */
     public long runs() {
-        return runs;
+        return runs.get();
     }
 
     @Override
@@ -80,7 +81,7 @@
                                     .put("ref", command.get("ref"))
                                     .put("gauges", List.of(0.3, 1, 0.1, 10)));
                 case "SCHED" -> {
-                    runs++;
+                    runs.incrementAndGet();
                     boolean calls =
                             callMicros >= 0 && !command.getString("kind").equals("search");
                     after(ctx, runMicros, () -> {
--- a/lab/src/main/java/wheatspread/lab/world/BookingKernel.java
+++ b/lab/src/main/java/wheatspread/lab/world/BookingKernel.java
@@ -2,6 +2,7 @@
 
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
@@ -185,7 +186,7 @@
 
     private void schedule(String job, String kind, String data) {
         ledger.ran(server, job, System.currentTimeMillis());
-        String[] body = new String(java.util.Base64.getDecoder().decode(data)).split(" ");
+        String[] body = new String(java.util.Base64.getDecoder().decode(data), StandardCharsets.UTF_8).split(" ");
         Run run = new Run();
         run.left = Double.parseDouble(body[1]) / 2;
         run.calls = !kind.equals("search");
