--- a/server/src/main/java/wheatspread/core/ActionExecutor.java
+++ b/server/src/main/java/wheatspread/core/ActionExecutor.java
@@ -1,187 +1,194 @@
 package wheatspread.core;
 
+import java.util.function.LongConsumer;
 import wheatspread.admission.AdmissionController;
 import wheatspread.admission.Outcome;
 import wheatspread.admission.RequestClass;
+import wheatspread.logging.EventLog;
 
-/** Carries out the module's actions. */
+/**
+ * Carries out the admission controller's actions. It ignores those on attempts that have ended, and guards the
+ * rules that hold whatever the controller decides: one run for each idempotency key, none after the drain grace.
+ */
 final class ActionExecutor implements AdmissionController.Actions {
-    /** What the module fails this shortly before it is due, it fails for want of time; us. */
-    private static final long NEARLY_DUE = 100_000;
-
-    private final Core core;
-
-    ActionExecutor(Core core) {
-        this.core = core;
+    /** What the controller fails within this time before its deadline counts as failed by the deadline. */
+    private static final long NEAR_DEADLINE_MICROS = 100_000;
+
+    private final EventLog log;
+    private final ActiveSettings settings;
+    private final DrainState drain;
+    private final AttemptTable attempts;
+    private final IdempotencyTable idempotencyTable;
+    private final RequestCounters counters;
+    private final Kernel kernel;
+    private final EventBatcher events;
+    private final FinalAnswers answers;
+    private final DependencyCalls dependencyCalls;
+    private final HealthState health;
+    private LongConsumer idleConnectionCloser = idleMicros -> {};
+
+    ActionExecutor(CoreContext context, FinalAnswers answers, DependencyCalls dependencyCalls, HealthState health) {
+        log = context.log();
+        settings = context.settings();
+        drain = context.drain();
+        attempts = context.attempts();
+        idempotencyTable = context.idempotencyTable();
+        counters = context.counters();
+        kernel = context.kernel();
+        events = context.events();
+        this.answers = answers;
+        this.dependencyCalls = dependencyCalls;
+        this.health = health;
+    }
+
+    /** Sets who closes connections that were idle for so many microseconds. */
+    void setIdleConnectionCloser(LongConsumer closer) {
+        idleConnectionCloser = closer;
     }
 
     @Override
     public void run(long id) {
-        Attempt one = core.table.byNumber(id);
-        if (one == null || one.answered() && one.run == Attempt.Run.NONE) {
-            moot(id);
-        } else if (one.run == Attempt.Run.PAUSED) {
-            one.run = Attempt.Run.ACTIVE;
-            one.stopAsked = false;
-            core.counts.resumed++;
-            core.kernel.resume(one.submission.job());
-        } else if (one.run == Attempt.Run.NONE && repeats(one)) {
-            joinResult(id); // no second run, whatever the module says, and no refusal after a run
-        } else if (one.run == Attempt.Run.NONE && !mayRun(one)) {
-            moot(id);
-            core.answers.finish(one, Answer.Kind.REJECTED, null, 0, false);
-        } else if (one.run == Attempt.Run.NONE) {
-            one.run = Attempt.Run.ACTIVE;
-            core.counts.runs++;
-            core.kernel.run(
-                    one.submission.job(),
-                    core.site().classes().get(one.submission.requestClass()),
-                    one.submission.body());
+        Attempt attempt = attempts.byId(id);
+        if (attempt == null || attempt.answered() && !attempt.everRan()) {
+            reportIgnored(id);
+        } else if (attempt.suspended()) {
+            resume(attempt);
+        } else if (!attempt.everRan()) {
+            start(attempt);
         }
     }
 
-    private void moot(long id) {
-        core.batches.event(m -> m.onCompletion(id, Outcome.IGNORED, 0));
+    private void reportIgnored(long id) {
+        events.add(controller -> controller.onCompletion(id, Outcome.IGNORED, 0));
     }
 
-    /** Whether another try stands for the key. */
-    private boolean repeats(Attempt one) {
-        if (one.submission.idempotencyKey() == null) {
-            return false;
-        }
-        standForKey(one);
-        return one.entry.owner != one;
-    }
-
-    /**
-     * Where the try that it repeats was let go without a run, a try stands for the key itself, unless another
-     * one that repeated the same was first.
-     */
-    private void standForKey(Attempt one) {
-        boolean free = one.entry == null
-                || one.entry.owner != one
-                        && !core.keys.holds(one.entry)
-                        && (one.submission.idempotencyKey() == null || !one.entry.owner.everRan());
-        if (free) {
-            IdempotencyTable.Entry other = core.keys.find(one.submission, core.batches.now());
-            one.entry = other == null ? core.keys.put(one) : other;
-        }
+    private void resume(Attempt attempt) {
+        attempt.runResumed();
+        counters.runResumed();
+        kernel.resume(attempt.job());
     }
 
-    /** Guards against a run past the grace, and one of a key that the other process of an upgrade ran. */
-    private boolean mayRun(Attempt one) {
-        InboundRequest s = one.submission;
-        if (one.late || core.graceIsOver(s.arrivalMicros())) {
-            return false;
+    private void start(Attempt attempt) {
+        if (idempotencyTable.isDuplicate(attempt, events.nowMicros())) {
+            joinResult(attempt.id()); // no second run, whatever the controller decides, and no rejection after a run
+        } else if (!mayRun(attempt)) {
+            reportIgnored(attempt.id());
+            answers.finish(attempt, Answer.Kind.REJECTED);
+        } else {
+            InboundRequest request = attempt.request();
+            attempt.runStarted();
+            counters.runStarted();
+            kernel.run(request.job(), settings.className(request.requestClass()), request.body());
         }
-        return s.idempotencyKey() == null
-                || core.claims.claim(one.entry.key, s.arrivalMicros(), core.keys.window(s.requestClass()));
+    }
+
+    /** Prevents a run after the drain grace, and of a key that the other process of an upgrade ran. */
+    private boolean mayRun(Attempt attempt) {
+        return !attempt.receivedAfterGrace()
+                && !drain.isPastGrace(attempt.request().arrivalMicros())
+                && idempotencyTable.claim(attempt);
     }
 
     @Override
-    public void reject(long id, long stayAway, boolean dontRetry) {
-        Attempt one = core.table.byNumber(id);
-        if (one != null) {
-            Answer.Kind kind = one.everRan() ? Answer.Kind.FAILED : Answer.Kind.REJECTED;
-            core.answers.finish(one, kind, null, stayAway, dontRetry);
+    public void reject(long id, long retryAfterMicros, boolean doNotRetry) {
+        Attempt attempt = attempts.byId(id);
+        if (attempt != null) {
+            Answer.Kind kind = attempt.everRan() ? Answer.Kind.FAILED : Answer.Kind.REJECTED;
+            answers.finish(attempt, answers.answerWithAdvice(kind, retryAfterMicros, doNotRetry));
         }
     }
 
     @Override
     public void fail(long id) {
-        Attempt one = core.table.byNumber(id);
-        if (one != null) {
-            RequestClass kind = core.site().settings().classes().get(one.submission.requestClass());
-            InboundRequest s = one.submission;
-            long now = core.batches.now();
-            boolean late =
-                    now > s.arrivalMicros() + kind.latencyObjectiveMicros() || now > s.deadlineMicros() - NEARLY_DUE;
-            core.answers.finish(one, late ? Answer.Kind.DEADLINE_EXCEEDED : Answer.Kind.FAILED, null, 0, false);
+        Attempt attempt = attempts.byId(id);
+        if (attempt != null) {
+            Answer.Kind kind = isLate(attempt.request()) ? Answer.Kind.DEADLINE_EXCEEDED : Answer.Kind.FAILED;
+            answers.finish(attempt, kind);
         }
     }
 
+    /** Whether a request has missed its class's latency objective, or is close to its deadline. */
+    private boolean isLate(InboundRequest request) {
+        RequestClass requestClass = settings.requestClass(request.requestClass());
+        long nowMicros = events.nowMicros();
+        return nowMicros > request.arrivalMicros() + requestClass.latencyObjectiveMicros()
+                || nowMicros > request.deadlineMicros() - NEAR_DEADLINE_MICROS;
+    }
+
     @Override
     public void preempt(long id) {
-        Attempt one = core.table.byNumber(id);
-        // the module asks again at every tick until the stop is confirmed; the kernel is asked once
-        if (one != null && one.run == Attempt.Run.ACTIVE && !one.stopAsked) {
-            one.stopAsked = true;
-            core.kernel.pause(one.submission.job());
+        Attempt attempt = attempts.byId(id);
+        // the controller asks again at every tick until the stop is confirmed; the kernel is asked once
+        if (attempt != null && attempt.requestSuspension()) {
+            kernel.pause(attempt.job());
         }
     }
 
     @Override
-    public void callDependency(long id, long giveUpAfter) {
-        Attempt one = core.table.byNumber(id);
-        if (one == null || one.notice == 0 || one.answered()) {
-            return; // nobody waits: the kernel ends the run at its call, and tells
+    public void callDependency(long id, long timeoutMicros) {
+        Attempt attempt = attempts.byId(id);
+        if (attempt == null || !attempt.dependencyCall().awaited() || attempt.answered()) {
+            return; // nobody waits for an answer: the kernel ends the run at its call, and reports that
         }
-        core.calls.make(one, giveUpAfter, core.kernel);
+        dependencyCalls.start(attempt, timeoutMicros);
     }
 
     @Override
     public void skipDependency(long id) {
-        Attempt one = core.table.byNumber(id);
-        if (one != null && one.notice != 0) {
-            core.calls.skip(one, core.kernel);
+        Attempt attempt = attempts.byId(id);
+        if (attempt != null && attempt.dependencyCall().awaited()) {
+            dependencyCalls.skip(attempt);
         }
     }
 
     @Override
-    public void retainKey(long id, long ttl) {
-        Attempt one = core.table.byNumber(id);
-        if (one == null) {
-            return;
+    public void retainKey(long id, long ttlMicros) {
+        Attempt attempt = attempts.byId(id);
+        if (attempt != null) {
+            long nowMicros = events.nowMicros();
+            idempotencyTable.ensureValidEntry(attempt, nowMicros);
+            attempt.keyEntry().retainUntil(nowMicros + ttlMicros);
         }
-        standForKey(one);
-        one.entry.pinnedUntil = core.batches.now() + ttl;
     }
 
     @Override
     public void releaseKey(long id) {
-        Attempt one = core.table.byNumber(id);
-        if (one != null && one.entry != null && one.entry.owner == one) {
-            one.entry.pinnedUntil = 0; // the sweep takes it once no second run can follow
+        Attempt attempt = attempts.byId(id);
+        if (attempt != null && attempt.ownsKeyEntry()) {
+            attempt.keyEntry().release();
         }
     }
 
     @Override
     public void joinResult(long id) {
-        Attempt one = core.table.byNumber(id);
-        if (one == null || one.answered()) {
-            return;
-        }
-        core.counts.joins++;
-        one.joinedAt = core.clock.nowMicros();
-        if (one.entry.end != null) {
-            core.answers.joined(one, one.entry.end, one.entry.result);
-        } else {
-            one.entry.owner.joiners.add(one);
+        Attempt attempt = attempts.byId(id);
+        if (attempt != null && !attempt.answered()) {
+            answers.join(attempt);
         }
     }
 
     @Override
     public void setHealth(boolean good, boolean stored) {
-        core.healthy(good);
+        health.update(good);
     }
 
     @Override
     public void setLoadFeedback(double value) {
-        core.answers.advise(value);
+        answers.setLoadFeedback(value);
     }
 
     @Override
-    public void setIdleTimeout(long after) {
-        core.idleCloser.accept(after);
+    public void setIdleTimeout(long idleMicros) {
+        idleConnectionCloser.accept(idleMicros);
     }
 
     @Override
-    public void scheduleWakeup(long after) {
-        core.batches.wake(after);
+    public void scheduleWakeup(long delayMicros) {
+        events.scheduleWakeup(delayMicros);
     }
 
     @Override
     public void log(String text) {
-        core.log.info("module", "text", text);
+        log.info("module", "text", text);
     }
 }
--- a/server/src/main/java/wheatspread/core/Answer.java
+++ b/server/src/main/java/wheatspread/core/Answer.java
@@ -1,15 +1,18 @@
 package wheatspread.core;
 
 /**
- * The final answer to one try, in no protocol's words. {@code body} is the result of a run where there is
- * one; {@code retryAfterMicros} how long the caller should stay away, in microseconds, 0 for no advice; {@code
- * doNotRetry}
- * asks that no other server be tried; {@code loadFeedback} is the free value, NaN where none was set.
+ * The final answer to one attempt, independent of any protocol.
+ *
+ * @param kind what became of the attempt
+ * @param body the result of the run; null where there is none
+ * @param retryAfterMicros how long the caller should wait before it retries, in microseconds; 0 for no advice
+ * @param doNotRetry whether the caller is asked not to retry on another server either
+ * @param loadFeedback the load feedback value that goes with the answer; NaN where none is set
  */
 public record Answer(Kind kind, byte[] body, long retryAfterMicros, boolean doNotRetry, double loadFeedback) {
     /**
-     * What became of the try. Only {@code REJECTED} promises that it never ran; {@code CONFLICT} is a try that
-     * claims the name of another one in hand, or its key with another body.
+     * What became of the attempt. Only {@code REJECTED} promises that it never ran. {@code CONFLICT} is given to
+     * an attempt that uses the job name of another attempt in flight, or its idempotency key with another body.
      */
     public enum Kind {
         SERVED,
--- a/server/src/main/java/wheatspread/core/AttemptTable.java
+++ b/server/src/main/java/wheatspread/core/AttemptTable.java
@@ -6,41 +6,47 @@
 import java.util.List;
 import java.util.Map;
 
-/** The tries in hand, by the module's number and by the name that kernel and records know. */
+/**
+ * The attempts in flight, by the admission controller's id and by the job name that the kernel and the records
+ * service know. Iterates in the order of arrival. Its bound is set by {@link RequestLifecycle}.
+ */
 final class AttemptTable {
-    private final Map<Long, Attempt> byNumber = new LinkedHashMap<>();
+    private final Map<Long, Attempt> byId = new LinkedHashMap<>();
     private final Map<String, Attempt> byJob = new HashMap<>();
-    private long lastNumber;
-
-    Attempt add(InboundRequest submission, Reply reply) {
-        Attempt one = new Attempt(++lastNumber, submission, reply);
-        byNumber.put(one.number, one);
-        byJob.put(submission.job(), one);
-        return one;
+    private long lastId;
+
+    /** Adds an attempt under the next id, which is never used again. */
+    Attempt add(InboundRequest request, Reply reply, boolean receivedAfterGrace) {
+        Attempt attempt = new Attempt(++lastId, request, reply, receivedAfterGrace);
+        byId.put(attempt.id(), attempt);
+        byJob.put(attempt.job(), attempt);
+        return attempt;
     }
 
-    Attempt byNumber(long number) {
-        return byNumber.get(number);
+    /** The attempt with this id; null if it is not in flight. */
+    Attempt byId(long id) {
+        return byId.get(id);
     }
 
+    /** The attempt with this job name; null if none is in flight. */
     Attempt byJob(String job) {
         return byJob.get(job);
     }
 
-    void remove(Attempt one) {
-        if (byNumber.remove(one.number) != null) {
-            byJob.remove(one.submission.job());
+    void remove(Attempt attempt) {
+        if (byId.remove(attempt.id()) != null) {
+            byJob.remove(attempt.job());
         }
     }
 
     int size() {
-        return byNumber.size();
+        return byId.size();
     }
 
-    /** Those that still owe an answer; a copy, since answering takes tries out. */
+    /** The attempts that still owe an answer; a copy, since answering removes attempts. */
     List<Attempt> unanswered() {
-        List<Attempt> open = new ArrayList<>(byNumber.values());
-        open.removeIf(Attempt::answered);
-        return open;
+        List<Attempt> unanswered = new ArrayList<>(byId.values());
+        unanswered.removeIf(Attempt::answered);
+        return unanswered;
     }
 }
--- a/server/src/main/java/wheatspread/core/Clock.java
+++ b/server/src/main/java/wheatspread/core/Clock.java
@@ -1,18 +1,19 @@
 package wheatspread.core;
 
-/** Unix time and timers, all on the one thread that owns the core; tests inject their own. */
+/** Unix time and timers. All tasks run on the one thread that owns the core; tests inject their own clock. */
 public interface Clock {
     /** Unix time in microseconds. */
     long nowMicros();
 
-    /** Runs a task once, after so many microseconds. */
-    Timer after(long micros, Runnable task);
+    /** Runs a task once, {@code delayMicros} microseconds from now. */
+    Timer after(long delayMicros, Runnable task);
 
-    /** Runs a task when what is being read has been read, on the same thread. */
+    /** Runs a task once the input of the current event-loop turn has been read, on the same thread. */
     void soon(Runnable task);
 
-    /** A task that waits for its time. */
+    /** A scheduled task. */
     interface Timer {
+        /** Cancels the task; has no effect once it ran or was cancelled. */
         void cancel();
     }
 }
--- a/server/src/main/java/wheatspread/core/DependencyCalls.java
+++ b/server/src/main/java/wheatspread/core/DependencyCalls.java
@@ -1,69 +1,56 @@
 package wheatspread.core;
 
-import java.util.function.Consumer;
-import wheatspread.admission.AdmissionController;
 import wheatspread.admission.Outcome;
 
-/** The calls that runs wait for: made, given up in time, skipped, and their replies handed to the kernel. */
+/**
+ * Starts the dependency calls that runs wait for, cancels them at their timeout, skips them, and hands their
+ * replies to the kernel. The state of each call is the attempt's {@link PendingDependencyCall}.
+ */
 final class DependencyCalls {
     private final Clock clock;
     private final RecordsService records;
-    private final Consumer<Consumer<AdmissionController>> events;
-    private final RequestCounters counts;
-
-    DependencyCalls(
-            Clock clock,
-            RecordsService records,
-            Consumer<Consumer<AdmissionController>> events,
-            RequestCounters counts) {
-        this.clock = clock;
+    private final Kernel kernel;
+    private final EventBatcher events;
+    private final RequestCounters counters;
+
+    DependencyCalls(CoreContext context, RecordsService records) {
+        clock = context.clock();
+        kernel = context.kernel();
+        events = context.events();
+        counters = context.counters();
         this.records = records;
-        this.events = events;
-        this.counts = counts;
     }
 
-    /** Makes the call that a run waits for, and gives it up after so many microseconds. */
-    void make(Attempt one, long giveUpAfter, Kernel kernel) {
-        drop(one);
-        counts.calls++;
-        long began = clock.nowMicros();
-        one.callTimer = clock.after(giveUpAfter, () -> {
-            drop(one);
-            ended(one, Outcome.TIMED_OUT, began);
-        });
-        one.call = records.call(one.submission.job(), one.callBody, giveUpAfter, (outcome, reply) -> {
-            one.callTimer.cancel();
-            one.call = null;
+    /** Starts the call that a run waits for, in place of one in flight; cancels it after {@code timeoutMicros}. */
+    void start(Attempt attempt, long timeoutMicros) {
+        PendingDependencyCall pending = attempt.dependencyCall();
+        pending.cancel();
+        counters.dependencyCallStarted();
+        long startedAtMicros = clock.nowMicros();
+        pending.setTimeout(clock.after(timeoutMicros, () -> {
+            pending.cancel();
+            reportEnd(attempt, Outcome.TIMED_OUT, startedAtMicros);
+        }));
+        pending.started(records.call(attempt.job(), pending.body(), timeoutMicros, (outcome, reply) -> {
+            pending.ended();
             if (outcome == Outcome.OK) {
-                goOn(one);
-                kernel.callDone(one.submission.job(), reply);
+                pending.resolved();
+                kernel.callDone(attempt.job(), reply);
             }
-            ended(one, outcome, began);
-        });
-    }
-
-    private void ended(Attempt one, Outcome outcome, long began) {
-        long took = clock.nowMicros() - began;
-        events.accept(m -> m.onCallCompleted(one.number, outcome, took));
-    }
-
-    void skip(Attempt one, Kernel kernel) {
-        counts.skips++;
-        kernel.skipCall(one.submission.job(), one.notice);
-        goOn(one);
+            reportEnd(attempt, outcome, startedAtMicros);
+        }));
     }
 
-    private static void goOn(Attempt one) {
-        one.notice = 0;
-        one.callBody = null;
+    private void reportEnd(Attempt attempt, Outcome outcome, long startedAtMicros) {
+        long elapsedMicros = clock.nowMicros() - startedAtMicros;
+        events.add(controller -> controller.onCallCompleted(attempt.id(), outcome, elapsedMicros));
     }
 
-    /** Gives up the call in hand, if any; nothing more is heard of it. */
-    static void drop(Attempt one) {
-        if (one.call != null) {
-            one.call.giveUp();
-            one.call = null;
-            one.callTimer.cancel();
-        }
+    /** Continues a run without the call that it waits for. */
+    void skip(Attempt attempt) {
+        PendingDependencyCall pending = attempt.dependencyCall();
+        counters.dependencyCallSkipped();
+        kernel.skipCall(attempt.job(), pending.noticeNumber());
+        pending.resolved();
     }
 }
--- a/server/src/main/java/wheatspread/core/DeploymentSettings.java
+++ b/server/src/main/java/wheatspread/core/DeploymentSettings.java
@@ -9,7 +9,14 @@
 import wheatspread.admission.LoadGauges;
 import wheatspread.admission.RequestClass;
 
-/** The settings with the names of their classes and tenants, by index, and the order of the gauges. */
+/**
+ * The admission settings with the names behind their indexes.
+ *
+ * @param settings the settings of the admission controller
+ * @param classes the name of each request class, by index
+ * @param tenants the name of each tenant, by index
+ * @param gauges the names of the kernel's gauges, in the order in which it reports them
+ */
 public record DeploymentSettings(
         AdmissionSettings settings, List<String> classes, NameTable tenants, List<String> gauges) {
     public DeploymentSettings {
@@ -17,49 +24,37 @@
         gauges = List.copyOf(gauges);
     }
 
-    /** The same of tenants' names that stand in any list; they must be distinct. */
+    /** The same with the tenants' names in any list; they must be distinct. */
     public DeploymentSettings(
             AdmissionSettings settings, List<String> classes, List<String> tenants, List<String> gauges) {
         this(settings, classes, NameTable.copyOf(tenants), gauges);
     }
 
     /**
-     * This site retuned to the classes of {@code next}: a class it had keeps its index and its figures; a
-     * class that {@code next} adds comes after all others; a class that
-     * {@code next} drops stays, so that requests in hand, and those that proxies send until they have heard,
-     * keep their class. All else stays as it is.
+     * These settings with the classes of {@code next}. A class that they had keeps its index and its figures: its
+     * idempotency window holds for the attempts that ran before the reload. A class that {@code next} adds comes
+     * after all others. A class that {@code next} drops stays, so that requests in flight, and those that clients
+     * send until they have read the new settings, keep their class. All else stays as it is.
      */
     public DeploymentSettings retunedTo(DeploymentSettings next) {
         List<String> names = new ArrayList<>(classes);
-        List<RequestClass> kinds = new ArrayList<>(settings.classes());
-        for (int i = 0; i < next.classes().size(); i++) {
-            int at = names.indexOf(next.classes().get(i));
-            if (at < 0) {
-                names.add(next.classes().get(i));
-                kinds.add(next.settings().classes().get(i));
+        List<RequestClass> requestClasses = new ArrayList<>(settings.classes());
+        for (int index = 0; index < next.classes().size(); index++) {
+            String name = next.classes().get(index);
+            if (!names.contains(name)) {
+                names.add(name);
+                requestClasses.add(next.settings().classes().get(index));
             }
-            // a class that stays keeps its figures: its window holds for the tries that ran before the retune
         }
-        return new DeploymentSettings(
-                new AdmissionSettings(
-                        settings.cores(),
-                        settings.servers(),
-                        settings.cold(),
-                        settings.preemptionMode(),
-                        settings.cacheTtlMicros(),
-                        settings.timerResolutionMicros(),
-                        settings.limits(),
-                        settings.dependency(),
-                        settings.clients(),
-                        kinds,
-                        settings.tenants()),
-                names,
-                tenants,
-                gauges);
+        return new DeploymentSettings(settingsWith(settings.cold(), requestClasses), names, tenants, gauges);
     }
 
     /** The settings of a process whose kernel says whether it started cold. */
     AdmissionSettings settings(boolean cold) {
+        return settingsWith(cold, settings.classes());
+    }
+
+    private AdmissionSettings settingsWith(boolean cold, List<RequestClass> requestClasses) {
         return new AdmissionSettings(
                 settings.cores(),
                 settings.servers(),
@@ -70,15 +65,15 @@
                 settings.limits(),
                 settings.dependency(),
                 settings.clients(),
-                settings.classes(),
+                requestClasses,
                 settings.tenants());
     }
 
-    /** A row of readings by their names; NaN where one is missing. */
-    public static LoadGauges reading(List<String> names, IntToDoubleFunction row) {
+    /** The gauges with these names in this order, read by {@code valueAt}; NaN where one is missing. */
+    public static LoadGauges reading(List<String> names, IntToDoubleFunction valueAt) {
         Map<String, Double> values = new HashMap<>();
-        for (int i = 0; i < names.size(); i++) {
-            values.put(names.get(i), row.applyAsDouble(i));
+        for (int index = 0; index < names.size(); index++) {
+            values.put(names.get(index), valueAt.applyAsDouble(index));
         }
         return new LoadGauges(
                 values.getOrDefault("core_use", Double.NaN),
--- a/server/src/main/java/wheatspread/core/EventBatcher.java
+++ b/server/src/main/java/wheatspread/core/EventBatcher.java
@@ -9,117 +9,133 @@
 import wheatspread.logging.EventLog;
 
 /**
- * Hands events to the module as the simulator does: all of one turn of the loop together, with the gauges
- * where one of its timers rang, and one decision behind them.
+ * Hands events to the admission controller as the simulator does: all events of one event-loop turn in one batch,
+ * preceded by the gauges where one of the controller's timers has expired, and followed by one decision. It owns
+ * the controller, and the clock of its batches, which never goes back. Owned by the core's thread.
  */
 final class EventBatcher {
-    /** The gauges are asked for this long before the module looks at them; us. */
-    private static final long GAUGES_AHEAD = 10_000;
-    /** A reading older than this counts as missing; us. */
-    private static final long GAUGES_STALE = 300_000;
-    /** The module is woken this long after it failed; us. */
-    private static final long AFTER_FAULT = 50_000;
+    /** The gauges are asked for this long before the controller's timer expires. */
+    private static final long GAUGE_REQUEST_LEAD_MICROS = 10_000;
+    /** Gauges older than this count as missing. */
+    private static final long MAX_GAUGE_AGE_MICROS = 300_000;
+    /** The controller's timer expires this long after the controller threw an exception. */
+    private static final long WAKEUP_AFTER_FAULT_MICROS = 50_000;
 
     private static final LoadGauges NO_GAUGES = new LoadGauges(Double.NaN, Double.NaN, Double.NaN, Double.NaN);
 
     private final Clock clock;
-    private final Runnable askGauges;
+    private final Kernel kernel;
     private final EventLog log;
-    private AdmissionController module;
+    private final PriorityQueue<Long> wakeupTimesMicros = new PriorityQueue<>();
+
+    private AdmissionController controller;
     private AdmissionController.Actions actions;
     private List<Consumer<AdmissionController>> events = new ArrayList<>();
-    private boolean flushing;
-    private long now;
-    private final PriorityQueue<Long> wakes = new PriorityQueue<>();
-    private LoadGauges reading = NO_GAUGES;
-    private long readAt;
+    private boolean flushScheduled;
+    private long batchMicros;
+    private LoadGauges gauges = NO_GAUGES;
+    private long gaugesReadAtMicros;
 
-    EventBatcher(Clock clock, Runnable askGauges, EventLog log) {
+    EventBatcher(Clock clock, Kernel kernel, EventLog log) {
         this.clock = clock;
-        this.askGauges = askGauges;
+        this.kernel = kernel;
         this.log = log;
     }
 
-    /** The module takes its first batch for the start of the kernel, and a cold one warms since then. */
-    void begin(AdmissionController started, AdmissionController.Actions carrier, long startedAt) {
-        module = started;
-        actions = carrier;
-        now = startedAt;
-        module.beginBatch(now);
-        flushSoon();
+    /**
+     * Starts handing events to a controller. It takes its first batch for the kernel's start at
+     * {@code kernelStartMicros} in Unix microseconds, from which a cold one warms up.
+     */
+    void start(AdmissionController newController, AdmissionController.Actions executor, long kernelStartMicros) {
+        controller = newController;
+        actions = executor;
+        batchMicros = kernelStartMicros;
+        controller.beginBatch(batchMicros);
+        scheduleFlush();
     }
 
-    boolean begun() {
-        return module != null;
+    boolean started() {
+        return controller != null;
     }
 
-    /** The clock of the batch under way, in Unix microseconds. */
-    long now() {
-        return now;
+    /** The time of the batch under way, in Unix microseconds. */
+    long nowMicros() {
+        return batchMicros;
     }
 
-    void read(LoadGauges gauges) {
-        reading = gauges;
-        readAt = clock.nowMicros();
+    /** Takes gauges that the kernel reported now. */
+    void setGauges(LoadGauges reading) {
+        gauges = reading;
+        gaugesReadAtMicros = clock.nowMicros();
     }
 
-    void event(Consumer<AdmissionController> event) {
-        if (module != null) {
+    /** Adds an event to the next batch; events before {@link #start} are dropped. */
+    void add(Consumer<AdmissionController> event) {
+        if (controller != null) {
             events.add(event);
-            flushSoon();
+            scheduleFlush();
         }
     }
 
-    private void flushSoon() {
-        if (!flushing) {
-            flushing = true;
+    private void scheduleFlush() {
+        if (!flushScheduled) {
+            flushScheduled = true;
             clock.soon(this::flush);
         }
     }
 
-    /** Hands over all that has come in and has the module decide; what that brings about is a later batch. */
+    /** Hands over all events and has the controller decide; what its actions bring about is a later batch. */
     private void flush() {
-        flushing = false;
+        flushScheduled = false;
         List<Consumer<AdmissionController>> batch = events;
         events = new ArrayList<>();
-        now = Math.max(now, clock.nowMicros());
-        module.beginBatch(now);
-        boolean bell = false;
-        while (!wakes.isEmpty() && wakes.peek() <= now) {
-            wakes.poll();
-            bell = true;
-        }
-        if (bell) {
-            // before all else, so that the module's tick never runs without its gauges
-            module.onTimer(now - readAt <= GAUGES_STALE ? reading : NO_GAUGES);
+        batchMicros = Math.max(batchMicros, clock.nowMicros());
+        controller.beginBatch(batchMicros);
+        if (removeExpiredWakeups()) {
+            // before all else, so that the controller's tick never runs without its gauges
+            controller.onTimer(gaugesAreFresh() ? gauges : NO_GAUGES);
         }
         try {
-            batch.forEach(event -> event.accept(module));
-            module.decide(actions);
+            batch.forEach(event -> event.accept(controller));
+            controller.decide(actions);
         } catch (RuntimeException e) {
             // a fault in one decision must not end the ticks, or every later request would be lost with it
             log.error("module_failed", "error", e);
-            wake(AFTER_FAULT);
+            scheduleWakeup(WAKEUP_AFTER_FAULT_MICROS);
         }
     }
 
-    /** Rings the module's timer after so many microseconds, with gauges read just before. */
-    void wake(long after) {
-        wakes.add(now + after);
-        ringAt(now + after);
-        if (after > 2 * GAUGES_AHEAD) {
-            clock.after(after - GAUGES_AHEAD, askGauges);
+    private boolean removeExpiredWakeups() {
+        boolean expired = false;
+        while (!wakeupTimesMicros.isEmpty() && wakeupTimesMicros.peek() <= batchMicros) {
+            wakeupTimesMicros.poll();
+            expired = true;
+        }
+        return expired;
+    }
+
+    private boolean gaugesAreFresh() {
+        return batchMicros - gaugesReadAtMicros <= MAX_GAUGE_AGE_MICROS;
+    }
+
+    /** Sets a timer of the controller, and asks for gauges just before it expires. */
+    void scheduleWakeup(long delayMicros) {
+        long wakeupMicros = batchMicros + delayMicros;
+        wakeupTimesMicros.add(wakeupMicros);
+        flushAt(wakeupMicros);
+        if (delayMicros > 2 * GAUGE_REQUEST_LEAD_MICROS) {
+            clock.after(delayMicros - GAUGE_REQUEST_LEAD_MICROS, kernel::askGauges);
         }
     }
 
-    /** Timers may fire a little early by the Unix clock; a bell rung early would be the module's last. */
-    private void ringAt(long at) {
-        long left = at - clock.nowMicros();
-        clock.after(Math.max(0, left), () -> {
-            if (clock.nowMicros() < at) {
-                ringAt(at);
+    /** Timers may run a little early by the Unix clock; a flush before the time would find no expired wakeup. */
+    private void flushAt(long wakeupMicros) {
+        long remainingMicros = wakeupMicros - clock.nowMicros();
+        clock.after(Math.max(0, remainingMicros), () -> {
+            if (clock.nowMicros() < wakeupMicros) {
+                flushAt(wakeupMicros);
             } else {
-                flushSoon();
+                scheduleFlush();
             }
         });
     }
--- a/server/src/main/java/wheatspread/core/FinalAnswers.java
+++ b/server/src/main/java/wheatspread/core/FinalAnswers.java
@@ -1,111 +1,165 @@
 package wheatspread.core;
 
-import java.util.ArrayList;
-import java.util.List;
 import wheatspread.admission.Outcome;
 
-/** What ends a try: its one final answer, the end of its run, and what becomes of its key and its joiners. */
+/**
+ * Ends attempts: gives each its one final answer, records how its run ended, hands the result to the attempts that
+ * joined it, and removes it once neither answer nor run is open. Owned by the core's thread.
+ */
 final class FinalAnswers {
-    private final AttemptTable table;
-    private final IdempotencyTable keys;
-    private final RequestCounters counts;
-    private final EventBatcher batches;
+    private final AttemptTable attempts;
+    private final IdempotencyTable idempotencyTable;
+    private final RequestCounters counters;
+    private final EventBatcher events;
     private final Clock clock;
-    /** The free value that goes with answers and checks; NaN where none is set. */
-    private double feedback = Double.NaN;
+    private double loadFeedback = Double.NaN;
 
-    FinalAnswers(AttemptTable table, IdempotencyTable keys, RequestCounters counts, EventBatcher batches, Clock clock) {
-        this.table = table;
-        this.keys = keys;
-        this.counts = counts;
-        this.batches = batches;
-        this.clock = clock;
+    FinalAnswers(CoreContext context) {
+        attempts = context.attempts();
+        idempotencyTable = context.idempotencyTable();
+        counters = context.counters();
+        events = context.events();
+        clock = context.clock();
     }
 
-    double feedback() {
-        return feedback;
+    /** The load feedback that goes with answers and health checks; NaN where none is set. */
+    double loadFeedback() {
+        return loadFeedback;
     }
 
-    void advise(double value) {
-        feedback = value;
+    void setLoadFeedback(double value) {
+        loadFeedback = value;
     }
 
-    /** The one place that gives a final answer, once. */
-    void finish(Attempt one, Answer.Kind kind, byte[] body, long later, boolean last) {
-        Reply reply = one.reply;
+    // ---- answers ----
+
+    /** An answer without a result or advice. */
+    Answer plainAnswer(Answer.Kind kind) {
+        return new Answer(kind, null, 0, false, loadFeedback);
+    }
+
+    /** An answer with advice on retries: how long to wait, and whether to retry at all. */
+    Answer answerWithAdvice(Answer.Kind kind, long retryAfterMicros, boolean doNotRetry) {
+        return new Answer(kind, null, retryAfterMicros, doNotRetry, loadFeedback);
+    }
+
+    /** Gives an attempt a final answer without a result, unless it has been answered. */
+    void finish(Attempt attempt, Answer.Kind kind) {
+        finish(attempt, plainAnswer(kind));
+    }
+
+    /** Gives an attempt its final answer, unless it has been answered, and lets it go. */
+    void finish(Attempt attempt, Answer answer) {
+        Reply reply = attempt.takeReply();
         if (reply != null) {
-            one.reply = null;
-            one.dueTimer.cancel();
-            counts.count(one.submission.requestClass(), kind);
-            reply.answer(new Answer(kind, body, later, last, feedback));
+            counters.answered(attempt.request().requestClass(), answer.kind());
+            reply.answer(answer);
         }
-        letGo(one);
+        letGo(attempt);
     }
 
-    /** A request is failed when it is due, even if nothing else happens. */
-    void due(Attempt one) {
-        if (!one.answered()) {
-            counts.overdue++;
-            batches.event(m -> m.onCancellation(one.number));
-            finish(one, Answer.Kind.DEADLINE_EXCEEDED, null, 0, false);
+    private void finishWithResult(Attempt attempt, Kernel.End end, byte[] result) {
+        Answer.Kind kind = end == Kernel.End.OK ? Answer.Kind.SERVED : Answer.Kind.FAILED;
+        finish(attempt, new Answer(kind, result, 0, false, loadFeedback));
+    }
+
+    /** Fails an attempt at its deadline, or before the process stops, if it is still unanswered. */
+    void failAtDeadline(Attempt attempt) {
+        if (!attempt.answered()) {
+            counters.deadlineExceeded();
+            events.add(controller -> controller.onCancellation(attempt.id()));
+            finish(attempt, Answer.Kind.DEADLINE_EXCEEDED);
         }
     }
 
-    /** Once nobody waits: its call is given up, and it leaves the table unless its run goes on. */
-    void letGo(Attempt one) {
-        DependencyCalls.drop(one);
-        if (one.joinedAt > 0 && one.entry != null) {
-            one.entry.owner.joiners.remove(one);
+    /** Fails all attempts that are still unanswered. */
+    void failAllUnanswered() {
+        attempts.unanswered().forEach(this::failAtDeadline);
+    }
+
+    /**
+     * Frees what an attempt holds once it is answered: its dependency call is cancelled, and it leaves the table
+     * unless its run goes on.
+     */
+    void letGo(Attempt attempt) {
+        attempt.dependencyCall().cancel();
+        if (attempt.joined() && attempt.keyEntry() != null) {
+            attempt.keyEntry().owner().removeJoiner(attempt);
         }
-        if (one.run == Attempt.Run.PAUSED && one.answered()) {
-            settle(one, Kernel.End.STOPPED, null); // nothing will take it up again
-        } else if (one.run == Attempt.Run.NONE || one.run == Attempt.Run.ENDED) {
-            release(one);
-            table.remove(one);
+        if (attempt.suspended() && attempt.answered()) {
+            recordEnd(attempt, Kernel.End.STOPPED, null); // nothing will resume it
+        } else if (!attempt.hasOpenRun()) {
+            releaseKeyIfNeverRan(attempt);
+            attempts.remove(attempt);
         }
     }
 
-    /** A try that ended without a run gives its key free; none of those that wait for it ran either. */
-    void release(Attempt one) {
-        if (one.everRan() || one.entry == null || one.entry.owner != one) {
+    /** Frees the key of an attempt that ended without a run, and rejects those that joined it: none of them ran. */
+    void releaseKeyIfNeverRan(Attempt attempt) {
+        if (attempt.everRan() || !attempt.ownsKeyEntry()) {
             return;
         }
-        keys.remove(one.entry);
-        List<Attempt> waiting = new ArrayList<>(one.joiners);
-        one.joiners.clear();
-        for (Attempt joiner : waiting) {
-            batches.event(m -> m.onCompletion(joiner.number, Outcome.FAILED, clock.nowMicros() - joiner.joinedAt));
-            finish(joiner, Answer.Kind.REJECTED, null, 0, false);
+        idempotencyTable.remove(attempt.keyEntry());
+        var joiners = attempt.joiners();
+        attempt.clearJoiners();
+        for (Attempt joiner : joiners) {
+            reportJoinEnd(joiner, Outcome.FAILED);
+            finish(joiner, Answer.Kind.REJECTED);
         }
     }
 
-    // ---- how a run ended ----
+    // ---- ends of runs ----
+
+    /** Reports the end of a run to the admission controller, and answers what waits for it. */
+    void endRun(Attempt attempt, Kernel.End end, byte[] result, long elapsedMicros) {
+        Outcome outcome = outcomeOf(end);
+        events.add(controller -> controller.onCompletion(attempt.id(), outcome, elapsedMicros));
+        recordEnd(attempt, end, result);
+    }
 
-    void over(Attempt one, Kernel.End end, byte[] result, Outcome outcome, long took) {
-        batches.event(m -> m.onCompletion(one.number, outcome, took));
-        settle(one, end, result);
+    private static Outcome outcomeOf(Kernel.End end) {
+        return switch (end) {
+            case OK -> Outcome.OK;
+            case ERROR -> Outcome.FAILED;
+            case STOPPED -> Outcome.CANCELED;
+            case MOOT -> Outcome.IGNORED;
+        };
     }
 
-    /** Notes how a run ended, and answers it and all that wait for its result. */
-    void settle(Attempt one, Kernel.End end, byte[] result) {
-        one.run = Attempt.Run.ENDED;
-        boolean ok = end == Kernel.End.OK;
-        if (one.entry != null && one.entry.owner == one) {
-            one.entry.end = end;
-            one.entry.result = result;
+    private void recordEnd(Attempt attempt, Kernel.End end, byte[] result) {
+        attempt.runEnded();
+        if (attempt.ownsKeyEntry()) {
+            attempt.keyEntry().runEnded(end, result);
         }
-        finish(one, ok ? Answer.Kind.SERVED : Answer.Kind.FAILED, result, 0, false);
-        for (Attempt joiner : new ArrayList<>(one.joiners)) {
-            joined(joiner, end, result);
+        finishWithResult(attempt, end, result);
+        for (Attempt joiner : attempt.joiners()) {
+            endJoin(joiner, end, result);
         }
-        one.joiners.clear();
-        table.remove(one);
+        attempt.clearJoiners();
+        attempts.remove(attempt);
+    }
+
+    // ---- shared results ----
+
+    /** Answers an attempt with the result of the owner of its key, at once or when the owner's run ends. */
+    void join(Attempt attempt) {
+        counters.joined();
+        attempt.joinAt(clock.nowMicros());
+        IdempotencyTable.Entry entry = attempt.keyEntry();
+        if (entry.end() != null) {
+            endJoin(attempt, entry.end(), entry.result());
+        } else {
+            entry.owner().addJoiner(attempt);
+        }
+    }
+
+    private void endJoin(Attempt joiner, Kernel.End end, byte[] result) {
+        reportJoinEnd(joiner, end == Kernel.End.OK ? Outcome.OK : Outcome.FAILED);
+        finishWithResult(joiner, end, result);
     }
 
-    void joined(Attempt joiner, Kernel.End end, byte[] result) {
-        boolean ok = end == Kernel.End.OK;
-        long took = clock.nowMicros() - joiner.joinedAt;
-        batches.event(m -> m.onCompletion(joiner.number, ok ? Outcome.OK : Outcome.FAILED, took));
-        finish(joiner, ok ? Answer.Kind.SERVED : Answer.Kind.FAILED, result, 0, false);
+    private void reportJoinEnd(Attempt joiner, Outcome outcome) {
+        long elapsedMicros = clock.nowMicros() - joiner.joinedAtMicros();
+        events.add(controller -> controller.onCompletion(joiner.id(), outcome, elapsedMicros));
     }
 }
--- a/server/src/main/java/wheatspread/core/IdempotencyClaims.java
+++ b/server/src/main/java/wheatspread/core/IdempotencyClaims.java
@@ -1,17 +1,17 @@
 package wheatspread.core;
 
 /**
- * Runs of keyed requests that another process of this server may have made: during an upgrade, two processes
- * serve one name, and a try that ran in one must not run again in the other within its window.
+ * Claims on idempotency keys, shared by the processes of one server. During an upgrade two processes serve one
+ * address, and a request that ran in one of them must not run again in the other within its idempotency window.
  */
 public interface IdempotencyClaims {
-    /** For a server that is one process alone. */
-    IdempotencyClaims NONE = (key, door, window) -> true;
+    /** For a server that is a single process: every claim is granted. */
+    IdempotencyClaims NONE = (key, arrivalMicros, windowMicros) -> true;
 
     /**
-     * Whether this process may run a try of {@code key} that came at {@code door}, in microseconds of the
-     * Unix clock: no other process claimed the key for a door within {@code window} microseconds before it.
-     * A yes is this process's claim, which the others see from then on.
+     * Claims {@code key} for an attempt that arrived at {@code arrivalMicros} (Unix time). Returns false if
+     * another process claimed the key for an arrival at most {@code windowMicros} earlier; the attempt must not
+     * run then. If it returns true, the claim is recorded and the other processes see it from then on.
      */
-    boolean claim(String key, long door, long window);
+    boolean claim(String key, long arrivalMicros, long windowMicros);
 }
--- a/server/src/main/java/wheatspread/core/Kernel.java
+++ b/server/src/main/java/wheatspread/core/Kernel.java
@@ -1,41 +1,55 @@
 package wheatspread.core;
 
-/** What the core asks of the kernel, which does the work. Commands may be given while the link is down. */
+/**
+ * The kernel, which does the work of requests. A job is the kernel's name for one attempt. Commands may be given
+ * while the link is down; the link delivers them once it is up again.
+ */
 public interface Kernel {
-    /** How a run ended. */
+    /** How a run ended. The names of the constants are words of the kernel protocol. */
     enum End {
+        /** The run returned a result. */
         OK,
+        /** The run failed. */
         ERROR,
+        /** The run was stopped by {@link Kernel#pause}. */
         STOPPED,
+        /** The kernel ignored the command to start or resume the run. */
         MOOT
     }
 
-    void run(String job, String kind, byte[] body);
+    /** Starts a run of the class named {@code requestClass}. */
+    void run(String job, String requestClass, byte[] body);
 
+    /** Suspends a run; {@link Listener#ended} confirms it with {@link End#STOPPED}. */
     void pause(String job);
 
+    /** Resumes a suspended run. */
     void resume(String job);
 
-    /** Hands the reply to the call that a run waits for. */
+    /** Hands the reply of a dependency call to the run that waits for it. */
     void callDone(String job, byte[] reply);
 
-    /** Lets a run go on without the call that a notice asked for. */
-    void skipCall(String job, long notice);
+    /** Continues a run without the dependency call that the notice {@code noticeNumber} asked for. */
+    void skipCall(String job, long noticeNumber);
 
+    /** Asks for the gauges, which {@link Listener#gauges} brings. */
     void askGauges();
 
-    /** What the kernel tells. */
+    /** Receives what the kernel reports, on the core's thread. */
     interface Listener {
-        /** The kernel is up, first or again; {@code age} is how long ago it started, in microseconds. */
-        void booted(boolean cold, long age);
+        /** The kernel is up, for the first time or again; it started {@code ageMicros} microseconds ago. */
+        void booted(boolean cold, long ageMicros);
 
-        void ended(String job, End end, long took, byte[] result);
+        /** A run ended after {@code elapsedMicros}; {@code result} is null unless it ended {@link End#OK}. */
+        void ended(String job, End end, long elapsedMicros, byte[] result);
 
-        void blocked(String job, long notice, byte[] call);
+        /** A run waits for a dependency call with the body {@code call}; the notice identifies the call. */
+        void blocked(String job, long noticeNumber, byte[] call);
 
-        void gauges(double[] row);
+        /** The gauges, in the order that the deployment settings name them. */
+        void gauges(double[] readings);
 
-        /** A command to start a run was not carried out. */
+        /** A command to start or resume a run was not carried out. */
         void notStarted(String job);
     }
 }
--- a/server/src/main/java/wheatspread/core/RecordsService.java
+++ b/server/src/main/java/wheatspread/core/RecordsService.java
@@ -2,19 +2,20 @@
 
 import wheatspread.admission.Outcome;
 
-/** The records service that runs call. */
+/** The records service: the dependency that runs call. */
 public interface RecordsService {
-    /** Makes a call, which the service may hold for {@code patience} microseconds. */
-    Call call(String job, byte[] body, long patience, Listener listener);
+    /** Starts a call, which the service may hold for up to {@code timeoutMicros} microseconds. */
+    Call call(String job, byte[] body, long timeoutMicros, Listener listener);
 
-    /** A call under way. */
+    /** A call in flight. */
     interface Call {
-        /** Gives the call up; its listener hears nothing more. */
+        /** Cancels the call; its listener is not called any more. */
         void giveUp();
     }
 
-    /** Hears the end of one call; {@code reply} is null unless it went well. */
+    /** Receives the end of one call, on the core's thread. */
     interface Listener {
+        /** The call ended; {@code reply} is null unless the outcome is {@link Outcome#OK}. */
         void ended(Outcome outcome, byte[] reply);
     }
 }
--- a/server/src/main/java/wheatspread/core/Reply.java
+++ b/server/src/main/java/wheatspread/core/Reply.java
@@ -1,6 +1,7 @@
 package wheatspread.core;
 
-/** Where the final answer to one try goes; the core calls it at most once. */
+/** Receives the final answer to one attempt; the core calls it at most once. */
 public interface Reply {
+    /** Takes the answer, on the core's thread. */
     void answer(Answer answer);
 }
