--- a/server/src/main/java/wheatspread/core/KernelEvents.java
+++ b/server/src/main/java/wheatspread/core/KernelEvents.java
@@ -43,6 +43,7 @@
             case ERROR -> answers.endRun(attempt, end, null, elapsedMicros);
             case STOPPED -> stopped(attempt, elapsedMicros);
             case MOOT -> ignored(attempt);
+            default -> throw new IllegalArgumentException(end.toString());
         }
     }
 
--- a/server/src/main/java/wheatspread/handover/SharedIdempotencyClaims.java
+++ b/server/src/main/java/wheatspread/handover/SharedIdempotencyClaims.java
@@ -15,30 +15,41 @@
 import wheatspread.logging.EventLog;
 
 /**
- * Claims as files in a folder that the processes of one server share ({@code $TMPDIR} on the platform): one
- * small file a key, made with create-new, which the file system does for one process alone. A file holds the
- * process's id and the door of the try that ran; it is deleted by its maker once its window is over.
+ * Claims as files in a folder that the processes of one server share ({@code $TMPDIR} on the platform): one small
+ * file for each key, made with create-new, which the file system grants to one process alone. Its name is a hash of
+ * the key, its content one line with the id of the process and the arrival time of the attempt that ran, in Unix
+ * microseconds. Processes of other releases read these files, so name and content stay as they are. A file is
+ * deleted by the process that made it once the idempotency window is over.
  *
- * <p>The files are tiny and the folder is memory, so the loop's thread writes them itself; a claim takes some
- * 20 us. Where the folder cannot be written, claims are given, and that is logged once: the process serves as
- * it would alone.
+ * <p>The files are tiny and the folder is in memory, so the event loop's thread writes them itself; a claim takes
+ * about 20 us. If the folder cannot be written, every claim is granted and that is logged once: the process then
+ * serves as it would alone. Not safe for use by several threads.
  */
 public final class SharedIdempotencyClaims implements IdempotencyClaims {
-    /** Claims of this process that are still to be deleted, oldest first. */
-    private final ArrayDeque<Made> made = new ArrayDeque<>();
+    private static final int FILE_NAME_HASH_BYTES = 16;
 
     private final Path folder;
-    private final String self;
+    private final String processId;
     private final EventLog log;
     private final MessageDigest digest;
-    private boolean failed;
+    /** Claims of this process whose files are still to be deleted, oldest first. */
+    private final ArrayDeque<OwnClaim> ownClaims = new ArrayDeque<>();
 
-    private record Made(Path file, long until) {}
+    private boolean failureLogged;
 
-    /** {@code self} names this process in its claims. */
-    public SharedIdempotencyClaims(Path folder, long self, EventLog log) throws IOException {
+    private record OwnClaim(Path file, long windowEndMicros) {}
+
+    /** The content of a claim's file. */
+    private record StoredClaim(String processId, String arrival) {
+        long arrivalMicros() {
+            return Long.parseLong(arrival);
+        }
+    }
+
+    /** Claims keys in {@code folder}, which is made if need be, under the id of this process. */
+    public SharedIdempotencyClaims(Path folder, long processId, EventLog log) throws IOException {
         this.folder = Files.createDirectories(folder);
-        this.self = Long.toString(self);
+        this.processId = Long.toString(processId);
         this.log = log;
         try {
             digest = MessageDigest.getInstance("SHA-256");
@@ -48,68 +59,83 @@
     }
 
     @Override
-    public boolean claim(String key, long door, long window) {
-        forget(door);
-        Path file = folder.resolve(nameOf(key));
-        byte[] mine = (self + ' ' + door + '\n').getBytes(StandardCharsets.US_ASCII);
+    public boolean claim(String key, long arrivalMicros, long windowMicros) {
+        deleteExpired(arrivalMicros);
+        Path file = folder.resolve(fileNameOf(key));
         try {
-            try {
-                Files.write(file, mine, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
-            } catch (FileAlreadyExistsException e) {
-                String[] theirs = read(file);
-                if (theirs != null && !theirs[0].equals(self) && door <= Long.parseLong(theirs[1]) + window) {
-                    return false;
-                }
-                Files.write(file, mine); // an old claim, or one of this process: the new door stands
+            if (!write(file, arrivalMicros, windowMicros)) {
+                return false;
             }
-            made.addLast(new Made(file, door + window));
-            return true;
+            ownClaims.addLast(new OwnClaim(file, arrivalMicros + windowMicros));
         } catch (IOException | RuntimeException e) {
-            if (!failed) {
-                failed = true;
-                log.warn("claims_failed", "folder", folder, "error", e.toString());
+            logFailure(e);
+        }
+        return true;
+    }
+
+    /** Writes a claim, unless another process holds the key for an arrival within the window. */
+    private boolean write(Path file, long arrivalMicros, long windowMicros) throws IOException {
+        byte[] content = (processId + ' ' + arrivalMicros + '\n').getBytes(StandardCharsets.US_ASCII);
+        try {
+            Files.write(file, content, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
+        } catch (FileAlreadyExistsException e) {
+            StoredClaim stored = read(file);
+            boolean heldByOther = stored != null
+                    && !stored.processId().equals(processId)
+                    && arrivalMicros <= stored.arrivalMicros() + windowMicros;
+            if (heldByOther) {
+                return false;
             }
-            return true;
+            Files.write(file, content); // it has expired or is this process's own: the new arrival replaces it
+        }
+        return true;
+    }
+
+    private void logFailure(Exception failure) {
+        if (!failureLogged) {
+            failureLogged = true;
+            log.warn("claims_failed", "folder", folder, "error", failure.toString());
         }
     }
 
-    /** Who claimed and for which door; null where the file went, or holds no whole claim. */
-    private static String[] read(Path file) throws IOException {
+    /** Reads a claim; null if the file was deleted, or holds no complete claim. */
+    private static StoredClaim read(Path file) throws IOException {
         try {
-            String[] words =
-                    Files.readString(file, StandardCharsets.US_ASCII).strip().split(" ");
-            return words.length == 2 && words[1].matches("\\d{1,19}") ? words : null;
+            String line = Files.readString(file, StandardCharsets.US_ASCII).strip();
+            String[] words = line.split(" ");
+            boolean complete = words.length == 2 && words[1].matches("\\d{1,19}");
+            return complete ? new StoredClaim(words[0], words[1]) : null;
         } catch (NoSuchFileException e) {
             return null;
         }
     }
 
     /**
-     * Deletes the claims of this process whose window is over by {@code now}; a file that the other process
-     * has claimed since is its own, and stays.
+     * Deletes the claims of this process whose window ended before {@code nowMicros}. A file that another process
+     * has claimed since is that process's own, and stays.
      */
-    private void forget(long now) {
-        while (!made.isEmpty() && made.peekFirst().until() < now) {
-            Path file = made.removeFirst().file();
+    private void deleteExpired(long nowMicros) {
+        while (!ownClaims.isEmpty() && ownClaims.peekFirst().windowEndMicros() < nowMicros) {
+            Path file = ownClaims.removeFirst().file();
             try {
-                String[] holder = read(file);
-                if (holder != null && holder[0].equals(self)) {
+                StoredClaim stored = read(file);
+                if (stored != null && stored.processId().equals(processId)) {
                     Files.deleteIfExists(file);
                 }
             } catch (IOException e) {
-                return; // it stays, and its maker's window is over
+                return; // the file stays; its window is over, so it forbids nothing
             }
         }
     }
 
-    /** A name for a key that a peer chose: its hash, so that no text of a peer becomes a path. */
-    private String nameOf(String key) {
+    /** The hash of a key that a client chose, so that no text of a client becomes a path. */
+    private String fileNameOf(String key) {
         byte[] hash = digest.digest(key.getBytes(StandardCharsets.UTF_8));
-        return HexFormat.of().formatHex(hash, 0, 16);
+        return HexFormat.of().formatHex(hash, 0, FILE_NAME_HASH_BYTES);
     }
 
     /** How many claims of this process wait to be deleted. */
     public int size() {
-        return made.size();
+        return ownClaims.size();
     }
 }
