--- a/server/src/main/java/wheatspread/timers/TimerWheel.java
+++ b/server/src/main/java/wheatspread/timers/TimerWheel.java
@@ -2,41 +2,46 @@
 
 /**
  * A hierarchical timing wheel (G. Varghese and A. Lauck, "Hashed and Hierarchical Timing Wheels", SOSP 1987,
- * scheme 7): setting, moving and cancelling a timer take constant time, however many there are. Time is in
- * microseconds of a clock that never goes back; the wheel reads none itself. A timer rings at the end of its
- * tick of 1,024 us, so up to that much late and never early.
+ * scheme 7): setting, moving and cancelling a timer take constant time, however many there are. Times are
+ * microseconds of a clock that never goes back; the wheel reads none itself. A timer expires at the end of its tick
+ * of 1,024 us, so up to that much late and never early.
  *
- * <p>Unlike a wheel that is polled at every tick, this one says when it next needs to be looked at, so that
- * an idle process sleeps.
+ * <p>Unlike a wheel that is polled at every tick, this one says when it must next be advanced, so that an idle
+ * process sleeps. Timers belong to their owners and are linked into the wheel's lists while they are set, so that
+ * setting one allocates nothing. Not safe for use by several threads.
  */
 public final class TimerWheel {
     /** A tick is 2 to this power of microseconds. */
     private static final int TICK_BITS = 10;
     /**
-     * Slots of the first level, one for each tick; those above have fewer, each as wide as the level below.
+     * Each level has 2 to this power of slots. A slot of the first level is one tick wide; a slot of any other level
+     * is as wide as the whole level below.
      */
-    private static final int[] BITS = {8, 6, 6, 6};
+    private static final int[] SLOT_BITS = {8, 6, 6, 6};
 
-    private static final int[] SHIFT = {0, 8, 14, 20};
-    /** What lies further ahead, some 18 hours, waits at the far end and is placed again from there. */
-    private static final long FARTHEST = (1L << 26) - 1;
+    /** A slot of each level is 2 to this power of ticks wide. */
+    private static final int[] SLOT_WIDTH_BITS = {0, 8, 14, 20};
+    /** Timers further ahead, some 18 hours, wait in the farthest slot and are placed again from there. */
+    private static final long MAX_TICKS_AHEAD = (1L << 26) - 1;
 
-    private static final int DUE = -1;
-    private static final int NOWHERE = -2;
+    /** The slot of a timer that has expired and is still to be called. */
+    private static final int EXPIRED = -1;
+    /** The slot of a timer that is not set. */
+    private static final int UNSET = -2;
 
-    /** Something that rings once; its owner may cancel or move it, and set it again after it rang. */
+    /** Expires once each time it is set. Its owner may cancel or move it, and set it again after it expired. */
     public abstract static class Timer {
         private Timer previous;
         private Timer next;
-        private long deadline;
-        private int slot = NOWHERE;
+        private long deadlineMicros;
+        private int slot = UNSET;
 
-        /** Its time has come. */
+        /** Called by {@link #expire} when its deadline has passed; it is not set any more. */
         protected abstract void ring();
 
-        /** Whether it is going to ring. */
+        /** Whether it is set and has not been called since. */
         public boolean isSet() {
-            return slot != NOWHERE;
+            return slot != UNSET;
         }
     }
 
@@ -44,38 +49,40 @@
     private static final class Sentinel extends Timer {
         @Override
         protected void ring() {
-            throw new IllegalStateException("a sentinel is never due");
+            throw new IllegalStateException("a sentinel never expires");
         }
     }
 
-    /** Ring lists with a sentinel each: those of all levels one after another, and the one of the due. */
+    /** The timers of each slot, as circular lists with a sentinel; the levels stand one after another. */
     private final Timer[] slots;
-
-    private final long[][] occupied = new long[BITS.length][];
-    private final int[] first = new int[BITS.length];
-    private final Timer due = sentinel();
+    /** The index in {@link #slots} of each level's first slot. */
+    private final int[] firstSlot = new int[SLOT_BITS.length];
+    /** For each level, a bit set of the slots that hold timers. */
+    private final long[][] occupied = new long[SLOT_BITS.length][];
+    /** The timers that have expired and are still to be called. */
+    private final Timer expired = sentinel();
     /** The tick up to which timers were taken out of their slots. */
-    private long current;
+    private long currentTick;
 
     private int size;
 
-    /** {@code now} is the time at which it starts, in microseconds. */
-    public TimerWheel(long now) {
+    /** Starts at the time {@code nowMicros}. */
+    public TimerWheel(long nowMicros) {
         int count = 0;
-        for (int level = 0; level < BITS.length; level++) {
-            first[level] = count;
-            count += 1 << BITS[level];
-            occupied[level] = new long[Math.max(1, (1 << BITS[level]) / 64)];
+        for (int level = 0; level < SLOT_BITS.length; level++) {
+            firstSlot[level] = count;
+            count += 1 << SLOT_BITS[level];
+            occupied[level] = new long[Math.max(1, (1 << SLOT_BITS[level]) / 64)];
         }
         slots = new Timer[count];
-        current = now >> TICK_BITS;
+        currentTick = nowMicros >> TICK_BITS;
     }
 
     private static Timer sentinel() {
-        Timer ring = new Sentinel();
-        ring.previous = ring;
-        ring.next = ring;
-        return ring;
+        Timer list = new Sentinel();
+        list.previous = list;
+        list.next = list;
+        return list;
     }
 
     /** How many timers are set. */
@@ -84,53 +91,53 @@
     }
 
     /**
-     * Sets a timer, or moves one that is set, to ring at that time. One that moves to a later time stays
-     * where it is and is placed again when its old time comes: a deadline that is pushed back on every use
+     * Sets a timer, or moves one that is set, to expire at that time. One that moves to a later time stays
+     * in its slot and is placed again when its old time comes: a deadline that is extended on every use
      * costs one store.
      */
-    public void set(Timer timer, long deadline) {
-        if (timer.slot >= 0 && deadline >= timer.deadline) {
-            timer.deadline = deadline;
+    public void set(Timer timer, long deadlineMicros) {
+        if (timer.slot >= 0 && deadlineMicros >= timer.deadlineMicros) {
+            timer.deadlineMicros = deadlineMicros;
             return;
         }
         cancel(timer);
-        timer.deadline = deadline;
+        timer.deadlineMicros = deadlineMicros;
         size++;
         place(timer);
     }
 
-    /** Forgets a timer; no matter whether it is set. */
+    /** Cancels a timer; has no effect on one that is not set. */
     public void cancel(Timer timer) {
-        if (timer.slot != NOWHERE) {
+        if (timer.slot != UNSET) {
             unlink(timer);
-            timer.slot = NOWHERE;
+            timer.slot = UNSET;
             size--;
         }
     }
 
-    /** Ticks are counted at their ends, so that none rings early. */
-    private static long tickOf(long deadline) {
-        return deadline + (1 << TICK_BITS) - 1 >> TICK_BITS;
+    /** The tick at whose end a timer expires: rounded up, so that none expires early. */
+    private static long tickOf(long deadlineMicros) {
+        return deadlineMicros + (1 << TICK_BITS) - 1 >> TICK_BITS;
     }
 
     private void place(Timer timer) {
-        long tick = tickOf(timer.deadline);
-        long ahead = tick - current;
-        if (ahead <= 0) {
-            timer.slot = DUE;
-            link(due, timer);
+        long tick = tickOf(timer.deadlineMicros);
+        long ticksAhead = tick - currentTick;
+        if (ticksAhead <= 0) {
+            timer.slot = EXPIRED;
+            link(expired, timer);
             return;
         }
-        if (ahead > FARTHEST) {
-            tick = current + FARTHEST;
-            ahead = FARTHEST;
+        if (ticksAhead > MAX_TICKS_AHEAD) {
+            tick = currentTick + MAX_TICKS_AHEAD;
+            ticksAhead = MAX_TICKS_AHEAD;
         }
         int level = 0;
-        while (ahead >> SHIFT[level] + BITS[level] != 0) {
+        while (ticksAhead >> SLOT_WIDTH_BITS[level] + SLOT_BITS[level] != 0) {
             level++;
         }
-        int index = (int) (tick >> SHIFT[level]) & (1 << BITS[level]) - 1;
-        int slot = first[level] + index;
+        int index = (int) (tick >> SLOT_WIDTH_BITS[level]) & (1 << SLOT_BITS[level]) - 1;
+        int slot = firstSlot[level] + index;
         if (slots[slot] == null) {
             slots[slot] = sentinel();
         }
@@ -139,93 +146,92 @@
         link(slots[slot], timer);
     }
 
-    private static void link(Timer ring, Timer timer) {
-        timer.previous = ring.previous;
-        timer.next = ring;
-        ring.previous.next = timer;
-        ring.previous = timer;
+    private static void link(Timer list, Timer timer) {
+        timer.previous = list.previous;
+        timer.next = list;
+        list.previous.next = timer;
+        list.previous = timer;
     }
 
     private void unlink(Timer timer) {
         timer.previous.next = timer.next;
         timer.next.previous = timer.previous;
         if (timer.slot >= 0 && slots[timer.slot].next == slots[timer.slot]) {
-            clear(timer.slot);
+            markEmpty(timer.slot);
         }
         timer.previous = null;
         timer.next = null;
     }
 
-    private void clear(int slot) {
-        int level = BITS.length - 1;
-        while (first[level] > slot) {
+    private void markEmpty(int slot) {
+        int level = SLOT_BITS.length - 1;
+        while (firstSlot[level] > slot) {
             level--;
         }
-        int index = slot - first[level];
+        int index = slot - firstSlot[level];
         occupied[level][index >> 6] &= ~(1L << index);
     }
 
     /**
-     * Rings what is due at that time, {@code most} timers at most, in the order of their ticks. What is left
-     * rings at the next call; see {@link #overdue}. Returns how many rang.
+     * Advances to {@code nowMicros} and calls the timers that have expired, at most {@code maxTimers} of them, in the
+     * order of their ticks. What is left is called next time; see {@link #overdue}. Returns how many were called.
      */
-    public int expire(long now, int most) {
-        advance(now >> TICK_BITS);
-        int rung = 0;
-        while (rung < most && due.next != due) {
-            Timer timer = due.next;
+    public int expire(long nowMicros, int maxTimers) {
+        advance(nowMicros >> TICK_BITS);
+        int called = 0;
+        while (called < maxTimers && expired.next != expired) {
+            Timer timer = expired.next;
             cancel(timer);
-            rung++;
+            called++;
             timer.ring();
         }
-        return rung;
+        return called;
     }
 
-    /** Whether timers whose time has come were left over by the last {@link #expire}. */
+    /** Whether the last {@link #expire} left expired timers over. */
     public boolean overdue() {
-        return due.next != due;
+        return expired.next != expired;
     }
 
-    private void advance(long target) {
-        while (current < target) {
-            long next = Math.min(target, nextStop());
-            current = next;
-            int index = (int) current & (1 << BITS[0]) - 1;
+    private void advance(long targetTick) {
+        while (currentTick < targetTick) {
+            currentTick = Math.min(targetTick, nextStop());
+            int index = (int) currentTick & (1 << SLOT_BITS[0]) - 1;
             if (index == 0) {
                 cascade(1);
             }
-            take(0, index);
+            emptySlot(0, index);
         }
     }
 
-    /** The next tick at which a slot of the first level is occupied, or at which a wider slot is opened. */
+    /** The next tick whose slot in the first level is occupied, or at which a slot of the next level is emptied. */
     private long nextStop() {
-        int size = 1 << BITS[0];
-        long wrap = (current | size - 1) + 1;
-        int step = distance(0, (int) current & size - 1);
-        return step == 0 ? wrap : Math.min(current + step, wrap);
+        int slotCount = 1 << SLOT_BITS[0];
+        long wrap = (currentTick | slotCount - 1) + 1;
+        int step = distance(0, (int) currentTick & slotCount - 1);
+        return step == 0 ? wrap : Math.min(currentTick + step, wrap);
     }
 
+    /** Moves the timers of the current slot of a level to the levels below. */
     private void cascade(int level) {
-        int index = (int) (current >> SHIFT[level]) & (1 << BITS[level]) - 1;
-        if (index == 0 && level + 1 < BITS.length) {
+        int index = (int) (currentTick >> SLOT_WIDTH_BITS[level]) & (1 << SLOT_BITS[level]) - 1;
+        if (index == 0 && level + 1 < SLOT_BITS.length) {
             cascade(level + 1);
         }
-        take(level, index);
+        emptySlot(level, index);
     }
 
-    /** Empties a slot: what is due goes to the due, the rest to where it belongs now. */
-    private void take(int level, int index) {
-        int slot = first[level] + index;
-        Timer ring = slots[slot];
+    /** Empties a slot: timers that have expired are queued for their call, the others are placed again. */
+    private void emptySlot(int level, int index) {
+        Timer list = slots[firstSlot[level] + index];
         if ((occupied[level][index >> 6] & 1L << index) == 0) {
             return;
         }
         occupied[level][index >> 6] &= ~(1L << index);
-        Timer timer = ring.next;
-        ring.next = ring;
-        ring.previous = ring;
-        while (timer != ring) {
+        Timer timer = list.next;
+        list.next = list;
+        list.previous = list;
+        while (timer != list) {
             Timer following = timer.next;
             place(timer);
             timer = following;
@@ -233,33 +239,33 @@
     }
 
     /**
-     * When {@link #expire} is next needed, in microseconds: at once if something is due, and
-     * {@link Long#MAX_VALUE} if no timer is set. It may come before the first timer, never after it.
+     * When {@link #expire} must next be called, in microseconds: at once if a timer has expired, and
+     * {@link Long#MAX_VALUE} if none is set. It may be before the first timer expires, never after.
      */
     public long nextLook() {
         if (overdue()) {
-            return current << TICK_BITS;
+            return currentTick << TICK_BITS;
         }
-        long soonest = Long.MAX_VALUE;
-        for (int level = 0; level < BITS.length; level++) {
-            int index = (int) (current >> SHIFT[level]) & (1 << BITS[level]) - 1;
+        long earliestMicros = Long.MAX_VALUE;
+        for (int level = 0; level < SLOT_BITS.length; level++) {
+            int index = (int) (currentTick >> SLOT_WIDTH_BITS[level]) & (1 << SLOT_BITS[level]) - 1;
             int step = distance(level, index);
             if (step > 0) {
-                long tick = (current >> SHIFT[level]) + step << SHIFT[level];
-                soonest = Math.min(soonest, tick << TICK_BITS);
+                long tick = (currentTick >> SLOT_WIDTH_BITS[level]) + step << SLOT_WIDTH_BITS[level];
+                earliestMicros = Math.min(earliestMicros, tick << TICK_BITS);
             }
         }
-        return soonest;
+        return earliestMicros;
     }
 
-    /** How many slots on from an index the next occupied one is, 1 to all round; 0 if there is none. */
+    /** How many slots after an index the next occupied one comes, 1 to a full turn; 0 if there is none. */
     private int distance(int level, int index) {
-        long[] bits = occupied[level];
-        int count = 1 << BITS[level];
+        long[] occupiedSlots = occupied[level];
+        int count = 1 << SLOT_BITS[level];
         int step = 1;
         while (step <= count) {
             int at = index + step & count - 1;
-            long word = bits[at >> 6] >>> at;
+            long word = occupiedSlots[at >> 6] >>> at;
             if (word != 0) {
                 step += Long.numberOfTrailingZeros(word);
                 return step <= count ? step : 0;
