--- /dev/null
+++ b/server/src/main/java/wheatspread/kernel/KernelConnection.java
@@ -0,0 +1,108 @@
+package wheatspread.kernel;
+
+import io.netty.bootstrap.Bootstrap;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.handler.codec.LineBasedFrameDecoder;
+import io.netty.handler.codec.string.StringDecoder;
+import io.netty.handler.codec.string.StringEncoder;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import wheatspread.logging.EventLog;
+
+/**
+ * One TCP connection to the kernel, which carries lines of text in both directions. It knows neither what
+ * the lines mean nor whether another connection takes its place: its {@link Owner} decides that and closes
+ * it. Used on the event loop only.
+ */
+final class KernelConnection extends SimpleChannelInboundHandler<String> {
+    private static final int MAX_LINE_BYTES = 256 * 1024;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
+
+    /** What happens on a connection, for whoever opened it. */
+    interface Owner {
+        /** The attempt to connect failed; no other call follows. */
+        void connectFailed(KernelConnection connection);
+
+        /** The connection is established and can send. */
+        void connected(KernelConnection connection);
+
+        /** The established connection has closed, whichever side closed it. */
+        void disconnected(KernelConnection connection);
+
+        void lineReceived(KernelConnection connection, String line);
+    }
+
+    private final InetSocketAddress address;
+    private final Owner owner;
+    private final EventLog log;
+    private Channel channel;
+
+    KernelConnection(InetSocketAddress address, Owner owner, EventLog log) {
+        this.address = address;
+        this.owner = owner;
+        this.log = log;
+    }
+
+    /** Starts to connect; the result goes to the owner. */
+    void connect(Bootstrap clients) {
+        clients.clone()
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
+                .handler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel ch) {
+                        ch.pipeline()
+                                .addLast(
+                                        new LineBasedFrameDecoder(MAX_LINE_BYTES),
+                                        new StringDecoder(StandardCharsets.UTF_8),
+                                        new StringEncoder(StandardCharsets.UTF_8),
+                                        KernelConnection.this);
+                    }
+                })
+                .connect(address)
+                .addListener(result -> {
+                    if (!result.isSuccess()) {
+                        owner.connectFailed(this);
+                    }
+                });
+    }
+
+    InetSocketAddress address() {
+        return address;
+    }
+
+    /** Sends a line; only once it is connected. */
+    void send(String line) {
+        channel.writeAndFlush(line + "\n", channel.voidPromise());
+    }
+
+    /** Closes the connection; only once it is connected. */
+    void close() {
+        channel.close();
+    }
+
+    @Override
+    public void channelActive(ChannelHandlerContext ctx) {
+        channel = ctx.channel();
+        owner.connected(this);
+    }
+
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) {
+        owner.disconnected(this);
+    }
+
+    @Override
+    protected void channelRead0(ChannelHandlerContext ctx, String line) {
+        owner.lineReceived(this, line);
+    }
+
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        log.warn("kernel_link_failed", "error", cause);
+        ctx.close();
+    }
+}
--- a/server/src/main/java/wheatspread/kernel/KernelLink.java
+++ b/server/src/main/java/wheatspread/kernel/KernelLink.java
@@ -1,18 +1,8 @@
 package wheatspread.kernel;
 
 import io.netty.bootstrap.Bootstrap;
-import io.netty.channel.Channel;
-import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
-import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.handler.codec.LineBasedFrameDecoder;
-import io.netty.handler.codec.string.StringDecoder;
-import io.netty.handler.codec.string.StringEncoder;
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
 import java.util.Base64;
 import java.util.concurrent.TimeUnit;
 import org.json.JSONObject;
@@ -20,170 +10,166 @@
 import wheatspread.logging.EventLog;
 
 /**
- * The link to the kernel. Commands are kept until the kernel has shown that it read them: it reads a link in
- * order, so the answer to a question for gauges confirms every command before it, and a notice of a job
- * confirms what was sent for that job. What a lost link may have swallowed is sent again on the next one, but
- * only after all notices that were missed have been read, so that nothing is run a second time.
+ * The session with the kernel, which outlives its connections. A command is kept until the kernel has proven
+ * that it read it: the kernel reads a connection in order, so the answer to a gauge request confirms every
+ * command before that request, and a notice about a run confirms the commands for that run. What a lost
+ * connection may have swallowed is sent again on the next one, but only after all missed notices have been
+ * read, so that no run is started twice.
+ *
+ * <p>All methods run on the event loop. {@link #close} ends the session and its connections.
  */
 public final class KernelLink implements Kernel {
-    private static final int MAX_LINE_BYTES = 256 * 1024;
-    private static final int CONNECT_TIMEOUT_MS = 1_000;
-    private static final long MIN_RETRY_MS = 20;
-    private static final long MAX_RETRY_MS = 400;
-    /** How long missed notices are waited for where the kernel does not say that they are through. */
+    private static final long MIN_RETRY_DELAY_MS = 20;
+    private static final long MAX_RETRY_DELAY_MS = 400;
+    /** How long to wait for missed notices from a kernel that does not answer the catch-up request. */
     private static final long CATCH_UP_TIMEOUT_MS = 1_000;
 
-    /** How long the old link may take to confirm what was sent on it before a new one takes its place. */
+    /** How long the old connection may take to confirm its commands before a new one replaces it. */
     private static final long CONFIRM_TIMEOUT_MS = 200;
-    /** Questions for gauges in a row, one a tick of the module, without a line after which a link hangs. */
-    private static final int MAX_UNANSWERED = 100;
+    /** Gauge requests, one per tick of the admission module, without any line before a connection is closed. */
+    private static final int MAX_UNANSWERED_REQUESTS = 100;
 
     private final EventLoopGroup loop;
     private final Bootstrap clients;
     private final EventLog log;
     private final UnconfirmedCommands unconfirmed = new UnconfirmedCommands();
     private final NoticeReader notices;
+    private final KernelConnection.Owner connectionEvents = new ConnectionEvents();
     private InetSocketAddress address;
-    /** The link in use; what any other one still brings is dropped. */
-    private Connection current;
-    /** The link that is to replace it, while it is being opened. */
-    private Connection connecting;
-    /** The link that replaces it once every command that was sent on it has been confirmed. */
-    private Connection replacement;
-    /** Commands may go out: the kernel is up and the notices missed have been read. */
+    /** The connection in use; lines from any other one are dropped. */
+    private KernelConnection current;
+    /** The connection that is being opened to replace it. */
+    private KernelConnection connecting;
+    /** The open connection that replaces it once the kernel has confirmed every command sent on it. */
+    private KernelConnection replacement;
+    /** Whether commands may be sent: the kernel is up and the missed notices have been read. */
     private boolean ready;
 
+    /** Whether the kernel has been up on any connection. */
     private boolean booted;
+
     private boolean closed;
-    /** The link was asked for; before that a new address is only noted. */
+    /** Whether {@link #open} was called; before that a new address is only recorded. */
     private boolean opened;
 
-    private int unanswered;
-    private long retryMs = MIN_RETRY_MS;
+    private int unansweredRequests;
+    private long retryDelayMs = MIN_RETRY_DELAY_MS;
 
     public KernelLink(Bootstrap clients, InetSocketAddress address, Listener listener, EventLog log) {
         loop = clients.config().group();
         this.clients = clients;
         this.address = address;
         this.log = log;
-        notices = new NoticeReader(new Progress(), listener, unconfirmed, log);
+        notices = new NoticeReader(new SessionProgress(), listener, unconfirmed, log);
     }
 
+    /** Connects to the kernel, and reconnects with backoff whenever the connection is lost. */
     public void open() {
         opened = true;
         if (closed) {
             return;
         }
-        Connection next = new Connection(address);
-        connecting = next;
-        ChannelFuture connected = clients.clone()
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel ch) {
-                        ch.pipeline()
-                                .addLast(
-                                        new LineBasedFrameDecoder(MAX_LINE_BYTES),
-                                        new StringDecoder(StandardCharsets.UTF_8),
-                                        new StringEncoder(StandardCharsets.UTF_8),
-                                        next);
-                    }
-                })
-                .connect(next.to);
-        connected.addListener(done -> {
-            if (!done.isSuccess() && connecting == next) {
-                connecting = null;
-                retry();
-            }
-        });
+        connecting = new KernelConnection(address, connectionEvents, log);
+        connecting.connect(clients);
     }
 
     /**
-     * The kernel is to be reached at another address from now on. The old link serves until the new one is
-     * there; commands that it may have swallowed are sent again there, behind the missed notices.
+     * Moves the session to a kernel at another address. The old connection serves until the new one is open;
+     * commands that it may have swallowed are sent again there, after the missed notices.
      */
     public void moveTo(InetSocketAddress next) {
         if (!next.equals(address)) {
             address = next;
             if (replacement != null) {
-                replacement.channel.close();
+                replacement.close();
             }
-            retryMs = MIN_RETRY_MS;
+            retryDelayMs = MIN_RETRY_DELAY_MS;
             if (opened) {
                 open();
             }
         }
     }
 
+    /** Closes the connections and stops reconnecting. */
     public void close() {
         closed = true;
         if (replacement != null) {
-            replacement.channel.close();
+            replacement.close();
         }
         if (current != null) {
-            current.channel.close();
+            current.close();
         }
     }
 
-    private void retry() {
+    private void retryLater() {
         loop.schedule(
                 () -> {
-                    // an old address's link still serves, but only until its kernel closes it;
-                    // one that waits for its word must not be overtaken by another
-                    if (connecting == null && replacement == null && (current == null || !current.to.equals(address))) {
+                    // a connection to an old address still serves, but only until its kernel closes it; a
+                    // replacement that waits for confirmations must not be overtaken by another one
+                    if (connecting == null
+                            && replacement == null
+                            && (current == null || !current.address().equals(address))) {
                         open();
                     }
                 },
-                retryMs,
+                retryDelayMs,
                 TimeUnit.MILLISECONDS);
-        retryMs = Math.min(MAX_RETRY_MS, retryMs * 2);
+        retryDelayMs = Math.min(MAX_RETRY_DELAY_MS, retryDelayMs * 2);
     }
 
     // ---- commands ----
 
     @Override
     public void run(String job, String kind, byte[] body) {
-        command("SCHED", job, new JSONObject().put("kind", kind).put("data", encode(body)));
+        command(
+                KernelWireNames.START,
+                job,
+                new JSONObject().put(KernelWireNames.REQUEST_CLASS, kind).put(KernelWireNames.BODY, encode(body)));
     }
 
     @Override
     public void pause(String job) {
-        command("PREEMPT", job, new JSONObject());
+        command(KernelWireNames.SUSPEND, job, new JSONObject());
     }
 
     @Override
     public void resume(String job) {
-        command("RESCHED", job, new JSONObject());
+        command(KernelWireNames.RESUME, job, new JSONObject());
     }
 
     @Override
     public void callDone(String job, byte[] reply) {
-        command("IODONE", job, new JSONObject().put("data", encode(reply)));
+        command(KernelWireNames.CALL_REPLY, job, new JSONObject().put(KernelWireNames.BODY, encode(reply)));
     }
 
     @Override
     public void skipCall(String job, long notice) {
-        command("NOIO", job, new JSONObject().put("n", notice));
+        command(KernelWireNames.SKIP_CALL, job, new JSONObject().put(KernelWireNames.SEQUENCE_NUMBER, notice));
     }
 
     @Override
     public void askGauges() {
-        if (current != null && booted && ++unanswered > MAX_UNANSWERED) {
-            // guards against a link that stays open and carries nothing: the ends of runs would not be noticed
-            log.warn("kernel_silent", "unheard", unanswered);
-            current.channel.close();
+        if (current != null && booted && ++unansweredRequests > MAX_UNANSWERED_REQUESTS) {
+            // a connection that stays open but carries nothing would hide the ends of runs
+            log.warn("kernel_silent", "unheard", unansweredRequests);
+            current.close();
         } else if (ready) {
-            askGauges(Long.toString(unconfirmed.last()));
+            requestGauges(Long.toString(unconfirmed.lastSequenceNumber()));
         }
     }
 
-    /** The answer brings {@code ref} back, and confirms all that was sent before the question. */
-    private void askGauges(String ref) {
-        send(new JSONObject().put("type", "SYSINFO").put("ref", ref).toString());
+    /** The answer repeats {@code reference} and confirms every command sent before the request. */
+    private void requestGauges(String reference) {
+        send(new JSONObject()
+                .put(KernelWireNames.TYPE, KernelWireNames.REQUEST_GAUGES)
+                .put(KernelWireNames.REFERENCE, reference)
+                .toString());
     }
 
     private void command(String type, String job, JSONObject fields) {
-        String line = fields.put("type", type).put("job", job).toString();
+        String line = fields.put(KernelWireNames.TYPE, type)
+                .put(KernelWireNames.JOB, job)
+                .toString();
         unconfirmed.add(type, job, line);
         if (ready) {
             unconfirmed.sendUnsent(this::send);
@@ -191,14 +177,16 @@
     }
 
     private void send(String line) {
-        current.channel.writeAndFlush(line + "\n", current.channel.voidPromise());
+        current.send(line);
     }
 
     private static String encode(byte[] bytes) {
         return Base64.getEncoder().encodeToString(bytes);
     }
 
-    /** All missed notices are read: sends, or resends, what the kernel may not have read on this link. */
+    // ---- the session ----
+
+    /** All missed notices are read: sends, or sends again, what the kernel may not have read. */
     private void becomeReady() {
         if (!ready && replacement == null) {
             ready = true;
@@ -207,18 +195,18 @@
     }
 
     /**
-     * A new link may take the place of one that still serves. What was sent on the old one is confirmed
-     * first, and nothing more is sent there: a command that was read must not be sent again, since its run
-     * may end at that moment, and would be a second one.
+     * Replaces a connection that may still serve. The commands sent on the old one are confirmed first, and
+     * no more are sent there: a command that the kernel has read must not be sent again, since its run may
+     * end at that moment and would be started a second time.
      */
-    private void replace(Connection next) {
+    private void replaceWith(KernelConnection next) {
         if (current == null || !ready || unconfirmed.isEmpty()) {
             switchTo(next);
             return;
         }
         replacement = next;
         ready = false;
-        askGauges(Long.toString(unconfirmed.last()));
+        requestGauges(Long.toString(unconfirmed.lastSequenceNumber()));
         loop.schedule(
                 () -> {
                     if (replacement == next) {
@@ -229,96 +217,91 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    private void switchTo(Connection next) {
-        Connection old = current;
+    private void switchTo(KernelConnection next) {
+        KernelConnection old = current;
         replacement = null;
         current = next;
         ready = false;
-        unanswered = 0;
-        unconfirmed.resendAll();
+        unansweredRequests = 0;
+        unconfirmed.markAllUnsent();
         if (old != null) {
-            old.channel.close();
+            old.close();
         }
-        send(new JSONObject().put("type", "OPEN").put("n", notices.last()).toString());
+        send(new JSONObject()
+                .put(KernelWireNames.TYPE, KernelWireNames.RESUME_SESSION)
+                .put(KernelWireNames.SEQUENCE_NUMBER, notices.lastSequenceNumber())
+                .toString());
     }
 
-    // ---- connections ----
-
-    /** One connection to the kernel; a later one replaces it. */
-    private final class Connection extends SimpleChannelInboundHandler<String> {
-        private final InetSocketAddress to;
-        private Channel channel;
-
-        Connection(InetSocketAddress to) {
-            this.to = to;
+    /** What happens on the connections of the session. */
+    private final class ConnectionEvents implements KernelConnection.Owner {
+        @Override
+        public void connectFailed(KernelConnection connection) {
+            if (connecting == connection) {
+                connecting = null;
+                retryLater();
+            }
         }
 
         @Override
-        public void channelActive(ChannelHandlerContext ctx) {
-            channel = ctx.channel();
-            if (connecting != this || closed) {
-                channel.close(); // the address changed while it was being opened
+        public void connected(KernelConnection connection) {
+            if (connecting != connection || closed) {
+                connection.close(); // the address changed while it was being opened
                 return;
             }
             connecting = null;
-            replace(this);
+            replaceWith(connection);
         }
 
         @Override
-        public void channelInactive(ChannelHandlerContext ctx) {
-            if (replacement == this) {
+        public void disconnected(KernelConnection connection) {
+            if (replacement == connection) {
                 replacement = null;
-                becomeReady(); // the old one goes on with what was not sent there yet
-                retry();
+                becomeReady(); // the old connection carries the commands that were held back
+                retryLater();
                 return;
             }
-            if (current == this && replacement != null && !closed) {
+            if (current == connection && replacement != null && !closed) {
                 current = null;
                 switchTo(replacement);
                 return;
             }
-            if (current != this) {
-                return; // a late close of a link that was replaced must not drop the new one
+            if (current != connection) {
+                return; // the late close of a replaced connection must not drop the new one
             }
             ready = false;
             current = null;
             if (!closed) {
-                log.warn("kernel_lost", "notice", notices.last());
+                log.warn("kernel_lost", "notice", notices.lastSequenceNumber());
                 if (connecting == null) {
-                    retry();
+                    retryLater();
                 }
             }
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, String line) {
-            if (current != this) {
+        public void lineReceived(KernelConnection connection, String line) {
+            if (current != connection) {
                 return;
             }
-            unanswered = 0;
+            unansweredRequests = 0;
             if (!notices.read(line)) {
-                channel.close(); // the next link asks for what this line may have hidden
+                connection.close(); // the next connection requests what this line may have hidden
             }
         }
-
-        @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            log.warn("kernel_link_failed", "error", cause);
-            ctx.close();
-        }
     }
 
-    /** How far the link in use has come, as its notices tell. */
-    private final class Progress implements NoticeReader.Progress {
+    /** Follows how far the session has come on the connection in use. */
+    private final class SessionProgress implements NoticeReader.Progress {
         @Override
         public void booted() {
             booted = true;
-            retryMs = MIN_RETRY_MS;
-            askGauges(NoticeReader.SYNC);
-            Connection asked = current;
+            retryDelayMs = MIN_RETRY_DELAY_MS;
+            requestGauges(NoticeReader.CATCH_UP_REFERENCE);
+            KernelConnection awaited = current;
             loop.schedule(
                     () -> {
-                        if (current == asked) {
+                        if (current == awaited) {
                             becomeReady();
                         }
                     },
--- a/server/src/main/java/wheatspread/kernel/NoticeReader.java
+++ b/server/src/main/java/wheatspread/kernel/NoticeReader.java
@@ -8,22 +8,25 @@
 import wheatspread.logging.EventLog;
 
 /**
- * Reads the kernel's notices, and tells a listener of each numbered one once, whichever link brings it. What
- * they confirm is taken out of {@link UnconfirmedCommands}.
+ * Parses the kernel's notices and notifies a listener of each one with a sequence number exactly once,
+ * whichever connection brings it. The commands that a notice confirms leave {@link UnconfirmedCommands}.
  */
 final class NoticeReader {
-    /** The reference of the question whose answer stands behind all missed notices. */
-    static final String SYNC = "sync";
+    /** The reference of the gauge request whose answer follows all missed notices. */
+    static final String CATCH_UP_REFERENCE = "sync";
 
-    /** What notices tell of the link that brings them. */
+    private static final int MICROS_PER_MILLI = 1_000;
+    private static final long NONE = -1;
+
+    /** What the notices show about the connection that brings them. */
     interface Progress {
-        /** The kernel is up on this link; the listener is told next. */
+        /** The kernel is up on this connection; the listener is notified next. */
         void booted();
 
         /** All missed notices have been read. */
         void caughtUp();
 
-        /** All commands that were sent on the link have been read. */
+        /** The kernel has read all commands that were sent on the connection. */
         void allConfirmed();
     }
 
@@ -31,9 +34,9 @@
     private final Kernel.Listener listener;
     private final UnconfirmedCommands unconfirmed;
     private final EventLog log;
-    private long last;
-    /** The last notice before a line that was not understood and asked for again; -1 if there is none. */
-    private long askedAgain = -1;
+    private long lastSequenceNumber;
+    /** The last notice before an unreadable line for which a replay was requested; NONE if there is none. */
+    private long replayRequestedAfter = NONE;
 
     NoticeReader(Progress progress, Kernel.Listener listener, UnconfirmedCommands unconfirmed, EventLog log) {
         this.progress = progress;
@@ -42,14 +45,14 @@
         this.log = log;
     }
 
-    /** The number of the last notice that was read. */
-    long last() {
-        return last;
+    /** Returns the sequence number of the last notice that was read. */
+    long lastSequenceNumber() {
+        return lastSequenceNumber;
     }
 
     /**
-     * Reads a line. False if it was not understood and is to be asked for again, on a new link: it may have
-     * hidden a notice. Once only, since the kernel may have nothing better.
+     * Reads a line. Returns false if the line is unreadable and a new connection should replay it, since it
+     * may have hidden a notice. A replay is requested only once, since the kernel may have nothing better.
      */
     boolean read(String line) {
         try {
@@ -57,83 +60,83 @@
             return true;
         } catch (JSONException | IllegalArgumentException e) {
             log.warn("kernel_line_bad", "error", e.getMessage());
-            boolean again = askedAgain != last;
-            askedAgain = last;
-            return !again;
+            boolean replay = replayRequestedAfter != lastSequenceNumber;
+            replayRequestedAfter = lastSequenceNumber;
+            return !replay;
         }
     }
 
     private void read(JSONObject notice) {
-        String type = notice.getString("type");
+        String type = notice.getString(KernelWireNames.TYPE);
         switch (type) {
-            case "BOOTED" -> booted(notice);
-            case "INFO" -> info(notice);
-            case "EINVAL" -> invalid(notice);
+            case KernelWireNames.READY -> readReady(notice);
+            case KernelWireNames.GAUGES -> readGauges(notice);
+            case KernelWireNames.COMMAND_REJECTED -> readCommandRejected(notice);
             default -> {
-                long number = notice.optLong("n", 0);
-                if (number > last) {
-                    numbered(type, number, notice);
+                long sequenceNumber = notice.optLong(KernelWireNames.SEQUENCE_NUMBER, 0);
+                if (sequenceNumber > lastSequenceNumber) {
+                    readNumbered(type, sequenceNumber, notice);
                 }
             }
         }
     }
 
-    private void booted(JSONObject notice) {
-        boolean cold = notice.getString("state").equals("COLD");
-        long age = micros(notice);
+    private void readReady(JSONObject notice) {
+        boolean cold = notice.getString(KernelWireNames.STATE).equals(KernelWireNames.COLD_START);
+        long ageMicros = durationMicros(notice);
         progress.booted();
-        listener.booted(cold, age);
+        listener.booted(cold, ageMicros);
     }
 
-    private void info(JSONObject notice) {
-        String ref = notice.optString("ref");
-        if (ref.equals(SYNC)) {
+    private void readGauges(JSONObject notice) {
+        String reference = notice.optString(KernelWireNames.REFERENCE);
+        if (reference.equals(CATCH_UP_REFERENCE)) {
             progress.caughtUp();
-        } else if (!ref.isEmpty() && unconfirmed.confirmUpTo(Long.parseLong(ref))) {
+        } else if (!reference.isEmpty() && unconfirmed.confirmUpTo(Long.parseLong(reference))) {
             progress.allConfirmed();
         }
-        JSONArray row = notice.optJSONArray("gauges", new JSONArray());
-        double[] gauges = new double[row.length()];
+        JSONArray values = notice.optJSONArray(KernelWireNames.GAUGE_VALUES, new JSONArray());
+        double[] gauges = new double[values.length()];
         for (int i = 0; i < gauges.length; i++) {
-            gauges[i] = row.optDouble(i, Double.NaN);
+            gauges[i] = values.optDouble(i, Double.NaN);
         }
         listener.gauges(gauges);
     }
 
-    private void invalid(JSONObject notice) {
-        String command = notice.optString("state");
-        String job = notice.optString("job");
+    private void readCommandRejected(JSONObject notice) {
+        String command = notice.optString(KernelWireNames.STATE);
+        String job = notice.optString(KernelWireNames.JOB);
         log.warn("kernel_refused", "command", command, "job", job);
-        unconfirmed.refused(job, command);
-        if (command.equals("SCHED") || command.equals("RESCHED")) {
+        unconfirmed.confirmRejected(job, command);
+        if (command.equals(KernelWireNames.START) || command.equals(KernelWireNames.RESUME)) {
             listener.notStarted(job);
         }
     }
 
-    /** A notice counts as read only once all of it is understood, or a new link would leave it out. */
-    private void numbered(String type, long number, JSONObject notice) {
-        String job = notice.optString("job");
-        if (type.equals("REAP")) {
-            Kernel.End end = Kernel.End.valueOf(notice.getString("state"));
+    /** Counts a notice as read only once all of it is parsed, or a new connection would not replay it. */
+    private void readNumbered(String type, long sequenceNumber, JSONObject notice) {
+        String job = notice.optString(KernelWireNames.JOB);
+        if (type.equals(KernelWireNames.COMPLETION)) {
+            Kernel.End end = KernelWireNames.runEnd(notice.getString(KernelWireNames.STATE));
             byte[] result = end == Kernel.End.OK ? body(notice) : null;
-            last = number;
-            unconfirmed.ended(job);
-            listener.ended(job, end, micros(notice), result);
-        } else if (type.equals("IOREQ")) {
+            lastSequenceNumber = sequenceNumber;
+            unconfirmed.confirmEnded(job);
+            listener.ended(job, end, durationMicros(notice), result);
+        } else if (type.equals(KernelWireNames.CALL_REQUEST)) {
             byte[] call = body(notice);
-            last = number;
-            unconfirmed.blocked(job);
-            listener.blocked(job, number, call);
+            lastSequenceNumber = sequenceNumber;
+            unconfirmed.confirmWaitingForCall(job);
+            listener.blocked(job, sequenceNumber, call);
         } else {
-            last = number;
+            lastSequenceNumber = sequenceNumber;
         }
     }
 
     private static byte[] body(JSONObject notice) {
-        return Base64.getDecoder().decode(notice.optString("data"));
+        return Base64.getDecoder().decode(notice.optString(KernelWireNames.BODY));
     }
 
-    private static long micros(JSONObject notice) {
-        return Math.round(notice.optDouble("took", 0) * 1000);
+    private static long durationMicros(JSONObject notice) {
+        return Math.round(notice.optDouble(KernelWireNames.DURATION_MS, 0) * MICROS_PER_MILLI);
     }
 }
--- a/server/src/test/java/wheatspread/kernel/KernelLinkTest.java
+++ b/server/src/test/java/wheatspread/kernel/KernelLinkTest.java
@@ -23,15 +23,15 @@
 import wheatspread.core.Kernel;
 import wheatspread.logging.EventLog;
 
-/** The link to a kernel that moves, against bare sockets. */
+/** A session with a kernel that moves to another address, against plain sockets. */
 class KernelLinkTest {
-    private static final int PATIENCE_MS = 5_000;
+    private static final int TIMEOUT_MS = 5_000;
 
-    private static final class Far implements AutoCloseable {
+    private static final class FakeKernel implements AutoCloseable {
         final ServerSocket socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
-        Far() throws IOException {
-            socket.setSoTimeout(PATIENCE_MS);
+        FakeKernel() throws IOException {
+            socket.setSoTimeout(TIMEOUT_MS);
         }
 
         InetSocketAddress address() {
@@ -39,9 +39,9 @@
         }
 
         Socket accept() throws IOException {
-            Socket one = socket.accept();
-            one.setSoTimeout(PATIENCE_MS);
-            return one;
+            Socket accepted = socket.accept();
+            accepted.setSoTimeout(TIMEOUT_MS);
+            return accepted;
         }
 
         @Override
@@ -54,16 +54,16 @@
         return new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
     }
 
-    private static void say(Socket socket, String line) throws IOException {
+    private static void send(Socket socket, String line) throws IOException {
         socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
-    private static String type(BufferedReader from) throws IOException {
-        return new JSONObject(from.readLine()).getString("type");
+    private static String readType(BufferedReader reader) throws IOException {
+        return new JSONObject(reader.readLine()).getString("type");
     }
 
-    /** A listener that tells only when the first link is up. */
-    private record Up(CountDownLatch latch) implements Kernel.Listener {
+    /** A listener that only counts down when the kernel is up. */
+    private record BootListener(CountDownLatch latch) implements Kernel.Listener {
         @Override
         public void booted(boolean cold, long age) {
             latch.countDown();
@@ -84,34 +84,34 @@
 
     @Test
     @Timeout(30)
-    void aSecondMoveWhileTheOldLinkIsAskedForItsWordOpensOneLinkOnly() throws Exception {
+    void secondMoveDuringConfirmationOpensOneConnectionOnly() throws Exception {
         EventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        try (Far old = new Far();
-                Far between = new Far();
-                Far last = new Far()) {
-            Up up = new Up(new CountDownLatch(1));
+        try (FakeKernel old = new FakeKernel();
+                FakeKernel between = new FakeKernel();
+                FakeKernel last = new FakeKernel()) {
+            BootListener listener = new BootListener(new CountDownLatch(1));
             KernelLink link = new KernelLink(
                     new Bootstrap().group(loop).channel(NioSocketChannel.class),
                     old.address(),
-                    up,
+                    listener,
                     EventLog.lines(line -> {}));
             loop.submit(link::open).sync();
             Socket first = old.accept();
-            BufferedReader fromFirst = reader(first);
-            assertThat(type(fromFirst)).isEqualTo("OPEN");
-            say(first, "{\"type\":\"BOOTED\",\"state\":\"WARM\",\"took\":5}");
-            assertThat(type(fromFirst)).isEqualTo("SYSINFO");
-            say(first, "{\"type\":\"INFO\",\"gauges\":[],\"ref\":\"sync\"}");
-            assertThat(up.latch.await(PATIENCE_MS, TimeUnit.MILLISECONDS)).isTrue();
+            BufferedReader firstReader = reader(first);
+            assertThat(readType(firstReader)).isEqualTo("OPEN");
+            send(first, "{\"type\":\"BOOTED\",\"state\":\"WARM\",\"took\":5}");
+            assertThat(readType(firstReader)).isEqualTo("SYSINFO");
+            send(first, "{\"type\":\"INFO\",\"gauges\":[],\"ref\":\"sync\"}");
+            assertThat(listener.latch.await(TIMEOUT_MS, TimeUnit.MILLISECONDS)).isTrue();
             loop.submit(() -> link.run("1", "stew", new byte[1])).sync();
-            assertThat(type(fromFirst)).isEqualTo("SCHED");
+            assertThat(readType(firstReader)).isEqualTo("SCHED");
 
             loop.submit(() -> link.moveTo(between.address())).sync();
             between.accept();
-            assertThat(type(fromFirst)).isEqualTo("SYSINFO"); // the old link is asked, and never answers
+            assertThat(readType(firstReader)).isEqualTo("SYSINFO"); // the old connection has to confirm, and never does
             loop.submit(() -> link.moveTo(last.address())).sync();
-            Socket moved = last.accept(); // a third link would take its place, and nobody close this one
-            assertThat(type(reader(moved))).isEqualTo("OPEN");
+            Socket moved = last.accept(); // a third connection would replace it and leave it open
+            assertThat(readType(reader(moved))).isEqualTo("OPEN");
             loop.submit(link::close).sync();
         } finally {
             loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
