--- a/server/src/main/java/wheatspread/jsonrpc/RequestReader.java
+++ b/server/src/main/java/wheatspread/jsonrpc/RequestReader.java
@@ -10,32 +10,27 @@
 import wheatspread.core.DeploymentSettings;
 import wheatspread.core.InboundRequest;
 
-/** Reads the parameters of a class's method into a submission; complaints name the parameter. */
+/**
+ * Converts the parameters of a JSON-RPC call into an {@link InboundRequest} and checks them. Immutable: a
+ * reload of the settings makes a new one.
+ */
 final class RequestReader {
-    private static final int LONGEST_BODY = 2 * 1024;
-    private static final int LONGEST_KEY = 256;
-    private static final double MOST_CALLER = Integer.MAX_VALUE;
-    private static final double MOST_RAM = 2_000;
-    /** How far ahead of this machine's clock a door may lie; ms. */
-    private static final double DOOR_AHEAD = 1_000;
-    /** A limit or a cost over so many deadlines of the class is no figure to plan with. */
-    private static final double MOST_DEADLINES = 10;
+    private static final int MAX_BODY_BYTES = 2 * 1024;
+    private static final int MAX_KEY_CHARS = 256;
+    private static final double MAX_BALANCER = Integer.MAX_VALUE;
+    private static final double MAX_MEMORY_KB = 2_000;
+    private static final double MICROS_PER_MILLI = 1_000;
+    /** How far an arrival time may lie ahead of this machine's clock. */
+    private static final double MAX_ARRIVAL_AHEAD_MS = 1_000;
+    /** The largest plausible timeout or cost, as a multiple of the deadline of the request's class. */
+    private static final double MAX_DEADLINES = 10;
 
-    private final DeploymentSettings site;
-    private final Map<String, Integer> kinds;
+    private final DeploymentSettings settings;
+    private final Map<String, Integer> classIndexes;
 
-    /** A parameter is missing, ill-typed or out of range. */
-    static final class BadParameter extends RuntimeException {
-        private static final long serialVersionUID = 1L;
-
-        BadParameter(String message) {
-            super(message);
-        }
-    }
-
-    RequestReader(DeploymentSettings site) {
-        this.site = site;
-        kinds = indexes(site.classes());
+    RequestReader(DeploymentSettings settings) {
+        this.settings = settings;
+        classIndexes = indexes(settings.classes());
     }
 
     private static Map<String, Integer> indexes(List<String> names) {
@@ -44,62 +39,81 @@
         return map;
     }
 
-    boolean knows(String method) {
-        return kinds.containsKey(method);
+    /** Returns whether a method is the name of a request class. */
+    boolean isRequestClass(String method) {
+        return classIndexes.containsKey(method);
     }
 
-    /** {@code now} is Unix time in microseconds. */
-    InboundRequest read(String method, JSONObject params, long now) {
-        int kind = kinds.get(method);
-        String txn = text(params, "txn");
-        if (!txn.matches("[0-9a-fA-F]{16}")) {
-            throw new BadParameter("txn is not 16 hex digits");
+    /** {@code nowMicros} is Unix time. */
+    InboundRequest read(String method, JSONObject params, long nowMicros) {
+        int classIndex = classIndexes.get(method);
+        String attemptId = text(params, RpcWireNames.ATTEMPT_ID);
+        if (!attemptId.matches("[0-9a-fA-F]{16}")) {
+            throw new InvalidParameterException(RpcWireNames.ATTEMPT_ID, "is not 16 hex digits");
         }
-        RequestClass told = site.settings().classes().get(kind);
-        // guards what the module learns of costs and times, and its tags, against figures nobody means
-        double most = MOST_DEADLINES * told.deadlineMicros() / 1000;
-        long door = Math.round(number(params, "door", 0, now / 1000.0 + DOOR_AHEAD)) * 1000;
-        // where a deployment's callers do not tell how long they wait, a try is due at its class's deadline
-        boolean limited = params.has("limit");
-        long limit = limited ? Math.round(number(params, "limit", 0, most) * 1000) : told.deadlineMicros();
-        boolean further = optional(params, "second", 1) > 0;
-        double ram = number(params, "ram", 0, MOST_RAM);
-        long cpu = Math.round(optional(params, "cpu", most) * 1000);
-        optional(params, "lb", MOST_CALLER);
-        if (optional(params, "standing", 1) >= 1) {
-            throw new BadParameter("standing is out of range");
+        RequestClass requestClass = settings.settings().classes().get(classIndex);
+        // implausible figures would distort the service time estimates and the scheduler's virtual time
+        double maxMillis = MAX_DEADLINES * requestClass.deadlineMicros() / MICROS_PER_MILLI;
+        double maxArrivalMillis = nowMicros / MICROS_PER_MILLI + MAX_ARRIVAL_AHEAD_MS;
+        long arrivalMicros = Math.round(number(params, RpcWireNames.ARRIVAL_MS, 0, maxArrivalMillis)) * 1000;
+        // where a deployment's callers send no timeout, the deadline of the request's class holds
+        boolean hasClientTimeout = params.has(RpcWireNames.CLIENT_TIMEOUT_MS);
+        long timeoutMicros = hasClientTimeout
+                ? micros(number(params, RpcWireNames.CLIENT_TIMEOUT_MS, 0, maxMillis))
+                : requestClass.deadlineMicros();
+        boolean retry = optionalNumber(params, RpcWireNames.RETRY, 1) > 0;
+        double memoryKb = number(params, RpcWireNames.MEMORY_KB, 0, MAX_MEMORY_KB);
+        long expectedWorkMicros = micros(optionalNumber(params, RpcWireNames.EXPECTED_WORK_MS, maxMillis));
+        optionalNumber(params, RpcWireNames.BALANCER, MAX_BALANCER);
+        if (optionalNumber(params, RpcWireNames.PRIORITY_RANK, 1) >= 1) {
+            throw new InvalidParameterException(RpcWireNames.PRIORITY_RANK, "is out of range");
         }
-        String unique = null;
-        String item = null;
-        if (told.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
-            unique = key(params, "unique");
-        } else if (params.has("item")) {
-            item = key(params, "item");
+        String idempotencyKey = null;
+        String cacheKey = null;
+        if (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
+            idempotencyKey = key(params, RpcWireNames.IDEMPOTENCY_KEY);
+        } else if (params.has(RpcWireNames.CACHE_KEY)) {
+            cacheKey = key(params, RpcWireNames.CACHE_KEY);
         }
         return new InboundRequest(
-                txn, kind, tenant(params), door, door + limit, limited, further, ram, cpu, unique, item, body(params));
+                attemptId,
+                classIndex,
+                tenant(params),
+                arrivalMicros,
+                arrivalMicros + timeoutMicros,
+                hasClientTimeout,
+                retry,
+                memoryKb,
+                expectedWorkMicros,
+                idempotencyKey,
+                cacheKey,
+                body(params));
+    }
+
+    private static long micros(double millis) {
+        return Math.round(millis * MICROS_PER_MILLI);
     }
 
-    private static double optional(JSONObject params, String name, double most) {
-        return params.has(name) ? number(params, name, 0, most) : 0;
+    private static double optionalNumber(JSONObject params, String name, double max) {
+        return params.has(name) ? number(params, name, 0, max) : 0;
     }
 
-    /** A key is kept for its window, so its length is bounded. */
+    /** Keys are kept for a while, so their length is bounded. */
     private static String key(JSONObject params, String name) {
         String key = text(params, name);
-        if (key.isEmpty() || key.length() > LONGEST_KEY) {
-            throw new BadParameter(name + " is empty or over " + LONGEST_KEY + " characters");
+        if (key.isEmpty() || key.length() > MAX_KEY_CHARS) {
+            throw new InvalidParameterException(name, "is empty or over " + MAX_KEY_CHARS + " characters");
         }
         return key;
     }
 
     private int tenant(JSONObject params) {
-        if (site.tenants().isEmpty()) {
+        if (settings.tenants().isEmpty()) {
             return 0;
         }
-        int tenant = site.tenants().indexOf(text(params, "team"));
+        int tenant = settings.tenants().indexOf(text(params, RpcWireNames.TENANT));
         if (tenant < 0) {
-            throw new BadParameter("team is unknown");
+            throw new InvalidParameterException(RpcWireNames.TENANT, "is unknown");
         }
         return tenant;
     }
@@ -107,30 +121,30 @@
     private static byte[] body(JSONObject params) {
         byte[] body;
         try {
-            body = Base64.getDecoder().decode(text(params, "blob"));
+            body = Base64.getDecoder().decode(text(params, RpcWireNames.BODY));
         } catch (IllegalArgumentException e) {
-            throw new BadParameter("blob is not base64");
+            throw new InvalidParameterException(RpcWireNames.BODY, "is not base64");
         }
-        if (body.length > LONGEST_BODY) {
-            throw new BadParameter("blob is over " + LONGEST_BODY + " bytes");
+        if (body.length > MAX_BODY_BYTES) {
+            throw new InvalidParameterException(RpcWireNames.BODY, "is over " + MAX_BODY_BYTES + " bytes");
         }
         return body;
     }
 
     private static String text(JSONObject params, String name) {
-        if (params.opt(name) instanceof String s) {
-            return s;
+        if (params.opt(name) instanceof String text) {
+            return text;
         }
-        throw new BadParameter(name + " is missing or not a string");
+        throw new InvalidParameterException(name, "is missing or not a string");
     }
 
-    private static double number(JSONObject params, String name, double least, double most) {
-        if (!(params.opt(name) instanceof Number n)) {
-            throw new BadParameter(name + " is missing or not a number");
+    private static double number(JSONObject params, String name, double min, double max) {
+        if (!(params.opt(name) instanceof Number number)) {
+            throw new InvalidParameterException(name, "is missing or not a number");
         }
-        double value = n.doubleValue();
-        if (!(value >= least && value <= most)) {
-            throw new BadParameter(name + " is out of range");
+        double value = number.doubleValue();
+        if (!(value >= min && value <= max)) {
+            throw new InvalidParameterException(name, "is out of range");
         }
         return value;
     }
--- a/server/src/main/java/wheatspread/jsonrpc/RpcConnection.java
+++ b/server/src/main/java/wheatspread/jsonrpc/RpcConnection.java
@@ -8,45 +8,43 @@
 import org.json.JSONObject;
 import org.json.JSONParserConfiguration;
 import wheatspread.core.Answer;
+import wheatspread.core.InboundRequest;
 import wheatspread.logging.EventLog;
 import wheatspread.transport.ClientChannelHandler;
 import wheatspread.transport.Listener;
 
-/** One proxy's connection: reads JSON-RPC lines, hands tries to the core and writes their answers. */
+/** One caller's connection: reads JSON-RPC lines, submits the requests to the core and writes the answers. */
 final class RpcConnection extends ClientChannelHandler {
-    static final int REFUSED = -32066;
-    static final int FAILED = -32000;
-    static final int OUT_OF_TIME = -32001;
-    static final int CONFLICT = -32002;
-    /** Else the parser takes names without quotes, and does not see what follows the object. */
+    /** By default the parser accepts unquoted names and ignores what follows the object. */
     private static final JSONParserConfiguration STRICT = new JSONParserConfiguration().withStrictMode(true);
 
-    private static final int PARSE_ERROR = -32700;
-    private static final int INVALID_REQUEST = -32600;
-    private static final int METHOD_NOT_FOUND = -32601;
-    private static final int INVALID_PARAMS = -32602;
-    private static final int MOST_OPEN = 32;
+    private static final int MAX_OPEN_REQUESTS = 32;
+    private static final long MICROS_PER_MILLI = 1_000;
+    /** The JSON text of an id that is missing or unreadable. */
+    private static final String NO_ID = "null";
 
     private final RpcFront front;
-    /** The open requests, the newest first; there are too few to need an index. */
-    private Open newest;
+    /** The open requests as a linked list, the newest first; there are too few to need an index. */
+    private OpenRequest newest;
 
-    private int open;
+    private int openRequests;
 
-    /** A request without an answer yet; the ticket is null until the core has taken it. */
-    private static final class Open {
-        /** The text of its JSON-RPC id. */
-        final String id;
+    /** A request without an answer yet. */
+    private static final class OpenRequest {
+        /** The JSON text of its id. */
+        private final String id;
 
-        final String txn;
-        final boolean ofCrowd;
-        Long ticket;
-        Open older;
+        private final String attemptId;
+        private final boolean burstAdmission;
+        private OpenRequest older;
+        /** Null until the core has accepted the request. */
+        private Long ticket;
 
-        Open(String id, String txn, boolean ofCrowd) {
+        OpenRequest(String id, String attemptId, boolean burstAdmission, OpenRequest older) {
             this.id = id;
-            this.txn = txn;
-            this.ofCrowd = ofCrowd;
+            this.attemptId = attemptId;
+            this.burstAdmission = burstAdmission;
+            this.older = older;
         }
     }
 
@@ -59,52 +57,52 @@
 
     @Override
     protected int open() {
-        return open;
+        return openRequests;
     }
 
     @Override
     protected void gone() {
-        for (Open one = newest; one != null; one = one.older) {
-            over(one.ofCrowd, Answer.Kind.FAILED);
-            front.core.gone(one.ticket);
+        for (OpenRequest request = newest; request != null; request = request.older) {
+            over(request.burstAdmission, Answer.Kind.FAILED);
+            front.core().gone(request.ticket);
         }
         newest = null;
-        open = 0;
+        openRequests = 0;
     }
 
     /**
-     * A proxy that stops waiting sends {@code interrupt}; the end of its stream alone takes back nothing that
-     * it asked for, so what runs is answered, and what has not begun is refused at once. Whether anybody
-     * still reads shows when something is written: a caller that has closed altogether resets the connection,
-     * and the write behind that fails.
+     * A caller cancels requests explicitly; the end of its output alone cancels nothing, so running requests
+     * are answered and waiting ones are rejected at once. Whether the caller still reads shows on the next
+     * write: one that has closed altogether resets the connection, and the write after that fails.
      */
     @Override
     protected void inputEnded() {
         lastCall();
-        front.clock.after(RpcFront.HALF_CLOSED_LOOK, () -> {
-            if (open > 0) {
+        front.clock().after(RpcFront.HALF_CLOSE_REMINDER_MICROS, () -> {
+            if (openRequests > 0) {
                 lastCall();
             }
         });
-        for (Open one = newest; one != null; one = one.older) {
-            front.core.refuseUnlessBegun(one.ticket);
+        for (OpenRequest request = newest; request != null; request = request.older) {
+            front.core().refuseUnlessBegun(request.ticket);
         }
     }
 
     @Override
     public void lastCall() {
-        write("{\"jsonrpc\":\"2.0\",\"method\":\"lastCall\"}\n");
+        write("{\"jsonrpc\":\"2.0\",\"method\":\"" + RpcWireNames.CONNECTION_DRAINING + "\"}\n");
     }
 
-    /** Takes lines; what is left is the beginning of one. */
+    /** Takes whole lines; the beginning of a further one is left in {@code bytes}. */
     @Override
     protected int read(ByteBuf bytes) {
         int lines = 0;
         while (!leaving()) {
             int length = bytes.bytesBefore((byte) '\n');
-            if ((length < 0 ? bytes.readableBytes() : length) > RpcFront.LONGEST_LINE) {
-                error("null", PARSE_ERROR, "line over " + RpcFront.LONGEST_LINE + " bytes", null);
-                leave(); // the rest may be 60 MB, and nobody means them
+            if ((length < 0 ? bytes.readableBytes() : length) > RpcFront.MAX_LINE_BYTES) {
+                String message = "line over " + RpcFront.MAX_LINE_BYTES + " bytes";
+                writeError(NO_ID, RpcWireNames.PARSE_ERROR, message, null);
+                leave(); // the rest of the line may be arbitrarily long
                 return lines;
             }
             if (length < 0) {
@@ -114,7 +112,7 @@
             String line = bytes.toString(bytes.readerIndex(), end, StandardCharsets.UTF_8);
             bytes.skipBytes(length + 1);
             lines++;
-            line(line);
+            handleLine(line);
         }
         return lines;
     }
@@ -123,158 +121,165 @@
         write(ByteBufUtil.writeUtf8(ctx.alloc(), line));
     }
 
-    private Open find(String id) {
-        Open one = newest;
-        while (one != null && !one.id.equals(id)) {
-            one = one.older;
+    private OpenRequest find(String id) {
+        OpenRequest request = newest;
+        while (request != null && !request.id.equals(id)) {
+            request = request.older;
         }
-        return one;
+        return request;
     }
 
-    private void remove(Open gone) {
-        Open younger = null;
-        Open one = newest;
-        while (one != null && one != gone) {
-            younger = one;
-            one = one.older;
+    private void remove(OpenRequest ended) {
+        OpenRequest newer = null;
+        OpenRequest request = newest;
+        while (request != null && request != ended) {
+            newer = request;
+            request = request.older;
         }
-        if (one == null) {
+        if (request == null) {
             return;
         }
-        if (younger == null) {
-            newest = one.older;
+        if (newer == null) {
+            newest = request.older;
         } else {
-            younger.older = one.older;
+            newer.older = request.older;
         }
-        open--;
+        openRequests--;
     }
 
     // ---- requests ----
 
-    private void line(String line) {
+    private void handleLine(String line) {
         JSONObject message;
         try {
             message = new JSONObject(line, STRICT);
         } catch (JSONException | StackOverflowError e) {
-            error("null", PARSE_ERROR, "not a JSON object", null);
+            writeError(NO_ID, RpcWireNames.PARSE_ERROR, "not a JSON object", null);
             return;
         }
-        Object given = message.opt("id");
-        boolean readable = given instanceof Number || given instanceof String;
-        String id = readable ? JSONObject.valueToString(given) : "null";
-        JSONObject params = message.optJSONObject("params");
-        if (!(message.opt("method") instanceof String method)) {
-            error(id, INVALID_REQUEST, "method is missing or not a string", null);
-        } else if (method.equals("check")) {
-            check(id);
-        } else if (method.equals("stats") && front.phase != null) {
-            stats(id);
-        } else if (method.equals("interrupt")) {
-            interrupt(message, params);
-        } else if (!front.reader.knows(method)) {
-            error(id, METHOD_NOT_FOUND, "no such method", null);
-        } else if (id.equals("null") || find(id) != null) {
-            error("null", INVALID_REQUEST, "id is missing or in use", null);
+        Object givenId = message.opt(RpcWireNames.ID);
+        boolean readableId = givenId instanceof Number || givenId instanceof String;
+        String id = readableId ? JSONObject.valueToString(givenId) : NO_ID;
+        JSONObject params = message.optJSONObject(RpcWireNames.PARAMS);
+        if (!(message.opt(RpcWireNames.METHOD) instanceof String method)) {
+            writeError(id, RpcWireNames.INVALID_REQUEST, "method is missing or not a string", null);
+        } else if (method.equals(RpcWireNames.HEALTH_CHECK)) {
+            handleHealthCheck(id);
+        } else if (method.equals(RpcWireNames.STATS) && front.statsEnabled()) {
+            handleStats(id);
+        } else if (method.equals(RpcWireNames.CANCEL)) {
+            handleCancel(message, params);
+        } else if (!front.requestReader().isRequestClass(method)) {
+            writeError(id, RpcWireNames.METHOD_NOT_FOUND, "no such method", null);
+        } else if (id.equals(NO_ID) || find(id) != null) {
+            writeError(NO_ID, RpcWireNames.INVALID_REQUEST, "id is missing or in use", null);
         } else if (params == null) {
-            error(id, INVALID_PARAMS, "params is missing or not an object", null);
+            writeError(id, RpcWireNames.INVALID_PARAMS, "params is missing or not an object", null);
         } else {
-            request(id, method, params);
+            handleRequest(id, method, params);
         }
     }
 
-    private void request(String id, String method, JSONObject params) {
-        if (open >= MOST_OPEN) {
-            error(id, REFUSED, "over " + MOST_OPEN + " requests are open here", new JSONObject());
+    private void handleRequest(String id, String method, JSONObject params) {
+        if (openRequests >= MAX_OPEN_REQUESTS) {
+            String message = "over " + MAX_OPEN_REQUESTS + " requests are open here";
+            writeError(id, RpcWireNames.REJECTED, message, new JSONObject());
             return;
         }
         try {
-            var submission = front.reader.read(method, params, front.clock.nowMicros());
-            if (turnedAway(front.core, submission.requestClass(), answer -> respond(id, answer))) {
+            InboundRequest inbound =
+                    front.requestReader().read(method, params, front.clock().nowMicros());
+            if (turnedAway(front.core(), inbound.requestClass(), answer -> writeAnswer(id, answer))) {
                 return;
             }
-            Open one = new Open(id, submission.job(), ofCrowd());
-            one.older = newest;
-            newest = one;
-            open++;
-            one.ticket = front.core.submit(submission, answer -> answer(one, answer));
-        } catch (RequestReader.BadParameter e) {
-            error(id, INVALID_PARAMS, e.getMessage(), null);
+            OpenRequest request = new OpenRequest(id, inbound.job(), ofCrowd(), newest);
+            newest = request;
+            openRequests++;
+            request.ticket = front.core().submit(inbound, answer -> complete(request, answer));
+        } catch (InvalidParameterException e) {
+            writeError(id, RpcWireNames.INVALID_PARAMS, e.getMessage(), null);
         }
     }
 
-    private void answer(Open one, Answer answer) {
-        remove(one);
-        over(one.ofCrowd, answer.kind());
-        respond(one.id, answer);
+    private void complete(OpenRequest request, Answer answer) {
+        remove(request);
+        over(request.burstAdmission, answer.kind());
+        writeAnswer(request.id, answer);
         answered();
     }
 
-    private void respond(String id, Answer answer) {
+    private void writeAnswer(String id, Answer answer) {
         JSONObject data = new JSONObject();
         addFeedback(data, answer.loadFeedback());
         switch (answer.kind()) {
-            case SERVED -> result(id, data.put("blob", Base64.getEncoder().encodeToString(answer.body())));
+            case SERVED ->
+                writeResult(id, data.put(RpcWireNames.BODY, Base64.getEncoder().encodeToString(answer.body())));
             case REJECTED -> {
                 if (answer.retryAfterMicros() > 0) {
-                    data.put("later", Math.max(1, answer.retryAfterMicros() / 1000));
+                    long retryAfterMs = Math.max(1, answer.retryAfterMicros() / MICROS_PER_MILLI);
+                    data.put(RpcWireNames.RETRY_AFTER_MS, retryAfterMs);
                 }
                 if (answer.doNotRetry()) {
-                    data.put("giveup", 1);
+                    data.put(RpcWireNames.DO_NOT_RETRY, 1);
                 }
-                error(id, REFUSED, "refused: this try never ran", data);
+                writeError(id, RpcWireNames.REJECTED, "refused: this try never ran", data);
             }
-            case DEADLINE_EXCEEDED -> error(id, OUT_OF_TIME, "out of time", data);
-            case CONFLICT -> error(id, CONFLICT, "txn is in use, or unique has another body", data);
-            default -> error(id, FAILED, "failed", data);
+            case DEADLINE_EXCEEDED -> writeError(id, RpcWireNames.DEADLINE_EXCEEDED, "out of time", data);
+            case CONFLICT -> writeError(id, RpcWireNames.CONFLICT, "txn is in use, or unique has another body", data);
+            default -> writeError(id, RpcWireNames.FAILED, "failed", data);
         }
     }
 
-    private void check(String id) {
-        JSONObject result = new JSONObject().put("well", front.core.well());
-        addFeedback(result, front.core.feedback());
-        result(id, result);
+    private void handleHealthCheck(String id) {
+        JSONObject result =
+                new JSONObject().put(RpcWireNames.HEALTHY, front.core().well());
+        addFeedback(result, front.core().feedback());
+        writeResult(id, result);
     }
 
-    private void stats(String id) {
+    private void handleStats(String id) {
         JSONObject result = new JSONObject()
-                .put("well", front.core.well())
-                .put("phase", front.phase.get())
-                .put("open", front.core.open())
-                .put("warm_in_ms", front.core.warmIn() / 1000);
-        EventLog.map(front.core.counts().fields()).forEach(result::put);
-        result(id, result);
+                .put(RpcWireNames.HEALTHY, front.core().well())
+                .put(RpcWireNames.LIFECYCLE_PHASE, front.lifecyclePhase())
+                .put(RpcWireNames.OPEN_REQUESTS, front.core().open())
+                .put(RpcWireNames.WARM_IN_MS, front.core().warmIn() / MICROS_PER_MILLI);
+        EventLog.map(front.core().counts().fields()).forEach(result::put);
+        writeResult(id, result);
     }
 
     /**
-     * A proxy names what it gave up by the id of the request, as a notification:
-     * {@code "params":{"id":55}}. The txn, which the page on the protocol leaves open, is taken as well.
+     * Cancels a request, which a caller names by the request's id in a notification:
+     * {@code "params":{"id":55}}. The attempt id, which the protocol leaves open, is accepted as well.
      */
-    private void interrupt(JSONObject message, JSONObject params) {
-        Object txn = params == null ? null : params.opt("txn");
-        Object id = params == null || params.opt("id") == null ? message.opt("id") : params.opt("id");
-        Open found = id == null ? null : find(JSONObject.valueToString(id));
-        for (Open one = newest; one != null; one = one.older) {
-            found = one.txn.equals(txn) ? one : found;
+    private void handleCancel(JSONObject message, JSONObject params) {
+        Object attemptId = params == null ? null : params.opt(RpcWireNames.ATTEMPT_ID);
+        Object id = params == null || params.opt(RpcWireNames.ID) == null
+                ? message.opt(RpcWireNames.ID)
+                : params.opt(RpcWireNames.ID);
+        OpenRequest canceled = id == null ? null : find(JSONObject.valueToString(id));
+        for (OpenRequest request = newest; request != null; request = request.older) {
+            canceled = request.attemptId.equals(attemptId) ? request : canceled;
         }
-        if (found != null) {
-            remove(found);
-            over(found.ofCrowd, Answer.Kind.FAILED);
-            front.core.gone(found.ticket);
+        if (canceled != null) {
+            remove(canceled);
+            over(canceled.burstAdmission, Answer.Kind.FAILED);
+            front.core().gone(canceled.ticket);
         }
     }
 
     private static void addFeedback(JSONObject to, double feedback) {
         if (!Double.isNaN(feedback)) {
-            to.put("feedback", feedback);
+            to.put(RpcWireNames.LOAD_FEEDBACK, feedback);
         }
     }
 
-    private void result(String id, JSONObject result) {
+    private void writeResult(String id, JSONObject result) {
         write("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"result\":" + result + "}\n");
     }
 
-    private void error(String id, int code, String message, JSONObject data) {
-        JSONObject error = new JSONObject().put("code", code).put("message", message);
-        write("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"error\":" + error.putOpt("data", data) + "}\n");
+    private void writeError(String id, int code, String message, JSONObject data) {
+        JSONObject error = new JSONObject().put(RpcWireNames.ERROR_CODE, code).put(RpcWireNames.ERROR_MESSAGE, message);
+        error.putOpt(RpcWireNames.ERROR_DATA, data);
+        write("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"error\":" + error + "}\n");
     }
 }
--- a/server/src/main/java/wheatspread/jsonrpc/RpcFront.java
+++ b/server/src/main/java/wheatspread/jsonrpc/RpcFront.java
@@ -9,32 +9,57 @@
 import wheatspread.transport.Front;
 import wheatspread.transport.Listener;
 
-/** The platform's front: JSON-RPC 2.0, one message a line. */
+/**
+ * The platform's protocol: JSON-RPC 2.0, one message per line. Holds what all its connections share; used on
+ * the event loop only.
+ */
 public final class RpcFront implements Front {
     /** The longest line: a body of 2 KiB in base64 and its fields take under 4 KiB. */
-    static final int LONGEST_LINE = 16 * 1024;
+    static final int MAX_LINE_BYTES = 16 * 1024;
 
-    /** A caller that ended its stream is looked after once more after this long; us. */
-    static final long HALF_CLOSED_LOOK = 50_000;
+    /** When a caller that has shut its output is notified once more that its connection is draining. */
+    static final long HALF_CLOSE_REMINDER_MICROS = 50_000;
 
-    final Core core;
-    final Clock clock;
-    RequestReader reader;
-    /** Tells the phase of the process for the method {@code stats}; null where that is off. */
-    Supplier<String> phase;
+    private static final int CONNECTION_REJECTED_RETRY_AFTER_MS = 1_000;
+
+    private final Core core;
+    private final Clock clock;
+    private RequestReader requestReader;
+    /** The phase of the process's lifecycle; null where the method {@code stats} is off. */
+    private Supplier<String> lifecyclePhase;
 
     public RpcFront(Core core, Clock clock) {
         this.core = core;
         this.clock = clock;
-        reader = new RequestReader(core.site());
+        requestReader = new RequestReader(core.site());
+    }
+
+    Core core() {
+        return core;
+    }
+
+    Clock clock() {
+        return clock;
+    }
+
+    RequestReader requestReader() {
+        return requestReader;
+    }
+
+    boolean statsEnabled() {
+        return lifecyclePhase != null;
+    }
+
+    String lifecyclePhase() {
+        return lifecyclePhase.get();
     }
 
     /**
-     * Has the method {@code stats} answer, on which a fleet's supervisor sees whether a server has proven
-     * itself. The platform has no such method, so it is off there.
+     * Switches on the method {@code stats}, by which a fleet's supervisor sees whether a server has proven
+     * itself. The platform knows no such method, so it is off by default.
      */
     public void tellStats(Supplier<String> phaseOfProcess) {
-        phase = phaseOfProcess;
+        lifecyclePhase = phaseOfProcess;
     }
 
     @Override
@@ -44,13 +69,14 @@
 
     @Override
     public byte[] refusal() {
-        return ("{\"jsonrpc\":\"2.0\",\"id\":null,\"error\":{\"code\":" + RpcConnection.REFUSED
-                        + ",\"message\":\"no room for this connection\",\"data\":{\"later\":1000}}}\n")
+        return ("{\"jsonrpc\":\"2.0\",\"id\":null,\"error\":{\"code\":" + RpcWireNames.REJECTED
+                        + ",\"message\":\"no room for this connection\",\"data\":{\""
+                        + RpcWireNames.RETRY_AFTER_MS + "\":" + CONNECTION_REJECTED_RETRY_AFTER_MS + "}}}\n")
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Reads the classes of a retuned site from now on; on the loop's thread. */
-    public void retune(DeploymentSettings site) {
-        reader = new RequestReader(site);
+    /** Reads further requests by the classes of reloaded settings; on the loop's thread. */
+    public void retune(DeploymentSettings settings) {
+        requestReader = new RequestReader(settings);
     }
 }
