--- a/server/src/main/java/wheatspread/announce/AnnounceClient.java
+++ b/server/src/main/java/wheatspread/announce/AnnounceClient.java
@@ -1,74 +1,66 @@
 package wheatspread.announce;
 
 import io.netty.bootstrap.Bootstrap;
-import io.netty.buffer.Unpooled;
-import io.netty.channel.Channel;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
-import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
-import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpClientCodec;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpObjectAggregator;
-import io.netty.handler.codec.http.HttpVersion;
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
 import java.util.Objects;
 import java.util.concurrent.TimeUnit;
 import wheatspread.core.Announcer;
 import wheatspread.logging.EventLog;
 
 /**
- * Reports to the announce service, again and again: an entry lapses 3 s after its last report. A report that
- * gets no answer holds up nothing: the next one, or a change, goes over a new connection.
+ * Reports to the announce service whether this server accepts work. Reports repeat as heartbeats, since an
+ * entry expires 3 s after its last report. A report without an answer delays nothing: the next one, or a
+ * change, goes over a new connection.
+ *
+ * <p>All methods run on the event loop. {@link #close} ends the reports.
  */
 public final class AnnounceClient implements Announcer {
-    /** Four reports may be lost before an entry lapses. */
-    private static final long PERIOD_MS = 600;
+    /** Four reports may be lost before an entry expires. */
+    private static final long REPORT_INTERVAL_MS = 600;
 
-    private static final int CONNECT_MS = 500;
-    /** A change is reported once more after this long: an older report may be read behind it. */
-    private static final long AGAIN_MS = 150;
+    /** A change is reported again after this long, since the service may read an older report after it. */
+    private static final long REPEAT_CHANGE_DELAY_MS = 150;
 
     private final EventLoopGroup loop;
     private final Bootstrap clients;
-    private final String name;
+    private final String serverName;
     private final EventLog log;
+    private final AnnounceConnection.Owner connectionOwner = new ConnectionOwner();
+    /** Null where the deployment has no announce service. */
     private InetSocketAddress address;
     /** Where the last report went, or is to go once it is connected. */
-    private Connection connection;
+    private AnnounceConnection connection;
 
+    /** Null before the first call of {@link #announce}. */
     private Boolean accepting;
+
     private boolean started;
     private boolean closed;
 
-    /** {@code address} is null where nobody keeps a list: then nothing is reported. */
-    public AnnounceClient(Bootstrap clients, InetSocketAddress address, String name, EventLog log) {
+    /** {@code address} is null where the deployment has no announce service: then nothing is reported. */
+    public AnnounceClient(Bootstrap clients, InetSocketAddress address, String serverName, EventLog log) {
         loop = clients.config().group();
         this.clients = clients;
         this.address = address;
-        this.name = name;
+        this.serverName = serverName;
         this.log = log;
     }
 
     @Override
     public void announce(boolean value) {
-        boolean news = accepting == null || accepting != value;
+        boolean changed = accepting == null || accepting != value;
         accepting = value;
         if (!started) {
             started = true;
-            loop.scheduleAtFixedRate(this::report, 0, PERIOD_MS, TimeUnit.MILLISECONDS);
-        } else if (news) {
+            loop.scheduleAtFixedRate(this::report, 0, REPORT_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        } else if (changed) {
             report();
-            loop.schedule(this::report, AGAIN_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::report, REPEAT_CHANGE_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** The service is to be reached at another address from now on, and hears at once. */
+    /** Reports to a service at another address from now on, the first time at once. */
     public void moveTo(InetSocketAddress next) {
         if (!Objects.equals(next, address)) {
             address = next;
@@ -79,6 +71,7 @@
         }
     }
 
+    /** Ends the reports and closes the connection. */
     public void close() {
         closed = true;
         dropConnection();
@@ -95,92 +88,26 @@
         if (closed || address == null) {
             return;
         }
-        if (connection != null && !connection.waiting) {
+        if (connection != null && !connection.awaitsAnswer()) {
             connection.send();
         } else {
-            dropConnection(); // no answer yet: waiting for it would hold this report up, and the next ones
-            connection = new Connection();
-            connection.open();
+            dropConnection(); // to wait for its answer would delay this report and the next ones
+            connection = new AnnounceConnection(connectionOwner, address, serverName, log);
+            connection.connect(clients);
         }
     }
 
-    /** One connection to the announce service, with a report under way or none. */
-    private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private Channel channel;
-        private boolean waiting = true;
-        private boolean dropped;
-
-        void open() {
-            clients.clone()
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                    .handler(new ChannelInitializer<Channel>() {
-                        @Override
-                        protected void initChannel(Channel ch) {
-                            ch.pipeline()
-                                    .addLast(
-                                            new HttpClientCodec(),
-                                            new HttpObjectAggregator(64 * 1024),
-                                            Connection.this);
-                        }
-                    })
-                    .connect(address)
-                    .addListener(done -> {
-                        if (!done.isSuccess()) {
-                            ended();
-                        }
-                    });
-        }
-
-        void close() {
-            dropped = true;
-            if (channel != null) {
-                channel.close();
-            }
-        }
-
-        void send() {
-            waiting = true;
-            byte[] body = ("{\"accepting\":\"" + accepting + "\"}").getBytes(StandardCharsets.US_ASCII);
-            DefaultFullHttpRequest put = new DefaultFullHttpRequest(
-                    HttpVersion.HTTP_1_1, HttpMethod.PUT, "/announce/" + name, Unpooled.wrappedBuffer(body));
-            put.headers().set(HttpHeaderNames.HOST, address.getHostString() + ':' + address.getPort());
-            put.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
-            channel.writeAndFlush(put, channel.voidPromise());
-        }
-
-        private void ended() {
-            if (connection == this) {
-                connection = null;
-            }
-        }
-
+    private final class ConnectionOwner implements AnnounceConnection.Owner {
         @Override
-        public void channelActive(ChannelHandlerContext ctx) {
-            channel = ctx.channel();
-            if (dropped) {
-                channel.close();
-            } else {
-                send();
-            }
+        public boolean accepting() {
+            return accepting;
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-            waiting = false;
-            if (response.status().code() != 204) {
-                log.warn("announce_refused", "status", response.status().code());
+        public void ended(AnnounceConnection ended) {
+            if (connection == ended) {
+                connection = null;
             }
         }
-
-        @Override
-        public void channelInactive(ChannelHandlerContext ctx) {
-            ended();
-        }
-
-        @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            log.warn("announce_connection_failed", "error", cause);
-            ctx.close();
-        }
     }
 }
--- a/server/src/main/java/wheatspread/records/ReplyDecoder.java
+++ b/server/src/main/java/wheatspread/records/ReplyDecoder.java
@@ -6,70 +6,80 @@
 import io.netty.handler.codec.CorruptedFrameException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import java.util.Set;
+import wheatspread.admission.Outcome;
 
-/** Reads the replies of the records service: a line, and after DONE a body of the stated length. */
+/**
+ * Decodes the replies of the records service: a line with the call's id and a status, and after the status of
+ * success a length and a body of that length. After a malformed reply everything else on the connection is
+ * discarded, since no reply boundary is known any more.
+ */
 final class ReplyDecoder extends ByteToMessageDecoder {
-    private static final int LONGEST_LINE = 1024;
-    private static final int LONGEST_BODY = 64 * 1024;
-    private static final Set<String> WORDS = Set.of("DONE", "WAIT", "ERROR", "PAST", "EMPTY");
+    private static final int MAX_LINE_BYTES = 1024;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    private static final int LINE_END_BYTES = 2;
 
-    /** One reply; {@code body} is null unless the word is DONE. */
-    record Reply(String job, String word, byte[] body) {}
+    /** One reply; {@code body} is null unless the outcome is OK. */
+    record Reply(String job, Outcome outcome, byte[] body) {}
 
-    private String[] head;
-    private int length;
-    private boolean spoilt;
+    /** The call that the reply in progress belongs to; null between replies. */
+    private String job;
+
+    private Outcome outcome;
+    private int bodyLength;
+    private boolean corrupted;
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-        if (spoilt) {
-            in.skipBytes(in.readableBytes()); // what follows noise is noise, even if it reads like a reply
+        if (corrupted) {
+            in.skipBytes(in.readableBytes()); // even if it reads like a reply
             return;
         }
-        if (head == null && !readHead(in)) {
+        if (job == null && !readLine(in)) {
             return;
         }
-        if (!head[1].equals("DONE")) {
-            out.add(new Reply(head[0], head[1], null));
-            head = null;
-        } else if (in.readableBytes() >= length + 2) {
-            byte[] body = new byte[length];
+        if (outcome != Outcome.OK) {
+            out.add(new Reply(job, outcome, null));
+            job = null;
+        } else if (in.readableBytes() >= bodyLength + LINE_END_BYTES) {
+            byte[] body = new byte[bodyLength];
             in.readBytes(body);
             if (in.readByte() != '\r' || in.readByte() != '\n') {
-                throw spoilt("no line end after a reply's body");
+                throw corrupted("no line end after a reply's body");
             }
-            out.add(new Reply(head[0], "DONE", body));
-            head = null;
+            out.add(new Reply(job, outcome, body));
+            job = null;
         }
     }
 
-    private boolean readHead(ByteBuf in) {
+    /** Reads the line of a reply; returns false if it is not complete yet. */
+    private boolean readLine(ByteBuf in) {
         int end = in.indexOf(in.readerIndex(), in.writerIndex(), (byte) '\n');
         if (end < 0) {
-            if (in.readableBytes() > LONGEST_LINE) {
-                throw spoilt("a reply's line is too long");
+            if (in.readableBytes() > MAX_LINE_BYTES) {
+                throw corrupted("a reply's line is too long");
             }
             return false;
         }
         String line = in.readCharSequence(end - in.readerIndex() + 1, StandardCharsets.US_ASCII)
                 .toString();
         String[] words = line.trim().split(" ");
-        if (words.length < 2 || !WORDS.contains(words[1])) {
-            throw spoilt("a reply without a known word");
+        Outcome known = words.length < 2 ? null : RecordsWireNames.outcome(words[1]);
+        if (known == null) {
+            throw corrupted("a reply without a known word");
         }
-        if (words[1].equals("DONE")) {
-            length = words.length == 3 && words[2].matches("\\d{1,6}") ? Integer.parseInt(words[2]) : -1;
-            if (length < 0 || length > LONGEST_BODY) {
-                throw spoilt("a reply's length is missing or too large");
+        if (known == Outcome.OK) {
+            bodyLength = words.length == 3 && words[2].matches("\\d{1,6}") ? Integer.parseInt(words[2]) : -1;
+            if (bodyLength < 0 || bodyLength > MAX_BODY_BYTES) {
+                throw corrupted("a reply's length is missing or too large");
             }
         }
-        head = words;
+        job = words[0];
+        outcome = known;
         return true;
     }
 
-    private CorruptedFrameException spoilt(String complaint) {
-        spoilt = true;
-        return new CorruptedFrameException(complaint);
+    private CorruptedFrameException corrupted(String problem) {
+        corrupted = true;
+        return new CorruptedFrameException(problem);
     }
 }
