--- a/server/src/main/java/wheatspread/daemon/Server.java
+++ b/server/src/main/java/wheatspread/daemon/Server.java
@@ -129,7 +129,7 @@
         RpcFront platform = new RpcFront(core, clock);
         takeOver = new ReloadApplier(config, core, kernel, records, announcer, platform, uwsgi, log);
         if (operator.stats()) {
-            platform.tellStats(() -> life.phase().name());
+            platform.tellStats(() -> life.phase().storedName());
         }
         Listener platformFront = new Listener(
                 loop, turns, clock, platform, operator.connections().with(sockets), log);
@@ -190,7 +190,7 @@
     /** Something happened to the process; on the loop's thread only. */
     private void on(Event event) {
         if (!life.on(event) && (event == Event.NOTICE || event == Event.HURRY)) {
-            log.info("notice_again", "phase", life.phase(), "hurry", event == Event.HURRY);
+            log.info("notice_again", "phase", life.phase().storedName(), "hurry", event == Event.HURRY);
         }
         if (event == Event.HURRY) {
             shutdown.hurry();
@@ -198,7 +198,7 @@
     }
 
     private void entered(Phase from, Phase to, Event by) {
-        log.info("phase", "from", from, "to", to, "by", by);
+        log.info("phase", "from", from.storedName(), "to", to.storedName(), "by", by.storedName());
         switch (to) {
             case BINDING -> kernel.open();
             case WAITING -> {
--- a/server/src/main/java/wheatspread/fleet/FleetInstance.java
+++ b/server/src/main/java/wheatspread/fleet/FleetInstance.java
@@ -8,12 +8,33 @@
      * got its notice; {@code HELD}: it ended too often.
      */
     public enum State {
-        ABSENT,
-        STARTING,
-        UP,
-        UNWELL,
-        LEAVING,
-        HELD
+        ABSENT("ABSENT"),
+        STARTING("STARTING"),
+        UP("UP"),
+        UNWELL("UNWELL"),
+        LEAVING("LEAVING"),
+        HELD("HELD");
+
+        private final String storedName;
+
+        State(String storedName) {
+            this.storedName = storedName;
+        }
+
+        /** The name in files and in the log. It stays when the constant is renamed. */
+        public String storedName() {
+            return storedName;
+        }
+
+        /** The constant with this stored name; an unknown name is an {@link IllegalArgumentException}. */
+        public static State fromStoredName(String storedName) {
+            for (State state : values()) {
+                if (state.storedName.equals(storedName)) {
+                    return state;
+                }
+            }
+            throw new IllegalArgumentException("unknown state: " + storedName);
+        }
     }
 
     /**
--- a/server/src/main/java/wheatspread/fleet/FleetLog.java
+++ b/server/src/main/java/wheatspread/fleet/FleetLog.java
@@ -16,7 +16,14 @@
 
     /** An earlier supervisor's state was taken over; {@code roll} is null where there was none. */
     void restored(int members, int alive, Rollout roll) {
-        log.info("fleet_found", "members", members, "alive", alive, "roll", roll == null ? "none" : roll.status());
+        log.info(
+                "fleet_found",
+                "members",
+                members,
+                "alive",
+                alive,
+                "roll",
+                roll == null ? "none" : roll.status().storedName());
     }
 
     // ---- members ----
@@ -28,7 +35,7 @@
                 "name",
                 member.name,
                 "state",
-                member.state,
+                member.state.storedName(),
                 "build",
                 member.build,
                 "generation",
@@ -99,7 +106,7 @@
                 "to",
                 roll.to(),
                 "status",
-                roll.status(),
+                roll.status().storedName(),
                 "reason",
                 roll.reason());
     }
--- a/server/src/main/java/wheatspread/fleet/Rollout.java
+++ b/server/src/main/java/wheatspread/fleet/Rollout.java
@@ -17,21 +17,63 @@
 public final class Rollout {
     /** How far a roll has come. */
     public enum Status {
-        RUNNING,
-        ROLLING_BACK,
-        DONE,
-        STOPPED,
-        ROLLED_BACK
+        RUNNING("RUNNING"),
+        ROLLING_BACK("ROLLING_BACK"),
+        DONE("DONE"),
+        STOPPED("STOPPED"),
+        ROLLED_BACK("ROLLED_BACK");
+
+        private final String storedName;
+
+        Status(String storedName) {
+            this.storedName = storedName;
+        }
+
+        /** The name in files and in the log. It stays when the constant is renamed. */
+        public String storedName() {
+            return storedName;
+        }
+
+        /** The constant with this stored name; an unknown name is an {@link IllegalArgumentException}. */
+        public static Status fromStoredName(String storedName) {
+            for (Status status : values()) {
+                if (status.storedName.equals(storedName)) {
+                    return status;
+                }
+            }
+            throw new IllegalArgumentException("unknown status: " + storedName);
+        }
     }
 
     /** How far a member of it has come. {@code GONE} is one that has left or fell, and is to start anew. */
     public enum Step {
-        WAITING,
-        LEAVING,
-        GONE,
-        STARTING,
-        PROVING,
-        DONE
+        WAITING("WAITING"),
+        LEAVING("LEAVING"),
+        GONE("GONE"),
+        STARTING("STARTING"),
+        PROVING("PROVING"),
+        DONE("DONE");
+
+        private final String storedName;
+
+        Step(String storedName) {
+            this.storedName = storedName;
+        }
+
+        /** The name in files and in the log. It stays when the constant is renamed. */
+        public String storedName() {
+            return storedName;
+        }
+
+        /** The constant with this stored name; an unknown name is an {@link IllegalArgumentException}. */
+        public static Step fromStoredName(String storedName) {
+            for (Step step : values()) {
+                if (step.storedName.equals(storedName)) {
+                    return step;
+                }
+            }
+            throw new IllegalArgumentException("unknown step: " + storedName);
+        }
     }
 
     private final Rolling rules;
--- a/server/src/main/java/wheatspread/lifecycle/Lifecycle.java
+++ b/server/src/main/java/wheatspread/lifecycle/Lifecycle.java
@@ -15,15 +15,26 @@
      * go of sockets.
      */
     public enum Phase {
-        NEW,
-        REHEARSING,
-        BINDING,
-        RETREATING,
-        WAITING,
-        SERVING,
-        DRAINING,
-        CLOSING,
-        STOPPED
+        NEW("NEW"),
+        REHEARSING("REHEARSING"),
+        BINDING("BINDING"),
+        RETREATING("RETREATING"),
+        WAITING("WAITING"),
+        SERVING("SERVING"),
+        DRAINING("DRAINING"),
+        CLOSING("CLOSING"),
+        STOPPED("STOPPED");
+
+        private final String storedName;
+
+        Phase(String storedName) {
+            this.storedName = storedName;
+        }
+
+        /** The name in files and in the log. It stays when the constant is renamed. */
+        public String storedName() {
+            return storedName;
+        }
     }
 
     /**
@@ -31,18 +42,29 @@
      * and {@code TIME_UP} end a drain.
      */
     public enum Event {
-        START,
-        REHEARSED,
-        BOUND,
-        BIND_FAILED,
-        KERNEL_UP,
-        KERNEL_GIVEN_UP,
-        NOTICE,
-        HURRY,
-        RELOAD,
-        EMPTY,
-        TIME_UP,
-        CLOSED
+        START("START"),
+        REHEARSED("REHEARSED"),
+        BOUND("BOUND"),
+        BIND_FAILED("BIND_FAILED"),
+        KERNEL_UP("KERNEL_UP"),
+        KERNEL_GIVEN_UP("KERNEL_GIVEN_UP"),
+        NOTICE("NOTICE"),
+        HURRY("HURRY"),
+        RELOAD("RELOAD"),
+        EMPTY("EMPTY"),
+        TIME_UP("TIME_UP"),
+        CLOSED("CLOSED");
+
+        private final String storedName;
+
+        Event(String storedName) {
+            this.storedName = storedName;
+        }
+
+        /** The name in files and in the log. It stays when the constant is renamed. */
+        public String storedName() {
+            return storedName;
+        }
     }
 
     /** Exit codes, as in sysexits.h. */
@@ -210,7 +232,7 @@
         Phase from = phase;
         Phase to = next(from, event);
         if (to == null) {
-            throw new IllegalStateException(event + " cannot happen in phase " + from);
+            throw new IllegalStateException(event.storedName + " cannot happen in phase " + from.storedName);
         }
         kernelUp |= event == Event.KERNEL_UP;
         if (event == Event.BIND_FAILED || event == Event.KERNEL_GIVEN_UP) {
--- a/server/src/main/java/wheatspread/supervisor/StateFile.java
+++ b/server/src/main/java/wheatspread/supervisor/StateFile.java
@@ -53,7 +53,7 @@
         for (FleetState.Of one : state.members()) {
             members.put(new JSONObject()
                     .put("name", one.name())
-                    .put("state", one.state().name())
+                    .put("state", one.state().storedName())
                     .put("wanted", one.wanted())
                     .put("build", one.build())
                     .put("generation", one.generation())
@@ -72,13 +72,13 @@
         if (roll != null) {
             JSONArray steps = new JSONArray();
             roll.steps()
-                    .forEach((name, step) -> steps.put(new JSONArray().put(name).put(step.name())));
+                    .forEach((name, step) -> steps.put(new JSONArray().put(name).put(step.storedName())));
             json.put(
                     "roll",
                     new JSONObject()
                             .put("from", roll.from())
                             .put("to", roll.to())
-                            .put("status", roll.status().name())
+                            .put("status", roll.status().storedName())
                             .put("reason", roll.reason())
                             .put("failures", roll.failures())
                             .put("began_at", roll.beganAt())
@@ -96,7 +96,7 @@
             one.getJSONArray("ends").forEach(at -> ends.add(((Number) at).longValue()));
             members.add(new FleetState.Of(
                     one.getString("name"),
-                    FleetInstance.State.valueOf(one.getString("state")),
+                    FleetInstance.State.fromStoredName(one.getString("state")),
                     one.getBoolean("wanted"),
                     one.getString("build"),
                     one.getInt("generation"),
@@ -113,7 +113,8 @@
         Map<String, Rollout.Step> steps = new LinkedHashMap<>();
         if (roll != null) {
             for (Object told : roll.getJSONArray("steps")) {
-                steps.put(((JSONArray) told).getString(0), Rollout.Step.valueOf(((JSONArray) told).getString(1)));
+                steps.put(
+                        ((JSONArray) told).getString(0), Rollout.Step.fromStoredName(((JSONArray) told).getString(1)));
             }
         }
         return new FleetState(
@@ -123,7 +124,7 @@
                         : new FleetState.Roll(
                                 roll.getString("from"),
                                 roll.getString("to"),
-                                Rollout.Status.valueOf(roll.getString("status")),
+                                Rollout.Status.fromStoredName(roll.getString("status")),
                                 roll.getString("reason"),
                                 roll.getInt("failures"),
                                 roll.getLong("began_at"),
--- a/server/src/main/java/wheatspread/supervisor/StatusFile.java
+++ b/server/src/main/java/wheatspread/supervisor/StatusFile.java
@@ -3,6 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Locale;
 import org.json.JSONArray;
 import org.json.JSONException;
 import org.json.JSONObject;
@@ -42,7 +43,7 @@
             long age = one.age(now);
             JSONObject told = new JSONObject()
                     .put("name", one.name())
-                    .put("state", one.state().name())
+                    .put("state", one.state().storedName())
                     .put("stale", fleet.roster().isStale(one, now))
                     .put("wanted", one.wanted())
                     .put("build", one.build())
@@ -70,14 +71,14 @@
         if (roll != null) {
             JSONObject steps = new JSONObject();
             for (Rollout.Step step : Rollout.Step.values()) {
-                steps.put(step.name().toLowerCase(), roll.count(step));
+                steps.put(step.storedName().toLowerCase(Locale.ROOT), roll.count(step));
             }
             long ended = roll.endedAt() == 0 ? now : roll.endedAt();
             status.put(
                     "roll",
                     new JSONObject()
                             .put("to", roll.to())
-                            .put("status", roll.status().name())
+                            .put("status", roll.status().storedName())
                             .put("paused", roll.paused())
                             .put("reason", roll.reason())
                             .put("steps", steps)
--- a/server/src/test/java/wheatspread/lifecycle/LifecycleTest.java
+++ b/server/src/test/java/wheatspread/lifecycle/LifecycleTest.java
@@ -9,13 +9,44 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import wheatspread.lifecycle.Lifecycle.Event;
 import wheatspread.lifecycle.Lifecycle.Phase;
 
 class LifecycleTest {
     private final List<String> entered = new ArrayList<>();
-    private final Lifecycle life = new Lifecycle((from, to, by) -> entered.add(to.name()));
+    private final Lifecycle life = new Lifecycle((from, to, by) -> entered.add(to.storedName()));
+
+    /** The names in the log and in the answer of {@code stats}; they never change. */
+    @Test
+    void phasesAndEventsKeepTheirStoredNames() {
+        assertThat(Stream.of(Phase.values()).map(Phase::storedName))
+                .containsExactly(
+                        "NEW",
+                        "REHEARSING",
+                        "BINDING",
+                        "RETREATING",
+                        "WAITING",
+                        "SERVING",
+                        "DRAINING",
+                        "CLOSING",
+                        "STOPPED");
+        assertThat(Stream.of(Event.values()).map(Event::storedName))
+                .containsExactly(
+                        "START",
+                        "REHEARSED",
+                        "BOUND",
+                        "BIND_FAILED",
+                        "KERNEL_UP",
+                        "KERNEL_GIVEN_UP",
+                        "NOTICE",
+                        "HURRY",
+                        "RELOAD",
+                        "EMPTY",
+                        "TIME_UP",
+                        "CLOSED");
+    }
 
     /**
      * Every phase against every event: a signal may come in any of them, and leads nowhere but towards the
--- /dev/null
+++ b/server/src/test/java/wheatspread/supervisor/SupervisorFilesCompatibilityTest.java
@@ -0,0 +1,129 @@
+package wheatspread.supervisor;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.json.JSONObject;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import wheatspread.fleet.FleetController;
+import wheatspread.fleet.FleetInstance.Health;
+import wheatspread.fleet.FleetPlan;
+import wheatspread.fleet.FleetState;
+import wheatspread.logging.EventLog;
+
+/** The state and status files that an earlier release wrote are read, and written again just as they are. */
+class SupervisorFilesCompatibilityTest {
+    private static final Path FILES = Path.of("src/test/resources/compatibility/supervisor");
+    private static final long SAVED_AT_MICROS = 1_000_000_000_000L;
+
+    @TempDir
+    private Path dir;
+
+    private static FleetState stateOf(String kind) throws IOException {
+        return new StateFile(FILES.resolve("state-" + kind + ".json")).load();
+    }
+
+    @ParameterizedTest
+    @CsvSource({"running", "rolling-back", "done", "stopped", "rolled-back", "no-roll"})
+    void anEarlierStateFileIsReadAndWrittenAgainUnchanged(String kind) throws IOException {
+        FleetState state = stateOf(kind);
+        assertThat(state.members().stream().map(member -> member.state().storedName()))
+                .containsExactly("ABSENT", "STARTING", "UP", "UNWELL", "LEAVING", "HELD");
+        Path copy = dir.resolve("state.json");
+        new StateFile(copy).save(state);
+        assertThat(Files.readString(copy)).isEqualTo(Files.readString(FILES.resolve("state-" + kind + ".json")));
+    }
+
+    @Test
+    void everyFieldOfAnEarlierStateFileKeepsItsMeaning() throws IOException {
+        FleetState state = stateOf("rolling-back");
+        assertThat(state.down()).isFalse();
+        assertThat(stateOf("stopped").down()).isTrue();
+        assertThat(stateOf("no-roll").roll()).isNull();
+
+        FleetState.Of up = state.members().get(2);
+        assertThat(up.name()).isEqualTo("n3");
+        assertThat(up.wanted()).isTrue();
+        assertThat(up.build()).isEqualTo("v1");
+        assertThat(up.generation()).isEqualTo(3);
+        assertThat(up.pid()).isEqualTo(103);
+        assertThat(up.since()).isEqualTo(SAVED_AT_MICROS - 5_000_000);
+        assertThat(up.startedAt()).isEqualTo(SAVED_AT_MICROS - 9_000_000);
+        assertThat(up.wellAt()).isEqualTo(SAVED_AT_MICROS - 8_000_000);
+        assertThat(up.heldUntil()).isEqualTo(-1);
+        assertThat(state.members().get(4).wanted()).isFalse();
+
+        FleetState.Of held = state.members().get(5);
+        assertThat(held.ends())
+                .containsExactly(
+                        SAVED_AT_MICROS - 30_000_000, SAVED_AT_MICROS - 20_000_000, SAVED_AT_MICROS - 5_000_000);
+        assertThat(held.endsInARow()).isEqualTo(3);
+        assertThat(held.notBefore()).isEqualTo(SAVED_AT_MICROS - 4_000_000);
+        assertThat(held.heldUntil()).isEqualTo(SAVED_AT_MICROS + 60_000_000);
+
+        FleetState.Roll roll = state.roll();
+        assertThat(roll.from()).isEqualTo("v1");
+        assertThat(roll.to()).isEqualTo("v2");
+        assertThat(roll.status().storedName()).isEqualTo("ROLLING_BACK");
+        assertThat(roll.reason()).isEqualTo("n1: ended with code 78");
+        assertThat(roll.failures()).isOne();
+        assertThat(roll.beganAt()).isEqualTo(SAVED_AT_MICROS - 12_000_000);
+        assertThat(roll.endedAt()).isZero();
+        assertThat(stateOf("done").roll().endedAt()).isEqualTo(SAVED_AT_MICROS - 1_000_000);
+        Map<String, String> steps = new LinkedHashMap<>();
+        roll.steps().forEach((name, step) -> steps.put(name, step.storedName()));
+        assertThat(steps)
+                .isEqualTo(Map.of(
+                        "n1",
+                        "WAITING",
+                        "n2",
+                        "LEAVING",
+                        "n3",
+                        "GONE",
+                        "n4",
+                        "STARTING",
+                        "n5",
+                        "PROVING",
+                        "n6",
+                        "DONE"));
+    }
+
+    /** What the table and the commands read: the same fields and values, but for the supervisor's own pid. */
+    @ParameterizedTest
+    @CsvSource({"running", "rolling-back", "done", "stopped", "rolled-back", "no-roll"})
+    void theStatusOfARestoredFleetIsThatOfTheEarlierRelease(String kind) throws IOException {
+        FleetPlan plan = new FleetPlan(
+                List.of("n1", "n2", "n3", "n4", "n5", "n6"),
+                "v1",
+                8,
+                15_000_000,
+                5_000_000,
+                3_000_000,
+                3,
+                15_000_000,
+                2_000_000,
+                new FleetPlan.Rolling(0.34, 0, 5, 1_000_000, 8_000_000, 0.5, 1, true),
+                new FleetPlan.Backoff(200_000, 2, 5_000_000, 0.2, 60_000_000, 3, 60_000_000, 0));
+        FleetController fleet = new FleetController(plan, 7, EventLog.NONE);
+        FleetState state = stateOf(kind);
+        Map<String, FleetState.Found> alive = new LinkedHashMap<>();
+        for (FleetState.Of member : state.members().subList(1, 5)) {
+            alive.put(member.name(), new FleetState.Found(member.pid(), member.generation()));
+        }
+        fleet.restore(state, alive, SAVED_AT_MICROS);
+        fleet.heard("n3", 3, new Health(true, 40, 2, 1, 250_000), SAVED_AT_MICROS + 100_000);
+
+        JSONObject expected = new JSONObject(Files.readString(FILES.resolve("status-" + kind + ".json")));
+        JSONObject written = StatusFile.of(fleet, SAVED_AT_MICROS + 400_000).put("pid", expected.get("pid"));
+        Files.writeString(dir.resolve("status.json"), written.toString());
+        assertThat(new StatusFile(dir).read().toMap()).isEqualTo(expected.toMap());
+    }
+}
