--- /dev/null
+++ b/server/src/main/java/wheatspread/admission/sfq/ArrivalPolicy.java
@@ -0,0 +1,46 @@
+package wheatspread.admission.sfq;
+
+import wheatspread.admission.AdmissionController.Actions;
+
+/**
+ * What is admitted: a repeat joins the request that it repeats; a request that was written after the drain grace, that
+ * can earn nothing any more, or whose idempotency key finds no room is rejected; every other one is held.
+ */
+final class ArrivalPolicy {
+    private final DecisionClock clock;
+    private final DrainState drain;
+    private final DuplicatePolicy duplicates;
+    private final KeyRetentionPolicy keyRetention;
+    private final FairQueue fairQueue;
+    private final ServiceTimeEstimator serviceTimes;
+    private final LoadShedder shedder;
+
+    ArrivalPolicy(
+            DecisionClock clock,
+            DrainState drain,
+            DuplicatePolicy duplicates,
+            KeyRetentionPolicy keyRetention,
+            FairQueue fairQueue,
+            ServiceTimeEstimator serviceTimes,
+            LoadShedder shedder) {
+        this.clock = clock;
+        this.drain = drain;
+        this.duplicates = duplicates;
+        this.keyRetention = keyRetention;
+        this.fairQueue = fairQueue;
+        this.serviceTimes = serviceTimes;
+        this.shedder = shedder;
+    }
+
+    void admit(TrackedRequest tracked, Actions actions) {
+        if (duplicates.isDuplicate(tracked)) {
+            duplicates.join(tracked, actions);
+        } else if (drain.isPastGrace(tracked.arrivalMicros) || tracked.isWorthless(clock.nowMicros())) {
+            shedder.reject(tracked, true, actions);
+        } else if (!keyRetention.retainOnArrival(tracked, actions)) {
+            shedder.reject(tracked, false, actions);
+        } else {
+            fairQueue.enqueue(tracked, serviceTimes.cost(tracked), clock.nowMicros());
+        }
+    }
+}
--- /dev/null
+++ b/server/src/main/java/wheatspread/admission/sfq/ArrivalRate.java
@@ -0,0 +1,29 @@
+package wheatspread.admission.sfq;
+
+/** The smoothed number of arrivals per tick. */
+final class ArrivalRate {
+    /** Least share of the distance to the last tick's count that the mean moves: it averages some seconds. */
+    private static final double MIN_GAIN = 0.01;
+
+    private int arrivalsSinceTick;
+    private int ticks;
+    private double meanPerTick;
+
+    void recordArrival() {
+        arrivalsSinceTick++;
+    }
+
+    boolean hasArrivalsSinceTick() {
+        return arrivalsSinceTick > 0;
+    }
+
+    void endTick() {
+        ticks++;
+        meanPerTick += Math.max(MIN_GAIN, 1.0 / ticks) * (arrivalsSinceTick - meanPerTick);
+        arrivalsSinceTick = 0;
+    }
+
+    double meanPerTick() {
+        return meanPerTick;
+    }
+}
--- /dev/null
+++ b/server/src/main/java/wheatspread/admission/sfq/BatchArrivals.java
@@ -0,0 +1,54 @@
+package wheatspread.admission.sfq;
+
+import java.util.ArrayList;
+import java.util.List;
+import wheatspread.admission.AdmissionController.Actions;
+
+/**
+ * The requests of a batch that wait for their first decision, in the order of their events: arrivals, and suspended
+ * runs whose answer is outstanding. A wakeup is set where a request has to be answered before the next tick.
+ */
+final class BatchArrivals {
+    private final ReloadableSettings settings;
+    private final DecisionClock clock;
+    private final InFlightRequests inFlight;
+    private final ArrivalPolicy arrivalPolicy;
+    private final SuspendedRunPolicy suspendedRuns;
+    private final List<TrackedRequest> pending = new ArrayList<>();
+
+    BatchArrivals(
+            ReloadableSettings settings,
+            DecisionClock clock,
+            InFlightRequests inFlight,
+            ArrivalPolicy arrivalPolicy,
+            SuspendedRunPolicy suspendedRuns) {
+        this.settings = settings;
+        this.clock = clock;
+        this.inFlight = inFlight;
+        this.arrivalPolicy = arrivalPolicy;
+        this.suspendedRuns = suspendedRuns;
+    }
+
+    void add(TrackedRequest tracked) {
+        pending.add(tracked);
+    }
+
+    void decide(Actions actions) {
+        long firstAnswerMicros = Long.MAX_VALUE;
+        for (TrackedRequest tracked : pending) {
+            if (tracked.state == RequestState.DONE && inFlight.contains(tracked)) {
+                suspendedRuns.resumeOrFail(tracked, actions);
+            } else if (tracked.state == RequestState.HELD) {
+                arrivalPolicy.admit(tracked, actions);
+                if (tracked.state != RequestState.DONE) {
+                    firstAnswerMicros =
+                            Math.min(firstAnswerMicros, tracked.deadlineMicros - settings.answerMarginMicros());
+                }
+            }
+        }
+        pending.clear();
+        if (firstAnswerMicros < clock.nextTickMicros()) {
+            actions.scheduleWakeup(Math.max(1, firstAnswerMicros - clock.nowMicros()));
+        }
+    }
+}
--- /dev/null
+++ b/server/src/main/java/wheatspread/admission/sfq/DecisionClock.java
@@ -0,0 +1,58 @@
+package wheatspread.admission.sfq;
+
+/**
+ * The time of the current batch, and the ticks at which slow-changing state is updated. A batch that comes more than
+ * one tick late shows that the process stood still; requests that arrive in a clump then do not count that time as
+ * load.
+ */
+final class DecisionClock {
+    /** Time between ticks: short beside latency objectives, long beside the cost of a timer. */
+    static final long TICK_MICROS = 50_000;
+
+    private long nowMicros;
+    private long startedMicros = -1;
+    private long nextTickMicros;
+    private long stallMicros;
+    private long stallEndMicros;
+
+    void beginBatch(long batchMicros) {
+        nowMicros = batchMicros;
+        if (startedMicros < 0) {
+            startedMicros = batchMicros;
+        }
+        if (nextTickMicros > 0 && batchMicros > nextTickMicros + TICK_MICROS) {
+            stallMicros = batchMicros - nextTickMicros;
+            stallEndMicros = batchMicros + stallMicros;
+        }
+    }
+
+    long nowMicros() {
+        return nowMicros;
+    }
+
+    /** Time of the first batch. */
+    long startedMicros() {
+        return startedMicros;
+    }
+
+    boolean isFirstDecision() {
+        return nextTickMicros == 0;
+    }
+
+    boolean isTick() {
+        return nowMicros >= nextTickMicros;
+    }
+
+    long nextTickMicros() {
+        return nextTickMicros;
+    }
+
+    void scheduleNextTick() {
+        nextTickMicros = nowMicros + TICK_MICROS;
+    }
+
+    /** The part of an arrival's age that was not spent while the process stood still. */
+    long ageWithoutStallMicros(long ageMicros) {
+        return nowMicros <= stallEndMicros ? Math.max(0, ageMicros - stallMicros) : ageMicros;
+    }
+}
--- a/server/src/main/java/wheatspread/admission/sfq/FairQueue.java
+++ b/server/src/main/java/wheatspread/admission/sfq/FairQueue.java
@@ -1,81 +1,114 @@
 package wheatspread.admission.sfq;
 
 import java.util.List;
-import wheatspread.admission.AdmissionSettings;
 import wheatspread.admission.Tenant;
 import wheatspread.heap.IndexedHeap;
 
-/** The flows with the virtual clock: S = max(v, F_prev), F = S + c/phi. Heaps order those that wait. */
-abstract class FairQueue extends Memory {
-    final double quotas; // what the tenants' quotas come to, in requests a second over the fleet
-    private final boolean told; // whether each tenant has a quota
+/**
+ * Start-time fair queuing: which held request starts next. Each tenant is a {@link Flow} with weight phi, its share
+ * of all quotas times the number of tenants, or 1 unless every tenant has a quota. The held request with the smallest
+ * start tag is dispatched, and the virtual time v takes its tag. When the server is idle, v becomes the largest finish
+ * tag served. Two heaps order the flows that hold requests, so that a decision takes logarithmic time.
+ */
+final class FairQueue {
+    private final double totalQuotaPerSecond;
+    private final boolean weighted;
     private final List<Tenant> tenants;
-    private final Flow[] flows; // by tenant; null until its first request
-    /** Tenants that wait, by the start tag of their first request, and by how far ahead they are, negated. */
-    private final IndexedHeap starts, leads;
+    /** By tenant; null until its first request. */
+    private final Flow[] flows;
+    /** Flows that hold requests, by the start tag of their head. */
+    private final IndexedHeap byStartTag;
+    /** Flows that hold requests, by their negated lead as of the last change. */
+    private final IndexedHeap byNegatedLead;
 
-    double virtualTime, largestServed;
+    private double virtualTime;
+    private double largestServedFinishTag;
 
-    FairQueue(AdmissionSettings settings) {
-        super(settings);
-        tenants = settings.tenants();
+    FairQueue(List<Tenant> tenants) {
+        this.tenants = tenants;
         flows = new Flow[Math.max(1, tenants.size())];
-        starts = new IndexedHeap(flows.length);
-        leads = new IndexedHeap(flows.length);
-        quotas = tenants.stream().mapToDouble(Tenant::quotaPerSecond).sum();
-        told = tenants.stream().allMatch(t -> t.quotaPerSecond() > 0) && quotas > 0;
+        byStartTag = new IndexedHeap(flows.length);
+        byNegatedLead = new IndexedHeap(flows.length);
+        totalQuotaPerSecond =
+                tenants.stream().mapToDouble(Tenant::quotaPerSecond).sum();
+        weighted = tenants.stream().allMatch(tenant -> tenant.quotaPerSecond() > 0) && totalQuotaPerSecond > 0;
     }
 
+    /** The sum of the tenants' quotas over the fleet, in requests a second. */
+    double totalQuotaPerSecond() {
+        return totalQuotaPerSecond;
+    }
+
+    double virtualTime() {
+        return virtualTime;
+    }
+
+    /** The flow of a tenant; unknown tenants share the first one's. */
     Flow flow(int tenant) {
         int index = tenant < flows.length && tenant >= 0 ? tenant : 0;
         if (flows[index] == null) {
-            flows[index] = new Flow(index, told ? tenants.get(index).quotaPerSecond() / quotas * flows.length : 1);
+            double weight = weighted ? tenants.get(index).quotaPerSecond() / totalQuotaPerSecond * flows.length : 1;
+            flows[index] = new Flow(index, weight);
         }
         return flows[index];
     }
 
-    void enqueue(Job job, double cost) {
-        job.cost = cost;
-        job.virtualAtArrival = virtualTime;
-        job.flow.add(job);
-        reorder(job.flow);
+    void enqueue(TrackedRequest tracked, double cost, long nowMicros) {
+        tracked.flow.add(tracked, cost, virtualTime);
+        reorder(tracked.flow, nowMicros);
     }
 
-    /** The held request with the smallest start tag is dispatched, and v follows it. */
-    void dispatched(Job job) {
-        job.flow.poll(now);
-        virtualTime = job.start;
-        reorder(job.flow);
+    /** The held request with the smallest start tag, or null. */
+    TrackedRequest next() {
+        return byStartTag.size() == 0 ? null : flows[byStartTag.first()].head();
     }
 
-    /** Takes a request that never ran out of its queue. */
-    void dequeue(Job job) {
-        job.flow.remove(job);
-        reorder(job.flow);
+    /** Takes the request that {@link #next} returned out of its queue; v takes its start tag. */
+    void dispatch(TrackedRequest tracked, long nowMicros) {
+        tracked.flow.dispatchHead(nowMicros);
+        virtualTime = tracked.startTag;
+        reorder(tracked.flow, nowMicros);
     }
 
-    /** The held request with the smallest start tag, or null. */
-    Job smallestStart() {
-        return starts.size() == 0 ? null : flows[starts.first()].queue.peek();
+    /** Takes a request that never ran out of its queue; does nothing if it is not queued. */
+    void remove(TrackedRequest tracked, long nowMicros) {
+        tracked.flow.remove(tracked);
+        reorder(tracked.flow, nowMicros);
+    }
+
+    /** Notes that a request has ended. */
+    void onServed(TrackedRequest tracked) {
+        largestServedFinishTag = Math.max(largestServedFinishTag, tracked.finishTag);
+    }
+
+    /** Ends a busy period: nothing is held or started. */
+    void onIdle() {
+        advanceVirtualTime(largestServedFinishTag);
+    }
+
+    void advanceVirtualTime(double atLeast) {
+        virtualTime = Math.max(virtualTime, atLeast);
     }
 
-    /** The flow furthest ahead of those that wait; there must be one. A lead only decays until its flow changes,
-     * so the first, once it stays first with its lead computed anew, is ahead of all others. */
-    Flow furthestAhead() {
-        Flow flow = flows[leads.first()];
-        while (leads.put(flow.tenant, -flow.ahead(now))) {
-            flow = flows[leads.first()];
+    /**
+     * The flow with the largest lead of those that hold requests; there must be one. A lead only decays until its
+     * flow changes, so the first flow that stays first with its lead recomputed is ahead of all others.
+     */
+    Flow furthestAhead(long nowMicros) {
+        Flow flow = flows[byNegatedLead.first()];
+        while (byNegatedLead.put(flow.tenant, -flow.lead(nowMicros))) {
+            flow = flows[byNegatedLead.first()];
         }
         return flow;
     }
 
-    private void reorder(Flow flow) {
-        if (flow.queue.isEmpty()) {
-            starts.remove(flow.tenant);
-            leads.remove(flow.tenant);
+    private void reorder(Flow flow, long nowMicros) {
+        if (flow.isEmpty()) {
+            byStartTag.remove(flow.tenant);
+            byNegatedLead.remove(flow.tenant);
         } else {
-            starts.put(flow.tenant, flow.queue.peek().start);
-            leads.put(flow.tenant, -flow.ahead(now));
+            byStartTag.put(flow.tenant, flow.head().startTag);
+            byNegatedLead.put(flow.tenant, -flow.lead(nowMicros));
         }
     }
 }
--- a/server/src/main/java/wheatspread/admission/sfq/Flow.java
+++ b/server/src/main/java/wheatspread/admission/sfq/Flow.java
@@ -2,69 +2,94 @@
 
 import java.util.ArrayDeque;
 
-/** A tenant's queue and tags. */
+/**
+ * One tenant's FIFO queue and tags. A request gets the start tag S = max(v, F_prev) and the finish tag F = S + c/phi:
+ * v is the virtual time at its arrival, F_prev the finish tag before it, c its cost and phi the tenant's weight.
+ */
 final class Flow {
-    /** How long what a tenant was served counts when one must be refused; us. Some tens of runs. */
-    private static final double SERVED_LATELY = 2_000_000;
+    /** Time constant over which charges for dispatched requests are forgotten: some tens of runs. */
+    private static final double CHARGE_DECAY_MICROS = 2_000_000;
 
-    /** The queue of all flows where none waits, so that idle ones take little memory; never added to. */
-    private static final ArrayDeque<Job> EMPTY = new ArrayDeque<>(0);
+    /** The queue of all flows that hold nothing, so that idle ones take little memory; never added to. */
+    private static final ArrayDeque<TrackedRequest> EMPTY = new ArrayDeque<>(0);
 
     final int tenant;
     private final double weight;
-    ArrayDeque<Job> queue = EMPTY;
-    private double dispatchedFinish, lastFinish; // finish tags of the last one dispatched and the last one queued
-    private double served; // charges of the lately dispatched, as of the time of the last one
-    private long servedAt;
+    private ArrayDeque<TrackedRequest> queue = EMPTY;
+    private double lastDispatchedFinishTag;
+    private double lastQueuedFinishTag;
+    /** Charges of dispatched requests, decayed to {@link #chargedAtMicros}. */
+    private double recentCharge;
+
+    private long chargedAtMicros;
 
     Flow(int tenant, double weight) {
         this.tenant = tenant;
         this.weight = weight;
     }
 
-    void add(Job job) {
-        tag(job);
+    boolean isEmpty() {
+        return queue.isEmpty();
+    }
+
+    /** The oldest held request, or null. */
+    TrackedRequest head() {
+        return queue.peek();
+    }
+
+    ArrayDeque<TrackedRequest> queue() {
+        return queue;
+    }
+
+    void add(TrackedRequest tracked, double cost, double virtualTime) {
+        tracked.cost = cost;
+        tracked.virtualTimeAtArrival = virtualTime;
+        assignTags(tracked);
         queue = queue.isEmpty() ? new ArrayDeque<>() : queue;
-        queue.add(job);
+        queue.add(tracked);
     }
 
-    private void tag(Job job) {
-        job.start = Math.max(job.virtualAtArrival, lastFinish);
-        job.finish = job.start + job.cost / weight;
-        lastFinish = job.finish;
+    private void assignTags(TrackedRequest tracked) {
+        tracked.startTag = Math.max(tracked.virtualTimeAtArrival, lastQueuedFinishTag);
+        tracked.finishTag = tracked.startTag + tracked.cost / weight;
+        lastQueuedFinishTag = tracked.finishTag;
     }
 
-    /** The first of the queue is dispatched. */
-    void poll(long now) {
-        Job job = queue.poll();
+    /** Takes the head out of the queue to be started. */
+    void dispatchHead(long nowMicros) {
+        TrackedRequest tracked = queue.poll();
         queue = queue.isEmpty() ? EMPTY : queue;
-        dispatchedFinish = job.finish;
-        served = servedLately(now) + job.finish - job.start;
-        servedAt = now;
+        lastDispatchedFinishTag = tracked.finishTag;
+        recentCharge = recentCharge(nowMicros) + tracked.finishTag - tracked.startTag;
+        chargedAtMicros = nowMicros;
     }
 
-    private double servedLately(long now) {
-        return served * Math.exp((servedAt - now) / SERVED_LATELY);
+    private double recentCharge(long nowMicros) {
+        return recentCharge * Math.exp((chargedAtMicros - nowMicros) / CHARGE_DECAY_MICROS);
     }
 
-    /** How far the newest start tag is ahead, counted from what the flow was served lately. Its last finish
-     * tag alone misleads where the hold is a few requests: it counts the newest one's own charge and forgets
-     * how little a flow used just before. In a long hold they agree. May spare a beginning flood. */
-    double ahead(long now) {
-        return servedLately(now) + queue.peekLast().start - queue.peek().start;
+    /**
+     * How far the newest start tag is ahead of the oldest, plus what the flow was charged recently, in virtual time.
+     * The last finish tag alone misleads where few requests are held: it counts the newest one's own charge and not
+     * how little the flow used just before. With many held the two agree. A flood that has just begun may be spared.
+     */
+    double lead(long nowMicros) {
+        return recentCharge(nowMicros) + queue.peekLast().startTag - queue.peek().startTag;
     }
 
-    /** The design says which flow loses one; of its own, it loses the newest of the least worth. */
-    Job leastWorth() {
-        return queue.stream().reduce((a, b) -> b.worth() <= a.worth() ? b : a).orElseThrow();
+    /** The request that this flow loses when it has to lose one: the newest of those with the least weight. */
+    TrackedRequest leastWeight() {
+        return queue.stream()
+                .reduce((older, newer) -> newer.totalWeight() <= older.totalWeight() ? newer : older)
+                .orElseThrow();
     }
 
     /** Takes a request that never ran out of the queue, and its charge off the later tags. */
-    void remove(Job job) {
-        if (queue.remove(job)) {
+    void remove(TrackedRequest tracked) {
+        if (queue.remove(tracked)) {
             queue = queue.isEmpty() ? EMPTY : queue;
-            lastFinish = dispatchedFinish;
-            queue.forEach(this::tag);
+            lastQueuedFinishTag = lastDispatchedFinishTag;
+            queue.forEach(this::assignTags);
         }
     }
 }
--- /dev/null
+++ b/server/src/main/java/wheatspread/admission/sfq/LoadFeedback.java
@@ -0,0 +1,114 @@
+package wheatspread.admission.sfq;
+
+import wheatspread.admission.AdmissionController.Actions;
+import wheatspread.admission.ClientSettings;
+import wheatspread.admission.LoadFeedbackMode;
+
+/**
+ * What clients are told about how much to send. The withheld share of their load rises slowly while the pressure is
+ * above 1 and falls while it is under; a read delay withholds at once. In the window mode a server offers its clients
+ * up to a multiple of twice D, divided among them. The multiple shrinks under pressure and recovers once the overload
+ * is over, so that clients do not keep avoiding an idle server. A cold server offers by its proven speed.
+ */
+final class LoadFeedback {
+    /** Change of the withheld share, per tick and unit of pressure; small, since all clients follow it. */
+    private static final double WITHHELD_GAIN = 0.015;
+    /** Pressure above which the withheld share grows no faster. */
+    private static final double MAX_PRESSURE = 3;
+    /** Largest withheld share due to pressure, so that the server keeps some load. */
+    private static final double MAX_WITHHELD_SHARE = 0.5;
+    /** Change of the withheld share that is reported. */
+    private static final double MIN_REPORTED_CHANGE = 0.02;
+    /** Largest multiple of the base window that clients may have outstanding, since their requests come in bursts. */
+    private static final double MAX_WINDOW_MULTIPLE = 4;
+    /** Growth of the window multiple per tick, and the change of the window that is reported; it shrinks twice as
+     * fast. */
+    private static final double WINDOW_GROWTH = 0.1;
+    /** Pressure under which the window multiple grows. */
+    private static final double LOW_PRESSURE = 0.3;
+    /** Base window, as a multiple of D. */
+    private static final double WINDOW_PER_SLOT = 2.0;
+
+    private final ReloadableSettings settings;
+    private final InFlightRequests inFlight;
+    private final ServiceTimeEstimator serviceTimes;
+    private final ConcurrencyLimit concurrency;
+    private final OverloadDetector overload;
+    private final LoadPressure pressure;
+    private double withheldByPressure;
+    private double reportedWithheldShare;
+    private double windowMultiple = MAX_WINDOW_MULTIPLE;
+    private double reportedWindowMultiple = MAX_WINDOW_MULTIPLE;
+
+    LoadFeedback(
+            ReloadableSettings settings,
+            InFlightRequests inFlight,
+            ServiceTimeEstimator serviceTimes,
+            ConcurrencyLimit concurrency,
+            OverloadDetector overload,
+            LoadPressure pressure) {
+        this.settings = settings;
+        this.inFlight = inFlight;
+        this.serviceTimes = serviceTimes;
+        this.concurrency = concurrency;
+        this.overload = overload;
+        this.pressure = pressure;
+    }
+
+    void update(Actions actions) {
+        LoadFeedbackMode mode = settings.current().clients().feedbackMode();
+        if (mode == LoadFeedbackMode.NONE) {
+            return;
+        }
+        updateWithheldByPressure();
+        updateWindowMultiple();
+        double withheldShare = Math.max(withheldByPressure, withheldByReadDelay());
+        double offeredMultiple = windowMultiple * serviceTimes.provenSpeed();
+        boolean windowChanged = mode == LoadFeedbackMode.WINDOW
+                && Math.abs(offeredMultiple - reportedWindowMultiple) > WINDOW_GROWTH * reportedWindowMultiple;
+        boolean shareChanged = Math.abs(withheldShare - reportedWithheldShare) >= MIN_REPORTED_CHANGE
+                || withheldShare == 0 && reportedWithheldShare > 0;
+        if (windowChanged || shareChanged) {
+            reportedWithheldShare = withheldShare;
+            reportedWindowMultiple = offeredMultiple;
+            actions.setLoadFeedback(reportedValue());
+        }
+    }
+
+    private void updateWithheldByPressure() {
+        withheldByPressure += WITHHELD_GAIN * (Math.min(MAX_PRESSURE, pressure.value()) - 1);
+        withheldByPressure = Math.max(0, Math.min(MAX_WITHHELD_SHARE, withheldByPressure));
+    }
+
+    private void updateWindowMultiple() {
+        boolean unloaded = pressure.value() < LOW_PRESSURE && inFlight.held() == 0;
+        windowMultiple *= unloaded ? 1 + WINDOW_GROWTH : 1 - 2 * WINDOW_GROWTH;
+        windowMultiple = Math.max(1, Math.min(MAX_WINDOW_MULTIPLE, windowMultiple));
+    }
+
+    /** Rises from 0 at an elevated read delay to 1 at overload. */
+    private double withheldByReadDelay() {
+        return Math.min(
+                1,
+                (overload.readDelay() - OverloadDetector.ELEVATED_READ_DELAY)
+                        / (OverloadDetector.OVERLOAD_READ_DELAY - OverloadDetector.ELEVATED_READ_DELAY));
+    }
+
+    private double reportedValue() {
+        ClientSettings clients = settings.current().clients();
+        return switch (clients.feedbackMode()) {
+            case THRESHOLD -> reportedWithheldShare;
+            case SHARE -> 1 - reportedWithheldShare;
+            default -> Math.max(1, window() / Math.max(1, clients.count()));
+        };
+    }
+
+    /** Requests that all clients together may have outstanding. */
+    private double window() {
+        return WINDOW_PER_SLOT
+                * concurrency.depth()
+                * windowMultiple
+                * serviceTimes.provenSpeed()
+                * (1 - reportedWithheldShare);
+    }
+}
--- /dev/null
+++ b/server/src/main/java/wheatspread/admission/sfq/LoadShedder.java
@@ -0,0 +1,83 @@
+package wheatspread.admission.sfq;
+
+import java.util.HashSet;
+import java.util.Set;
+import java.util.SplittableRandom;
+import wheatspread.admission.AdmissionController.Actions;
+
+/**
+ * Which held request is rejected, and what its client is told. Past the bound on memory or on the held queue, the flow
+ * with the largest lead loses the newest of its requests with the least weight. Under pressure clients are told not to
+ * retry and to stay away for a random time between one and two thirds of the longest allowed, so that they do not
+ * return together.
+ */
+final class LoadShedder {
+    private final ReloadableSettings settings;
+    private final DecisionClock clock;
+    private final FairQueue fairQueue;
+    private final RetainedKeys keys;
+    private final UnstartedRequests unstarted;
+    private final LoadPressure pressure;
+    private final SplittableRandom random;
+    private final Set<Long> rejectedInBatch = new HashSet<>();
+
+    LoadShedder(
+            ReloadableSettings settings,
+            DecisionClock clock,
+            FairQueue fairQueue,
+            RetainedKeys keys,
+            UnstartedRequests unstarted,
+            LoadPressure pressure,
+            long seed) {
+        this.settings = settings;
+        this.clock = clock;
+        this.fairQueue = fairQueue;
+        this.keys = keys;
+        this.unstarted = unstarted;
+        this.pressure = pressure;
+        random = new SplittableRandom(seed);
+    }
+
+    /** Sheds while held requests take the memory that starting them needs. */
+    void shedForMemory(MemoryBudget memory, Actions actions) {
+        while (fairQueue.next() != null && memory.isHeldMemoryExceeded()) {
+            shedOne(actions);
+        }
+    }
+
+    /** Sheds while held requests would wait for too long. */
+    void shedForDelay(HeldQueueBound heldQueueBound, Actions actions) {
+        while (fairQueue.next() != null && heldQueueBound.isExceeded()) {
+            shedOne(actions);
+        }
+    }
+
+    private void shedOne(Actions actions) {
+        reject(fairQueue.furthestAhead(clock.nowMicros()).leastWeight(), false, actions);
+    }
+
+    /** Rejects a request that never ran. */
+    void reject(TrackedRequest tracked, boolean doNotRetry, Actions actions) {
+        pressure.recordRejection();
+        boolean underPressure = pressure.isHigh();
+        long retryAfterMicros = underPressure ? randomRetryAfterMicros() : 0;
+        actions.reject(tracked.id(), retryAfterMicros, doNotRetry || underPressure);
+        rejectedInBatch.add(tracked.id());
+        keys.release(tracked, actions);
+        unstarted.forget(tracked);
+    }
+
+    private long randomRetryAfterMicros() {
+        long maxMicros = settings.current().clients().maxRetryAfterMicros();
+        return (long) (maxMicros * (1 + random.nextDouble()) / 3);
+    }
+
+    /** Whether this request was rejected in the current batch, so that a repeat of it has nothing to join. */
+    boolean wasRejectedInBatch(long id) {
+        return rejectedInBatch.contains(id);
+    }
+
+    void endBatch() {
+        rejectedInBatch.clear();
+    }
+}
--- /dev/null
+++ b/server/src/main/java/wheatspread/admission/sfq/RunTermination.java
@@ -0,0 +1,57 @@
+package wheatspread.admission.sfq;
+
+import wheatspread.admission.AdmissionController.Actions;
+import wheatspread.admission.PreemptionMode;
+
+/** How a started or joining request is given up: answered with an error, and stopped where that is possible. */
+final class RunTermination {
+    private final ReloadableSettings settings;
+    private final InFlightRequests inFlight;
+    private final UnstartedRequests unstarted;
+    private final ServiceTimeEstimator serviceTimes;
+
+    RunTermination(
+            ReloadableSettings settings,
+            InFlightRequests inFlight,
+            UnstartedRequests unstarted,
+            ServiceTimeEstimator serviceTimes) {
+        this.settings = settings;
+        this.inFlight = inFlight;
+        this.unstarted = unstarted;
+        this.serviceTimes = serviceTimes;
+    }
+
+    /** Answers a started or joining request with an error and stops its work. */
+    void abandon(TrackedRequest tracked, Actions actions) {
+        actions.fail(tracked.id());
+        tracked.markAnswered();
+        if (tracked.state == RequestState.JOINING) {
+            unstarted.forget(tracked);
+        } else if (stop(tracked, actions)) {
+            serviceTimes.recordAbandonment(tracked);
+        }
+    }
+
+    /**
+     * Stops the work of an answered request unless others wait for its result.
+     *
+     * @return whether it was told to stop
+     */
+    boolean stop(TrackedRequest tracked, Actions actions) {
+        boolean stoppable = tracked.state == RequestState.RUNNING
+                && tracked.joiners == 0
+                && settings.current().preemptionMode() != PreemptionMode.NONE;
+        if (stoppable) {
+            actions.preempt(tracked.id());
+        }
+        return stoppable;
+    }
+
+    /**
+     * Fails a suspended request that will not be resumed; it has no work to stop.
+     */
+    void failSuspended(TrackedRequest tracked, Actions actions) {
+        actions.fail(tracked.id());
+        inFlight.remove(tracked);
+    }
+}
--- /dev/null
+++ b/server/src/main/java/wheatspread/admission/sfq/SuspendedRunPolicy.java
@@ -0,0 +1,48 @@
+package wheatspread.admission.sfq;
+
+import wheatspread.admission.AdmissionController.Actions;
+import wheatspread.admission.PreemptionMode;
+
+/**
+ * When a suspended run whose answer is outstanding is resumed: once, if the host can suspend work and there is time
+ * left. It has kept its memory, and a write may not be started again. Otherwise the request fails.
+ */
+final class SuspendedRunPolicy {
+    private final ReloadableSettings settings;
+    private final DecisionClock clock;
+    private final DrainState drain;
+    private final InFlightRequests inFlight;
+    private final RunTermination termination;
+
+    SuspendedRunPolicy(
+            ReloadableSettings settings,
+            DecisionClock clock,
+            DrainState drain,
+            InFlightRequests inFlight,
+            RunTermination termination) {
+        this.settings = settings;
+        this.clock = clock;
+        this.drain = drain;
+        this.inFlight = inFlight;
+        this.termination = termination;
+    }
+
+    void resumeOrFail(TrackedRequest tracked, Actions actions) {
+        if (canResume(tracked)) {
+            tracked.resumed = true;
+            tracked.callExhausted = false;
+            tracked.restartStateTimer(clock.nowMicros());
+            inFlight.transition(tracked, RequestState.RUNNING);
+            actions.run(tracked.id());
+        } else {
+            termination.failSuspended(tracked, actions);
+        }
+    }
+
+    private boolean canResume(TrackedRequest tracked) {
+        long endMicros = Math.min(tracked.deadlineMicros, drain.stopMicros()) - settings.answerMarginMicros();
+        return settings.current().preemptionMode() == PreemptionMode.SUSPEND
+                && !tracked.resumed
+                && clock.nowMicros() < endMicros;
+    }
+}
--- a/server/src/test/java/wheatspread/admission/sfq/FairQueueTest.java
+++ b/server/src/test/java/wheatspread/admission/sfq/FairQueueTest.java
@@ -16,8 +16,6 @@
 import wheatspread.admission.AdmissionRequest;
 import wheatspread.admission.AdmissionSettings;
 import wheatspread.admission.Idempotency;
-import wheatspread.admission.LoadGauges;
-import wheatspread.admission.Outcome;
 import wheatspread.admission.RequestClass;
 import wheatspread.admission.Tenant;
 
@@ -35,68 +33,16 @@
 
     private static final int[] TENANTS = {0, 1, 2, 5, 40, 2_000};
 
-    /** The layer under test, without those above it. */
-    private static final class Queue extends FairQueue {
-        Queue(AdmissionSettings settings) {
-            super(settings);
-        }
-
-        @Override
-        public void beginBatch(long clock) {
-            now = clock;
-        }
-
-        @Override
-        public void onArrival(AdmissionRequest request) {
-            throw new UnsupportedOperationException();
-        }
-
-        @Override
-        public void onCompletion(long id, Outcome outcome, long elapsed) {
-            throw new UnsupportedOperationException();
-        }
-
-        @Override
-        public void onBlocked(long id) {
-            throw new UnsupportedOperationException();
-        }
-
-        @Override
-        public void onCallCompleted(long id, Outcome outcome, long elapsed) {
-            throw new UnsupportedOperationException();
-        }
-
-        @Override
-        public void onCancellation(long id) {
-            throw new UnsupportedOperationException();
-        }
-
-        @Override
-        public void onDrain(long left) {
-            throw new UnsupportedOperationException();
-        }
-
-        @Override
-        public void onTimer(LoadGauges gauges) {
-            throw new UnsupportedOperationException();
-        }
-
-        @Override
-        public void decide(Actions actions) {
-            throw new UnsupportedOperationException();
-        }
-    }
-
     /** A request of the reference. */
-    private static final class ScannedJob {
-        private final Job twin;
+    private static final class ScannedRequest {
+        private final TrackedRequest twin;
         private final ScannedFlow flow;
         private final double cost;
         private final double virtualAtArrival;
         private double start;
         private double finish;
 
-        ScannedJob(Job twin, ScannedFlow flow, double cost, double virtualAtArrival) {
+        ScannedRequest(TrackedRequest twin, ScannedFlow flow, double cost, double virtualAtArrival) {
             this.twin = twin;
             this.flow = flow;
             this.cost = cost;
@@ -110,7 +56,7 @@
 
         private final int tenant;
         private final double weight;
-        private final ArrayDeque<ScannedJob> queue = new ArrayDeque<>();
+        private final ArrayDeque<ScannedRequest> queue = new ArrayDeque<>();
         private double dispatchedFinish;
         private double lastFinish;
         private double served;
@@ -121,19 +67,19 @@
             this.weight = weight;
         }
 
-        private void tag(ScannedJob job) {
+        private void tag(ScannedRequest job) {
             job.start = Math.max(job.virtualAtArrival, lastFinish);
             job.finish = job.start + job.cost / weight;
             lastFinish = job.finish;
         }
 
-        private void add(ScannedJob job) {
+        private void add(ScannedRequest job) {
             tag(job);
             queue.add(job);
         }
 
         private void poll(long now) {
-            ScannedJob job = queue.poll();
+            ScannedRequest job = queue.poll();
             dispatchedFinish = job.finish;
             served = servedLately(now) + job.finish - job.start;
             servedAt = now;
@@ -143,17 +89,17 @@
             return served * Math.exp((servedAt - now) / SERVED_LATELY);
         }
 
-        private double ahead(long now) {
+        private double lead(long now) {
             return servedLately(now) + queue.peekLast().start - queue.peek().start;
         }
 
-        private ScannedJob leastWorth() {
+        private ScannedRequest leastWeight() {
             return queue.stream()
-                    .reduce((a, b) -> b.twin.worth() <= a.twin.worth() ? b : a)
+                    .reduce((a, b) -> b.twin.totalWeight() <= a.twin.totalWeight() ? b : a)
                     .orElseThrow();
         }
 
-        private void remove(ScannedJob job) {
+        private void remove(ScannedRequest job) {
             if (queue.remove(job)) {
                 lastFinish = dispatchedFinish;
                 queue.forEach(this::tag);
@@ -179,7 +125,7 @@
             return flows[tenant < flows.length && tenant >= 0 ? tenant : 0];
         }
 
-        private ScannedJob smallestStart() {
+        private ScannedRequest smallestStart() {
             return waiting()
                     .map(flow -> flow.queue.peek())
                     .reduce((a, b) -> b.start < a.start ? b : a)
@@ -188,7 +134,7 @@
 
         private ScannedFlow furthestAhead(long now) {
             return waiting()
-                    .reduce((a, b) -> b.ahead(now) > a.ahead(now) ? b : a)
+                    .reduce((a, b) -> b.lead(now) > a.lead(now) ? b : a)
                     .orElse(null);
         }
 
@@ -202,9 +148,9 @@
         private final Random random;
         private final List<Tenant> tenants = new ArrayList<>();
         private final AdmissionSettings settings;
-        private final Queue queue;
+        private final FairQueue queue;
         private final ScannedQueue scanned;
-        private final List<ScannedJob> held = new ArrayList<>();
+        private final List<ScannedRequest> held = new ArrayList<>();
         private long now = 1_000_000;
         private long lastId;
         private int refused;
@@ -216,9 +162,8 @@
                 tenants.add(new Tenant(told ? QUOTAS[random.nextInt(QUOTAS.length)] : 0));
             }
             settings = Host.settings(false, 100_000, 0, tenants, kind(1), kind(3));
-            queue = new Queue(settings);
+            queue = new FairQueue(tenants);
             scanned = new ScannedQueue(tenants);
-            queue.beginBatch(now);
         }
 
         private static RequestClass kind(double worth) {
@@ -227,7 +172,6 @@
 
         private void passTime() {
             now += STEPS[random.nextInt(STEPS.length)];
-            queue.beginBatch(now);
         }
 
         /** Some tenants are drawn often; some numbers are out of bounds and count as the first tenant's. */
@@ -241,46 +185,46 @@
             int kind = random.nextInt(2);
             AdmissionRequest request =
                     new AdmissionRequest(++lastId, tenant, kind, 0, 0, 0, false, false, false, 20, 0);
-            Job job = new Job(request, settings.classes().get(kind), queue.flow(tenant), now, 0);
+            TrackedRequest job = new TrackedRequest(request, settings.classes().get(kind), queue.flow(tenant), now, 0);
             job.joiners = random.nextInt(8) == 0 ? 1 : 0;
             double cost = random.nextInt(3) == 0 ? random.nextDouble() * 4 : COSTS[random.nextInt(COSTS.length)];
-            ScannedJob twin = new ScannedJob(job, scanned.flow(tenant), cost, scanned.virtualTime);
-            queue.enqueue(job, cost);
+            ScannedRequest twin = new ScannedRequest(job, scanned.flow(tenant), cost, scanned.virtualTime);
+            queue.enqueue(job, cost, now);
             twin.flow.add(twin);
             held.add(twin);
         }
 
         private void dispatch() {
-            ScannedJob expected = scanned.smallestStart();
-            Job job = queue.smallestStart();
+            ScannedRequest expected = scanned.smallestStart();
+            TrackedRequest job = queue.next();
             assertThat(job).as("smallest start tag").isSameAs(expected == null ? null : expected.twin);
             if (job != null) {
-                queue.dispatched(job);
+                queue.dispatch(job, now);
                 expected.flow.poll(now);
                 scanned.virtualTime = expected.start;
                 held.remove(expected);
-                assertThat(queue.virtualTime).isEqualTo(scanned.virtualTime);
+                assertThat(queue.virtualTime()).isEqualTo(scanned.virtualTime);
             }
         }
 
         private void refuse(boolean remove) {
             ScannedFlow expected = scanned.furthestAhead(now);
-            assertThat(queue.smallestStart() == null).isEqualTo(expected == null);
+            assertThat(queue.next() == null).isEqualTo(expected == null);
             if (expected == null) {
                 return;
             }
-            Flow flow = queue.furthestAhead();
+            Flow flow = queue.furthestAhead(now);
             assertThat(flow.tenant).as("furthest ahead").isEqualTo(expected.tenant);
-            assertThat(flow.ahead(now)).isEqualTo(expected.ahead(now));
-            assertThat(flow.leastWorth()).isSameAs(expected.leastWorth().twin);
+            assertThat(flow.lead(now)).isEqualTo(expected.lead(now));
+            assertThat(flow.leastWeight()).isSameAs(expected.leastWeight().twin);
             if (remove) {
-                leave(expected.leastWorth());
+                leave(expected.leastWeight());
                 refused++;
             }
         }
 
-        private void leave(ScannedJob job) {
-            queue.dequeue(job.twin);
+        private void leave(ScannedRequest job) {
+            queue.remove(job.twin, now);
             job.flow.remove(job);
             held.remove(job);
         }
@@ -289,7 +233,7 @@
         private void endBusySpell() {
             if (held.isEmpty()) {
                 double jump = scanned.virtualTime + random.nextInt(3);
-                queue.virtualTime = jump;
+                queue.advanceVirtualTime(jump);
                 scanned.virtualTime = jump;
             }
         }
@@ -311,9 +255,9 @@
         }
 
         private void compareTags() {
-            for (ScannedJob job : held) {
-                assertThat(job.twin.start).isEqualTo(job.start);
-                assertThat(job.twin.finish).isEqualTo(job.finish);
+            for (ScannedRequest job : held) {
+                assertThat(job.twin.startTag).isEqualTo(job.start);
+                assertThat(job.twin.finishTag).isEqualTo(job.finish);
             }
         }
 
@@ -355,12 +299,10 @@
             for (int i = 0; i < 400; i++) {
                 pair.dispatch();
                 pair.now += 500;
-                pair.queue.beginBatch(pair.now);
             }
             for (int i = 0; i < 400; i++) {
                 pair.refuse(true);
                 pair.now += i % 3 * 700;
-                pair.queue.beginBatch(pair.now);
             }
             pair.compareTags();
         }
@@ -375,18 +317,18 @@
             flows.put(tenant, pair.queue.flow(tenant));
             assertThat(pair.queue.flow(tenant)).isSameAs(flows.get(tenant));
         }
-        assertThat(flows.get(3).queue).as("shared while idle").isSameAs(flows.get(4).queue);
+        assertThat(flows.get(3).queue()).as("shared while idle").isSameAs(flows.get(4).queue());
         AdmissionRequest request = new AdmissionRequest(1, 3, 0, 0, 0, 0, false, false, false, 20, 0);
-        Job job = new Job(request, pair.settings.classes().get(0), flows.get(3), pair.now, 0);
-        pair.queue.enqueue(job, 1);
-        assertThat(flows.get(3).queue).containsExactly(job);
-        assertThat(flows.get(4).queue).isEmpty();
-        pair.queue.dispatched(pair.queue.smallestStart());
-        assertThat(flows.get(3).queue).isSameAs(flows.get(4).queue).isEmpty();
-        pair.queue.enqueue(job, 1);
-        pair.queue.dequeue(job);
-        pair.queue.dequeue(job);
-        assertThat(flows.get(3).queue).isSameAs(flows.get(4).queue).isEmpty();
-        assertThat(pair.queue.smallestStart()).isNull();
+        TrackedRequest job = new TrackedRequest(request, pair.settings.classes().get(0), flows.get(3), pair.now, 0);
+        pair.queue.enqueue(job, 1, pair.now);
+        assertThat(flows.get(3).queue()).containsExactly(job);
+        assertThat(flows.get(4).queue()).isEmpty();
+        pair.queue.dispatch(pair.queue.next(), pair.now);
+        assertThat(flows.get(3).queue()).isSameAs(flows.get(4).queue()).isEmpty();
+        pair.queue.enqueue(job, 1, pair.now);
+        pair.queue.remove(job, pair.now);
+        pair.queue.remove(job, pair.now);
+        assertThat(flows.get(3).queue()).isSameAs(flows.get(4).queue()).isEmpty();
+        assertThat(pair.queue.next()).isNull();
     }
 }
