--- a/server/src/test/java/wheatspread/admission/sfq/FairQueueTest.java
+++ b/server/src/test/java/wheatspread/admission/sfq/FairQueueTest.java
@@ -133,9 +133,7 @@
         }
 
         private ScannedFlow furthestAhead(long now) {
-            return waiting()
-                    .reduce((a, b) -> b.lead(now) > a.lead(now) ? b : a)
-                    .orElse(null);
+            return waiting().reduce((a, b) -> b.lead(now) > a.lead(now) ? b : a).orElse(null);
         }
 
         private Stream<ScannedFlow> waiting() {
@@ -317,7 +315,9 @@
             flows.put(tenant, pair.queue.flow(tenant));
             assertThat(pair.queue.flow(tenant)).isSameAs(flows.get(tenant));
         }
-        assertThat(flows.get(3).queue()).as("shared while idle").isSameAs(flows.get(4).queue());
+        assertThat(flows.get(3).queue())
+                .as("shared while idle")
+                .isSameAs(flows.get(4).queue());
         AdmissionRequest request = new AdmissionRequest(1, 3, 0, 0, 0, 0, false, false, false, 20, 0);
         TrackedRequest job = new TrackedRequest(request, pair.settings.classes().get(0), flows.get(3), pair.now, 0);
         pair.queue.enqueue(job, 1, pair.now);
