--- /dev/null
+++ b/server/src/test/java/wheatspread/WithdrawnWordsTest.java
@@ -0,0 +1,102 @@
+package wheatspread;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+
+/** Holds identifiers and file names to the terms of {@code docs/GLOSSARY.md}. */
+class WithdrawnWordsTest {
+    private static final Path GLOSSARY = Path.of("../docs/GLOSSARY.md");
+    private static final Path ROOT = Path.of("src/main/java/wheatspread");
+    private static final Pattern TABLE_ROW = Pattern.compile("(?m)^\\| `?([a-z.]+)`? \\|");
+    private static final Pattern NOT_CODE = Pattern.compile(
+            "(?s)/\\*.*?\\*/|//[^\\n]*|\"\"\".*?\"\"\"|\"(?:\\\\.|[^\"\\\\\\n])*\"|'(?:\\\\.|[^'\\\\])+'");
+    /** Withdrawn only at the begin of a name: {@code MOST_BYTES} is, {@code AT_MOST_ONCE} is not. */
+    private static final Set<String> PREFIXES = Set.of("most", "least");
+
+    private static final Pattern IDENTIFIER = Pattern.compile("[A-Za-z_$][A-Za-z0-9_$]*");
+    private static final Pattern WORD = Pattern.compile("[A-Z]?[a-z]+|[A-Z]+(?![a-z])");
+
+    @Test
+    void finishedPackagesUseNoWithdrawnWord() throws IOException {
+        Set<String> withdrawn = firstColumn("## Withdrawn words");
+        assertThat(withdrawn).contains("told", "door", "knock");
+        assertThat(violations(withdrawn, firstColumn("## Packages that are not finished")))
+                .isEmpty();
+    }
+
+    @Test
+    void findsWordsInsideIdentifiersButNotInTextOrComments() {
+        assertThat(words("int mostTold; boolean atLeast; /* door */ String s = \"knock\"; // crowd\nMOST_TRIES"))
+                .contains("most", "told", "tries")
+                .doesNotContain("least")
+                .doesNotContain("door", "knock", "crowd");
+    }
+
+    private static List<String> violations(Set<String> withdrawn, Set<String> unfinished) throws IOException {
+        List<String> violations = new ArrayList<>();
+        for (Path file : sources()) {
+            String name = ROOT.relativize(file.getParent()).toString().replace('/', '.');
+            if (unfinished.contains(name)) {
+                continue;
+            }
+            Set<String> found = words(file.getFileName().toString() + " " + Files.readString(file));
+            found.retainAll(withdrawn);
+            if (!found.isEmpty()) {
+                violations.add(ROOT.relativize(file) + " " + found);
+            }
+        }
+        return violations;
+    }
+
+    private static List<Path> sources() throws IOException {
+        try (Stream<Path> files = Files.walk(ROOT)) {
+            return files.filter(file -> file.toString().endsWith(".java"))
+                    .sorted()
+                    .toList();
+        }
+    }
+
+    /** The words of all identifiers of a source text, in lower case. */
+    private static Set<String> words(String source) {
+        String code = NOT_CODE.matcher(source).replaceAll(" ");
+        Set<String> words = new TreeSet<>();
+        Matcher identifiers = IDENTIFIER.matcher(code);
+        while (identifiers.find()) {
+            Matcher parts = WORD.matcher(identifiers.group());
+            while (parts.find()) {
+                String word = parts.group().toLowerCase(Locale.ROOT);
+                if (parts.start() == 0 || !PREFIXES.contains(word)) {
+                    words.add(word);
+                }
+            }
+        }
+        return words;
+    }
+
+    private static Set<String> firstColumn(String heading) throws IOException {
+        String page = Files.readString(GLOSSARY);
+        int from = page.indexOf(heading);
+        assertThat(from).as("heading %s of the glossary", heading).isNotNegative();
+        int to = page.indexOf("\n## ", from + 1);
+        String section = page.substring(from, to < 0 ? page.length() : to);
+        return TABLE_ROW
+                .matcher(section)
+                .results()
+                .map(row -> row.group(1))
+                .filter(word -> !Set.of("word", "package").contains(word))
+                .collect(Collectors.toSet());
+    }
+}
