--- a/server/src/main/java/wheatspread/fleet/FleetController.java
+++ b/server/src/main/java/wheatspread/fleet/FleetController.java
@@ -1,360 +1,363 @@
 package wheatspread.fleet;
 
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import wheatspread.fleet.FleetInstance.Health;
 import wheatspread.fleet.FleetInstance.State;
-import wheatspread.fleet.FleetState.Found;
+import wheatspread.fleet.FleetState.RunningProcess;
 import wheatspread.logging.EventLog;
 
 /**
- * All decisions of a supervisor: who starts, who gets its notice, who is ended, by {@link InstanceTable},
- * {@link RestartBackoff} and {@link Rollout}. It does no I/O and reads no clock; what is to be done comes back as
- * {@link Action}s, after the state that tells of them can be written down. Times are Unix microseconds.
+ * All decisions of a supervisor: which instance is started, drained or killed, by {@link InstanceTable},
+ * {@link RestartBackoff}, {@link InstanceTimeouts} and {@link Rollout}. It does no I/O and reads no clock; times are
+ * Unix microseconds. One thread calls it.
  *
- * <p>One rule carries the recovery: a member is started only after its earlier process is known to have
- * ended, and each start is a generation of its own. A start whose outcome a dead supervisor did not note is
- * given time to show itself by its lock before another generation is started, and the lock lets one process
- * of a name go on.
+ * <p>In each turn the supervisor reports what it saw, calls {@link #decide}, saves {@link #state}, and then carries out
+ * the {@link InstanceAction}s that {@code decide} returned.
+ *
+ * <p>The rule on which recovery rests: an instance is started only after its earlier process is known to have exited,
+ * and each start is a generation of its own. A start that an earlier supervisor recorded, and may not have carried
+ * out, gets time to show itself by its lock before the next generation is started; the lock lets only one process of a
+ * name run.
  */
 public final class FleetController {
     private final FleetPlan plan;
     private final FleetLog log;
-    private final InstanceTable roster;
-    private final RestartBackoff restarts;
-    private final List<Action> due = new ArrayList<>();
-    private Rollout roll;
-    private boolean down;
+    private final InstanceTable instances;
+    private final RestartBackoff backoff;
+    private final InstanceTimeouts timeouts;
+    /** Decided, and not returned by {@link #decide} yet. */
+    private final List<InstanceAction> pendingActions = new ArrayList<>();
+    /** The last one; null if there was none. */
+    private Rollout rollout;
+    /** Whether the whole fleet is to stop. */
+    private boolean shuttingDown;
 
-    /** {@code seed} spreads the pauses of restarts. */
+    /** {@code seed} is that of the jitter of restart delays. */
     public FleetController(FleetPlan plan, long seed, EventLog log) {
         this.plan = plan;
         this.log = new FleetLog(log);
-        roster = new InstanceTable(plan);
-        restarts = new RestartBackoff(plan.backoff(), seed);
+        instances = new InstanceTable(plan);
+        backoff = new RestartBackoff(plan.backoff(), seed);
+        timeouts = new InstanceTimeouts(plan);
     }
 
-    public InstanceTable roster() {
-        return roster;
+    public InstanceTable instances() {
+        return instances;
     }
 
-    /** The last roll; null if there was none. */
-    public Rollout roll() {
-        return roll;
+    /** The last rollout; null if there was none. */
+    public Rollout rollout() {
+        return rollout;
     }
 
-    /** Whether the fleet is to go down and every process has ended. */
-    public boolean isDown() {
-        return down && roster.all().stream().noneMatch(FleetInstance::lives);
+    /** Whether the fleet is to stop and every process has exited. */
+    public boolean isShutDown() {
+        return shuttingDown && instances.all().stream().noneMatch(FleetInstance::hasProcess);
     }
 
-    public boolean goingDown() {
-        return down;
+    public boolean isShuttingDown() {
+        return shuttingDown;
     }
 
-    // ---- what an operator asks ----
+    // ---- operators' commands; one that cannot be carried out is an IllegalArgumentException ----
 
     /**
-     * Rolls members to a build. {@code names} are those to be rolled, none for all; {@code count} bounds
-     * them, 0 for no bound. Complains if that cannot begin.
+     * Begins a rollout to a build.
+     *
+     * @param names the instances to replace; empty for all that should run
+     * @param count how many of them to replace at most; 0 for no bound
      */
-    public void roll(String to, List<String> names, int count, long now) {
-        if (down) {
+    public void startRollout(String toBuild, List<String> names, int count, long nowMicros) {
+        if (shuttingDown) {
             throw new IllegalArgumentException("the fleet is going down");
         }
-        if (roll != null && !roll.over()) {
-            throw new IllegalArgumentException("a roll to " + roll.to() + " goes on");
-        }
-        List<String> chosen = new ArrayList<>();
-        for (FleetInstance member : roster.all()) {
-            boolean named = names.isEmpty() ? member.wanted : names.contains(member.name);
-            if (named && (count == 0 || chosen.size() < count)) {
-                chosen.add(member.name);
-            }
-        }
-        for (String name : names) {
-            member(name);
+        if (isRollingOut()) {
+            throw new IllegalArgumentException("a roll to " + rollout.toBuild() + " goes on");
         }
+        names.forEach(this::requireInstance);
+        List<String> chosen = instances.all().stream()
+                .filter(instance -> names.isEmpty() ? instance.shouldRun : names.contains(instance.name))
+                .limit(count == 0 ? Long.MAX_VALUE : count)
+                .map(instance -> instance.name)
+                .toList();
         if (chosen.isEmpty()) {
             throw new IllegalArgumentException("there is nobody to roll");
         }
-        String from = roster.get(chosen.get(0)).build;
-        roll = new Rollout(plan.rolling(), from, to, chosen, now);
-        chosen.forEach(restarts::forgive);
-        log.rollBegan(
-                from, to, chosen.size(), plan.rolling().mostOut(roster.all().size()));
+        String fromBuild = instances.get(chosen.get(0)).build;
+        rollout = new Rollout(plan.rollout(), fromBuild, toBuild, chosen, nowMicros);
+        chosen.forEach(backoff::reset);
+        int maxUnavailable = plan.rollout().maxUnavailable(instances.all().size());
+        log.rolloutStarted(fromBuild, toBuild, chosen.size(), maxUnavailable);
     }
 
-    /** Stops a roll where it stands. */
-    public void stopRoll(long now) {
-        if (roll == null || roll.over()) {
+    /** Ends a rollout where it stands. */
+    public void stopRollout(long nowMicros) {
+        if (!isRollingOut()) {
             throw new IllegalArgumentException("no roll goes on");
         }
-        roll.stop("stopped by an operator", now);
+        rollout.stop("stopped by an operator", nowMicros);
     }
 
-    /** A member leaves and stays away. */
-    public void drain(String name, long now) {
-        FleetInstance member = member(name);
-        member.wanted = false;
-        leave(member, now);
-        if (member.state == State.HELD) {
-            member.enter(State.ABSENT, now);
-        }
+    /** Drains an instance; it is not restarted until {@link #enable}. */
+    public void drain(String name, long nowMicros) {
+        FleetInstance instance = requireInstance(name);
+        instance.shouldRun = false;
+        beginDrain(instance, nowMicros);
+        leaveCrashLoop(instance, nowMicros);
     }
 
-    /** A member that was drained or is held starts again. */
-    public void start(String name, long now) {
-        FleetInstance member = member(name);
-        member.wanted = true;
-        restarts.forgive(name);
-        if (member.state == State.HELD) {
-            member.enter(State.ABSENT, now);
-        }
+    /** Starts an instance that was drained, or is held for a crash loop. */
+    public void enable(String name, long nowMicros) {
+        FleetInstance instance = requireInstance(name);
+        instance.shouldRun = true;
+        backoff.reset(name);
+        leaveCrashLoop(instance, nowMicros);
     }
 
-    /** Everybody leaves. */
-    public void goDown(long now) {
-        down = true;
-        if (roll != null && !roll.over()) {
-            roll.stop("the fleet went down", now);
+    /** Drains the whole fleet; nothing is started any more. */
+    public void shutDown(long nowMicros) {
+        shuttingDown = true;
+        if (isRollingOut()) {
+            rollout.stop("the fleet went down", nowMicros);
         }
-        roster.all().forEach(member -> leave(member, now));
+        instances.all().forEach(instance -> beginDrain(instance, nowMicros));
     }
 
-    private FleetInstance member(String name) {
-        FleetInstance member = roster.get(name);
-        if (member == null) {
+    private boolean isRollingOut() {
+        return rollout != null && !rollout.isOver();
+    }
+
+    private FleetInstance requireInstance(String name) {
+        FleetInstance instance = instances.get(name);
+        if (instance == null) {
             throw new IllegalArgumentException("there is no member " + name);
         }
-        return member;
+        return instance;
+    }
+
+    private static void leaveCrashLoop(FleetInstance instance, long nowMicros) {
+        if (instance.state == State.CRASH_LOOP) {
+            instance.enterState(State.STOPPED, nowMicros);
+        }
     }
 
-    // ---- what the supervisor sees ----
+    // ---- what the supervisor saw; what belongs to another generation changes nothing ----
 
-    /** The process of a member has a number. */
-    public void spawned(String name, int generation, long pid) {
-        FleetInstance member = roster.get(name);
-        if (member != null && member.generation == generation) {
-            member.pid = pid;
-            member.unsureUntil = 0;
+    /** The process of an instance has this process id. */
+    public void processStarted(String name, int generation, long pid) {
+        FleetInstance instance = instances.get(name);
+        if (instance != null && instance.generation == generation) {
+            instance.pid = pid;
+            instance.startUnconfirmedUntilMicros = 0;
         }
     }
 
-    /** A check was answered; {@code generation} is the one that was asked. */
-    public void heard(String name, int generation, Health health, long now) {
-        FleetInstance member = roster.get(name);
-        if (member != null && roster.heard(member, generation, health, now)) {
-            log.stateChanged(member, now);
+    /** A health check was answered. */
+    public void healthCheckAnswered(String name, int generation, Health health, long nowMicros) {
+        FleetInstance instance = instances.get(name);
+        if (instance != null && instances.recordHealthCheck(instance, generation, health, nowMicros)) {
+            log.stateChanged(instance, nowMicros);
         }
     }
 
-    /** A check was refused, or not answered in time. */
-    public void unheard(String name, int generation, long now) {
-        FleetInstance member = roster.get(name);
-        if (member != null && roster.unheard(member, generation, now)) {
-            log.stateChanged(member, now);
+    /** A health check was refused, or not answered in time. */
+    public void healthCheckFailed(String name, int generation, long nowMicros) {
+        FleetInstance instance = instances.get(name);
+        if (instance != null && instances.recordFailedCheck(instance, generation, nowMicros)) {
+            log.stateChanged(instance, nowMicros);
         }
     }
 
-    /** The process of a member ended; {@code code} is {@link FleetInstance#UNKNOWN_CODE} where nobody heard it. */
-    public void ended(String name, int generation, int code, long now) {
-        FleetInstance member = roster.get(name);
-        if (member == null || member.generation != generation || !member.lives()) {
+    /** The process of an instance exited; the code may be {@link FleetInstance#UNKNOWN_EXIT_CODE}. */
+    public void processExited(String name, int generation, int exitCode, long nowMicros) {
+        FleetInstance instance = instances.get(name);
+        if (instance == null || instance.generation != generation || !instance.hasProcess()) {
             return;
         }
-        boolean asked = member.state == State.LEAVING;
-        member.lastCode = code;
-        member.everEnded = true;
-        member.pid = 0;
-        member.unsureUntil = 0;
-        member.enter(State.ABSENT, now);
-        log.ended(member, asked, now);
-        Rollout.Status before = roll == null ? null : roll.status();
-        if (roll != null) {
-            roll.ended(member, asked, now);
+        boolean expected = instance.state == State.DRAINING;
+        instance.recordExit(exitCode, nowMicros);
+        log.processExited(instance, expected, nowMicros);
+        boolean endsRollout = reportExitToRollout(instance, expected, nowMicros);
+        if (!expected && !endsRollout) {
+            countUnexpectedExit(instance, nowMicros);
+        }
+    }
+
+    /** Returns whether the exit changed the rollout's status, by which it is accounted for. */
+    private boolean reportExitToRollout(FleetInstance instance, boolean expected, long nowMicros) {
+        if (rollout == null) {
+            return false;
         }
-        boolean turned = roll != null && roll.status() != before;
-        if (turned) {
-            log.rollChanged(roll);
+        RolloutStatus before = rollout.status();
+        rollout.processExited(instance, expected, nowMicros);
+        if (rollout.status() == before) {
+            return false;
         }
-        if (!asked && !turned && restarts.ended(name, now - member.startedAt, now)) {
-            member.enter(State.HELD, now);
-            log.held(member, plan.backoff());
-            if (roll != null && roll.leads(name)) {
-                roll.giveUp(member, now);
-                log.rollChanged(roll);
-            }
+        log.rolloutStatusChanged(rollout);
+        return true;
+    }
+
+    private void countUnexpectedExit(FleetInstance instance, long nowMicros) {
+        long uptimeMicros = nowMicros - instance.startedAtMicros;
+        if (!backoff.recordExit(instance.name, uptimeMicros, nowMicros)) {
+            return;
+        }
+        instance.enterState(State.CRASH_LOOP, nowMicros);
+        log.crashLoopDetected(instance, plan.backoff());
+        if (rollout != null && rollout.isReplacing(instance.name)) {
+            rollout.instanceInCrashLoop(instance, nowMicros);
+            log.rolloutStatusChanged(rollout);
         }
     }
 
     // ---- decisions ----
 
-    /** Looks at everything, and returns what is to be done, once the state is written down. */
-    public List<Action> look(long now) {
-        for (FleetInstance member : roster.all()) {
-            watch(member, now);
+    /** Decides on every instance. Returns what is to be done once {@link #state} is saved. */
+    public List<InstanceAction> decide(long nowMicros) {
+        for (FleetInstance instance : instances.all()) {
+            superviseInstance(instance, nowMicros);
         }
-        if (roll != null && !roll.over()) {
-            lookAtRoll(now);
+        if (isRollingOut()) {
+            advanceRollout(nowMicros);
         }
-        if (!down) {
-            startDue(now);
+        if (!shuttingDown) {
+            startInstances(nowMicros);
         }
-        List<Action> actions = List.copyOf(due);
-        due.clear();
+        List<InstanceAction> actions = List.copyOf(pendingActions);
+        pendingActions.clear();
         return actions;
     }
 
-    private void watch(FleetInstance member, long now) {
-        if (member.unsureUntil > 0 && now >= member.unsureUntil) {
-            // it never came about, or was gone at once; that is no fault of its build, and the next one will
-            // tell
-            member.unsureUntil = 0;
-            member.enter(State.ABSENT, now);
-            if (roll != null) {
-                roll.neverStarted(member.name);
-            }
-            log.startUnseen(member);
-        } else if (member.state == State.STARTING && now - member.startedAt > plan.startTimeout()) {
-            kill(member, "not well in time", now);
-        } else if (member.state == State.LEAVING && now - member.since > plan.stopAfter()) {
-            kill(member, "still there after its time to leave", now);
-        } else if (plan.hung() > 0
-                && (member.state == State.UP || member.state == State.UNWELL)
-                && now - Math.max(member.heardAt, member.wellAt) > plan.hung()) {
-            kill(member, "answers no check", now);
-        } else if (roll != null && roll.failing(member)) {
-            roll.failed(
-                    member,
-                    "failed " + member.health.failed() + " of " + (member.health.served() + member.health.failed())
-                            + " requests",
-                    now);
-            log.rollChanged(roll);
-            if (roll.status() == Rollout.Status.RUNNING) {
-                leave(member, now); // another generation of the same build gets a try
-                roll.again(member);
-            }
+    private void superviseInstance(FleetInstance instance, long nowMicros) {
+        if (InstanceTimeouts.startUnconfirmed(instance, nowMicros)) {
+            giveUpUnconfirmedStart(instance, nowMicros);
+            return;
+        }
+        String killReason = timeouts.killReason(instance, nowMicros);
+        if (killReason != null) {
+            kill(instance, killReason);
+        } else if (rollout != null && rollout.failsTooManyRequests(instance)) {
+            failNewInstance(instance, nowMicros);
         }
     }
 
-    private void kill(FleetInstance member, String why, long now) {
-        if (!member.killed) {
-            member.killed = true;
-            due.add(new Action.Kill(member.name, member.generation, why));
-            log.killed(member, why);
+    /**
+     * The start was not carried out, or its process was gone at once. Neither counts as an exit or as a fault of the
+     * build; the next generation will show one.
+     */
+    private void giveUpUnconfirmedStart(FleetInstance instance, long nowMicros) {
+        instance.startUnconfirmedUntilMicros = 0;
+        instance.enterState(State.STOPPED, nowMicros);
+        if (rollout != null) {
+            rollout.startNotConfirmed(instance.name);
         }
+        log.startNotConfirmed(instance);
     }
 
-    /** The notice, where there is a process that has not had it. */
-    private void leave(FleetInstance member, long now) {
-        if (!member.lives() || member.state == State.LEAVING) {
+    private void kill(FleetInstance instance, String reason) {
+        if (instance.killRequested) {
             return;
         }
-        member.enter(State.LEAVING, now);
-        due.add(new Action.Notice(member.name, member.generation));
-        log.leaves(member);
+        instance.killRequested = true;
+        pendingActions.add(new InstanceAction.Kill(instance.name, instance.generation, reason));
+        log.instanceKilled(instance, reason);
     }
 
-    private void lookAtRoll(long now) {
-        boolean paused = roll.paused();
-        Rollout.Status before = roll.status();
-        for (FleetInstance member : roll.look(roster, now)) {
-            leave(member, now);
-        }
-        if (roll.paused() != paused) {
-            log.rollPaused(roll, roster.out(now).size());
-        }
-        if (roll.status() != before) {
-            log.rollChanged(roll);
+    /** Where that does not end the rollout, another generation of the same build is tried. */
+    private void failNewInstance(FleetInstance instance, long nowMicros) {
+        long requests = instance.health.served() + instance.health.failed();
+        rollout.instanceFailed(
+                instance, "failed " + instance.health.failed() + " of " + requests + " requests", nowMicros);
+        log.rolloutStatusChanged(rollout);
+        if (rollout.status() == RolloutStatus.IN_PROGRESS) {
+            beginDrain(instance, nowMicros);
+            rollout.retryInstance(instance);
         }
     }
 
-    /** Members that want a process and have none, as many at once as may start together. */
-    private void startDue(long now) {
-        int starting = roster.count(State.STARTING);
-        for (FleetInstance member : roster.all()) {
-            boolean led = roll != null && roll.leads(member.name);
-            if (member.state == State.HELD && member.wanted && !restarts.held(member.name, now)) {
-                member.enter(State.ABSENT, now);
-            }
-            if (member.state != State.ABSENT
-                    || !member.wanted && !led
-                    || !led && starting >= plan.startAtOnce()
-                    || !restarts.mayStart(member.name, now)) {
-                continue;
-            }
-            String build = roll == null ? null : roll.buildOf(member.name);
-            member.begin(build == null ? member.build : build, now);
-            if (roll != null) {
-                roll.started(member.name);
-            }
-            starting++;
-            due.add(new Action.Start(member.name, member.build, member.generation));
-            log.starts(member);
+    /** Sends SIGTERM, unless there is no process or it was sent before. */
+    void beginDrain(FleetInstance instance, long nowMicros) {
+        if (!instance.hasProcess() || instance.state == State.DRAINING) {
+            return;
         }
+        instance.enterState(State.DRAINING, nowMicros);
+        terminate(instance);
+        log.drainStarted(instance);
     }
 
-    // ---- across the end of a supervisor ----
+    void terminate(FleetInstance instance) {
+        pendingActions.add(new InstanceAction.Terminate(instance.name, instance.generation));
+    }
 
-    /** What is to be written down before the actions that were last returned are carried out. */
-    public FleetState state() {
-        return FleetState.of(roster, restarts, roll, down);
+    private void advanceRollout(long nowMicros) {
+        boolean wasPaused = rollout.isPaused();
+        RolloutStatus before = rollout.status();
+        for (FleetInstance instance : rollout.advance(instances, nowMicros)) {
+            beginDrain(instance, nowMicros);
+        }
+        if (rollout.isPaused() != wasPaused) {
+            log.rolloutPaused(rollout, instances.unavailable(nowMicros).size());
+        }
+        if (rollout.status() != before) {
+            log.rolloutStatusChanged(rollout);
+        }
     }
 
     /**
-     * Goes on from what an earlier supervisor wrote down and from the processes that were found alive, by
-     * name. Members that the plan no longer has are told to leave, and stay in the roster until they did.
+     * Starts instances that should run and have no process, {@link FleetPlan#maxConcurrentStarts} at a time. Those
+     * that a rollout replaces are bounded by the rollout instead.
      */
-    public void restore(FleetState saved, Map<String, Found> alive, long now) {
-        down = saved.down();
-        roll = saved.roll() == null ? null : new Rollout(plan.rolling(), saved.roll());
-        Map<String, Found> left = new LinkedHashMap<>(alive);
-        for (FleetState.Of savedMember : saved.members()) {
-            Found found = left.remove(savedMember.name());
-            FleetInstance member = roster.get(savedMember.name());
-            if (member == null && found == null) {
-                continue;
+    private void startInstances(long nowMicros) {
+        int starting = instances.count(State.STARTING);
+        for (FleetInstance instance : instances.all()) {
+            boolean replacing = rollout != null && rollout.isReplacing(instance.name);
+            if (instance.state == State.CRASH_LOOP && instance.shouldRun && !backoff.isHeld(instance.name, nowMicros)) {
+                leaveCrashLoop(instance, nowMicros);
             }
-            boolean unplanned = member == null;
-            member = unplanned ? roster.add(savedMember.name(), savedMember.build()) : member;
-            member.restore(savedMember);
-            member.wanted = savedMember.wanted() && !unplanned;
-            restarts.restore(savedMember);
-            adopt(member, found, now);
-            if (unplanned) {
-                leave(member, now);
+            boolean allowed = replacing || instance.shouldRun && starting < plan.maxConcurrentStarts();
+            if (instance.state == State.STOPPED && allowed && backoff.mayStart(instance.name, nowMicros)) {
+                startInstance(instance, nowMicros);
+                starting++;
             }
         }
-        log.restored(saved.members().size(), alive.size(), roll);
     }
 
-    private void adopt(FleetInstance member, Found found, long now) {
-        if (found != null) {
-            member.pid = found.pid();
-            member.generation = Math.max(member.generation, found.generation());
-            if (!member.lives()) {
-                member.enter(State.STARTING, now);
-                member.startedAt = now;
-            }
-            if (member.state == State.LEAVING) {
-                // the notice may not have been given; a second one does no harm
-                due.add(new Action.Notice(member.name, member.generation));
-                member.since = now;
-            }
-            member.heardAt = now - plan.stale() - 1; // stale until it is heard, but not taken for hung
-        } else if (member.state == State.STARTING) {
-            member.unsureUntil = now + plan.settle();
-        } else if (member.lives()) {
-            ended(member.name, member.generation, FleetInstance.UNKNOWN_CODE, now);
+    private void startInstance(FleetInstance instance, long nowMicros) {
+        String rolloutBuild = rollout == null ? null : rollout.buildOf(instance.name);
+        instance.beginGeneration(rolloutBuild == null ? instance.build : rolloutBuild, nowMicros);
+        if (rollout != null) {
+            rollout.processStarted(instance.name);
+        }
+        pendingActions.add(new InstanceAction.Start(instance.name, instance.build, instance.generation));
+        log.instanceStarted(instance);
+    }
+
+    // ---- from one supervisor to the next ----
+
+    /** What is to be saved before the actions that were last returned are carried out. */
+    public FleetState state() {
+        return FleetState.of(instances, backoff, rollout, shuttingDown);
+    }
+
+    /**
+     * Goes on from what an earlier supervisor saved and from the processes found running, by instance. Instances that
+     * the plan no longer has are drained, and stay in the table until then.
+     */
+    public void restore(FleetState saved, Map<String, RunningProcess> running, long nowMicros) {
+        shuttingDown = saved.shuttingDown();
+        rollout = saved.rollout() == null ? null : new Rollout(plan.rollout(), saved.rollout());
+        FleetRecovery recovery = new FleetRecovery(plan, instances, backoff, this);
+        for (FleetState.InstanceRecord savedInstance : saved.instances()) {
+            recovery.restore(savedInstance, running.get(savedInstance.name()), nowMicros);
         }
+        log.restored(saved.instances().size(), running.size(), rollout);
     }
 
-    /** Whether an earlier supervisor wrote a start of it down, and nobody knows yet whether it came about. */
-    public boolean isUnsure(String name) {
-        FleetInstance member = roster.get(name);
-        return member != null && member.unsureUntil > 0;
+    /** Whether it is open if a start that an earlier supervisor recorded was carried out. */
+    public boolean isStartUnconfirmed(String name) {
+        FleetInstance instance = instances.get(name);
+        return instance != null && instance.startUnconfirmedUntilMicros > 0;
     }
 }
--- a/server/src/main/java/wheatspread/fleet/FleetLog.java
+++ b/server/src/main/java/wheatspread/fleet/FleetLog.java
@@ -4,9 +4,12 @@
 import wheatspread.logging.EventLog;
 import wheatspread.logging.EventLog.Level;
 
-/** What a fleet logs of its members and its rolls. Times are Unix microseconds. */
+/**
+ * The log events of a fleet's instances and rollouts; {@code docs/operating/log.md} describes them for operators.
+ * Times are Unix microseconds.
+ */
 final class FleetLog {
-    private static final long MICROS_PER_MS = 1_000;
+    private static final long MICROS_PER_MILLI = 1_000;
 
     private final EventLog log;
 
@@ -14,105 +17,105 @@
         this.log = log;
     }
 
-    /** An earlier supervisor's state was taken over; {@code roll} is null where there was none. */
-    void restored(int members, int alive, Rollout roll) {
+    /** The state of an earlier supervisor was restored; {@code rollout} is null if there was none. */
+    void restored(int instances, int running, Rollout rollout) {
         log.info(
                 "fleet_found",
                 "members",
-                members,
+                instances,
                 "alive",
-                alive,
+                running,
                 "roll",
-                roll == null ? "none" : roll.status().storedName());
+                rollout == null ? "none" : rollout.status().storedName());
     }
 
-    // ---- members ----
+    // ---- instances ----
 
-    /** A check has changed a member's state. */
-    void stateChanged(FleetInstance member, long now) {
+    /** A health check changed the state of an instance. */
+    void stateChanged(FleetInstance instance, long nowMicros) {
         log.info(
                 "member",
                 "name",
-                member.name,
+                instance.name,
                 "state",
-                member.state.storedName(),
+                instance.state.storedName(),
                 "build",
-                member.build,
+                instance.build,
                 "generation",
-                member.generation,
+                instance.generation,
                 "after_ms",
-                (now - member.startedAt) / MICROS_PER_MS);
+                (nowMicros - instance.startedAtMicros) / MICROS_PER_MILLI);
     }
 
-    void starts(FleetInstance member) {
-        log.info("member_starts", "name", member.name, "build", member.build, "generation", member.generation);
+    void instanceStarted(FleetInstance instance) {
+        log.info("member_starts", "name", instance.name, "build", instance.build, "generation", instance.generation);
     }
 
-    /** A start that an earlier supervisor wrote down never showed itself. */
-    void startUnseen(FleetInstance member) {
-        log.info("start_unseen", "name", member.name, "generation", member.generation);
+    /** A start that an earlier supervisor recorded did not show itself in time. */
+    void startNotConfirmed(FleetInstance instance) {
+        log.info("start_unseen", "name", instance.name, "generation", instance.generation);
     }
 
-    void leaves(FleetInstance member) {
-        log.info("member_leaves", "name", member.name, "build", member.build, "generation", member.generation);
+    void drainStarted(FleetInstance instance) {
+        log.info("member_leaves", "name", instance.name, "build", instance.build, "generation", instance.generation);
     }
 
-    void killed(FleetInstance member, String why) {
-        log.warn("member_killed", "name", member.name, "generation", member.generation, "why", why);
+    void instanceKilled(FleetInstance instance, String reason) {
+        log.warn("member_killed", "name", instance.name, "generation", instance.generation, "why", reason);
     }
 
-    /** A process ended; {@code asked} says whether it had got its notice. */
-    void ended(FleetInstance member, boolean asked, long now) {
+    /** A process exited; {@code expected} says whether it had been sent SIGTERM. */
+    void processExited(FleetInstance instance, boolean expected, long nowMicros) {
         log.log(
-                asked ? Level.INFO : Level.WARN,
+                expected ? Level.INFO : Level.WARN,
                 "member_ended",
                 "name",
-                member.name,
+                instance.name,
                 "build",
-                member.build,
+                instance.build,
                 "generation",
-                member.generation,
+                instance.generation,
                 "code",
-                member.lastCode,
+                instance.lastExitCode,
                 "asked",
-                asked,
+                expected,
                 "ran_ms",
-                (now - member.startedAt) / MICROS_PER_MS);
+                (nowMicros - instance.startedAtMicros) / MICROS_PER_MILLI);
     }
 
-    /** A member is in a crash loop. */
-    void held(FleetInstance member, Backoff backoff) {
+    /** An instance is held for a crash loop. */
+    void crashLoopDetected(FleetInstance instance, Backoff backoff) {
         log.error(
                 "member_held",
                 "name",
-                member.name,
+                instance.name,
                 "ends",
-                backoff.loopExits(),
+                backoff.crashLoopExits(),
                 "within_ms",
-                backoff.loopWithin() / MICROS_PER_MS);
+                backoff.crashLoopWindowMicros() / MICROS_PER_MILLI);
     }
 
-    // ---- rolls ----
+    // ---- rollouts ----
 
-    void rollBegan(String from, String to, int members, int mostOut) {
-        log.info("roll_began", "from", from, "to", to, "members", members, "most_out", mostOut);
+    void rolloutStarted(String fromBuild, String toBuild, int instances, int maxUnavailable) {
+        log.info("roll_began", "from", fromBuild, "to", toBuild, "members", instances, "most_out", maxUnavailable);
     }
 
-    /** A roll has come to another status. */
-    void rollChanged(Rollout roll) {
+    /** The status of a rollout changed. */
+    void rolloutStatusChanged(Rollout rollout) {
         log.log(
-                roll.reason().isEmpty() ? Level.INFO : Level.ERROR,
+                rollout.reason().isEmpty() ? Level.INFO : Level.ERROR,
                 "roll",
                 "to",
-                roll.to(),
+                rollout.toBuild(),
                 "status",
-                roll.status().storedName(),
+                rollout.status().storedName(),
                 "reason",
-                roll.reason());
+                rollout.reason());
     }
 
-    /** A roll waits for members that are out of service, or goes on. */
-    void rollPaused(Rollout roll, int out) {
-        log.warn(roll.paused() ? "roll_paused" : "roll_goes_on", "to", roll.to(), "out", out);
+    /** A rollout waits for unavailable instances, or goes on. */
+    void rolloutPaused(Rollout rollout, int unavailable) {
+        log.warn(rollout.isPaused() ? "roll_paused" : "roll_goes_on", "to", rollout.toBuild(), "out", unavailable);
     }
 }
--- a/server/src/main/java/wheatspread/fleet/FleetPlan.java
+++ b/server/src/main/java/wheatspread/fleet/FleetPlan.java
@@ -3,80 +3,89 @@
 import java.util.List;
 
 /**
- * What an operator wants of a fleet. Times are microseconds.
+ * What operators set for a fleet, from the fleet's file; {@code FleetConfig} has its keys and defaults. Times are
+ * microseconds.
  *
- * @param members the names, in the order in which they are started and rolled
- * @param build the label of the build that members start with
- * @param startAtOnce how many may be starting together when the fleet comes up
- * @param startTimeout a member that is not well by then is killed
- * @param stopAfter a member that has not left so long after its notice is killed
- * @param stale a state heard longer ago than this is said to be stale
- * @param badAfter so many bad checks in a row make a member unwell
- * @param hung a member that lives and answers no check for so long is killed; 0 for never
- * @param settle how long a start whose outcome a dead supervisor didn't note may take to show itself
+ * @param instances the names, in the order in which they are started and replaced
+ * @param build the label of the build that instances start with
+ * @param maxConcurrentStarts how many may be starting together when the fleet comes up
+ * @param startTimeoutMicros an instance that is not healthy so long after its start is killed
+ * @param stopTimeoutMicros an instance that has not exited so long after SIGTERM is killed
+ * @param staleAfterMicros an instance whose last answered health check is older than this is stale
+ * @param unhealthyThreshold so many failed health checks in a row make an instance unhealthy
+ * @param unresponsiveTimeoutMicros an instance that answers no health check for so long is killed; 0 for never
+ * @param startConfirmationMicros how long a recorded start, of which an earlier supervisor did not record whether it
+ *     was carried out, may take to show itself by its lock
  */
 public record FleetPlan(
-        List<String> members,
+        List<String> instances,
         String build,
-        int startAtOnce,
-        long startTimeout,
-        long stopAfter,
-        long stale,
-        int badAfter,
-        long hung,
-        long settle,
-        Rolling rolling,
+        int maxConcurrentStarts,
+        long startTimeoutMicros,
+        long stopTimeoutMicros,
+        long staleAfterMicros,
+        int unhealthyThreshold,
+        long unresponsiveTimeoutMicros,
+        long startConfirmationMicros,
+        Rolling rollout,
         Backoff backoff) {
+    /** Keeps a copy of the names. */
     public FleetPlan {
-        members = List.copyOf(members);
+        instances = List.copyOf(instances);
     }
 
     /**
-     * How a build replaces another.
+     * How one build replaces another.
      *
-     * @param outShare so large a share of the fleet may be out of service at a time, for whatever reason
-     * @param outMost and so many members, 0 for no such bound; one member always may
-     * @param provenAnswers so many served requests prove a successor
-     * @param provenAfter it must have been well so long at least
-     * @param provenPatience well for so long proves it too, for a fleet that nobody asks
-     * @param failedShare a successor that fails a larger share of its requests has failed itself
-     * @param mostFailures so many failed successors stop the roll
-     * @param rollBack whether the old build takes over again then
+     * @param maxUnavailableShare the share of the fleet that may be unavailable at a time, for whatever reason
+     * @param maxUnavailableCount how many instances may be unavailable at a time; 0 for no such bound
+     * @param minServedRequests so many served requests verify a new instance
+     * @param minHealthyMicros it must have been healthy for so long before it counts as verified
+     * @param idleVerificationMicros healthy for so long verifies it too, where no requests come
+     * @param maxFailedShare a new instance that fails a larger share of its requests counts as failed
+     * @param maxFailedInstances so many failed instances end the rollout
+     * @param automaticRollback whether the old build is put back then
      */
     public record Rolling(
-            double outShare,
-            int outMost,
-            int provenAnswers,
-            long provenAfter,
-            long provenPatience,
-            double failedShare,
-            int mostFailures,
-            boolean rollBack) {
-        /** How many of a fleet may be out of service together. */
-        public int mostOut(int fleet) {
-            int byShare = Math.max(1, (int) Math.floor(outShare * fleet + 1e-9));
-            return outMost == 0 ? byShare : Math.min(outMost, byShare);
+            double maxUnavailableShare,
+            int maxUnavailableCount,
+            int minServedRequests,
+            long minHealthyMicros,
+            long idleVerificationMicros,
+            double maxFailedShare,
+            int maxFailedInstances,
+            boolean automaticRollback) {
+        /** So that a share times a size that is whole but for rounding, such as 0.1 * 30, counts as whole. */
+        private static final double ROUNDING_ERROR = 1e-9;
+
+        /**
+         * How many instances of a fleet may be unavailable together: the smaller of the two bounds, and at least one,
+         * or no rollout could begin.
+         */
+        public int maxUnavailable(int fleetSize) {
+            int byShare = Math.max(1, (int) Math.floor(maxUnavailableShare * fleetSize + ROUNDING_ERROR));
+            return maxUnavailableCount == 0 ? byShare : Math.min(maxUnavailableCount, byShare);
         }
     }
 
     /**
-     * How members that ended come back.
+     * When instances that exited start again; the rule is that of {@link RestartBackoff}.
      *
-     * @param first pause before the first start
-     * @param factor by which it grows with every further one
-     * @param longest the longest pause
-     * @param jitter pauses are spread by this share to both sides
-     * @param forgiven a member that ran so long starts from the first pause again
-     * @param loopExits so many ends within {@code loopWithin} are a crash loop, and the member is held
-     * @param holdFor how long it is held; 0 until an operator starts it
+     * @param initialDelayMicros the delay before the first restart
+     * @param multiplier by which the delay grows with each further exit
+     * @param maxDelayMicros the longest delay, before jitter
+     * @param jitterShare delays are spread by up to this share in both directions
+     * @param resetAfterMicros an instance that ran for so long starts from the initial delay again
+     * @param crashLoopExits so many exits within {@code crashLoopWindowMicros} are a crash loop
+     * @param crashLoopHoldMicros how long an instance in a crash loop is not restarted; 0 until an operator starts it
      */
     public record Backoff(
-            long first,
-            double factor,
-            long longest,
-            double jitter,
-            long forgiven,
-            int loopExits,
-            long loopWithin,
-            long holdFor) {}
+            long initialDelayMicros,
+            double multiplier,
+            long maxDelayMicros,
+            double jitterShare,
+            long resetAfterMicros,
+            int crashLoopExits,
+            long crashLoopWindowMicros,
+            long crashLoopHoldMicros) {}
 }
--- a/server/src/main/java/wheatspread/fleet/InstanceTable.java
+++ b/server/src/main/java/wheatspread/fleet/InstanceTable.java
@@ -9,99 +9,114 @@
 import wheatspread.fleet.FleetInstance.State;
 
 /**
- * The members of a fleet, their generations, and their states from checks and from the ends of their
- * processes. What was not heard lately is said to be stale, and a stale member does not count as in service.
- * No I/O.
+ * The instances of a fleet, in the order of the fleet's file, and their states from health checks.
+ *
+ * <p>Rule: a good check makes an instance {@code HEALTHY} at once; {@link FleetPlan#unhealthyThreshold} failed
+ * checks in a row make it {@code UNHEALTHY}. An instance whose last answer is older than
+ * {@link FleetPlan#staleAfterMicros} is stale: it does not count as available, since a rollout that goes by old
+ * answers could take more of the fleet out than allowed.
  */
 public final class InstanceTable {
-    private final Map<String, FleetInstance> members = new LinkedHashMap<>();
-    private final long stale;
-    private final int badAfter;
+    private final Map<String, FleetInstance> instances = new LinkedHashMap<>();
+    private final long staleAfterMicros;
+    private final int unhealthyThreshold;
 
     InstanceTable(FleetPlan plan) {
-        stale = plan.stale();
-        badAfter = plan.badAfter();
-        plan.members().forEach(name -> members.put(name, new FleetInstance(name, plan.build())));
+        staleAfterMicros = plan.staleAfterMicros();
+        unhealthyThreshold = plan.unhealthyThreshold();
+        plan.instances().forEach(name -> instances.put(name, new FleetInstance(name, plan.build())));
     }
 
-    /** A member by its name; null if there is none. */
+    /** An instance by its name; null if there is none. */
     public FleetInstance get(String name) {
-        return members.get(name);
+        return instances.get(name);
     }
 
-    /** One that a plan no longer has, but that lives. */
+    /** Adds an instance that the plan no longer has, but whose process still runs. */
     FleetInstance add(String name, String build) {
-        FleetInstance member = new FleetInstance(name, build);
-        members.put(name, member);
-        return member;
+        FleetInstance instance = new FleetInstance(name, build);
+        instances.put(name, instance);
+        return instance;
     }
 
     public Collection<FleetInstance> all() {
-        return members.values();
+        return instances.values();
     }
 
     /** How many are in a state. */
     public int count(State state) {
-        return (int) members.values().stream()
-                .filter(member -> member.state == state)
+        return (int) instances.values().stream()
+                .filter(instance -> instance.state == state)
                 .count();
     }
 
-    /** Whether what is known of it is too old to go by. */
-    public boolean isStale(FleetInstance member, long now) {
-        boolean checked = member.state == State.UP || member.state == State.UNWELL;
-        return checked && now - Math.max(member.heardAt, member.wellAt) > stale;
+    /** Whether its last answer to a health check is too old to go by. */
+    public boolean isStale(FleetInstance instance, long nowMicros) {
+        return instance.isChecked() && instance.silentMicros(nowMicros) > staleAfterMicros;
     }
 
-    /** Whether it takes work, as far as is known. */
-    public boolean inService(FleetInstance member, long now) {
-        return member.state == State.UP && !isStale(member, now);
+    /** Whether it takes requests, as far as is known. */
+    public boolean isAvailable(FleetInstance instance, long nowMicros) {
+        return instance.state == State.HEALTHY && !isStale(instance, nowMicros);
     }
 
-    /** Those wanted that are not in service. */
-    public List<FleetInstance> out(long now) {
-        List<FleetInstance> out = new ArrayList<>();
-        for (FleetInstance member : members.values()) {
-            if (member.wanted && !inService(member, now)) {
-                out.add(member);
+    /** Those that should run and are not available. */
+    public List<FleetInstance> unavailable(long nowMicros) {
+        List<FleetInstance> unavailable = new ArrayList<>();
+        for (FleetInstance instance : instances.values()) {
+            if (instance.shouldRun && !isAvailable(instance, nowMicros)) {
+                unavailable.add(instance);
             }
         }
-        return out;
+        return unavailable;
     }
 
-    /** A check was answered. Checks of an earlier generation say nothing. */
-    boolean heard(FleetInstance member, int generation, Health health, long now) {
-        if (member.generation != generation || !member.lives()) {
+    /**
+     * A health check was answered. A check of an earlier generation changes nothing. Returns whether the state of
+     * the instance changed.
+     */
+    boolean recordHealthCheck(FleetInstance instance, int generation, Health health, long nowMicros) {
+        if (instance.generation != generation || !instance.hasProcess()) {
             return false;
         }
-        member.heardAt = now;
-        member.health = health;
-        member.unsureUntil = 0;
-        State before = member.state;
-        if (health.well()) {
-            member.badChecks = 0;
-            if (member.state == State.STARTING || member.state == State.UNWELL) {
-                member.enter(State.UP, now);
-                member.wellAt = member.wellAt == 0 ? now : member.wellAt;
-            }
+        instance.lastCheckAtMicros = nowMicros;
+        instance.health = health;
+        instance.startUnconfirmedUntilMicros = 0;
+        State before = instance.state;
+        if (health.healthy()) {
+            recordGoodCheck(instance, nowMicros);
         } else {
-            bad(member, now);
+            countFailedCheck(instance, nowMicros);
+        }
+        return instance.state != before;
+    }
+
+    /** A health check was refused or not answered in time. Returns whether the state of the instance changed. */
+    boolean recordFailedCheck(FleetInstance instance, int generation, long nowMicros) {
+        State before = instance.state;
+        if (instance.generation == generation) {
+            countFailedCheck(instance, nowMicros);
         }
-        return member.state != before;
+        return instance.state != before;
     }
 
-    /** A check was not answered in time, or refused. */
-    boolean unheard(FleetInstance member, int generation, long now) {
-        State before = member.state;
-        if (member.generation == generation) {
-            bad(member, now);
+    private static void recordGoodCheck(FleetInstance instance, long nowMicros) {
+        instance.consecutiveFailedChecks = 0;
+        if (instance.state == State.STARTING || instance.state == State.UNHEALTHY) {
+            instance.enterState(State.HEALTHY, nowMicros);
+            if (instance.firstHealthyAtMicros == 0) {
+                instance.firstHealthyAtMicros = nowMicros;
+            }
         }
-        return member.state != before;
     }
 
-    private void bad(FleetInstance member, long now) {
-        if (member.state == State.UP && ++member.badChecks >= badAfter) {
-            member.enter(State.UNWELL, now);
+    private void countFailedCheck(FleetInstance instance, long nowMicros) {
+        if (instance.state != State.HEALTHY) {
+            return;
+        }
+        instance.consecutiveFailedChecks++;
+        if (instance.consecutiveFailedChecks >= unhealthyThreshold) {
+            instance.enterState(State.UNHEALTHY, nowMicros);
         }
     }
 }
--- a/server/src/main/java/wheatspread/fleet/RestartBackoff.java
+++ b/server/src/main/java/wheatspread/fleet/RestartBackoff.java
@@ -8,81 +8,108 @@
 import wheatspread.fleet.FleetPlan.Backoff;
 
 /**
- * When a member that ended by itself may start again: after a pause that grows from end to end, spread so
- * that members which fell together don't come back together (exponential back-off with jitter), and not at
- * all once its ends are a crash loop. Each member has a count of its own, so a bad one stops no other. No
- * I/O; times are microseconds.
+ * When an instance that exited by itself may start again: exponential backoff with jitter, and a hold for crash
+ * loops.
+ *
+ * <p>Rule: the delay after the n-th exit in a row is {@code min(initialDelay * multiplier^(n-1), maxDelay)}, spread by
+ * the jitter so that instances which exited together do not come back together. An instance that ran for
+ * {@code resetAfter} begins again with n = 1. {@code crashLoopExits} exits within {@code crashLoopWindow} are a crash
+ * loop, and the instance is held. Each instance has a history of its own, so that a bad one delays no other.
+ *
+ * <p>It does no I/O; times are Unix microseconds.
  */
 public final class RestartBackoff {
-    private static final int MOST_KEPT = 64;
+    /** How many exits of one instance are kept. The settings allow a crash loop of 60 exits at most. */
+    private static final int MAX_EXIT_TIMES = 64;
+    /** Bounds the exponent, so that the delay stays a finite number; every maximum is reached before. */
+    private static final int MAX_EXPONENT = 60;
+    /** An instance that is not held. */
+    private static final long NOT_HELD = -1;
 
-    private final Backoff backoff;
+    private final Backoff policy;
     private final SplittableRandom random;
-    private final Map<String, Ends> members = new HashMap<>();
+    private final Map<String, ExitHistory> histories = new HashMap<>();
 
-    /** What is known of one member's ends. */
-    static final class Ends {
-        final Deque<Long> at = new ArrayDeque<>();
-        int inARow;
-        long notBefore;
-        /** Until when it is held; -1 while it is not. */
-        long heldUntil = -1;
+    /** What is known of one instance's exits. */
+    static final class ExitHistory {
+        /** The exits within the crash loop window, the oldest first. */
+        final Deque<Long> exitTimesMicros = new ArrayDeque<>();
+
+        int consecutiveExits;
+        long nextStartMicros;
+        /** Until when it is held; {@link #NOT_HELD} while it is not, {@link Long#MAX_VALUE} without an end. */
+        long heldUntilMicros = NOT_HELD;
     }
 
-    RestartBackoff(Backoff backoff, long seed) {
-        this.backoff = backoff;
+    /** {@code seed} is that of the jitter. */
+    RestartBackoff(Backoff policy, long seed) {
+        this.policy = policy;
         random = new SplittableRandom(seed);
     }
 
-    Ends of(String name) {
-        return members.computeIfAbsent(name, key -> new Ends());
+    ExitHistory historyOf(String name) {
+        return histories.computeIfAbsent(name, key -> new ExitHistory());
     }
 
-    /** Takes over what an earlier supervisor wrote down. */
-    void restore(FleetState.Of member) {
-        Ends ends = of(member.name());
-        ends.at.addAll(member.ends());
-        ends.inARow = member.endsInARow();
-        ends.notBefore = member.notBefore();
-        ends.heldUntil = member.heldUntil();
+    /** Takes over what an earlier supervisor recorded. */
+    void restore(FleetState.InstanceRecord instance) {
+        ExitHistory history = historyOf(instance.name());
+        history.exitTimesMicros.addAll(instance.exitTimesMicros());
+        history.consecutiveExits = instance.consecutiveExits();
+        history.nextStartMicros = instance.nextStartMicros();
+        history.heldUntilMicros = instance.heldUntilMicros();
     }
 
-    /** It ended after so long; returns whether that makes it a crash loop. */
-    boolean ended(String name, long ranFor, long now) {
-        Ends ends = of(name);
-        ends.inARow = ranFor >= backoff.forgiven() ? 1 : ends.inARow + 1;
-        ends.at.addLast(now);
-        while (ends.at.size() > MOST_KEPT || !ends.at.isEmpty() && ends.at.peekFirst() < now - backoff.loopWithin()) {
-            ends.at.removeFirst();
+    /** An instance exited after {@code uptimeMicros}. Returns whether that makes it a crash loop. */
+    boolean recordExit(String name, long uptimeMicros, long nowMicros) {
+        ExitHistory history = historyOf(name);
+        history.consecutiveExits = uptimeMicros >= policy.resetAfterMicros() ? 1 : history.consecutiveExits + 1;
+        history.exitTimesMicros.addLast(nowMicros);
+        dropOldExits(history, nowMicros);
+        history.nextStartMicros = nowMicros + delayMicros(history.consecutiveExits);
+        if (history.exitTimesMicros.size() < policy.crashLoopExits()) {
+            return false;
         }
-        double pause = backoff.first() * Math.pow(backoff.factor(), Math.min(60, ends.inARow - 1));
-        double spread = 1 + backoff.jitter() * (2 * random.nextDouble() - 1);
-        ends.notBefore = now + (long) (Math.min(pause, backoff.longest()) * spread);
-        if (ends.at.size() >= backoff.loopExits()) {
-            ends.heldUntil = backoff.holdFor() == 0 ? Long.MAX_VALUE : now + backoff.holdFor();
-            return true;
+        boolean holdWithoutEnd = policy.crashLoopHoldMicros() == 0;
+        history.heldUntilMicros = holdWithoutEnd ? Long.MAX_VALUE : nowMicros + policy.crashLoopHoldMicros();
+        return true;
+    }
+
+    private void dropOldExits(ExitHistory history, long nowMicros) {
+        Deque<Long> exits = history.exitTimesMicros;
+        long windowStartMicros = nowMicros - policy.crashLoopWindowMicros();
+        while (exits.size() > MAX_EXIT_TIMES || !exits.isEmpty() && exits.peekFirst() < windowStartMicros) {
+            exits.removeFirst();
         }
-        return false;
     }
 
-    /** Whether it may start now. */
-    boolean mayStart(String name, long now) {
-        Ends ends = of(name);
-        if (ends.heldUntil >= 0) {
-            if (now < ends.heldUntil) {
-                return false;
-            }
-            forgive(name); // the hold was its pause
+    private long delayMicros(int consecutiveExits) {
+        int exponent = Math.min(MAX_EXPONENT, consecutiveExits - 1);
+        double delayMicros = policy.initialDelayMicros() * Math.pow(policy.multiplier(), exponent);
+        double jitter = 1 + policy.jitterShare() * (2 * random.nextDouble() - 1);
+        return (long) (Math.min(delayMicros, policy.maxDelayMicros()) * jitter);
+    }
+
+    /** Whether it may start now. The end of a hold resets its history: the hold was its delay. */
+    boolean mayStart(String name, long nowMicros) {
+        ExitHistory history = historyOf(name);
+        if (history.heldUntilMicros < 0) {
+            return nowMicros >= history.nextStartMicros;
+        }
+        if (nowMicros < history.heldUntilMicros) {
+            return false;
         }
-        return now >= ends.notBefore;
+        reset(name);
+        return nowMicros >= history.nextStartMicros;
     }
 
-    boolean held(String name, long now) {
-        return of(name).heldUntil > now;
+    /** Whether it is held for a crash loop. */
+    boolean isHeld(String name, long nowMicros) {
+        return historyOf(name).heldUntilMicros > nowMicros;
     }
 
-    /** An operator started it, or it was told to run another build: its past does not count. */
-    void forgive(String name) {
-        members.remove(name);
+    /** Forgets its exits: an operator started it, or it is to run another build. */
+    void reset(String name) {
+        histories.remove(name);
     }
 }
--- a/server/src/main/java/wheatspread/fleet/Rollout.java
+++ b/server/src/main/java/wheatspread/fleet/Rollout.java
@@ -8,353 +8,321 @@
 import wheatspread.fleet.FleetPlan.Rolling;
 
 /**
- * Replaces a build by another, member by member: never more of the fleet out of service than is allowed,
- * whatever put it there; the next member only once successors have proven themselves; an end by itself as
- * soon as successors fail; and, where that is wanted, the way back. It decides which member gets its notice
- * next and which build a member is to run; {@link Fleet} starts and stops. No I/O; times are Unix
- * microseconds.
+ * Replaces a build by another, instance by instance. It decides which instance is drained next and which build an
+ * instance starts with; {@link FleetController} starts and stops processes. The steps of an instance stand in
+ * {@link RolloutStep}.
+ *
+ * <p>Rules:
+ * <ul>
+ * <li>At most {@link Rolling#maxUnavailable} instances are unavailable at a time, whatever made them so. An instance
+ *     that is being replaced counts as unavailable until its new process is verified, so a rollout pauses by itself
+ *     while other instances are down.
+ * <li>A new instance has failed if it exits without SIGTERM, is not healthy in time, or fails too many requests.
+ *     {@link Rolling#maxFailedInstances} failures end the rollout, with a rollback where the operator wants one.
+ * <li>A rollback keeps the same bound, and takes instances without a process first.
+ * </ul>
+ *
+ * <p>It does no I/O; times are Unix microseconds.
  */
 public final class Rollout {
-    /** How far a roll has come. */
-    public enum Status {
-        RUNNING("RUNNING"),
-        ROLLING_BACK("ROLLING_BACK"),
-        DONE("DONE"),
-        STOPPED("STOPPED"),
-        ROLLED_BACK("ROLLED_BACK");
-
-        private final String storedName;
-
-        Status(String storedName) {
-            this.storedName = storedName;
-        }
-
-        /** The name in files and in the log. It stays when the constant is renamed. */
-        public String storedName() {
-            return storedName;
-        }
-
-        /** The constant with this stored name; an unknown name is an {@link IllegalArgumentException}. */
-        public static Status fromStoredName(String storedName) {
-            for (Status status : values()) {
-                if (status.storedName.equals(storedName)) {
-                    return status;
-                }
-            }
-            throw new IllegalArgumentException("unknown status: " + storedName);
-        }
-    }
-
-    /** How far a member of it has come. {@code GONE} is one that has left or fell, and is to start anew. */
-    public enum Step {
-        WAITING("WAITING"),
-        LEAVING("LEAVING"),
-        GONE("GONE"),
-        STARTING("STARTING"),
-        PROVING("PROVING"),
-        DONE("DONE");
-
-        private final String storedName;
-
-        Step(String storedName) {
-            this.storedName = storedName;
-        }
-
-        /** The name in files and in the log. It stays when the constant is renamed. */
-        public String storedName() {
-            return storedName;
-        }
+    private static final long MICROS_PER_MILLI = 1_000;
 
-        /** The constant with this stored name; an unknown name is an {@link IllegalArgumentException}. */
-        public static Step fromStoredName(String storedName) {
-            for (Step step : values()) {
-                if (step.storedName.equals(storedName)) {
-                    return step;
-                }
-            }
-            throw new IllegalArgumentException("unknown step: " + storedName);
-        }
-    }
+    private final Rolling policy;
+    private final RolloutVerification verification;
+    private final String fromBuild;
+    private final String toBuild;
+    private final long startedAtMicros;
+    /** By instance, in the order in which they are replaced. */
+    private final Map<String, RolloutStep> steps = new LinkedHashMap<>();
 
-    private final Rolling rules;
-    private final String from;
-    private final String to;
-    private final long beganAt;
-    private final Map<String, Step> steps = new LinkedHashMap<>();
-    private Status status = Status.RUNNING;
+    private RolloutStatus status = RolloutStatus.IN_PROGRESS;
     private String reason = "";
     private int failures;
     private boolean paused;
-    private long endedAt;
-
-    Rollout(Rolling rules, String from, String to, List<String> names, long now) {
-        this.rules = rules;
-        this.from = from;
-        this.to = to;
-        beganAt = now;
-        names.forEach(name -> steps.put(name, Step.WAITING));
+    private long endedAtMicros;
+
+    Rollout(Rolling policy, String fromBuild, String toBuild, List<String> names, long nowMicros) {
+        this.policy = policy;
+        verification = new RolloutVerification(policy);
+        this.fromBuild = fromBuild;
+        this.toBuild = toBuild;
+        startedAtMicros = nowMicros;
+        names.forEach(name -> steps.put(name, RolloutStep.PENDING));
     }
 
-    /** One that a supervisor had written down. */
-    Rollout(Rolling rules, FleetState.Roll told) {
-        this.rules = rules;
-        from = told.from();
-        to = told.to();
-        beganAt = told.beganAt();
-        endedAt = told.endedAt();
-        status = told.status();
-        reason = told.reason();
-        failures = told.failures();
-        steps.putAll(told.steps());
+    /** Goes on with one that an earlier supervisor recorded. */
+    Rollout(Rolling policy, FleetState.RolloutRecord saved) {
+        this.policy = policy;
+        verification = new RolloutVerification(policy);
+        fromBuild = saved.fromBuild();
+        toBuild = saved.toBuild();
+        startedAtMicros = saved.startedAtMicros();
+        endedAtMicros = saved.endedAtMicros();
+        status = saved.status();
+        reason = saved.reason();
+        failures = saved.failures();
+        steps.putAll(saved.steps());
     }
 
-    FleetState.Roll state() {
-        return new FleetState.Roll(from, to, status, reason, failures, beganAt, endedAt, new LinkedHashMap<>(steps));
+    FleetState.RolloutRecord toRecord() {
+        return new FleetState.RolloutRecord(
+                fromBuild,
+                toBuild,
+                status,
+                reason,
+                failures,
+                startedAtMicros,
+                endedAtMicros,
+                new LinkedHashMap<>(steps));
     }
 
-    public Status status() {
+    public RolloutStatus status() {
         return status;
     }
 
-    /** Why it stopped; empty if it did not. */
+    /** Why it stopped or rolled back; empty if it did not. */
     public String reason() {
         return reason;
     }
 
-    /** Whether it waits since too much of the fleet is out of service for other reasons. */
-    public boolean paused() {
+    /** Whether it waits because too much of the fleet is unavailable for other reasons. */
+    public boolean isPaused() {
         return paused;
     }
 
-    public String to() {
-        return to;
+    public String toBuild() {
+        return toBuild;
     }
 
-    public long beganAt() {
-        return beganAt;
+    public long startedAtMicros() {
+        return startedAtMicros;
     }
 
     /** When it ended; 0 while it goes on. */
-    public long endedAt() {
-        return endedAt;
+    public long endedAtMicros() {
+        return endedAtMicros;
     }
 
-    public boolean over() {
-        return status != Status.RUNNING && status != Status.ROLLING_BACK;
+    public boolean isOver() {
+        return status.isOver();
     }
 
-    /** How many of its members have come so far. */
-    public int count(Step step) {
+    /** How many of its instances are at a step. */
+    public int count(RolloutStep step) {
         return (int) steps.values().stream().filter(current -> current == step).count();
     }
 
+    /** How many instances it replaces. */
     public int size() {
         return steps.size();
     }
 
-    /** Whether it leads a member now, so that its start is the roll's business. */
-    boolean leads(String name) {
-        Step step = steps.get(name);
-        return !over() && step != null && step != Step.WAITING && step != Step.DONE;
+    /** Whether it is replacing an instance now, so that the rollout decides about its start. */
+    boolean isReplacing(String name) {
+        RolloutStep step = steps.get(name);
+        return !isOver() && step != null && step.isBeingReplaced();
     }
 
-    /** The build that a member is to start with; null where the roll has no say. */
+    /** The build that an instance is to start with; null where the rollout does not decide that. */
     String buildOf(String name) {
-        Step step = steps.get(name);
-        if (step == null || over() && status != Status.ROLLED_BACK && status != Status.DONE) {
+        RolloutStep step = steps.get(name);
+        if (step == null || status == RolloutStatus.STOPPED) {
             return null;
         }
-        if (status == Status.ROLLING_BACK || status == Status.ROLLED_BACK) {
-            return from;
+        if (status == RolloutStatus.ROLLING_BACK || status == RolloutStatus.ROLLED_BACK) {
+            return fromBuild;
+        }
+        return step == RolloutStep.PENDING ? null : toBuild;
+    }
+
+    // ---- what happens to its instances ----
+
+    /** A process of an instance was started for the rollout. */
+    void processStarted(String name) {
+        if (isReplacing(name)) {
+            steps.put(name, RolloutStep.STARTING);
         }
-        return step == Step.WAITING ? null : to;
     }
 
-    /** A process of a member ended; {@code asked} says whether it had got its notice. */
-    void ended(FleetInstance member, boolean asked, long now) {
-        Step step = steps.get(member.name);
-        if (over() || step == null) {
+    /** A recorded start did not show itself in time, and counts as not carried out. */
+    void startNotConfirmed(String name) {
+        if (isReplacing(name)) {
+            steps.put(name, RolloutStep.STOPPED);
+        }
+    }
+
+    /** A process of an instance exited; {@code expected} says whether it had been sent SIGTERM. */
+    void processExited(FleetInstance instance, boolean expected, long nowMicros) {
+        RolloutStep step = steps.get(instance.name);
+        if (isOver() || step == null) {
             return;
         }
-        if (step == Step.LEAVING) {
-            steps.put(member.name, Step.GONE);
+        if (step == RolloutStep.DRAINING || status == RolloutStatus.ROLLING_BACK) {
+            steps.put(instance.name, RolloutStep.STOPPED); // a rollback starts the old build, whichever one exited
             return;
         }
-        boolean successor = member.build.equals(to) && step != Step.WAITING;
-        if (status == Status.ROLLING_BACK) {
-            steps.put(member.name, Step.GONE); // whichever build it was, the old one is next
-        } else if (successor && !asked) {
-            steps.put(member.name, Step.GONE);
-            failed(
-                    member,
-                    "ended with "
-                            + (member.lastCode == FleetInstance.UNKNOWN_CODE
-                                    ? "an unknown code"
-                                    : "code " + member.lastCode)
-                            + " " + when(member, now),
-                    now);
+        boolean runsNewBuild = instance.build.equals(toBuild) && step != RolloutStep.PENDING;
+        if (runsNewBuild && !expected) {
+            steps.put(instance.name, RolloutStep.STOPPED);
+            instanceFailed(instance, describeExit(instance, nowMicros), nowMicros);
         }
     }
 
-    private static String when(FleetInstance member, long now) {
-        return member.wellAt == 0 ? "before it was well" : (now - member.wellAt) / 1_000 + " ms after it was well";
+    private static String describeExit(FleetInstance instance, long nowMicros) {
+        String code = instance.lastExitCode == FleetInstance.UNKNOWN_EXIT_CODE
+                ? "an unknown code"
+                : "code " + instance.lastExitCode;
+        String when = instance.firstHealthyAtMicros == 0
+                ? "before it was well"
+                : (nowMicros - instance.firstHealthyAtMicros) / MICROS_PER_MILLI + " ms after it was well";
+        return "ended with " + code + " " + when;
     }
 
-    /** It was not well in time, or fails too much of what it is asked. */
-    void failed(FleetInstance member, String how, long now) {
+    /** A new instance failed; {@code description} goes on after its name and build. */
+    void instanceFailed(FleetInstance instance, String description, long nowMicros) {
         failures++;
-        if (status == Status.RUNNING && failures >= rules.mostFailures()) {
-            reason = member.name + ": generation " + member.generation + " of build " + to + " " + how;
-            if (rules.rollBack()) {
-                status = Status.ROLLING_BACK;
-                steps.replaceAll((name, step) -> step == Step.WAITING
-                        ? Step.DONE
-                        : step == Step.GONE || step == Step.LEAVING ? step : Step.WAITING);
-            } else {
-                end(Status.STOPPED, now);
-            }
+        if (status != RolloutStatus.IN_PROGRESS || failures < policy.maxFailedInstances()) {
+            return;
+        }
+        reason = instance.name + ": generation " + instance.generation + " of build " + toBuild + " " + description;
+        if (policy.automaticRollback()) {
+            status = RolloutStatus.ROLLING_BACK;
+            steps.replaceAll((name, step) -> step.whenRollingBack());
+        } else {
+            end(RolloutStatus.STOPPED, nowMicros);
         }
     }
 
-    /** A successor that was failing got its notice, and another generation gets a try. */
-    void again(FleetInstance member) {
-        if (steps.containsKey(member.name)) {
-            steps.put(member.name, Step.LEAVING);
+    /** An instance that failed too many requests was sent SIGTERM and is started again with the same build. */
+    void retryInstance(FleetInstance instance) {
+        if (steps.containsKey(instance.name)) {
+            steps.put(instance.name, RolloutStep.DRAINING);
         }
     }
 
-    /** A member of it is held as a crash loop: that ends the roll, or the way back as far as it goes. */
-    void giveUp(FleetInstance member, long now) {
-        if (status == Status.ROLLING_BACK) {
-            reason += "; " + member.name + " is held";
-            steps.put(member.name, Step.DONE);
+    /**
+     * An instance of it is held for a crash loop. That ends the rollout; a rollback goes on without the instance.
+     */
+    void instanceInCrashLoop(FleetInstance instance, long nowMicros) {
+        if (status == RolloutStatus.ROLLING_BACK) {
+            reason += "; " + instance.name + " is held";
+            steps.put(instance.name, RolloutStep.DONE);
         } else {
-            failures = rules.mostFailures() - 1;
-            failed(member, "is held as a crash loop", now);
+            failures = policy.maxFailedInstances() - 1;
+            instanceFailed(instance, "is held as a crash loop", nowMicros);
         }
     }
 
-    private void end(Status how, long now) {
-        status = how;
-        endedAt = now;
-        paused = false;
-    }
-
-    /** An operator stops it where it stands. */
-    void stop(String why, long now) {
-        if (!over()) {
+    /** Ends it where it stands. */
+    void stop(String why, long nowMicros) {
+        if (!isOver()) {
             reason = why;
-            end(Status.STOPPED, now);
+            end(RolloutStatus.STOPPED, nowMicros);
         }
     }
 
-    /** A member was started for the roll. */
-    void started(String name) {
-        if (leads(name)) {
-            steps.put(name, Step.STARTING);
-        }
+    private void end(RolloutStatus how, long nowMicros) {
+        status = how;
+        endedAtMicros = nowMicros;
+        paused = false;
     }
 
-    /** A start that was written down never came about. */
-    void neverStarted(String name) {
-        if (leads(name)) {
-            steps.put(name, Step.GONE);
-        }
+    /** Whether an instance fails too many requests; only the verification of a new build asks that. */
+    boolean failsTooManyRequests(FleetInstance instance) {
+        return status == RolloutStatus.IN_PROGRESS
+                && instance.build.equals(toBuild)
+                && steps.get(instance.name) == RolloutStep.VERIFYING
+                && verification.failsTooManyRequests(instance);
     }
 
+    // ---- its progress ----
+
     /**
-     * Looks at everybody, and returns who is to get the notice now. {@code roster} tells who is in service; a
-     * successor that has yet to prove itself does not count as such.
+     * Takes every instance to its next step, and returns those that are to be drained now. {@code instances} says
+     * which are available; one whose new process is not verified does not count as such.
      */
-    List<FleetInstance> look(InstanceTable roster, long now) {
-        if (over()) {
+    List<FleetInstance> advance(InstanceTable instances, long nowMicros) {
+        if (isOver()) {
             return List.of();
         }
-        for (Map.Entry<String, Step> entry : steps.entrySet()) {
-            FleetInstance member = roster.get(entry.getKey());
-            if (member == null || !member.wanted && entry.getValue() == Step.WAITING) {
-                entry.setValue(Step.DONE); // it left the fleet, or an operator has taken it out
-            } else {
-                entry.setValue(advance(entry.getValue(), member, now));
-            }
+        for (Map.Entry<String, RolloutStep> entry : steps.entrySet()) {
+            entry.setValue(nextStep(entry.getValue(), instances.get(entry.getKey()), nowMicros));
         }
-        List<FleetInstance> next = next(roster, now);
-        if (!over() && steps.values().stream().allMatch(step -> step == Step.DONE)) {
-            end(status == Status.RUNNING ? Status.DONE : Status.ROLLED_BACK, now);
+        List<FleetInstance> toDrain = startDrains(instances, nowMicros);
+        boolean allDone = steps.values().stream().allMatch(step -> step == RolloutStep.DONE);
+        if (allDone) {
+            boolean rolledBack = status == RolloutStatus.ROLLING_BACK;
+            end(rolledBack ? RolloutStatus.ROLLED_BACK : RolloutStatus.COMPLETED, nowMicros);
         }
-        return next;
+        return toDrain;
     }
 
-    private Step advance(Step step, FleetInstance member, long now) {
-        if (step == Step.STARTING && member.state == State.UP) {
-            return status == Status.ROLLING_BACK ? Step.DONE : Step.PROVING;
+    /** {@code instance} is null where it left the fleet. */
+    private RolloutStep nextStep(RolloutStep step, FleetInstance instance, long nowMicros) {
+        if (instance == null || !instance.shouldRun && step == RolloutStep.PENDING) {
+            return RolloutStep.DONE;
         }
-        if (step == Step.PROVING && proven(member, now)) {
-            return Step.DONE;
-        }
-        if (step == Step.WAITING
-                && status == Status.ROLLING_BACK
-                && member.build.equals(from)
-                && member.state != State.LEAVING) {
-            return Step.DONE; // it never left the old build
-        }
-        return step;
+        return switch (step) {
+            case PENDING -> keptOldBuild(instance) ? RolloutStep.DONE : step;
+            case STARTING -> instance.state == State.HEALTHY ? whenHealthy() : step;
+            case VERIFYING -> verification.isVerified(instance, nowMicros) ? RolloutStep.DONE : step;
+            default -> step;
+        };
     }
 
-    /** Well for long enough, and with answers to show or well for so long that nobody asks. */
-    private boolean proven(FleetInstance member, long now) {
-        if (member.state != State.UP || member.health == null || member.wellAt == 0) {
-            return false;
-        }
-        long well = now - member.wellAt;
-        return well >= rules.provenAfter()
-                && (member.health.served() >= rules.provenAnswers() || well >= rules.provenPatience());
+    /** Whether a rollback has nothing to do for an instance whose turn did not come. */
+    private boolean keptOldBuild(FleetInstance instance) {
+        return status == RolloutStatus.ROLLING_BACK
+                && instance.build.equals(fromBuild)
+                && instance.state != State.DRAINING;
     }
 
-    /** Whether a successor fails more of what it is asked than is allowed, by enough answers to tell. */
-    boolean failing(FleetInstance member) {
-        if (over()
-                || status == Status.ROLLING_BACK
-                || member.health == null
-                || !member.build.equals(to)
-                || steps.get(member.name) != Step.PROVING) {
-            return false;
-        }
-        long answers = member.health.served() + member.health.failed();
-        return answers >= Math.max(10, rules.provenAnswers()) && member.health.failed() > rules.failedShare() * answers;
+    /** The old build needs no verification. */
+    private RolloutStep whenHealthy() {
+        return status == RolloutStatus.ROLLING_BACK ? RolloutStep.DONE : RolloutStep.VERIFYING;
     }
 
-    private List<FleetInstance> next(InstanceTable roster, long now) {
-        int most = rules.mostOut(roster.all().size());
-        int out = 0;
-        int strangers = 0;
-        for (FleetInstance member : roster.all()) {
-            boolean led = leads(member.name);
-            if (led || member.wanted && !roster.inService(member, now)) {
-                out++;
-                strangers += led ? 0 : 1;
+    /**
+     * Begins the replacement of as many pending instances as the bound allows, and returns those with a process to
+     * drain. An instance that is known to be unavailable is replaced regardless of the bound, since nothing is lost
+     * by it; one that is only stale may still serve, and is not.
+     */
+    private List<FleetInstance> startDrains(InstanceTable instances, long nowMicros) {
+        int maxUnavailable = policy.maxUnavailable(instances.all().size());
+        int replacing = countReplacing(instances);
+        int unavailableOtherwise = countUnavailableOtherwise(instances, nowMicros);
+        int unavailable = replacing + unavailableOtherwise;
+        boolean someWait = false;
+        List<FleetInstance> toDrain = new ArrayList<>();
+        for (Map.Entry<String, RolloutStep> entry : steps.entrySet()) {
+            if (entry.getValue() != RolloutStep.PENDING) {
+                continue;
             }
-        }
-        List<FleetInstance> next = new ArrayList<>();
-        boolean waiting = false;
-        for (Map.Entry<String, Step> entry : steps.entrySet()) {
-            if (entry.getValue() != Step.WAITING) {
+            FleetInstance instance = instances.get(entry.getKey());
+            boolean alreadyUnavailable = instance.shouldRun && instance.state != State.HEALTHY;
+            if (unavailable >= maxUnavailable && !alreadyUnavailable) {
+                someWait = true;
                 continue;
             }
-            FleetInstance member = roster.get(entry.getKey());
-            // one that is known to be out loses nothing by its change; one not heard lately may well serve
-            boolean free = member.wanted && member.state != State.UP;
-            if (out < most || free) {
-                out += free ? 0 : 1;
-                entry.setValue(member.lives() ? Step.LEAVING : Step.GONE);
-                if (member.lives() && member.state != State.LEAVING) {
-                    next.add(member);
-                }
-            } else {
-                waiting = true;
+            unavailable += alreadyUnavailable ? 0 : 1;
+            entry.setValue(instance.hasProcess() ? RolloutStep.DRAINING : RolloutStep.STOPPED);
+            if (instance.hasProcess() && instance.state != State.DRAINING) {
+                toDrain.add(instance);
             }
         }
-        paused = waiting && strangers > 0;
-        return next;
+        paused = someWait && unavailableOtherwise > 0;
+        return toDrain;
+    }
+
+    private int countReplacing(InstanceTable instances) {
+        return (int) instances.all().stream()
+                .filter(instance -> isReplacing(instance.name))
+                .count();
+    }
+
+    private int countUnavailableOtherwise(InstanceTable instances, long nowMicros) {
+        return (int) instances.unavailable(nowMicros).stream()
+                .filter(instance -> !isReplacing(instance.name))
+                .count();
     }
 }
--- a/server/src/main/java/wheatspread/supervisor/CommandSpool.java
+++ b/server/src/main/java/wheatspread/supervisor/CommandSpool.java
@@ -12,57 +12,60 @@
 import wheatspread.daemon.AtomicFile;
 
 /**
- * How commands reach a supervisor: as files in a folder, renamed into place, so that one that was given
- * while the supervisor was dead is carried out when it comes back. An answer is a file beside the command.
- * Who may write to the folder may command the fleet; its mode is the operator's.
+ * The commands to a supervisor, as files in the fleet's directory. A command is renamed into place, so that one given
+ * while no supervisor runs is carried out by the next one. Its answer is a file beside it. Whoever may write to the
+ * directory may command the fleet; its mode is up to the operator.
  */
 public final class CommandSpool {
-    private static final int LOOK_MS = 50;
-    /** Commands that wait; further ones are refused. */
-    private static final int MOST_WAITING = 100;
+    private static final String COMMAND_SUFFIX = ".json";
+    private static final String ANSWER_SUFFIX = ".done";
+    private static final int POLL_INTERVAL_MILLIS = 50;
+    /** So many commands may wait; further ones are refused. */
+    private static final int MAX_PENDING_COMMANDS = 100;
 
-    private final Path folder;
+    private final Path directory;
 
+    /** Creates the directory of the commands, if it is missing. */
     public CommandSpool(Path fleetDir) throws IOException {
-        folder = Files.createDirectories(fleetDir.resolve("commands"));
+        directory = Files.createDirectories(fleetDir.resolve("commands"));
     }
 
-    /** One that waits. */
-    record Command(Path file, JSONObject told) {}
+    /** A pending command; {@code arguments} is null if the file holds no JSON object. */
+    record Command(Path file, JSONObject arguments) {}
 
-    /** Puts a command, and waits for the answer; null if none came in time. */
+    /** Gives a command and waits for its answer; null if none came in time. Blocks the calling thread. */
     public JSONObject ask(JSONObject command, long timeoutMillis) throws IOException, InterruptedException {
-        if (waiting().size() >= MOST_WAITING) {
-            throw new IOException(MOST_WAITING + " commands wait; nobody reads them");
+        if (pendingFiles().size() >= MAX_PENDING_COMMANDS) {
+            throw new IOException(MAX_PENDING_COMMANDS + " commands wait; nobody reads them");
         }
         String name = String.format(
                 "%016d-%d", System.currentTimeMillis(), ProcessHandle.current().pid());
-        Path answer = folder.resolve(name + ".done");
-        AtomicFile.write(folder.resolve(name + ".json"), command + "\n");
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
-        while (System.nanoTime() < until) {
+        Path answer = directory.resolve(name + ANSWER_SUFFIX);
+        AtomicFile.write(directory.resolve(name + COMMAND_SUFFIX), command + "\n");
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
+        while (System.nanoTime() < deadlineNanos) {
             try {
-                JSONObject told = new JSONObject(Files.readString(answer));
+                JSONObject content = new JSONObject(Files.readString(answer));
                 Files.delete(answer);
-                return told;
+                return content;
             } catch (NoSuchFileException e) {
-                TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+                TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
             }
         }
         return null;
     }
 
-    private List<Path> waiting() throws IOException {
-        try (Stream<Path> files = Files.list(folder)) {
-            return files.filter(file -> file.toString().endsWith(".json"))
+    private List<Path> pendingFiles() throws IOException {
+        try (Stream<Path> files = Files.list(directory)) {
+            return files.filter(file -> file.toString().endsWith(COMMAND_SUFFIX))
                     .sorted()
                     .toList();
         }
     }
 
-    /** The oldest command that waits; null if none does. One that cannot be read is answered and dropped. */
+    /** The oldest pending command; null if there is none. One that is not JSON is answered with an error and dropped. */
     Command next() throws IOException {
-        for (Path file : waiting()) {
+        for (Path file : pendingFiles()) {
             try {
                 return new Command(file, new JSONObject(Files.readString(file)));
             } catch (JSONException e) {
@@ -72,10 +75,10 @@
         return null;
     }
 
-    /** Answers a command and takes it away; the answer first, or a crash would lose it. */
-    void answer(Command command, JSONObject told) throws IOException {
+    /** Answers a command and removes it; the answer is written first, or a crash would lose it. */
+    void answer(Command command, JSONObject answer) throws IOException {
         String name = command.file().getFileName().toString();
-        AtomicFile.write(folder.resolve(name.replace(".json", ".done")), told + "\n");
+        AtomicFile.write(directory.resolve(name.replace(COMMAND_SUFFIX, ANSWER_SUFFIX)), answer + "\n");
         Files.deleteIfExists(command.file());
     }
 }
--- a/server/src/main/java/wheatspread/supervisor/FleetRunner.java
+++ b/server/src/main/java/wheatspread/supervisor/FleetRunner.java
@@ -16,23 +16,30 @@
 import wheatspread.logging.EventLog;
 
 /**
- * The process of a supervisor: turns on one thread, which may wait for the disk and for children, commands
- * from a folder, and the status for whoever asks. Its members outlive it; the next one finds them.
+ * The process of a supervisor: turns on one thread, which may wait for the disk, with commands from the
+ * {@link CommandSpool} and the status in the {@link StatusFile}. The instances outlive it; the next supervisor adopts
+ * them.
+ *
+ * <p>{@link #run} makes all calls on the thread that calls it; {@link #goDown} and {@link #reload} are for the threads
+ * of signals and only set a flag, which the next turn reads.
  */
 public final class FleetRunner {
-    private static final long TURN_MS = 50;
-    private static final long STATUS_MICROS = 500_000;
+    private static final long TURN_INTERVAL_MILLIS = 50;
+    private static final long STATUS_INTERVAL_MICROS = 500_000;
+    private static final long MICROS_PER_MILLI = 1_000;
 
     private final EventLog log;
-    private final AtomicBoolean askedDown = new AtomicBoolean();
-    private final AtomicBoolean askedReload = new AtomicBoolean();
-    private final AtomicBoolean detached = new AtomicBoolean();
+    private final AtomicBoolean shutDownRequested = new AtomicBoolean();
+    private final AtomicBoolean reloadRequested = new AtomicBoolean();
+    /** Whether this supervisor is to end and leave the instances running. */
+    private boolean detachRequested;
+
     private FleetConfig config;
     private FleetController fleet;
     private Supervisor supervisor;
-    private LocalHost machine;
+    private LocalHost host;
 
-    /** Another supervisor has the fleet. */
+    /** Another supervisor runs for this fleet. */
     public static final class Busy extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -41,22 +48,23 @@
         }
     }
 
+    /** {@code config} is that of the start; {@link #reload} reads its file again. */
     public FleetRunner(FleetConfig config, EventLog log) {
         this.config = config;
         this.log = log;
     }
 
-    /** The fleet is to leave; for a signal. */
+    /** SIGTERM or SIGINT: shuts the fleet down. Any thread may call. */
     public void goDown() {
-        askedDown.set(true);
+        shutDownRequested.set(true);
     }
 
-    /** The fleet's file is to be read again; for a signal. */
+    /** SIGHUP: reads the fleet's file again. Any thread may call. */
     public void reload() {
-        askedReload.set(true);
+        reloadRequested.set(true);
     }
 
-    /** Runs until the fleet is down, or until it is told to leave the members alone. */
+    /** Runs until the fleet is shut down, or an operator detaches the supervisor and leaves the instances running. */
     public void run() throws IOException, InterruptedException, Busy {
         Files.createDirectories(config.dir());
         try (FileChannel lock = FileChannel.open(
@@ -64,20 +72,20 @@
             if (lock.tryLock() == null) {
                 throw new Busy("a supervisor runs already for " + config.dir());
             }
-            machine = new LocalHost(config);
-            begin();
+            host = new LocalHost(config);
+            startSupervisor();
             try {
-                loop();
+                runTurns();
             } finally {
-                machine.close();
+                host.close();
             }
         }
     }
 
-    private void begin() throws IOException {
+    private void startSupervisor() throws IOException {
         fleet = new FleetController(config.plan(), System.nanoTime(), log);
-        supervisor = new Supervisor(fleet, machine, config.checkEvery(), log);
-        supervisor.begin(EventLoopClock.unixMicros());
+        supervisor = new Supervisor(fleet, host, config.checkEvery(), log);
+        supervisor.recover(EventLoopClock.unixMicros());
         log.info(
                 "supervisor_began",
                 "dir",
@@ -86,71 +94,78 @@
                 config.members().size());
     }
 
-    private void loop() throws IOException, InterruptedException {
-        StatusFile status = new StatusFile(config.dir());
-        CommandSpool spool = new CommandSpool(config.dir());
-        long nextStatus = 0;
-        boolean done = false;
-        while (!done && !detached.get()) {
-            long now = EventLoopClock.unixMicros();
-            if (askedDown.getAndSet(false)) {
-                fleet.goDown(now);
-            }
-            if (askedReload.getAndSet(false)) {
-                readAgain();
-            }
-            CommandSpool.Command command = spool.next();
-            JSONObject answer = command == null ? null : carryOut(command.told(), now);
-            done = supervisor.turn(now); // writes the state down, before the command counts as carried out
+    private void runTurns() throws IOException, InterruptedException {
+        StatusFile statusFile = new StatusFile(config.dir());
+        CommandSpool commands = new CommandSpool(config.dir());
+        long nextStatusMicros = 0;
+        boolean shutDown = false;
+        while (!shutDown && !detachRequested) {
+            long nowMicros = EventLoopClock.unixMicros();
+            applySignals(nowMicros);
+            CommandSpool.Command command = commands.next();
+            JSONObject answer = command == null ? null : execute(command.arguments(), nowMicros);
+            shutDown = supervisor.runTurn(nowMicros); // saves the state, before the command counts as carried out
             if (command != null) {
-                spool.answer(command, answer);
+                commands.answer(command, answer);
             }
-            if (command != null || done || now >= nextStatus) {
-                status.write(StatusFile.of(fleet, now));
-                nextStatus = now + STATUS_MICROS;
+            if (command != null || shutDown || nowMicros >= nextStatusMicros) {
+                statusFile.write(StatusFile.toJson(fleet, nowMicros));
+                nextStatusMicros = nowMicros + STATUS_INTERVAL_MICROS;
             }
-            TimeUnit.MILLISECONDS.sleep(TURN_MS);
+            TimeUnit.MILLISECONDS.sleep(TURN_INTERVAL_MILLIS);
+        }
+        log.info("supervisor_ended", "down", shutDown);
+    }
+
+    private void applySignals(long nowMicros) throws IOException {
+        if (shutDownRequested.getAndSet(false)) {
+            fleet.shutDown(nowMicros);
+        }
+        if (reloadRequested.getAndSet(false)) {
+            reloadConfig();
         }
-        log.info("supervisor_ended", "down", done);
     }
 
-    private JSONObject carryOut(JSONObject told, long now) {
+    /** Carries a command out, and returns its answer. */
+    private JSONObject execute(JSONObject arguments, long nowMicros) {
         try {
-            switch (told.optString("do")) {
-                case "roll" -> {
-                    String to = told.getString("to");
-                    if (!config.builds().containsKey(to)) {
-                        throw new IllegalArgumentException("there is no build " + to + "; known are "
-                                + config.builds().keySet());
-                    }
-                    List<String> names = told.getJSONArray("names").toList().stream()
-                            .map(String::valueOf)
-                            .toList();
-                    fleet.roll(to, names, told.getInt("count"), now);
-                }
-                case "stop-roll" -> fleet.stopRoll(now);
-                case "drain" -> fleet.drain(told.getString("name"), now);
-                case "start" -> fleet.start(told.getString("name"), now);
-                case "down" -> fleet.goDown(now);
-                case "detach" -> detached.set(true);
+            switch (arguments.optString("do")) {
+                case "roll" -> startRollout(arguments, nowMicros);
+                case "stop-roll" -> fleet.stopRollout(nowMicros);
+                case "drain" -> fleet.drain(arguments.getString("name"), nowMicros);
+                case "start" -> fleet.enable(arguments.getString("name"), nowMicros);
+                case "down" -> fleet.shutDown(nowMicros);
+                case "detach" -> detachRequested = true;
                 default -> throw new IllegalArgumentException("is an unknown command");
             }
-            return new JSONObject().put("ok", true).put("at", now / 1_000);
+            return new JSONObject().put("ok", true).put("at", nowMicros / MICROS_PER_MILLI);
         } catch (IllegalArgumentException | JSONException e) {
             return new JSONObject().put("error", e.getMessage());
         }
     }
 
-    /** A file that is wrong changes nothing. */
-    private void readAgain() throws IOException {
+    private void startRollout(JSONObject arguments, long nowMicros) {
+        String toBuild = arguments.getString("to");
+        if (!config.builds().containsKey(toBuild)) {
+            throw new IllegalArgumentException("there is no build " + toBuild + "; known are "
+                    + config.builds().keySet());
+        }
+        List<String> names = arguments.getJSONArray("names").toList().stream()
+                .map(String::valueOf)
+                .toList();
+        fleet.startRollout(toBuild, names, arguments.getInt("count"), nowMicros);
+    }
+
+    /** A file that is not valid changes nothing. */
+    private void reloadConfig() throws IOException {
         try {
             FleetConfig next = FleetConfig.readFile(config.file());
             if (!next.dir().equals(config.dir())) {
                 throw new JsonFields.InvalidValueException("dir cannot change while the fleet runs");
             }
             config = next;
-            machine.use(next);
-            begin();
+            host.reconfigure(next);
+            startSupervisor();
         } catch (JsonFields.InvalidValueException e) {
             log.warn("reload_refused", "reason", e.getMessage());
         }
--- a/server/src/main/java/wheatspread/supervisor/HealthChecks.java
+++ b/server/src/main/java/wheatspread/supervisor/HealthChecks.java
@@ -13,6 +13,7 @@
 import io.netty.handler.codec.string.StringDecoder;
 import io.netty.handler.codec.string.StringEncoder;
 import io.netty.handler.timeout.ReadTimeoutHandler;
+import io.netty.util.concurrent.DefaultThreadFactory;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
@@ -21,20 +22,34 @@
 import org.json.JSONObject;
 import wheatspread.fleet.FleetInstance.Health;
 
-/** Health checks, each on a connection of its own, as the platform's proxies make them. */
+/**
+ * Health checks by the method {@code stats}, each on a connection of its own, as the platform's proxies make them.
+ * They run on one event loop thread of this object, which {@link #close} ends.
+ */
 final class HealthChecks implements AutoCloseable {
-    private static final int LONGEST_LINE = 16 * 1024;
+    /** The request of a health check. */
+    private static final String REQUEST = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"stats\"}\n";
+    /** A notification that a draining server may write before its answer. */
+    private static final String DRAINING_NOTIFICATION = "lastCall";
 
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final int CLOSE_TIMEOUT_MILLIS = 100;
+    private static final int MAX_LINE_BYTES = 16 * 1024;
+
+    private final MultiThreadIoEventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("health-checks"), NioIoHandler.newFactory());
     private final long timeoutMillis;
 
     HealthChecks(long timeoutMillis) {
         this.timeoutMillis = timeoutMillis;
     }
 
-    /** Asks once; the answer is null where none came in time. It comes on the thread of the loop. */
-    void ask(InetSocketAddress address, Consumer<Health> answer) {
-        Asking asking = new Asking(answer);
+    /**
+     * Checks a server once. {@code result} is called once, on the event loop thread; with null if there was no answer
+     * in time.
+     */
+    void check(InetSocketAddress address, Consumer<Health> result) {
+        CheckHandler handler = new CheckHandler(result);
         new Bootstrap()
                 .group(group)
                 .channel(NioSocketChannel.class)
@@ -45,57 +60,54 @@
                         channel.pipeline()
                                 .addLast(
                                         new ReadTimeoutHandler(timeoutMillis, TimeUnit.MILLISECONDS),
-                                        new LineBasedFrameDecoder(LONGEST_LINE),
+                                        new LineBasedFrameDecoder(MAX_LINE_BYTES),
                                         new StringDecoder(StandardCharsets.UTF_8),
                                         new StringEncoder(StandardCharsets.UTF_8),
-                                        asking);
+                                        handler);
                     }
                 })
                 .connect(address)
                 .addListener(done -> {
                     if (!done.isSuccess()) {
-                        asking.end(null);
+                        handler.finish(null);
                     }
                 });
     }
 
     @Override
     public void close() {
-        group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
+        group.shutdownGracefully(0, CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private static final class Asking extends SimpleChannelInboundHandler<String> {
-        private Consumer<Health> answer;
+    /** One check, from its connection to its result. */
+    private static final class CheckHandler extends SimpleChannelInboundHandler<String> {
+        /** Null once the result was given. */
+        private Consumer<Health> result;
 
-        Asking(Consumer<Health> answer) {
-            this.answer = answer;
+        CheckHandler(Consumer<Health> result) {
+            this.result = result;
         }
 
-        void end(Health health) {
-            if (answer != null) {
-                answer.accept(health);
-                answer = null;
+        void finish(Health health) {
+            if (result != null) {
+                result.accept(health);
+                result = null;
             }
         }
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            context.writeAndFlush("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"stats\"}\n");
+            context.writeAndFlush(REQUEST);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, String line) {
             try {
-                JSONObject result = new JSONObject(line).optJSONObject("result");
-                if (result != null) {
-                    end(new Health(
-                            result.optBoolean("well"),
-                            result.optLong("served"),
-                            result.optLong("failed"),
-                            result.optLong("refused"),
-                            result.optLong("warm_in_ms") * 1_000));
+                JSONObject stats = new JSONObject(line).optJSONObject("result");
+                if (stats != null) {
+                    finish(healthOf(stats));
                     context.close();
-                } else if (!line.contains("lastCall")) {
+                } else if (!line.contains(DRAINING_NOTIFICATION)) {
                     context.close();
                 }
             } catch (JSONException e) {
@@ -103,9 +115,18 @@
             }
         }
 
+        private static Health healthOf(JSONObject stats) {
+            return new Health(
+                    stats.optBoolean("well"),
+                    stats.optLong("served"),
+                    stats.optLong("failed"),
+                    stats.optLong("refused"),
+                    stats.optLong("warm_in_ms") * MICROS_PER_MILLI);
+        }
+
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            end(null);
+            finish(null);
         }
 
         @Override
--- a/server/src/main/java/wheatspread/supervisor/HostOperations.java
+++ b/server/src/main/java/wheatspread/supervisor/HostOperations.java
@@ -3,44 +3,49 @@
 import java.io.IOException;
 import java.util.Map;
 import java.util.function.Consumer;
+import wheatspread.fleet.FleetInstance;
 import wheatspread.fleet.FleetInstance.Health;
 import wheatspread.fleet.FleetState;
-import wheatspread.fleet.FleetState.Found;
+import wheatspread.fleet.FleetState.RunningProcess;
 
 /**
- * All that a supervisor does to the machine it runs on, so that a test can let any step of it fail. One
- * thread calls it.
+ * All that a supervisor does to the machine it runs on. It is an interface so that a test can crash the supervisor
+ * before and after each step. The supervisor's thread makes all calls; they may block for the disk.
  */
 interface HostOperations {
-    /** What was written down; null if nothing was. */
-    FleetState load() throws IOException;
+    /** The saved state; null if there is none. */
+    FleetState loadState() throws IOException;
 
-    /** Writes the state down; when it returns, the state outlives a crash. */
-    void save(FleetState state) throws IOException;
+    /** Saves the state. When it returns, the state survives a crash of the machine. */
+    void saveState(FleetState state) throws IOException;
 
-    /** Starts a process as a generation of a member, and returns its number. */
-    long start(String member, String build, int generation) throws IOException;
+    /** Starts a process of a build as a generation of an instance, and returns its process id. */
+    long startProcess(String instance, String build, int generation) throws IOException;
 
-    /** SIGTERM. */
-    void terminate(String member, long pid);
+    /** Sends SIGTERM to a process, if it still runs. */
+    void sendSigterm(String instance, long pid);
 
-    /** SIGKILL. */
-    void kill(String member, long pid);
+    /** Sends SIGKILL to a process, if it still runs. */
+    void sendSigkill(String instance, long pid);
 
-    /** The process that holds a member's lock; null if none does. */
-    Found holder(String member) throws IOException;
+    /** The process that holds the lock of an instance; null if none does. */
+    RunningProcess lockHolder(String instance) throws IOException;
 
-    /** The members whose processes were started here or found and have ended since, with their exit codes. */
-    Map<String, Integer> ended();
+    /**
+     * The exits since the last call, as exit codes by instance: those of processes that were started here and of
+     * watched ones. The code of the latter is {@link FleetInstance#UNKNOWN_EXIT_CODE}.
+     */
+    Map<String, Integer> exitedProcesses();
 
-    /** Watches a process that an earlier supervisor started. */
-    void watch(String member, long pid);
+    /** Reports the exit of a process that an earlier supervisor started. */
+    void watchProcess(String instance, long pid);
 
     /**
-     * Asks a member how it is; the answer comes later, null for none, on the thread that calls {@link #pump}.
+     * Begins a health check. The result, null if there was no answer, is given to {@code result} by a later call of
+     * {@link #deliverCheckResults}.
      */
-    void check(String member, int generation, Consumer<Health> answer);
+    void checkHealth(String instance, int generation, Consumer<Health> result);
 
-    /** Hands out the answers that came. */
-    void pump();
+    /** Delivers the results of health checks that have come in since the last call, on the calling thread. */
+    void deliverCheckResults();
 }
--- a/server/src/main/java/wheatspread/supervisor/LocalHost.java
+++ b/server/src/main/java/wheatspread/supervisor/LocalHost.java
@@ -21,99 +21,111 @@
 import wheatspread.fleet.FleetInstance;
 import wheatspread.fleet.FleetInstance.Health;
 import wheatspread.fleet.FleetState;
-import wheatspread.fleet.FleetState.Found;
+import wheatspread.fleet.FleetState.RunningProcess;
 
 /**
- * The machine itself. Members write their logs to files of the fleet's folder, not to a pipe, so that they
- * outlive the supervisor; each holds a lock there, by which a later supervisor finds it.
+ * The machine that the supervisor runs on. Instances log to files of the fleet's directory and not to a pipe, so that
+ * they outlive the supervisor; each holds a lock there, by which a later supervisor finds it. {@link #close} ends the
+ * health checks and leaves the processes running.
  */
 final class LocalHost implements HostOperations, AutoCloseable {
+    private static final long MICROS_PER_MILLI = 1_000;
+
     private FleetConfig config;
-    private final StateFile state;
+    private final StateFile stateFile;
     private final HealthChecks checks;
+    /** Processes started here, by instance. */
     private final Map<String, Process> children = new HashMap<>();
-    private final Map<String, ProcessHandle> found = new HashMap<>();
-    private final Queue<Runnable> answers = new ConcurrentLinkedQueue<>();
+    /** Processes that an earlier supervisor started, by instance. */
+    private final Map<String, ProcessHandle> adopted = new HashMap<>();
+    /** Filled by the thread of the health checks. */
+    private final Queue<Runnable> checkResults = new ConcurrentLinkedQueue<>();
 
     LocalHost(FleetConfig config) throws IOException {
         this.config = config;
         Files.createDirectories(config.dir());
-        state = new StateFile(config.dir().resolve("state.json"));
-        checks = new HealthChecks(config.checkTimeout() / 1_000);
+        stateFile = new StateFile(config.dir().resolve("state.json"));
+        checks = new HealthChecks(config.checkTimeout() / MICROS_PER_MILLI);
     }
 
-    /** The fleet's file was read again. */
-    void use(FleetConfig next) {
+    /** Takes over the fleet's file that was read again. */
+    void reconfigure(FleetConfig next) {
         config = next;
     }
 
-    private Path mark(String member, String kind) {
-        return config.dir().resolve(member + "." + kind);
+    private Path instanceFile(String instance, String kind) {
+        return config.dir().resolve(instance + "." + kind);
     }
 
-    private FleetConfig.MemberConfig member(String name) {
+    /** Null if the fleet's file has no such instance. */
+    private FleetConfig.MemberConfig configOf(String name) {
         return config.members().stream()
-                .filter(one -> one.name().equals(name))
+                .filter(member -> member.name().equals(name))
                 .findFirst()
                 .orElse(null);
     }
 
     @Override
-    public FleetState load() throws IOException {
-        return state.load();
+    public FleetState loadState() throws IOException {
+        return stateFile.load();
     }
 
     @Override
-    public void save(FleetState now) throws IOException {
-        state.save(now);
+    public void saveState(FleetState state) throws IOException {
+        stateFile.save(state);
     }
 
     @Override
-    public long start(String name, String label, int generation) throws IOException {
+    public long startProcess(String name, String label, int generation) throws IOException {
         FleetConfig.Build build = config.builds().get(label);
-        FleetConfig.MemberConfig member = member(name);
-        if (build == null || member == null) {
+        FleetConfig.MemberConfig instance = configOf(name);
+        if (build == null || instance == null) {
             throw new IOException(build == null ? "there is no build " + label : "there is no member " + name);
         }
+        Process process = processBuilder(build, instance, generation).start();
+        children.put(name, process);
+        adopted.remove(name);
+        return process.pid();
+    }
+
+    private ProcessBuilder processBuilder(FleetConfig.Build build, FleetConfig.MemberConfig instance, int generation) {
+        String name = instance.name();
         List<String> command = new ArrayList<>(build.command());
         command.addAll(List.of(
                 "--lock-file",
-                mark(name, "lock").toString(),
+                instanceFile(name, "lock").toString(),
                 "--ready-file",
-                mark(name, "ready").toString(),
+                instanceFile(name, "ready").toString(),
                 "--report-file",
-                mark(name, "report").toString(),
+                instanceFile(name, "report").toString(),
                 "--mark",
                 Integer.toString(generation),
                 "--stats"));
         ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectInput(ProcessBuilder.Redirect.from(Path.of("/dev/null").toFile()))
-                .redirectOutput(
-                        ProcessBuilder.Redirect.appendTo(mark(name, "log").toFile()));
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(
+                        instanceFile(name, "log").toFile()));
         builder.environment().putAll(build.environment());
-        builder.environment().put("GW_CONFIG", member.config().toString());
+        builder.environment().put("GW_CONFIG", instance.config().toString());
         builder.environment().put("GW_NAME", name);
-        builder.environment().put("GW_LISTEN", member.listenText());
-        Process process = builder.start();
-        children.put(name, process);
-        found.remove(name);
-        return process.pid();
+        builder.environment().put("GW_LISTEN", instance.listenText());
+        return builder;
     }
 
     @Override
-    public void terminate(String name, long pid) {
+    public void sendSigterm(String name, long pid) {
         ProcessHandle.of(pid).ifPresent(ProcessHandle::destroy);
     }
 
     @Override
-    public void kill(String name, long pid) {
+    public void sendSigkill(String name, long pid) {
         ProcessHandle.of(pid).ifPresent(ProcessHandle::destroyForcibly);
     }
 
     @Override
-    public Found holder(String name) throws IOException {
-        Path file = mark(name, "lock");
+    public RunningProcess lockHolder(String name) throws IOException {
+        Path file = instanceFile(name, "lock");
         if (!Files.exists(file)) {
             return null;
         }
@@ -123,53 +135,53 @@
                 free.release();
                 return null;
             }
-            JSONObject told = new JSONObject(Files.readString(file));
-            return new Found(told.getLong("pid"), Integer.parseInt(told.getString("mark")));
+            JSONObject identity = new JSONObject(Files.readString(file));
+            return new RunningProcess(identity.getLong("pid"), Integer.parseInt(identity.getString("mark")));
         } catch (JSONException | NumberFormatException | OverlappingFileLockException e) {
-            return null; // it has just taken the lock, and is about to write who it is
+            return null; // it has just taken the lock, and has not written its identity yet
         }
     }
 
     @Override
-    public Map<String, Integer> ended() {
-        Map<String, Integer> ended = new LinkedHashMap<>();
+    public Map<String, Integer> exitedProcesses() {
+        Map<String, Integer> exitCodes = new LinkedHashMap<>();
         children.forEach((name, process) -> {
             if (!process.isAlive()) {
-                ended.put(name, process.exitValue());
+                exitCodes.put(name, process.exitValue());
             }
         });
-        found.forEach((name, process) -> {
+        adopted.forEach((name, process) -> {
             if (!process.isAlive()) {
-                ended.put(name, FleetInstance.UNKNOWN_CODE);
+                exitCodes.put(name, FleetInstance.UNKNOWN_EXIT_CODE);
             }
         });
-        children.keySet().removeAll(ended.keySet());
-        found.keySet().removeAll(ended.keySet());
-        return ended;
+        children.keySet().removeAll(exitCodes.keySet());
+        adopted.keySet().removeAll(exitCodes.keySet());
+        return exitCodes;
     }
 
     @Override
-    public void watch(String name, long pid) {
+    public void watchProcess(String name, long pid) {
         Process child = children.get(name);
-        if (child == null || child.pid() != pid) { // a child tells its code, and must be waited for
-            ProcessHandle.of(pid).ifPresent(process -> found.put(name, process));
+        if (child == null || child.pid() != pid) { // a child has an exit code, and must be waited for
+            ProcessHandle.of(pid).ifPresent(process -> adopted.put(name, process));
         }
     }
 
     @Override
-    public void check(String name, int generation, Consumer<Health> answer) {
-        FleetConfig.MemberConfig member = member(name);
-        if (member == null) {
-            answers.add(() -> answer.accept(null));
+    public void checkHealth(String name, int generation, Consumer<Health> result) {
+        FleetConfig.MemberConfig instance = configOf(name);
+        if (instance == null) {
+            checkResults.add(() -> result.accept(null));
         } else {
-            checks.ask(member.listen(), health -> answers.add(() -> answer.accept(health)));
+            checks.check(instance.listen(), health -> checkResults.add(() -> result.accept(health)));
         }
     }
 
     @Override
-    public void pump() {
-        for (Runnable answer = answers.poll(); answer != null; answer = answers.poll()) {
-            answer.run();
+    public void deliverCheckResults() {
+        for (Runnable delivery = checkResults.poll(); delivery != null; delivery = checkResults.poll()) {
+            delivery.run();
         }
     }
 
--- a/server/src/main/java/wheatspread/supervisor/StateFile.java
+++ b/server/src/main/java/wheatspread/supervisor/StateFile.java
@@ -13,11 +13,12 @@
 import wheatspread.daemon.AtomicFile;
 import wheatspread.fleet.FleetInstance;
 import wheatspread.fleet.FleetState;
-import wheatspread.fleet.Rollout;
+import wheatspread.fleet.RolloutStatus;
+import wheatspread.fleet.RolloutStep;
 
 /**
- * The fleet's state in a file of JSON: written beside, synced, renamed over the old one, and the folder
- * synced, so that a crash leaves the old or the new one whole.
+ * The fleet's state as a JSON file, from which the next supervisor goes on. This class maps the keys of the file,
+ * which never change, to the names of the program.
  */
 final class StateFile {
     private static final int VERSION = 1;
@@ -28,7 +29,7 @@
         this.file = file;
     }
 
-    /** Null where there is none; one of another version is refused. */
+    /** The saved state; null if there is none. A file of another version, or without a key, is an IOException. */
     FleetState load() throws IOException {
         if (!Files.exists(file)) {
             return null;
@@ -38,98 +39,104 @@
             if (json.getInt("version") != VERSION) {
                 throw new IOException(file + " is of version " + json.get("version") + ", not " + VERSION);
             }
-            return read(json);
+            return fromJson(json);
         } catch (JSONException | IllegalArgumentException e) {
             throw new IOException(file + " cannot be understood: " + e.getMessage(), e);
         }
     }
 
+    /** Replaces the file. A crash leaves the old state or the new one whole. */
     void save(FleetState state) throws IOException {
-        AtomicFile.writeSynced(file, write(state).toString(1) + "\n");
+        AtomicFile.writeSynced(file, toJson(state).toString(1) + "\n");
     }
 
-    static JSONObject write(FleetState state) {
-        JSONArray members = new JSONArray();
-        for (FleetState.Of one : state.members()) {
-            members.put(new JSONObject()
-                    .put("name", one.name())
-                    .put("state", one.state().storedName())
-                    .put("wanted", one.wanted())
-                    .put("build", one.build())
-                    .put("generation", one.generation())
-                    .put("pid", one.pid())
-                    .put("since", one.since())
-                    .put("started_at", one.startedAt())
-                    .put("well_at", one.wellAt())
-                    .put("ends", one.ends())
-                    .put("ends_in_a_row", one.endsInARow())
-                    .put("not_before", one.notBefore())
-                    .put("held_until", one.heldUntil()));
-        }
-        JSONObject json =
-                new JSONObject().put("version", VERSION).put("members", members).put("down", state.down());
-        FleetState.Roll roll = state.roll();
-        if (roll != null) {
-            JSONArray steps = new JSONArray();
-            roll.steps()
-                    .forEach((name, step) -> steps.put(new JSONArray().put(name).put(step.storedName())));
-            json.put(
-                    "roll",
-                    new JSONObject()
-                            .put("from", roll.from())
-                            .put("to", roll.to())
-                            .put("status", roll.status().storedName())
-                            .put("reason", roll.reason())
-                            .put("failures", roll.failures())
-                            .put("began_at", roll.beganAt())
-                            .put("ended_at", roll.endedAt())
-                            .put("steps", steps));
+    static JSONObject toJson(FleetState state) {
+        JSONArray instances = new JSONArray();
+        state.instances().forEach(instance -> instances.put(instanceToJson(instance)));
+        JSONObject json = new JSONObject()
+                .put("version", VERSION)
+                .put("members", instances)
+                .put("down", state.shuttingDown());
+        if (state.rollout() != null) {
+            json.put("roll", rolloutToJson(state.rollout()));
         }
         return json;
     }
 
-    static FleetState read(JSONObject json) {
-        List<FleetState.Of> members = new ArrayList<>();
-        for (Object told : json.getJSONArray("members")) {
-            JSONObject one = (JSONObject) told;
-            List<Long> ends = new ArrayList<>();
-            one.getJSONArray("ends").forEach(at -> ends.add(((Number) at).longValue()));
-            members.add(new FleetState.Of(
-                    one.getString("name"),
-                    FleetInstance.State.fromStoredName(one.getString("state")),
-                    one.getBoolean("wanted"),
-                    one.getString("build"),
-                    one.getInt("generation"),
-                    one.getLong("pid"),
-                    one.getLong("since"),
-                    one.getLong("started_at"),
-                    one.getLong("well_at"),
-                    ends,
-                    one.getInt("ends_in_a_row"),
-                    one.getLong("not_before"),
-                    one.getLong("held_until")));
+    private static JSONObject instanceToJson(FleetState.InstanceRecord instance) {
+        return new JSONObject()
+                .put("name", instance.name())
+                .put("state", instance.state().storedName())
+                .put("wanted", instance.shouldRun())
+                .put("build", instance.build())
+                .put("generation", instance.generation())
+                .put("pid", instance.pid())
+                .put("since", instance.stateSinceMicros())
+                .put("started_at", instance.startedAtMicros())
+                .put("well_at", instance.firstHealthyAtMicros())
+                .put("ends", instance.exitTimesMicros())
+                .put("ends_in_a_row", instance.consecutiveExits())
+                .put("not_before", instance.nextStartMicros())
+                .put("held_until", instance.heldUntilMicros());
+    }
+
+    private static JSONObject rolloutToJson(FleetState.RolloutRecord rollout) {
+        JSONArray steps = new JSONArray();
+        rollout.steps()
+                .forEach((name, step) -> steps.put(new JSONArray().put(name).put(step.storedName())));
+        return new JSONObject()
+                .put("from", rollout.fromBuild())
+                .put("to", rollout.toBuild())
+                .put("status", rollout.status().storedName())
+                .put("reason", rollout.reason())
+                .put("failures", rollout.failures())
+                .put("began_at", rollout.startedAtMicros())
+                .put("ended_at", rollout.endedAtMicros())
+                .put("steps", steps);
+    }
+
+    static FleetState fromJson(JSONObject json) {
+        List<FleetState.InstanceRecord> instances = new ArrayList<>();
+        for (Object instance : json.getJSONArray("members")) {
+            instances.add(instanceFromJson((JSONObject) instance));
         }
-        JSONObject roll = json.optJSONObject("roll");
-        Map<String, Rollout.Step> steps = new LinkedHashMap<>();
-        if (roll != null) {
-            for (Object told : roll.getJSONArray("steps")) {
-                steps.put(
-                        ((JSONArray) told).getString(0), Rollout.Step.fromStoredName(((JSONArray) told).getString(1)));
-            }
+        JSONObject rollout = json.optJSONObject("roll");
+        return new FleetState(instances, rollout == null ? null : rolloutFromJson(rollout), json.getBoolean("down"));
+    }
+
+    private static FleetState.InstanceRecord instanceFromJson(JSONObject json) {
+        List<Long> exitTimesMicros = new ArrayList<>();
+        json.getJSONArray("ends").forEach(time -> exitTimesMicros.add(((Number) time).longValue()));
+        return new FleetState.InstanceRecord(
+                json.getString("name"),
+                FleetInstance.State.fromStoredName(json.getString("state")),
+                json.getBoolean("wanted"),
+                json.getString("build"),
+                json.getInt("generation"),
+                json.getLong("pid"),
+                json.getLong("since"),
+                json.getLong("started_at"),
+                json.getLong("well_at"),
+                exitTimesMicros,
+                json.getInt("ends_in_a_row"),
+                json.getLong("not_before"),
+                json.getLong("held_until"));
+    }
+
+    private static FleetState.RolloutRecord rolloutFromJson(JSONObject json) {
+        Map<String, RolloutStep> steps = new LinkedHashMap<>();
+        for (Object element : json.getJSONArray("steps")) {
+            JSONArray nameAndStep = (JSONArray) element;
+            steps.put(nameAndStep.getString(0), RolloutStep.fromStoredName(nameAndStep.getString(1)));
         }
-        return new FleetState(
-                members,
-                roll == null
-                        ? null
-                        : new FleetState.Roll(
-                                roll.getString("from"),
-                                roll.getString("to"),
-                                Rollout.Status.fromStoredName(roll.getString("status")),
-                                roll.getString("reason"),
-                                roll.getInt("failures"),
-                                roll.getLong("began_at"),
-                                roll.getLong("ended_at"),
-                                steps),
-                json.getBoolean("down"));
+        return new FleetState.RolloutRecord(
+                json.getString("from"),
+                json.getString("to"),
+                RolloutStatus.fromStoredName(json.getString("status")),
+                json.getString("reason"),
+                json.getInt("failures"),
+                json.getLong("began_at"),
+                json.getLong("ended_at"),
+                steps);
     }
 }
--- a/server/src/main/java/wheatspread/supervisor/StatusFile.java
+++ b/server/src/main/java/wheatspread/supervisor/StatusFile.java
@@ -11,19 +11,28 @@
 import wheatspread.fleet.FleetController;
 import wheatspread.fleet.FleetInstance;
 import wheatspread.fleet.Rollout;
+import wheatspread.fleet.RolloutStep;
 
-/** What a supervisor tells of its fleet, in a file that anybody may read as often as they like. */
+/**
+ * The status of a fleet, as a JSON file that anybody may read at any rate. This class maps the names of the program to
+ * the keys of the file, which never change; its times are milliseconds.
+ */
 public final class StatusFile {
-    /** A status older than this was written by a supervisor that is gone or stuck; milliseconds. */
+    /** A status older than this was written by a supervisor that has ended or hangs; milliseconds. */
     public static final long STALE_MS = 3_000;
 
+    private static final long MICROS_PER_MILLI = 1_000;
+    /** Stands for an instance that has not answered a health check. */
+    private static final long NEVER = -1;
+
     private final Path file;
 
+    /** The status file in a fleet's directory, whether it exists or not. */
     public StatusFile(Path fleetDir) {
         file = fleetDir.resolve("status.json");
     }
 
-    /** Null where no supervisor has ever run here. */
+    /** The last status; null if no supervisor has ever run here. */
     public JSONObject read() throws IOException {
         try {
             return Files.exists(file) ? new JSONObject(Files.readString(file)) : null;
@@ -36,56 +45,62 @@
         AtomicFile.write(file, status + "\n");
     }
 
-    /** Times in milliseconds; an age of -1 means never. */
-    static JSONObject of(FleetController fleet, long now) {
-        JSONArray members = new JSONArray();
-        for (FleetInstance one : fleet.roster().all()) {
-            long age = one.age(now);
-            JSONObject told = new JSONObject()
-                    .put("name", one.name())
-                    .put("state", one.state().storedName())
-                    .put("stale", fleet.roster().isStale(one, now))
-                    .put("wanted", one.wanted())
-                    .put("build", one.build())
-                    .put("generation", one.generation())
-                    .put("pid", one.pid())
-                    .put("in_state_ms", one.inState(now) / 1_000)
-                    .put("heard_ms", age < 0 ? -1 : age / 1_000);
-            if (one.health() != null) {
-                told.put("served", one.health().served())
-                        .put("failed", one.health().failed())
-                        .put("refused", one.health().refused())
-                        .put("warm_in_ms", one.health().warmIn() / 1_000);
-            }
-            if (one.lastCode() != null) {
-                told.put("last_code", one.lastCode());
-            }
-            members.put(told);
+    static JSONObject toJson(FleetController fleet, long nowMicros) {
+        JSONArray instances = new JSONArray();
+        for (FleetInstance instance : fleet.instances().all()) {
+            boolean stale = fleet.instances().isStale(instance, nowMicros);
+            instances.put(instanceToJson(instance, stale, nowMicros));
         }
         JSONObject status = new JSONObject()
-                .put("at", now / 1_000)
+                .put("at", nowMicros / MICROS_PER_MILLI)
                 .put("pid", ProcessHandle.current().pid())
-                .put("members", members)
-                .put("going_down", fleet.goingDown());
-        Rollout roll = fleet.roll();
-        if (roll != null) {
-            JSONObject steps = new JSONObject();
-            for (Rollout.Step step : Rollout.Step.values()) {
-                steps.put(step.storedName().toLowerCase(Locale.ROOT), roll.count(step));
-            }
-            long ended = roll.endedAt() == 0 ? now : roll.endedAt();
-            status.put(
-                    "roll",
-                    new JSONObject()
-                            .put("to", roll.to())
-                            .put("status", roll.status().storedName())
-                            .put("paused", roll.paused())
-                            .put("reason", roll.reason())
-                            .put("steps", steps)
-                            .put("members", roll.size())
-                            .put("began_at", roll.beganAt() / 1_000)
-                            .put("took_ms", (ended - roll.beganAt()) / 1_000));
+                .put("members", instances)
+                .put("going_down", fleet.isShuttingDown());
+        if (fleet.rollout() != null) {
+            status.put("roll", rolloutToJson(fleet.rollout(), nowMicros));
         }
         return status;
     }
+
+    private static JSONObject instanceToJson(FleetInstance instance, boolean stale, long nowMicros) {
+        long sinceLastCheckMicros = instance.sinceLastCheckMicros(nowMicros);
+        JSONObject json = new JSONObject()
+                .put("name", instance.name())
+                .put("state", instance.state().storedName())
+                .put("stale", stale)
+                .put("wanted", instance.shouldRun())
+                .put("build", instance.build())
+                .put("generation", instance.generation())
+                .put("pid", instance.pid())
+                .put("in_state_ms", instance.inStateMicros(nowMicros) / MICROS_PER_MILLI)
+                .put("heard_ms", sinceLastCheckMicros < 0 ? NEVER : sinceLastCheckMicros / MICROS_PER_MILLI);
+        FleetInstance.Health health = instance.health();
+        if (health != null) {
+            json.put("served", health.served())
+                    .put("failed", health.failed())
+                    .put("refused", health.rejected())
+                    .put("warm_in_ms", health.warmUpRemainingMicros() / MICROS_PER_MILLI);
+        }
+        if (instance.lastExitCode() != null) {
+            json.put("last_code", instance.lastExitCode());
+        }
+        return json;
+    }
+
+    private static JSONObject rolloutToJson(Rollout rollout, long nowMicros) {
+        JSONObject steps = new JSONObject();
+        for (RolloutStep step : RolloutStep.values()) {
+            steps.put(step.storedName().toLowerCase(Locale.ROOT), rollout.count(step));
+        }
+        long untilMicros = rollout.endedAtMicros() == 0 ? nowMicros : rollout.endedAtMicros();
+        return new JSONObject()
+                .put("to", rollout.toBuild())
+                .put("status", rollout.status().storedName())
+                .put("paused", rollout.isPaused())
+                .put("reason", rollout.reason())
+                .put("steps", steps)
+                .put("members", rollout.size())
+                .put("began_at", rollout.startedAtMicros() / MICROS_PER_MILLI)
+                .put("took_ms", (untilMicros - rollout.startedAtMicros()) / MICROS_PER_MILLI);
+    }
 }
--- a/server/src/main/java/wheatspread/supervisor/Supervisor.java
+++ b/server/src/main/java/wheatspread/supervisor/Supervisor.java
@@ -5,128 +5,151 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import wheatspread.fleet.Action;
 import wheatspread.fleet.FleetController;
 import wheatspread.fleet.FleetInstance;
 import wheatspread.fleet.FleetState;
-import wheatspread.fleet.FleetState.Found;
+import wheatspread.fleet.FleetState.RunningProcess;
+import wheatspread.fleet.InstanceAction;
 import wheatspread.logging.EventLog;
 
 /**
- * Carries out what a {@link FleetController} decides on a {@link HostOperations}. The order of each turn makes a
- * crash at any
- * step harmless: look, write the state down, then act. Whoever comes next finds the intent written, and the
- * processes by their locks.
+ * Runs the turns of a {@link FleetController} on a {@link HostOperations}.
+ *
+ * <p>The order of a turn makes a crash at any step harmless: observe, decide, save the state, act. The next supervisor
+ * finds every action in the saved state, and the processes by their locks. One thread calls it.
  */
 final class Supervisor {
     private final FleetController fleet;
-    private final HostOperations machine;
-    private final long checkEvery;
+    private final HostOperations host;
+    private final long checkIntervalMicros;
     private final EventLog log;
-    private final Map<String, Long> nextCheck = new HashMap<>();
-    private FleetState saved;
-    /** The time of the turn under way, by which answers count. */
-    private long clock;
+    private final Map<String, Long> nextCheckMicros = new HashMap<>();
+    /** The state as it was last saved; null before the first time. */
+    private FleetState savedState;
+    /** The time of the current turn, which is that of the check results that it delivers. */
+    private long turnMicros;
 
-    /** {@code checkEvery}: microseconds between two checks of a member. */
-    Supervisor(FleetController fleet, HostOperations machine, long checkEvery, EventLog log) {
+    /** {@code checkIntervalMicros} is the time between two health checks of an instance. */
+    Supervisor(FleetController fleet, HostOperations host, long checkIntervalMicros, EventLog log) {
         this.fleet = fleet;
-        this.machine = machine;
-        this.checkEvery = checkEvery;
+        this.host = host;
+        this.checkIntervalMicros = checkIntervalMicros;
         this.log = log;
     }
 
-    /** Finds what an earlier supervisor left, if there was one. */
-    void begin(long now) throws IOException {
-        FleetState told = machine.load();
-        if (told == null) {
+    /** Restores the state of an earlier supervisor, and adopts its processes. */
+    void recover(long nowMicros) throws IOException {
+        FleetState saved = host.loadState();
+        if (saved == null) {
             return;
         }
-        Map<String, Found> alive = new LinkedHashMap<>();
-        for (FleetState.Of one : told.members()) {
-            Found found = machine.holder(one.name());
-            if (found != null) {
-                alive.put(one.name(), found);
-                machine.watch(one.name(), found.pid());
+        Map<String, RunningProcess> running = new LinkedHashMap<>();
+        for (FleetState.InstanceRecord instance : saved.instances()) {
+            RunningProcess process = host.lockHolder(instance.name());
+            if (process != null) {
+                running.put(instance.name(), process);
+                host.watchProcess(instance.name(), process.pid());
             }
         }
-        fleet.restore(told, alive, now);
+        fleet.restore(saved, running, nowMicros);
     }
 
-    /** One look at everything, and what follows from it. Returns whether the fleet is down and done. */
-    boolean turn(long now) throws IOException {
-        clock = now;
-        machine.pump();
-        for (Map.Entry<String, Integer> end : machine.ended().entrySet()) {
-            fleet.ended(end.getKey(), fleet.roster().get(end.getKey()).generation(), end.getValue(), now);
+    /** Runs one turn. Returns whether the fleet was shut down and every process has exited. */
+    boolean runTurn(long nowMicros) throws IOException {
+        turnMicros = nowMicros;
+        host.deliverCheckResults();
+        reportExits(nowMicros);
+        for (FleetInstance instance : List.copyOf(fleet.instances().all())) {
+            confirmStart(instance);
+            checkHealth(instance, nowMicros);
         }
-        for (FleetInstance one : List.copyOf(fleet.roster().all())) {
-            resolve(one);
-            check(one, now);
+        List<InstanceAction> actions = fleet.decide(nowMicros);
+        saveChangedState();
+        for (InstanceAction action : actions) {
+            execute(action, nowMicros);
         }
-        List<Action> actions = fleet.look(now);
-        FleetState state = fleet.state();
-        if (!state.equals(saved)) {
-            machine.save(state);
-            saved = state;
+        return fleet.isShutDown();
+    }
+
+    private void reportExits(long nowMicros) {
+        for (Map.Entry<String, Integer> exit : host.exitedProcesses().entrySet()) {
+            int generation = fleet.instances().get(exit.getKey()).generation();
+            fleet.processExited(exit.getKey(), generation, exit.getValue(), nowMicros);
         }
-        for (Action action : actions) {
-            act(action, now);
+    }
+
+    private void saveChangedState() throws IOException {
+        FleetState state = fleet.state();
+        if (!state.equals(savedState)) {
+            host.saveState(state);
+            savedState = state;
         }
-        return fleet.isDown();
     }
 
-    /** A start that an earlier supervisor may or may not have made: the lock tells as soon as it is taken. */
-    private void resolve(FleetInstance one) throws IOException {
-        if (fleet.isUnsure(one.name())) {
-            Found found = machine.holder(one.name());
-            if (found != null && found.generation() == one.generation()) {
-                machine.watch(one.name(), found.pid());
-                fleet.spawned(one.name(), one.generation(), found.pid());
-            }
+    /** A start that an earlier supervisor recorded is confirmed as soon as its process holds the lock. */
+    private void confirmStart(FleetInstance instance) throws IOException {
+        if (!fleet.isStartUnconfirmed(instance.name())) {
+            return;
+        }
+        RunningProcess process = host.lockHolder(instance.name());
+        if (process != null && process.generation() == instance.generation()) {
+            host.watchProcess(instance.name(), process.pid());
+            fleet.processStarted(instance.name(), instance.generation(), process.pid());
         }
     }
 
-    private void check(FleetInstance one, long now) {
-        if (!one.lives()
-                || one.state() == FleetInstance.State.LEAVING
-                || nextCheck.getOrDefault(one.name(), 0L) > now) {
+    private void checkHealth(FleetInstance instance, long nowMicros) {
+        boolean wanted = instance.hasProcess() && instance.state() != FleetInstance.State.DRAINING;
+        if (!wanted || nextCheckMicros.getOrDefault(instance.name(), 0L) > nowMicros) {
             return;
         }
-        nextCheck.put(one.name(), now + checkEvery);
-        int generation = one.generation();
-        machine.check(one.name(), generation, health -> answered(one.name(), generation, health));
+        nextCheckMicros.put(instance.name(), nowMicros + checkIntervalMicros);
+        int generation = instance.generation();
+        host.checkHealth(
+                instance.name(), generation, health -> healthCheckFinished(instance.name(), generation, health));
     }
 
-    private void answered(String name, int generation, FleetInstance.Health health) {
+    /** {@code health} is null if there was no answer. */
+    private void healthCheckFinished(String name, int generation, FleetInstance.Health health) {
         if (health == null) {
-            fleet.unheard(name, generation, clock);
+            fleet.healthCheckFailed(name, generation, turnMicros);
         } else {
-            fleet.heard(name, generation, health, clock);
+            fleet.healthCheckAnswered(name, generation, health, turnMicros);
         }
     }
 
-    private void act(Action action, long now) {
-        String name = action.member();
-        long pid = fleet.roster().get(name).pid();
-        if (action instanceof Action.Start start) {
-            try {
-                Found found = machine.holder(name);
-                if (found != null) { // of a start in doubt that took its time; a second would end at its lock
-                    machine.watch(name, found.pid());
-                    fleet.spawned(name, start.generation(), found.pid());
-                    log.warn("member_found", "name", name, "generation", found.generation());
-                    return;
-                }
-                fleet.spawned(name, start.generation(), machine.start(name, start.build(), start.generation()));
-            } catch (IOException e) {
-                log.error("spawn_failed", "name", name, "build", start.build(), "error", e.getMessage());
-                fleet.ended(name, start.generation(), FleetInstance.UNKNOWN_CODE, now);
-            }
-        } else if (pid > 0 && action instanceof Action.Notice) {
-            machine.terminate(name, pid);
+    private void execute(InstanceAction action, long nowMicros) {
+        String name = action.instance();
+        long pid = fleet.instances().get(name).pid();
+        if (action instanceof InstanceAction.Start start) {
+            startProcess(start, nowMicros);
+        } else if (pid > 0 && action instanceof InstanceAction.Terminate) {
+            host.sendSigterm(name, pid);
         } else if (pid > 0) {
-            machine.kill(name, pid);
+            host.sendSigkill(name, pid);
+        }
+    }
+
+    private void startProcess(InstanceAction.Start start, long nowMicros) {
+        String name = start.instance();
+        try {
+            RunningProcess process = host.lockHolder(name);
+            if (process != null) {
+                adoptLateProcess(start, process);
+                return;
+            }
+            long pid = host.startProcess(name, start.build(), start.generation());
+            fleet.processStarted(name, start.generation(), pid);
+        } catch (IOException e) {
+            log.error("spawn_failed", "name", name, "build", start.build(), "error", e.getMessage());
+            fleet.processExited(name, start.generation(), FleetInstance.UNKNOWN_EXIT_CODE, nowMicros);
         }
     }
+
+    /** An unconfirmed start has taken its lock after its time; a second process would end at that lock. */
+    private void adoptLateProcess(InstanceAction.Start start, RunningProcess process) {
+        host.watchProcess(start.instance(), process.pid());
+        fleet.processStarted(start.instance(), start.generation(), process.pid());
+        log.warn("member_found", "name", start.instance(), "generation", process.generation());
+    }
 }
--- a/server/src/test/java/wheatspread/fleet/StoredNamesTest.java
+++ b/server/src/test/java/wheatspread/fleet/StoredNamesTest.java
@@ -22,24 +22,24 @@
 
     @Test
     void rolloutStatusesKeepTheirStoredNames() {
-        assertThat(Stream.of(Rollout.Status.values()).map(Rollout.Status::storedName))
+        assertThat(Stream.of(RolloutStatus.values()).map(RolloutStatus::storedName))
                 .containsExactly("RUNNING", "ROLLING_BACK", "DONE", "STOPPED", "ROLLED_BACK");
-        for (Rollout.Status status : Rollout.Status.values()) {
-            assertThat(Rollout.Status.fromStoredName(status.storedName())).isSameAs(status);
+        for (RolloutStatus status : RolloutStatus.values()) {
+            assertThat(RolloutStatus.fromStoredName(status.storedName())).isSameAs(status);
         }
-        assertThatThrownBy(() -> Rollout.Status.fromStoredName(""))
+        assertThatThrownBy(() -> RolloutStatus.fromStoredName(""))
                 .isInstanceOf(IllegalArgumentException.class)
                 .hasMessage("unknown status: ");
     }
 
     @Test
     void rolloutStepsKeepTheirStoredNames() {
-        assertThat(Stream.of(Rollout.Step.values()).map(Rollout.Step::storedName))
+        assertThat(Stream.of(RolloutStep.values()).map(RolloutStep::storedName))
                 .containsExactly("WAITING", "LEAVING", "GONE", "STARTING", "PROVING", "DONE");
-        for (Rollout.Step step : Rollout.Step.values()) {
-            assertThat(Rollout.Step.fromStoredName(step.storedName())).isSameAs(step);
+        for (RolloutStep step : RolloutStep.values()) {
+            assertThat(RolloutStep.fromStoredName(step.storedName())).isSameAs(step);
         }
-        assertThatThrownBy(() -> Rollout.Step.fromStoredName("NONE"))
+        assertThatThrownBy(() -> RolloutStep.fromStoredName("NONE"))
                 .isInstanceOf(IllegalArgumentException.class)
                 .hasMessage("unknown step: NONE");
     }
--- a/server/src/test/java/wheatspread/supervisor/StateFileTest.java
+++ b/server/src/test/java/wheatspread/supervisor/StateFileTest.java
@@ -13,16 +13,17 @@
 import org.junit.jupiter.api.io.TempDir;
 import wheatspread.fleet.FleetInstance;
 import wheatspread.fleet.FleetState;
-import wheatspread.fleet.Rollout;
+import wheatspread.fleet.RolloutStatus;
+import wheatspread.fleet.RolloutStep;
 
 class StateFileTest {
     @TempDir
     private Path dir;
 
     private static FleetState state(int generation, boolean rolled) {
-        FleetState.Of one = new FleetState.Of(
+        FleetState.InstanceRecord instance = new FleetState.InstanceRecord(
                 "n1",
-                FleetInstance.State.LEAVING,
+                FleetInstance.State.DRAINING,
                 true,
                 "v1",
                 generation,
@@ -35,23 +36,23 @@
                 9,
                 Long.MAX_VALUE);
         return new FleetState(
-                List.of(one),
+                List.of(instance),
                 rolled
-                        ? new FleetState.Roll(
+                        ? new FleetState.RolloutRecord(
                                 "v1",
                                 "v2",
-                                Rollout.Status.ROLLING_BACK,
+                                RolloutStatus.ROLLING_BACK,
                                 "why",
                                 1,
                                 6,
                                 0,
-                                Map.of("n1", Rollout.Step.GONE))
+                                Map.of("n1", RolloutStep.STOPPED))
                         : null,
                 true);
     }
 
     @Test
-    void whatIsSavedIsLoadedAndACrashBesideItChangesNothing() throws IOException {
+    void savedStateIsLoadedAndATornTemporaryFileIsIgnored() throws IOException {
         StateFile file = new StateFile(dir.resolve("state.json"));
         assertThat(file.load()).isNull();
         file.save(state(1, false));
@@ -62,7 +63,7 @@
     }
 
     @Test
-    void anotherVersionIsRefusedAndNotGuessed() throws IOException {
+    void unknownVersionAndMissingFieldsAreRefused() throws IOException {
         Path path = dir.resolve("state.json");
         Files.writeString(path, new JSONObject().put("version", 2).toString());
         assertThatThrownBy(new StateFile(path)::load).hasMessageContaining("is of version 2, not 1");
@@ -71,12 +72,12 @@
     }
 
     @Test
-    void commandsWaitForTheirSupervisorAndAreAnsweredOnce() throws Exception {
+    void commandWaitsForASupervisorAndIsAnsweredOnce() throws Exception {
         CommandSpool spool = new CommandSpool(dir);
         assertThat(spool.ask(new JSONObject().put("do", "down"), 0)).isNull(); // nobody reads yet
         Files.writeString(dir.resolve("commands/0.json"), "no JSON");
         CommandSpool.Command command = spool.next();
-        assertThat(command.told().getString("do")).isEqualTo("down");
+        assertThat(command.arguments().getString("do")).isEqualTo("down");
         assertThat(dir.resolve("commands/0.done")).content().contains("not a JSON object");
         spool.answer(command, new JSONObject().put("ok", true));
         assertThat(spool.next()).isNull();
--- a/server/src/test/java/wheatspread/supervisor/SupervisorFilesCompatibilityTest.java
+++ b/server/src/test/java/wheatspread/supervisor/SupervisorFilesCompatibilityTest.java
@@ -35,7 +35,7 @@
     @CsvSource({"running", "rolling-back", "done", "stopped", "rolled-back", "no-roll"})
     void anEarlierStateFileIsReadAndWrittenAgainUnchanged(String kind) throws IOException {
         FleetState state = stateOf(kind);
-        assertThat(state.members().stream().map(member -> member.state().storedName()))
+        assertThat(state.instances().stream().map(member -> member.state().storedName()))
                 .containsExactly("ABSENT", "STARTING", "UP", "UNWELL", "LEAVING", "HELD");
         Path copy = dir.resolve("state.json");
         new StateFile(copy).save(state);
@@ -45,41 +45,41 @@
     @Test
     void everyFieldOfAnEarlierStateFileKeepsItsMeaning() throws IOException {
         FleetState state = stateOf("rolling-back");
-        assertThat(state.down()).isFalse();
-        assertThat(stateOf("stopped").down()).isTrue();
-        assertThat(stateOf("no-roll").roll()).isNull();
+        assertThat(state.shuttingDown()).isFalse();
+        assertThat(stateOf("stopped").shuttingDown()).isTrue();
+        assertThat(stateOf("no-roll").rollout()).isNull();
 
-        FleetState.Of up = state.members().get(2);
+        FleetState.InstanceRecord up = state.instances().get(2);
         assertThat(up.name()).isEqualTo("n3");
-        assertThat(up.wanted()).isTrue();
+        assertThat(up.shouldRun()).isTrue();
         assertThat(up.build()).isEqualTo("v1");
         assertThat(up.generation()).isEqualTo(3);
         assertThat(up.pid()).isEqualTo(103);
-        assertThat(up.since()).isEqualTo(SAVED_AT_MICROS - 5_000_000);
-        assertThat(up.startedAt()).isEqualTo(SAVED_AT_MICROS - 9_000_000);
-        assertThat(up.wellAt()).isEqualTo(SAVED_AT_MICROS - 8_000_000);
-        assertThat(up.heldUntil()).isEqualTo(-1);
-        assertThat(state.members().get(4).wanted()).isFalse();
+        assertThat(up.stateSinceMicros()).isEqualTo(SAVED_AT_MICROS - 5_000_000);
+        assertThat(up.startedAtMicros()).isEqualTo(SAVED_AT_MICROS - 9_000_000);
+        assertThat(up.firstHealthyAtMicros()).isEqualTo(SAVED_AT_MICROS - 8_000_000);
+        assertThat(up.heldUntilMicros()).isEqualTo(-1);
+        assertThat(state.instances().get(4).shouldRun()).isFalse();
 
-        FleetState.Of held = state.members().get(5);
-        assertThat(held.ends())
+        FleetState.InstanceRecord held = state.instances().get(5);
+        assertThat(held.exitTimesMicros())
                 .containsExactly(
                         SAVED_AT_MICROS - 30_000_000, SAVED_AT_MICROS - 20_000_000, SAVED_AT_MICROS - 5_000_000);
-        assertThat(held.endsInARow()).isEqualTo(3);
-        assertThat(held.notBefore()).isEqualTo(SAVED_AT_MICROS - 4_000_000);
-        assertThat(held.heldUntil()).isEqualTo(SAVED_AT_MICROS + 60_000_000);
+        assertThat(held.consecutiveExits()).isEqualTo(3);
+        assertThat(held.nextStartMicros()).isEqualTo(SAVED_AT_MICROS - 4_000_000);
+        assertThat(held.heldUntilMicros()).isEqualTo(SAVED_AT_MICROS + 60_000_000);
 
-        FleetState.Roll roll = state.roll();
-        assertThat(roll.from()).isEqualTo("v1");
-        assertThat(roll.to()).isEqualTo("v2");
-        assertThat(roll.status().storedName()).isEqualTo("ROLLING_BACK");
-        assertThat(roll.reason()).isEqualTo("n1: ended with code 78");
-        assertThat(roll.failures()).isOne();
-        assertThat(roll.beganAt()).isEqualTo(SAVED_AT_MICROS - 12_000_000);
-        assertThat(roll.endedAt()).isZero();
-        assertThat(stateOf("done").roll().endedAt()).isEqualTo(SAVED_AT_MICROS - 1_000_000);
+        FleetState.RolloutRecord rollout = state.rollout();
+        assertThat(rollout.fromBuild()).isEqualTo("v1");
+        assertThat(rollout.toBuild()).isEqualTo("v2");
+        assertThat(rollout.status().storedName()).isEqualTo("ROLLING_BACK");
+        assertThat(rollout.reason()).isEqualTo("n1: ended with code 78");
+        assertThat(rollout.failures()).isOne();
+        assertThat(rollout.startedAtMicros()).isEqualTo(SAVED_AT_MICROS - 12_000_000);
+        assertThat(rollout.endedAtMicros()).isZero();
+        assertThat(stateOf("done").rollout().endedAtMicros()).isEqualTo(SAVED_AT_MICROS - 1_000_000);
         Map<String, String> steps = new LinkedHashMap<>();
-        roll.steps().forEach((name, step) -> steps.put(name, step.storedName()));
+        rollout.steps().forEach((name, step) -> steps.put(name, step.storedName()));
         assertThat(steps)
                 .isEqualTo(Map.of(
                         "n1",
@@ -114,15 +114,15 @@
                 new FleetPlan.Backoff(200_000, 2, 5_000_000, 0.2, 60_000_000, 3, 60_000_000, 0));
         FleetController fleet = new FleetController(plan, 7, EventLog.NONE);
         FleetState state = stateOf(kind);
-        Map<String, FleetState.Found> alive = new LinkedHashMap<>();
-        for (FleetState.Of member : state.members().subList(1, 5)) {
-            alive.put(member.name(), new FleetState.Found(member.pid(), member.generation()));
+        Map<String, FleetState.RunningProcess> alive = new LinkedHashMap<>();
+        for (FleetState.InstanceRecord member : state.instances().subList(1, 5)) {
+            alive.put(member.name(), new FleetState.RunningProcess(member.pid(), member.generation()));
         }
         fleet.restore(state, alive, SAVED_AT_MICROS);
-        fleet.heard("n3", 3, new Health(true, 40, 2, 1, 250_000), SAVED_AT_MICROS + 100_000);
+        fleet.healthCheckAnswered("n3", 3, new Health(true, 40, 2, 1, 250_000), SAVED_AT_MICROS + 100_000);
 
         JSONObject expected = new JSONObject(Files.readString(FILES.resolve("status-" + kind + ".json")));
-        JSONObject written = StatusFile.of(fleet, SAVED_AT_MICROS + 400_000).put("pid", expected.get("pid"));
+        JSONObject written = StatusFile.toJson(fleet, SAVED_AT_MICROS + 400_000).put("pid", expected.get("pid"));
         Files.writeString(dir.resolve("status.json"), written.toString());
         assertThat(new StatusFile(dir).read().toMap()).isEqualTo(expected.toMap());
     }
--- a/server/src/test/java/wheatspread/supervisor/SupervisorTest.java
+++ b/server/src/test/java/wheatspread/supervisor/SupervisorTest.java
@@ -15,25 +15,32 @@
 import wheatspread.fleet.FleetInstance;
 import wheatspread.fleet.FleetInstance.State;
 import wheatspread.fleet.FleetPlan;
-import wheatspread.fleet.Rollout.Status;
+import wheatspread.fleet.RolloutStatus;
 import wheatspread.logging.EventLog;
 import wheatspread.supervisor.SimulatedHost.Behaviour;
 
 /** A supervisor on a machine in memory, which lets it die at every step. */
 class SupervisorTest {
-    private static final long MS = SimulatedHost.MS;
-    private static final long TURN = 50 * MS;
-    private static final FleetPlan.Backoff BACKOFF =
-            new FleetPlan.Backoff(200 * MS, 2, 5_000 * MS, 0.2, 60_000 * MS, 4, 60_000 * MS, 0);
+    private static final long MICROS_PER_MILLI = SimulatedHost.MICROS_PER_MILLI;
+    private static final long TURN_MICROS = 50 * MICROS_PER_MILLI;
+    private static final FleetPlan.Backoff BACKOFF = new FleetPlan.Backoff(
+            200 * MICROS_PER_MILLI,
+            2,
+            5_000 * MICROS_PER_MILLI,
+            0.2,
+            60_000 * MICROS_PER_MILLI,
+            4,
+            60_000 * MICROS_PER_MILLI,
+            0);
 
-    private SimulatedHost machine = new SimulatedHost();
+    private SimulatedHost host = new SimulatedHost();
     private FleetController fleet;
     private Supervisor supervisor;
-    private int mostOut;
+    private int maxUnavailableSeen;
     /** Whether the fleet was whole once, after which its members out of service are counted. */
-    private boolean whole;
+    private boolean allServedOnce;
 
-    private int lost;
+    private int killedByTest;
 
     private static FleetPlan plan(int size, double outShare) {
         List<String> names = new ArrayList<>();
@@ -44,218 +51,233 @@
                 names,
                 "v1",
                 8,
-                5_000 * MS,
-                4_000 * MS,
-                3_000 * MS,
+                5_000 * MICROS_PER_MILLI,
+                4_000 * MICROS_PER_MILLI,
+                3_000 * MICROS_PER_MILLI,
                 3,
-                15_000 * MS,
-                2_000 * MS,
-                new FleetPlan.Rolling(outShare, 0, 5, 1_000 * MS, 8_000 * MS, 0.5, 1, true),
+                15_000 * MICROS_PER_MILLI,
+                2_000 * MICROS_PER_MILLI,
+                new FleetPlan.Rolling(outShare, 0, 5, 1_000 * MICROS_PER_MILLI, 8_000 * MICROS_PER_MILLI, 0.5, 1, true),
                 BACKOFF);
     }
 
     private FleetPlan plan = plan(6, 0.34);
 
     @BeforeEach
-    void begin() {
-        supervise();
+    void startFirstSupervisor() {
+        startSupervisor();
     }
 
-    private void supervise() {
+    private void startSupervisor() {
         try {
             fleet = new FleetController(plan, 7, EventLog.NONE);
-            supervisor = new Supervisor(fleet, machine, 200 * MS, EventLog.NONE);
-            supervisor.begin(machine.now);
+            supervisor = new Supervisor(fleet, host, 200 * MICROS_PER_MILLI, EventLog.NONE);
+            supervisor.recover(host.nowMicros);
         } catch (IOException e) {
             throw new AssertionError(e);
         }
     }
 
     /** Turns until something holds or the time is over; a supervisor that dies comes back after 0.4 s. */
-    private void turn(long most, java.util.function.BooleanSupplier until) {
-        for (long end = machine.now + most; machine.now < end && !until.getAsBoolean(); ) {
+    private void runTurns(long most, java.util.function.BooleanSupplier until) {
+        for (long end = host.nowMicros + most; host.nowMicros < end && !until.getAsBoolean(); ) {
             try {
-                supervisor.turn(machine.now);
-            } catch (SimulatedHost.Crash crash) {
-                machine.reborn();
-                machine.pass(400 * MS);
-                supervise();
+                supervisor.runTurn(host.nowMicros);
+            } catch (SimulatedHost.SupervisorCrash crash) {
+                host.supervisorRestarted();
+                host.advance(400 * MICROS_PER_MILLI);
+                startSupervisor();
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
-            machine.pass(TURN);
-            int serving = (int) plan.members().stream().filter(machine::serves).count();
-            whole |= serving == plan.members().size();
-            mostOut = whole ? Math.max(mostOut, plan.members().size() - serving - lost) : 0;
+            host.advance(TURN_MICROS);
+            int serving = (int) plan.instances().stream().filter(host::serves).count();
+            allServedOnce |= serving == plan.instances().size();
+            maxUnavailableSeen = allServedOnce
+                    ? Math.max(maxUnavailableSeen, plan.instances().size() - serving - killedByTest)
+                    : 0;
         }
-        assertThat(machine.faults).isEmpty();
+        assertThat(host.violations).isEmpty();
     }
 
-    private void up() {
-        turn(20_000 * MS, () -> fleet.roster().count(State.UP) == plan.members().size());
-        assertThat(fleet.roster().count(State.UP)).isEqualTo(plan.members().size());
+    private void awaitAllHealthy() {
+        runTurns(
+                20_000 * MICROS_PER_MILLI,
+                () -> fleet.instances().count(State.HEALTHY) == plan.instances().size());
+        assertThat(fleet.instances().count(State.HEALTHY))
+                .isEqualTo(plan.instances().size());
     }
 
-    private boolean rollOver() {
-        return fleet.roll() != null && fleet.roll().over();
+    private boolean rolloutIsOver() {
+        return fleet.rollout() != null && fleet.rollout().isOver();
     }
 
-    private void roll(int count) {
-        fleet.roll("v2", List.of(), count, machine.now);
-        turn(120_000 * MS, this::rollOver);
-        turn(5_000 * MS, () -> fleet.roster().count(State.UP) == plan.members().size());
+    private void rollOut(int count) {
+        fleet.startRollout("v2", List.of(), count, host.nowMicros);
+        runTurns(120_000 * MICROS_PER_MILLI, this::rolloutIsOver);
+        runTurns(
+                5_000 * MICROS_PER_MILLI,
+                () -> fleet.instances().count(State.HEALTHY) == plan.instances().size());
     }
 
-    private long running(String build) {
-        return machine.procs.values().stream()
-                .filter(one -> one.alive && one.build.equals(build))
+    private long countRunning(String build) {
+        return host.processes.values().stream()
+                .filter(instance -> instance.running && instance.build.equals(build))
                 .count();
     }
 
     @Test
-    void aRollGoesThroughAFewAtATime() {
-        up();
-        roll(5);
-        assertThat(fleet.roll().status()).isEqualTo(Status.DONE);
-        assertThat(running("v2")).isEqualTo(5);
-        assertThat(running("v1")).isOne();
-        assertThat(mostOut).isEqualTo(2); // a third of six
-        assertThatThrownBy(() -> fleet.roll("v2", List.of("n9"), 0, machine.now))
+    void rolloutReplacesInstancesWithinTheUnavailableBound() {
+        awaitAllHealthy();
+        rollOut(5);
+        assertThat(fleet.rollout().status()).isEqualTo(RolloutStatus.COMPLETED);
+        assertThat(countRunning("v2")).isEqualTo(5);
+        assertThat(countRunning("v1")).isOne();
+        assertThat(maxUnavailableSeen).isEqualTo(2); // a third of six
+        assertThatThrownBy(() -> fleet.startRollout("v2", List.of("n9"), 0, host.nowMicros))
                 .hasMessageContaining("n9");
     }
 
     /** The supervisor dies before and after each thing it does, at every step of a start and a roll. */
     @Test
-    void whereverTheSupervisorDiesNothingIsStartedTwiceAndTheRollEndsAsPlanned() {
-        up();
-        roll(5);
-        int steps = machine.steps;
+    void supervisorCrashAtAnyStepStartsNothingTwiceAndCompletesTheRollout() {
+        awaitAllHealthy();
+        rollOut(5);
+        int steps = host.steps;
         assertThat(steps).isGreaterThan(60);
         for (int at = 0; at < steps; at++) {
-            machine = new SimulatedHost();
-            machine.crashAt = at;
-            mostOut = 0;
-            whole = false;
-            supervise();
-            turn(30_000 * MS, () -> fleet.roster().count(State.UP) == 6);
-            if (fleet.roll() == null) {
-                fleet.roll("v2", List.of(), 5, machine.now);
+            host = new SimulatedHost();
+            host.crashAtStep = at;
+            maxUnavailableSeen = 0;
+            allServedOnce = false;
+            startSupervisor();
+            runTurns(30_000 * MICROS_PER_MILLI, () -> fleet.instances().count(State.HEALTHY) == 6);
+            if (fleet.rollout() == null) {
+                fleet.startRollout("v2", List.of(), 5, host.nowMicros);
             }
-            if (machine.crashAt >= 0) {
-                machine.crashAt = Math.max(at, machine.steps);
+            if (host.crashAtStep >= 0) {
+                host.crashAtStep = Math.max(at, host.steps);
             }
-            turn(120_000 * MS, () -> rollOver() && fleet.roster().count(State.UP) == 6);
-            assertThat(machine.faults).as("died at step %d", at).isEmpty();
+            runTurns(
+                    120_000 * MICROS_PER_MILLI,
+                    () -> rolloutIsOver() && fleet.instances().count(State.HEALTHY) == 6);
+            assertThat(host.violations).as("died at step %d", at).isEmpty();
             // a command that was given and not written down before the death is given again by its spool
-            if (fleet.roll() != null) {
-                assertThat(fleet.roll().status()).as("died at step %d", at).isEqualTo(Status.DONE);
-                assertThat(running("v2")).as("died at step %d", at).isEqualTo(5);
+            if (fleet.rollout() != null) {
+                assertThat(fleet.rollout().status()).as("died at step %d", at).isEqualTo(RolloutStatus.COMPLETED);
+                assertThat(countRunning("v2")).as("died at step %d", at).isEqualTo(5);
             }
-            assertThat(mostOut).as("died at step %d", at).isLessThanOrEqualTo(2);
-            assertThat(machine.procs.values().stream().filter(one -> one.alive).count())
+            assertThat(maxUnavailableSeen).as("died at step %d", at).isLessThanOrEqualTo(2);
+            assertThat(host.processes.values().stream()
+                            .filter(instance -> instance.running)
+                            .count())
                     .isEqualTo(6);
         }
     }
 
     /** A start in doubt that shows only after its time is taken on, and not started beside. */
     @Test
-    void aLateProcessIsTakenOn() {
-        machine.builds.put("v1", new Behaviour(2_450 * MS, 3_000 * MS, 0, 0, false, 0));
-        turn(100 * MS, () -> false);
-        machine.reborn();
-        supervise();
-        up();
-        assertThat(machine.procs.values()).allMatch(one -> one.alive && one.generation == 1);
+    void unconfirmedStartThatLocksLateIsAdopted() {
+        host.builds.put("v1", new Behaviour(2_450 * MICROS_PER_MILLI, 3_000 * MICROS_PER_MILLI, 0, 0, false, 0));
+        runTurns(100 * MICROS_PER_MILLI, () -> false);
+        host.supervisorRestarted();
+        startSupervisor();
+        awaitAllHealthy();
+        assertThat(host.processes.values()).allMatch(instance -> instance.running && instance.generation == 1);
     }
 
     @Test
-    void aBuildThatFailsItsStartStopsTheRollAndTheOldOneServes() {
-        up();
-        machine.builds.put("v2", new Behaviour(0, 1_000 * MS, 300 * MS, 78, false, 0));
-        long began = machine.now;
-        fleet.roll("v2", List.of(), 0, machine.now);
-        turn(10_000 * MS, () -> fleet.roll().status() != Status.RUNNING);
-        assertThat(machine.now - began).isLessThan(5_000 * MS);
-        turn(20_000 * MS, this::rollOver);
-        assertThat(fleet.roll().status()).isEqualTo(Status.ROLLED_BACK);
-        assertThat(fleet.roll().reason()).contains("of build v2 ended with code 78", "before it was well");
-        assertThat(running("v1")).isEqualTo(6);
-        assertThat(mostOut).isLessThanOrEqualTo(2);
+    void buildThatExitsBeforeItIsHealthyIsRolledBack() {
+        awaitAllHealthy();
+        host.builds.put("v2", new Behaviour(0, 1_000 * MICROS_PER_MILLI, 300 * MICROS_PER_MILLI, 78, false, 0));
+        long began = host.nowMicros;
+        fleet.startRollout("v2", List.of(), 0, host.nowMicros);
+        runTurns(10_000 * MICROS_PER_MILLI, () -> fleet.rollout().status() != RolloutStatus.IN_PROGRESS);
+        assertThat(host.nowMicros - began).isLessThan(5_000 * MICROS_PER_MILLI);
+        runTurns(20_000 * MICROS_PER_MILLI, this::rolloutIsOver);
+        assertThat(fleet.rollout().status()).isEqualTo(RolloutStatus.ROLLED_BACK);
+        assertThat(fleet.rollout().reason()).contains("of build v2 ended with code 78", "before it was well");
+        assertThat(countRunning("v1")).isEqualTo(6);
+        assertThat(maxUnavailableSeen).isLessThanOrEqualTo(2);
     }
 
     @Test
-    void aBuildThatFailsAfterAWhileIsRolledBack() {
-        up();
-        machine.builds.put("v2", new Behaviour(100 * MS, 500 * MS, 3_500 * MS, 70, false, 0));
-        fleet.roll("v2", List.of(), 0, machine.now);
-        turn(20_000 * MS, () -> fleet.roll().status() != Status.RUNNING);
-        assertThat(fleet.roll().reason()).contains("ended with code 70 ", "ms after it was well");
-        turn(60_000 * MS, this::rollOver);
-        turn(10_000 * MS, () -> running("v1") == 6);
-        assertThat(running("v1")).isEqualTo(6);
-        assertThat(running("v2")).isZero();
+    void buildThatExitsAfterItWasHealthyIsRolledBack() {
+        awaitAllHealthy();
+        host.builds.put(
+                "v2",
+                new Behaviour(100 * MICROS_PER_MILLI, 500 * MICROS_PER_MILLI, 3_500 * MICROS_PER_MILLI, 70, false, 0));
+        fleet.startRollout("v2", List.of(), 0, host.nowMicros);
+        runTurns(20_000 * MICROS_PER_MILLI, () -> fleet.rollout().status() != RolloutStatus.IN_PROGRESS);
+        assertThat(fleet.rollout().reason()).contains("ended with code 70 ", "ms after it was well");
+        runTurns(60_000 * MICROS_PER_MILLI, this::rolloutIsOver);
+        runTurns(10_000 * MICROS_PER_MILLI, () -> countRunning("v1") == 6);
+        assertThat(countRunning("v1")).isEqualTo(6);
+        assertThat(countRunning("v2")).isZero();
     }
 
     @Test
-    void aBuildThatFailsItsRequestsIsRolledBackAndOneThatIsNeverWellToo() {
-        up();
-        machine.builds.put("v2", new Behaviour(100 * MS, 500 * MS, 0, 0, false, 80));
-        roll(0);
-        assertThat(fleet.roll().status()).isEqualTo(Status.ROLLED_BACK);
-        assertThat(fleet.roll().reason()).contains("failed").contains("of").contains("requests");
-        machine.builds.put("v2", new Behaviour(100 * MS, 1L << 50, 0, 0, false, 0));
-        roll(0);
-        assertThat(fleet.roll().status()).isEqualTo(Status.ROLLED_BACK);
-        assertThat(fleet.roll().reason()).contains("before it was well");
-        assertThat(running("v1")).isEqualTo(6);
+    void buildThatFailsRequestsOrIsNeverHealthyIsRolledBack() {
+        awaitAllHealthy();
+        host.builds.put("v2", new Behaviour(100 * MICROS_PER_MILLI, 500 * MICROS_PER_MILLI, 0, 0, false, 80));
+        rollOut(0);
+        assertThat(fleet.rollout().status()).isEqualTo(RolloutStatus.ROLLED_BACK);
+        assertThat(fleet.rollout().reason()).contains("failed").contains("of").contains("requests");
+        host.builds.put("v2", new Behaviour(100 * MICROS_PER_MILLI, 1L << 50, 0, 0, false, 0));
+        rollOut(0);
+        assertThat(fleet.rollout().status()).isEqualTo(RolloutStatus.ROLLED_BACK);
+        assertThat(fleet.rollout().reason()).contains("before it was well");
+        assertThat(countRunning("v1")).isEqualTo(6);
     }
 
     /** A fifth of the fleet is killed in the middle: the roll waits until enough of them are back. */
     @Test
-    void aRollPausesWhileOthersAreOutAndGoesOn() {
+    void rolloutPausesWhileOtherInstancesAreUnavailableAndResumes() {
         plan = plan(20, 0.2);
-        machine = new SimulatedHost();
-        supervise();
-        up();
-        fleet.roll("v2", List.of(), 17, machine.now);
-        turn(5_000 * MS, () -> false);
-        List.of("n15", "n16", "n17", "n18").forEach(machine::die);
-        lost = 4;
-        turn(3_000 * MS, () -> fleet.roll().paused());
-        assertThat(fleet.roll().paused()).isTrue();
-        turn(120_000 * MS, this::rollOver);
-        assertThat(fleet.roll().status()).isEqualTo(Status.DONE);
-        assertThat(running("v2")).isEqualTo(17);
-        assertThat(mostOut).isLessThanOrEqualTo(4);
+        host = new SimulatedHost();
+        startSupervisor();
+        awaitAllHealthy();
+        fleet.startRollout("v2", List.of(), 17, host.nowMicros);
+        runTurns(5_000 * MICROS_PER_MILLI, () -> false);
+        List.of("n15", "n16", "n17", "n18").forEach(host::crash);
+        killedByTest = 4;
+        runTurns(3_000 * MICROS_PER_MILLI, () -> fleet.rollout().isPaused());
+        assertThat(fleet.rollout().isPaused()).isTrue();
+        runTurns(120_000 * MICROS_PER_MILLI, this::rolloutIsOver);
+        assertThat(fleet.rollout().status()).isEqualTo(RolloutStatus.COMPLETED);
+        assertThat(countRunning("v2")).isEqualTo(17);
+        assertThat(maxUnavailableSeen).isLessThanOrEqualTo(4);
     }
 
     @Test
-    void aCrashLoopIsHeldAndTheOthersGoOn() {
-        up();
-        machine.procs.get("n3").alive = false;
-        machine.builds.put("v1", new Behaviour(50 * MS, 100 * MS, 300 * MS, 1, false, 0));
-        turn(30_000 * MS, () -> fleet.roster().count(State.HELD) > 0);
-        assertThat(fleet.roster().get("n3").state()).isEqualTo(State.HELD);
-        assertThat(fleet.roster().count(State.UP)).isEqualTo(5);
-        machine.builds.put("v1", Behaviour.GOOD);
-        turn(5_000 * MS, () -> false);
-        assertThat(fleet.roster().get("n3").state()).isEqualTo(State.HELD); // until somebody starts it
-        fleet.start("n3", machine.now);
-        up();
+    void crashLoopIsHeldUntilAnOperatorStartsItAndAffectsNoOther() {
+        awaitAllHealthy();
+        host.processes.get("n3").running = false;
+        host.builds.put(
+                "v1",
+                new Behaviour(50 * MICROS_PER_MILLI, 100 * MICROS_PER_MILLI, 300 * MICROS_PER_MILLI, 1, false, 0));
+        runTurns(30_000 * MICROS_PER_MILLI, () -> fleet.instances().count(State.CRASH_LOOP) > 0);
+        assertThat(fleet.instances().get("n3").state()).isEqualTo(State.CRASH_LOOP);
+        assertThat(fleet.instances().count(State.HEALTHY)).isEqualTo(5);
+        host.builds.put("v1", Behaviour.GOOD);
+        runTurns(5_000 * MICROS_PER_MILLI, () -> false);
+        assertThat(fleet.instances().get("n3").state()).isEqualTo(State.CRASH_LOOP); // until somebody starts it
+        fleet.enable("n3", host.nowMicros);
+        awaitAllHealthy();
     }
 
     @Test
-    void pausesGrowAndOneThatRanLongBeginsAnew() {
-        up();
+    void restartDelayDoublesWithEachExit() {
+        awaitAllHealthy();
         List<Long> pauses = new ArrayList<>();
-        machine.builds.put("v1", new Behaviour(0, 50 * MS, 100 * MS, 1, false, 0));
-        machine.die("n1");
+        host.builds.put("v1", new Behaviour(0, 50 * MICROS_PER_MILLI, 100 * MICROS_PER_MILLI, 1, false, 0));
+        host.crash("n1");
         for (int i = 0; i < 3; i++) {
-            turn(5_000 * MS, () -> fleet.roster().get("n1").state() == State.ABSENT);
-            long ended = machine.now;
-            turn(5_000 * MS, () -> fleet.roster().get("n1").state() != State.ABSENT);
-            pauses.add((machine.now - ended) / MS);
-            turn(5_000 * MS, () -> fleet.roster().get("n1").state() == State.ABSENT);
+            runTurns(5_000 * MICROS_PER_MILLI, () -> fleet.instances().get("n1").state() == State.STOPPED);
+            long ended = host.nowMicros;
+            runTurns(5_000 * MICROS_PER_MILLI, () -> fleet.instances().get("n1").state() != State.STOPPED);
+            pauses.add((host.nowMicros - ended) / MICROS_PER_MILLI);
+            runTurns(5_000 * MICROS_PER_MILLI, () -> fleet.instances().get("n1").state() == State.STOPPED);
         }
         assertThat(pauses.get(0)).isBetween(150L, 300L);
         assertThat(pauses.get(1)).isBetween(300L, 550L);
@@ -263,66 +285,71 @@
     }
 
     @Test
-    void whoDoesNotLeaveOrAnswerIsKilled() {
-        machine.builds.put("v1", new Behaviour(100 * MS, 500 * MS, 0, 0, true, 0));
-        up();
-        fleet.drain("n2", machine.now);
-        turn(6_000 * MS, () -> false);
-        assertThat(machine.procs.get("n2").alive).isFalse();
-        assertThat(machine.procs.get("n2").code).isEqualTo(137);
-        assertThat(fleet.roster().get("n2").state()).isEqualTo(State.ABSENT); // drained: it stays away
-        machine.mute = true;
-        turn(4_000 * MS, () -> false);
-        assertThat(fleet.roster().get("n1").state()).isEqualTo(State.UNWELL);
-        assertThat(fleet.roster().isStale(fleet.roster().get("n1"), machine.now))
+    void instanceThatIgnoresSigtermOrHealthChecksIsKilled() {
+        host.builds.put("v1", new Behaviour(100 * MICROS_PER_MILLI, 500 * MICROS_PER_MILLI, 0, 0, true, 0));
+        awaitAllHealthy();
+        fleet.drain("n2", host.nowMicros);
+        runTurns(6_000 * MICROS_PER_MILLI, () -> false);
+        assertThat(host.processes.get("n2").running).isFalse();
+        assertThat(host.processes.get("n2").exitCode).isEqualTo(137);
+        assertThat(fleet.instances().get("n2").state()).isEqualTo(State.STOPPED); // drained: it stays away
+        host.checksUnanswered = true;
+        runTurns(4_000 * MICROS_PER_MILLI, () -> false);
+        assertThat(fleet.instances().get("n1").state()).isEqualTo(State.UNHEALTHY);
+        assertThat(fleet.instances().isStale(fleet.instances().get("n1"), host.nowMicros))
                 .isTrue();
-        int before = fleet.roster().get("n1").generation();
-        turn(14_000 * MS, () -> false);
-        assertThat(fleet.roster().get("n1").generation()).isGreaterThan(before);
+        int before = fleet.instances().get("n1").generation();
+        runTurns(14_000 * MICROS_PER_MILLI, () -> false);
+        assertThat(fleet.instances().get("n1").generation()).isGreaterThan(before);
     }
 
     @Test
-    void theFleetGoesDownAndAMemberThatThePlanDroppedLeaves() {
-        up();
+    void instanceDroppedFromThePlanIsDrainedAndShutDownDrainsAll() {
+        awaitAllHealthy();
         plan = plan(4, 0.34);
-        supervise(); // another file, read by a later supervisor
-        turn(
-                10_000 * MS,
-                () -> machine.procs.values().stream().filter(one -> one.alive).count() == 4);
-        assertThat(machine.procs.get("n5").alive).isFalse();
-        fleet.goDown(machine.now);
-        turn(10_000 * MS, () -> fleet.isDown());
-        assertThat(machine.procs.values()).noneMatch(one -> one.alive);
-        assertThat(machine.procs.values()).allMatch(one -> one.code == 0);
+        startSupervisor(); // another file, read by a later supervisor
+        runTurns(
+                10_000 * MICROS_PER_MILLI,
+                () -> host.processes.values().stream()
+                                .filter(instance -> instance.running)
+                                .count()
+                        == 4);
+        assertThat(host.processes.get("n5").running).isFalse();
+        fleet.shutDown(host.nowMicros);
+        runTurns(10_000 * MICROS_PER_MILLI, () -> fleet.isShutDown());
+        assertThat(host.processes.values()).noneMatch(instance -> instance.running);
+        assertThat(host.processes.values()).allMatch(instance -> instance.exitCode == 0);
     }
 
     /** Members and supervisor die at random while a roll goes on; in the end everybody runs, once. */
     @Property(tries = 150, seed = "41")
-    void whateverDiesTheFleetComesBack(@ForAll long seed) {
-        machine = new SimulatedHost();
+    void fleetRecoversFromRandomCrashesOfInstancesAndSupervisor(@ForAll long seed) {
+        host = new SimulatedHost();
         SplittableRandom random = new SplittableRandom(seed);
-        supervise();
+        startSupervisor();
         for (int i = 0; i < 12; i++) {
-            machine.crashAt = random.nextInt(3) == 0 ? machine.steps + random.nextInt(20) : -1;
-            if (i == 3 && fleet.roll() == null) {
-                fleet.roll("v2", List.of(), 4, machine.now);
+            host.crashAtStep = random.nextInt(3) == 0 ? host.steps + random.nextInt(20) : -1;
+            if (i == 3 && fleet.rollout() == null) {
+                fleet.startRollout("v2", List.of(), 4, host.nowMicros);
             }
             String name = "n" + (1 + random.nextInt(6));
-            if (random.nextInt(3) == 0 && machine.procs.containsKey(name)) {
-                machine.die(name);
+            if (random.nextInt(3) == 0 && host.processes.containsKey(name)) {
+                host.crash(name);
             }
-            lost = 6;
-            turn(random.nextLong(4_000 * MS), () -> false);
+            killedByTest = 6;
+            runTurns(random.nextLong(4_000 * MICROS_PER_MILLI), () -> false);
         }
-        turn(
-                300_000 * MS,
-                () -> (fleet.roll() == null || fleet.roll().over())
-                        && fleet.roster().all().stream()
-                                .allMatch(one -> one.state() == State.UP || one.state() == State.HELD));
-        assertThat(fleet.roll() == null || fleet.roll().over()).isTrue();
-        assertThat(fleet.roster().all()).allMatch(one -> one.state() == State.UP || one.state() == State.HELD);
-        for (FleetInstance one : fleet.roster().all()) {
-            assertThat(machine.serves(one.name())).isEqualTo(one.state() == State.UP);
+        runTurns(
+                300_000 * MICROS_PER_MILLI,
+                () -> (fleet.rollout() == null || fleet.rollout().isOver())
+                        && fleet.instances().all().stream()
+                                .allMatch(instance ->
+                                        instance.state() == State.HEALTHY || instance.state() == State.CRASH_LOOP));
+        assertThat(fleet.rollout() == null || fleet.rollout().isOver()).isTrue();
+        assertThat(fleet.instances().all())
+                .allMatch(instance -> instance.state() == State.HEALTHY || instance.state() == State.CRASH_LOOP);
+        for (FleetInstance instance : fleet.instances().all()) {
+            assertThat(host.serves(instance.name())).isEqualTo(instance.state() == State.HEALTHY);
         }
     }
 }
