--- a/server/src/main/java/wheatspread/admission/AdmissionController.java
+++ b/server/src/main/java/wheatspread/admission/AdmissionController.java
@@ -1,87 +1,96 @@
 package wheatspread.admission;
 
 /**
- * Decides, inside one server, which requests are run, held and turned away. The host calls {@link #beginBatch}
- * with the clock, then the events that have come in, in order, then {@link #decide}, which sends all actions.
- * One object serves one process life; it is not safe for use by several threads. Times are microseconds.
+ * Decides, inside one server, which requests run, are held and are rejected. The host calls {@link #beginBatch} with
+ * the time, then passes the events that have come in, in order, then calls {@link #decide}, which sends all actions.
+ * One object serves one process; it is not safe for use by several threads. All times are microseconds.
  */
 public interface AdmissionController {
 
-    /** Starts a batch of events at the given clock, which never goes back. */
-    void beginBatch(long now);
+    /** Starts a batch of events at the given time, which never goes back. */
+    void beginBatch(long nowMicros);
 
-    /** A try was read and is held. */
+    /** A request was read; it is held until a decision. */
     void onArrival(AdmissionRequest request);
 
-    /** A run or a join ended after {@code elapsed}. */
-    void onCompletion(long id, Outcome outcome, long elapsed);
+    /** A run, or the wait of a joining request, has ended after {@code elapsedMicros}. */
+    void onCompletion(long id, Outcome outcome, long elapsedMicros);
 
-    /** A run can go on only with a call. */
+    /** A run cannot go on without a dependency call. */
     void onBlocked(long id);
 
-    /** A call ended after {@code elapsed}. */
-    void onCallCompleted(long id, Outcome outcome, long elapsed);
+    /** A dependency call has ended after {@code elapsedMicros}. */
+    void onCallCompleted(long id, Outcome outcome, long elapsedMicros);
 
-    /** The caller has gone; no answer is owed. */
+    /** The client has gone away; the request needs no answer. */
     void onCancellation(long id);
 
-    /** This process is stopped after {@code left}. */
-    void onDrain(long left);
+    /** This process is stopped after {@code timeLeftMicros}. */
+    void onDrain(long timeLeftMicros);
 
     /**
-     * The settings were retuned at SIGHUP: {@code next} has the classes it had, by the same index, and new
-     * ones after them. Requests in hand keep their class.
+     * The settings were reloaded: {@code next} has all request classes of the old ones, by the same index, and may
+     * have more after them. Requests in flight keep their class.
      */
     void onSettingsChanged(AdmissionSettings next);
 
-    /** A timer set by {@link Actions#scheduleWakeup} is due. */
+    /** A wakeup set by {@link Actions#scheduleWakeup} has come. */
     void onTimer(LoadGauges gauges);
 
-    /** Ends the batch: all decisions are made now and sent to {@code actions}. */
+    /** Ends the batch: makes all decisions and sends them to {@code actions}. */
     void decide(Actions actions);
 
-    /** Where decisions go. */
+    /** Receives the decisions. */
     interface Actions {
-        /** Starts a held request. */
+        /** Starts a held request, or resumes a suspended one. */
         void run(long id);
 
-        /** Turns a request away that never ran. */
-        void reject(long id, long stayAway, boolean dontRetry);
+        /**
+         * Rejects a request that never ran.
+         *
+         * @param retryAfterMicros how long the client should stay away; 0 for no such advice
+         * @param doNotRetry whether the client should not retry at all
+         */
+        void reject(long id, long retryAfterMicros, boolean doNotRetry);
 
-        /** Answers with an error that promises nothing. */
+        /** Answers with an error that does not say whether the request ran. */
         void fail(long id);
 
-        /** Stops running work. */
+        /** Stops or suspends a run. */
         void preempt(long id);
 
-        /** Makes the call a request stands at. */
-        void callDependency(long id, long giveUpAfter);
+        /** Makes the dependency call that a run waits for, and gives it up after {@code timeoutMicros}. */
+        void callDependency(long id, long timeoutMicros);
 
-        /** Lets a request go on without its call. */
+        /** Lets a run go on without its dependency call. */
         void skipDependency(long id);
 
-        /** Remembers the request's key. */
-        void retainKey(long id, long ttl);
+        /** Remembers the request's key for {@code ttlMicros}. */
+        void retainKey(long id, long ttlMicros);
 
         /** Forgets the request's key. */
         void releaseKey(long id);
 
-        /** Answers a repeat with the result of the request it repeats. */
+        /** Answers a repeat with the result of the request that it repeats, once there is one. */
         void joinResult(long id);
 
-        /** Sets what health checks hear. */
-        void setHealth(boolean good, boolean stored);
+        /**
+         * Sets the answer to health checks.
+         *
+         * @param stored whether checks are answered from this setting, without work of their own
+         */
+        void setHealth(boolean healthy, boolean stored);
 
-        /** Sets the value that goes with every answer. */
+        /** Sets the value that goes with every answer; {@link LoadFeedbackMode} says what it means. */
         void setLoadFeedback(double value);
 
-        /** Closes connections unused for this long; 0 means the longest allowed. */
-        void setIdleTimeout(long after);
+        /** Closes connections that were idle for this long; 0 means the longest time allowed. */
+        void setIdleTimeout(long timeoutMicros);
 
-        /** Asks for a {@link #onTimer} event. */
-        void scheduleWakeup(long after);
+        /** Asks for an {@link #onTimer} event. */
+        void scheduleWakeup(long delayMicros);
 
-        /** Leaves a line for the operators. */
+        /** Writes a line to the operators' log. */
         void log(String text);
     }
 }
--- a/server/src/main/java/wheatspread/admission/AdmissionRequest.java
+++ b/server/src/main/java/wheatspread/admission/AdmissionRequest.java
@@ -1,10 +1,19 @@
 package wheatspread.admission;
 
 /**
- * One try that was read. {@code timeoutMicros} is how long its caller still waits, 0 where that is not told;
- * {@code ageMicros} how long ago it reached the machine; {@code duplicateOf} the request it repeats, or 0;
- * {@code retry} marks a try after the first where callers mark them; {@code expectedWorkMicros} the expected work, as
- * time on a core of usual speed, 0 where none is told.
+ * One request that was read.
+ *
+ * @param id its number, unique in this process
+ * @param tenant index of its tenant
+ * @param requestClass index of its class
+ * @param ageMicros how long ago it reached the machine
+ * @param timeoutMicros how long its client still waits; 0 if unknown
+ * @param duplicateOf id of the request that it repeats; 0 if none
+ * @param retry whether its client marked it as an attempt after the first
+ * @param cacheable whether it has a cache key
+ * @param write whether it changes data
+ * @param heldKb memory that it takes while held, in kilobytes
+ * @param expectedWorkMicros expected time on a core of the usual speed; 0 if unknown
  */
 public record AdmissionRequest(
         long id,
--- a/server/src/main/java/wheatspread/admission/RequestClass.java
+++ b/server/src/main/java/wheatspread/admission/RequestClass.java
@@ -1,6 +1,18 @@
 package wheatspread.admission;
 
-/** One class of requests; {@code degradedResponseWeight} is the part of the worth earned without the call. */
+/**
+ * One class of requests.
+ *
+ * @param latencyObjectiveMicros time from arrival within which an answer earns the full weight
+ * @param objectiveStretch how much longer the objective is per unit of expected work
+ * @param deadlineMicros time from arrival within which a request is answered
+ * @param idempotency how often a request may take effect
+ * @param weight priority weight that an answer earns
+ * @param lateWeightFactor part of the weight that an answer after the objective earns
+ * @param idempotencyWindowMicros how long a repeat with the same idempotency key takes no effect
+ * @param callsDependency whether requests may call the dependency
+ * @param degradedResponseWeight part of the weight that an answer without the call earns; 0 if it cannot be skipped
+ */
 public record RequestClass(
         long latencyObjectiveMicros,
         double objectiveStretch,
@@ -11,6 +23,12 @@
         long idempotencyWindowMicros,
         boolean callsDependency,
         double degradedResponseWeight) {
+
+    /**
+     * Checks the values.
+     *
+     * @throws IllegalArgumentException if a value is out of bounds; the message names the setting
+     */
     public RequestClass {
         SettingChecks.atLeast("class deadline", deadlineMicros, 1);
         SettingChecks.atLeast("class aim", latencyObjectiveMicros, 1);
--- a/server/src/main/java/wheatspread/admission/ServerLimits.java
+++ b/server/src/main/java/wheatspread/admission/ServerLimits.java
@@ -1,6 +1,17 @@
 package wheatspread.admission;
 
-/** What the server dies of; {@code coldSpeedFloor} is the least speed of a cold process. */
+/**
+ * What the server survives.
+ *
+ * @param memoryKb memory for requests and keys, in kilobytes
+ * @param runningMemoryFactor memory of a started request, as a multiple of a held one's
+ * @param idempotencyKeyKb memory of a retained key, in kilobytes
+ * @param overloadMultiple started requests per core that a warm server survives
+ * @param coldSpeedFloor least speed of a cold process, as a share of its full speed
+ * @param warmUpMicros time until a cold process has its full speed
+ * @param answerSlackMicros time that an answer may take to reach the client after the deadline
+ * @param drainGraceMicros time after the drain notice in which requests that are written are still run
+ */
 public record ServerLimits(
         double memoryKb,
         double runningMemoryFactor,
@@ -10,6 +21,12 @@
         long warmUpMicros,
         long answerSlackMicros,
         long drainGraceMicros) {
+
+    /**
+     * Checks the values.
+     *
+     * @throws IllegalArgumentException if a value is out of bounds; the message names the setting
+     */
     public ServerLimits {
         SettingChecks.atLeast("memoryKb", memoryKb, 1);
         SettingChecks.atLeast("runFactor", runningMemoryFactor, 1);
--- a/server/src/main/java/wheatspread/admission/SettingChecks.java
+++ b/server/src/main/java/wheatspread/admission/SettingChecks.java
@@ -4,18 +4,21 @@
 final class SettingChecks {
     private SettingChecks() {}
 
-    static void atLeast(String name, double value, double least) {
-        if (!(value >= least) || Double.isInfinite(value)) {
-            throw new IllegalArgumentException(name + ": " + value + " is under " + least + " or no number");
+    /** Checks that a value is a finite number and not below a minimum. */
+    static void atLeast(String name, double value, double minimum) {
+        if (!(value >= minimum) || Double.isInfinite(value)) {
+            throw new IllegalArgumentException(name + ": " + value + " is under " + minimum + " or no number");
         }
     }
 
-    static void atMost(String name, double value, double most) {
-        if (value > most) {
-            throw new IllegalArgumentException(name + ": " + value + " is above " + most);
+    /** Checks that a value is not above a maximum. */
+    static void atMost(String name, double value, double maximum) {
+        if (value > maximum) {
+            throw new IllegalArgumentException(name + ": " + value + " is above " + maximum);
         }
     }
 
+    /** Checks that a value is not null. */
     static void present(String name, Object value) {
         if (value == null) {
             throw new IllegalArgumentException(name + ": missing");
--- a/server/src/main/java/wheatspread/admission/TenantList.java
+++ b/server/src/main/java/wheatspread/admission/TenantList.java
@@ -6,8 +6,8 @@
 import java.util.RandomAccess;
 
 /**
- * An immutable list of tenants that keeps 8 bytes for each: their quotas stand in one array, and
- * {@link #get} makes the object anew.
+ * An immutable list of tenants that takes 8 bytes for each: their quotas are one array, and {@link #get} creates the
+ * object.
  */
 public final class TenantList extends AbstractList<Tenant> implements RandomAccess {
     private final double[] quotas;
--- a/server/src/main/java/wheatspread/admission/sfq/LoadFeedback.java
+++ b/server/src/main/java/wheatspread/admission/sfq/LoadFeedback.java
@@ -5,7 +5,7 @@
 import wheatspread.admission.LoadFeedbackMode;
 
 /**
- * What clients are told about how much to send. The withheld share of their load rises slowly while the pressure is
+ * The feedback to clients about how much to send. The withheld share of their load rises slowly while the pressure is
  * above 1 and falls while it is under; a read delay withholds at once. In the window mode a server offers its clients
  * up to a multiple of twice D, divided among them. The multiple shrinks under pressure and recovers once the overload
  * is over, so that clients do not keep avoiding an idle server. A cold server offers by its proven speed.
@@ -21,8 +21,7 @@
     private static final double MIN_REPORTED_CHANGE = 0.02;
     /** Largest multiple of the base window that clients may have outstanding, since their requests come in bursts. */
     private static final double MAX_WINDOW_MULTIPLE = 4;
-    /** Growth of the window multiple per tick, and the change of the window that is reported; it shrinks twice as
-     * fast. */
+    /** Growth of the window multiple per tick; it shrinks twice as fast. Also the change that is reported. */
     private static final double WINDOW_GROWTH = 0.1;
     /** Pressure under which the window multiple grows. */
     private static final double LOW_PRESSURE = 0.3;
--- a/server/src/main/java/wheatspread/admission/sfq/LoadPressure.java
+++ b/server/src/main/java/wheatspread/admission/sfq/LoadPressure.java
@@ -3,7 +3,7 @@
 import wheatspread.admission.LoadFeedbackMode;
 
 /**
- * How far the server is from its bounds: the largest of held-queue fill, read delay and, where clients can be told a
+ * How far the server is from its bounds: the largest of held-queue fill, read delay and, where clients follow a
  * priority threshold, the share of rejected requests, each over the value that counts as a pressure of 1.
  */
 final class LoadPressure {
--- a/server/src/main/java/wheatspread/admission/sfq/LoadShedder.java
+++ b/server/src/main/java/wheatspread/admission/sfq/LoadShedder.java
@@ -6,10 +6,10 @@
 import wheatspread.admission.AdmissionController.Actions;
 
 /**
- * Which held request is rejected, and what its client is told. Past the bound on memory or on the held queue, the flow
- * with the largest lead loses the newest of its requests with the least weight. Under pressure clients are told not to
- * retry and to stay away for a random time between one and two thirds of the longest allowed, so that they do not
- * return together.
+ * Which held request is rejected, and with which advice to its client. Past the bound on memory or on the held queue,
+ * the flow with the largest lead loses the newest of its requests with the least weight. Under pressure clients are
+ * asked not to retry and to stay away for a random time between one and two thirds of the longest allowed, so that
+ * they do not return together.
  */
 final class LoadShedder {
     private final ReloadableSettings settings;
--- a/server/src/main/java/wheatspread/admission/sfq/RequestExpiry.java
+++ b/server/src/main/java/wheatspread/admission/sfq/RequestExpiry.java
@@ -4,9 +4,9 @@
 import wheatspread.admission.AdmissionController.Actions;
 
 /**
- * Ends, at each tick, what is due before the next one or can earn nothing any more. A held request is rejected once
- * its objective has passed; a started or joining one is given up at its deadline, or when it is worthless unless it
- * has an idempotency key. Answered runs are stopped.
+ * Ends, at each tick, requests whose deadline comes before the next one and those that can earn nothing any more. A
+ * held request is rejected once its objective has passed; a started or joining one is given up at its deadline, or
+ * when it is worthless unless it has an idempotency key. Answered runs are stopped.
  */
 final class RequestExpiry {
     private final ReloadableSettings settings;
--- a/server/src/main/java/wheatspread/admission/sfq/RunTermination.java
+++ b/server/src/main/java/wheatspread/admission/sfq/RunTermination.java
@@ -35,7 +35,7 @@
     /**
      * Stops the work of an answered request unless others wait for its result.
      *
-     * @return whether it was told to stop
+     * @return whether a stop was requested
      */
     boolean stop(TrackedRequest tracked, Actions actions) {
         boolean stoppable = tracked.state == RequestState.RUNNING
--- a/server/src/main/java/wheatspread/heap/IndexedHeap.java
+++ b/server/src/main/java/wheatspread/heap/IndexedHeap.java
@@ -13,27 +13,30 @@
  * threads.
  */
 public final class IndexedHeap {
-    private static final int FIRST_CAPACITY = 16;
+    private static final int INITIAL_CAPACITY = 16;
 
-    /** By index: its position in the arrays below plus one, 0 while it is not in the heap. */
-    private final int[] places;
+    /** By index: its position in {@link #indexes} and {@link #keys} plus one, 0 while it is not in the heap. */
+    private final int[] positionsPlusOne;
+
+    /** By position: the index there. */
+    private int[] indexes = new int[INITIAL_CAPACITY];
+    /** By position: the key of the index there. */
+    private double[] keys = new double[INITIAL_CAPACITY];
 
-    private int[] indexes = new int[FIRST_CAPACITY];
-    private double[] keys = new double[FIRST_CAPACITY];
     private int size;
 
-    /** Makes an empty heap for indexes from 0 to {@code bound}, exclusive. */
+    /** Creates an empty heap for indexes from 0 to {@code bound}, exclusive. */
     public IndexedHeap(int bound) {
-        places = new int[bound];
+        positionsPlusOne = new int[bound];
     }
 
-    /** How many elements it holds. */
+    /** Returns the number of elements. */
     public int size() {
         return size;
     }
 
     /**
-     * The index that comes first.
+     * Returns the index with the smallest key.
      *
      * @throws IllegalStateException if the heap is empty
      */
@@ -44,15 +47,19 @@
         return indexes[0];
     }
 
-    /** Adds an index, or moves it if its key is another one now. Returns false if it was here with this key. */
+    /**
+     * Adds an index, or moves it if its key has changed.
+     *
+     * @return false if the heap had it with this key already
+     */
     public boolean put(int index, double key) {
-        double sortKey = key + 0.0; // no negative zero
-        if (places[index] == 0) {
+        double sortKey = key + 0.0; // turns a negative zero into a positive one
+        if (positionsPlusOne[index] == 0) {
             grow();
             siftUp(size++, index, sortKey);
             return true;
         }
-        int position = places[index] - 1;
+        int position = positionsPlusOne[index] - 1;
         int change = Double.compare(sortKey, keys[position]);
         if (change < 0) {
             siftUp(position, index, sortKey);
@@ -62,13 +69,17 @@
         return change != 0;
     }
 
-    /** Removes an index. Returns false if it was not here. */
+    /**
+     * Removes an index.
+     *
+     * @return false if the heap did not have it
+     */
     public boolean remove(int index) {
-        if (places[index] == 0) {
+        if (positionsPlusOne[index] == 0) {
             return false;
         }
-        int position = places[index] - 1;
-        places[index] = 0;
+        int position = positionsPlusOne[index] - 1;
+        positionsPlusOne[index] = 0;
         size--;
         if (position < size && siftUp(position, indexes[size], keys[size]) == position) {
             siftDown(position, indexes[size], keys[size]);
@@ -124,6 +135,6 @@
     private void place(int position, int index, double key) {
         indexes[position] = index;
         keys[position] = key;
-        places[index] = position + 1;
+        positionsPlusOne[index] = position + 1;
     }
 }
