--- a/server/src/main/java/wheatspread/core/ActiveSettings.java
+++ b/server/src/main/java/wheatspread/core/ActiveSettings.java
@@ -16,7 +16,7 @@
         return current;
     }
 
-    /** Merges reloaded settings into those in force; see {@link DeploymentSettings#retunedTo}. */
+    /** Merges reloaded settings into those in force; see {@link DeploymentSettings}. */
     void reload(DeploymentSettings next) {
         current = current.retunedTo(next);
     }
--- a/server/src/main/java/wheatspread/core/Core.java
+++ b/server/src/main/java/wheatspread/core/Core.java
@@ -37,16 +37,16 @@
     private final RequestLifecycle lifecycle;
     private final KernelEvents kernelEvents;
     private long warmAtMicros;
-    private Runnable whenUp = () -> {};
+    private Runnable firstBootHandler = () -> {};
 
     /**
      * Builds a core that rejects all requests until the kernel has booted.
      *
-     * @param site the settings until the first {@link #retune}
+     * @param initial the settings until the first reload
      * @param controllerFactory makes the admission controller, once, when the kernel has booted
      */
     public Core(
-            DeploymentSettings site,
+            DeploymentSettings initial,
             Function<AdmissionSettings, AdmissionController> controllerFactory,
             Clock clock,
             RecordsService records,
@@ -55,7 +55,7 @@
         this.controllerFactory = controllerFactory;
         this.announcer = announcer;
         this.clock = clock;
-        CoreContext context = CoreContext.create(site, clock, log);
+        CoreContext context = CoreContext.create(initial, clock, log);
         settings = context.settings();
         drain = context.drain();
         attempts = context.attempts();
@@ -78,8 +78,9 @@
     }
 
     /**
-     * Takes the classes of settings reloaded at SIGHUP (see {@link DeploymentSettings#retunedTo}) and returns the
-     * settings now in force. The controller learns of them before any request of a new class.
+     * Takes the classes of settings reloaded at SIGHUP, merges them into those in force (see
+     * {@link DeploymentSettings}), and returns the result. The controller learns of them before any request of a new
+     * class.
      */
     public DeploymentSettings retune(DeploymentSettings next) {
         settings.reload(next);
@@ -108,14 +109,14 @@
 
     /** Sets what to do when the kernel is up for the first time. */
     public void whenUp(Runnable task) {
-        whenUp = task;
+        firstBootHandler = task;
     }
 
     // ---- attempts ----
 
     /**
-     * Takes in an attempt, whose reply gets exactly one answer unless it is {@link #gone}. Returns the ticket for
-     * {@link #gone} and {@link #refuseUnlessBegun}, or null if it was answered at once.
+     * Takes in an attempt, whose reply gets exactly one answer unless the client disconnects first. Returns the
+     * ticket that identifies it in later calls, or null if it was answered at once.
      */
     public Long submit(InboundRequest request, Reply reply) {
         return lifecycle.submit(request, reply);
@@ -229,7 +230,7 @@
         if (!drain.draining()) {
             announcer.announce(true);
         }
-        whenUp.run();
+        firstBootHandler.run();
     }
 
     private void sweepKeys() {
@@ -239,21 +240,21 @@
 
     @Override
     public void blocked(String job, long noticeNumber, byte[] call) {
-        kernelEvents.blocked(job, noticeNumber, call);
+        kernelEvents.dependencyCallRequested(job, noticeNumber, call);
     }
 
     @Override
     public void ended(String job, Kernel.End end, long elapsedMicros, byte[] result) {
-        kernelEvents.ended(job, end, elapsedMicros, result);
+        kernelEvents.runEnded(job, end, elapsedMicros, result);
     }
 
     @Override
     public void notStarted(String job) {
-        kernelEvents.notStarted(job);
+        kernelEvents.runNotStarted(job);
     }
 
     @Override
     public void gauges(double[] readings) {
-        kernelEvents.gauges(readings);
+        kernelEvents.gaugesReported(readings);
     }
 }
--- a/server/src/main/java/wheatspread/core/FinalAnswers.java
+++ b/server/src/main/java/wheatspread/core/FinalAnswers.java
@@ -1,5 +1,6 @@
 package wheatspread.core;
 
+import java.util.List;
 import wheatspread.admission.Outcome;
 
 /**
@@ -100,7 +101,7 @@
             return;
         }
         idempotencyTable.remove(attempt.keyEntry());
-        var joiners = attempt.joiners();
+        List<Attempt> joiners = attempt.joiners();
         attempt.clearJoiners();
         for (Attempt joiner : joiners) {
             reportJoinEnd(joiner, Outcome.FAILED);
--- a/server/src/main/java/wheatspread/core/Kernel.java
+++ b/server/src/main/java/wheatspread/core/Kernel.java
@@ -11,7 +11,7 @@
         OK,
         /** The run failed. */
         ERROR,
-        /** The run was stopped by {@link Kernel#pause}. */
+        /** The run was suspended at the core's request. */
         STOPPED,
         /** The kernel ignored the command to start or resume the run. */
         MOOT
@@ -20,7 +20,7 @@
     /** Starts a run of the class named {@code requestClass}. */
     void run(String job, String requestClass, byte[] body);
 
-    /** Suspends a run; {@link Listener#ended} confirms it with {@link End#STOPPED}. */
+    /** Suspends a run; the listener hears of its end with {@link End#STOPPED}. */
     void pause(String job);
 
     /** Resumes a suspended run. */
@@ -32,7 +32,7 @@
     /** Continues a run without the dependency call that the notice {@code noticeNumber} asked for. */
     void skipCall(String job, long noticeNumber);
 
-    /** Asks for the gauges, which {@link Listener#gauges} brings. */
+    /** Asks for the gauges, which the listener is given. */
     void askGauges();
 
     /** Receives what the kernel reports, on the core's thread. */
--- a/server/src/main/java/wheatspread/core/KernelEvents.java
+++ b/server/src/main/java/wheatspread/core/KernelEvents.java
@@ -4,8 +4,8 @@
 import wheatspread.logging.EventLog;
 
 /**
- * Applies what the kernel reports on runs to their attempts. Reports on attempts that are no longer in flight are
- * ignored. Owned by the core's thread.
+ * Applies what the kernel reports, see {@link Kernel.Listener}, to the attempts. Reports on attempts that are no
+ * longer in flight are ignored. Owned by the core's thread.
  */
 final class KernelEvents {
     private final ActiveSettings settings;
@@ -22,8 +22,8 @@
         this.answers = answers;
     }
 
-    /** See {@link Kernel.Listener#blocked}. */
-    void blocked(String job, long noticeNumber, byte[] call) {
+    /** A run waits for a dependency call. */
+    void dependencyCallRequested(String job, long noticeNumber, byte[] call) {
         Attempt attempt = attempts.byJob(job);
         if (attempt != null) {
             attempt.dependencyCall().await(noticeNumber, call);
@@ -31,8 +31,8 @@
         }
     }
 
-    /** See {@link Kernel.Listener#ended}. */
-    void ended(String job, Kernel.End end, long elapsedMicros, byte[] result) {
+    /** A run ended. */
+    void runEnded(String job, Kernel.End end, long elapsedMicros, byte[] result) {
         Attempt attempt = attempts.byJob(job);
         if (attempt == null) {
             return;
@@ -73,8 +73,8 @@
         answers.finish(attempt, Answer.Kind.FAILED);
     }
 
-    /** See {@link Kernel.Listener#notStarted}. */
-    void notStarted(String job) {
+    /** A command to start or resume a run was not carried out. */
+    void runNotStarted(String job) {
         Attempt attempt = attempts.byJob(job);
         if (attempt != null && attempt.running()) {
             log.warn("kernel_not_started", "job", job);
@@ -82,8 +82,8 @@
         }
     }
 
-    /** See {@link Kernel.Listener#gauges}. */
-    void gauges(double[] readings) {
+    /** The kernel reported its gauges. */
+    void gaugesReported(double[] readings) {
         events.setGauges(DeploymentSettings.reading(
                 settings.current().gauges(), index -> index < readings.length ? readings[index] : Double.NaN));
     }
--- a/server/src/main/java/wheatspread/core/NameTable.java
+++ b/server/src/main/java/wheatspread/core/NameTable.java
@@ -8,52 +8,52 @@
 import org.agrona.collections.Int2IntHashMap;
 
 /**
- * An immutable list of distinct names that finds the index of a name by one hash lookup. All names stand as
- * UTF-8 in one byte array, so that 100,000 of them cost no object each. {@link #get} makes a new string;
+ * An immutable list of distinct names that finds the index of a name by one hash lookup. All names are kept
+ * as UTF-8 in one byte array, so that 100,000 of them cost no object each. {@link #get} makes a new string;
  * {@link #indexOf} makes none where the name is ASCII.
  */
 public final class NameTable extends AbstractList<String> implements RandomAccess {
     private static final int ABSENT = -1;
-    /** How many names may have one hash code; more, which nobody has by chance, would make look-ups slow. */
-    static final int MOST_ALIKE = 256;
-    /** From the key that another name has taken to the next one to try; odd, so that all keys are tried. */
-    private static final int NEXT_KEY = 0x9E3779B9;
+    /** How many names may share one hash code; more, which do not occur by chance, would make look-ups slow. */
+    static final int MAX_NAMES_PER_HASH = 256;
+    /** The step from a key that another name has taken to the next one; odd, so that all keys are reached. */
+    private static final int PROBE_STEP = 0x9E3779B9;
 
     private byte[] bytes = new byte[128];
-    /** Where the name of each index ends in {@link #bytes}; it begins where the one before it ends. */
+    /** The end of each name in {@link #bytes}, by index; a name begins where the one before it ends. */
     private int[] ends = new int[8];
-    /** From a name's hash code, or a key that follows it by {@link #NEXT_KEY}, to its index. */
-    private final Int2IntHashMap byHash = new Int2IntHashMap(ABSENT);
+    /** A name's index, by its hash code or a key that follows it in steps of {@link #PROBE_STEP}. */
+    private final Int2IntHashMap indexByKey = new Int2IntHashMap(ABSENT);
 
     private int size;
 
     private NameTable() {}
 
-    /** Gathers names; one builder makes one table. */
+    /** Collects names; one builder makes one table. */
     public static final class Builder {
         private final NameTable table = new NameTable();
 
-        /** The index of a name that was added, or -1. */
+        /** Returns the index of a name that was added, or -1. */
         public int indexOf(String name) {
             return table.indexOf(name);
         }
 
         /**
-         * Adds a name under the next index; throws {@link IllegalArgumentException} where it is there already,
-         * or where very many have its hash code.
+         * Adds a name under the next index; throws {@link IllegalArgumentException} if it was added before, or if
+         * {@value NameTable#MAX_NAMES_PER_HASH} names have its hash code already.
          */
         public void add(String name) {
             table.append(name);
         }
 
-        /** The table of all that was added; nothing may be added any more. */
+        /** Returns the table of all names that were added; no more may be added. */
         public NameTable build() {
             table.trim();
             return table;
         }
     }
 
-    /** The names in their order; they must be distinct. */
+    /** Returns a table of the names in their order; they must be distinct. */
     public static NameTable copyOf(Collection<String> names) {
         if (names instanceof NameTable table) {
             return table;
@@ -94,14 +94,15 @@
 
     private int find(String name) {
         int key = name.hashCode();
-        int index = byHash.get(key);
+        int index = indexByKey.get(key);
         while (index != ABSENT && !isAt(index, name)) {
-            key += NEXT_KEY;
-            index = byHash.get(key);
+            key += PROBE_STEP;
+            index = indexByKey.get(key);
         }
         return index;
     }
 
+    /** Where the name of an index begins, or is to begin if it is the next one. */
     private int start(int index) {
         return index == 0 ? 0 : ends[index - 1];
     }
@@ -124,12 +125,12 @@
 
     private int freeKey(String name) {
         int key = name.hashCode();
-        int alike = 0;
-        while (byHash.get(key) != ABSENT) {
-            if (++alike == MOST_ALIKE) {
-                throw new IllegalArgumentException(MOST_ALIKE + " names have the hash code of " + name);
+        int sameHash = 0;
+        while (indexByKey.get(key) != ABSENT) {
+            if (++sameHash == MAX_NAMES_PER_HASH) {
+                throw new IllegalArgumentException(MAX_NAMES_PER_HASH + " names have the hash code of " + name);
             }
-            key += NEXT_KEY;
+            key += PROBE_STEP;
         }
         return key;
     }
@@ -140,7 +141,7 @@
         }
         int key = freeKey(name);
         byte[] encoded = name.getBytes(StandardCharsets.UTF_8);
-        int start = size == 0 ? 0 : ends[size - 1];
+        int start = start(size);
         if (start + encoded.length > bytes.length) {
             bytes = Arrays.copyOf(bytes, Math.max(start + encoded.length, bytes.length + bytes.length / 2));
         }
@@ -149,13 +150,13 @@
         }
         System.arraycopy(encoded, 0, bytes, start, encoded.length);
         ends[size] = start + encoded.length;
-        byHash.put(key, size++);
+        indexByKey.put(key, size++);
     }
 
     private void trim() {
-        bytes = Arrays.copyOf(bytes, size == 0 ? 0 : ends[size - 1]);
+        bytes = Arrays.copyOf(bytes, start(size));
         ends = Arrays.copyOf(ends, size);
-        byHash.compact();
+        indexByKey.compact();
     }
 
     @Override
--- a/server/src/main/java/wheatspread/core/RequestLifecycle.java
+++ b/server/src/main/java/wheatspread/core/RequestLifecycle.java
@@ -53,7 +53,7 @@
         return attempt.id();
     }
 
-    /** Rejects an attempt that is not taken in; see {@link Core#turnAway}. */
+    /** Rejects an attempt that is not taken in, because a limit of its front was reached. */
     void rejectUnread(int requestClass, Reply reply, long retryAfterMicros) {
         counters.received();
         long adviceMicros = Math.min(retryAfterMicros, settings.maxRetryAfterMicros());
@@ -100,7 +100,7 @@
                 request.expectedWorkMicros());
     }
 
-    /** The client of an attempt disconnected; see {@link Core#gone}. */
+    /** The client of an attempt disconnected or cancelled it. */
     void cancel(Long id) {
         Attempt attempt = unanswered(id);
         if (attempt == null) {
@@ -112,7 +112,7 @@
         answers.letGo(attempt);
     }
 
-    /** Rejects an attempt unless its run has started; see {@link Core#refuseUnlessBegun}. */
+    /** Rejects an attempt that never ran and joined no other, since its client can send nothing more. */
     void rejectUnlessStarted(Long id) {
         Attempt attempt = unanswered(id);
         if (attempt != null && !attempt.everRan() && !attempt.joined()) {
--- a/server/src/main/java/wheatspread/timers/TimerWheel.java
+++ b/server/src/main/java/wheatspread/timers/TimerWheel.java
@@ -174,7 +174,7 @@
 
     /**
      * Advances to {@code nowMicros} and calls the timers that have expired, at most {@code maxTimers} of them, in the
-     * order of their ticks. What is left is called next time; see {@link #overdue}. Returns how many were called.
+     * order of their ticks. What is left is called next time. Returns how many were called.
      */
     public int expire(long nowMicros, int maxTimers) {
         advance(nowMicros >> TICK_BITS);
--- /dev/null
+++ b/server/src/test/java/wheatspread/core/CoreDrainTest.java
@@ -0,0 +1,64 @@
+package wheatspread.core;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import org.junit.jupiter.api.Test;
+
+/** What the core answers and runs while the server drains. */
+class CoreDrainTest {
+    private static final long SECOND = CoreHarness.SECOND;
+
+    private final CoreHarness harness = new CoreHarness();
+    private final Core core = harness.core;
+
+    @Test
+    void answersAllAttemptsByWhetherTheyRan() {
+        harness.decide(actions -> actions.run(1));
+        harness.submit("a", "k");
+        harness.settle();
+        harness.submit("b", "m");
+        harness.settle();
+        assertThat(core.inHand()).isEqualTo(new Core.InHand(1, 1, 0, 0, 0));
+        core.answerAll();
+        assertThat(harness.answers).containsExactly("a FAILED", "b REJECTED");
+        assertThat(core.open()).isZero();
+    }
+
+    @Test
+    void runsNothingThatArrivedAfterTheGrace() {
+        core.drain(harness.clock.nowMicros(), 10 * SECOND);
+        harness.advance(5 * SECOND / 2 + 1);
+        harness.decide(actions -> actions.run(1));
+        harness.submit("a", "k");
+        harness.settle();
+        assertThat(harness.kernelCommands).isEmpty();
+        assertThat(harness.answers).containsExactly("a REJECTED");
+    }
+
+    /** Its first byte arrived within the grace: the last byte counts, whose arrival time is when it was read. */
+    @Test
+    void runsNothingWhoseLastByteArrivedAfterTheGrace() {
+        core.drain(harness.clock.nowMicros(), 10 * SECOND);
+        long arrivalMicros = harness.clock.nowMicros() + 5 * SECOND / 2 - 1;
+        harness.advance(5 * SECOND / 2 + 1);
+        harness.decide(actions -> actions.run(1));
+        harness.submit("a", null, arrivalMicros);
+        harness.settle();
+        assertThat(harness.kernelCommands).isEmpty();
+        assertThat(harness.answers).containsExactly("a REJECTED");
+    }
+
+    /** The event loop may read the shutdown notice late; the grace runs from the notice. */
+    @Test
+    void measuresTheGraceFromTheShutdownNotice() {
+        long noticeMicros = harness.clock.nowMicros();
+        harness.advance(SECOND);
+        core.drain(noticeMicros, 10 * SECOND);
+        harness.advance(3 * SECOND / 2 + 1);
+        harness.decide(actions -> actions.run(1));
+        harness.submit("a", null);
+        harness.settle();
+        assertThat(harness.kernelCommands).isEmpty();
+        assertThat(harness.answers).containsExactly("a REJECTED");
+    }
+}
--- /dev/null
+++ b/server/src/test/java/wheatspread/core/CoreHarness.java
@@ -0,0 +1,196 @@
+package wheatspread.core;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Deque;
+import java.util.List;
+import java.util.function.Consumer;
+import wheatspread.admission.AdmissionController;
+import wheatspread.admission.AdmissionController.Actions;
+import wheatspread.admission.AdmissionRequest;
+import wheatspread.admission.AdmissionSettings;
+import wheatspread.admission.ClientSettings;
+import wheatspread.admission.DependencyKind;
+import wheatspread.admission.DependencyLimits;
+import wheatspread.admission.Idempotency;
+import wheatspread.admission.LoadFeedbackMode;
+import wheatspread.admission.LoadGauges;
+import wheatspread.admission.Outcome;
+import wheatspread.admission.PreemptionMode;
+import wheatspread.admission.RequestClass;
+import wheatspread.admission.ServerLimits;
+import wheatspread.logging.EventLog;
+
+/**
+ * A booted core without any wire, whose kernel only records commands and whose admission controller does what a test
+ * says. Its one class has idempotency keys, a window of 20 s and a drain grace of 2.5 s.
+ */
+final class CoreHarness {
+    static final long SECOND = 1_000_000;
+    static final long WINDOW_MICROS = 20 * SECOND;
+    static final long DRAIN_GRACE_MICROS = 5 * SECOND / 2;
+    static final long CLIENT_TIMEOUT_MICROS = 8 * SECOND;
+
+    private final Deque<Runnable> pendingTasks = new ArrayDeque<>();
+    final FakeClock clock = new FakeClock(1_700_000_000 * SECOND, pendingTasks::add);
+    /** The lines of the event log. */
+    final List<String> logLines = new ArrayList<>();
+    /** The commands that the kernel was given, as "command job". */
+    final List<String> kernelCommands = new ArrayList<>();
+    /** The final answers, as "job KIND". */
+    final List<String> answers = new ArrayList<>();
+    /** The completions and timers that the controller was given. */
+    final List<String> controllerEvents = new ArrayList<>();
+    /** The arrivals that the controller was given. */
+    final List<AdmissionRequest> arrivals = new ArrayList<>();
+
+    final Core core;
+    private final Deque<Consumer<Actions>> decisions = new ArrayDeque<>();
+
+    CoreHarness() {
+        core = new Core(
+                new DeploymentSettings(settings(), List.of("save"), List.of(), List.of()),
+                settings -> new ScriptedController(),
+                clock,
+                (job, body, timeoutMicros, listener) -> () -> {},
+                accepting -> {},
+                EventLog.lines(logLines::add));
+        core.attach(new RecordingKernel());
+        core.booted(false, 0);
+        settle();
+    }
+
+    private static AdmissionSettings settings() {
+        RequestClass idempotent =
+                new RequestClass(3 * SECOND, 0, 9 * SECOND, Idempotency.IDEMPOTENCY_KEY, 5, 0, WINDOW_MICROS, true, 0);
+        return new AdmissionSettings(
+                2,
+                1,
+                false,
+                PreemptionMode.SUSPEND,
+                0,
+                4_000,
+                new ServerLimits(20_000, 8, 10, 6, 0.2, SECOND, 60_000, DRAIN_GRACE_MICROS),
+                new DependencyLimits(DependencyKind.SHARED, 4, SECOND, 0),
+                new ClientSettings(1, LoadFeedbackMode.NONE, 0, 0, true, 0, 0, 0),
+                List.of(idempotent),
+                List.of());
+    }
+
+    /** Queues what the controller decides in its next batch after the first arrival; one entry a batch. */
+    void decide(Consumer<Actions> decision) {
+        decisions.add(decision);
+    }
+
+    /** Submits an attempt that arrives now; returns its ticket. */
+    Long submit(String job, String idempotencyKey) {
+        return submit(job, idempotencyKey, clock.nowMicros());
+    }
+
+    /** Submits an attempt whose first byte arrived at that time and whose last one arrives now. */
+    Long submit(String job, String idempotencyKey, long arrivalMicros) {
+        InboundRequest request = new InboundRequest(
+                job,
+                0,
+                0,
+                arrivalMicros,
+                clock.nowMicros() + CLIENT_TIMEOUT_MICROS,
+                true,
+                false,
+                20,
+                0,
+                idempotencyKey,
+                null,
+                new byte[0]);
+        return core.submit(request, answer -> answers.add(job + " " + answer.kind()));
+    }
+
+    /** Runs what is to run after the event-loop turn, until nothing is left. */
+    void settle() {
+        while (!pendingTasks.isEmpty()) {
+            pendingTasks.poll().run();
+        }
+    }
+
+    void advance(long micros) {
+        clock.advance(micros, this::settle);
+    }
+
+    private final class RecordingKernel implements Kernel {
+        @Override
+        public void run(String job, String requestClass, byte[] body) {
+            kernelCommands.add("run " + job);
+        }
+
+        @Override
+        public void pause(String job) {
+            kernelCommands.add("pause " + job);
+        }
+
+        @Override
+        public void resume(String job) {
+            kernelCommands.add("resume " + job);
+        }
+
+        @Override
+        public void callDone(String job, byte[] reply) {
+            kernelCommands.add("callDone " + job);
+        }
+
+        @Override
+        public void skipCall(String job, long noticeNumber) {
+            kernelCommands.add("skipCall " + job);
+        }
+
+        @Override
+        public void askGauges() {
+            kernelCommands.add("gauges");
+        }
+    }
+
+    /** Decides what the test has queued, and records its events. */
+    private final class ScriptedController implements AdmissionController {
+        private boolean arrived;
+
+        @Override
+        public void beginBatch(long nowMicros) {}
+
+        @Override
+        public void onArrival(AdmissionRequest request) {
+            arrived = true;
+            arrivals.add(request);
+        }
+
+        @Override
+        public void onCompletion(long id, Outcome outcome, long elapsedMicros) {
+            controllerEvents.add("completed " + id + " " + outcome);
+        }
+
+        @Override
+        public void onBlocked(long id) {}
+
+        @Override
+        public void onCallCompleted(long id, Outcome outcome, long elapsedMicros) {}
+
+        @Override
+        public void onCancellation(long id) {}
+
+        @Override
+        public void onDrain(long remainingMicros) {}
+
+        @Override
+        public void onSettingsChanged(AdmissionSettings next) {}
+
+        @Override
+        public void onTimer(LoadGauges gauges) {
+            controllerEvents.add("timer");
+        }
+
+        @Override
+        public void decide(Actions actions) {
+            if (arrived && !decisions.isEmpty()) {
+                decisions.poll().accept(actions);
+            }
+        }
+    }
+}
--- a/server/src/test/java/wheatspread/core/DeploymentSettingsTest.java
+++ b/server/src/test/java/wheatspread/core/DeploymentSettingsTest.java
@@ -14,15 +14,15 @@
 import wheatspread.admission.RequestClass;
 import wheatspread.admission.ServerLimits;
 
-/** A site retuned at SIGHUP, and the keys of requests whose tries change class with it. */
+/** Settings reloaded at SIGHUP, and the keys of requests whose attempts change class with the reload. */
 class DeploymentSettingsTest {
     private static final long SECOND = 1_000_000;
 
-    private static RequestClass keyed(long window) {
-        return new RequestClass(3 * SECOND, 0, 9 * SECOND, Idempotency.IDEMPOTENCY_KEY, 5, 0, window, true, 0);
+    private static RequestClass idempotent(long windowMicros) {
+        return new RequestClass(3 * SECOND, 0, 9 * SECOND, Idempotency.IDEMPOTENCY_KEY, 5, 0, windowMicros, true, 0);
     }
 
-    private static DeploymentSettings site(List<String> names, List<RequestClass> classes) {
+    private static DeploymentSettings settings(List<String> names, List<RequestClass> classes) {
         AdmissionSettings settings = new AdmissionSettings(
                 2,
                 1,
@@ -39,26 +39,28 @@
     }
 
     @Test
-    void classesKeepTheirIndexAndFiguresAndNewOnesComeAfter() {
-        DeploymentSettings old = site(List.of("save", "plan"), List.of(keyed(20 * SECOND), keyed(5 * SECOND)));
-        DeploymentSettings next = site(List.of("plan-r2", "plan"), List.of(keyed(7 * SECOND), keyed(1 * SECOND)));
+    void keepsIndexesAndFiguresOfClassesAndAppendsNewOnes() {
+        DeploymentSettings old =
+                settings(List.of("save", "plan"), List.of(idempotent(20 * SECOND), idempotent(5 * SECOND)));
+        DeploymentSettings next =
+                settings(List.of("plan-r2", "plan"), List.of(idempotent(7 * SECOND), idempotent(1 * SECOND)));
         DeploymentSettings merged = old.retunedTo(next);
         assertThat(merged.classes()).containsExactly("save", "plan", "plan-r2");
         assertThat(merged.settings().classes())
                 .extracting(RequestClass::idempotencyWindowMicros)
                 .containsExactly(20 * SECOND, 5 * SECOND, 7 * SECOND);
         assertThat(merged.retunedTo(next).classes())
-                .as("a second time, nothing new")
+                .as("the same reload again adds nothing")
                 .containsExactly("save", "plan", "plan-r2");
     }
 
-    /** Seen on the bench: a request first tried as save-plan came again as save-plan-r2 and ran twice. */
+    /** A request first sent as save-plan was retried as save-plan-r2 on the bench, and ran twice. */
     @Test
-    void triesOfOneRequestShareTheirKeyWhateverTheirClass() {
+    void attemptsOfOneRequestShareTheirKeyWhateverTheirClass() {
         byte[] body = {1, 2};
         InboundRequest first = new InboundRequest("a", 3, 0, 0, 9 * SECOND, true, false, 20, 0, "5c0f", null, body);
-        InboundRequest again =
+        InboundRequest retry =
                 new InboundRequest("b", 4, 0, SECOND, 10 * SECOND, true, false, 20, 0, "5c0f", null, body);
-        assertThat(IdempotencyTable.keyOf(again)).isEqualTo(IdempotencyTable.keyOf(first));
+        assertThat(IdempotencyTable.keyOf(retry)).isEqualTo(IdempotencyTable.keyOf(first));
     }
 }
--- a/server/src/test/java/wheatspread/core/FakeClock.java
+++ b/server/src/test/java/wheatspread/core/FakeClock.java
@@ -7,41 +7,43 @@
 import java.util.concurrent.Executor;
 
 /**
- * A clock that stands until a test moves it. Its timers fire on the thread that moves it, in the order of
- * their times, and those of one time in the order in which they were set.
+ * A clock that stands still until a test advances it. Its timers run on the thread that advances it, in the order of
+ * their deadlines, and those with the same deadline in the order in which they were set.
  */
 public final class FakeClock implements Clock {
-    private final Executor soon;
-    private final TreeMap<Long, Map<Integer, Runnable>> timers = new TreeMap<>();
-    private volatile long now;
-    private int set;
+    private final Executor afterTurn;
+    private final TreeMap<Long, Map<Integer, Runnable>> tasksByDeadline = new TreeMap<>();
+    private volatile long nowMicros;
+    private int lastNumber;
 
     /**
-     * Begins.
+     * Makes a clock that stands at the given time.
      *
      * @param nowMicros in Unix microseconds
-     * @param soon runs what is to happen once what is being read has been read
+     * @param afterTurn takes the tasks that run after the event-loop turn
      */
-    public FakeClock(long now, Executor soon) {
-        this.now = now;
-        this.soon = soon;
+    public FakeClock(long nowMicros, Executor afterTurn) {
+        this.nowMicros = nowMicros;
+        this.afterTurn = afterTurn;
     }
 
     @Override
     public long nowMicros() {
-        return now;
+        return nowMicros;
     }
 
     @Override
-    public Timer after(long micros, Runnable task) {
-        long at = now + micros;
-        int number = ++set;
-        timers.computeIfAbsent(at, time -> new TreeMap<>()).put(number, task);
-        return () -> cancel(at, number);
+    public Timer after(long delayMicros, Runnable task) {
+        long deadlineMicros = nowMicros + delayMicros;
+        int number = ++lastNumber;
+        tasksByDeadline
+                .computeIfAbsent(deadlineMicros, deadline -> new TreeMap<>())
+                .put(number, task);
+        return () -> cancel(deadlineMicros, number);
     }
 
-    private void cancel(long at, int number) {
-        timers.computeIfPresent(at, (time, tasks) -> {
+    private void cancel(long deadlineMicros, int number) {
+        tasksByDeadline.computeIfPresent(deadlineMicros, (deadline, tasks) -> {
             tasks.remove(number);
             return tasks.isEmpty() ? null : tasks;
         });
@@ -49,53 +51,53 @@
 
     @Override
     public void soon(Runnable task) {
-        soon.execute(task);
+        afterTurn.execute(task);
     }
 
     /** How many timers are set. */
     public int pending() {
-        return timers.values().stream().mapToInt(Map::size).sum();
+        return tasksByDeadline.values().stream().mapToInt(Map::size).sum();
     }
 
-    /** Moves on, and fires all that is due on the way; {@code between} runs after those of one time. */
+    /** Advances and runs all timers that expire on the way; {@code between} runs after those of one deadline. */
     public void advance(long micros, Runnable between) {
-        long until = now + micros;
-        while (fireNext(until)) {
+        long untilMicros = nowMicros + micros;
+        while (fireNext(untilMicros)) {
             between.run();
         }
     }
 
-    /** Moves on, and fires all that is due on the way. */
+    /** Advances and runs all timers that expire on the way. */
     public void advance(long micros) {
         advance(micros, () -> {});
     }
 
     /**
-     * Moves on to the first timers that are due by a time and fires them, those of one time together; false
-     * if there are none, and then it is that time.
+     * Advances to the first deadline up to {@code untilMicros} and runs its timers; returns false if there is none,
+     * and advances to {@code untilMicros} then.
      */
-    public boolean fireNext(long until) {
-        Map.Entry<Long, Map<Integer, Runnable>> next = timers.firstEntry();
-        if (next == null || next.getKey() > until) {
-            now = until;
+    public boolean fireNext(long untilMicros) {
+        Map.Entry<Long, Map<Integer, Runnable>> next = tasksByDeadline.firstEntry();
+        if (next == null || next.getKey() > untilMicros) {
+            nowMicros = untilMicros;
             return false;
         }
-        timers.remove(next.getKey());
-        now = next.getKey();
+        tasksByDeadline.remove(next.getKey());
+        nowMicros = next.getKey();
         next.getValue().values().forEach(Runnable::run);
         return true;
     }
 
-    /** Moves on and fires nothing. */
+    /** Advances without running any timer. */
     public void skip(long micros) {
-        now += micros;
+        nowMicros += micros;
     }
 
-    /** Fires every timer that is set, whenever it is due; the clock stands. */
+    /** Runs every timer that is set, whatever its deadline; the clock does not advance. */
     public void fireAll() {
         List<Runnable> tasks = new ArrayList<>();
-        timers.values().forEach(some -> tasks.addAll(some.values()));
-        timers.clear();
+        tasksByDeadline.values().forEach(sameDeadline -> tasks.addAll(sameDeadline.values()));
+        tasksByDeadline.clear();
         tasks.forEach(Runnable::run);
     }
 }
--- a/server/src/test/java/wheatspread/core/NameTableTest.java
+++ b/server/src/test/java/wheatspread/core/NameTableTest.java
@@ -8,24 +8,25 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/** Lookups by name and by index, and the bound on names that share a hash code. */
 class NameTableTest {
-    /** Names are found by what they are, and not by their hash code alone: "Aa" and "BB" have one. */
+    /** Names are found by their text, and not by their hash code alone: "Aa" and "BB" share one. */
     @Test
-    void namesOfOneHashCodeAreToldApartUpToABound() {
+    void findsNamesOfOneHashCodeUpToTheBound() {
         NameTable.Builder builder = new NameTable.Builder();
-        for (int i = 0; i < NameTable.MOST_ALIKE; i++) {
-            builder.add(ofOneHashCode(i));
+        for (int i = 0; i < NameTable.MAX_NAMES_PER_HASH; i++) {
+            builder.add(nameWithSharedHash(i));
         }
-        assertThatThrownBy(() -> builder.add(ofOneHashCode(NameTable.MOST_ALIKE)))
+        assertThatThrownBy(() -> builder.add(nameWithSharedHash(NameTable.MAX_NAMES_PER_HASH)))
                 .hasMessageStartingWith("256 names have the hash code of ");
         NameTable names = builder.build();
         for (int i = 0; i < names.size(); i++) {
-            assertThat(names.indexOf(ofOneHashCode(i))).isEqualTo(i);
+            assertThat(names.indexOf(nameWithSharedHash(i))).isEqualTo(i);
         }
-        assertThat(names.indexOf(ofOneHashCode(names.size()))).isEqualTo(-1);
+        assertThat(names.indexOf(nameWithSharedHash(names.size()))).isEqualTo(-1);
     }
 
-    private static String ofOneHashCode(int number) {
+    private static String nameWithSharedHash(int number) {
         StringBuilder name = new StringBuilder();
         for (int bit = 0; bit < 10; bit++) {
             name.append((number >> bit & 1) == 0 ? "Aa" : "BB");
@@ -35,7 +36,7 @@
 
     @Test
     @Timeout(value = 30, unit = TimeUnit.SECONDS)
-    void everyOfManyNamesWithOneLongPrefixIsFoundAndNoOther() {
+    void findsEachOfManyNamesWithACommonPrefixAndNoOther() {
         String prefix = "the/same/long/beginning/".repeat(8);
         NameTable.Builder builder = new NameTable.Builder();
         for (int i = 0; i < 300_000; i++) {
@@ -49,7 +50,7 @@
     }
 
     @Test
-    void namesAreThoseThatWereGiven() {
+    void keepsTheNamesAndTheirOrder() {
         List<String> given = List.of("north", "n", "", "Žemaitija", "žemaitija", "小麦", "north ", "🌾");
         NameTable names = NameTable.copyOf(given);
         assertThat(names).isEqualTo(given).hasSameHashCodeAs(given).isEqualTo(NameTable.copyOf(List.copyOf(given)));
--- a/server/src/test/java/wheatspread/handover/SharedIdempotencyClaimsTest.java
+++ b/server/src/test/java/wheatspread/handover/SharedIdempotencyClaimsTest.java
@@ -11,53 +11,57 @@
 
 /** Two processes of one server, as during an upgrade: a key that one ran the other does not run again. */
 class SharedIdempotencyClaimsTest {
-    private static final long WINDOW = 5_000_000;
+    private static final long WINDOW_MICROS = 5_000_000;
 
     @TempDir
     Path folder;
 
     @Test
-    void aKeyRunInOneProcessIsNotRunInTheOtherWithinItsWindow() throws IOException {
-        SharedIdempotencyClaims old = new SharedIdempotencyClaims(folder, 101, EventLog.lines(line -> {}));
+    void rejectsAKeyThatTheOtherProcessClaimedWithinItsWindow() throws IOException {
+        SharedIdempotencyClaims previous = new SharedIdempotencyClaims(folder, 101, EventLog.lines(line -> {}));
         SharedIdempotencyClaims next = new SharedIdempotencyClaims(folder, 202, EventLog.lines(line -> {}));
-        assertThat(old.claim("u 3 k1", 1_000_000, WINDOW)).isTrue();
-        assertThat(next.claim("u 3 k1", 3_350_000, WINDOW))
+        assertThat(previous.claim("u 3 k1", 1_000_000, WINDOW_MICROS)).isTrue();
+        assertThat(next.claim("u 3 k1", 3_350_000, WINDOW_MICROS))
                 .as("a retry within the window")
                 .isFalse();
-        assertThat(next.claim("u 3 k2", 3_350_000, WINDOW)).as("another key").isTrue();
-        assertThat(old.claim("u 3 k2", 3_400_000, WINDOW)).isFalse();
-        assertThat(next.claim("u 3 k1", 6_000_001, WINDOW))
+        assertThat(next.claim("u 3 k2", 3_350_000, WINDOW_MICROS))
+                .as("another key")
+                .isTrue();
+        assertThat(previous.claim("u 3 k2", 3_400_000, WINDOW_MICROS)).isFalse();
+        assertThat(next.claim("u 3 k1", 6_000_001, WINDOW_MICROS))
                 .as("after the window")
                 .isTrue();
-        assertThat(old.claim("u 3 k1", 6_500_000, WINDOW))
-                .as("the newer claim stands")
+        assertThat(previous.claim("u 3 k1", 6_500_000, WINDOW_MICROS))
+                .as("the newer claim holds")
                 .isFalse();
     }
 
     @Test
-    void claimsAreDeletedByTheirMakerOnceTheirWindowIsOver() throws IOException {
-        SharedIdempotencyClaims one = new SharedIdempotencyClaims(folder, 7, EventLog.lines(line -> {}));
+    void deletesItsOwnClaimsOnceTheirWindowIsOver() throws IOException {
+        SharedIdempotencyClaims claims = new SharedIdempotencyClaims(folder, 7, EventLog.lines(line -> {}));
         for (int i = 0; i < 100; i++) {
-            assertThat(one.claim("u 0 key-" + i, 1_000_000 + i, WINDOW)).isTrue();
+            assertThat(claims.claim("u 0 key-" + i, 1_000_000 + i, WINDOW_MICROS))
+                    .isTrue();
         }
-        assertThat(one.size()).isEqualTo(100);
+        assertThat(claims.size()).isEqualTo(100);
         try (var files = Files.list(folder)) {
             assertThat(files.count()).isEqualTo(100);
         }
-        assertThat(one.claim("u 0 late", 1_000_100 + WINDOW, WINDOW)).isTrue();
-        assertThat(one.size()).isEqualTo(1);
+        assertThat(claims.claim("u 0 late", 1_000_100 + WINDOW_MICROS, WINDOW_MICROS))
+                .isTrue();
+        assertThat(claims.size()).isEqualTo(1);
         try (var files = Files.list(folder)) {
             assertThat(files.count()).isEqualTo(1);
         }
     }
 
     @Test
-    void aFolderThatCannotBeWrittenGivesEveryClaim() throws IOException {
+    void grantsEveryClaimIfTheFolderCannotBeWritten() throws IOException {
         Path file = Files.writeString(folder.resolve("not-a-folder"), "x");
-        SharedIdempotencyClaims one = new SharedIdempotencyClaims(folder, 7, EventLog.lines(line -> {}));
+        SharedIdempotencyClaims claims = new SharedIdempotencyClaims(folder, 7, EventLog.lines(line -> {}));
         Files.delete(file);
         Files.delete(folder);
-        assertThat(one.claim("u 0 k", 1, WINDOW)).isTrue();
-        assertThat(one.claim("u 0 k", 2, WINDOW)).isTrue();
+        assertThat(claims.claim("u 0 k", 1, WINDOW_MICROS)).isTrue();
+        assertThat(claims.claim("u 0 k", 2, WINDOW_MICROS)).isTrue();
     }
 }
--- a/server/src/test/java/wheatspread/timers/TimerWheelTest.java
+++ b/server/src/test/java/wheatspread/timers/TimerWheelTest.java
@@ -9,77 +9,81 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
+/** Order and times at which timers expire, against a list that is searched, and the limits on each call. */
 class TimerWheelTest {
-    private static final long TICK = 1_024;
-    /** Distances within a slot, over slots, levels, and beyond the farthest. */
-    private static final long[] REACH = {500, 30_000, 400_000, 20_000_000, 1_500_000_000, 200_000_000_000L};
+    private static final long TICK_MICROS = 1_024;
+    /** Bounds of random delays: within a slot, over slots, over levels, and beyond the farthest slot. */
+    private static final long[] MAX_DELAYS_MICROS = {500, 30_000, 400_000, 20_000_000, 1_500_000_000, 200_000_000_000L};
 
-    private final List<Bell> rung = new ArrayList<>();
-    private long now = 5_000_000_123L;
-    private final TimerWheel wheel = new TimerWheel(now);
+    private final List<TestTimer> expired = new ArrayList<>();
+    private long nowMicros = 5_000_000_123L;
+    private final TimerWheel wheel = new TimerWheel(nowMicros);
 
-    private class Bell extends TimerWheel.Timer {
-        private long at;
+    private class TestTimer extends TimerWheel.Timer {
+        private long deadlineMicros;
 
         @Override
         protected void ring() {
-            rung.add(this);
+            expired.add(this);
         }
     }
 
-    private Bell set(long after) {
-        Bell bell = new Bell();
-        move(bell, now + after);
-        return bell;
+    private TestTimer set(long delayMicros) {
+        TestTimer timer = new TestTimer();
+        move(timer, nowMicros + delayMicros);
+        return timer;
     }
 
-    private void move(Bell bell, long at) {
-        bell.at = at;
-        wheel.set(bell, at);
+    private void move(TestTimer timer, long deadlineMicros) {
+        timer.deadlineMicros = deadlineMicros;
+        wheel.set(timer, deadlineMicros);
     }
 
     /**
-     * The wheel against a list that is searched: nothing early, nothing late, nothing lost, nothing twice.
+     * The wheel against a list that is searched: no timer expires early, late, never or twice.
      */
     @Property(tries = 200, seed = "7")
-    void agreesWithASearchedList(@ForAll long seed) {
-        new TimerWheelTest().agrees(new Random(seed)); // a wheel of its own for each seed
+    void agreesWithALinearSearch(@ForAll long seed) {
+        new TimerWheelTest().compareWithLinearSearch(new Random(seed)); // a wheel of its own for each seed
     }
 
-    private void agrees(Random random) {
-        List<Bell> set = new ArrayList<>();
+    private void compareWithLinearSearch(Random random) {
+        List<TestTimer> set = new ArrayList<>();
         for (int step = 0; step < 300; step++) {
-            long reach = REACH[random.nextInt(REACH.length)];
+            long maxDelayMicros = MAX_DELAYS_MICROS[random.nextInt(MAX_DELAYS_MICROS.length)];
             switch (random.nextInt(6)) {
-                case 0, 1, 2 -> set.add(set(random.nextLong(reach)));
+                case 0, 1, 2 -> set.add(set(random.nextLong(maxDelayMicros)));
                 case 3 -> {
                     if (!set.isEmpty()) {
-                        move(set.get(random.nextInt(set.size())), now + random.nextLong(reach));
+                        move(set.get(random.nextInt(set.size())), nowMicros + random.nextLong(maxDelayMicros));
                     }
                 }
                 case 4 -> {
                     if (!set.isEmpty()) {
-                        Bell gone = set.remove(random.nextInt(set.size()));
-                        wheel.cancel(gone);
-                        assertThat(gone.isSet()).isFalse();
+                        TestTimer cancelled = set.remove(random.nextInt(set.size()));
+                        wheel.cancel(cancelled);
+                        assertThat(cancelled.isSet()).isFalse();
                     }
                 }
                 default -> {
-                    long soonest = set.stream().mapToLong(b -> b.at).min().orElse(Long.MAX_VALUE);
-                    boolean none = soonest == Long.MAX_VALUE;
+                    long earliestMicros = set.stream()
+                            .mapToLong(timer -> timer.deadlineMicros)
+                            .min()
+                            .orElse(Long.MAX_VALUE);
+                    boolean none = earliestMicros == Long.MAX_VALUE;
                     assertThat(wheel.nextLook())
-                            .as("nobody sleeps over a timer")
-                            .isLessThanOrEqualTo(none ? soonest : soonest + TICK);
-                    now += random.nextLong(reach);
-                    wheel.expire(now, Integer.MAX_VALUE);
-                    for (Bell bell : rung) {
-                        assertThat(set.remove(bell))
-                                .as("rings once, and only if set")
+                            .as("not later than the first timer expires")
+                            .isLessThanOrEqualTo(none ? earliestMicros : earliestMicros + TICK_MICROS);
+                    nowMicros += random.nextLong(maxDelayMicros);
+                    wheel.expire(nowMicros, Integer.MAX_VALUE);
+                    for (TestTimer timer : expired) {
+                        assertThat(set.remove(timer))
+                                .as("expires once, and only if set")
                                 .isTrue();
-                        assertThat(bell.at).isLessThanOrEqualTo(now);
+                        assertThat(timer.deadlineMicros).isLessThanOrEqualTo(nowMicros);
                     }
-                    rung.clear();
-                    assertThat(set).allMatch(b -> b.at > now - TICK);
+                    expired.clear();
+                    assertThat(set).allMatch(timer -> timer.deadlineMicros > nowMicros - TICK_MICROS);
                 }
             }
             assertThat(wheel.size()).isEqualTo(set.size());
@@ -87,47 +91,47 @@
     }
 
     @Test
-    void whatIsLeftOverInATurnRingsInTheNextOneInOrder() {
-        List<Bell> all = new ArrayList<>();
+    void callsTimersLeftOverInTheNextTurnInOrder() {
+        List<TestTimer> all = new ArrayList<>();
         for (int i = 0; i < 1_000; i++) {
             all.add(set(2_000 + i * 2_000));
         }
-        now += 3_000_000;
-        assertThat(wheel.expire(now, 300)).isEqualTo(300);
+        nowMicros += 3_000_000;
+        assertThat(wheel.expire(nowMicros, 300)).isEqualTo(300);
         assertThat(wheel.overdue()).isTrue();
-        assertThat(wheel.nextLook()).isLessThanOrEqualTo(now);
-        assertThat(wheel.expire(now, 300)).isEqualTo(300);
-        assertThat(wheel.expire(now, 1_000)).isEqualTo(400);
+        assertThat(wheel.nextLook()).isLessThanOrEqualTo(nowMicros);
+        assertThat(wheel.expire(nowMicros, 300)).isEqualTo(300);
+        assertThat(wheel.expire(nowMicros, 1_000)).isEqualTo(400);
         assertThat(wheel.overdue()).isFalse();
-        assertThat(rung).isEqualTo(all);
+        assertThat(expired).isEqualTo(all);
     }
 
-    /** A connection's limit moves with every use; it must cost nothing until the old time has come. */
+    /** A connection's deadline is extended with every use; that must cost nothing until the old deadline. */
     @Test
-    void aTimerPushedBackIsPlacedAgainOnlyWhenItsOldTimeComes() {
-        Bell bell = set(10_000);
-        long look = wheel.nextLook();
+    void placesAnExtendedTimerAgainOnlyAtItsOldDeadline() {
+        TestTimer timer = set(10_000);
+        long oldLookMicros = wheel.nextLook();
         for (int i = 0; i < 100; i++) {
-            now += 9_000;
-            move(bell, now + 10_000_000);
+            nowMicros += 9_000;
+            move(timer, nowMicros + 10_000_000);
         }
-        assertThat(wheel.nextLook()).as("it is still in its old slot").isEqualTo(look);
-        assertThat(wheel.expire(now, 10)).isZero();
-        assertThat(wheel.nextLook()).isGreaterThan(now);
-        now += 10_000_000 + TICK;
-        assertThat(wheel.expire(now, 10)).isOne();
+        assertThat(wheel.nextLook()).as("it is still in its old slot").isEqualTo(oldLookMicros);
+        assertThat(wheel.expire(nowMicros, 10)).isZero();
+        assertThat(wheel.nextLook()).isGreaterThan(nowMicros);
+        nowMicros += 10_000_000 + TICK_MICROS;
+        assertThat(wheel.expire(nowMicros, 10)).isOne();
     }
 
     @Test
-    void aTimerThatSetsItselfAgainDoesNotHoldTheLoop() {
-        Bell endless = new Bell() {
+    void callsNoMoreThanTheLimitIfATimerSetsItselfAgain() {
+        TestTimer endless = new TestTimer() {
             @Override
             protected void ring() {
                 super.ring();
-                wheel.set(this, now);
+                wheel.set(this, nowMicros);
             }
         };
-        wheel.set(endless, now);
-        assertThat(wheel.expire(now + TICK, 50)).isEqualTo(50);
+        wheel.set(endless, nowMicros);
+        assertThat(wheel.expire(nowMicros + TICK_MICROS, 50)).isEqualTo(50);
     }
 }
