--- a/server/src/main/java/wheatspread/config/OperatorConfig.java
+++ b/server/src/main/java/wheatspread/config/OperatorConfig.java
@@ -95,12 +95,12 @@
         ConnectionLimits usual = NONE.connections;
         return new ConnectionLimits(
                 0,
-                told.integer("max_per_source", usual.mostOfSource(), 0, 1 << 20),
+                told.integer("max_per_source", usual.maxPerSource(), 0, 1 << 20),
                 told.integer("accepts_per_s", usual.acceptsPerSecond(), 0, 1_000_000),
                 told.integer("accept_burst", usual.acceptBurst(), 1, 1_000_000),
                 told.micros("first_request_ms", usual.firstRequest(), 10),
                 told.micros("whole_request_ms", usual.wholeRequest(), 10),
-                told.micros("idle_timeout_ms", usual.idle(), 0),
+                told.micros("idle_timeout_ms", usual.idleTimeoutMicros(), 0),
                 told.micros("leaving_ms", usual.lingering(), 10),
                 told.micros("to_speak_ms", usual.toSpeak(), 0),
                 told.integer("max_partial_kb", (int) (usual.mostHeld() >> 10), 64, 1 << 20) * 1024L,
@@ -112,13 +112,13 @@
         told.only(Set.of("read_kb", "requests", "read_us", "lately_ms", "sleepers_part", "crowd", "expiring"));
         IterationBudget usual = IterationBudget.USUAL;
         return new IterationBudget(
-                told.integer("read_kb", usual.mostBytes() >> 10, 4, 1 << 16) << 10,
-                told.integer("requests", usual.mostRequests(), 1, 100_000),
-                told.integer("read_us", usual.mostMicros(), 100, 1_000_000),
+                told.integer("read_kb", usual.maxBytes() >> 10, 4, 1 << 16) << 10,
+                told.integer("requests", usual.maxRequests(), 1, 100_000),
+                told.integer("read_us", usual.maxReadMicros(), 100, 1_000_000),
                 told.micros("lately_ms", usual.lately(), 0),
-                told.integer("sleepers_part", usual.sleepersPart(), 2, 1_000),
-                told.integer("crowd", usual.crowd(), 1, 1 << 20),
-                told.integer("expiring", usual.mostExpiring(), 1, 100_000));
+                told.integer("sleepers_part", usual.readsPerIdleRead(), 2, 1_000),
+                told.integer("crowd", usual.burstThreshold(), 1, 1 << 20),
+                told.integer("expiring", usual.maxExpirations(), 1, 100_000));
     }
 
     /** What holds for the uwsgi front's connections. */
@@ -126,7 +126,7 @@
         ConnectionLimits c = connections;
         return new ConnectionLimits(
                 uwsgi.mostConnections(),
-                c.mostOfSource(),
+                c.maxPerSource(),
                 c.acceptsPerSecond(),
                 c.acceptBurst(),
                 c.firstRequest(),
--- a/server/src/main/java/wheatspread/connections/ConnectionActions.java
+++ b/server/src/main/java/wheatspread/connections/ConnectionActions.java
@@ -1,25 +1,25 @@
 package wheatspread.connections;
 
-/** What a front does to a connection of its own when its table decides so. */
+/** What a front does with one of its connections when the connection's table decides so. */
 public interface ConnectionActions {
-    /** Asks the caller to send nothing new here. */
+    /** Notifies the caller that the server is draining and takes no new requests here. */
     void lastCall();
 
     /**
-     * Takes no more requests. Once all that is open here is answered the output is shut, and what still comes
-     * is thrown away until the caller closes as well: a lingering close.
+     * Takes no more requests. Once every open request is answered the output is shut, and what still arrives
+     * is discarded until the caller closes too: a lingering close.
      */
     void leave();
 
-    /** Closes at once, whatever is still on its way in either direction. */
+    /** Closes at once, whatever is still in transit in either direction. */
     void close();
 
-    /** Whether one that lingers has taken some of what waits to be written since this was asked last. */
+    /** Whether a lingering caller has taken some of its pending answers since the last call. */
     boolean advances();
 
-    /** Bytes that wait to be written, all of them. */
+    /** How many bytes wait to be written. */
     long pendingBytes();
 
-    /** About how many bytes wait to be written, where they are more than the caller should let wait. */
+    /** About how many bytes wait to be written beyond the low watermark; 0 if it is not stalled. */
     long waitingBytes();
 }
--- a/server/src/main/java/wheatspread/connections/ConnectionCounters.java
+++ b/server/src/main/java/wheatspread/connections/ConnectionCounters.java
@@ -1,64 +1,122 @@
 package wheatspread.connections;
 
-/** How often each limit of a {@link ConnectionTable} came to bear since the start. */
+import wheatspread.connections.Connection.State;
+
+/** How often each limit of a {@link ConnectionTable} took effect since the start. */
 public final class ConnectionCounters {
-    long accepted;
-    long paused;
-    long refusedFull;
-    long refusedSource;
-    long roomLingering;
-    long roomSilent;
-    long roomSpeaking;
-    long roomResting;
-    long roomYoung;
-    long closedSilent;
-    long closedHalf;
-    long closedIdle;
-    long closedLingering;
-    long closedHeld;
-    long closedStalled;
-
-    /** Connections that were turned away at once, for whatever reason. */
-    public long refused() {
-        return refusedFull + refusedSource;
+    private long accepted;
+    private long acceptsPaused;
+    private long rejectedFull;
+    private long rejectedSource;
+    private long evictedLingering;
+    private long evictedSilent;
+    private long evictedPartial;
+    private long evictedIdle;
+    private long evictedYoung;
+    private long expiredSilent;
+    private long expiredPartial;
+    private long expiredIdle;
+    private long expiredLingering;
+    private long closedForMemory;
+    private long closedStalled;
+
+    /** Connections that were rejected at once, for whatever reason. */
+    public long rejected() {
+        return rejectedFull + rejectedSource;
+    }
+
+    /** Connections that were evicted in favour of others. */
+    public long evicted() {
+        return evictedLingering + evictedSilent + evictedPartial + evictedIdle + evictedYoung;
+    }
+
+    void countAccepted() {
+        accepted++;
+    }
+
+    void countAcceptsPaused() {
+        acceptsPaused++;
+    }
+
+    void countRejectedFull() {
+        rejectedFull++;
+    }
+
+    void countRejectedSource() {
+        rejectedSource++;
+    }
+
+    void countEvictedLingering() {
+        evictedLingering++;
+    }
+
+    void countEvictedSilent() {
+        evictedSilent++;
+    }
+
+    void countEvictedPartial() {
+        evictedPartial++;
+    }
+
+    void countEvictedIdle() {
+        evictedIdle++;
+    }
+
+    void countEvictedYoung() {
+        evictedYoung++;
+    }
+
+    /** A connection exceeded the time limit of the state it is in. */
+    void countExpired(State state) {
+        switch (state) {
+            case NEW -> expiredSilent++;
+            case PARTIAL_MESSAGE -> expiredPartial++;
+            case RESTING -> expiredIdle++;
+            default -> expiredLingering++;
+        }
+    }
+
+    /** A connection was drained since partial messages took too much memory. */
+    void countClosedForMemory() {
+        closedForMemory++;
     }
 
-    /** Connections that made room for others. */
-    public long madeRoom() {
-        return roomLingering + roomSilent + roomSpeaking + roomResting + roomYoung;
+    /** A connection was closed since unread answers took too much memory. */
+    void countClosedStalled() {
+        closedStalled++;
     }
 
-    /** All of them, as names and values in turns. */
+    /** All of them as logged, as alternating names and values. */
     public Object[] fields() {
         return new Object[] {
             "accepted",
             accepted,
             "accepts_paused",
-            paused,
+            acceptsPaused,
             "refused_full",
-            refusedFull,
+            rejectedFull,
             "refused_source",
-            refusedSource,
+            rejectedSource,
             "room_lingering",
-            roomLingering,
+            evictedLingering,
             "room_silent",
-            roomSilent,
+            evictedSilent,
             "room_speaking",
-            roomSpeaking,
+            evictedPartial,
             "room_resting",
-            roomResting,
+            evictedIdle,
             "room_young",
-            roomYoung,
+            evictedYoung,
             "closed_silent",
-            closedSilent,
+            expiredSilent,
             "closed_half",
-            closedHalf,
+            expiredPartial,
             "closed_idle",
-            closedIdle,
+            expiredIdle,
             "closed_lingering",
-            closedLingering,
+            expiredLingering,
             "closed_held",
-            closedHeld,
+            closedForMemory,
             "closed_stalled",
             closedStalled
         };
--- a/server/src/main/java/wheatspread/connections/ConnectionLimits.java
+++ b/server/src/main/java/wheatspread/connections/ConnectionLimits.java
@@ -1,45 +1,45 @@
 package wheatspread.connections;
 
 /**
- * What holds for the connections of one front. Times are microseconds.
+ * The limits for the connections of one front. Times are microseconds.
  *
- * @param mostConnections connections at a time
- * @param mostOfSource connections of one address at a time; 0 for no bound but the one for all
- * @param acceptsPerSecond how fast connections are accepted; 0 for no bound
+ * @param maxConnections connections at a time
+ * @param maxPerSource connections of one address at a time; 0 for no limit but the one for all
+ * @param acceptsPerSecond how fast connections are accepted; 0 for no limit
  * @param acceptBurst how many may be accepted at once after a pause
- * @param firstRequest who has said nothing by then is closed
- * @param wholeRequest a message that began must be whole by then
- * @param idle who rests longer is closed; 0 for never
- * @param lingering a connection that only has to be closed is cut off after that, unless it takes its answers
- * @param toSpeak who has said nothing for longer makes room before all others
- * @param mostHeld bytes of messages that are not whole, of all connections together
- * @param mostWaiting bytes that wait to be written to callers that do not read, of all connections together
- * @param refusal what a connection gets that can't be taken
+ * @param firstRequest time limit from the accept to the first byte
+ * @param wholeRequest time limit from the first to the last byte of a message
+ * @param idleTimeoutMicros time limit for an idle connection; 0 for none
+ * @param lingering time limit for a lingering connection that does not take its answers
+ * @param toSpeak a connection that sends nothing for longer is evicted before others
+ * @param mostHeld bytes of partial messages, over all connections
+ * @param mostWaiting bytes of answers that stalled callers do not read, over all connections
+ * @param refusal what a rejected connection gets
  */
 public record ConnectionLimits(
-        int mostConnections,
-        int mostOfSource,
+        int maxConnections,
+        int maxPerSource,
         int acceptsPerSecond,
         int acceptBurst,
         long firstRequest,
         long wholeRequest,
-        long idle,
+        long idleTimeoutMicros,
         long lingering,
         long toSpeak,
         long mostHeld,
         long mostWaiting,
         Refusal refusal) {
-    /** What a connection gets that can't be taken: the end, a reset, or an answer and the end. */
+    /** What a rejected connection gets: an orderly close, a reset, or an answer and an orderly close. */
     public enum Refusal {
         CLOSE,
         RESET,
         ANSWER
     }
 
-    /** What holds unless an operator's file says otherwise. */
-    public static ConnectionLimits usual(int mostConnections) {
+    /** The limits that hold unless the operator's file says otherwise. */
+    public static ConnectionLimits usual(int maxConnections) {
         return new ConnectionLimits(
-                mostConnections,
+                maxConnections,
                 0,
                 0,
                 1_000,
@@ -53,16 +53,16 @@
                 Refusal.CLOSE);
     }
 
-    /** The same with room for so many. */
+    /** The same limits for another number of connections. */
     public ConnectionLimits with(int connections) {
         return new ConnectionLimits(
                 connections,
-                mostOfSource,
+                maxPerSource,
                 acceptsPerSecond,
                 acceptBurst,
                 firstRequest,
                 wholeRequest,
-                idle,
+                idleTimeoutMicros,
                 lingering,
                 toSpeak,
                 mostHeld,
--- a/server/src/main/java/wheatspread/connections/ConnectionTable.java
+++ b/server/src/main/java/wheatspread/connections/ConnectionTable.java
@@ -5,36 +5,32 @@
 import wheatspread.connections.Connection.State;
 
 /**
- * The connections of one front: who is let in, whose time is over, and who makes room. It reads no clock and
- * closes nothing by itself; times are microseconds that never go back, and what it decides it tells the
- * {@link ConnectionActions}s. Each state has a list in the order of time, and all in one list have the same limit, so
- * that the first of each list tells all there is to know: a connection has no timer, and one that is used
- * again only moves to the end of a list.
+ * The connections of one front: which are admitted, which have exceeded a time limit, and which are evicted
+ * to make a place for others. It reads no clock and closes nothing by itself: what it decides it carries out
+ * through {@link ConnectionActions}. Each state has a list in the order of time, and all connections in a
+ * list have the same limit, so only the heads of the lists have to be checked: a connection has no timer, and
+ * one that is used again only moves to the end of a list. Used on the event loop only.
  */
 public final class ConnectionTable {
-    private static final int LISTS = State.GONE.ordinal();
-    /** So many that have just woken are passed over in search of one that rests. */
-    private static final int MAX_PASSED_OVER = 64;
+    /** How many connections with unread bytes are skipped in search of one to evict. */
+    private static final int MAX_SKIPPED = 64;
 
     private final ConnectionLimits limits;
     private final SourceAddressTable sources = new SourceAddressTable();
-    private final TokenBucket accepts;
+    private final TokenBucket acceptRate;
     private final ConnectionCounters counters = new ConnectionCounters();
-    private final Connection[] first = new Connection[LISTS];
-    private final Connection[] last = new Connection[LISTS];
-    private final int[] sizes = new int[LISTS];
-    private final Runnable changed;
+    private final ConnectionLists lists = new ConnectionLists();
+    private final Runnable expiryChanged;
     private int size;
-    private long held;
-    private long idle;
-    private long latest;
+    private long partialBytes;
+    private long idleTimeoutMicros;
 
-    /** {@code changed} is run when a limit may end sooner than {@link #soonest} said before. */
-    public ConnectionTable(ConnectionLimits limits, long now, Runnable changed) {
+    /** {@code expiryChanged} is run when a limit may end sooner than {@link #soonest} said before. */
+    public ConnectionTable(ConnectionLimits limits, long nowMicros, Runnable expiryChanged) {
         this.limits = limits;
-        this.changed = changed;
-        accepts = new TokenBucket(limits.acceptsPerSecond(), limits.acceptBurst(), now);
-        idle = limits.idle();
+        this.expiryChanged = expiryChanged;
+        acceptRate = new TokenBucket(limits.acceptsPerSecond(), limits.acceptBurst(), nowMicros);
+        idleTimeoutMicros = limits.idleTimeoutMicros();
     }
 
     public ConnectionLimits limits() {
@@ -45,342 +41,305 @@
         return counters;
     }
 
+    /** How many connections there are. */
     public int size() {
         return size;
     }
 
+    /** How many connections are in a state. */
     public int sizeOf(State state) {
-        return sizes[state.ordinal()];
+        return lists.size(state);
     }
 
-    /** Bytes of messages that are not whole, of all connections together. */
-    public long held() {
-        return held;
+    /** The bytes of partial messages, over all connections. */
+    public long partialBytes() {
+        return partialBytes;
     }
 
-    // ---- who is let in ----
+    // ---- admission and eviction ----
 
     /**
-     * Lets a caller in, for which another one may have to go, or refuses it: then the result is null, and the
-     * socket gets what {@link ConnectionLimits#refusal} says. {@code address} tells sources apart.
+     * Admits a connection, for which another one may be evicted, or rejects it: then the result is null, and
+     * the limits say what its socket gets. {@code sourceAddress} tells sources apart.
      */
-    public Connection admit(ConnectionActions caller, long address, long now) {
-        if (limits.mostOfSource() > 0
-                && sources.connectionsOf(address) >= limits.mostOfSource()
-                && !evictFrom(address)) {
-            counters.refusedSource++;
+    public Connection admit(ConnectionActions actions, long sourceAddress, long nowMicros) {
+        if (limits.maxPerSource() > 0
+                && sources.connectionsOf(sourceAddress) >= limits.maxPerSource()
+                && !evictIdleOf(sourceAddress)) {
+            counters.countRejectedSource();
             return null;
         }
-        if (size >= limits.mostConnections() && !evictOne(now)) {
-            counters.refusedFull++;
+        if (size >= limits.maxConnections() && !evictOne(nowMicros)) {
+            counters.countRejectedFull();
             return null;
         }
-        counters.accepted++;
-        Connection connection = new Connection(caller, sources.of(address));
-        sources.opened(connection.source);
+        counters.countAccepted();
+        Connection connection = new Connection(actions, sources.of(sourceAddress), nowMicros);
+        sources.opened(connection.source());
         size++;
-        connection.usedAt = now;
-        place(connection, State.NEW, now);
+        place(connection, State.NEW, nowMicros);
         return connection;
     }
 
-    /** How long no further connection should be accepted after this one; 0 if one may be at once. */
-    public long pauseAfterAccept(long now) {
-        long pause = accepts.take(now);
-        counters.paused += pause > 0 ? 1 : 0;
-        return pause;
+    /** How long to wait before accepting another connection after this one, in microseconds; 0 for no wait. */
+    public long pauseAfterAccept(long nowMicros) {
+        long pauseMicros = acceptRate.take(nowMicros);
+        if (pauseMicros > 0) {
+            counters.countAcceptsPaused();
+        }
+        return pauseMicros;
     }
 
     /**
-     * One with an open request never makes room, nor one that has written something that is not read yet: it
-     * may be a request. Those that only have to be closed come first, then those that had the time to speak
-     * and did not, the ones that began a message and did not end it next, then the source with most at rest,
-     * and of these the longest at rest;
-     * last those that had no time to speak yet.
+     * Evicts one connection, if any may be. One with an open request never may, nor one that has sent
+     * something not read yet, since that may be a request. The order is: lingering ones; those that have sent
+     * nothing within the grace; those with a message that is partial for longer than the grace; the one idle
+     * for longest of the source with most idle ones; last those within the grace.
      */
-    private boolean evictOne(long now) {
-        Connection lingering = first[State.LINGERING.ordinal()];
+    private boolean evictOne(long nowMicros) {
+        long graceStartMicros = nowMicros - limits.toSpeak();
+        Connection lingering = lists.first(State.LINGERING);
         if (lingering != null) {
-            counters.roomLingering++;
+            counters.countEvictedLingering();
             return close(lingering);
         }
-        Connection silent = first[State.NEW.ordinal()];
-        if (silent != null && silent.since < now - limits.toSpeak() && !silent.unread) {
-            counters.roomSilent++;
+        Connection silent = lists.first(State.NEW);
+        if (silent != null && silent.sinceMicros() < graceStartMicros && !silent.isUnread()) {
+            counters.countEvictedSilent();
             return close(silent);
         }
-        Connection speaking = firstSpeakingBefore(now - limits.toSpeak());
-        if (speaking != null) {
-            counters.roomSpeaking++;
-            return close(speaking);
+        Connection partial = lists.first(State.PARTIAL_MESSAGE);
+        if (partial != null && partial.sinceMicros() < graceStartMicros && partial.isEvictable()) {
+            counters.countEvictedPartial();
+            return close(partial);
         }
-        Connection resting = evictableAtRest(sources.longestOfMost());
-        if (resting != null) {
-            counters.roomResting++;
-            return close(resting);
+        Connection idle = firstEvictableOfSource(sources.longestIdleOfLargestSource());
+        if (idle != null) {
+            counters.countEvictedIdle();
+            return close(idle);
         }
-        // a flood fills the table before anybody in it had the time to speak: the one that came last may be
-        // a caller with a request or a check, and the others have said nothing yet
-        Connection unheard = evictableIn(State.NEW);
-        unheard = unheard == null ? evictableIn(State.SPEAKING) : unheard;
-        if (unheard != null) {
-            counters.roomYoung++;
-            return close(unheard);
+        // a flood fills the table within the grace: the newest connection may be a caller with a request or a
+        // health check, while the older ones have sent nothing yet
+        Connection young = firstEvictable(State.NEW);
+        young = young == null ? firstEvictable(State.PARTIAL_MESSAGE) : young;
+        if (young != null) {
+            counters.countEvictedYoung();
+            return close(young);
         }
         return false;
     }
 
-    /** The first of those that began a message before that time, as long as it has nothing open. */
-    private Connection firstSpeakingBefore(long before) {
-        Connection connection = first[State.SPEAKING.ordinal()];
-        return connection != null && connection.since < before && isEvictable(connection) ? connection : null;
+    private boolean evictIdleOf(long sourceAddress) {
+        Connection idle = firstEvictableOfSource(sources.of(sourceAddress).longestIdle());
+        if (idle == null) {
+            return false;
+        }
+        counters.countEvictedIdle();
+        return close(idle);
     }
 
-    /** The longest at rest of that source that can make room; null if none is near. */
-    private static Connection evictableAtRest(Connection longest) {
-        return firstEvictable(longest, connection -> connection.nextOfSource);
+    private static Connection firstEvictableOfSource(Connection longestIdle) {
+        return firstEvictable(longestIdle, Connection::nextOfSource);
     }
 
-    /** The longest in this state that can make room; null if none is near. */
-    private Connection evictableIn(State state) {
-        return firstEvictable(first[state.ordinal()], connection -> connection.next);
+    private Connection firstEvictable(State state) {
+        return firstEvictable(lists.first(state), Connection::next);
     }
 
-    /** The first along a list that has nothing open and nothing unread; null if none is near its head. */
+    /** The first evictable connection of a list; null if there is none near its head. */
     private static Connection firstEvictable(Connection head, UnaryOperator<Connection> next) {
         Connection candidate = head;
-        for (int passed = 0; candidate != null && !isEvictable(candidate) && passed < MAX_PASSED_OVER; passed++) {
+        for (int skipped = 0; candidate != null && !candidate.isEvictable() && skipped < MAX_SKIPPED; skipped++) {
             candidate = next.apply(candidate);
         }
-        return candidate != null && isEvictable(candidate) ? candidate : null;
+        return candidate != null && candidate.isEvictable() ? candidate : null;
     }
 
-    private static boolean isEvictable(Connection connection) {
-        return connection.open == 0 && !connection.unread;
-    }
-
-    private boolean evictFrom(long address) {
-        Connection resting = evictableAtRest(sources.of(address).first);
-        if (resting == null) {
-            return false;
-        }
-        counters.roomResting++;
-        return close(resting);
-    }
-
-    /** Who would be the next to make room of those at rest; null if none is. */
-    Connection mostAtRest() {
-        return sources.longestOfMost();
+    /** The idle connection to evict next, whether or not it has unread bytes; null if none is idle. */
+    Connection nextIdleToEvict() {
+        return sources.longestIdleOfLargestSource();
     }
 
     private boolean close(Connection connection) {
         closed(connection);
-        connection.caller.close();
+        connection.actions().close();
         return true;
     }
 
-    // ---- what callers do ----
+    // ---- what happens on connections ----
 
     /**
-     * What one read brought: whether whole messages were among it, how many requests are open now, and how
-     * many bytes are held of a message that is not whole. Where all that is held is too much, the one that
-     * has spoken for longest leaves.
+     * Records one read: whether whole messages were in it, how many requests are open now, and how many bytes
+     * of a partial message are buffered. If all partial messages together take too much memory, the
+     * connections with the oldest ones are drained.
      */
-    public void read(Connection connection, long now, boolean whole, int open, int bytes) {
-        if (connection.state == State.GONE) {
+    public void read(Connection connection, long nowMicros, boolean wholeMessages, int openRequests, int bytes) {
+        if (connection.state() == State.CLOSED) {
             return;
         }
-        held += bytes - connection.held;
-        connection.held = bytes;
-        connection.open = open;
-        connection.unread = false;
-        if (whole) {
-            connection.asked = true;
-            connection.usedAt = connection.asleep ? connection.usedAt : now;
+        partialBytes += bytes - connection.partialBytes();
+        connection.setPartialBytes(bytes);
+        connection.setOpenRequests(openRequests);
+        connection.setUnread(false);
+        if (wholeMessages) {
+            connection.requestReceived(nowMicros);
         }
-        boolean goesOn = connection.state == State.SPEAKING && !whole && bytes > 0;
-        settle(connection, goesOn ? connection.since : now);
-        while (held > limits.mostHeld() && first[State.SPEAKING.ordinal()] != null) {
-            Connection speaker = first[State.SPEAKING.ordinal()];
-            counters.closedHeld++;
-            leave(speaker, now);
-            speaker.caller.leave();
+        boolean sameMessage = connection.state() == State.PARTIAL_MESSAGE && !wholeMessages && bytes > 0;
+        updateState(connection, sameMessage ? connection.sinceMicros() : nowMicros);
+        while (partialBytes > limits.mostHeld() && lists.first(State.PARTIAL_MESSAGE) != null) {
+            Connection oldest = lists.first(State.PARTIAL_MESSAGE);
+            counters.countClosedForMemory();
+            drain(oldest, nowMicros);
+            oldest.actions().leave();
         }
     }
 
-    /** An answer went out, and so many requests are open now. */
-    public void answered(Connection connection, long now, int open) {
-        if (connection.state != State.GONE) {
-            connection.open = open;
-            connection.usedAt = connection.asleep ? connection.usedAt : now;
-            settle(connection, connection.state == State.SPEAKING ? connection.since : now);
+    /** Records an answer, after which so many requests are open. */
+    public void answered(Connection connection, long nowMicros, int openRequests) {
+        if (connection.state() != State.CLOSED) {
+            connection.setOpenRequests(openRequests);
+            connection.used(nowMicros);
+            boolean partial = connection.state() == State.PARTIAL_MESSAGE;
+            updateState(connection, partial ? connection.sinceMicros() : nowMicros);
         }
     }
 
-    /** Nothing more is read from it: its held bytes are dropped, and it closes once all is answered. */
-    public void leave(Connection connection, long now) {
-        if (connection.state != State.GONE && !connection.leaving) {
-            connection.leaving = true;
-            held -= connection.held;
-            connection.held = 0;
-            settle(connection, now);
+    /** Nothing more is read: its partial message is dropped, and it closes once everything is answered. */
+    public void drain(Connection connection, long nowMicros) {
+        if (connection.state() != State.CLOSED && !connection.isDraining()) {
+            connection.markDraining();
+            dropPartialMessage(connection);
+            updateState(connection, nowMicros);
         }
     }
 
-    private void settle(Connection connection, long since) {
-        State state = connection.leaving
-                ? connection.open > 0 ? State.LEAVING : State.LINGERING
-                : connection.held > 0
-                        ? State.SPEAKING
-                        : connection.open > 0 ? State.ASKING : connection.asked ? State.RESTING : State.NEW;
-        if (state == State.NEW && connection.state == State.NEW) {
-            return; // empty messages say nothing
+    private void dropPartialMessage(Connection connection) {
+        partialBytes -= connection.partialBytes();
+        connection.setPartialBytes(0);
+    }
+
+    private void updateState(Connection connection, long sinceMicros) {
+        State state = connection.computeState();
+        if (state == State.NEW && connection.state() == State.NEW) {
+            return; // an empty message does not count
         }
-        if (state != connection.state || since != connection.since) {
+        if (state != connection.state() || sinceMicros != connection.sinceMicros()) {
             remove(connection);
-            place(connection, state, since);
+            place(connection, state, sinceMicros);
         }
     }
 
-    /** It is no longer there; no matter who closed it. */
+    /** Removes a connection that is closed, whichever side closed it. */
     public void closed(Connection connection) {
-        if (connection.state != State.GONE) {
+        if (connection.state() != State.CLOSED) {
             remove(connection);
-            connection.state = State.GONE;
+            connection.markClosed();
             size--;
-            held -= connection.held;
-            connection.held = 0;
-            sources.closed(connection.source);
+            dropPartialMessage(connection);
+            sources.closed(connection.source());
         }
     }
 
-    private void place(Connection connection, State state, long since) {
-        int list = state.ordinal();
-        Connection after = last[list];
-        latest = Math.max(latest, since); // a clock that was set back must not break the order of the lists
-        connection.state = state;
-        connection.since = latest;
-        connection.previous = after;
-        if (after == null) {
-            first[list] = connection;
-        } else {
-            after.next = connection;
-        }
-        last[list] = connection;
-        sizes[list]++;
+    private void place(Connection connection, State state, long sinceMicros) {
+        lists.add(connection, state, sinceMicros);
         if (state == State.RESTING) {
-            sources.rests(connection);
+            sources.becameIdle(connection);
         }
-        if (first[list] == connection && state != State.ASKING) {
-            changed.run();
+        if (lists.first(state) == connection && state != State.AWAITING_ANSWERS) {
+            expiryChanged.run();
         }
     }
 
     private void remove(Connection connection) {
-        int list = connection.state.ordinal();
-        if (connection.previous == null) {
-            first[list] = connection.next;
-        } else {
-            connection.previous.next = connection.next;
-        }
-        if (connection.next == null) {
-            last[list] = connection.previous;
-        } else {
-            connection.next.previous = connection.previous;
-        }
-        connection.previous = null;
-        connection.next = null;
-        sizes[list]--;
-        if (connection.state == State.RESTING) {
-            sources.restsNoMore(connection);
+        lists.remove(connection);
+        if (connection.state() == State.RESTING) {
+            sources.leftIdle(connection);
         }
     }
 
-    // ---- whose time is over ----
+    // ---- time limits ----
 
     /**
-     * Connections at rest are closed after so many microseconds; 0 means that only the front's limit holds.
+     * Closes connections that are idle for so many microseconds from now on; 0 means that only the configured
+     * limit holds.
      */
-    public void closeIdle(long after) {
-        idle = after == 0 ? limits.idle() : limits.idle() == 0 ? after : Math.min(after, limits.idle());
-        changed.run();
+    public void closeIdle(long timeoutMicros) {
+        long configured = limits.idleTimeoutMicros();
+        if (timeoutMicros == 0) {
+            idleTimeoutMicros = configured;
+        } else {
+            idleTimeoutMicros = configured == 0 ? timeoutMicros : Math.min(timeoutMicros, configured);
+        }
+        expiryChanged.run();
     }
 
-    private long limitOf(State state) {
+    /** The time limit of a state in microseconds; 0 for none. */
+    private long timeoutMicros(State state) {
         return switch (state) {
-            case NEW -> idle == 0 ? limits.firstRequest() : Math.min(idle, limits.firstRequest());
-            case SPEAKING -> limits.wholeRequest();
-            case RESTING -> idle;
+            case NEW ->
+                idleTimeoutMicros == 0 ? limits.firstRequest() : Math.min(idleTimeoutMicros, limits.firstRequest());
+            case PARTIAL_MESSAGE -> limits.wholeRequest();
+            case RESTING -> idleTimeoutMicros;
             case LINGERING -> limits.lingering();
             default -> 0;
         };
     }
 
-    private long endOf(State state) {
-        Connection connection = first[state.ordinal()];
-        long limit = limitOf(state);
-        return connection == null || limit == 0 ? Long.MAX_VALUE : connection.since + limit;
+    private long nextExpiryMicros(State state) {
+        Connection connection = lists.first(state);
+        long timeoutMicros = timeoutMicros(state);
+        return connection == null || timeoutMicros == 0 ? Long.MAX_VALUE : connection.sinceMicros() + timeoutMicros;
     }
 
-    /** When the first limit ends; {@link Long#MAX_VALUE} if none will. */
+    /** When the first limit ends, in microseconds; {@link Long#MAX_VALUE} if none will. */
     public long soonest() {
         return Math.min(
-                Math.min(endOf(State.NEW), endOf(State.SPEAKING)),
-                Math.min(endOf(State.RESTING), endOf(State.LINGERING)));
+                Math.min(nextExpiryMicros(State.NEW), nextExpiryMicros(State.PARTIAL_MESSAGE)),
+                Math.min(nextExpiryMicros(State.RESTING), nextExpiryMicros(State.LINGERING)));
     }
 
     /**
-     * Ends the connections whose limit is over, {@code most} at most; returns how many were looked at. The
-     * rest stays for the next call, and {@link #soonest} tells that there is some.
+     * Ends the connections past their limit, {@code max} at most, and returns how many were checked. The rest
+     * stays for the next call, and {@link #soonest} shows that there is some.
      */
-    public int expire(long now, int most) {
-        int looked = 0;
+    public int expire(long nowMicros, int max) {
+        int checked = 0;
         for (State state : State.values()) {
-            while (state != State.GONE && looked < most && endOf(state) <= now) {
-                looked++;
-                expire(first[state.ordinal()], now);
+            while (state != State.CLOSED && checked < max && nextExpiryMicros(state) <= nowMicros) {
+                checked++;
+                expire(lists.first(state), nowMicros);
             }
         }
-        return looked;
+        return checked;
     }
 
-    private void expire(Connection connection, long now) {
-        if (connection.unread || connection.state == State.LINGERING && connection.caller.advances()) {
+    private void expire(Connection connection, long nowMicros) {
+        State state = connection.state();
+        if (connection.isUnread()
+                || state == State.LINGERING && connection.actions().advances()) {
             remove(connection);
-            place(connection, connection.state, now); // it waits for us, not we for it, or takes what it is owed
+            place(connection, state, nowMicros); // it waits for this server, or still takes its answers
             return;
         }
-        switch (connection.state) {
-            case NEW -> counters.closedSilent++;
-            case SPEAKING -> counters.closedHalf++;
-            case RESTING -> counters.closedIdle++;
-            default -> counters.closedLingering++;
-        }
-        if (connection.state == State.LINGERING) {
+        counters.countExpired(state);
+        if (state == State.LINGERING) {
             close(connection);
         } else {
-            leave(connection, now);
-            connection.caller.leave(); // a request may cross this end, and must not have it reset
+            drain(connection, nowMicros);
+            connection.actions().leave(); // a request on its way must not be answered by a reset
         }
     }
 
-    /** One is closed because too much waits to be written to those that do not read, and most to it. */
-    public void stalls(Connection connection) {
-        counters.closedStalled++;
+    /** Closes the connection whose unread answers take most memory, because all together take too much. */
+    public void closeStalled(Connection connection) {
+        counters.countClosedStalled();
         close(connection);
     }
 
-    /** Does something to every connection; it may be closed meanwhile. */
-    public void forEach(Consumer<ConnectionActions> what) {
-        Connection[] all = new Connection[size];
-        int count = 0;
-        for (Connection head : first) {
-            for (Connection connection = head; connection != null; connection = connection.next) {
-                all[count++] = connection;
-            }
-        }
-        for (Connection connection : all) {
-            what.accept(connection.caller);
+    /** Runs an action on every connection; it may close them. */
+    public void forEach(Consumer<ConnectionActions> action) {
+        for (Connection connection : lists.toArray(size)) {
+            action.accept(connection.actions());
         }
     }
 }
--- a/server/src/main/java/wheatspread/connections/SourceAddressTable.java
+++ b/server/src/main/java/wheatspread/connections/SourceAddressTable.java
@@ -4,34 +4,46 @@
 import org.agrona.collections.Long2ObjectHashMap;
 
 /**
- * The connections of a front by the address they come from, and which source has most at rest. Sources with
- * equally many stand in one list, and a source moves by one list at a time, so that everything here takes
+ * The connections of a front by source address, and which source has most idle ones. Sources with equally
+ * many idle connections are in one list, and a source moves by one list at a time, so every operation takes
  * constant time.
  */
 final class SourceAddressTable {
-    /** One address, with what it holds. */
+    private static final int INITIAL_CAPACITY = 16;
+
+    /** One address with its connections. */
     static final class Source {
-        final long address;
-        int connections;
-        int resting;
-        /** The longest at rest comes first. */
-        Connection first;
+        private final long address;
+        private int connections;
+        private int idleCount;
+        /** The ends of the list of idle connections; the one that is idle for longest comes first. */
+        private Connection firstIdle;
 
-        Connection last;
+        private Connection lastIdle;
         private Source previous;
         private Source next;
 
         Source(long address) {
             this.address = address;
         }
+
+        long address() {
+            return address;
+        }
+
+        /** The connection that is idle for longest; null if none is idle. */
+        Connection longestIdle() {
+            return firstIdle;
+        }
     }
 
-    private final Long2ObjectHashMap<Source> byAddress = new Long2ObjectHashMap<>(16, 0.65f);
-    /** By the number of connections at rest; null where no source has so many. */
-    private Source[] byResting = new Source[16];
+    private final Long2ObjectHashMap<Source> byAddress = new Long2ObjectHashMap<>(INITIAL_CAPACITY, 0.65f);
+    /** By the number of idle connections, the heads of the lists of sources; null for an empty list. */
+    private Source[] byIdleCount = new Source[INITIAL_CAPACITY];
 
-    private int most;
+    private int maxIdleCount;
 
+    /** The source with this address, which is a new one as long as it has no connection. */
     Source of(long address) {
         Source source = byAddress.get(address);
         return source == null ? new Source(address) : source;
@@ -58,62 +70,65 @@
         }
     }
 
-    /** A connection came to rest, the last one of its source to do so. */
-    void rests(Connection connection) {
-        Source source = connection.source;
-        connection.previousOfSource = source.last;
-        if (source.last == null) {
-            source.first = connection;
+    /** A connection has become idle, as the last one of its source. */
+    void becameIdle(Connection connection) {
+        Source source = connection.source();
+        connection.linkPreviousOfSource(source.lastIdle);
+        if (source.lastIdle == null) {
+            source.firstIdle = connection;
         } else {
-            source.last.nextOfSource = connection;
+            source.lastIdle.linkNextOfSource(connection);
         }
-        source.last = connection;
-        move(source, 1);
+        source.lastIdle = connection;
+        changeIdleCount(source, 1);
     }
 
-    void restsNoMore(Connection connection) {
-        Source source = connection.source;
-        if (connection.previousOfSource == null) {
-            source.first = connection.nextOfSource;
+    /** A connection is idle no longer. */
+    void leftIdle(Connection connection) {
+        Source source = connection.source();
+        Connection previous = connection.previousOfSource();
+        Connection next = connection.nextOfSource();
+        if (previous == null) {
+            source.firstIdle = next;
         } else {
-            connection.previousOfSource.nextOfSource = connection.nextOfSource;
+            previous.linkNextOfSource(next);
         }
-        if (connection.nextOfSource == null) {
-            source.last = connection.previousOfSource;
+        if (next == null) {
+            source.lastIdle = previous;
         } else {
-            connection.nextOfSource.previousOfSource = connection.previousOfSource;
+            next.linkPreviousOfSource(previous);
         }
-        connection.previousOfSource = null;
-        connection.nextOfSource = null;
-        move(source, -1);
+        connection.linkPreviousOfSource(null);
+        connection.linkNextOfSource(null);
+        changeIdleCount(source, -1);
     }
 
-    private void move(Source source, int by) {
-        if (source.resting > 0) {
+    private void changeIdleCount(Source source, int change) {
+        if (source.idleCount > 0) {
             unlink(source);
         }
-        source.resting += by;
-        if (source.resting >= byResting.length) {
-            byResting = Arrays.copyOf(byResting, 2 * byResting.length);
+        source.idleCount += change;
+        if (source.idleCount >= byIdleCount.length) {
+            byIdleCount = Arrays.copyOf(byIdleCount, 2 * byIdleCount.length);
         }
-        if (source.resting > 0) {
-            Source head = byResting[source.resting];
+        if (source.idleCount > 0) {
+            Source head = byIdleCount[source.idleCount];
             source.next = head;
             if (head != null) {
                 head.previous = source;
             }
-            byResting[source.resting] = source;
+            byIdleCount[source.idleCount] = source;
         }
-        // counts change by one, so the list below the emptied one holds the source that left it
-        most = Math.max(most, source.resting);
-        if (byResting[most] == null && most > 0) {
-            most--;
+        // counts change by one, so the list below an emptied one holds the source that left it
+        maxIdleCount = Math.max(maxIdleCount, source.idleCount);
+        if (byIdleCount[maxIdleCount] == null && maxIdleCount > 0) {
+            maxIdleCount--;
         }
     }
 
     private void unlink(Source source) {
         if (source.previous == null) {
-            byResting[source.resting] = source.next;
+            byIdleCount[source.idleCount] = source.next;
         } else {
             source.previous.next = source.next;
         }
@@ -124,8 +139,8 @@
         source.next = null;
     }
 
-    /** The connection longest at rest of a source that has most at rest; null if none rests. */
-    Connection longestOfMost() {
-        return most == 0 ? null : byResting[most].first;
+    /** The connection idle for longest of a source with most idle connections; null if none is idle. */
+    Connection longestIdleOfLargestSource() {
+        return maxIdleCount == 0 ? null : byIdleCount[maxIdleCount].firstIdle;
     }
 }
--- a/server/src/main/java/wheatspread/connections/TokenBucket.java
+++ b/server/src/main/java/wheatspread/connections/TokenBucket.java
@@ -1,30 +1,33 @@
 package wheatspread.connections;
 
 /**
- * A token bucket that may be overdrawn by what has been taken already: who asks too fast waits until it is
- * paid back. Times are microseconds.
+ * A token bucket that may be overdrawn: what has been taken already cannot be given back, so the caller waits
+ * until the debt is paid.
  */
 final class TokenBucket {
-    private final double perMicro;
-    private final double most;
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    private final double tokensPerMicro;
+    private final double capacity;
     private double tokens;
-    private long filledAt;
+    private long filledAtMicros;
 
     /** A rate of 0 per second means no limit. */
-    TokenBucket(int perSecond, int burst, long now) {
-        perMicro = perSecond / 1e6;
-        most = burst;
+    TokenBucket(int perSecond, int burst, long nowMicros) {
+        tokensPerMicro = perSecond / MICROS_PER_SECOND;
+        capacity = burst;
         tokens = burst;
-        filledAt = now;
+        filledAtMicros = nowMicros;
     }
 
-    /** Takes one, and returns for how long nobody should take another; 0 if one may at once. */
-    long take(long now) {
-        if (perMicro == 0) {
+    /** Takes a token and returns how long to wait before the next one, in microseconds; 0 for no wait. */
+    long take(long nowMicros) {
+        if (tokensPerMicro == 0) {
             return 0;
         }
-        tokens = Math.min(most, tokens + Math.max(0, now - filledAt) * perMicro) - 1;
-        filledAt = Math.max(filledAt, now);
-        return tokens >= 1 ? 0 : (long) Math.ceil((1 - tokens) / perMicro);
+        double refill = Math.max(0, nowMicros - filledAtMicros) * tokensPerMicro;
+        tokens = Math.min(capacity, tokens + refill) - 1;
+        filledAtMicros = Math.max(filledAtMicros, nowMicros);
+        return tokens >= 1 ? 0 : (long) Math.ceil((1 - tokens) / tokensPerMicro);
     }
 }
--- a/server/src/main/java/wheatspread/jsonrpc/RpcConnection.java
+++ b/server/src/main/java/wheatspread/jsonrpc/RpcConnection.java
@@ -63,7 +63,7 @@
     @Override
     protected void gone() {
         for (OpenRequest request = newest; request != null; request = request.older) {
-            over(request.burstAdmission, Answer.Kind.FAILED);
+            requestEnded(request.burstAdmission, Answer.Kind.FAILED);
             front.core().gone(request.ticket);
         }
         newest = null;
@@ -76,7 +76,7 @@
      * write: one that has closed altogether resets the connection, and the write after that fails.
      */
     @Override
-    protected void inputEnded() {
+    protected void clientInputEnded() {
         lastCall();
         front.clock().after(RpcFront.HALF_CLOSE_REMINDER_MICROS, () -> {
             if (openRequests > 0) {
@@ -97,7 +97,7 @@
     @Override
     protected int read(ByteBuf bytes) {
         int lines = 0;
-        while (!leaving()) {
+        while (!isDraining()) {
             int length = bytes.bytesBefore((byte) '\n');
             if ((length < 0 ? bytes.readableBytes() : length) > RpcFront.MAX_LINE_BYTES) {
                 String message = "line over " + RpcFront.MAX_LINE_BYTES + " bytes";
@@ -189,10 +189,10 @@
         try {
             InboundRequest inbound =
                     front.requestReader().read(method, params, front.clock().nowMicros());
-            if (turnedAway(front.core(), inbound.requestClass(), answer -> writeAnswer(id, answer))) {
+            if (rejectedByBurstLimiter(front.core(), inbound.requestClass(), answer -> writeAnswer(id, answer))) {
                 return;
             }
-            OpenRequest request = new OpenRequest(id, inbound.job(), ofCrowd(), newest);
+            OpenRequest request = new OpenRequest(id, inbound.job(), isBurstAdmission(), newest);
             newest = request;
             openRequests++;
             request.ticket = front.core().submit(inbound, answer -> complete(request, answer));
@@ -203,7 +203,7 @@
 
     private void complete(OpenRequest request, Answer answer) {
         remove(request);
-        over(request.burstAdmission, answer.kind());
+        requestEnded(request.burstAdmission, answer.kind());
         writeAnswer(request.id, answer);
         answered();
     }
@@ -262,7 +262,7 @@
         }
         if (canceled != null) {
             remove(canceled);
-            over(canceled.burstAdmission, Answer.Kind.FAILED);
+            requestEnded(canceled.burstAdmission, Answer.Kind.FAILED);
             front.core().gone(canceled.ticket);
         }
     }
--- a/server/src/main/java/wheatspread/scheduling/IterationBudget.java
+++ b/server/src/main/java/wheatspread/scheduling/IterationBudget.java
@@ -1,18 +1,26 @@
 package wheatspread.scheduling;
 
 /**
- * What one turn of the event loop may spend on new requests.
+ * What one event-loop iteration may spend on new requests.
  *
- * @param mostBytes bytes read from callers
- * @param mostRequests whole requests read
- * @param mostMicros time spent on reading, in microseconds
- * @param lately who used its connection within this time is not taken for a sleeper, in microseconds
- * @param sleepersPart a sleeper is read for so many others, so that a busy server reads sleepers too
- * @param crowd so many sleepers that wait at once are a crowd, see {@link CrowdGate}
- * @param mostExpiring timers, and connections whose limit is over, that a turn deals with
+ * @param maxBytes bytes read from callers
+ * @param maxRequests whole requests read
+ * @param maxReadMicros time spent on reading
+ * @param lately a connection that was used within this many microseconds does not count as idle
+ * @param readsPerIdleRead one idle connection is read after this many others, so that a busy server reads
+ *     idle connections too
+ * @param burstThreshold how many idle connections that wait to be read at once make a reconnect burst, see
+ *     {@link ReconnectBurstLimiter}
+ * @param maxExpirations timers, and connections past a limit, that an iteration deals with
  */
 public record IterationBudget(
-        int mostBytes, int mostRequests, int mostMicros, long lately, int sleepersPart, int crowd, int mostExpiring) {
-    /** What holds unless an operator's file says otherwise. */
+        int maxBytes,
+        int maxRequests,
+        int maxReadMicros,
+        long lately,
+        int readsPerIdleRead,
+        int burstThreshold,
+        int maxExpirations) {
+    /** What holds unless the operator's file says otherwise. */
     public static final IterationBudget USUAL = new IterationBudget(256 * 1024, 128, 4_000, 5_000_000, 8, 64, 16);
 }
--- a/server/src/main/java/wheatspread/scheduling/ReadScheduler.java
+++ b/server/src/main/java/wheatspread/scheduling/ReadScheduler.java
@@ -1,122 +1,142 @@
 package wheatspread.scheduling;
 
 /**
- * Which connections are read in a turn of the event loop, in what order, and when the turn has read enough.
- * Those with open requests come first, then those used lately, then the sleepers; each in the order in which
- * they became ready. Sleepers get a small part of every turn whatever the others do. It does no I/O and reads
- * no clock.
+ * Decides which connections are read in an event-loop iteration, in what order, and when the iteration has
+ * read enough. Connections with open requests come first, then recently used ones, then idle ones, each in
+ * the order in which they became ready. Idle connections get a small share of every iteration whatever the
+ * others do. It does no I/O and reads no clock; used on the event loop only.
  */
 public final class ReadScheduler {
-    static final int NONE = -1;
-    private static final int OPEN = 0;
-    private static final int LATELY = 1;
-    private static final int SLEEPER = 2;
+    static final int NOT_QUEUED = -1;
+
+    private static final int WITH_OPEN_REQUESTS = 0;
+    private static final int RECENTLY_USED = 1;
+    private static final int IDLE = 2;
     private static final int QUEUES = 3;
 
-    private final IterationBudget limits;
+    private final IterationBudget budget;
     private final PendingRead[] first = new PendingRead[QUEUES];
     private final PendingRead[] last = new PendingRead[QUEUES];
     private final int[] sizes = new int[QUEUES];
-    private long startedAt;
-    private int bytes;
-    private int requests;
-    private int taken;
-    private int sinceSleeper;
-    private long exhausted;
-    private long sleepers;
-
-    public ReadScheduler(IterationBudget limits) {
-        this.limits = limits;
+    private long iterationStartMicros;
+    private int bytesRead;
+    private int requestsRead;
+    private int connectionsRead;
+    private int readsSinceIdleRead;
+    private long exhaustedIterations;
+    private long idleReads;
+
+    public ReadScheduler(IterationBudget budget) {
+        this.budget = budget;
     }
 
-    /** A connection has something to read. */
-    public void add(PendingRead ready, long now) {
-        if (ready.queue != NONE) {
+    /** Queues a connection that has something to read, unless it is queued already. */
+    public void add(PendingRead ready, long nowMicros) {
+        if (ready.isQueued()) {
             return;
         }
-        int queue = ready.hasOpenRequests() ? OPEN : ready.usedAt() > now - limits.lately() ? LATELY : SLEEPER;
-        ready.queue = queue;
-        ready.sleeper = queue == SLEEPER;
-        ready.next = null;
+        int queue = queueFor(ready, nowMicros);
+        ready.enqueued(queue, queue == IDLE);
         if (last[queue] == null) {
             first[queue] = ready;
         } else {
-            last[queue].next = ready;
+            last[queue].linkNext(ready);
         }
         last[queue] = ready;
         sizes[queue]++;
-        sleepers += queue == SLEEPER ? 1 : 0;
+        idleReads += queue == IDLE ? 1 : 0;
+    }
+
+    private int queueFor(PendingRead ready, long nowMicros) {
+        if (ready.hasOpenRequests()) {
+            return WITH_OPEN_REQUESTS;
+        }
+        return ready.lastUsedMicros() > nowMicros - budget.lately() ? RECENTLY_USED : IDLE;
     }
 
-    /** A turn begins. */
-    public void begin(long now) {
-        startedAt = now;
-        bytes = 0;
-        requests = 0;
-        taken = 0;
+    /** Starts an iteration with its whole budget. */
+    public void beginIteration(long nowMicros) {
+        iterationStartMicros = nowMicros;
+        bytesRead = 0;
+        requestsRead = 0;
+        connectionsRead = 0;
     }
 
-    /** What was read of the connection taken last. */
-    public void spent(int readBytes, int readRequests) {
-        bytes += readBytes;
-        requests += readRequests;
+    /** Charges the budget with what was read from the connection taken last. */
+    public void recordRead(int bytes, int requests) {
+        bytesRead += bytes;
+        requestsRead += requests;
     }
 
-    /** The next connection to read, which is queued no longer; null if there is none or the turn is over. */
-    public PendingRead take(long now) {
+    /**
+     * Takes the next connection to read out of its queue; returns null if there is none or the budget is
+     * spent. An iteration reads at least one connection.
+     */
+    public PendingRead take(long nowMicros) {
         if (isEmpty()) {
             return null;
         }
-        boolean over = bytes >= limits.mostBytes()
-                || requests >= limits.mostRequests()
-                || now - startedAt >= limits.mostMicros();
-        if (over && taken > 0) {
-            exhausted++;
+        if (connectionsRead > 0 && isBudgetSpent(nowMicros)) {
+            exhaustedIterations++;
             return null;
         }
-        taken++;
-        int queue = OPEN;
+        connectionsRead++;
+        return removeFirst(selectQueue());
+    }
+
+    private boolean isBudgetSpent(long nowMicros) {
+        return bytesRead >= budget.maxBytes()
+                || requestsRead >= budget.maxRequests()
+                || nowMicros - iterationStartMicros >= budget.maxReadMicros();
+    }
+
+    private int selectQueue() {
+        int queue = WITH_OPEN_REQUESTS;
         while (first[queue] == null) {
             queue++;
         }
-        if (queue != SLEEPER && first[SLEEPER] != null && ++sinceSleeper >= limits.sleepersPart()) {
-            queue = SLEEPER;
+        if (queue != IDLE && first[IDLE] != null && ++readsSinceIdleRead >= budget.readsPerIdleRead()) {
+            queue = IDLE;
         }
-        if (queue == SLEEPER) {
-            sinceSleeper = 0;
+        if (queue == IDLE) {
+            readsSinceIdleRead = 0;
         }
+        return queue;
+    }
+
+    private PendingRead removeFirst(int queue) {
         PendingRead ready = first[queue];
-        first[queue] = ready.next;
+        first[queue] = ready.next();
         if (first[queue] == null) {
             last[queue] = null;
         }
-        ready.next = null;
-        ready.queue = NONE;
+        ready.dequeued();
         sizes[queue]--;
         return ready;
     }
 
+    /** Whether no connection waits to be read. */
     public boolean isEmpty() {
         return size() == 0;
     }
 
     /** How many connections wait to be read. */
     public int size() {
-        return sizes[OPEN] + sizes[LATELY] + sizes[SLEEPER];
+        return sizes[WITH_OPEN_REQUESTS] + sizes[RECENTLY_USED] + sizes[IDLE];
     }
 
-    /** How many sleepers are among them. */
-    public int sleepersWaiting() {
-        return sizes[SLEEPER];
+    /** How many idle connections wait to be read. */
+    public int idleWaiting() {
+        return sizes[IDLE];
     }
 
-    /** Turns that left something unread. */
+    /** How many iterations spent their budget before everything was read. */
     public long exhausted() {
-        return exhausted;
+        return exhaustedIterations;
     }
 
-    /** Connections that were queued as sleepers. */
+    /** How many times an idle connection was queued. */
     public long sleepers() {
-        return sleepers;
+        return idleReads;
     }
 }
--- a/server/src/main/java/wheatspread/scheduling/ReconnectBurstLimiter.java
+++ b/server/src/main/java/wheatspread/scheduling/ReconnectBurstLimiter.java
@@ -3,82 +3,92 @@
 import java.util.SplittableRandom;
 
 /**
- * Keeps a crowd of sleepers that wakes at once from filling the hold, where it would push out those that ask
- * all the time: while very many sleepers wait to be read, only a few of their requests may be in hand
- * together, and the others are turned away at once and told when to come back. How many that is, is found by
- * additive increase and multiplicative decrease (D. Chiu and R. Jain, 1989): one more for each that was
- * served, half as many once anybody is refused. It does no I/O and reads no clock; times are microseconds.
+ * Limits the requests of idle connections that become active at the same time, so that they do not displace
+ * the requests of steady callers from the admission queue. While a burst lasts, only a window of such
+ * requests may be in flight; the others are rejected at once with a time to retry after. The window follows
+ * additive increase and multiplicative decrease (D. Chiu and R. Jain, "Analysis of the Increase and Decrease
+ * Algorithms for Congestion Avoidance in Computer Networks", 1989): one more for each request that was
+ * served, half as many after a rejection. It does no I/O and reads no clock; used on the event loop only.
  */
 public final class ReconnectBurstLimiter {
-    private static final int LEAST = 4;
-    private static final int FIRST = 16;
-    private static final int MOST = 512;
-    /** Refusals closer together are one sign; it takes a while until fewer requests show. */
-    private static final long ONE_SIGN = 200_000;
+    private static final int MIN_WINDOW = 4;
+    private static final int INITIAL_WINDOW = 16;
+    private static final int MAX_WINDOW = 512;
+    /** Rejections within this time count as one congestion signal, since a smaller window takes effect late. */
+    private static final long DECREASE_INTERVAL_MICROS = 200_000;
+    /** The earliest retry, as a fraction of the latest one. */
+    private static final int EARLIEST_RETRY_FRACTION = 4;
 
-    private final int crowd;
+    private final int burstThreshold;
     private final SplittableRandom random;
     private boolean burst;
-    private double window = FIRST;
-    private int inHand;
-    private long closedAt = Long.MIN_VALUE / 2;
+    private double window = INITIAL_WINDOW;
+    private int inFlight;
+    private long decreasedAtMicros = Long.MIN_VALUE / 2;
     private long bursts;
-    private long turnedAway;
+    private long rejections;
 
-    /** So many sleepers that wait to be read make a crowd; the seed spreads when they come back. */
-    public ReconnectBurstLimiter(int crowd, long seed) {
-        this.crowd = crowd;
+    /**
+     * A burst starts once {@code burstThreshold} idle connections wait to be read; the seed spreads the
+     * retries of rejected requests.
+     */
+    public ReconnectBurstLimiter(int burstThreshold, long seed) {
+        this.burstThreshold = burstThreshold;
         random = new SplittableRandom(seed);
     }
 
     /**
-     * Whether a request read from a sleeper may go on to be decided on, while so many further sleepers wait.
-     * Who is let in must be given back by {@link #ended}.
+     * Decides whether a request read from an idle connection may go on to the core, while {@code idleWaiting}
+     * further idle connections wait to be read. An admitted request must be given back by {@link #completed}.
      */
-    public boolean admits(int waiting) {
-        if (!burst && waiting >= crowd) {
+    public boolean tryAdmit(int idleWaiting) {
+        if (!burst && idleWaiting >= burstThreshold) {
             burst = true;
             bursts++;
-            window = FIRST;
-        } else if (burst && waiting == 0 && inHand == 0) {
+            window = INITIAL_WINDOW;
+        } else if (burst && idleWaiting == 0 && inFlight == 0) {
             burst = false;
         }
-        if (burst && inHand >= (int) window) {
-            turnedAway++;
+        if (burst && inFlight >= (int) window) {
+            rejections++;
             return false;
         }
-        inHand++;
+        inFlight++;
         return true;
     }
 
-    /** A request that was let in is over. */
-    public void ended(boolean served) {
-        inHand--;
+    /** An admitted request has ended. */
+    public void completed(boolean served) {
+        inFlight--;
         if (burst && served) {
-            window = Math.min(MOST, window + 1);
+            window = Math.min(MAX_WINDOW, window + 1);
         }
     }
 
-    /** Somebody was refused for want of room, whoever it was. */
-    public void refused(long now) {
-        if (burst && now - closedAt >= ONE_SIGN) {
-            closedAt = now;
-            window = Math.max(LEAST, window / 2);
+    /** The server rejected a request for lack of capacity, whichever caller it came from. */
+    public void rejected(long nowMicros) {
+        if (burst && nowMicros - decreasedAtMicros >= DECREASE_INTERVAL_MICROS) {
+            decreasedAtMicros = nowMicros;
+            window = Math.max(MIN_WINDOW, window / 2);
         }
     }
 
-    /** When one that is turned away should come back, {@code most} microseconds at most: spread evenly. */
-    public long later(long most) {
-        return most == 0 ? 0 : most / 4 + random.nextLong(Math.max(1, most - most / 4));
+    /** When a rejected request should be retried: uniformly between a quarter of the latest time and that. */
+    public long retryAfterMicros(long maxMicros) {
+        if (maxMicros == 0) {
+            return 0;
+        }
+        long minMicros = maxMicros / EARLIEST_RETRY_FRACTION;
+        return minMicros + random.nextLong(Math.max(1, maxMicros - minMicros));
     }
 
-    /** How many may be in hand while a burst lasts. */
+    /** How many requests may be in flight while a burst lasts. */
     public int window() {
         return (int) window;
     }
 
-    /** What is logged, as names and values in turns. */
+    /** What is logged, as alternating names and values. */
     public Object[] fields() {
-        return new Object[] {"crowds", bursts, "crowd_turned_away", turnedAway, "crowd_window", (int) window};
+        return new Object[] {"crowds", bursts, "crowd_turned_away", rejections, "crowd_window", (int) window};
     }
 }
--- a/server/src/main/java/wheatspread/transport/ClientChannel.java
+++ b/server/src/main/java/wheatspread/transport/ClientChannel.java
@@ -38,12 +38,12 @@
 
     @Override
     protected final boolean hasOpenRequests() {
-        return connection.open() > 0;
+        return connection.openRequests() > 0;
     }
 
     @Override
-    protected final long usedAt() {
-        return connection.usedAt();
+    protected final long lastUsedMicros() {
+        return connection.lastUsedMicros();
     }
 
     @Override
@@ -54,7 +54,7 @@
         }
         event = ready;
         if (!isQueued()) {
-            connection.unread(true);
+            connection.setUnread(true);
             turns.ready(this);
         }
         IoEvent now = withoutReading(ready);
@@ -65,9 +65,9 @@
 
     /** Its turn has come. */
     final void read() {
-        connection.unread(false);
-        connection.sleepsOn(false);
-        turns.reading(isSleeper());
+        connection.setUnread(false);
+        connection.setCountsAsIdle(false);
+        turns.setReadingIdle(wasIdle());
         if (muted) {
             muted = false;
             if (registration.isValid()) {
--- a/server/src/main/java/wheatspread/transport/ClientChannelHandler.java
+++ b/server/src/main/java/wheatspread/transport/ClientChannelHandler.java
@@ -77,12 +77,12 @@
     protected abstract void gone();
 
     /** About how many bytes the front itself holds of a message that is not whole. */
-    protected int alsoHeld() {
+    protected int extraBufferedBytes() {
         return 0;
     }
 
     /** Whether the caller should be read from, as far as the front goes. */
-    protected boolean takesMore() {
+    protected boolean acceptsMoreRequests() {
         return true;
     }
 
@@ -90,7 +90,7 @@
      * The caller has ended its stream with requests open. A front whose callers say in another way that they
      * have gone owes their answers all the same; elsewhere the end of the stream says it.
      */
-    protected void inputEnded() {
+    protected void clientInputEnded() {
         gone();
     }
 
@@ -133,7 +133,7 @@
             closeIfDone();
         } else {
             if (open() > 0) {
-                inputEnded();
+                clientInputEnded();
             }
             leave();
         }
@@ -150,7 +150,7 @@
             all = held.writeBytes(bytes);
         }
         int whole = read(all);
-        listener.spent(size, whole);
+        listener.recordRead(size, whole);
         if (phase != Phase.OPEN || !all.isReadable()) {
             releaseHeld();
         } else if (held == null) {
@@ -159,11 +159,11 @@
             held.discardSomeReadBytes();
         }
         listener.read(this, whole > 0, holding());
-        settle();
+        updateReading();
     }
 
     /** Looks again at what is held, where the front left whole messages there. */
-    protected final void readHeld() {
+    protected final void readBuffered() {
         if (held != null && phase == Phase.OPEN) {
             take(Unpooled.EMPTY_BUFFER);
         }
@@ -177,7 +177,7 @@
     }
 
     private int holding() {
-        return (held == null ? 0 : held.capacity()) + alsoHeld();
+        return (held == null ? 0 : held.capacity()) + extraBufferedBytes();
     }
 
     /** Whether a message has begun whose end is missing. */
@@ -187,19 +187,19 @@
 
     @Override
     public final void channelWritabilityChanged(ChannelHandlerContext context) {
-        listener.stalled(this, !context.channel().isWritable());
-        settle();
+        listener.writabilityChanged(this, !context.channel().isWritable());
+        updateReading();
     }
 
     /** A caller that does not read its answers is not read from, or they would fill the memory. */
-    protected final void settle() {
+    protected final void updateReading() {
         if (phase != Phase.LINGERING) {
-            boolean reads = phase == Phase.OPEN && ctx.channel().isWritable() && takesMore();
+            boolean reads = phase == Phase.OPEN && ctx.channel().isWritable() && acceptsMoreRequests();
             if (reads != ctx.channel().config().isAutoRead()) {
                 ctx.channel().config().setAutoRead(reads);
             }
             if (connection != null) {
-                connection.unread(!reads && phase == Phase.OPEN);
+                connection.setUnread(!reads && phase == Phase.OPEN);
             }
         }
         if (phase == Phase.LEAVING && open() == 0) {
@@ -236,7 +236,7 @@
     }
 
     private void discard(int bytes) {
-        listener.spent(bytes, 0);
+        listener.recordRead(bytes, 0);
         if (lingering != null) {
             lingering.discarded += bytes;
             if (lingering.discarded > Lingering.MOST_DISCARDED) {
@@ -279,12 +279,12 @@
         if (phase == Phase.OPEN) {
             phase = Phase.LEAVING;
             releaseHeld();
-            listener.left(this);
-            settle();
+            listener.draining(this);
+            updateReading();
         }
     }
 
-    protected final boolean leaving() {
+    protected final boolean isDraining() {
         return phase != Phase.OPEN;
     }
 
@@ -302,28 +302,28 @@
      * Whether a request that was just read may not go on to the core, since it is of a crowd that wakes at
      * once. Then it has been answered, with a time to come back.
      */
-    protected final boolean turnedAway(Core core, int kind, Reply reply) {
-        EventLoopScheduler turns = listener.turns();
-        if (turns.admits()) {
+    protected final boolean rejectedByBurstLimiter(Core core, int kind, Reply reply) {
+        EventLoopScheduler turns = listener.scheduler();
+        if (turns.tryAdmit()) {
             return false;
         }
-        connection.sleepsOn(true);
-        core.turnAway(kind, reply, turns.gate().later(core.mostStayAway()));
+        connection.setCountsAsIdle(true);
+        core.turnAway(kind, reply, turns.gate().retryAfterMicros(core.mostStayAway()));
         return true;
     }
 
-    /** Whether a request that goes on was let in as a sleeper's; {@link #over} has to be told of it. */
-    protected final boolean ofCrowd() {
-        return listener.turns().isSleeper();
+    /** Whether a request that goes on was let in as a sleeper's; {@link #requestEnded} has to be told of it. */
+    protected final boolean isBurstAdmission() {
+        return listener.scheduler().isReadingIdle();
     }
 
     /** Tells what became of a request that went on. */
-    protected final void over(boolean ofCrowd, Answer.Kind kind) {
+    protected final void requestEnded(boolean ofCrowd, Answer.Kind kind) {
         if (ofCrowd) {
-            listener.turns().gate().ended(kind == Answer.Kind.SERVED);
+            listener.scheduler().gate().completed(kind == Answer.Kind.SERVED);
         }
         if (kind == Answer.Kind.REJECTED) {
-            listener.refused();
+            listener.requestRejected();
         }
     }
 
@@ -335,6 +335,6 @@
     /** An answer went out, so that less is open. */
     protected final void answered() {
         listener.answered(this);
-        settle();
+        updateReading();
     }
 }
--- a/server/src/main/java/wheatspread/transport/EpollTransport.java
+++ b/server/src/main/java/wheatspread/transport/EpollTransport.java
@@ -56,7 +56,7 @@
     }
 
     @Override
-    public ServerChannel adopt(int fd) {
+    public ServerChannel adoptListeningSocket(int fd) {
         return new EpollServerSocketChannel(fd);
     }
 
--- a/server/src/main/java/wheatspread/transport/EventLoopScheduler.java
+++ b/server/src/main/java/wheatspread/transport/EventLoopScheduler.java
@@ -51,7 +51,7 @@
         this.limits = limits;
         this.log = log;
         order = new ReadScheduler(limits);
-        gate = new ReconnectBurstLimiter(limits.crowd(), seed);
+        gate = new ReconnectBurstLimiter(limits.burstThreshold(), seed);
     }
 
     /** The clock by which connections were used, in microseconds. */
@@ -91,7 +91,7 @@
     }
 
     /** Runs a task once at the end of a turn, behind all that is owed to anybody. */
-    void atEnd(Runnable task) {
+    void runAtEnd(Runnable task) {
         last.add(task);
     }
 
@@ -110,7 +110,7 @@
     }
 
     /** Whether what is read now was queued as a sleeper. */
-    void reading(boolean ofSleeper) {
+    void setReadingIdle(boolean ofSleeper) {
         sleeper = ofSleeper;
     }
 
@@ -118,11 +118,11 @@
      * Whether a request that was just read may go on; those of sleepers may not where they are a crowd. Who
      * may go on as a sleeper has to be given back to the {@link #gate}.
      */
-    boolean admits() {
-        return !sleeper || gate.admits(order.sleepersWaiting());
+    boolean tryAdmit() {
+        return !sleeper || gate.tryAdmit(order.idleWaiting());
     }
 
-    boolean isSleeper() {
+    boolean isReadingIdle() {
         return sleeper;
     }
 
@@ -166,7 +166,7 @@
     }
 
     private void readCallers() {
-        order.begin(micros());
+        order.beginIteration(micros());
         for (var ready = order.take(micros()); ready != null; ready = order.take(micros())) {
             ClientChannel handle = (ClientChannel) ready;
             run(handle::read);
@@ -201,7 +201,7 @@
             waiting.active = 0;
             int handled = selector.run(waiting);
             long began = System.nanoTime();
-            wheel.expire(began / 1_000, limits.mostExpiring());
+            wheel.expire(began / 1_000, limits.maxExpirations());
             runSoon();
             if (!order.isEmpty()) {
                 readCallers();
--- a/server/src/main/java/wheatspread/transport/IterationTimes.java
+++ b/server/src/main/java/wheatspread/transport/IterationTimes.java
@@ -6,13 +6,13 @@
  */
 public final class IterationTimes {
     private final long[] counts = new long[40];
-    private long turns;
+    private long iterations;
     private long busy;
     private long longest;
 
     void add(long nanos) {
         counts[Math.min(counts.length - 1, 64 - Long.numberOfLeadingZeros(nanos / 1_000))]++;
-        turns++;
+        iterations++;
         busy += nanos;
         longest = Math.max(longest, nanos);
     }
@@ -20,12 +20,19 @@
     /** What is logged, as names and values in turns; the longest one since it was last asked for. */
     public Object[] fields() {
         return new Object[] {
-            "count", turns, "busy_us", busyMicros(), "p99_us", quantileMicros(0.99), "longest_us", takeLongestMicros()
+            "count",
+            iterations,
+            "busy_us",
+            busyMicros(),
+            "p99_us",
+            quantileMicros(0.99),
+            "longest_us",
+            takeLongestMicros()
         };
     }
 
-    public long turns() {
-        return turns;
+    public long iterations() {
+        return iterations;
     }
 
     /** The time of all turns together. */
@@ -42,7 +49,7 @@
 
     /** A time that so great a share of the turns stayed under, to the next power of two. */
     public long quantileMicros(double share) {
-        long left = (long) Math.ceil(share * turns);
+        long left = (long) Math.ceil(share * iterations);
         for (int i = 0; i < counts.length; i++) {
             left -= counts[i];
             if (left <= 0) {
--- a/server/src/main/java/wheatspread/transport/Listener.java
+++ b/server/src/main/java/wheatspread/transport/Listener.java
@@ -47,12 +47,12 @@
     private static final int READ = 4 * 1024;
 
     private final EventLoop loop;
-    private final EventLoopScheduler turns;
+    private final EventLoopScheduler scheduler;
     private final Clock clock;
     private final Front front;
     private final ConnectionTable table;
     private final EventLog log;
-    private final Set<ClientChannelHandler> stalled = new LinkedHashSet<>();
+    private final Set<ClientChannelHandler> writabilityChanged = new LinkedHashSet<>();
     /** One handle reads for all callers, one after another; each has but one read a turn. */
     private final RecvByteBufAllocator.ExtendedHandle reading = (RecvByteBufAllocator.ExtendedHandle)
             new FixedRecvByteBufAllocator(READ).maxMessagesPerRead(1).newHandle();
@@ -71,7 +71,7 @@
     public Listener(
             EventLoop loop, EventLoopScheduler turns, Clock clock, Front front, ConnectionLimits limits, EventLog log) {
         this.loop = loop;
-        this.turns = turns;
+        this.scheduler = turns;
         this.clock = clock;
         this.front = front;
         this.log = log;
@@ -87,7 +87,7 @@
     public InetSocketAddress listen(InetSocketAddress address) {
         ChannelFuture binding = new Bootstrap()
                 .group(loop)
-                .channel(turns.transport().serverChannel())
+                .channel(scheduler.transport().serverChannel())
                 .option(ChannelOption.SO_BACKLOG, 1024)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .handler(new Acceptor())
@@ -108,7 +108,7 @@
      */
     public InetSocketAddress hold(int fd) {
         try {
-            ServerChannel channel = turns.transport().adopt(fd);
+            ServerChannel channel = scheduler.transport().adoptListeningSocket(fd);
             channel.pipeline().addLast(new Acceptor());
             held = channel;
             handedOver = true;
@@ -169,7 +169,7 @@
         channel.config().setWriteBufferWaterMark(MARKS);
         channel.config().setRecvByteBufAllocator(() -> reading);
         channel.pipeline().addLast(caller);
-        turns.register(
+        scheduler.register(
                 connection,
                 () -> loop.register(channel).addListener(done -> {
                     if (!done.isSuccess()) {
@@ -224,12 +224,12 @@
     }
 
     void closed(ClientChannelHandler caller) {
-        stalled.remove(caller);
+        writabilityChanged.remove(caller);
         table.closed(caller.connection);
     }
 
-    void spent(int bytes, int requests) {
-        turns.order().spent(bytes, requests);
+    void recordRead(int bytes, int requests) {
+        scheduler.order().recordRead(bytes, requests);
     }
 
     void read(ClientChannelHandler caller, boolean whole, int bytes) {
@@ -240,16 +240,16 @@
         table.answered(caller.connection, clock.nowMicros(), caller.open());
     }
 
-    void left(ClientChannelHandler caller) {
-        table.leave(caller.connection, clock.nowMicros());
+    void draining(ClientChannelHandler caller) {
+        table.drain(caller.connection, clock.nowMicros());
     }
 
-    EventLoopScheduler turns() {
-        return turns;
+    EventLoopScheduler scheduler() {
+        return scheduler;
     }
 
-    void refused() {
-        turns.gate().refused(clock.nowMicros());
+    void requestRejected() {
+        scheduler.gate().rejected(clock.nowMicros());
     }
 
     EventLog log() {
@@ -284,10 +284,10 @@
             timer = null;
         }
         armedFor = Long.MAX_VALUE;
-        int most = turns.limits().mostExpiring();
+        int most = scheduler.limits().maxExpirations();
         if (table.expire(clock.nowMicros(), most) >= most && table.soonest() <= clock.nowMicros()) {
             armedFor = 0; // the rest follows in the next turn, behind what is owed to anybody
-            turns.atEnd(this::expire);
+            scheduler.runAtEnd(this::expire);
         } else {
             arm();
         }
@@ -295,10 +295,10 @@
 
     // ---- what waits to be written ----
 
-    void stalled(ClientChannelHandler caller, boolean stalls) {
+    void writabilityChanged(ClientChannelHandler caller, boolean stalls) {
         if (!stalls) {
-            stalled.remove(caller);
-        } else if (stalled.add(caller) && !watching) {
+            writabilityChanged.remove(caller);
+        } else if (writabilityChanged.add(caller) && !watching) {
             watching = true;
             clock.after(STALLED, this::closeStalled);
         }
@@ -306,17 +306,18 @@
 
     /** Guards the heap against many callers that ask and do not read: the one furthest behind is closed. */
     private void closeStalled() {
-        long waiting =
-                stalled.stream().mapToLong(ConnectionActions::waitingBytes).sum();
+        long waiting = writabilityChanged.stream()
+                .mapToLong(ConnectionActions::waitingBytes)
+                .sum();
         while (waiting > table.limits().mostWaiting()) {
-            ClientChannelHandler worst = stalled.stream()
+            ClientChannelHandler worst = writabilityChanged.stream()
                     .max(Comparator.comparingLong(ConnectionActions::waitingBytes))
                     .orElseThrow();
             waiting -= worst.waitingBytes();
-            stalled.remove(worst);
-            table.stalls(worst.connection);
+            writabilityChanged.remove(worst);
+            table.closeStalled(worst.connection);
         }
-        watching = !stalled.isEmpty();
+        watching = !writabilityChanged.isEmpty();
         if (watching) {
             clock.after(STALLED, this::closeStalled);
         }
@@ -345,7 +346,7 @@
             listening.config().setAutoRead(false);
         } else if (listening != null) { // where another listener could not be bound, this one never was
             try {
-                turns.transport().acceptAll(listening);
+                scheduler.transport().acceptAll(listening);
             } catch (IOException e) {
                 log.warn("accept_failed", "error", e.getMessage());
             }
--- a/server/src/main/java/wheatspread/transport/Transport.java
+++ b/server/src/main/java/wheatspread/transport/Transport.java
@@ -23,7 +23,7 @@
      * A listening socket that this process was handed on descriptor {@code fd}, as a channel that is not yet
      * registered; thrown where it is no listening socket or the transport cannot take it.
      */
-    default ServerChannel adopt(int fd) throws IOException {
+    default ServerChannel adoptListeningSocket(int fd) throws IOException {
         throw new IOException("transport " + name() + " takes no listening socket that is handed over");
     }
 
@@ -84,7 +84,7 @@
 
         /** The JDK hands over descriptor 0 alone, as the channel it inherited. */
         @Override
-        public ServerChannel adopt(int fd) throws IOException {
+        public ServerChannel adoptListeningSocket(int fd) throws IOException {
             if (fd != 0 || !(System.inheritedChannel() instanceof ServerSocketChannel inherited)) {
                 throw new IOException("descriptor " + fd + " is no listening socket that nio can take");
             }
--- a/server/src/main/java/wheatspread/uwsgi/UwsgiConnection.java
+++ b/server/src/main/java/wheatspread/uwsgi/UwsgiConnection.java
@@ -49,7 +49,7 @@
     }
 
     @Override
-    protected boolean takesMore() {
+    protected boolean acceptsMoreRequests() {
         return open < MOST_OPEN;
     }
 
@@ -63,7 +63,7 @@
             if (slot.response != null) {
                 slot.response.release();
             } else {
-                over(slot.ofCrowd, Answer.Kind.FAILED);
+                requestEnded(slot.ofCrowd, Answer.Kind.FAILED);
                 front.core.gone(slot.ticket);
             }
         }
@@ -86,7 +86,7 @@
     @Override
     protected int read(ByteBuf bytes) {
         int requests = 0;
-        while (bytes.isReadable() && open < MOST_OPEN && !leaving()) {
+        while (bytes.isReadable() && open < MOST_OPEN && !isDraining()) {
             if (decoder == null) {
                 decoder = new UwsgiDecoder(front.config.mostVars(), front.config.mostBody());
             }
@@ -120,7 +120,7 @@
     }
 
     @Override
-    protected int alsoHeld() {
+    protected int extraBufferedBytes() {
         return decoder != null && decoder.awaitsBody() ? front.config.mostVars() : 0;
     }
 
@@ -128,9 +128,9 @@
 
     private void request(Slot slot, UwsgiDecoder.Request request) {
         Map<String, String> vars = request.packet().vars();
-        if (request.packet().modifier1() == UwsgiPacket.PING) {
-            ByteBuf pong = ctx.alloc().buffer(UwsgiPacket.HEADER);
-            UwsgiEncoder.write(new UwsgiPacket(UwsgiPacket.PING, front.core.well() ? 1 : 0, Map.of()), pong);
+        if (request.packet().modifier1() == UwsgiPacket.PING_MODIFIER) {
+            ByteBuf pong = ctx.alloc().buffer(UwsgiPacket.HEADER_BYTES);
+            UwsgiEncoder.write(new UwsgiPacket(UwsgiPacket.PING_MODIFIER, front.core.well() ? 1 : 0, Map.of()), pong);
             slot.response = pong;
             writeReady();
         } else if (!front.config.healthPath().isEmpty()
@@ -140,10 +140,10 @@
         } else {
             try {
                 InboundRequest submission = front.reader.read(vars, request.body(), front.clock.nowMicros());
-                if (turnedAway(front.core, submission.requestClass(), answer -> respond(slot, answer))) {
+                if (rejectedByBurstLimiter(front.core, submission.requestClass(), answer -> respond(slot, answer))) {
                     return;
                 }
-                slot.ofCrowd = ofCrowd();
+                slot.ofCrowd = isBurstAdmission();
                 slot.ticket = front.core.submit(submission, answer -> answer(slot, answer));
             } catch (VarsReader.BadVar e) {
                 respond(slot, "400 Bad Request", text(e.getMessage()), "");
@@ -152,7 +152,7 @@
     }
 
     private void answer(Slot slot, Answer answer) {
-        over(slot.ofCrowd, answer.kind());
+        requestEnded(slot.ofCrowd, answer.kind());
         respond(slot, answer);
     }
 
@@ -185,7 +185,7 @@
     }
 
     private void respond(Slot slot, String status, byte[] body, String headers) {
-        boolean end = leaving() || lastCall;
+        boolean end = isDraining() || lastCall;
         byte[] head = ("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length + "\r\n" + headers
                         + (end ? "Connection: close\r\n" : "") + "\r\n")
                 .getBytes(StandardCharsets.ISO_8859_1);
@@ -208,7 +208,7 @@
         leaveIfDone();
         if (stopped && open < MOST_OPEN) {
             stopped = false;
-            front.clock.soon(this::readHeld);
+            front.clock.soon(this::readBuffered);
         }
     }
 }
--- a/server/src/main/java/wheatspread/uwsgi/UwsgiDecoder.java
+++ b/server/src/main/java/wheatspread/uwsgi/UwsgiDecoder.java
@@ -52,20 +52,20 @@
 
     /** What is wrong with the packet; null if nothing is. */
     private Malformed readPacket(ByteBuf in) {
-        if (in.readableBytes() < UwsgiPacket.HEADER) {
+        if (in.readableBytes() < UwsgiPacket.HEADER_BYTES) {
             return null;
         }
         int size = in.getUnsignedShortLE(in.readerIndex() + 1);
         if (size > mostVars) {
             return new Malformed("vars of " + size + " bytes are over " + mostVars, true);
         }
-        if (in.readableBytes() < UwsgiPacket.HEADER + size) {
+        if (in.readableBytes() < UwsgiPacket.HEADER_BYTES + size) {
             return null;
         }
         int modifier1 = in.readUnsignedByte();
         in.skipBytes(2);
         int modifier2 = in.readUnsignedByte();
-        if (modifier1 != UwsgiPacket.REQUEST && modifier1 != UwsgiPacket.PING) {
+        if (modifier1 != UwsgiPacket.REQUEST && modifier1 != UwsgiPacket.PING_MODIFIER) {
             return new Malformed("unknown modifier " + modifier1, false);
         }
         Map<String, String> vars = readVars(in.readSlice(size));
--- a/server/src/main/java/wheatspread/uwsgi/UwsgiEncoder.java
+++ b/server/src/main/java/wheatspread/uwsgi/UwsgiEncoder.java
@@ -15,8 +15,8 @@
             text(name, out);
             text(value, out);
         });
-        int size = out.writerIndex() - start - UwsgiPacket.HEADER;
-        if (size > UwsgiPacket.MOST_VARS) {
+        int size = out.writerIndex() - start - UwsgiPacket.HEADER_BYTES;
+        if (size > UwsgiPacket.MAX_VARS_BYTES) {
             throw new EncoderException("vars of " + size + " bytes do not fit a packet");
         }
         out.setShortLE(start + 1, size);
--- a/server/src/main/java/wheatspread/uwsgi/UwsgiPacket.java
+++ b/server/src/main/java/wheatspread/uwsgi/UwsgiPacket.java
@@ -7,9 +7,9 @@
     /** The modifier of a request with vars. */
     public static final int REQUEST = 0;
     /** The modifier of a ping, and of its answer with a second modifier of 1. */
-    public static final int PING = 100;
+    public static final int PING_MODIFIER = 100;
     /** Modifier, size and modifier again. */
-    static final int HEADER = 4;
+    static final int HEADER_BYTES = 4;
     /** The longest vars that the size can state. */
-    static final int MOST_VARS = 0xffff;
+    static final int MAX_VARS_BYTES = 0xffff;
 }
--- a/server/src/test/java/wheatspread/transport/ListenerTest.java
+++ b/server/src/test/java/wheatspread/transport/ListenerTest.java
@@ -92,12 +92,12 @@
     void whatIsNotWholeIsHeldAndNothingIsAtRest() {
         EmbeddedChannel channel = open();
         say(channel, "abcde");
-        assertThat(listener.table().held()).isPositive();
+        assertThat(listener.table().partialBytes()).isPositive();
         say(channel, "fgh");
-        assertThat(listener.table().held()).isPositive();
+        assertThat(listener.table().partialBytes()).isPositive();
         say(channel, "i");
         assertThat(heard).containsExactly("abc", "def", "ghi");
-        assertThat(listener.table().held()).isZero();
+        assertThat(listener.table().partialBytes()).isZero();
     }
 
     @Test
@@ -107,7 +107,7 @@
         say(channel, "abcd");
         caller.leave();
         assertThat(channel.config().isAutoRead()).isFalse();
-        assertThat(listener.table().held()).isZero();
+        assertThat(listener.table().partialBytes()).isZero();
         say(channel, "efghi");
         assertThat(channel.isOpen()).isTrue();
         caller.done();
