--- a/server/src/main/java/wheatspread/membership/ClusterBootstrap.java
+++ b/server/src/main/java/wheatspread/membership/ClusterBootstrap.java
@@ -24,8 +24,8 @@
     /** What is to be done now. */
     enum Step {
         NOTHING,
-        ASK,
-        FOUND
+        REQUEST_CONSENT,
+        FORM_CLUSTER
     }
 
     private enum Phase {
@@ -35,11 +35,11 @@
     }
 
     /** An epoch is the Unix milliseconds of its founding times this, plus the founder's place. */
-    static final int MOST_SEEDS = 32;
+    static final int MAX_SEEDS = 32;
     /** No standing view was heard of for so long; longer than one whose members have gone still says so. */
-    static final long QUIET = 5_000_000;
+    static final long QUIET_MICROS = 5_000_000;
     /** Consent holds for so long. */
-    static final long HOLD = 4_000_000;
+    static final long CONSENT_MICROS = 4_000_000;
     /** Further seeds and newcomers are waited for so long after the last of them. */
     private static final long GATHER = 1_000_000;
 
@@ -72,8 +72,8 @@
     private record Knocked(Member member, long at) {}
 
     ClusterBootstrap(List<String> seeds, String address, RandomGenerator random) {
-        if (seeds.size() > MOST_SEEDS) {
-            throw new IllegalArgumentException("at most " + MOST_SEEDS + " seeds");
+        if (seeds.size() > MAX_SEEDS) {
+            throw new IllegalArgumentException("at most " + MAX_SEEDS + " seeds");
         }
         this.seeds = List.copyOf(seeds);
         this.address = address;
@@ -86,28 +86,28 @@
     }
 
     /** This member is in no view from now on. */
-    void outside(long now) {
+    void onLeftView(long now) {
         phase = isSeed() ? Phase.QUIET : Phase.NONE;
         ordered = false;
-        quietUntil = now + QUIET + Math.max(0, place) * STAGGER;
+        quietUntil = now + QUIET_MICROS + Math.max(0, place) * STAGGER;
     }
 
     /** It is in a view. */
-    void inside() {
+    void onEnteredView() {
         phase = Phase.NONE;
         ordered = false;
         knockers.clear();
     }
 
     /** A view that stands was heard of: it is to be joined, and none to be founded. */
-    void heardStanding(long now) {
+    void onReachableQuorum(long now) {
         if (phase != Phase.NONE && !ordered) {
-            outside(now);
+            onLeftView(now);
         }
     }
 
     /** Somebody wants to join, and there is nothing yet to be joined. */
-    void knocked(Member member, long now) {
+    void onJoinRequest(Member member, long now) {
         Knocked old = knockers.remove(member.id());
         if (knockers.size() >= MOST_KNOCKERS) {
             knockers.remove(knockers.keySet().iterator().next());
@@ -119,7 +119,7 @@
     }
 
     /** The operator orders a new epoch with all that consent. */
-    void order(long now) {
+    void orderByOperator(long now) {
         phase = Phase.QUIET;
         ordered = true;
         quietUntil = now;
@@ -130,24 +130,24 @@
      * Another founder asks; returns whether this member consents. {@code free}: it is in no view, or, for
      * an order, in one that does not stand.
      */
-    boolean consents(MemberId founder, boolean free, long now) {
+    boolean grantConsent(MemberId founder, boolean free, long now) {
         if (!free || phase == Phase.ASKING || consentTo != null && !consentTo.equals(founder) && now < consentUntil) {
             return false;
         }
         consentTo = founder;
-        consentUntil = now + HOLD;
+        consentUntil = now + CONSENT_MICROS;
         return true;
     }
 
     /** Somebody consents to the founding of that epoch. */
-    void consented(long to, Member member, long now) {
+    void onConsent(long to, Member member, long now) {
         if (phase == Phase.ASKING && to == epoch && founders.putIfAbsent(member.id(), member) == null) {
             consenting.add(member.address());
             gatherUntil = now + GATHER;
         }
     }
 
-    long nextAt() {
+    long nextStepMicros() {
         return switch (phase) {
             case NONE -> Long.MAX_VALUE;
             case QUIET -> quietUntil;
@@ -156,10 +156,10 @@
     }
 
     /** The next thing to do; {@code unixMillis} is the time by the calendar, for the epoch. */
-    Step step(Member self, long now, long unixMillis) {
+    Step nextStep(Member self, long now, long unixMillis) {
         if (phase == Phase.QUIET && now >= quietUntil) {
             if (consentTo != null && now < consentUntil) {
-                quietUntil = consentUntil + random.nextLong(HOLD);
+                quietUntil = consentUntil + random.nextLong(CONSENT_MICROS);
                 return Step.NOTHING;
             }
             begin(self, now, unixMillis);
@@ -170,29 +170,29 @@
         boolean enough = ordered || 2 * consentingSeeds() > seeds.size();
         boolean all = !ordered && consenting.containsAll(seeds);
         if (enough && now >= gatherUntil && (all || now >= askedAt + 2 * GATHER)
-                || enough && now >= askedAt + HOLD - GATHER) {
+                || enough && now >= askedAt + CONSENT_MICROS - GATHER) {
             knockers.values().forEach(one -> {
                 if (now - one.at <= FRESH) {
                     founders.putIfAbsent(one.member.id(), one.member);
                 }
             });
-            return Step.FOUND;
+            return Step.FORM_CLUSTER;
         }
-        if (now >= askedAt + HOLD) { // whoever consented is free again: another may try, or this one later
+        if (now >= askedAt + CONSENT_MICROS) { // whoever consented is free again: another may try, or this one later
             phase = Phase.QUIET;
-            quietUntil = now + random.nextLong(HOLD);
+            quietUntil = now + random.nextLong(CONSENT_MICROS);
             return Step.NOTHING;
         }
         if (now >= askAt) {
             askAt = now + AGAIN;
-            return Step.ASK;
+            return Step.REQUEST_CONSENT;
         }
         return Step.NOTHING;
     }
 
     private void begin(Member self, long now, long unixMillis) {
         phase = Phase.ASKING;
-        epoch = Math.max(unixMillis * MOST_SEEDS + Math.max(0, place), lastEpoch + MOST_SEEDS);
+        epoch = Math.max(unixMillis * MAX_SEEDS + Math.max(0, place), lastEpoch + MAX_SEEDS);
         lastEpoch = epoch;
         askedAt = now;
         askAt = now;
@@ -216,12 +216,12 @@
         return epoch;
     }
 
-    boolean isOrdered() {
+    boolean isOrderedByOperator() {
         return ordered;
     }
 
-    /** The first view, after {@link Step#FOUND}; of two that have a name, the one that started later. */
-    View first() {
+    /** The first view, after {@link Step#FORM_CLUSTER}; of two that have a name, the one that started later. */
+    View firstView() {
         Map<String, Member> byName = new LinkedHashMap<>();
         for (Member one : founders.values()) {
             byName.merge(one.id().name(), one, (a, b) -> a.id().start() >= b.id().start() ? a : b);
--- a/server/src/main/java/wheatspread/membership/CutDetector.java
+++ b/server/src/main/java/wheatspread/membership/CutDetector.java
@@ -23,7 +23,7 @@
     /** As the counters, with odd for "suspected": no report yet, and often none in the end. */
     private final int[][] suspicions;
 
-    private final BitSet leaving = new BitSet();
+    private final BitSet leavingMembers = new BitSet();
     private final Map<MemberId, Joiner> joiners = new TreeMap<>();
     private final int mostJoiners;
     /** What follows from all this, until something else is heard; most messages bring nothing new. */
@@ -51,38 +51,38 @@
         counters = new int[view.size()][];
         suspicions = new int[view.size()][];
         for (int i = 0; i < counters.length; i++) {
-            counters[i] = new int[view.watchersOf(i).length];
+            counters[i] = new int[view.observersOf(i).length];
             suspicions[i] = new int[counters[i].length];
         }
     }
 
     /** A watcher's word on a member; returns whether it was news. */
-    boolean reported(int member, int slot, int counter) {
+    boolean onReport(int member, int slot, int counter) {
         return changes(raise(counters[member], slot, counter));
     }
 
     /** A watcher's suspicion of a member, which moves nothing; returns whether it was news. */
-    boolean suspected(int member, int slot, int counter) {
+    boolean onSuspicion(int member, int slot, int counter) {
         return raise(suspicions[member], slot, counter);
     }
 
-    int suspicion(int member, int slot) {
+    int suspicionCounter(int member, int slot) {
         return suspicions[member][slot];
     }
 
-    int watchers(int member) {
+    int observerCount(int member) {
         return counters[member].length;
     }
 
     /** How many watchers other than that one suspect a member. */
-    int othersSuspect(int member, int slot) {
+    int otherSuspecters(int member, int slot) {
         return odd(suspicions[member]) - (suspicions[member][slot] & 1);
     }
 
     /** A member goes by itself. */
-    boolean leaves(int member) {
-        boolean news = !leaving.get(member);
-        leaving.set(member);
+    boolean onLeaving(int member) {
+        boolean news = !leavingMembers.get(member);
+        leavingMembers.set(member);
         return changes(news);
     }
 
@@ -90,8 +90,8 @@
      * Somebody wants to join; returns whether it was news. One of an older start than a member or another
      * joiner of its name is passed over.
      */
-    boolean joins(Member member) {
-        Member old = view.named(member.id().name());
+    boolean onJoining(Member member) {
+        Member old = view.memberNamed(member.id().name());
         if (joiners.containsKey(member.id())
                 || joiners.size() >= mostJoiners
                 || old != null && old.id().start() >= member.id().start()) {
@@ -108,12 +108,12 @@
         summary = null;
         joiners.put(
                 member.id(),
-                new Joiner(member, view.watchersOf(member.id().name(), old == null ? -1 : view.indexOf(old.id()))));
+                new Joiner(member, view.observersOf(member.id().name(), old == null ? -1 : view.indexOf(old.id()))));
         return true;
     }
 
     /** The word on a joiner of one who would watch it. */
-    boolean heard(MemberId joiner, int slot, int counter) {
+    boolean onJoinerReachable(MemberId joiner, int slot, int counter) {
         Joiner of = joiners.get(joiner);
         return of != null && changes(raise(of.counters, slot, counter));
     }
@@ -135,8 +135,8 @@
     }
 
     /** Who said that it goes. */
-    BitSet leaving() {
-        return leaving;
+    BitSet leavingMembers() {
+        return leavingMembers;
     }
 
     Map<MemberId, Joiner> joiners() {
@@ -152,7 +152,7 @@
      * How many members are missed: they may have gone, or be behind a cut. Suspicions count here, since a
      * side that is cut off distrusts itself and is slow to report. It goes through all members.
      */
-    int missed() {
+    int countUnreachable() {
         return countMissed(unstable());
     }
 
@@ -173,14 +173,14 @@
     }
 
     private long computeDigest() {
-        long digest = Arrays.deepHashCode(counters) * 31L + leaving.hashCode();
+        long digest = Arrays.deepHashCode(counters) * 31L + leavingMembers.hashCode();
         for (Joiner one : joiners.values()) {
             digest = digest * 31 + one.member.hashCode() * 31L + Arrays.hashCode(one.counters);
         }
         return digest;
     }
 
-    int counter(int member, int slot) {
+    int reportCounter(int member, int slot) {
         return counters[member][slot];
     }
 
@@ -189,7 +189,7 @@
     }
 
     /** How many watchers say that a member is down. */
-    int down(int member) {
+    int downReports(int member) {
         return odd(counters[member]);
     }
 
@@ -206,9 +206,9 @@
      * those who are unstable themselves, since who is gone can't report whom it watched.
      */
     private int against(int member, BitSet unstable) {
-        int against = down(member);
+        int against = downReports(member);
         if (unstable.get(member)) {
-            int[] watchers = view.watchersOf(member);
+            int[] watchers = view.observersOf(member);
             for (int slot = 0; slot < watchers.length; slot++) {
                 if ((counters[member][slot] & 1) == 0 && unstable.get(watchers[slot])) {
                     against++;
@@ -228,7 +228,7 @@
         while (missed.cardinality() > before) {
             before = missed.cardinality();
             for (int i = 0; i < view.size(); i++) {
-                int[] watchers = view.watchersOf(i);
+                int[] watchers = view.observersOf(i);
                 int here = 0;
                 for (int watcher : watchers) {
                     here += missed.get(watcher) ? 0 : 1;
@@ -246,7 +246,7 @@
     private BitSet unstable() {
         BitSet unstable = new BitSet();
         for (int i = 0; i < view.size(); i++) {
-            unstable.set(i, counters[i].length > 0 && down(i) >= View.low(counters[i].length));
+            unstable.set(i, counters[i].length > 0 && downReports(i) >= View.lowWatermark(counters[i].length));
         }
         return unstable;
     }
@@ -254,7 +254,8 @@
     private ViewChange computeChange(BitSet unstable, boolean hasty) {
         List<MemberId> out = new ArrayList<>();
         for (int i = 0; i < view.size(); i++) {
-            boolean gone = leaving.get(i) || unstable.get(i) && against(i, unstable) >= View.high(counters[i].length);
+            boolean gone = leavingMembers.get(i)
+                    || unstable.get(i) && against(i, unstable) >= View.highWatermark(counters[i].length);
             if (gone) {
                 out.add(view.members().get(i).id());
             } else if (unstable.get(i) && !hasty) {
@@ -264,13 +265,13 @@
         List<Member> in = new ArrayList<>();
         for (Joiner one : joiners.values()) {
             int heard = odd(one.counters);
-            if (heard >= View.high(one.counters.length)) {
+            if (heard >= View.highWatermark(one.counters.length)) {
                 in.add(one.member);
-                Member old = view.named(one.member.id().name());
+                Member old = view.memberNamed(one.member.id().name());
                 if (old != null && !out.contains(old.id())) {
                     out.add(old.id()); // it was restarted before anybody noticed
                 }
-            } else if (heard >= View.low(one.counters.length) && !hasty) {
+            } else if (heard >= View.lowWatermark(one.counters.length) && !hasty) {
                 return null;
             }
         }
--- a/server/src/main/java/wheatspread/membership/FailureDetector.java
+++ b/server/src/main/java/wheatspread/membership/FailureDetector.java
@@ -11,9 +11,9 @@
 final class FailureDetector {
     /** Where it stands. */
     enum State {
-        WELL,
-        ASKED,
-        ASKED_AROUND,
+        HEALTHY,
+        PROBING,
+        PROBING_INDIRECTLY,
         SUSPECT,
         DOWN
     }
@@ -22,21 +22,21 @@
     enum Step {
         NOTHING,
         PROBE,
-        ASK_AROUND,
+        PROBE_INDIRECTLY,
         SUSPECT,
         REPORT
     }
 
     private final DetectorSettings settings;
     private final LocalHealth health;
-    private State state = State.WELL;
+    private State state = State.HEALTHY;
     /** When the present probe began, or when the next one is due. */
     private long probeAt;
 
     private boolean probing;
     private boolean askedAround;
-    private long suspectSince;
-    private int sharedBy;
+    private long suspectedSinceMicros;
+    private int updateConfirmations;
     private int enough;
 
     /** The first probe is due at {@code first}. */
@@ -51,36 +51,36 @@
     }
 
     /** Since when it is suspected or down. */
-    long suspectSince() {
-        return suspectSince;
+    long suspectedSinceMicros() {
+        return suspectedSinceMicros;
     }
 
     /** How many other watchers share the suspicion, of how many that there are. */
-    void sharedBy(int others, int possible) {
-        sharedBy = others;
+    void updateConfirmations(int others, int possible) {
+        updateConfirmations = others;
         enough = Math.min(settings.confirmations(), possible);
     }
 
-    /** When {@link #step} has something to do next. */
-    long nextAt() {
+    /** When {@link #nextStep} has something to do next. */
+    long nextStepMicros() {
         long probe = !probing
                 ? probeAt
                 : askedAround
-                        ? probeAt + settings.whole() * health.times()
-                        : probeAt + settings.direct() * health.times();
-        return state == State.SUSPECT ? Math.min(probe, suspectSince + suspicion()) : probe;
+                        ? probeAt + settings.whole() * health.multiplier()
+                        : probeAt + settings.direct() * health.multiplier();
+        return state == State.SUSPECT ? Math.min(probe, suspectedSinceMicros + suspicionTimeoutMicros()) : probe;
     }
 
     /** How long the present suspicion lasts, by how many share it. */
-    long suspicion() {
+    long suspicionTimeoutMicros() {
         double spread = settings.mostSuspicion() - settings.leastSuspicion();
-        double share = enough == 0 ? 0 : Math.log1p(Math.min(sharedBy, enough)) / Math.log1p(enough);
-        return (long) (settings.mostSuspicion() - spread * share) * health.times();
+        double share = enough == 0 ? 0 : Math.log1p(Math.min(updateConfirmations, enough)) / Math.log1p(enough);
+        return (long) (settings.mostSuspicion() - spread * share) * health.multiplier();
     }
 
     /** The next thing to do at this time; to be asked again until it is nothing. */
-    Step step(long now) {
-        if (state == State.SUSPECT && now >= suspectSince + suspicion()) {
+    Step nextStep(long now) {
+        if (state == State.SUSPECT && now >= suspectedSinceMicros + suspicionTimeoutMicros()) {
             state = State.DOWN;
             return Step.REPORT;
         }
@@ -91,20 +91,20 @@
             probing = true;
             askedAround = false;
             probeAt = now;
-            state = state == State.WELL ? State.ASKED : state;
+            state = state == State.HEALTHY ? State.PROBING : state;
             return Step.PROBE;
         }
-        if (!askedAround && now >= probeAt + settings.direct() * health.times()) {
+        if (!askedAround && now >= probeAt + settings.direct() * health.multiplier()) {
             askedAround = true;
-            state = state == State.ASKED ? State.ASKED_AROUND : state;
-            return Step.ASK_AROUND;
+            state = state == State.PROBING ? State.PROBING_INDIRECTLY : state;
+            return Step.PROBE_INDIRECTLY;
         }
-        if (now >= probeAt + settings.whole() * health.times()) {
+        if (now >= probeAt + settings.whole() * health.multiplier()) {
             probing = false;
-            probeAt += settings.period() * health.times();
-            if (state == State.ASKED_AROUND) {
+            probeAt += settings.period() * health.multiplier();
+            if (state == State.PROBING_INDIRECTLY) {
                 state = State.SUSPECT;
-                suspectSince = now;
+                suspectedSinceMicros = now;
                 return Step.SUSPECT;
             }
         }
@@ -115,10 +115,10 @@
      * It answered, directly or through somebody; returns whether a suspicion or a report is to be taken
      * back.
      */
-    boolean answered() {
+    boolean onAnswer() {
         boolean back = state == State.SUSPECT || state == State.DOWN;
-        state = State.WELL;
-        sharedBy = 0;
+        state = State.HEALTHY;
+        updateConfirmations = 0;
         if (probing) {
             probing = false;
             probeAt += settings.period();
@@ -130,8 +130,8 @@
      * This member was stopped for so long: what came meanwhile is not read yet, so nothing that was waited
      * for counts as missed, and who is suspected gets the time back.
      */
-    void stoppedFor(long micros) {
+    void extendDeadlines(long micros) {
         probeAt += micros;
-        suspectSince += micros;
+        suspectedSinceMicros += micros;
     }
 }
--- a/server/src/main/java/wheatspread/membership/FlapDamping.java
+++ b/server/src/main/java/wheatspread/membership/FlapDamping.java
@@ -11,9 +11,9 @@
  * are microseconds.
  */
 final class FlapDamping {
-    static final long HALF = 180_000_000;
-    static final long FIRST = 10_000_000;
-    static final long LONGEST = 300_000_000;
+    static final long HALF_LIFE_MICROS = 180_000_000;
+    static final long BASE_WAIT_MICROS = 10_000_000;
+    static final long MAX_WAIT_MICROS = 300_000_000;
     /** More points change nothing. */
     private static final double MOST_POINTS = 12;
     /** Somebody who was not heard for so long begins anew. */
@@ -22,11 +22,11 @@
     private static final int MOST_NAMES = 4_096;
 
     private final Map<String, Points> points = bounded();
-    private final Map<MemberId, Heard> heard = bounded();
+    private final Map<MemberId, Heard> onJoinerAnswered = bounded();
 
     private record Points(double count, long at) {
         double now(long now) {
-            return count * Math.pow(0.5, (now - at) / (double) HALF);
+            return count * Math.pow(0.5, (now - at) / (double) HALF_LIFE_MICROS);
         }
     }
 
@@ -43,28 +43,28 @@
     }
 
     /** A change of the view took somebody of that name out who had not said that it goes. */
-    void missed(String name, long now) {
+    void recordEviction(String name, long now) {
         Points old = points.remove(name);
         points.put(name, new Points(Math.min(MOST_POINTS, 1 + (old == null ? 0 : old.now(now))), now));
     }
 
     /** How long somebody of that name has to be heard without a gap before it is vouched for. */
-    long wait(String name, long now) {
+    long requiredReachableMicros(String name, long now) {
         Points of = points.get(name);
         double more = of == null ? 0 : of.now(now) - 1;
-        return more <= 0 ? 0 : (long) Math.min(LONGEST, FIRST * Math.pow(4, more));
+        return more <= 0 ? 0 : (long) Math.min(MAX_WAIT_MICROS, BASE_WAIT_MICROS * Math.pow(4, more));
     }
 
     /** A joiner was heard; returns whether it may be vouched for. */
-    boolean heard(MemberId joiner, long now) {
-        Heard old = heard.remove(joiner);
+    boolean onJoinerAnswered(MemberId joiner, long now) {
+        Heard old = onJoinerAnswered.remove(joiner);
         long since = old == null || now - old.last > GAP ? now : old.since;
-        heard.put(joiner, new Heard(since, now));
-        return now - since >= wait(joiner.name(), now);
+        onJoinerAnswered.put(joiner, new Heard(since, now));
+        return now - since >= requiredReachableMicros(joiner.name(), now);
     }
 
     /** A joiner was missed. */
-    void silent(MemberId joiner) {
-        heard.remove(joiner);
+    void onJoinerSilent(MemberId joiner) {
+        onJoinerAnswered.remove(joiner);
     }
 }
--- a/server/src/main/java/wheatspread/membership/GossipQueue.java
+++ b/server/src/main/java/wheatspread/membership/GossipQueue.java
@@ -24,7 +24,7 @@
     /** By how often they are still to be passed on, 1 first; entries that were replaced are passed over. */
     private final List<Deque<Entry>> byLeft = new ArrayList<>();
 
-    private int waiting;
+    private int queuedEntries;
 
     private static final class Entry {
         final GossipUpdate news;
@@ -37,10 +37,10 @@
     }
 
     /** Forgets all: what was news of one view is none of the next. */
-    void clear(int fleet) {
+    void reset(int fleet) {
         entries.clear();
         byLeft.clear();
-        waiting = 0;
+        queuedEntries = 0;
         for (int times = TIMES * (32 - Integer.numberOfLeadingZeros(fleet)); times > 0; times--) {
             byLeft.add(new ArrayDeque<>());
         }
@@ -48,17 +48,17 @@
 
     void add(GossipUpdate news) {
         Entry entry = new Entry(news, byLeft.size());
-        entries.put(news.subject(), entry);
+        entries.put(news.supersessionKey(), entry);
         await(entry);
-        if (waiting > SLACK * entries.size() + SLACK_AT_LEAST) { // or those replaced would pile up
-            byLeft.forEach(some -> some.removeIf(one -> entries.get(one.news.subject()) != one));
-            waiting = entries.size();
+        if (queuedEntries > SLACK * entries.size() + SLACK_AT_LEAST) { // or those replaced would pile up
+            byLeft.forEach(some -> some.removeIf(one -> entries.get(one.news.supersessionKey()) != one));
+            queuedEntries = entries.size();
         }
     }
 
     private void await(Entry entry) {
         byLeft.get(entry.left - 1).add(entry);
-        waiting++;
+        queuedEntries++;
     }
 
     boolean isEmpty() {
@@ -66,19 +66,19 @@
     }
 
     /** How many entries there are, with those that were replaced and are not sorted out yet. */
-    int waiting() {
-        return waiting;
+    int queuedEntries() {
+        return queuedEntries;
     }
 
     /** Up to so many pieces for one message. */
-    List<GossipUpdate> take(int most) {
+    List<GossipUpdate> poll(int most) {
         List<Entry> chosen = new ArrayList<>();
         for (int left = byLeft.size(); left > 0 && chosen.size() < most; left--) {
             Deque<Entry> some = byLeft.get(left - 1);
             while (!some.isEmpty() && chosen.size() < most) {
                 Entry entry = some.poll();
-                waiting--;
-                if (entries.get(entry.news.subject()) == entry) {
+                queuedEntries--;
+                if (entries.get(entry.news.supersessionKey()) == entry) {
                     chosen.add(entry);
                 }
             }
@@ -89,7 +89,7 @@
             if (--entry.left > 0) {
                 await(entry);
             } else {
-                entries.remove(entry.news.subject());
+                entries.remove(entry.news.supersessionKey());
             }
         }
         return taken;
--- a/server/src/main/java/wheatspread/membership/GossipUpdate.java
+++ b/server/src/main/java/wheatspread/membership/GossipUpdate.java
@@ -3,72 +3,170 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** What members of one view tell each other about it; each kind may come doubled, late and in any order. */
+/**
+ * One fact about the current view that members disseminate by gossip. An update may arrive several times, late and in
+ * any order, so each kind is a value that only grows. Members are named by their index in the view, observers by
+ * their position in {@link View#observersOf(int)}.
+ */
 public sealed interface GossipUpdate {
-    /** What a piece of news replaces when it is newer: only the latest of a subject is passed on. */
-    default Object subject() {
+    /** Calls the method of the visitor for this kind of update. */
+    <R> R accept(Visitor<R> visitor);
+
+    /** Updates with equal keys supersede each other: only the latest is queued. */
+    default Object supersessionKey() {
         return this;
     }
 
-    /** A watcher's counter on a member: odd is "down". */
-    record Report(int member, int slot, int counter) implements GossipUpdate {
+    /** Whether it is part of the agreement on the next view, and not evidence about members. */
+    default boolean isAgreement() {
+        return false;
+    }
+
+    /** One method for each kind of update, so that a new kind does not compile until all handle it. */
+    interface Visitor<R> {
+        R visitReport(Report update);
+
+        R visitSuspicion(Suspicion update);
+
+        R visitLeaving(Leaving update);
+
+        R visitJoining(Joining update);
+
+        R visitJoinerReachable(JoinerReachable update);
+
+        R visitFastVotes(FastVotes update);
+
+        R visitPrepare(Prepare update);
+
+        R visitPromised(Promised update);
+
+        R visitAccepted(Accepted update);
+    }
+
+    /** An observer's alert about a member: an odd counter reports it down, a larger even one takes that back. */
+    record Report(int subject, int observerIndex, int counter) implements GossipUpdate {
         @Override
-        public Object subject() {
-            return List.of('r', member, slot);
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.visitReport(this);
+        }
+
+        @Override
+        public Object supersessionKey() {
+            return List.of('r', subject, observerIndex);
         }
     }
 
-    /** A watcher's counter on a member: odd is "suspected". */
-    record Suspicion(int member, int slot, int counter) implements GossipUpdate {
+    /** An observer's suspicion of a member: odd while it lasts. It confirms others' suspicions and reports nothing. */
+    record Suspicion(int subject, int observerIndex, int counter) implements GossipUpdate {
         @Override
-        public Object subject() {
-            return List.of('s', member, slot);
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.visitSuspicion(this);
+        }
+
+        @Override
+        public Object supersessionKey() {
+            return List.of('s', subject, observerIndex);
         }
     }
 
-    /** A member goes by itself. */
-    record Leaving(int member) implements GossipUpdate {}
+    /** A member leaves by its own decision. */
+    record Leaving(int member) implements GossipUpdate {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.visitLeaving(this);
+        }
+    }
+
+    /** A server that is not in the view asks to join. */
+    record Joining(Member member) implements GossipUpdate {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.visitJoining(this);
+        }
+    }
 
-    /** Somebody wants to join. */
-    record Joining(Member member) implements GossipUpdate {}
+    /** A prospective observer's word on a joiner: an odd counter says that it answers probes. */
+    record JoinerReachable(MemberId joiner, int observerIndex, int counter) implements GossipUpdate {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.visitJoinerReachable(this);
+        }
 
-    /** The counter on a joiner of one who would watch it: odd is "heard". */
-    record Heard(MemberId joiner, int slot, int counter) implements GossipUpdate {
         @Override
-        public Object subject() {
-            return List.of('h', joiner, slot);
+        public Object supersessionKey() {
+            return List.of('h', joiner, observerIndex);
         }
     }
 
-    /** Who voted for a change in the fast round. */
+    /** Who voted for a change in the fast round (Fast Paxos, phase 2b of the fast ballot). */
     record FastVotes(ViewChange change, BitSet voters) implements GossipUpdate {
         @Override
-        public Object subject() {
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.visitFastVotes(this);
+        }
+
+        @Override
+        public Object supersessionKey() {
             return List.of('f', change);
         }
+
+        @Override
+        public boolean isAgreement() {
+            return true;
+        }
     }
 
-    /** A round was begun. */
+    /** A classic round was started (phase 1a). */
     record Prepare(long ballot) implements GossipUpdate {
         @Override
-        public Object subject() {
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.visitPrepare(this);
+        }
+
+        @Override
+        public Object supersessionKey() {
             return 'p';
         }
+
+        @Override
+        public boolean isAgreement() {
+            return true;
+        }
     }
 
-    /** A member's word in a round. */
+    /** A member's promise in a classic round (phase 1b). */
     record Promised(long ballot, int member, ViewAgreement.Promise promise) implements GossipUpdate {
         @Override
-        public Object subject() {
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.visitPromised(this);
+        }
+
+        @Override
+        public Object supersessionKey() {
             return List.of('q', member);
         }
+
+        @Override
+        public boolean isAgreement() {
+            return true;
+        }
     }
 
-    /** What a round's coordinator asks for, and who has voted for it. */
+    /** The proposal of a classic round's coordinator (phase 2a), with who accepted it (phase 2b). */
     record Accepted(long ballot, ViewChange change, BitSet voters) implements GossipUpdate {
         @Override
-        public Object subject() {
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.visitAccepted(this);
+        }
+
+        @Override
+        public Object supersessionKey() {
             return 'a';
         }
+
+        @Override
+        public boolean isAgreement() {
+            return true;
+        }
     }
 }
--- a/server/src/main/java/wheatspread/membership/LocalHealth.java
+++ b/server/src/main/java/wheatspread/membership/LocalHealth.java
@@ -14,12 +14,12 @@
     }
 
     /** How many times as long as usual this member waits; 1 for one in good health. */
-    int times() {
+    int multiplier() {
         return score + 1;
     }
 
     /** A turn came so much later than it was due; returns whether that was a stop, and not a turn. */
-    boolean turned(long late) {
+    boolean onLateTurn(long late) {
         if (late < settings.lateTurn()) {
             return false;
         }
@@ -28,7 +28,7 @@
     }
 
     /** A probe was answered in time. */
-    void answered() {
+    void onProbeAnswered() {
         score = Math.max(0, score - 1);
     }
 
@@ -37,12 +37,12 @@
      * anything, it may be this member that is not heard. Lifeguard counts each silent one; a member beside a
      * zone that is cut off then asks many who can't answer, and would wait nine times as long to say so.
      */
-    void missed(int asked, int said) {
+    void onProbeFailed(int asked, int said) {
         worse(asked > 0 && said == 0 ? 1 : 0);
     }
 
     /** Somebody took this member for gone. */
-    void accused() {
+    void onReported() {
         worse(1);
     }
 
--- a/server/src/main/java/wheatspread/membership/Membership.java
+++ b/server/src/main/java/wheatspread/membership/Membership.java
@@ -19,7 +19,7 @@
  */
 public final class Membership {
     /** A list of seeds holds so many at most. */
-    public static final int MOST_SEEDS = ClusterBootstrap.MOST_SEEDS;
+    public static final int MOST_SEEDS = ClusterBootstrap.MAX_SEEDS;
     /** How often news alone goes out while there is any, and to how many. */
     private static final long GOSSIP = 100_000;
 
@@ -168,17 +168,17 @@
 
     /** How many times as long as usual this member waits before it accuses; 1 in good health. */
     public int distrust() {
-        return health.times();
+        return health.multiplier();
     }
 
     /** Whether this member is in its view and a quorum of that seems to hear each other. */
     public boolean stands(long at) {
-        return isIn() && standing.stands(at);
+        return isIn() && standing.isReachable(at);
     }
 
     /** Why the view does not stand, for operators; empty where it does. */
     public String whyNot(long at) {
-        String why = isIn() ? standing.whyNot(at) : "this server is not in it";
+        String why = isIn() ? standing.unreachableReason(at) : "this server is not in it";
         return why == null ? "" : why;
     }
 
@@ -186,7 +186,7 @@
     public void start(long at) {
         now = at;
         knockAt = at;
-        founding.outside(at);
+        founding.onLeftView(at);
     }
 
     /** Begins with a view that was agreed elsewhere. */
@@ -206,7 +206,7 @@
         if (stands(at)) {
             return "the view " + viewId() + " stands";
         }
-        founding.order(at);
+        founding.orderByOperator(at);
         return null;
     }
 
@@ -227,12 +227,12 @@
     public long nextTurn() {
         long next = !isIn()
                 ? leaves ? Long.MAX_VALUE : knockAt
-                : queue.isEmpty() && tellLeft == 0 && !agreement.underWay() && tally.change(true) == null
+                : queue.isEmpty() && tellLeft == 0 && !agreement.isInProgress() && tally.change(true) == null
                         ? seekAt
                         : Math.min(seekAt, gossipAt);
-        next = leaves ? next : Math.min(next, founding.nextAt());
+        next = leaves ? next : Math.min(next, founding.nextStepMicros());
         for (Subject one : subjects.values()) {
-            next = Math.min(next, one.watch.nextAt());
+            next = Math.min(next, one.watch.nextStepMicros());
         }
         for (Relay one : relays.values()) {
             next = Math.min(next, one.until);
@@ -246,8 +246,8 @@
     public void turn(long at) {
         now = at;
         long late = now - expectedTurn;
-        if (expectedTurn != Long.MAX_VALUE && health.turned(late)) {
-            subjects.values().forEach(one -> one.watch.stoppedFor(late));
+        if (expectedTurn != Long.MAX_VALUE && health.onLateTurn(late)) {
+            subjects.values().forEach(one -> one.watch.extendDeadlines(late));
         }
         expectedTurn = Long.MAX_VALUE;
         if (!isIn() && !leaves && now >= knockAt) {
@@ -257,10 +257,10 @@
             found();
         }
         for (Subject one : List.copyOf(subjects.values())) {
-            FailureDetector.Step step = one.watch.step(now);
+            FailureDetector.Step step = one.watch.nextStep(now);
             while (step != FailureDetector.Step.NOTHING) {
                 act(one, step);
-                step = one.watch.step(now);
+                step = one.watch.nextStep(now);
             }
         }
         for (Map.Entry<Long, Relay> one : List.copyOf(relays.entrySet())) {
@@ -303,7 +303,7 @@
                 doors.add(member);
             }
         }
-        doors.forEach(door -> send(door, new Body.Knock(self)));
+        doors.forEach(door -> send(door, new Body.JoinRequest(self)));
     }
 
     /** Tells a seed that is in no view, or in another fleet's, of this one. */
@@ -319,19 +319,20 @@
     }
 
     private void found() {
-        if (founding.isOrdered() && stands(now)) {
-            founding.inside(); // the quorum came back before the order was carried out
+        if (founding.isOrderedByOperator() && stands(now)) {
+            founding.onEnteredView(); // the quorum came back before the order was carried out
         }
-        ClusterBootstrap.Step step = founding.step(self, now, actions.unixMillis());
-        if (step == ClusterBootstrap.Step.FOUND) {
-            install(founding.first(), null);
-        } else if (step == ClusterBootstrap.Step.ASK) {
+        ClusterBootstrap.Step step = founding.nextStep(self, now, actions.unixMillis());
+        if (step == ClusterBootstrap.Step.FORM_CLUSTER) {
+            install(founding.firstView(), null);
+        } else if (step == ClusterBootstrap.Step.REQUEST_CONSENT) {
             Set<String> asked = new LinkedHashSet<>(seeds);
-            if (founding.isOrdered() && view != null) {
+            if (founding.isOrderedByOperator() && view != null) {
                 view.members().forEach(one -> asked.add(one.address()));
             }
             asked.remove(self.address());
-            asked.forEach(one -> sendBare(one, new Body.Found(founding.epoch(), founding.isOrdered())));
+            asked.forEach(
+                    one -> sendBare(one, new Body.BootstrapRequest(founding.epoch(), founding.isOrderedByOperator())));
         }
     }
 
@@ -343,12 +344,12 @@
                 one.nacks = 0;
                 send(one.member.address(), new Body.Ping(one.number, one.member.id()));
             }
-            case ASK_AROUND -> askAround(one);
+            case PROBE_INDIRECTLY -> askAround(one);
             case SUSPECT -> {
                 if (one.joiner) {
-                    damping.silent(one.member.id());
+                    damping.onJoinerSilent(one.member.id());
                 }
-                health.missed(one.asked, one.nacks);
+                health.onProbeFailed(one.asked, one.nacks);
                 suspect(one, true);
             }
             default -> {
@@ -363,7 +364,7 @@
             Member helper = other();
             if (!helper.id().equals(one.member.id())) {
                 one.asked++;
-                send(helper.address(), new Body.AskAround(one.number, one.member.id(), one.member.address()));
+                send(helper.address(), new Body.IndirectPing(one.number, one.member.id(), one.member.address()));
             }
         }
     }
@@ -371,7 +372,7 @@
     private void suspect(Subject one, boolean suspected) {
         if (!one.joiner) {
             int member = view.indexOf(one.member.id());
-            int counter = tally.suspicion(member, one.slot);
+            int counter = tally.suspicionCounter(member, one.slot);
             if ((counter & 1) == 1 != suspected) {
                 learn(new GossipUpdate.Suspicion(member, one.slot, counter + 1));
             }
@@ -383,12 +384,12 @@
         if (one.joiner) {
             CutDetector.Joiner of = tally.joiner(one.member.id());
             if (of != null && (of.counters[one.slot] & 1) == 1 == gone) {
-                learn(new GossipUpdate.Heard(one.member.id(), one.slot, of.counters[one.slot] + 1));
+                learn(new GossipUpdate.JoinerReachable(one.member.id(), one.slot, of.counters[one.slot] + 1));
             }
             return;
         }
         int member = view.indexOf(one.member.id());
-        int counter = tally.counter(member, one.slot);
+        int counter = tally.reportCounter(member, one.slot);
         if ((counter & 1) == 1 != gone) {
             learn(new GossipUpdate.Report(member, one.slot, counter + 1));
         }
@@ -400,7 +401,7 @@
         actions.send(
                 address,
                 new Message(
-                        self.id(), viewId(), stands(now), digest(), body, isIn() ? queue.take(MOST_NEWS) : List.of()));
+                        self.id(), viewId(), stands(now), digest(), body, isIn() ? queue.poll(MOST_NEWS) : List.of()));
     }
 
     /** To somebody who may be in no view, or in another: without the news of this one. */
@@ -421,15 +422,15 @@
         now = at;
         int sender = isIn() ? view.indexOf(message.from()) : -1;
         if (sender >= 0) {
-            standing.heard(sender, now);
+            standing.onMessageFrom(sender, now);
         }
-        if (!isIn() && message.stands()) {
-            founding.heardStanding(now);
+        if (!isIn() && message.quorumReachable()) {
+            founding.onReachableQuorum(now);
             stoodAt = message.view().epoch() == viewId().epoch() ? now : stoodAt;
         }
         if (message.view().equals(viewId())) {
             if (isIn()) {
-                message.news().forEach(this::hear);
+                message.updates().forEach(this::hear);
                 if (message.digest() != digest() && sender >= 0 && now >= tellAllAt && mayTell(message.from())) {
                     List<GossipUpdate> all = all();
                     tellAllAt = now + Math.max(TELL_ALL, all.size() * TELL_ALL_PIECE);
@@ -439,7 +440,7 @@
             }
         } else if (goesBefore(message)) {
             if (!(message.body() instanceof Body.ViewIs) && mayTell(message.from())) {
-                send(address, new Body.WhichView());
+                send(address, new Body.ViewRequest());
             }
         } else if (isIn() && mayTell(message.from())) {
             sendBare(address, new Body.ViewIs(view));
@@ -449,8 +450,8 @@
     }
 
     private boolean goesBefore(Message message) {
-        boolean mineStands = isIn() ? stands(now) : view != null && now < stoodAt + ClusterBootstrap.QUIET;
-        return ViewPrecedence.goesBefore(message.view(), message.stands(), viewId(), mineStands);
+        boolean mineStands = isIn() ? stands(now) : view != null && now < stoodAt + ClusterBootstrap.QUIET_MICROS;
+        return ViewPrecedence.takesPrecedence(message.view(), message.quorumReachable(), viewId(), mineStands);
     }
 
     private boolean mayTell(MemberId whom) {
@@ -467,21 +468,21 @@
     private void answer(String address, Message message) {
         Body body = message.body();
         if (body instanceof Body.Ping ping) {
-            if (ping.to().equals(self.id())) { // else it is meant for another process that was here
+            if (ping.target().equals(self.id())) { // else it is meant for another process that was here
                 send(address, new Body.Ack(ping.number()));
             }
         } else if (body instanceof Body.Ack ack) {
             answered(ack.number());
-        } else if (body instanceof Body.AskAround asked) {
+        } else if (body instanceof Body.IndirectPing asked) {
             if (relays.size() < MOST_RELAYS) {
                 relays.put(++lastNumber, new Relay(address, asked.number(), now + settings.direct()));
-                send(asked.address(), new Body.Ping(lastNumber, asked.to()));
+                send(asked.address(), new Body.Ping(lastNumber, asked.target()));
             }
         } else if (body instanceof Body.Nack nack) {
             subjects.values().stream()
                     .filter(one -> one.number == nack.number())
                     .forEach(one -> one.nacks++);
-        } else if (body instanceof Body.WhichView) {
+        } else if (body instanceof Body.ViewRequest) {
             if (isIn()) {
                 send(address, new Body.ViewIs(view));
             }
@@ -489,21 +490,21 @@
             if (goesBefore(message) && told.view().id().equals(message.view())) {
                 install(told.view(), null);
             }
-        } else if (body instanceof Body.Found asked) {
-            boolean free = !leaves && (asked.ordered() ? !stands(now) : !isIn());
-            if (founding.consents(message.from(), free, now)) {
-                sendBare(address, new Body.Consent(asked.epoch(), self));
+        } else if (body instanceof Body.BootstrapRequest asked) {
+            boolean free = !leaves && (asked.operatorOrdered() ? !stands(now) : !isIn());
+            if (founding.grantConsent(message.from(), free, now)) {
+                sendBare(address, new Body.BootstrapConsent(asked.epoch(), self));
             }
-        } else if (body instanceof Body.Consent consent) {
-            founding.consented(consent.epoch(), consent.member(), now);
-        } else if (body instanceof Body.Knock knock) {
+        } else if (body instanceof Body.BootstrapConsent consent) {
+            founding.onConsent(consent.epoch(), consent.member(), now);
+        } else if (body instanceof Body.JoinRequest knock) {
             knocked(address, knock.member());
         }
     }
 
     private void knocked(String address, Member member) {
         if (!isIn()) {
-            founding.knocked(member, now);
+            founding.onJoinRequest(member, now);
         } else if (view.indexOf(member.id()) >= 0) {
             sendBare(address, new Body.ViewIs(view));
         } else {
@@ -520,9 +521,9 @@
         }
         for (Subject one : subjects.values()) {
             if (one.number == number) {
-                health.answered();
-                boolean back = one.watch.answered();
-                if (one.joiner ? damping.heard(one.member.id(), now) : back) {
+                health.onProbeAnswered();
+                boolean back = one.watch.onAnswer();
+                if (one.joiner ? damping.onJoinerAnswered(one.member.id(), now) : back) {
                     suspect(one, false);
                     say(one, false);
                 }
@@ -569,16 +570,16 @@
                 .fastVotes()
                 .forEach((change, voters) -> known.add(new GossipUpdate.FastVotes(change, (BitSet) voters.clone())));
         long ballot = agreement.ballot();
-        if (ballot > ViewAgreement.FAST) {
+        if (ballot > ViewAgreement.FAST_BALLOT) {
             known.add(new GossipUpdate.Prepare(ballot));
             agreement.promises().forEach((member, promise) -> {
                 if (promising.test(member)) {
                     known.add(new GossipUpdate.Promised(ballot, member, promise));
                 }
             });
-            if (agreement.asked() != null) {
-                known.add(new GossipUpdate.Accepted(
-                        ballot, agreement.asked(), (BitSet) agreement.accepted().clone()));
+            if (agreement.proposal() != null) {
+                known.add(new GossipUpdate.Accepted(ballot, agreement.proposal(), (BitSet)
+                        agreement.acceptors().clone()));
             }
         }
         return known;
@@ -587,28 +588,28 @@
     /** Takes a piece of news in; returns whether it was news. What names nobody of this view is none. */
     private boolean take(GossipUpdate news) {
         if (news instanceof GossipUpdate.Report one) {
-            boolean is = inView(one.member()) && tally.reported(one.member(), one.slot(), one.counter());
-            if (is && one.member() == index && (one.counter() & 1) == 1) {
-                health.accused();
+            boolean is = inView(one.subject()) && tally.onReport(one.subject(), one.observerIndex(), one.counter());
+            if (is && one.subject() == index && (one.counter() & 1) == 1) {
+                health.onReported();
             }
             return is;
         } else if (news instanceof GossipUpdate.Suspicion one) {
-            return inView(one.member()) && suspected(one);
+            return inView(one.subject()) && suspected(one);
         } else if (news instanceof GossipUpdate.Leaving one) {
-            return inView(one.member()) && tally.leaves(one.member());
+            return inView(one.member()) && tally.onLeaving(one.member());
         } else if (news instanceof GossipUpdate.Joining one) {
-            return view.indexOf(one.member().id()) < 0 && tally.joins(one.member()) && watchJoiner(one.member());
-        } else if (news instanceof GossipUpdate.Heard one) {
-            return tally.heard(one.joiner(), one.slot(), one.counter());
+            return view.indexOf(one.member().id()) < 0 && tally.onJoining(one.member()) && watchJoiner(one.member());
+        } else if (news instanceof GossipUpdate.JoinerReachable one) {
+            return tally.onJoinerReachable(one.joiner(), one.observerIndex(), one.counter());
         } else if (news instanceof GossipUpdate.FastVotes one) {
-            return one.voters().length() <= view.size() && agreement.heardFast(one.change(), one.voters());
+            return one.voters().length() <= view.size() && agreement.onFastVotes(one.change(), one.voters());
         } else if (news instanceof GossipUpdate.Prepare one) {
-            return agreement.heardPrepare(one.ballot());
+            return agreement.onPrepare(one.ballot());
         } else if (news instanceof GossipUpdate.Promised one) {
-            return inView(one.member()) && agreement.heardPromise(one.ballot(), one.member(), one.promise());
+            return inView(one.member()) && agreement.onPromise(one.ballot(), one.member(), one.promise());
         } else if (news instanceof GossipUpdate.Accepted one) {
             return one.voters().length() <= view.size()
-                    && agreement.heardAccepted(one.ballot(), one.change(), one.voters());
+                    && agreement.onAccepted(one.ballot(), one.change(), one.voters());
         }
         return false;
     }
@@ -618,12 +619,13 @@
     }
 
     private boolean suspected(GossipUpdate.Suspicion news) {
-        if (!tally.suspected(news.member(), news.slot(), news.counter())) {
+        if (!tally.onSuspicion(news.subject(), news.observerIndex(), news.counter())) {
             return false;
         }
-        Subject watched = subjects.get(view.members().get(news.member()).id());
+        Subject watched = subjects.get(view.members().get(news.subject()).id());
         if (watched != null) {
-            watched.watch.sharedBy(tally.othersSuspect(news.member(), watched.slot), tally.watchers(news.member()) - 1);
+            watched.watch.updateConfirmations(
+                    tally.otherSuspecters(news.subject(), watched.slot), tally.observerCount(news.subject()) - 1);
         }
         return true;
     }
@@ -647,18 +649,18 @@
     private List<GossipUpdate> all() {
         List<GossipUpdate> all = new ArrayList<>();
         for (int member = 0; member < view.size(); member++) {
-            for (int slot = 0; slot < tally.watchers(member); slot++) {
-                if (tally.counter(member, slot) > 0) {
-                    all.add(new GossipUpdate.Report(member, slot, tally.counter(member, slot)));
+            for (int slot = 0; slot < tally.observerCount(member); slot++) {
+                if (tally.reportCounter(member, slot) > 0) {
+                    all.add(new GossipUpdate.Report(member, slot, tally.reportCounter(member, slot)));
                 }
             }
         }
-        tally.leaving().stream().forEach(member -> all.add(new GossipUpdate.Leaving(member)));
+        tally.leavingMembers().stream().forEach(member -> all.add(new GossipUpdate.Leaving(member)));
         tally.joiners().forEach((id, one) -> {
             all.add(new GossipUpdate.Joining(one.member));
             for (int slot = 0; slot < one.counters.length; slot++) {
                 if (one.counters[slot] > 0) {
-                    all.add(new GossipUpdate.Heard(id, slot, one.counters[slot]));
+                    all.add(new GossipUpdate.JoinerReachable(id, slot, one.counters[slot]));
                 }
             }
         });
@@ -678,9 +680,9 @@
         }
         if (now >= missedAt) {
             missedAt = now + COUNT_MISSED;
-            standing.missed(tally.missed());
+            standing.updateUnreachable(tally.countUnreachable());
         }
-        standing.agreeing(agreement.underWay(), now);
+        standing.updateAgreement(agreement.isInProgress(), now);
         ViewChange whole = tally.change(false);
         ViewChange hasty = whole == null ? tally.change(true) : null;
         if (hasty == null) {
@@ -692,18 +694,18 @@
             agreement.propose(change);
             queueRound();
         }
-        if (!agreement.underWay()) {
+        if (!agreement.isInProgress()) {
             roundAt = now + FIRST_ROUND + random.nextLong(2 * FIRST_ROUND);
         } else if (agreement.ballot() != roundSeen) {
             roundAt = now + ROUND + random.nextLong(2 * ROUND);
         } else if (agreement.decided() == null && now >= roundAt && agreement.hasCandidate()) {
             roundAt = now + ROUND + random.nextLong(2 * ROUND);
-            agreement.begin();
+            agreement.startClassicRound();
             queueRound();
         }
         roundSeen = agreement.ballot();
         if (agreement.decided() != null) {
-            install(view.after(agreement.decided()), agreement.decided());
+            install(view.withChange(agreement.decided()), agreement.decided());
         }
     }
 
@@ -723,23 +725,23 @@
         view = next;
         index = next.indexOf(self.id());
         proposed = null;
-        roundSeen = ViewAgreement.FAST;
+        roundSeen = ViewAgreement.FAST_BALLOT;
         reportedAt = now;
         unstableSince = now;
-        queue.clear(next.size());
+        queue.reset(next.size());
         Map<MemberId, Subject> watched = new HashMap<>(subjects);
         subjects.clear();
         if (isIn()) {
             wasIn = true;
             latestEpoch = Math.max(latestEpoch, next.id().epoch());
             tellLeft = TELL_ROUNDS;
-            founding.inside();
+            founding.onEnteredView();
             seekAt = now + random.nextLong(LEAST_SEEK);
             standing = new QuorumReachability(next, index, now);
             tally = new CutDetector(next, MOST_JOINERS);
             agreement = new ViewAgreement(next, index);
             for (int member = 0; member < next.size(); member++) {
-                int[] watchers = next.watchersOf(member);
+                int[] watchers = next.observersOf(member);
                 for (int slot = 0; slot < watchers.length; slot++) {
                     if (watchers[slot] == index) {
                         watch(next.members().get(member), slot, watched);
@@ -749,7 +751,7 @@
         } else {
             knockAt = now + KNOCK;
             stoodAt = now;
-            founding.outside(now);
+            founding.onLeftView(now);
         }
         actions.changed(before, next, gone);
     }
@@ -762,8 +764,8 @@
             if (next.indexOf(one) >= 0) {
                 continue;
             }
-            boolean left = isIn() && tally.leaving().get(i);
-            boolean again = next.named(one.name()) != null;
+            boolean left = isIn() && tally.leavingMembers().get(i);
+            boolean again = next.memberNamed(one.name()) != null;
             List<String> witnesses = isIn() ? reportedBy(i) : List.of();
             gone.add(new Departure(
                     one,
@@ -774,7 +776,7 @@
                                     : change == null ? Departure.Cause.TOLD : Departure.Cause.MISSED,
                     witnesses));
             if (!left && before.id().epoch() == next.id().epoch()) {
-                damping.missed(one.name(), now);
+                damping.recordEviction(one.name(), now);
             }
         }
         return gone;
@@ -784,16 +786,16 @@
 
     /** The names of the watchers that report a member of the view to be gone. */
     public List<String> reportedBy(int member) {
-        return watchersWhere(member, slot -> (tally.counter(member, slot) & 1) == 1);
+        return watchersWhere(member, slot -> (tally.reportCounter(member, slot) & 1) == 1);
     }
 
     /** The names of the watchers that suspect a member of the view. */
     public List<String> suspectedBy(int member) {
-        return watchersWhere(member, slot -> (tally.suspicion(member, slot) & 1) == 1);
+        return watchersWhere(member, slot -> (tally.suspicionCounter(member, slot) & 1) == 1);
     }
 
     private List<String> watchersWhere(int member, IntPredicate odd) {
-        int[] watchers = view.watchersOf(member);
+        int[] watchers = view.observersOf(member);
         List<String> names = new ArrayList<>();
         for (int slot = 0; slot < watchers.length; slot++) {
             if (odd.test(slot)) {
@@ -809,7 +811,7 @@
         boolean does = one != null
                 && (one.watch.state() == FailureDetector.State.SUSPECT
                         || one.watch.state() == FailureDetector.State.DOWN);
-        return does ? at - one.watch.suspectSince() : 0;
+        return does ? at - one.watch.suspectedSinceMicros() : 0;
     }
 
     /** A watch goes on from one view to the next, with what it has to say. */
--- a/server/src/main/java/wheatspread/membership/Message.java
+++ b/server/src/main/java/wheatspread/membership/Message.java
@@ -3,45 +3,123 @@
 import java.util.List;
 
 /**
- * What one member sends to another.
+ * A message from one member to another.
  *
  * @param from who sends it
- * @param view the sender's view
- * @param stands whether the sender is in it and thinks that a quorum of it is
- * @param digest of all that the sender knows about that view
- * @param news about that view
+ * @param view the view that the sender holds, {@link ViewId#NONE} before its first
+ * @param quorumReachable whether the sender is in that view and appears to reach a quorum of it
+ * @param digest of all that the sender knows about that view; two members with different digests synchronize
+ * @param body what the message is for
+ * @param updates gossip about that view, which any message may carry
  */
-public record Message(MemberId from, ViewId view, boolean stands, long digest, Body body, List<GossipUpdate> news) {
-    /** What it is about, besides the news. */
+public record Message(
+        MemberId from, ViewId view, boolean quorumReachable, long digest, Body body, List<GossipUpdate> updates) {
+    /** The purpose of a message, besides the gossip that it carries. */
     public sealed interface Body {
-        /** Asks {@code to}, and no other process at its address, for an {@link Ack}. */
-        record Ping(long number, MemberId to) implements Body {}
+        /** Calls the method of the visitor for this kind of body. */
+        <R> R accept(Visitor<R> visitor);
 
-        /** The answer; {@code number} is the asker's. */
-        record Ack(long number) implements Body {}
+        /** One method for each kind of body, so that a new kind does not compile until all handle it. */
+        interface Visitor<R> {
+            R visitPing(Ping body);
 
-        /** Asks a helper to ping a member and to say what came of it. */
-        record AskAround(long number, MemberId to, String address) implements Body {}
+            R visitAck(Ack body);
 
-        /** The helper has heard nothing either. */
-        record Nack(long number) implements Body {}
+            R visitIndirectPing(IndirectPing body);
 
-        /** News alone. */
-        record Gossip() implements Body {}
+            R visitNack(Nack body);
 
-        /** Asks for the view. */
-        record WhichView() implements Body {}
+            R visitGossip(Gossip body);
 
-        /** The view, whole. */
-        record ViewIs(View view) implements Body {}
+            R visitViewRequest(ViewRequest body);
 
-        /** Wants to join. */
-        record Knock(Member member) implements Body {}
+            R visitViewIs(ViewIs body);
 
-        /** A seed wants to found that epoch; {@code ordered} by an operator. */
-        record Found(long epoch, boolean ordered) implements Body {}
+            R visitJoinRequest(JoinRequest body);
 
-        /** The sender will go by the first view of that epoch. */
-        record Consent(long epoch, Member member) implements Body {}
+            R visitBootstrapRequest(BootstrapRequest body);
+
+            R visitBootstrapConsent(BootstrapConsent body);
+        }
+
+        /** A probe of {@code target}, and of no other process at its address; answered by an {@link Ack}. */
+        record Ping(long number, MemberId target) implements Body {
+            @Override
+            public <R> R accept(Visitor<R> visitor) {
+                return visitor.visitPing(this);
+            }
+        }
+
+        /** The answer to a {@link Ping} or, through a helper, to an {@link IndirectPing} of that number. */
+        record Ack(long number) implements Body {
+            @Override
+            public <R> R accept(Visitor<R> visitor) {
+                return visitor.visitAck(this);
+            }
+        }
+
+        /** Asks a helper to probe {@code target} at {@code address} and to report the result (SWIM's ping-req). */
+        record IndirectPing(long number, MemberId target, String address) implements Body {
+            @Override
+            public <R> R accept(Visitor<R> visitor) {
+                return visitor.visitIndirectPing(this);
+            }
+        }
+
+        /** The helper had no answer to the {@link IndirectPing} of that number either (Lifeguard's nack). */
+        record Nack(long number) implements Body {
+            @Override
+            public <R> R accept(Visitor<R> visitor) {
+                return visitor.visitNack(this);
+            }
+        }
+
+        /** Nothing besides the gossip that the message carries. */
+        record Gossip() implements Body {
+            @Override
+            public <R> R accept(Visitor<R> visitor) {
+                return visitor.visitGossip(this);
+            }
+        }
+
+        /** Asks for the receiver's view. */
+        record ViewRequest() implements Body {
+            @Override
+            public <R> R accept(Visitor<R> visitor) {
+                return visitor.visitViewRequest(this);
+            }
+        }
+
+        /** The sender's complete view. */
+        record ViewIs(View view) implements Body {
+            @Override
+            public <R> R accept(Visitor<R> visitor) {
+                return visitor.visitViewIs(this);
+            }
+        }
+
+        /** {@code member} asks to join the cluster. */
+        record JoinRequest(Member member) implements Body {
+            @Override
+            public <R> R accept(Visitor<R> visitor) {
+                return visitor.visitJoinRequest(this);
+            }
+        }
+
+        /** A seed asks for consent to form a cluster of that epoch; {@code operatorOrdered} where one ordered it. */
+        record BootstrapRequest(long epoch, boolean operatorOrdered) implements Body {
+            @Override
+            public <R> R accept(Visitor<R> visitor) {
+                return visitor.visitBootstrapRequest(this);
+            }
+        }
+
+        /** The sender, {@code member}, consents to be in the first view of that epoch. */
+        record BootstrapConsent(long epoch, Member member) implements Body {
+            @Override
+            public <R> R accept(Visitor<R> visitor) {
+                return visitor.visitBootstrapConsent(this);
+            }
+        }
     }
 }
--- a/server/src/main/java/wheatspread/membership/QuorumReachability.java
+++ b/server/src/main/java/wheatspread/membership/QuorumReachability.java
@@ -21,70 +21,70 @@
  */
 final class QuorumReachability {
     /** Who was not heard for so long is not counted: some four probes. */
-    static final long HEARD = 4_000_000;
+    static final long SILENCE_LIMIT_MICROS = 4_000_000;
     /** An agreement usually ends within 2 s. */
-    static final long UNDER_WAY = 6_000_000;
+    static final long AGREEMENT_LIMIT_MICROS = 6_000_000;
 
     private final int[] sample;
-    private final long[] heard;
+    private final long[] onMessageFrom;
     private final int quorum;
     private final int size;
     private long underWaySince = Long.MAX_VALUE;
-    private int missed;
+    private int updateUnreachable;
 
     /** A view begins at {@code now}; its beginning was agreed by a quorum, so all count as heard then. */
     QuorumReachability(View view, int index, long now) {
         size = view.size();
         quorum = view.classicQuorum();
         BitSet near = new BitSet();
-        for (int watcher : view.watchersOf(index)) {
+        for (int watcher : view.observersOf(index)) {
             near.set(watcher);
         }
         for (int member = 0; member < size; member++) {
-            for (int watcher : view.watchersOf(member)) {
+            for (int watcher : view.observersOf(member)) {
                 if (watcher == index) {
                     near.set(member);
                 }
             }
         }
         sample = near.stream().toArray();
-        heard = new long[sample.length];
-        Arrays.fill(heard, now);
+        onMessageFrom = new long[sample.length];
+        Arrays.fill(onMessageFrom, now);
     }
 
     /** The member of that index was heard. */
-    void heard(int member, long now) {
+    void onMessageFrom(int member, long now) {
         int at = Arrays.binarySearch(sample, member);
         if (at >= 0) {
-            heard[at] = now;
+            onMessageFrom[at] = now;
         }
     }
 
     /** So many members are missed by the watchers that are heard here. */
-    void missed(int members) {
-        missed = members;
+    void updateUnreachable(int members) {
+        updateUnreachable = members;
     }
 
     /** Whether an agreement is under way. */
-    void agreeing(boolean underWay, long now) {
+    void updateAgreement(boolean underWay, long now) {
         underWaySince = !underWay ? Long.MAX_VALUE : Math.min(underWaySince, now);
     }
 
-    boolean stands(long now) {
-        return whyNot(now) == null;
+    boolean isReachable(long now) {
+        return unreachableReason(now) == null;
     }
 
     /** Why the view does not stand, for operators; null where it does. */
-    String whyNot(long now) {
-        if (size - missed < quorum) {
-            return missed + " of " + size + " are missed";
+    String unreachableReason(long now) {
+        if (size - updateUnreachable < quorum) {
+            return updateUnreachable + " of " + size + " are missed";
         }
-        if (underWaySince != Long.MAX_VALUE && now - underWaySince > UNDER_WAY) {
+        if (underWaySince != Long.MAX_VALUE && now - underWaySince > AGREEMENT_LIMIT_MICROS) {
             return "an agreement does not end for " + (now - underWaySince) / 1_000 + " ms";
         }
         int late = 0;
-        for (long one : heard) {
-            late += now - one > HEARD ? 1 : 0;
+        for (long one : onMessageFrom) {
+            late += now - one > SILENCE_LIMIT_MICROS ? 1 : 0;
         }
         return 2 * late <= sample.length
                 ? null
--- a/server/src/main/java/wheatspread/membership/View.java
+++ b/server/src/main/java/wheatspread/membership/View.java
@@ -13,7 +13,7 @@
  */
 public final class View {
     /** Each member is watched by so many others, or by all others where they are fewer. */
-    public static final int WATCHERS = 10;
+    public static final int OBSERVERS_PER_SUBJECT = 10;
     /** A member is unstable from this share of its watchers on that report it, */
     private static final double LOW = 0.3;
     /** and goes from this share on. */
@@ -41,7 +41,7 @@
         hashes = sorted.stream().mapToLong(one -> hash(one.id().name())).toArray();
         watchers = new int[sorted.size()][];
         for (int i = 0; i < watchers.length; i++) {
-            watchers[i] = watchersOf(sorted.get(i).id().name(), i);
+            watchers[i] = observersOf(sorted.get(i).id().name(), i);
         }
     }
 
@@ -74,7 +74,7 @@
     }
 
     /** The member of a name, whatever its start; null where there is none. */
-    public Member named(String name) {
+    public Member memberNamed(String name) {
         return members.stream()
                 .filter(one -> one.id().name().equals(name))
                 .findFirst()
@@ -82,7 +82,7 @@
     }
 
     /** Who watches the member of that index. */
-    public int[] watchersOf(int member) {
+    public int[] observersOf(int member) {
         return watchers[member].clone();
     }
 
@@ -92,8 +92,8 @@
      * watched by the same ones, and few pairs change where one comes or goes. {@code self} is left out; -1
      * for nobody.
      */
-    public int[] watchersOf(String name, int self) {
-        int most = Math.min(WATCHERS, members.size() - (self < 0 ? 0 : 1));
+    public int[] observersOf(String name, int self) {
+        int most = Math.min(OBSERVERS_PER_SUBJECT, members.size() - (self < 0 ? 0 : 1));
         long seed = hash(name);
         int[] best = new int[most];
         long[] scores = new long[most];
@@ -132,12 +132,12 @@
     }
 
     /** So many of {@code of} watchers make somebody unstable. */
-    public static int low(int of) {
+    public static int lowWatermark(int of) {
         return Math.max(1, (int) Math.ceil(LOW * of));
     }
 
     /** So many of {@code of} watchers suffice; never a single one where there are two or more. */
-    public static int high(int of) {
+    public static int highWatermark(int of) {
         return Math.max(Math.min(2, of), (int) Math.ceil(HIGH * of));
     }
 
@@ -155,7 +155,7 @@
     }
 
     /** The view that a change leads to. */
-    public View after(ViewChange change) {
+    public View withChange(ViewChange change) {
         List<Member> next = new ArrayList<>();
         for (Member one : members) {
             if (!change.out().contains(one.id())) {
--- a/server/src/main/java/wheatspread/membership/ViewAgreement.java
+++ b/server/src/main/java/wheatspread/membership/ViewAgreement.java
@@ -21,34 +21,34 @@
  */
 public final class ViewAgreement {
     /** The ballot of the fast round. */
-    public static final long FAST = 0;
+    public static final long FAST_BALLOT = 0;
     /** Of who has not voted. */
-    public static final long NEVER = -1;
+    public static final long NOT_VOTED = -1;
 
-    private static final int OWNER_BITS = 20;
+    private static final int COORDINATOR_BITS = 20;
 
     private final View view;
     private final int self;
     private final int classicQuorum;
     private final int fastQuorum;
     /** No vote is given in a ballot below this one. */
-    private long promised = FAST;
+    private long promisedBallot = FAST_BALLOT;
 
-    private long votedIn = NEVER;
-    private ViewChange voted;
+    private long votedBallot = NOT_VOTED;
+    private ViewChange votedChange;
     /** Who voted for what in the fast round. */
     private final Map<ViewChange, BitSet> fastVotes = new LinkedHashMap<>();
     /** The highest ballot that was heard of, with what is known of it. What is below it is forgotten. */
-    private long ballot = FAST;
+    private long ballot = FAST_BALLOT;
 
     private final TreeMap<Integer, Promise> promises = new TreeMap<>();
-    private ViewChange asked;
-    private final BitSet accepted = new BitSet();
+    private ViewChange proposal;
+    private final BitSet acceptors = new BitSet();
     private ViewChange preferred;
     private ViewChange decided;
 
     /** What a member had voted when it promised to vote in no lower ballot. */
-    public record Promise(long votedIn, ViewChange voted) {}
+    public record Promise(long votedBallot, ViewChange votedChange) {}
 
     /** {@code self} is the index of this member in the view. */
     ViewAgreement(View view, int self) {
@@ -66,14 +66,14 @@
     /** A copy of the moment. */
     ViewAgreement(ViewAgreement other) {
         this(other.view, other.self, other.classicQuorum, other.fastQuorum);
-        promised = other.promised;
-        votedIn = other.votedIn;
-        voted = other.voted;
+        promisedBallot = other.promisedBallot;
+        votedBallot = other.votedBallot;
+        votedChange = other.votedChange;
         other.fastVotes.forEach((change, bits) -> fastVotes.put(change, (BitSet) bits.clone()));
         ballot = other.ballot;
         promises.putAll(other.promises);
-        asked = other.asked;
-        accepted.or(other.accepted);
+        proposal = other.proposal;
+        acceptors.or(other.acceptors);
         preferred = other.preferred;
         decided = other.decided;
     }
@@ -83,23 +83,23 @@
     /** What this member would have decided; it votes for it where it may still vote in the fast round. */
     void propose(ViewChange change) {
         preferred = change;
-        if (promised == FAST && votedIn == NEVER) {
-            votedIn = FAST;
-            voted = change;
+        if (promisedBallot == FAST_BALLOT && votedBallot == NOT_VOTED) {
+            votedBallot = FAST_BALLOT;
+            votedChange = change;
             fastVotes.computeIfAbsent(change, none -> new BitSet()).set(self);
         }
         advance();
     }
 
     /** Begins a round of this member's own, above all that it has heard of. */
-    void begin() {
-        raise(((ballot >> OWNER_BITS) + 1) << OWNER_BITS | self);
+    void startClassicRound() {
+        adoptBallot(((ballot >> COORDINATOR_BITS) + 1) << COORDINATOR_BITS | self);
         advance();
     }
 
     // ---- what it hears; each says whether that was news ----
 
-    boolean heardFast(ViewChange change, BitSet voters) {
+    boolean onFastVotes(ViewChange change, BitSet voters) {
         if (fastVotes.size() >= view.size() && !fastVotes.containsKey(change)) {
             return false; // each member votes once, so somebody talks nonsense
         }
@@ -112,49 +112,49 @@
         return known.cardinality() > before && advance();
     }
 
-    boolean heardPrepare(long of) {
-        return of > ballot && raise(of) && advance();
+    boolean onPrepare(long of) {
+        return of > ballot && adoptBallot(of) && advance();
     }
 
-    boolean heardPromise(long of, int from, Promise promise) {
-        raise(of);
-        return of == ballot && of > FAST && promises.putIfAbsent(from, promise) == null && advance();
+    boolean onPromise(long of, int from, Promise promise) {
+        adoptBallot(of);
+        return of == ballot && of > FAST_BALLOT && promises.putIfAbsent(from, promise) == null && advance();
     }
 
-    boolean heardAccept(long of, ViewChange change) {
-        raise(of);
-        if (of != ballot || asked != null || of <= FAST) {
+    boolean onAccept(long of, ViewChange change) {
+        adoptBallot(of);
+        if (of != ballot || proposal != null || of <= FAST_BALLOT) {
             return false;
         }
-        asked = change;
+        proposal = change;
         return advance();
     }
 
-    boolean heardAccepted(long of, ViewChange change, BitSet voters) {
-        boolean news = heardAccept(of, change);
-        if (of != ballot || of <= FAST) {
+    boolean onAccepted(long of, ViewChange change, BitSet voters) {
+        boolean news = onAccept(of, change);
+        if (of != ballot || of <= FAST_BALLOT) {
             return news;
         }
-        int before = accepted.cardinality();
-        accepted.or(voters);
-        return accepted.cardinality() > before && advance() || news;
+        int before = acceptors.cardinality();
+        acceptors.or(voters);
+        return acceptors.cardinality() > before && advance() || news;
     }
 
     /**
      * Somebody knows what was decided. Who knows takes no part in rounds any more, and tells this instead.
      */
-    boolean heardDecided(ViewChange change) {
+    boolean onDecided(ViewChange change) {
         boolean news = decided == null;
         decided = news ? change : decided;
         return news;
     }
 
-    private boolean raise(long to) {
+    private boolean adoptBallot(long to) {
         if (to > ballot) {
             ballot = to;
             promises.clear();
-            asked = null;
-            accepted.clear();
+            proposal = null;
+            acceptors.clear();
         }
         return true;
     }
@@ -164,21 +164,21 @@
         if (decided != null) {
             return true;
         }
-        if (ballot > promised) {
-            promised = ballot;
-            promises.put(self, new Promise(votedIn, voted));
+        if (ballot > promisedBallot) {
+            promisedBallot = ballot;
+            promises.put(self, new Promise(votedBallot, votedChange));
         }
-        if (ballot > FAST && owner() == self && asked == null && promises.size() >= classicQuorum) {
-            asked = choose();
+        if (ballot > FAST_BALLOT && coordinator() == self && proposal == null && promises.size() >= classicQuorum) {
+            proposal = choose();
         }
-        if (asked != null && votedIn < ballot && promised <= ballot) {
-            promised = ballot;
-            votedIn = ballot;
-            voted = asked;
-            accepted.set(self);
+        if (proposal != null && votedBallot < ballot && promisedBallot <= ballot) {
+            promisedBallot = ballot;
+            votedBallot = ballot;
+            votedChange = proposal;
+            acceptors.set(self);
         }
-        if (asked != null && accepted.cardinality() >= classicQuorum) {
-            decided = asked;
+        if (proposal != null && acceptors.cardinality() >= classicQuorum) {
+            decided = proposal;
         }
         fastVotes.forEach((change, voters) -> {
             if (voters.cardinality() >= fastQuorum && decided == null) {
@@ -191,14 +191,14 @@
     /** The one change that may have been decided in a lower ballot, or the one that this member prefers. */
     private ViewChange choose() {
         long latest =
-                promises.values().stream().mapToLong(Promise::votedIn).max().orElse(NEVER);
+                promises.values().stream().mapToLong(Promise::votedBallot).max().orElse(NOT_VOTED);
         Map<ViewChange, Integer> counts = new HashMap<>();
         for (Promise one : promises.values()) {
-            if (one.votedIn == latest && latest > FAST) {
-                return one.voted;
+            if (one.votedBallot == latest && latest > FAST_BALLOT) {
+                return one.votedChange;
             }
-            if (one.votedIn == FAST) {
-                counts.merge(one.voted, 1, Integer::sum);
+            if (one.votedBallot == FAST_BALLOT) {
+                counts.merge(one.votedChange, 1, Integer::sum);
             }
         }
         // so many of those heard must have voted for it, if it was decided in the fast round
@@ -219,8 +219,8 @@
 
     // ---- what is known ----
 
-    private int owner() {
-        return (int) (ballot & ((1L << OWNER_BITS) - 1));
+    private int coordinator() {
+        return (int) (ballot & ((1L << COORDINATOR_BITS) - 1));
     }
 
     /** The change that was decided; null while none is known to be. */
@@ -229,8 +229,8 @@
     }
 
     /** Whether anybody is known to have voted or begun a round. */
-    boolean underWay() {
-        return ballot > FAST || !fastVotes.isEmpty();
+    boolean isInProgress() {
+        return ballot > FAST_BALLOT || !fastVotes.isEmpty();
     }
 
     /** Whether a round that this member begins could lead to anything. */
@@ -250,27 +250,27 @@
         return promises;
     }
 
-    ViewChange asked() {
-        return asked;
+    ViewChange proposal() {
+        return proposal;
     }
 
-    BitSet accepted() {
-        return accepted;
+    BitSet acceptors() {
+        return acceptors;
     }
 
     /** Equal where the same is known of votes and rounds, and very likely different where not. */
     long digest() {
         return fastVotes.hashCode() * 31L * 31
                 + promises.hashCode() * 31L
-                + accepted.hashCode()
+                + acceptors.hashCode()
                 + ballot
-                + Objects.hashCode(asked);
+                + Objects.hashCode(proposal);
     }
 
     /** What tells this state from any other. */
     @Override
     public String toString() {
-        return promised + "|" + votedIn + voted + "|" + fastVotes + "|" + ballot + promises + asked + accepted + "|"
-                + preferred + "|" + decided;
+        return promisedBallot + "|" + votedBallot + votedChange + "|" + fastVotes + "|" + ballot + promises + proposal
+                + acceptors + "|" + preferred + "|" + decided;
     }
 }
--- a/server/src/main/java/wheatspread/membership/ViewPrecedence.java
+++ b/server/src/main/java/wheatspread/membership/ViewPrecedence.java
@@ -16,7 +16,7 @@
      * @param mineStands whether that one stands here; for one who is not in it, whether it was heard of late
      *     that it does
      */
-    static boolean goesBefore(ViewId theirs, boolean stands, ViewId mine, boolean mineStands) {
+    static boolean takesPrecedence(ViewId theirs, boolean stands, ViewId mine, boolean mineStands) {
         if (theirs.epoch() == mine.epoch()) {
             return theirs.number() > mine.number();
         }
--- a/server/src/main/java/wheatspread/peers/InboundRateLimit.java
+++ b/server/src/main/java/wheatspread/peers/InboundRateLimit.java
@@ -1,23 +1,26 @@
 package wheatspread.peers;
 
 /**
- * How many messages of peers are read: so many in each slice of time, and no more until the next. A fleet
- * of thousands stays far below it, and a flood takes a bounded share of the loop. Times are microseconds.
+ * Bounds how many messages of peers are read in each window of time; what comes beyond that is dropped. A fleet of
+ * thousands sends far less, and a flood takes a bounded share of the event loop.
  */
 final class InboundRateLimit {
-    static final long SLICE = 50_000;
-    static final int MOST = 200;
+    /** Length of a window, in microseconds. */
+    static final long WINDOW_MICROS = 50_000;
+    /** Messages read in one window. */
+    static final int MAX_MESSAGES_PER_WINDOW = 200;
 
-    private long slice = Long.MIN_VALUE;
-    private int taken;
+    private long window = Long.MIN_VALUE;
+    private int messagesInWindow;
 
-    /** Whether one more may be read. */
-    boolean take(long now) {
-        long current = Math.floorDiv(now, SLICE);
-        if (current != slice) {
-            slice = current;
-            taken = 0;
+    /** Whether one more message may be read now. */
+    boolean tryAcquire(long nowMicros) {
+        long current = Math.floorDiv(nowMicros, WINDOW_MICROS);
+        if (current != window) {
+            window = current;
+            messagesInWindow = 0;
         }
-        return ++taken <= MOST;
+        messagesInWindow++;
+        return messagesInWindow <= MAX_MESSAGES_PER_WINDOW;
     }
 }
--- a/server/src/main/java/wheatspread/peers/PeerCounters.java
+++ b/server/src/main/java/wheatspread/peers/PeerCounters.java
@@ -3,45 +3,45 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** What went to and came from peers since the start, and what of it was not read. */
+/** Counts of messages sent to and received from peers since the start, and of those dropped, by reason. */
 public final class PeerCounters {
     private long sent;
     private long sentBytes;
     private long received;
     private long receivedBytes;
-    private long large;
-    private long unsent;
+    private long oversized;
+    private long sendFailures;
     private long overRate;
-    private final Map<MalformedMessageException.Kind, Long> malformed =
-            new EnumMap<>(MalformedMessageException.Kind.class);
+    private final Map<MalformedMessageException.Reason, Long> malformed =
+            new EnumMap<>(MalformedMessageException.Reason.class);
 
-    void sent(int bytes) {
+    void recordSent(int bytes) {
         sent++;
         sentBytes += bytes;
     }
 
-    void received(int bytes) {
+    void recordReceived(int bytes) {
         received++;
         receivedBytes += bytes;
     }
 
-    /** One that did not fit in a datagram. */
-    void large() {
-        large++;
+    /** A message did not fit in a datagram and went on a stream. */
+    void recordOversized() {
+        oversized++;
     }
 
-    /** One that could not be sent; probes tell what that means. */
-    void unsent() {
-        unsent++;
+    /** A message could not be sent; the failure detector finds out what that means. */
+    void recordSendFailure() {
+        sendFailures++;
     }
 
-    /** One that came faster than a fleet may talk, and was not read. */
-    void overRate() {
+    /** A message or stream above the limit of {@link InboundRateLimit} or of open streams was dropped. */
+    void recordOverRate() {
         overRate++;
     }
 
-    void malformed(MalformedMessageException.Kind kind) {
-        malformed.merge(kind, 1L, Long::sum);
+    void recordMalformed(MalformedMessageException.Reason reason) {
+        malformed.merge(reason, 1L, Long::sum);
     }
 
     /** How many messages were sent. */
@@ -54,30 +54,28 @@
         return sentBytes;
     }
 
-    /** How many messages came faster than {@link RateLimit} lets them be read. */
+    /** How many messages came faster than {@link InboundRateLimit} lets them be read. */
     public long overRateCount() {
         return overRate;
     }
 
+    /** How many messages were dropped as malformed, for whatever reason. */
     public long malformed() {
         return malformed.values().stream().mapToLong(Long::longValue).sum();
     }
 
-    /** {@code name=value} lines. */
+    /** The counters as {@code name=value} lines; these names are part of the operators' interface. */
     public String text(String prefix) {
         StringBuilder text = new StringBuilder();
         line(text, prefix + "sent", sent);
         line(text, prefix + "sent_bytes", sentBytes);
         line(text, prefix + "received", received);
         line(text, prefix + "received_bytes", receivedBytes);
-        line(text, prefix + "large", large);
-        line(text, prefix + "unsent", unsent);
+        line(text, prefix + "large", oversized);
+        line(text, prefix + "unsent", sendFailures);
         line(text, prefix + "over_rate", overRate);
-        for (MalformedMessageException.Kind kind : MalformedMessageException.Kind.values()) {
-            line(
-                    text,
-                    prefix + "unread_" + kind.name().toLowerCase(java.util.Locale.ROOT),
-                    malformed.getOrDefault(kind, 0L));
+        for (MalformedMessageException.Reason reason : MalformedMessageException.Reason.values()) {
+            line(text, prefix + "unread_" + reason.counterName(), malformed.getOrDefault(reason, 0L));
         }
         return text.toString();
     }
--- a/server/src/main/java/wheatspread/peers/PeerTransport.java
+++ b/server/src/main/java/wheatspread/peers/PeerTransport.java
@@ -1,20 +1,8 @@
 package wheatspread.peers;
 
-import io.netty.bootstrap.Bootstrap;
-import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
-import io.netty.buffer.Unpooled;
-import io.netty.channel.Channel;
-import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import io.netty.channel.FixedRecvByteBufAllocator;
-import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.channel.socket.DatagramPacket;
-import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 import io.netty.util.concurrent.Future;
 import io.netty.util.concurrent.Promise;
 import java.net.InetSocketAddress;
@@ -32,41 +20,30 @@
 import wheatspread.transport.Transport;
 
 /**
- * The thin I/O under {@link Membership}: datagrams, a stream for what does not fit in one, and its turns.
- * All of it runs on the one event loop and holds it only for a message at a time, of which {@link InboundRateLimit}
- * bounds the number.
+ * Drives {@link Membership} on one event loop: hands it received messages and the time of its turns, and carries what
+ * it sends as datagrams or, where those are too small, on streams. {@link InboundRateLimit} bounds how many messages
+ * are read, so peers hold the loop only for a bounded share of its time.
  */
 public final class PeerTransport {
-    /** What goes in one datagram on any network. */
-    static final int MOST_DATAGRAM = 1_200;
+    private static final long NO_TURN = Long.MAX_VALUE;
 
-    private static final int LARGEST_READ = 2_048;
-    /** A view of {@link MessageCodec#MOST_MEMBERS} with long names. */
-    private static final int LARGEST_FRAME = 2 << 20;
-
-    private static final int MOST_STREAMS = 16;
-    private static final int CONNECT_MS = 1_000;
-    private static final long STREAM_TIME = 3_000_000;
-
-    private final Transport transport;
     private final EventLoop loop;
     private final Clock clock;
     private final EventLog log;
     private final InetSocketAddress listen;
     private final MessageCodec codec;
     private final Membership membership;
-    private final PeerCounters counts = new PeerCounters();
-    private final InboundRateLimit rate = new InboundRateLimit();
-    private LinkFilter links = LinkFilter.NONE;
-    private Channel datagrams;
-    private Channel streams;
-    private int streamsOpen;
-    private Clock.Timer timer;
-    private long timerAt = Long.MAX_VALUE;
-    private boolean begun;
+    private final PeerCounters counters = new PeerCounters();
+    private final InboundRateLimit rateLimit = new InboundRateLimit();
+    private final PeerDatagrams datagrams;
+    private final PeerStreams streams;
+    private LinkFilter linkFilter = LinkFilter.NONE;
+    private Clock.Timer turnTimer;
+    private long turnMicros = NO_TURN;
+    private boolean started;
     private boolean closed;
 
-    /** {@code self} says where others reach this server, which listens at {@code listen}. */
+    /** {@code self} holds the address at which others reach this server, which listens at {@code listen}. */
     public PeerTransport(
             String cluster,
             InetSocketAddress listen,
@@ -77,148 +54,138 @@
             Clock clock,
             RandomGenerator random,
             EventLog log) {
-        this.transport = transport;
         this.loop = loop;
         this.clock = clock;
         this.log = log;
         this.listen = listen;
         codec = new MessageCodec(cluster, self.address());
-        membership = new Membership(self, seeds, DetectorSettings.USUAL, random, new Outside());
+        datagrams = new PeerDatagrams(transport, loop, counters, log, this::receive);
+        streams = new PeerStreams(transport, loop, clock, counters, this::receive);
+        membership = new Membership(self, seeds, DetectorSettings.USUAL, random, new MembershipActions());
     }
 
     /** Messages pass this filter from now on; on the loop's thread, or before {@link #open}. */
     public void filter(LinkFilter filter) {
-        links = filter;
+        linkFilter = filter;
     }
 
-    /** Binds both sockets and begins; where one can't be bound, neither is. */
+    /** Binds both sockets and starts membership; where one socket can't be bound, neither stays open. */
     public Future<Void> open() {
         Promise<Void> opened = loop.newPromise();
-        ChannelFuture first = new Bootstrap()
-                .group(loop)
-                .channel(transport.datagramChannel())
-                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(LARGEST_READ))
-                .handler(new Datagrams())
-                .bind(listen);
-        first.addListener(bound -> {
-            if (!bound.isSuccess()) {
+        datagrams.bind(listen).addListener(bound -> {
+            if (bound.isSuccess()) {
+                openStreams(opened);
+            } else {
                 opened.setFailure(bound.cause());
-                return;
             }
-            datagrams = first.channel();
-            ChannelFuture second = new ServerBootstrap()
-                    .group(loop)
-                    .channel(transport.serverChannel())
-                    .option(ChannelOption.SO_REUSEADDR, true)
-                    .childHandler(new Streams())
-                    .bind(listen);
-            second.addListener(both -> {
-                if (!both.isSuccess()) {
-                    datagrams.close();
-                    opened.setFailure(both.cause());
-                    return;
-                }
-                streams = second.channel();
-                begin();
-                opened.setSuccess(null);
-            });
         });
         return opened;
     }
 
-    private void begin() {
+    private void openStreams(Promise<Void> opened) {
+        streams.bind(listen).addListener(bound -> {
+            if (bound.isSuccess()) {
+                start();
+                opened.setSuccess(null);
+            } else {
+                datagrams.close();
+                opened.setFailure(bound.cause());
+            }
+        });
+    }
+
+    private void start() {
         if (closed) {
             datagrams.close();
             streams.close();
             return;
         }
-        begun = true;
+        started = true;
         membership.start(EventLoopScheduler.micros());
-        plan();
+        scheduleTurn();
     }
 
-    /** An operator's order to found the fleet anew; why not, or null. On the loop's thread. */
+    /**
+     * An operator's order to form the cluster anew; on the loop's thread.
+     *
+     * @return why it is refused, or null
+     */
     public String found() {
-        String refused = membership.found(EventLoopScheduler.micros());
-        plan();
-        return refused;
+        String refusal = membership.found(EventLoopScheduler.micros());
+        scheduleTurn();
+        return refusal;
     }
 
-    /** This server is about to go; on the loop's thread. */
+    /** Announces that this server leaves; on the loop's thread. */
     public void leave() {
         membership.leave();
-        plan();
+        scheduleTurn();
     }
 
-    /** On the loop's thread. */
+    /** Closes both sockets and stops membership; on the loop's thread. */
     public void close() {
         closed = true;
-        if (timer != null) {
-            timer.cancel();
-        }
-        for (Channel one : new Channel[] {datagrams, streams}) {
-            if (one != null) {
-                one.close();
-            }
+        if (turnTimer != null) {
+            turnTimer.cancel();
         }
+        datagrams.close();
+        streams.close();
     }
 
-    /** What is known of the fleet; on the loop's thread. */
+    /** What is known of the cluster; on the loop's thread. */
     public Membership membership() {
         return membership;
     }
 
+    /** Counts of messages since the start; on the loop's thread. */
     public PeerCounters counts() {
-        return counts;
+        return counters;
     }
 
-    // ---- turns ----
-
-    private void plan() {
-        long next = closed || !begun ? Long.MAX_VALUE : membership.nextTurn();
-        if (next == timerAt) {
+    private void scheduleTurn() {
+        long nextMicros = closed || !started ? NO_TURN : membership.nextTurn();
+        if (nextMicros == turnMicros) {
             return;
         }
-        if (timer != null) {
-            timer.cancel();
-            timer = null;
+        if (turnTimer != null) {
+            turnTimer.cancel();
+            turnTimer = null;
         }
-        timerAt = next;
-        if (next != Long.MAX_VALUE) {
-            timer = clock.after(Math.max(0, next - EventLoopScheduler.micros()), this::turn);
+        turnMicros = nextMicros;
+        if (nextMicros != NO_TURN) {
+            turnTimer = clock.after(Math.max(0, nextMicros - EventLoopScheduler.micros()), this::turn);
         }
     }
 
     private void turn() {
-        timer = null;
-        timerAt = Long.MAX_VALUE;
+        turnTimer = null;
+        turnMicros = NO_TURN;
         if (!closed) {
             membership.turn(EventLoopScheduler.micros());
-            plan();
+            scheduleTurn();
         }
     }
 
-    private void read(ByteBuf bytes) {
-        int length = bytes.readableBytes();
-        counts.received(length);
-        if (closed || !rate.take(EventLoopScheduler.micros())) {
-            counts.overRate();
+    private void receive(ByteBuf bytes) {
+        counters.recordReceived(bytes.readableBytes());
+        if (closed || !rateLimit.tryAcquire(EventLoopScheduler.micros())) {
+            counters.recordOverRate();
             return;
         }
         try {
-            MessageCodec.Received told = codec.decode(ByteBufUtil.getBytes(bytes));
-            if (!links.receives(told.address())) {
+            MessageCodec.Received received = codec.decode(ByteBufUtil.getBytes(bytes));
+            if (!linkFilter.receives(received.address())) {
                 return;
             }
-            membership.received(told.address(), told.message(), EventLoopScheduler.micros());
-            plan();
+            membership.received(received.address(), received.message(), EventLoopScheduler.micros());
+            scheduleTurn();
         } catch (MalformedMessageException e) {
-            counts.malformed(e.kind());
+            counters.recordMalformed(e.reason());
         }
     }
 
     /** What membership does to the outside. */
-    private final class Outside implements Membership.Actions {
+    private final class MembershipActions implements Membership.Actions {
         @Override
         public void send(String address, Message message) {
             byte[] bytes = codec.encode(message);
@@ -226,32 +193,30 @@
             if (closed || to == null) {
                 return;
             }
-            counts.sent(bytes.length);
-            if (!links.sends(address)) {
+            counters.recordSent(bytes.length);
+            if (!linkFilter.sends(address)) {
                 return;
             }
-            if (bytes.length > MOST_DATAGRAM) {
-                counts.large();
-                stream(to, bytes);
+            if (bytes.length > PeerDatagrams.MAX_DATAGRAM_BYTES) {
+                counters.recordOversized();
+                streams.send(to, bytes);
             } else {
-                datagrams
-                        .writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), to))
-                        .addListener(done -> {
-                            if (!done.isSuccess()) {
-                                counts.unsent();
-                            }
-                        });
+                datagrams.send(to, bytes);
             }
         }
 
         @Override
         public void changed(View before, View now, List<Departure> gone) {
-            List<String> come = now.members().stream()
-                    .filter(one -> before == null || before.indexOf(one.id()) < 0)
-                    .map(one -> one.id().toString())
+            List<String> joined = now.members().stream()
+                    .filter(member -> before == null || before.indexOf(member.id()) < 0)
+                    .map(member -> member.id().toString())
                     .toList();
-            // equal on all servers for one view, whose list would be too long for a line
-            String list = Integer.toHexString(now.members().toString().hashCode());
+            List<String> departed = gone.stream()
+                    .map(departure -> departure.who() + " " + departure.cause() + " " + departure.witnesses())
+                    .toList();
+            // a hash that is equal on all servers with this view; the list itself is too long for a line
+            String membersHash = Integer.toHexString(now.members().toString().hashCode());
+            boolean isMember = now.indexOf(membership.self().id()) >= 0;
             log.info(
                     "view",
                     "id",
@@ -259,15 +224,13 @@
                     "members",
                     now.size(),
                     "list",
-                    list,
+                    membersHash,
                     "in",
-                    now.indexOf(membership.self().id()) >= 0,
+                    isMember,
                     "come",
-                    come,
+                    joined,
                     "gone",
-                    gone.stream()
-                            .map(one -> one.who() + " " + one.cause() + " " + one.witnesses())
-                            .toList());
+                    departed);
         }
 
         @Override
@@ -275,87 +238,4 @@
             return clock.nowMicros() / 1_000;
         }
     }
-
-    // ---- sockets ----
-
-    /** Sends what is too large for a datagram on a connection of its own. */
-    private void stream(InetSocketAddress to, byte[] bytes) {
-        if (streamsOpen >= MOST_STREAMS) {
-            counts.unsent();
-            return;
-        }
-        streamsOpen++;
-        new Bootstrap()
-                .group(loop)
-                .channel(transport.clientChannel())
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        bound(channel);
-                    }
-                })
-                .connect(to)
-                .addListener(done -> {
-                    if (!done.isSuccess()) {
-                        counts.unsent();
-                        return;
-                    }
-                    Channel channel = ((ChannelFuture) done).channel();
-                    channel.writeAndFlush(Unpooled.wrappedBuffer(
-                                    Unpooled.buffer(4).writeInt(bytes.length), Unpooled.wrappedBuffer(bytes)))
-                            .addListener(written -> channel.close());
-                });
-    }
-
-    /** A stream is counted until it is closed, and closed when its time is over. */
-    private void bound(Channel channel) {
-        Clock.Timer end = clock.after(STREAM_TIME, channel::close);
-        channel.closeFuture().addListener(gone -> {
-            end.cancel();
-            streamsOpen--;
-        });
-    }
-
-    private final class Datagrams extends SimpleChannelInboundHandler<DatagramPacket> {
-        @Override
-        protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            read(packet.content());
-        }
-
-        @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            log.warn("peers_failed", "error", cause.toString());
-        }
-    }
-
-    /** Takes streams in, one message each. */
-    private final class Streams extends ChannelInitializer<Channel> {
-        @Override
-        protected void initChannel(Channel channel) {
-            if (streamsOpen >= MOST_STREAMS) {
-                counts.overRate();
-                channel.close();
-                return;
-            }
-            streamsOpen++;
-            bound(channel);
-            channel.pipeline()
-                    .addLast(
-                            new LengthFieldBasedFrameDecoder(LARGEST_FRAME, 0, 4, 0, 4),
-                            new SimpleChannelInboundHandler<ByteBuf>() {
-                                @Override
-                                protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-                                    read(frame);
-                                    ctx.close();
-                                }
-
-                                @Override
-                                public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                                    counts.malformed(MalformedMessageException.Kind.GARBAGE);
-                                    ctx.close();
-                                }
-                            });
-        }
-    }
 }
--- a/server/src/test/java/wheatspread/membership/ClusterBootstrapTest.java
+++ b/server/src/test/java/wheatspread/membership/ClusterBootstrapTest.java
@@ -114,7 +114,9 @@
             View healed = net.agreed(12);
             assertThat(healed.id().epoch()).as("seed %d", seed).isEqualTo(first);
             // it had voted in the first fleet and may not do so again under the same number
-            assertThat(healed.named("m004").id().start()).as("seed %d", seed).isEqualTo(2);
+            assertThat(healed.memberNamed("m004").id().start())
+                    .as("seed %d", seed)
+                    .isEqualTo(2);
         }
     }
 
@@ -236,10 +238,10 @@
             for (ViewId other : ids) {
                 for (boolean stands : either) {
                     for (boolean otherStands : either) {
-                        assertThat(ViewPrecedence.goesBefore(one, stands, other, otherStands)
-                                        && ViewPrecedence.goesBefore(other, otherStands, one, stands))
+                        assertThat(ViewPrecedence.takesPrecedence(one, stands, other, otherStands)
+                                        && ViewPrecedence.takesPrecedence(other, otherStands, one, stands))
                                 .isFalse();
-                        assertThat(ViewPrecedence.goesBefore(one, stands, one, otherStands))
+                        assertThat(ViewPrecedence.takesPrecedence(one, stands, one, otherStands))
                                 .isFalse();
                     }
                 }
--- a/server/src/test/java/wheatspread/membership/CutDetectorTest.java
+++ b/server/src/test/java/wheatspread/membership/CutDetectorTest.java
@@ -27,7 +27,7 @@
 
     private static void report(CutDetector tally, int member, int watchers) {
         for (int slot = 0; slot < watchers; slot++) {
-            tally.reported(member, slot, 1);
+            tally.onReport(member, slot, 1);
         }
     }
 
@@ -36,12 +36,12 @@
         for (int size : new int[] {3, 4, 7, 30}) {
             View view = view(size);
             CutDetector tally = new CutDetector(view, 10);
-            int watchers = view.watchersOf(1).length;
+            int watchers = view.observersOf(1).length;
             report(tally, 1, 1);
             assertThat(tally.change(true)).as("one of %d", watchers).isNull();
-            report(tally, 1, View.high(watchers) - 1);
+            report(tally, 1, View.highWatermark(watchers) - 1);
             assertThat(tally.change(true)).isNull();
-            report(tally, 1, View.high(watchers));
+            report(tally, 1, View.highWatermark(watchers));
             assertThat(tally.change(false))
                     .isEqualTo(ViewChange.of(List.of(view.members().get(1).id()), List.of()));
         }
@@ -57,8 +57,8 @@
         assertThat(tally.change(true).out())
                 .containsExactly(view.members().get(1).id());
         for (int slot = 0; slot < 4; slot++) {
-            assertThat(tally.reported(2, slot, 2)).as("taken back").isTrue();
-            assertThat(tally.reported(2, slot, 1))
+            assertThat(tally.onReport(2, slot, 2)).as("taken back").isTrue();
+            assertThat(tally.onReport(2, slot, 1))
                     .as("an old word that comes late")
                     .isFalse();
         }
@@ -72,10 +72,10 @@
         View view = view(30);
         CutDetector tally = new CutDetector(view, 10);
         for (int i = 0; i < 10; i++) {
-            int[] watchers = view.watchersOf(i);
+            int[] watchers = view.observersOf(i);
             for (int slot = 0; slot < watchers.length; slot++) {
                 if (watchers[slot] >= 10) {
-                    tally.reported(i, slot, 1);
+                    tally.onReport(i, slot, 1);
                 }
             }
         }
@@ -89,26 +89,26 @@
         View view = view(12);
         CutDetector tally = new CutDetector(view, 2);
         Member next = member(3, 8);
-        assertThat(tally.joins(member(3, 6))).as("an older start").isFalse();
-        assertThat(tally.joins(next)).isTrue();
-        assertThat(tally.joins(next)).isFalse();
+        assertThat(tally.onJoining(member(3, 6))).as("an older start").isFalse();
+        assertThat(tally.onJoining(next)).isTrue();
+        assertThat(tally.onJoining(next)).isFalse();
         assertThat(tally.joiner(next.id()).watchers).doesNotContain(3).hasSize(10);
         for (int slot = 0; slot < 8; slot++) {
             assertThat(tally.change(true)).isNull();
-            tally.heard(next.id(), slot, 1);
+            tally.onJoinerReachable(next.id(), slot, 1);
         }
         assertThat(tally.change(true))
                 .isEqualTo(ViewChange.of(List.of(view.members().get(3).id()), List.of(next)));
-        assertThat(tally.joins(member(20, 1))).isTrue();
-        assertThat(tally.joins(member(21, 1))).as("beyond the bound").isFalse();
+        assertThat(tally.onJoining(member(20, 1))).isTrue();
+        assertThat(tally.onJoining(member(21, 1))).as("beyond the bound").isFalse();
     }
 
     @Test
     void whoLeavesGoesByItsOwnWord() {
         View view = view(5);
         CutDetector tally = new CutDetector(view, 2);
-        assertThat(tally.leaves(4)).isTrue();
-        assertThat(tally.leaves(4)).isFalse();
+        assertThat(tally.onLeaving(4)).isTrue();
+        assertThat(tally.onLeaving(4)).isFalse();
         assertThat(tally.change(false).out())
                 .containsExactly(view.members().get(4).id());
     }
@@ -120,22 +120,22 @@
         List<int[]> news = new ArrayList<>();
         for (int i = 0; i < random.nextInt(size * 6); i++) {
             int subject = random.nextInt(size);
-            int slots = view.watchersOf(subject).length;
+            int slots = view.observersOf(subject).length;
             news.add(new int[] {subject, random.nextInt(slots), 1 + random.nextInt(3)});
         }
         CutDetector one = new CutDetector(view, 10);
-        news.forEach(word -> one.reported(word[0], word[1], word[2]));
+        news.forEach(word -> one.onReport(word[0], word[1], word[2]));
         Collections.shuffle(news, random);
         CutDetector other = new CutDetector(view, 10);
-        news.forEach(word -> other.reported(word[0], word[1], word[2]));
+        news.forEach(word -> other.onReport(word[0], word[1], word[2]));
         for (boolean hasty : new boolean[] {false, true}) {
             ViewChange change = one.change(hasty);
             assertThat(other.change(hasty)).isEqualTo(change);
             if (change != null) {
                 for (MemberId gone : change.out()) {
                     int index = view.indexOf(gone);
-                    int low = View.low(view.watchersOf(index).length);
-                    assertThat(one.down(index)).isGreaterThanOrEqualTo(low);
+                    int low = View.lowWatermark(view.observersOf(index).length);
+                    assertThat(one.downReports(index)).isGreaterThanOrEqualTo(low);
                 }
             }
         }
--- a/server/src/test/java/wheatspread/membership/FailureDetectorTest.java
+++ b/server/src/test/java/wheatspread/membership/FailureDetectorTest.java
@@ -15,10 +15,10 @@
     /** All steps until then, with their times in milliseconds. */
     private static List<String> run(FailureDetector watch, long from, long until) {
         List<String> steps = new ArrayList<>();
-        for (long now = from; now <= until; now = Math.max(now, watch.nextAt())) {
-            for (FailureDetector.Step step = watch.step(now);
+        for (long now = from; now <= until; now = Math.max(now, watch.nextStepMicros())) {
+            for (FailureDetector.Step step = watch.nextStep(now);
                     step != FailureDetector.Step.NOTHING;
-                    step = watch.step(now)) {
+                    step = watch.nextStep(now)) {
                 steps.add(step + "@" + now / 1_000);
             }
         }
@@ -28,18 +28,20 @@
     @Test
     void whoNeverAnswersIsReportedAfterTheLongestSuspicion() {
         List<String> steps = run(watch, 0, 3_700_000);
-        assertThat(steps).containsSubsequence("PROBE@0", "ASK_AROUND@300", "SUSPECT@700", "REPORT@3700");
+        assertThat(steps).containsSubsequence("PROBE@0", "PROBE_INDIRECTLY@300", "SUSPECT@700", "REPORT@3700");
         assertThat(watch.state()).isEqualTo(FailureDetector.State.DOWN);
     }
 
     @Test
     void suspicionsThatOthersShareEndSooner() {
         run(watch, 0, 700_000);
-        long alone = watch.suspicion();
-        watch.sharedBy(1, 9);
-        long byOne = watch.suspicion();
-        watch.sharedBy(7, 9);
-        assertThat(watch.suspicion()).isEqualTo(USUAL.leastSuspicion()).isLessThan(byOne);
+        long alone = watch.suspicionTimeoutMicros();
+        watch.updateConfirmations(1, 9);
+        long byOne = watch.suspicionTimeoutMicros();
+        watch.updateConfirmations(7, 9);
+        assertThat(watch.suspicionTimeoutMicros())
+                .isEqualTo(USUAL.leastSuspicion())
+                .isLessThan(byOne);
         assertThat(byOne).isLessThan(alone);
         assertThat(run(watch, 700_000, 1_700_000)).contains("REPORT@1700");
     }
@@ -47,23 +49,23 @@
     @Test
     void anAnswerEndsASuspicionAndTakesAReportBack() {
         run(watch, 0, 200_000);
-        assertThat(watch.answered()).as("nothing was said of it").isFalse();
+        assertThat(watch.onAnswer()).as("nothing was said of it").isFalse();
         run(watch, 200_000, 2_000_000);
         assertThat(watch.state()).isEqualTo(FailureDetector.State.SUSPECT);
-        assertThat(watch.answered()).isTrue();
-        assertThat(watch.state()).isEqualTo(FailureDetector.State.WELL);
+        assertThat(watch.onAnswer()).isTrue();
+        assertThat(watch.state()).isEqualTo(FailureDetector.State.HEALTHY);
         run(watch, 2_000_000, 9_000_000);
         assertThat(watch.state()).isEqualTo(FailureDetector.State.DOWN);
-        assertThat(watch.answered()).isTrue();
+        assertThat(watch.onAnswer()).isTrue();
     }
 
     @Test
     void oneThatWasStoppedAccusesNobodyWhenItWakes() {
         run(watch, 0, 100_000);
-        assertThat(health.turned(5_000_000)).isTrue();
-        watch.stoppedFor(5_000_000);
+        assertThat(health.onLateTurn(5_000_000)).isTrue();
+        watch.extendDeadlines(5_000_000);
         assertThat(run(watch, 5_100_000, 5_100_000)).isEmpty();
-        assertThat(watch.state()).isEqualTo(FailureDetector.State.ASKED);
+        assertThat(watch.state()).isEqualTo(FailureDetector.State.PROBING);
         // without that it would: the probe that was under way counts as missed at once
         FailureDetector naive = new FailureDetector(USUAL.suspicious(), new LocalHealth(USUAL.suspicious()), 0);
         run(naive, 0, 100_000);
@@ -72,17 +74,17 @@
 
     @Test
     void whoDistrustsItselfWaitsLonger() {
-        health.turned(600_000);
-        assertThat(health.times()).isEqualTo(2);
-        assertThat(run(watch, 0, 7_400_000)).containsSubsequence("ASK_AROUND@600", "SUSPECT@1400", "REPORT@7400");
-        health.answered();
-        assertThat(health.times()).isEqualTo(1);
-        assertThat(health.turned(1_000)).isFalse();
+        health.onLateTurn(600_000);
+        assertThat(health.multiplier()).isEqualTo(2);
+        assertThat(run(watch, 0, 7_400_000)).containsSubsequence("PROBE_INDIRECTLY@600", "SUSPECT@1400", "REPORT@7400");
+        health.onProbeAnswered();
+        assertThat(health.multiplier()).isEqualTo(1);
+        assertThat(health.onLateTurn(1_000)).isFalse();
         for (int i = 0; i < 30; i++) {
-            health.missed(3, 0);
-            health.accused();
+            health.onProbeFailed(3, 0);
+            health.onReported();
         }
-        assertThat(health.times()).as("a bound").isEqualTo(1 + USUAL.worstHealth());
+        assertThat(health.multiplier()).as("a bound").isEqualTo(1 + USUAL.worstHealth());
     }
 
     @Test
--- a/server/src/test/java/wheatspread/membership/GossipQueueTest.java
+++ b/server/src/test/java/wheatspread/membership/GossipQueueTest.java
@@ -9,7 +9,7 @@
 class GossipQueueTest {
     private static GossipQueue queue() {
         GossipQueue queue = new GossipQueue();
-        queue.clear(3); // 8 times each
+        queue.reset(3); // 8 times each
         return queue;
     }
 
@@ -19,15 +19,15 @@
         GossipUpdate.Leaving first = new GossipUpdate.Leaving(1);
         GossipUpdate.Leaving second = new GossipUpdate.Leaving(2);
         queue.add(first);
-        assertThat(queue.take(2)).containsExactly(first);
+        assertThat(queue.poll(2)).containsExactly(first);
         queue.add(second);
-        assertThat(queue.take(1)).containsExactly(second);
+        assertThat(queue.poll(1)).containsExactly(second);
         List<GossipUpdate> taken = new ArrayList<>();
         while (!queue.isEmpty()) {
-            taken.addAll(queue.take(2));
+            taken.addAll(queue.poll(2));
         }
         assertThat(taken).hasSize(14).contains(first, second);
-        assertThat(queue.take(2)).isEmpty();
+        assertThat(queue.poll(2)).isEmpty();
     }
 
     @Test
@@ -36,7 +36,7 @@
         queue.add(new GossipUpdate.Report(1, 2, 1));
         queue.add(new GossipUpdate.Report(1, 2, 2));
         queue.add(new GossipUpdate.Report(1, 3, 1));
-        assertThat(queue.take(16))
+        assertThat(queue.poll(16))
                 .containsExactlyInAnyOrder(new GossipUpdate.Report(1, 2, 2), new GossipUpdate.Report(1, 3, 1));
     }
 
@@ -47,9 +47,9 @@
         for (int i = 1; i <= 200_000; i++) {
             queue.add(new GossipUpdate.Suspicion(i % 10, 0, i));
             if (i % 5 == 0) {
-                queue.take(1);
+                queue.poll(1);
             }
-            assertThat(queue.waiting()).isLessThan(500);
+            assertThat(queue.queuedEntries()).isLessThan(500);
         }
     }
 }
--- a/server/src/test/java/wheatspread/membership/MembershipTest.java
+++ b/server/src/test/java/wheatspread/membership/MembershipTest.java
@@ -108,7 +108,7 @@
         net.kill("m004");
         net.add(Net.member("m004", 2), List.of("m000", "m001"), null);
         net.run(8 * SECOND);
-        assertThat(net.agreed(12).named("m004").id().start()).isEqualTo(2);
+        assertThat(net.agreed(12).memberNamed("m004").id().start()).isEqualTo(2);
         assertThat(net.views.size()).isEqualTo(2);
         net.members.get("m007").leave();
         net.plan("m007");
--- a/server/src/test/java/wheatspread/membership/ViewAgreementSearchTest.java
+++ b/server/src/test/java/wheatspread/membership/ViewAgreementSearchTest.java
@@ -67,16 +67,16 @@
                     .forEach((change, voters) ->
                             voters.stream().forEach(one -> moment.votes.add(new Item('v', 0, one, 0, change))));
             long ballot = next.ballot();
-            if (ballot > ViewAgreement.FAST) {
+            if (ballot > ViewAgreement.FAST_BALLOT) {
                 moment.sent.add(new Item('p', ballot, 0, 0, null));
                 ViewAgreement.Promise mine = next.promises().get(who);
                 if (mine != null) {
-                    moment.sent.add(new Item('r', ballot, who, mine.votedIn(), mine.voted()));
+                    moment.sent.add(new Item('r', ballot, who, mine.votedBallot(), mine.votedChange()));
                 }
-                if (next.asked() != null) {
-                    moment.sent.add(new Item('a', ballot, 0, 0, next.asked()));
-                    next.accepted().stream()
-                            .forEach(one -> moment.votes.add(new Item('v', ballot, one, 0, next.asked())));
+                if (next.proposal() != null) {
+                    moment.sent.add(new Item('a', ballot, 0, 0, next.proposal()));
+                    next.acceptors().stream()
+                            .forEach(one -> moment.votes.add(new Item('v', ballot, one, 0, next.proposal())));
                 }
             }
             return moment;
@@ -114,10 +114,9 @@
 
     private static void hear(ViewAgreement member, Item item) {
         switch (item.kind) {
-            case 'p' -> member.heardPrepare(item.ballot);
-            case 'r' ->
-                member.heardPromise(item.ballot, item.from, new ViewAgreement.Promise(item.votedIn, item.change));
-            default -> member.heardAccept(item.ballot, item.change);
+            case 'p' -> member.onPrepare(item.ballot);
+            case 'r' -> member.onPromise(item.ballot, item.from, new ViewAgreement.Promise(item.votedIn, item.change));
+            default -> member.onAccept(item.ballot, item.change);
         }
     }
 
@@ -160,7 +159,7 @@
             }
             if (moment.rounds < bounds.rounds && member.hasCandidate() && member.decided() == null) {
                 ViewAgreement beginning = new ViewAgreement(member);
-                beginning.begin();
+                beginning.startClassicRound();
                 Moment after = moment.with(who, beginning);
                 after.rounds++;
                 next.add(after);
--- a/server/src/test/java/wheatspread/membership/ViewAgreementTest.java
+++ b/server/src/test/java/wheatspread/membership/ViewAgreementTest.java
@@ -23,16 +23,16 @@
 
     private static void tell(ViewAgreement from, ViewAgreement to) {
         if (from.decided() != null) {
-            to.heardDecided(from.decided());
+            to.onDecided(from.decided());
             return;
         }
-        from.fastVotes().forEach((change, voters) -> to.heardFast(change, (BitSet) voters.clone()));
-        if (from.ballot() > ViewAgreement.FAST) {
-            to.heardPrepare(from.ballot());
-            from.promises().forEach((one, promise) -> to.heardPromise(from.ballot(), one, promise));
-            if (from.asked() != null) {
-                to.heardAccepted(
-                        from.ballot(), from.asked(), (BitSet) from.accepted().clone());
+        from.fastVotes().forEach((change, voters) -> to.onFastVotes(change, (BitSet) voters.clone()));
+        if (from.ballot() > ViewAgreement.FAST_BALLOT) {
+            to.onPrepare(from.ballot());
+            from.promises().forEach((one, promise) -> to.onPromise(from.ballot(), one, promise));
+            if (from.proposal() != null) {
+                to.onAccepted(from.ballot(), from.proposal(), (BitSet)
+                        from.acceptors().clone());
             }
         }
     }
@@ -53,9 +53,9 @@
             tell(members.get(i), members.get(3));
             assertThat(members.get(3).decided()).isEqualTo(i < 2 ? null : out("m04"));
         }
-        assertThat(members.get(3).ballot()).isEqualTo(ViewAgreement.FAST);
-        assertThat(view.after(out("m04")).members()).hasSize(4);
-        assertThat(view.after(out("m04")).id()).isEqualTo(new ViewId(1, 2));
+        assertThat(members.get(3).ballot()).isEqualTo(ViewAgreement.FAST_BALLOT);
+        assertThat(view.withChange(out("m04")).members()).hasSize(4);
+        assertThat(view.withChange(out("m04")).id()).isEqualTo(new ViewId(1, 2));
     }
 
     @Test
@@ -66,10 +66,10 @@
         for (int round = 0; round < 10; round++) {
             one.propose(out("m04"));
             other.propose(out("m04"));
-            one.begin();
+            one.startClassicRound();
             tell(one, other);
             tell(other, one);
-            other.begin();
+            other.startClassicRound();
             tell(other, one);
             tell(one, other);
         }
@@ -99,7 +99,7 @@
                 if (what < 10) {
                     from.propose(out("m0" + random.nextInt(3)));
                 } else if (what < 11 && from.hasCandidate()) {
-                    from.begin();
+                    from.startClassicRound();
                 } else if (what < 80 && from != to) { // the rest is lost
                     tell(from, to);
                 }
--- a/server/src/test/java/wheatspread/membership/ViewTest.java
+++ b/server/src/test/java/wheatspread/membership/ViewTest.java
@@ -43,28 +43,31 @@
         int[] watching = new int[view.size()];
         Set<String> sets = new HashSet<>();
         for (int i = 0; i < view.size(); i++) {
-            int[] watchers = view.watchersOf(i);
-            assertThat(watchers).hasSize(View.WATCHERS).doesNotHaveDuplicates().doesNotContain(i);
+            int[] watchers = view.observersOf(i);
+            assertThat(watchers)
+                    .hasSize(View.OBSERVERS_PER_SUBJECT)
+                    .doesNotHaveDuplicates()
+                    .doesNotContain(i);
             for (int one : watchers) {
                 watching[one]++;
             }
             Arrays.sort(watchers);
             sets.add(Arrays.toString(watchers));
         }
-        assertThat(Arrays.stream(watching).max().orElseThrow()).isLessThan(3 * View.WATCHERS);
+        assertThat(Arrays.stream(watching).max().orElseThrow()).isLessThan(3 * View.OBSERVERS_PER_SUBJECT);
         assertThat(sets).as("no two are watched by the same ones").hasSize(200);
-        assertThat(view(3).watchersOf(0)).containsExactlyInAnyOrder(1, 2);
-        assertThat(view(1).watchersOf(0)).isEmpty();
+        assertThat(view(3).observersOf(0)).containsExactlyInAnyOrder(1, 2);
+        assertThat(view(1).observersOf(0)).isEmpty();
     }
 
     @Test
     void oneWatchersWordIsNeverEnoughWhereThereAreTwo() {
-        assertThat(View.high(1)).isEqualTo(1);
-        for (int of = 2; of <= View.WATCHERS; of++) {
-            assertThat(View.high(of)).isBetween(2, of);
-            assertThat(View.low(of)).isBetween(1, View.high(of));
+        assertThat(View.highWatermark(1)).isEqualTo(1);
+        for (int of = 2; of <= View.OBSERVERS_PER_SUBJECT; of++) {
+            assertThat(View.highWatermark(of)).isBetween(2, of);
+            assertThat(View.lowWatermark(of)).isBetween(1, View.highWatermark(of));
         }
-        assertThat(View.high(View.WATCHERS)).isEqualTo(8);
+        assertThat(View.highWatermark(View.OBSERVERS_PER_SUBJECT)).isEqualTo(8);
     }
 
     @Test
@@ -72,12 +75,12 @@
         View view = view(4);
         MemberId old = view.members().get(2).id();
         Member next = member(old.name(), 8);
-        View after = view.after(ViewChange.of(List.of(old), List.of(next)));
+        View after = view.withChange(ViewChange.of(List.of(old), List.of(next)));
         assertThat(after.indexOf(old)).isEqualTo(-1);
         assertThat(after.indexOf(next.id())).isEqualTo(2);
-        assertThat(after.named(old.name())).isEqualTo(next);
+        assertThat(after.memberNamed(old.name())).isEqualTo(next);
         assertThat(after.id()).isGreaterThan(view.id());
-        assertThatThrownBy(() -> view.after(ViewChange.of(List.of(), List.of(next))))
+        assertThatThrownBy(() -> view.withChange(ViewChange.of(List.of(), List.of(next))))
                 .isInstanceOf(IllegalArgumentException.class)
                 .hasMessageContaining(old.name());
     }
--- a/server/src/test/java/wheatspread/peers/MessageCodecTest.java
+++ b/server/src/test/java/wheatspread/peers/MessageCodecTest.java
@@ -5,115 +5,72 @@
 
 import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.BitSet;
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import wheatspread.membership.Departure;
 import wheatspread.membership.DetectorSettings;
 import wheatspread.membership.GossipUpdate;
-import wheatspread.membership.Member;
-import wheatspread.membership.MemberId;
 import wheatspread.membership.Membership;
 import wheatspread.membership.Message;
 import wheatspread.membership.Message.Body;
 import wheatspread.membership.View;
-import wheatspread.membership.ViewAgreement;
-import wheatspread.membership.ViewChange;
 import wheatspread.membership.ViewId;
 
 class MessageCodecTest {
-    private static final String HERE = "127.0.0.1:7400";
-    private static final MessageCodec CODEC = new MessageCodec("kitchen", HERE);
-
-    private static Member member(int i) {
-        return new Member(new MemberId("m" + i, 1_000 + i), "10.0.0." + i + ":7400", "zone-" + i % 3, "b1", 7);
-    }
-
-    private static View view(int size) {
-        List<Member> members = new ArrayList<>();
-        for (int i = 0; i < size; i++) {
-            members.add(member(i));
-        }
-        return new View(new ViewId(54_400_000_161_760L, 3), members);
-    }
-
-    private static List<GossipUpdate> news() {
-        ViewChange change = ViewChange.of(List.of(member(1).id()), List.of(member(200)));
-        return List.of(
-                new GossipUpdate.Report(3, 9, 5),
-                new GossipUpdate.Suspicion(0, 0, 1),
-                new GossipUpdate.Leaving(11),
-                new GossipUpdate.Joining(member(20)),
-                new GossipUpdate.Heard(member(20).id(), 2, 1),
-                new GossipUpdate.FastVotes(change, BitSet.valueOf(new long[] {0b1011})),
-                new GossipUpdate.Prepare(1 << 20),
-                new GossipUpdate.Promised(1 << 20, 4, new ViewAgreement.Promise(ViewAgreement.NEVER, null)),
-                new GossipUpdate.Promised(1 << 20, 5, new ViewAgreement.Promise(ViewAgreement.FAST, change)),
-                new GossipUpdate.Accepted(1 << 20, change, BitSet.valueOf(new long[] {0b11})));
-    }
+    private static final MessageCodec CODEC = new MessageCodec(SampleMessages.CLUSTER, SampleMessages.ADDRESS);
 
     private static List<Message> messages() {
-        MemberId from = member(2).id();
-        return Stream.of(
-                        new Body.Ping(7, member(1).id()),
-                        new Body.Ack(7),
-                        new Body.AskAround(8, member(1).id(), "10.0.0.1:7400"),
-                        new Body.Nack(8),
-                        new Body.Gossip(),
-                        new Body.WhichView(),
-                        new Body.ViewIs(view(12)),
-                        new Body.Knock(member(30)),
-                        new Body.Found(54_400_000_161_761L, true),
-                        new Body.Consent(54_400_000_161_761L, member(3)))
-                .map(body -> new Message(from, view(12).id(), true, -5, (Body) body, news()))
+        List<GossipUpdate> updates = List.copyOf(SampleMessages.updates().values());
+        return SampleMessages.bodies().values().stream()
+                .map(body -> SampleMessages.message(body, updates))
                 .toList();
     }
 
     @Test
-    void whatIsSaidIsReadAsItWasSaid() throws Exception {
+    void encodedMessagesDecodeToTheSameMessage() throws Exception {
         for (Message one : messages()) {
             MessageCodec.Received read = CODEC.decode(CODEC.encode(one));
-            assertThat(read.address()).isEqualTo(HERE);
+            assertThat(read.address()).isEqualTo(SampleMessages.ADDRESS);
             assertThat(read.message()).isEqualTo(one);
         }
-        Message first = new Message(member(2).id(), ViewId.NONE, false, 0, new Body.Gossip(), List.of());
+        Message first = new Message(SampleMessages.SENDER, ViewId.NONE, false, 0, new Body.Gossip(), List.of());
         assertThat(CODEC.decode(CODEC.encode(first)).message()).isEqualTo(first);
     }
 
     @Test
-    void otherClustersAndMajorVersionsAreNotReadAndLaterMinorOnesAre() throws Exception {
+    void otherClustersAndMajorVersionsAreRejectedAndLaterMinorVersionsAccepted() throws Exception {
         Message one = messages().get(0);
-        assertThatThrownBy(() -> new MessageCodec("pantry", HERE).decode(CODEC.encode(one)))
+        assertThatThrownBy(() -> new MessageCodec("pantry", SampleMessages.ADDRESS).decode(CODEC.encode(one)))
                 .isInstanceOfSatisfying(
                         MalformedMessageException.class,
-                        e -> assertThat(e.kind()).isEqualTo(MalformedMessageException.Kind.FOREIGN));
-        Format.Envelope told = Format.Envelope.parseFrom(envelope(one));
-        byte[] next = MessageCodec.seal(
-                told.toBuilder().setMajor(MessageCodec.MAJOR + 1).build().toByteArray());
+                        e -> assertThat(e.reason()).isEqualTo(MalformedMessageException.Reason.OTHER_CLUSTER));
+        Format.Envelope received = Format.Envelope.parseFrom(envelope(one));
+        byte[] next = MessageCodec.prependChecksum(
+                received.toBuilder().setMajor(MessageCodec.MAJOR + 1).build().toByteArray());
         assertThatThrownBy(() -> CODEC.decode(next))
                 .isInstanceOfSatisfying(
                         MalformedMessageException.class,
-                        e -> assertThat(e.kind()).isEqualTo(MalformedMessageException.Kind.VERSION));
+                        e -> assertThat(e.reason()).isEqualTo(MalformedMessageException.Reason.UNSUPPORTED_VERSION));
         // a piece of news and a field that this version has never heard of
         byte[] unknown = {(byte) 0x4a, 0x03, (byte) 0xa0, 0x06, 0x01, (byte) 0xa8, 0x06, 0x05};
-        byte[] said = told.toBuilder().setMinor(MessageCodec.MINOR + 1).build().toByteArray();
-        byte[] later = Arrays.copyOf(said, said.length + unknown.length);
-        System.arraycopy(unknown, 0, later, said.length, unknown.length);
-        assertThat(CODEC.decode(MessageCodec.seal(later)).message()).isEqualTo(one);
+        byte[] encoded =
+                received.toBuilder().setMinor(MessageCodec.MINOR + 1).build().toByteArray();
+        byte[] later = Arrays.copyOf(encoded, encoded.length + unknown.length);
+        System.arraycopy(unknown, 0, later, encoded.length, unknown.length);
+        assertThat(CODEC.decode(MessageCodec.prependChecksum(later)).message()).isEqualTo(one);
     }
 
     private static byte[] envelope(Message message) {
-        byte[] sealed = CODEC.encode(message);
-        return Arrays.copyOfRange(sealed, 4, sealed.length);
+        byte[] encoded = CODEC.encode(message);
+        return Arrays.copyOfRange(encoded, 4, encoded.length);
     }
 
     @Test
-    void onlyIpv4AddressesAreAddresses() {
+    void onlyIpv4AddressesWithPortsAreValid() {
         for (String good : List.of("10.0.0.7:7400", "255.255.255.255:65535", "0.0.0.0:1")) {
             assertThat(PeerAddress.text(PeerAddress.parse(good))).isEqualTo(good);
         }
@@ -137,18 +94,18 @@
     }
 
     /**
-     * A million datagrams that were said once and then spoilt, one seed; and a quarter of a million that
-     * somebody spoilt and sealed again, which only must not harm the process.
+     * A million datagrams that were encoded once and then corrupted, one seed; and a quarter of a million that
+     * somebody corrupted and sealed again, which only must not harm the process.
      */
     @Test
     @Timeout(100)
-    void aMillionSpoiltDatagramsChangeNothing() {
-        View view = view(12);
+    void aMillionCorruptDatagramsDoNotChangeTheView() {
+        View view = SampleMessages.view(12);
         long[] sent = {0};
         List<View> views = new ArrayList<>();
         Membership self = new Membership(
-                member(2),
-                List.of(member(0).address()),
+                SampleMessages.member(2),
+                List.of(SampleMessages.member(0).address()),
                 DetectorSettings.USUAL,
                 new SplittableRandom(1),
                 new Membership.Actions() {
@@ -168,41 +125,42 @@
                     }
                 });
         self.begin(view, 0);
-        List<byte[]> said = messages().stream().map(CODEC::encode).toList();
-        List<byte[]> bare = messages().stream().map(MessageCodecTest::envelope).toList();
+        List<byte[]> encoded = messages().stream().map(CODEC::encode).toList();
+        List<byte[]> envelopes =
+                messages().stream().map(MessageCodecTest::envelope).toList();
         SplittableRandom random = new SplittableRandom(21);
-        Map<MalformedMessageException.Kind, Integer> unread = new EnumMap<>(MalformedMessageException.Kind.class);
+        Map<MalformedMessageException.Reason, Integer> rejected = new EnumMap<>(MalformedMessageException.Reason.class);
         int read = 0;
         for (int i = 0; i < 1_250_000; i++) {
-            boolean sealed = i % 5 == 4;
-            byte[] spoilt = sealed
-                    ? MessageCodec.seal(spoil(bare.get(random.nextInt(bare.size())), random))
-                    : spoil(said.get(random.nextInt(said.size())), random);
+            boolean checksumValid = i % 5 == 4;
+            byte[] corrupted = checksumValid
+                    ? MessageCodec.prependChecksum(corrupt(envelopes.get(random.nextInt(envelopes.size())), random))
+                    : corrupt(encoded.get(random.nextInt(encoded.size())), random);
             try {
-                MessageCodec.Received told = CODEC.decode(spoilt);
+                MessageCodec.Received received = CODEC.decode(corrupted);
                 read++;
-                if (!sealed || !told.message().view().equals(view.id())) { // else it may well be true
-                    self.received(told.address(), told.message(), i);
+                if (!checksumValid || !received.message().view().equals(view.id())) { // else it may well be true
+                    self.received(received.address(), received.message(), i);
                 }
             } catch (MalformedMessageException e) {
-                unread.merge(e.kind(), 1, Integer::sum);
+                rejected.merge(e.reason(), 1, Integer::sum);
             }
         }
         assertThat(views).as("only the first view").containsExactly(view);
-        assertThat(unread.get(MalformedMessageException.Kind.SPOILT)).isGreaterThan(990_000);
-        assertThat(unread.get(MalformedMessageException.Kind.GARBAGE)).isGreaterThan(100_000);
+        assertThat(rejected.get(MalformedMessageException.Reason.CORRUPT)).isGreaterThan(990_000);
+        assertThat(rejected.get(MalformedMessageException.Reason.INVALID)).isGreaterThan(100_000);
         assertThat(read).isGreaterThan(1_000);
         assertThat(sent[0]).as("answers to garbage are bounded").isLessThan(read);
     }
 
-    private static byte[] spoil(byte[] said, SplittableRandom random) {
-        byte[] spoilt = said.clone();
+    private static byte[] corrupt(byte[] encoded, SplittableRandom random) {
+        byte[] corrupted = encoded.clone();
         if (random.nextInt(4) == 0) {
-            spoilt = Arrays.copyOf(spoilt, random.nextInt(spoilt.length + 1));
+            corrupted = Arrays.copyOf(corrupted, random.nextInt(corrupted.length + 1));
         }
-        for (int times = 1 + random.nextInt(6); times > 0 && spoilt.length > 0; times--) {
-            spoilt[random.nextInt(spoilt.length)] = (byte) random.nextInt(256);
+        for (int times = 1 + random.nextInt(6); times > 0 && corrupted.length > 0; times--) {
+            corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt(256);
         }
-        return spoilt;
+        return corrupted;
     }
 }
