--- a/server/src/main/java/wheatspread/core/FinalAnswers.java
+++ b/server/src/main/java/wheatspread/core/FinalAnswers.java
@@ -104,7 +104,8 @@
         List<Attempt> joiners = attempt.joiners();
         attempt.clearJoiners();
         for (Attempt joiner : joiners) {
-            reportJoinEnd(joiner, Outcome.FAILED);
+            // the time is taken when the controller is given the event
+            events.add(controller -> controller.onCompletion(joiner.id(), Outcome.FAILED, elapsedSinceJoin(joiner)));
             finish(joiner, Answer.Kind.REJECTED);
         }
     }
@@ -155,12 +156,13 @@
     }
 
     private void endJoin(Attempt joiner, Kernel.End end, byte[] result) {
-        reportJoinEnd(joiner, end == Kernel.End.OK ? Outcome.OK : Outcome.FAILED);
+        Outcome outcome = end == Kernel.End.OK ? Outcome.OK : Outcome.FAILED;
+        long elapsedMicros = elapsedSinceJoin(joiner);
+        events.add(controller -> controller.onCompletion(joiner.id(), outcome, elapsedMicros));
         finishWithResult(joiner, end, result);
     }
 
-    private void reportJoinEnd(Attempt joiner, Outcome outcome) {
-        long elapsedMicros = clock.nowMicros() - joiner.joinedAtMicros();
-        events.add(controller -> controller.onCompletion(joiner.id(), outcome, elapsedMicros));
+    private long elapsedSinceJoin(Attempt joiner) {
+        return clock.nowMicros() - joiner.joinedAtMicros();
     }
 }
