--- a/server/src/test/java/wheatspread/admission/sfq/FairQueueTest.java
+++ b/server/src/test/java/wheatspread/admission/sfq/FairQueueTest.java
@@ -20,30 +20,30 @@
 import wheatspread.admission.Tenant;
 
 /**
- * The fair queue with its heaps beside a reference that scans the flows of all tenants for each decision and
- * computes every lead anew, as the module once did. All drawn events must give the same decisions and tags.
+ * The fair queue with its heaps beside a reference that scans the flows of all tenants for each decision and computes
+ * every lead anew. All drawn events must give the same decisions and tags.
  */
 class FairQueueTest {
     /** Quotas, costs and steps of time are drawn from few values, so that ties are many. */
     private static final double[] QUOTAS = {1, 1, 2, 5, 0.1};
 
     private static final double[] COSTS = {1, 1, 0.5, 2, 1.0 / 3};
-    /** From none over runs and the memory of what was served to its underflow to zero; us. */
-    private static final long[] STEPS = {0, 0, 1, 900, 20_000, 700_000, 30_000_000, 2_000_000_000};
+    /** From none over service times and the decay of charges to its underflow to zero. */
+    private static final long[] STEPS_MICROS = {0, 0, 1, 900, 20_000, 700_000, 30_000_000, 2_000_000_000};
 
     private static final int[] TENANTS = {0, 1, 2, 5, 40, 2_000};
 
     /** A request of the reference. */
     private static final class ScannedRequest {
-        private final TrackedRequest twin;
+        private final TrackedRequest counterpart;
         private final ScannedFlow flow;
         private final double cost;
         private final double virtualAtArrival;
         private double start;
         private double finish;
 
-        ScannedRequest(TrackedRequest twin, ScannedFlow flow, double cost, double virtualAtArrival) {
-            this.twin = twin;
+        ScannedRequest(TrackedRequest counterpart, ScannedFlow flow, double cost, double virtualAtArrival) {
+            this.counterpart = counterpart;
             this.flow = flow;
             this.cost = cost;
             this.virtualAtArrival = virtualAtArrival;
@@ -52,55 +52,55 @@
 
     /** A flow of the reference. */
     private static final class ScannedFlow {
-        private static final double SERVED_LATELY = 2_000_000;
+        private static final double CHARGE_DECAY_MICROS = 2_000_000;
 
         private final int tenant;
         private final double weight;
         private final ArrayDeque<ScannedRequest> queue = new ArrayDeque<>();
         private double dispatchedFinish;
         private double lastFinish;
-        private double served;
-        private long servedAt;
+        private double charge;
+        private long chargedAtMicros;
 
         ScannedFlow(int tenant, double weight) {
             this.tenant = tenant;
             this.weight = weight;
         }
 
-        private void tag(ScannedRequest job) {
-            job.start = Math.max(job.virtualAtArrival, lastFinish);
-            job.finish = job.start + job.cost / weight;
-            lastFinish = job.finish;
+        private void tag(ScannedRequest tracked) {
+            tracked.start = Math.max(tracked.virtualAtArrival, lastFinish);
+            tracked.finish = tracked.start + tracked.cost / weight;
+            lastFinish = tracked.finish;
         }
 
-        private void add(ScannedRequest job) {
-            tag(job);
-            queue.add(job);
+        private void add(ScannedRequest tracked) {
+            tag(tracked);
+            queue.add(tracked);
         }
 
         private void poll(long now) {
-            ScannedRequest job = queue.poll();
-            dispatchedFinish = job.finish;
-            served = servedLately(now) + job.finish - job.start;
-            servedAt = now;
+            ScannedRequest tracked = queue.poll();
+            dispatchedFinish = tracked.finish;
+            charge = recentCharge(now) + tracked.finish - tracked.start;
+            chargedAtMicros = now;
         }
 
-        private double servedLately(long now) {
-            return served * Math.exp((servedAt - now) / SERVED_LATELY);
+        private double recentCharge(long now) {
+            return charge * Math.exp((chargedAtMicros - now) / CHARGE_DECAY_MICROS);
         }
 
         private double lead(long now) {
-            return servedLately(now) + queue.peekLast().start - queue.peek().start;
+            return recentCharge(now) + queue.peekLast().start - queue.peek().start;
         }
 
         private ScannedRequest leastWeight() {
             return queue.stream()
-                    .reduce((a, b) -> b.twin.totalWeight() <= a.twin.totalWeight() ? b : a)
+                    .reduce((a, b) -> b.counterpart.totalWeight() <= a.counterpart.totalWeight() ? b : a)
                     .orElseThrow();
         }
 
-        private void remove(ScannedRequest job) {
-            if (queue.remove(job)) {
+        private void remove(ScannedRequest tracked) {
+            if (queue.remove(tracked)) {
                 lastFinish = dispatchedFinish;
                 queue.forEach(this::tag);
             }
@@ -115,9 +115,9 @@
         ScannedQueue(List<Tenant> tenants) {
             flows = new ScannedFlow[Math.max(1, tenants.size())];
             double quotas = tenants.stream().mapToDouble(Tenant::quotaPerSecond).sum();
-            boolean told = tenants.stream().allMatch(t -> t.quotaPerSecond() > 0) && quotas > 0;
+            boolean weighted = tenants.stream().allMatch(t -> t.quotaPerSecond() > 0) && quotas > 0;
             for (int i = 0; i < flows.length; i++) {
-                flows[i] = new ScannedFlow(i, told ? tenants.get(i).quotaPerSecond() / quotas * flows.length : 1);
+                flows[i] = new ScannedFlow(i, weighted ? tenants.get(i).quotaPerSecond() / quotas * flows.length : 1);
             }
         }
 
@@ -151,25 +151,25 @@
         private final List<ScannedRequest> held = new ArrayList<>();
         private long now = 1_000_000;
         private long lastId;
-        private int refused;
+        private int rejected;
 
         Pair(Random random, int tenantCount) {
             this.random = random;
-            boolean told = random.nextInt(4) > 0;
+            boolean weighted = random.nextInt(4) > 0;
             for (int i = 0; i < tenantCount; i++) {
-                tenants.add(new Tenant(told ? QUOTAS[random.nextInt(QUOTAS.length)] : 0));
+                tenants.add(new Tenant(weighted ? QUOTAS[random.nextInt(QUOTAS.length)] : 0));
             }
-            settings = Host.settings(false, 100_000, 0, tenants, kind(1), kind(3));
+            settings = TestSettings.settings(false, 100_000, 0, tenants, requestClass(1), requestClass(3));
             queue = new FairQueue(tenants);
             scanned = new ScannedQueue(tenants);
         }
 
-        private static RequestClass kind(double worth) {
-            return new RequestClass(1_000_000, 0, 3_000_000, Idempotency.IDEMPOTENT, worth, 0, 0, false, 0);
+        private static RequestClass requestClass(double weight) {
+            return new RequestClass(1_000_000, 0, 3_000_000, Idempotency.IDEMPOTENT, weight, 0, 0, false, 0);
         }
 
         private void passTime() {
-            now += STEPS[random.nextInt(STEPS.length)];
+            now += STEPS_MICROS[random.nextInt(STEPS_MICROS.length)];
         }
 
         /** Some tenants are drawn often; some numbers are out of bounds and count as the first tenant's. */
@@ -180,24 +180,25 @@
 
         private void arrive() {
             int tenant = drawTenant();
-            int kind = random.nextInt(2);
+            int requestClass = random.nextInt(2);
             AdmissionRequest request =
-                    new AdmissionRequest(++lastId, tenant, kind, 0, 0, 0, false, false, false, 20, 0);
-            TrackedRequest job = new TrackedRequest(request, settings.classes().get(kind), queue.flow(tenant), now, 0);
-            job.joiners = random.nextInt(8) == 0 ? 1 : 0;
+                    new AdmissionRequest(++lastId, tenant, requestClass, 0, 0, 0, false, false, false, 20, 0);
+            TrackedRequest tracked =
+                    new TrackedRequest(request, settings.classes().get(requestClass), queue.flow(tenant), now, 0);
+            tracked.joiners = random.nextInt(8) == 0 ? 1 : 0;
             double cost = random.nextInt(3) == 0 ? random.nextDouble() * 4 : COSTS[random.nextInt(COSTS.length)];
-            ScannedRequest twin = new ScannedRequest(job, scanned.flow(tenant), cost, scanned.virtualTime);
-            queue.enqueue(job, cost, now);
-            twin.flow.add(twin);
-            held.add(twin);
+            ScannedRequest counterpart = new ScannedRequest(tracked, scanned.flow(tenant), cost, scanned.virtualTime);
+            queue.enqueue(tracked, cost, now);
+            counterpart.flow.add(counterpart);
+            held.add(counterpart);
         }
 
         private void dispatch() {
             ScannedRequest expected = scanned.smallestStart();
-            TrackedRequest job = queue.next();
-            assertThat(job).as("smallest start tag").isSameAs(expected == null ? null : expected.twin);
-            if (job != null) {
-                queue.dispatch(job, now);
+            TrackedRequest tracked = queue.next();
+            assertThat(tracked).as("smallest start tag").isSameAs(expected == null ? null : expected.counterpart);
+            if (tracked != null) {
+                queue.dispatch(tracked, now);
                 expected.flow.poll(now);
                 scanned.virtualTime = expected.start;
                 held.remove(expected);
@@ -205,7 +206,7 @@
             }
         }
 
-        private void refuse(boolean remove) {
+        private void reject(boolean remove) {
             ScannedFlow expected = scanned.furthestAhead(now);
             assertThat(queue.next() == null).isEqualTo(expected == null);
             if (expected == null) {
@@ -214,21 +215,21 @@
             Flow flow = queue.furthestAhead(now);
             assertThat(flow.tenant).as("furthest ahead").isEqualTo(expected.tenant);
             assertThat(flow.lead(now)).isEqualTo(expected.lead(now));
-            assertThat(flow.leastWeight()).isSameAs(expected.leastWeight().twin);
+            assertThat(flow.leastWeight()).isSameAs(expected.leastWeight().counterpart);
             if (remove) {
-                leave(expected.leastWeight());
-                refused++;
+                withdraw(expected.leastWeight());
+                rejected++;
             }
         }
 
-        private void leave(ScannedRequest job) {
-            queue.remove(job.twin, now);
-            job.flow.remove(job);
-            held.remove(job);
+        private void withdraw(ScannedRequest tracked) {
+            queue.remove(tracked.counterpart, now);
+            tracked.flow.remove(tracked);
+            held.remove(tracked);
         }
 
-        /** When nothing is held, v may jump ahead, as it does at the end of a busy spell. */
-        private void endBusySpell() {
+        /** When nothing is held, v may jump ahead, as it does at the end of a busy period. */
+        private void endBusyPeriod() {
             if (held.isEmpty()) {
                 double jump = scanned.virtualTime + random.nextInt(3);
                 queue.advanceVirtualTime(jump);
@@ -240,40 +241,40 @@
             switch (random.nextInt(10)) {
                 case 0, 1, 2, 3 -> arrive();
                 case 4, 5 -> dispatch();
-                case 6 -> refuse(true);
-                case 7 -> refuse(false);
+                case 6 -> reject(true);
+                case 7 -> reject(false);
                 case 8 -> {
                     if (!held.isEmpty()) {
-                        leave(held.get(random.nextInt(held.size())));
+                        withdraw(held.get(random.nextInt(held.size())));
                     }
                 }
                 default -> passTime();
             }
-            endBusySpell();
+            endBusyPeriod();
         }
 
         private void compareTags() {
-            for (ScannedRequest job : held) {
-                assertThat(job.twin.startTag).isEqualTo(job.start);
-                assertThat(job.twin.finishTag).isEqualTo(job.finish);
+            for (ScannedRequest tracked : held) {
+                assertThat(tracked.counterpart.startTag).isEqualTo(tracked.start);
+                assertThat(tracked.counterpart.finishTag).isEqualTo(tracked.finish);
             }
         }
 
-        /** Empties both by refusals, then by dispatches, so that the whole order of the rest is compared. */
+        /** Empties both by rejections, then by dispatches, so that the whole order of the rest is compared. */
         private void drain() {
             for (int left = held.size() / 2; left > 0; left--) {
-                refuse(true);
+                reject(true);
             }
             while (!held.isEmpty()) {
                 dispatch();
             }
-            refuse(false);
+            reject(false);
             dispatch();
         }
     }
 
     @Property(tries = 300, seed = "23")
-    void decidesAsAScanOfAllFlows(@ForAll long seed) {
+    void decidesAsScanOfAllFlows(@ForAll long seed) {
         Random random = new Random(seed);
         Pair pair = new Pair(random, TENANTS[random.nextInt(TENANTS.length)]);
         for (int step = 0; step < 400; step++) {
@@ -283,12 +284,12 @@
             }
         }
         pair.drain();
-        assertThat(pair.refused).isPositive();
+        assertThat(pair.rejected).isPositive();
     }
 
-    /** Thousands wait at a time, of whom many were served just before, so that their leads decay together. */
+    /** Thousands wait at a time, of whom many were charged just before, so that their leads decay together. */
     @Property(tries = 5, seed = "29")
-    void decidesAsAScanWhileThousandsWait(@ForAll long seed) {
+    void decidesAsScanWhileThousandsWait(@ForAll long seed) {
         Pair pair = new Pair(new Random(seed), 3_000);
         for (int round = 0; round < 3; round++) {
             for (int i = 0; i < 1_500; i++) {
@@ -299,7 +300,7 @@
                 pair.now += 500;
             }
             for (int i = 0; i < 400; i++) {
-                pair.refuse(true);
+                pair.reject(true);
                 pair.now += i % 3 * 700;
             }
             pair.compareTags();
@@ -308,7 +309,7 @@
     }
 
     @Test
-    void aTenantHasAFlowFromItsFirstRequestOnAndAQueueWhileOneWaits() {
+    void createsFlowAtFirstRequestAndQueueWhileOneIsHeld() {
         Pair pair = new Pair(new Random(1), 5);
         Map<Integer, Flow> flows = new HashMap<>();
         for (int tenant = 0; tenant < 5; tenant++) {
@@ -319,15 +320,16 @@
                 .as("shared while idle")
                 .isSameAs(flows.get(4).queue());
         AdmissionRequest request = new AdmissionRequest(1, 3, 0, 0, 0, 0, false, false, false, 20, 0);
-        TrackedRequest job = new TrackedRequest(request, pair.settings.classes().get(0), flows.get(3), pair.now, 0);
-        pair.queue.enqueue(job, 1, pair.now);
-        assertThat(flows.get(3).queue()).containsExactly(job);
+        TrackedRequest tracked =
+                new TrackedRequest(request, pair.settings.classes().get(0), flows.get(3), pair.now, 0);
+        pair.queue.enqueue(tracked, 1, pair.now);
+        assertThat(flows.get(3).queue()).containsExactly(tracked);
         assertThat(flows.get(4).queue()).isEmpty();
         pair.queue.dispatch(pair.queue.next(), pair.now);
         assertThat(flows.get(3).queue()).isSameAs(flows.get(4).queue()).isEmpty();
-        pair.queue.enqueue(job, 1, pair.now);
-        pair.queue.remove(job, pair.now);
-        pair.queue.remove(job, pair.now);
+        pair.queue.enqueue(tracked, 1, pair.now);
+        pair.queue.remove(tracked, pair.now);
+        pair.queue.remove(tracked, pair.now);
         assertThat(flows.get(3).queue()).isSameAs(flows.get(4).queue()).isEmpty();
         assertThat(pair.queue.next()).isNull();
     }
--- /dev/null
+++ b/server/src/test/java/wheatspread/admission/sfq/KeyRetentionTest.java
@@ -0,0 +1,128 @@
+package wheatspread.admission.sfq;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import wheatspread.admission.Idempotency;
+import wheatspread.admission.Outcome;
+
+/** Which keys are retained, which requests join others, and the memory that they share. */
+class KeyRetentionTest {
+    @Test
+    void readsOfOneKeyShareOneRun() {
+        ControllerHarness harness =
+                new ControllerHarness(TestSettings.withCacheTtl(TestSettings.defaults(), 1000)).at(1010);
+        harness.arriveCacheable(1, 0, 0)
+                .arriveCacheable(2, 0, 1)
+                .arriveCacheable(3, 1, 1)
+                .decide();
+        assertThat(harness.actions).containsExactly("retain 1", "join 2", "join 3", "run 1");
+        harness.at(1100)
+                .complete(1, Outcome.OK, 90)
+                .complete(2, Outcome.OK, 90)
+                .complete(3, Outcome.OK, 90)
+                .decide();
+        harness.at(1110).arriveCacheable(4, 0, 1).decide();
+        assertThat(harness.actions).as("the answer is cached").containsExactly("join 4");
+        assertThat(harness.tickUntil(2200, ControllerHarness.IDLE_GAUGES))
+                .as("the key is released when the answer has expired")
+                .contains("release 1");
+    }
+
+    @Test
+    void joinsDuplicateAfterDrainGrace() {
+        ControllerHarness harness = new ControllerHarness(TestSettings.defaults()).at(1010);
+        harness.arrive(1, 0, 1).decide();
+        harness.at(1020);
+        harness.controller.onDrain(6_000_000);
+        harness.decide();
+        harness.at(2500).arrive(2, 0, 1, 0, 1).arrive(3, 0, 1).decide();
+        assertThat(harness.actions)
+                .as("1 runs, so its duplicate may not be rejected")
+                .startsWith("join 2", "reject 3")
+                .doesNotContain("run 3");
+    }
+
+    @Test
+    void retainsKeyJoinsDuplicatesAndNeverRejectsAfterRun() {
+        ControllerHarness harness = new ControllerHarness(TestSettings.defaults())
+                .at(1010)
+                .arrive(1, 0, 1)
+                .decide();
+        assertThat(harness.actions).containsExactly("retain 1", "run 1");
+        harness.at(1020).arrive(2, 0, 1, 0, 1).decide();
+        assertThat(harness.actions).containsExactly("join 2");
+        List<String> all = harness.tickUntil(4100, ControllerHarness.BUSY_GAUGES);
+        assertThat(all).contains("fail 1", "fail 2").doesNotContain("reject 1", "reject 2", "run 1", "run 2");
+    }
+
+    @Test
+    void runsDuplicateOfRequestRejectedInSameBatch() {
+        ControllerHarness harness = new ControllerHarness(TestSettings.settings(
+                        false,
+                        45,
+                        0,
+                        TestSettings.TWO_TENANTS,
+                        TestSettings.requestClass(1000, 3000, Idempotency.IDEMPOTENCY_KEY, 0, 0)))
+                .at(1010);
+        harness.arrive(1, 0, 0).arrive(2, 0, 0, 0, 1).decide();
+        assertThat(harness.actions)
+                .as("no memory for the first one's key")
+                .contains("reject 1", "retain 2")
+                .doesNotContain("join 2");
+    }
+
+    @Test
+    void rejectsBeforeRunWhenKeyDoesNotFit() {
+        ControllerHarness harness = new ControllerHarness(TestSettings.settings(
+                false,
+                25,
+                0,
+                TestSettings.TWO_TENANTS,
+                TestSettings.requestClass(1000, 3000, Idempotency.IDEMPOTENCY_KEY, 0, 0)));
+        harness.at(1010).arrive(1, 0, 0).decide();
+        assertThat(harness.actions).containsExactly("reject 1");
+    }
+
+    @Test
+    void failsDuplicatesBeforeMemoryRunsOut() {
+        ControllerHarness harness = new ControllerHarness(TestSettings.settings(
+                        false,
+                        500,
+                        0,
+                        TestSettings.TWO_TENANTS,
+                        TestSettings.requestClass(1000, 3000, Idempotency.IDEMPOTENCY_KEY, 0, 0)))
+                .at(1010)
+                .arrive(1, 0, 0)
+                .decide();
+        int failed = 0;
+        for (int i = 2; i < 40; i++) {
+            harness.at(1010 + i).arrive(i, 0, 0, 0, 1).decide();
+            assertThat(harness.actions).doesNotContain("reject " + i);
+            failed += harness.actions.contains("fail " + i) ? 1 : 0;
+        }
+        assertThat(80 + 10 + (38 - failed) * 20).as("memory").isLessThanOrEqualTo(500);
+        assertThat(failed).isLessThan(38);
+    }
+
+    @Test
+    void keepsMemoryBoundDuringArrivalBurst() {
+        ControllerHarness harness = new ControllerHarness(TestSettings.settings(
+                false,
+                400,
+                0,
+                TestSettings.TWO_TENANTS,
+                TestSettings.requestClass(1000, 3000, Idempotency.IDEMPOTENT, 0, 0)));
+        harness.at(1010);
+        for (int i = 0; i < 100; i++) {
+            harness.arrive(i + 1, i % 2, 0);
+        }
+        harness.decide();
+        long rejected =
+                harness.actions.stream().filter(a -> a.startsWith("reject")).count();
+        long runs = harness.actions.stream().filter(a -> a.startsWith("run")).count();
+        assertThat((100 - rejected - runs) * 20 + runs * 80).isLessThanOrEqualTo(400);
+        assertThat(runs).isPositive();
+    }
+}
--- a/server/src/test/java/wheatspread/heap/IndexedHeapTest.java
+++ b/server/src/test/java/wheatspread/heap/IndexedHeapTest.java
@@ -28,21 +28,21 @@
     }
 
     @Test
-    void anEmptyHeapHasNoFirst() {
+    void emptyHeapHasNoFirst() {
         assertThat(heap.size()).isZero();
         assertThat(heap.remove(7)).isFalse();
         assertThatThrownBy(heap::first).isInstanceOf(IllegalStateException.class);
     }
 
     @Test
-    void indexesOutOfBoundsAreRefused() {
+    void rejectsIndexesOutOfBounds() {
         assertThatThrownBy(() -> heap.put(BOUND, 1)).isInstanceOf(IndexOutOfBoundsException.class);
         assertThatThrownBy(() -> heap.put(-1, 1)).isInstanceOf(IndexOutOfBoundsException.class);
         assertThat(heap.size()).isZero();
     }
 
     @Test
-    void elementsLeaveInOrderPastTheFirstCapacity() {
+    void keepsOrderBeyondInitialCapacity() {
         List<Integer> expected = new ArrayList<>();
         for (int index = BOUND - 1; index >= 0; index--) {
             heap.put(index, index * 37 % 100 / 10);
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void anElementMovesBothWaysWhenItsKeyChanges() {
+    void movesElementBothWaysWhenKeyChanges() {
         heap.put(1, 10);
         heap.put(2, 20);
         heap.put(3, 30);
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void equalKeysGoByIndexAndBothZerosAreEqual() {
+    void ordersEqualKeysByIndexAndEqualZeros() {
         heap.put(3, 0.0);
         heap.put(2, -0.0);
         heap.put(4, -0.0);
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void infinitiesHaveTheirPlacesAndNoNumberComesLast() {
+    void ordersInfinitiesAndPutsNanLast() {
         heap.put(1, Double.NaN);
         heap.put(2, Double.POSITIVE_INFINITY);
         heap.put(3, Double.NEGATIVE_INFINITY);
@@ -89,7 +89,7 @@
 
     /** The heap against a list that is sorted anew after every step; keys are few, so that ties are many. */
     @Property(tries = 200, seed = "11")
-    void agreesWithASortedList(@ForAll long seed) {
+    void agreesWithSortedList(@ForAll long seed) {
         new IndexedHeapTest().agrees(new Random(seed)); // a heap of its own for each seed
     }
 
--- a/server/src/test/java/wheatspread/sim/BenchLinkTest.java
+++ b/server/src/test/java/wheatspread/sim/BenchLinkTest.java
@@ -33,12 +33,12 @@
     }
 
     @Test
-    void sameEventsGiveTheSameActions() throws IOException {
+    void repeatsActionsForSameEvents() throws IOException {
         assertThat(exchange(recorded())).isEqualTo(exchange(recorded()));
     }
 
     @Test
-    void badInputIsNamedWithItsLine() throws IOException {
+    void namesLineOfInvalidInput() throws IOException {
         String start = recorded().lines().limit(2).reduce("", (a, b) -> a + b + "\n");
         String part = "{\"SimTime\":101.0,\"parts\":[{\"WorkerId\":4,\"items\":[%s]}]}";
         assertThatThrownBy(() -> exchange("{\"SimTime\":")).hasMessageContaining("line 1: not JSON");
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void unknownFieldsAndSettingsAreSkipped() throws IOException {
+    void ignoresUnknownFieldsAndSettings() throws IOException {
         assertThat(exchange("{\"SimTime\":1.0,\"Novel\":{\"x\":[1,null]},\"parts\":[]}\n"))
                 .isEqualTo("{\"parts\":[]}\n");
     }
