--- a/server/src/main/java/wheatspread/admission/sfq/DependencyCallGate.java
+++ b/server/src/main/java/wheatspread/admission/sfq/DependencyCallGate.java
@@ -48,6 +48,11 @@
         inFlight.transition(tracked, RequestState.AWAITING_CALL);
     }
 
+    /** A suspended run goes on; it may call again. */
+    void onRunResumed(TrackedRequest tracked) {
+        tracked.callExhausted = false;
+    }
+
     /** A call has ended with this outcome. */
     void onCallCompleted(TrackedRequest tracked, Outcome outcome, long elapsedMicros) {
         boolean neverReceived = outcome == Outcome.QUEUE_FULL || outcome == Outcome.CONNECT_ERROR;
--- a/server/src/main/java/wheatspread/admission/sfq/DependencyCallLimit.java
+++ b/server/src/main/java/wheatspread/admission/sfq/DependencyCallLimit.java
@@ -29,8 +29,8 @@
     private static final double SHRINK_FACTOR = 0.9;
     /** Growth of the bound for every other call, as a share of the smallest bound. */
     private static final double GROWTH_SHARE = 0.05;
-    /** Ages of this many calls, at most, make the median meaningful. */
-    private static final double MAX_MEDIAN_SAMPLES = 2;
+    /** Outstanding calls that make their median age meaningful; half the configured number if that is less. */
+    private static final double MEDIAN_MIN_CALLS = 2;
 
     private final ReloadableSettings settings;
     private final DecisionClock clock;
@@ -131,7 +131,7 @@
                 .mapToLong(tracked -> now - tracked.stateSinceMicros())
                 .sorted()
                 .toArray();
-        double minSamples = Math.max(1, Math.min(MAX_MEDIAN_SAMPLES, configured / 2));
-        return agesMicros.length < minSamples ? 0 : agesMicros[(agesMicros.length - 1) / 2];
+        double minCalls = Math.max(1, Math.min(MEDIAN_MIN_CALLS, configured / 2));
+        return agesMicros.length < minCalls ? 0 : agesMicros[(agesMicros.length - 1) / 2];
     }
 }
--- a/server/src/main/java/wheatspread/admission/sfq/SfqAdmissionController.java
+++ b/server/src/main/java/wheatspread/admission/sfq/SfqAdmissionController.java
@@ -72,10 +72,10 @@
         KeyRetentionPolicy keyRetention = new KeyRetentionPolicy(settings, memory, keys);
         ArrivalPolicy arrivalPolicy =
                 new ArrivalPolicy(clock, drain, duplicates, keyRetention, fairQueue, serviceTimes, shedder);
-        SuspendedRunPolicy suspendedRuns = new SuspendedRunPolicy(settings, clock, drain, inFlight, termination);
+        SuspendedRunPolicy suspendedRuns = new SuspendedRunPolicy(settings, clock, drain, inFlight, calls, termination);
         arrivals = new BatchArrivals(settings, clock, inFlight, arrivalPolicy, suspendedRuns);
-        dispatcher = new Dispatcher(
-                settings, clock, drain, inFlight, fairQueue, memory, concurrency, serviceTimes, shedder, pressure);
+        ObjectiveForecast forecast = new ObjectiveForecast(settings, clock, drain, inFlight, serviceTimes);
+        dispatcher = new Dispatcher(clock, inFlight, fairQueue, memory, concurrency, forecast, shedder, pressure);
 
         idleConnections = new IdleConnectionPolicy(settings, clock, inFlight, gauges, arrivalRate, overload);
         health = new HealthReporter(settings, drain, overload, arrivalRate, fairQueue.totalQuotaPerSecond());
--- a/server/src/main/java/wheatspread/admission/sfq/SuspendedRunPolicy.java
+++ b/server/src/main/java/wheatspread/admission/sfq/SuspendedRunPolicy.java
@@ -12,6 +12,7 @@
     private final DecisionClock clock;
     private final DrainState drain;
     private final InFlightRequests inFlight;
+    private final DependencyCallGate calls;
     private final RunTermination termination;
 
     SuspendedRunPolicy(
@@ -19,18 +20,20 @@
             DecisionClock clock,
             DrainState drain,
             InFlightRequests inFlight,
+            DependencyCallGate calls,
             RunTermination termination) {
         this.settings = settings;
         this.clock = clock;
         this.drain = drain;
         this.inFlight = inFlight;
+        this.calls = calls;
         this.termination = termination;
     }
 
     void resumeOrFail(TrackedRequest tracked, Actions actions) {
         if (canResume(tracked)) {
             tracked.resumed = true;
-            tracked.callExhausted = false;
+            calls.onRunResumed(tracked);
             tracked.restartStateTimer(clock.nowMicros());
             inFlight.transition(tracked, RequestState.RUNNING);
             actions.run(tracked.id());
--- a/server/src/main/java/wheatspread/admission/sfq/TrackedRequest.java
+++ b/server/src/main/java/wheatspread/admission/sfq/TrackedRequest.java
@@ -30,13 +30,14 @@
     // Written by RetainedKeys.
     boolean keyRetained;
 
-    // Written by DependencyCallGate, and by SuspendedRunPolicy for a suspended run.
+    // Written by DependencyCallGate.
     /** No further call may be made at the point that the run has reached. */
     boolean callExhausted;
     /** Calls made at the point that the run has reached. */
     int callAttempts;
 
     // Written by SuspendedRunPolicy.
+    /** Whether its run was suspended and resumed before. */
     boolean resumed;
 
     private boolean answered;
