--- a/server/src/main/java/wheatspread/transport/ClientChannel.java
+++ b/server/src/main/java/wheatspread/transport/ClientChannel.java
@@ -12,23 +12,26 @@
 import wheatspread.scheduling.PendingRead;
 
 /**
- * Stands between the event loop and a caller's channel: what is to be written goes on at once, what is to be
- * read waits for its turn. While it waits, what the channel wants to hear of is kept from the selector, or
- * every turn would be told of it again.
+ * Sits between the event loop and a caller's channel: write events pass at once, read events wait until the
+ * read scheduler takes them. While a read waits over an iteration, the selector does not watch the channel
+ * for input, or it would report the same input in every iteration. Used on the event loop only.
  */
 public abstract class ClientChannel extends PendingRead implements IoHandle, IoRegistration {
     protected final IoHandle handle;
-    private final EventLoopScheduler turns;
+    private final EventLoopScheduler scheduler;
     private final Connection connection;
     private IoRegistration registration;
+    /** The events that the channel wants from the selector. */
     private IoOps wanted;
+    /** The last event that has input to read. */
     private IoEvent event;
-    private boolean muted;
 
-    protected ClientChannel(IoHandle handle, EventLoopScheduler turns) {
+    private boolean readsPaused;
+
+    protected ClientChannel(IoHandle handle, EventLoopScheduler scheduler) {
         this.handle = handle;
-        this.turns = turns;
-        connection = turns.registering();
+        this.scheduler = scheduler;
+        connection = scheduler.registering();
     }
 
     final IoRegistration registered(IoRegistration real) {
@@ -55,21 +58,21 @@
         event = ready;
         if (!isQueued()) {
             connection.setUnread(true);
-            turns.ready(this);
+            scheduler.ready(this);
         }
-        IoEvent now = withoutReading(ready);
-        if (now != null) {
-            handle.handle(real, now);
+        IoEvent rest = withoutReading(ready);
+        if (rest != null) {
+            handle.handle(real, rest);
         }
     }
 
-    /** Its turn has come. */
+    /** Reads now: the read scheduler has taken it. */
     final void read() {
         connection.setUnread(false);
         connection.setCountsAsIdle(false);
-        turns.setReadingIdle(wasIdle());
-        if (muted) {
-            muted = false;
+        scheduler.setReadingIdle(wasIdle());
+        if (readsPaused) {
+            readsPaused = false;
             if (registration.isValid()) {
                 registration.submit(wanted);
             }
@@ -79,20 +82,21 @@
         }
     }
 
-    /** It has to wait for a further turn. */
-    final void mute() {
-        if (!muted && registration.isValid() && wanted != null) {
-            muted = true;
+    /** Stops watching for input, since the read has to wait for a further iteration. */
+    final void pauseReads() {
+        if (!readsPaused && registration.isValid() && wanted != null) {
+            readsPaused = true;
             registration.submit(mute(wanted));
         }
     }
 
+    /** Whether an event has input to read. */
     protected abstract boolean reads(IoEvent ready);
 
-    /** What is left of an event that has more to it than reading; null if nothing is. */
+    /** The rest of an event without its input; null if nothing is left. */
     protected abstract IoEvent withoutReading(IoEvent ready);
 
-    /** What the channel wants to hear of, but for reading. */
+    /** What the channel wants from the selector, without input. */
     protected abstract IoOps mute(IoOps ops);
 
     // ---- the registration, as the channel sees it ----
@@ -100,7 +104,7 @@
     @Override
     public final long submit(IoOps ops) {
         wanted = ops;
-        return registration.submit(muted ? mute(ops) : ops);
+        return registration.submit(readsPaused ? mute(ops) : ops);
     }
 
     @Override
@@ -135,14 +139,14 @@
         try {
             handle.close();
         } catch (Exception e) {
-            throw new IllegalStateException(e); // channels' handles throw none
+            throw new IllegalStateException(e); // the handles of channels throw none
         }
     }
 
-    /** On the JDK's selectors, whose channels look at the selector's own record of what they want. */
+    /** For the JDK's selectors, whose channels look at the selector's own record of what they want. */
     static final class Nio extends ClientChannel implements NioIoHandle {
-        Nio(IoHandle handle, EventLoopScheduler turns) {
-            super(handle, turns);
+        Nio(IoHandle handle, EventLoopScheduler scheduler) {
+            super(handle, scheduler);
         }
 
         @Override
--- a/server/src/main/java/wheatspread/transport/ClientChannelHandler.java
+++ b/server/src/main/java/wheatspread/transport/ClientChannelHandler.java
@@ -16,79 +16,78 @@
 import wheatspread.core.Reply;
 
 /**
- * The one handler of a caller's channel. A front's own reads messages out of the bytes and holds what is not
- * whole in {@link #held}, which is there only as long as it is needed: thousands of connections rest, and
- * what each of them keeps is kept thousands of times.
+ * The only handler of a caller's channel. A protocol's subclass reads messages out of the bytes; the bytes of
+ * a partial message are buffered here, and only as long as there is one, since thousands of connections may
+ * be idle.
  *
- * <p>It ends by a lingering close: what is owed is written out, the output is shut, and what still comes is
- * read and thrown away until the caller closes too. A close over unread bytes would have the system reset the
- * connection (RFC 1122, 4.2.2.13), and the reset takes along the answers that the caller has not read yet.
+ * <p>A connection ends by a lingering close: the pending answers are written, the output is shut, and what
+ * still arrives is read and discarded until the caller closes too. A close over unread bytes would reset the
+ * connection (RFC 1122, 4.2.2.13), and a reset destroys answers that the caller has not read yet.
+ *
+ * <p>Used on the event loop only. The {@link Listener} registers the channel; the channel's own close, whoever
+ * causes it, releases the buffer.
  */
 public abstract class ClientChannelHandler extends ChannelInboundHandlerAdapter implements ConnectionActions {
     protected final Listener listener;
     protected ChannelHandlerContext ctx;
-    /** The beginning of a message whose end is missing; null if there is none. */
-    private ByteBuf held;
+    /** The beginning of a partial message; null if there is none. */
+    private ByteBuf buffered;
 
-    Connection connection;
+    private Connection connection;
     private Phase phase = Phase.OPEN;
-    /** The caller's side has ended its stream; it may still read. */
+    /** The caller has shut its output; it may still read. */
     private boolean inputShutdown;
-    /** How the end goes on; null before the last answer. */
-    private Lingering lingering;
+    /** The progress of the lingering close; null before it begins. */
+    private LingeringClose lingering;
 
     /** How far a connection has come towards its end. */
     private enum Phase {
         /** Requests are read. */
         OPEN,
-        /** No more requests are read; those that are open are answered. */
-        LEAVING,
-        /** All is answered. It is written out, the output is shut, and what comes is thrown away. */
+        /** No more requests are read; the open ones are answered. */
+        DRAINING,
+        /** Everything is answered: the answers are written, the output is shut, and input is discarded. */
         LINGERING
     }
 
-    /** What only a connection that ends has to remember. */
-    private static final class Lingering {
-        /** Bytes to throw away at the most; who sends more is cut off. */
-        static final int MOST_DISCARDED = 256 * 1024;
-        /** So often a caller that takes its answers slowly is given the time again. */
-        static final int MOST_EXTENSIONS = 4;
+    protected ClientChannelHandler(Listener listener) {
+        this.listener = listener;
+    }
 
-        boolean outputShutdown;
-        int discarded;
-        int extensions;
-        long pendingThen = Long.MAX_VALUE;
+    final Connection connection() {
+        return connection;
     }
 
-    protected ClientChannelHandler(Listener listener) {
-        this.listener = listener;
+    /** Attaches the connection that the table admitted; before the channel is registered. */
+    final void attach(Connection admitted) {
+        connection = admitted;
     }
 
     /**
-     * Takes the messages out of what was read and returns how many were whole; what it leaves is held and
-     * comes again with the next bytes in front of it.
+     * Reads the whole messages and returns their number. Bytes that it leaves are buffered and come again in
+     * front of the next ones.
      */
     protected abstract int read(ByteBuf bytes);
 
     /** How many requests wait for their answers. */
     protected abstract int open();
 
-    /** The caller is gone, and nobody is left to hear an answer. */
+    /** The caller has disconnected, so nobody is left to receive an answer. */
     protected abstract void gone();
 
-    /** About how many bytes the front itself holds of a message that is not whole. */
+    /** About how many bytes of a partial message the protocol itself buffers. */
     protected int extraBufferedBytes() {
         return 0;
     }
 
-    /** Whether the caller should be read from, as far as the front goes. */
+    /** Whether the protocol takes more requests now; the channel is not read while it does not. */
     protected boolean acceptsMoreRequests() {
         return true;
     }
 
     /**
-     * The caller has ended its stream with requests open. A front whose callers say in another way that they
-     * have gone owes their answers all the same; elsewhere the end of the stream says it.
+     * The caller has shut its output while requests are open. By default that counts as a disconnect; a
+     * protocol whose callers cancel requests explicitly still answers them.
      */
     protected void clientInputEnded() {
         gone();
@@ -108,7 +107,7 @@
 
     @Override
     public final void channelInactive(ChannelHandlerContext context) {
-        releaseHeld();
+        releaseBuffer();
         listener.closed(this);
         gone();
     }
@@ -117,7 +116,7 @@
     public final void channelRead(ChannelHandlerContext context, Object message) {
         ByteBuf bytes = (ByteBuf) message;
         try {
-            take(bytes);
+            readBytes(bytes);
         } finally {
             bytes.release();
         }
@@ -139,50 +138,50 @@
         }
     }
 
-    private void take(ByteBuf bytes) {
+    private void readBytes(ByteBuf bytes) {
         if (phase != Phase.OPEN) {
             discard(bytes.readableBytes());
             return;
         }
         int size = bytes.readableBytes();
         ByteBuf all = bytes;
-        if (held != null) {
-            all = held.writeBytes(bytes);
+        if (buffered != null) {
+            all = buffered.writeBytes(bytes);
         }
-        int whole = read(all);
-        listener.recordRead(size, whole);
+        int messages = read(all);
+        listener.recordRead(size, messages);
         if (phase != Phase.OPEN || !all.isReadable()) {
-            releaseHeld();
-        } else if (held == null) {
-            held = Unpooled.buffer(all.readableBytes()).writeBytes(all);
+            releaseBuffer();
+        } else if (buffered == null) {
+            buffered = Unpooled.buffer(all.readableBytes()).writeBytes(all);
         } else {
-            held.discardSomeReadBytes();
+            buffered.discardSomeReadBytes();
         }
-        listener.read(this, whole > 0, holding());
+        listener.read(this, messages > 0, partialBytes());
         updateReading();
     }
 
-    /** Looks again at what is held, where the front left whole messages there. */
+    /** Reads the buffer again, where the protocol left whole messages in it. */
     protected final void readBuffered() {
-        if (held != null && phase == Phase.OPEN) {
-            take(Unpooled.EMPTY_BUFFER);
+        if (buffered != null && phase == Phase.OPEN) {
+            readBytes(Unpooled.EMPTY_BUFFER);
         }
     }
 
-    private void releaseHeld() {
-        if (held != null) {
-            held.release();
-            held = null;
+    private void releaseBuffer() {
+        if (buffered != null) {
+            buffered.release();
+            buffered = null;
         }
     }
 
-    private int holding() {
-        return (held == null ? 0 : held.capacity()) + extraBufferedBytes();
+    private int partialBytes() {
+        return (buffered == null ? 0 : buffered.capacity()) + extraBufferedBytes();
     }
 
-    /** Whether a message has begun whose end is missing. */
+    /** Whether a part of a message has been received. */
     protected final boolean midway() {
-        return holding() > 0;
+        return partialBytes() > 0;
     }
 
     @Override
@@ -191,18 +190,18 @@
         updateReading();
     }
 
-    /** A caller that does not read its answers is not read from, or they would fill the memory. */
+    /** Pauses reads from a caller that does not read its answers, since they would fill the memory. */
     protected final void updateReading() {
         if (phase != Phase.LINGERING) {
-            boolean reads = phase == Phase.OPEN && ctx.channel().isWritable() && acceptsMoreRequests();
-            if (reads != ctx.channel().config().isAutoRead()) {
-                ctx.channel().config().setAutoRead(reads);
+            boolean reading = phase == Phase.OPEN && ctx.channel().isWritable() && acceptsMoreRequests();
+            if (reading != ctx.channel().config().isAutoRead()) {
+                ctx.channel().config().setAutoRead(reading);
             }
             if (connection != null) {
-                connection.setUnread(!reads && phase == Phase.OPEN);
+                connection.setUnread(!reading && phase == Phase.OPEN);
             }
         }
-        if (phase == Phase.LEAVING && open() == 0) {
+        if (phase == Phase.DRAINING && open() == 0) {
             linger();
         }
     }
@@ -211,47 +210,40 @@
 
     private void linger() {
         phase = Phase.LINGERING;
-        lingering = new Lingering();
-        ctx.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(this::writtenOut);
+        lingering = new LingeringClose();
+        ctx.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(this::allWritten);
         if (!inputShutdown && ctx.channel().isOpen()) {
             ctx.channel().config().setAutoRead(true);
         }
     }
 
-    /** All that was owed has gone to the system, or cannot. */
-    private void writtenOut(Future<?> done) {
-        if (!done.isSuccess() || !(ctx.channel() instanceof DuplexChannel channel)) {
+    /** Every answer has been handed to the system, or cannot be. */
+    private void allWritten(Future<?> result) {
+        if (!result.isSuccess() || !(ctx.channel() instanceof DuplexChannel channel)) {
             ctx.close();
             return;
         }
         channel.shutdownOutput();
-        lingering.outputShutdown = true;
+        lingering.outputShutDown();
         closeIfDone();
     }
 
     private void closeIfDone() {
-        if (inputShutdown && lingering.outputShutdown) {
+        if (inputShutdown && lingering.isOutputShutDown()) {
             ctx.close();
         }
     }
 
     private void discard(int bytes) {
         listener.recordRead(bytes, 0);
-        if (lingering != null) {
-            lingering.discarded += bytes;
-            if (lingering.discarded > Lingering.MOST_DISCARDED) {
-                ctx.close();
-            }
+        if (lingering != null && !lingering.mayDiscard(bytes)) {
+            ctx.close();
         }
     }
 
     @Override
     public final boolean advances() {
-        long pending = pendingBytes();
-        boolean less =
-                pending > 0 && pending < lingering.pendingThen && lingering.extensions++ < Lingering.MOST_EXTENSIONS;
-        lingering.pendingThen = pending;
-        return less;
+        return lingering.madeProgress(pendingBytes());
     }
 
     @Override
@@ -268,17 +260,17 @@
         if (cause instanceof IOException || phase != Phase.OPEN) {
             context.close();
         } else {
-            leave(); // a fault in one message must not take along the answers to others
+            leave(); // a fault in one message must not lose the answers to others
         }
     }
 
-    // ---- what the table decides ----
+    // ---- decisions of the connection table ----
 
     @Override
     public final void leave() {
         if (phase == Phase.OPEN) {
-            phase = Phase.LEAVING;
-            releaseHeld();
+            phase = Phase.DRAINING;
+            releaseBuffer();
             listener.draining(this);
             updateReading();
         }
@@ -299,27 +291,27 @@
     }
 
     /**
-     * Whether a request that was just read may not go on to the core, since it is of a crowd that wakes at
-     * once. Then it has been answered, with a time to come back.
+     * Returns whether the burst limiter rejects a request that was just read, since it is part of a reconnect
+     * burst. A rejected request has been answered, with a time to retry after.
      */
-    protected final boolean rejectedByBurstLimiter(Core core, int kind, Reply reply) {
-        EventLoopScheduler turns = listener.scheduler();
-        if (turns.tryAdmit()) {
+    protected final boolean rejectedByBurstLimiter(Core core, int requestClass, Reply reply) {
+        EventLoopScheduler scheduler = listener.scheduler();
+        if (scheduler.tryAdmit()) {
             return false;
         }
         connection.setCountsAsIdle(true);
-        core.turnAway(kind, reply, turns.gate().retryAfterMicros(core.mostStayAway()));
+        core.turnAway(requestClass, reply, scheduler.gate().retryAfterMicros(core.mostStayAway()));
         return true;
     }
 
-    /** Whether a request that goes on was let in as a sleeper's; {@link #requestEnded} has to be told of it. */
+    /** Whether the burst limiter counts the request being read; {@link #requestEnded} has to get that back. */
     protected final boolean isBurstAdmission() {
         return listener.scheduler().isReadingIdle();
     }
 
-    /** Tells what became of a request that went on. */
-    protected final void requestEnded(boolean ofCrowd, Answer.Kind kind) {
-        if (ofCrowd) {
+    /** A request that the burst limiter did not reject has ended. */
+    protected final void requestEnded(boolean burstAdmission, Answer.Kind kind) {
+        if (burstAdmission) {
             listener.scheduler().gate().completed(kind == Answer.Kind.SERVED);
         }
         if (kind == Answer.Kind.REJECTED) {
@@ -327,12 +319,12 @@
         }
     }
 
-    /** An answer goes out. */
+    /** Writes an answer. */
     protected final void write(ByteBuf bytes) {
         ctx.writeAndFlush(bytes, ctx.voidPromise());
     }
 
-    /** An answer went out, so that less is open. */
+    /** An answer was written, so fewer requests are open. */
     protected final void answered() {
         listener.answered(this);
         updateReading();
--- a/server/src/main/java/wheatspread/transport/EpollTransport.java
+++ b/server/src/main/java/wheatspread/transport/EpollTransport.java
@@ -21,12 +21,12 @@
 
 /** Linux's epoll, by Netty's native library. */
 final class EpollTransport implements Transport {
-    /** The length of an address and the address, as the native library writes them. */
-    private static final int ADDRESS = 1 + 26;
+    /** The length of an address and the address itself, as the native library writes them. */
+    private static final int ADDRESS_BYTES = 1 + 26;
 
     private EpollTransport() {}
 
-    /** Null where the library is not there, or does not load on this machine. */
+    /** Null if the native library is missing or does not load on this machine. */
     static Transport ifAvailable() {
         try {
             return Epoll.isAvailable() ? new EpollTransport() : null;
@@ -63,7 +63,7 @@
     @Override
     public void acceptAll(ServerChannel listening) throws IOException {
         Socket socket = (Socket) ((EpollServerSocketChannel) listening).fd();
-        byte[] address = new byte[ADDRESS];
+        byte[] address = new byte[ADDRESS_BYTES];
         for (int fd = socket.accept(address); fd >= 0; fd = socket.accept(address)) {
             listening.pipeline().fireChannelRead(new EpollSocketChannel(fd));
         }
@@ -80,13 +80,13 @@
     }
 
     @Override
-    public ClientChannel defer(IoHandle handle, EventLoopScheduler turns) {
-        return new Deferring(handle, turns);
+    public ClientChannel defer(IoHandle handle, EventLoopScheduler scheduler) {
+        return new Deferring(handle, scheduler);
     }
 
     private static final class Deferring extends ClientChannel implements EpollIoHandle {
-        Deferring(IoHandle handle, EventLoopScheduler turns) {
-            super(handle, turns);
+        Deferring(IoHandle handle, EventLoopScheduler scheduler) {
+            super(handle, scheduler);
         }
 
         @Override
@@ -107,7 +107,7 @@
 
         @Override
         protected IoOps mute(IoOps ops) {
-            // errors are told in any case; without anything Netty would take the descriptor out of the set
+            // epoll reports errors in any case; with no event at all Netty would remove the descriptor
             return ((EpollIoOps) ops)
                     .without(EpollIoOps.EPOLLIN)
                     .without(EpollIoOps.EPOLLRDHUP)
--- a/server/src/main/java/wheatspread/transport/EventLoopScheduler.java
+++ b/server/src/main/java/wheatspread/transport/EventLoopScheduler.java
@@ -15,48 +15,57 @@
 import wheatspread.connections.Connection;
 import wheatspread.logging.EventLog;
 import wheatspread.scheduling.IterationBudget;
+import wheatspread.scheduling.PendingRead;
 import wheatspread.scheduling.ReadScheduler;
 import wheatspread.scheduling.ReconnectBurstLimiter;
 import wheatspread.timers.TimerWheel;
 
 /**
- * Orders the work of each turn of the event loop. First comes what the selector brings of the kernel, the
- * records service and the listeners, and what callers take of their answers; then timers that are due, and
- * the decisions and answers that all this leads to; then new requests, as {@link ReadScheduler} has them and
- * within its budget, and what they lead to; last the connections whose time is over. What a turn leaves
- * unread stays in the sockets.
+ * Orders the work of each event-loop iteration. First comes what the selector reports for the kernel, the
+ * records service and the listeners, and writes to callers; then expired timers, with the decisions and
+ * answers that follow from all this; then new requests, as {@link ReadScheduler} orders them and within its
+ * budget, with what follows from them; last the connections past a time limit. What an iteration leaves
+ * unread stays in the sockets. All methods run on the event loop.
  */
 public final class EventLoopScheduler implements IoHandlerFactory {
-    /** So many handles that have to wait are kept from the selector in one turn. */
-    private static final int MOST_MUTED = 1_024;
-    /** Tasks behind tasks in one phase of a turn; what is left is run by the next phase. */
-    private static final int MOST_SOON = 256;
+    /** How many channels that have to wait are taken from the selector's watch in one iteration. */
+    private static final int MAX_PAUSED_PER_ITERATION = 1_024;
+    /** Tasks, and tasks added by tasks, in one phase of an iteration; the next phase runs the rest. */
+    private static final int MAX_TASKS_PER_PHASE = 256;
+
+    private static final long NANOS_PER_MICRO = 1_000;
+    private static final long MICROS_PER_MILLI = 1_000;
 
     private final Transport transport;
-    private final IterationBudget limits;
+    private final IterationBudget budget;
     private final EventLog log;
-    private final ReadScheduler order;
-    private final TimerWheel wheel = new TimerWheel(micros());
-    private final Deque<Runnable> soon = new ArrayDeque<>();
-    private final Deque<Runnable> last = new ArrayDeque<>();
-    private final List<ClientChannel> unmuted = new ArrayList<>();
+    private final ReadScheduler readScheduler;
+    private final TimerWheel timerWheel = new TimerWheel(micros());
+    private final Deque<Runnable> tasks = new ArrayDeque<>();
+    private final Deque<Runnable> endTasks = new ArrayDeque<>();
+    /** Channels that wait to be read while the selector may still watch them for input. */
+    private final List<ClientChannel> unpaused = new ArrayList<>();
+
     private final IterationTimes times = new IterationTimes();
-    private LongSupplier now = () -> System.currentTimeMillis() * 1_000;
-    private final ReconnectBurstLimiter gate;
+    private final ReconnectBurstLimiter burstLimiter;
+    /** Unix time, by which connections record their last use. */
+    private LongSupplier connectionClock = () -> System.currentTimeMillis() * MICROS_PER_MILLI;
+    /** The connection whose channel is being registered; null for any other channel. */
     private Connection registering;
-    private boolean sleeper;
+    /** Whether the connection being read was idle. */
+    private boolean readingIdle;
 
-    public EventLoopScheduler(Transport transport, IterationBudget limits, long seed, EventLog log) {
+    public EventLoopScheduler(Transport transport, IterationBudget budget, long seed, EventLog log) {
         this.transport = transport;
-        this.limits = limits;
+        this.budget = budget;
         this.log = log;
-        order = new ReadScheduler(limits);
-        gate = new ReconnectBurstLimiter(limits.burstThreshold(), seed);
+        readScheduler = new ReadScheduler(budget);
+        burstLimiter = new ReconnectBurstLimiter(budget.burstThreshold(), seed);
     }
 
-    /** The clock by which connections were used, in microseconds. */
+    /** Sets the clock by which connections record their last use, in microseconds. */
     public void usedBy(LongSupplier clock) {
-        now = clock;
+        connectionClock = clock;
     }
 
     public Transport transport() {
@@ -64,38 +73,38 @@
     }
 
     public IterationBudget limits() {
-        return limits;
+        return budget;
     }
 
     public ReadScheduler order() {
-        return order;
+        return readScheduler;
     }
 
     public IterationTimes times() {
         return times;
     }
 
-    /** The timers of the loop, by {@link #micros}. */
+    /** The timers of the loop, whose clock is {@link #micros}. */
     public TimerWheel wheel() {
-        return wheel;
+        return timerWheel;
     }
 
-    /** The time of the wheel in microseconds, which nobody sets. */
+    /** The monotonic time of the timers, in microseconds. */
     public static long micros() {
-        return System.nanoTime() / 1_000;
+        return System.nanoTime() / NANOS_PER_MICRO;
     }
 
-    /** Runs a task behind what is being read, in the same turn; only from the loop's thread. */
+    /** Runs a task after what is being read, in the same iteration. */
     public void soon(Runnable task) {
-        soon.add(task);
+        tasks.add(task);
     }
 
-    /** Runs a task once at the end of a turn, behind all that is owed to anybody. */
+    /** Runs a task once at the end of an iteration, after everything that callers wait for. */
     void runAtEnd(Runnable task) {
-        last.add(task);
+        endTasks.add(task);
     }
 
-    /** What is registered meanwhile is the channel of this caller. */
+    /** Registers the channel of a caller's connection, so that its reads are scheduled. */
     void register(Connection connection, Runnable registration) {
         registering = connection;
         try {
@@ -109,54 +118,54 @@
         return registering;
     }
 
-    /** Whether what is read now was queued as a sleeper. */
-    void setReadingIdle(boolean ofSleeper) {
-        sleeper = ofSleeper;
+    /** Sets whether the connection being read was idle. */
+    void setReadingIdle(boolean idle) {
+        readingIdle = idle;
+    }
+
+    boolean isReadingIdle() {
+        return readingIdle;
     }
 
     /**
-     * Whether a request that was just read may go on; those of sleepers may not where they are a crowd. Who
-     * may go on as a sleeper has to be given back to the {@link #gate}.
+     * Whether a request that was just read may go on. The burst limiter decides on those of idle connections;
+     * what it admits has to be given back to it.
      */
     boolean tryAdmit() {
-        return !sleeper || gate.tryAdmit(order.idleWaiting());
-    }
-
-    boolean isReadingIdle() {
-        return sleeper;
+        return !readingIdle || burstLimiter.tryAdmit(readScheduler.idleWaiting());
     }
 
     public ReconnectBurstLimiter gate() {
-        return gate;
+        return burstLimiter;
     }
 
-    void ready(ClientChannel handle) {
-        order.add(handle, now.getAsLong());
-        unmuted.add(handle);
+    void ready(ClientChannel channel) {
+        readScheduler.add(channel, connectionClock.getAsLong());
+        unpaused.add(channel);
     }
 
     @Override
     public IoHandler newHandler(ThreadAwareExecutor executor) {
-        return new Handler(transport.handlers().newHandler(executor));
+        return new IterationHandler(transport.handlers().newHandler(executor));
     }
 
-    private boolean idle() {
-        return soon.isEmpty() && last.isEmpty() && order.isEmpty() && !wheel.overdue();
+    private boolean hasNoWork() {
+        return tasks.isEmpty() && endTasks.isEmpty() && readScheduler.isEmpty() && !timerWheel.overdue();
     }
 
-    private void runSoon() {
-        for (int i = 0; i < MOST_SOON && !soon.isEmpty(); i++) {
-            run(soon.poll());
+    private void runTasks() {
+        for (int i = 0; i < MAX_TASKS_PER_PHASE && !tasks.isEmpty(); i++) {
+            run(tasks.poll());
         }
     }
 
-    private void runLast() {
-        for (int left = last.size(); left > 0; left--) {
-            run(last.poll());
+    private void runEndTasks() {
+        for (int remaining = endTasks.size(); remaining > 0; remaining--) {
+            run(endTasks.poll());
         }
     }
 
-    /** A fault in one task must not end the loop. */
+    /** Runs a task and logs what it throws, since a fault in one task must not end the loop. */
     public void run(Runnable task) {
         try {
             task.run();
@@ -166,50 +175,54 @@
     }
 
     private void readCallers() {
-        order.beginIteration(micros());
-        for (var ready = order.take(micros()); ready != null; ready = order.take(micros())) {
-            ClientChannel handle = (ClientChannel) ready;
-            run(handle::read);
+        readScheduler.beginIteration(micros());
+        for (PendingRead ready = readScheduler.take(micros()); ready != null; ready = readScheduler.take(micros())) {
+            ClientChannel channel = (ClientChannel) ready;
+            run(channel::read);
         }
-        sleeper = false;
+        readingIdle = false;
+        pauseWaitingReads();
+    }
+
+    private void pauseWaitingReads() {
         int kept = 0;
-        int muted = 0;
-        for (ClientChannel handle : unmuted) {
-            if (handle.isQueued() && muted++ < MOST_MUTED) {
-                handle.mute();
-            } else if (handle.isQueued()) {
-                unmuted.set(kept++, handle);
+        int paused = 0;
+        for (ClientChannel channel : unpaused) {
+            if (channel.isQueued() && paused++ < MAX_PAUSED_PER_ITERATION) {
+                channel.pauseReads();
+            } else if (channel.isQueued()) {
+                unpaused.set(kept++, channel);
             }
         }
-        unmuted.subList(kept, unmuted.size()).clear();
+        unpaused.subList(kept, unpaused.size()).clear();
     }
 
-    /** The transport's own handler, with the phases of a turn behind what it does. */
-    private final class Handler implements IoHandler {
+    /** The transport's own handler, followed by the phases of an iteration. */
+    private final class IterationHandler implements IoHandler {
         private final IoHandler selector;
-        private final Waiting waiting = new Waiting();
-        private long leftAt;
+        private final WaitContext waitContext = new WaitContext();
+        private long lastIterationEndNanos;
 
-        Handler(IoHandler selector) {
+        IterationHandler(IoHandler selector) {
             this.selector = selector;
         }
 
         @Override
         public int run(IoHandlerContext context) {
-            long tasks = leftAt == 0 ? 0 : System.nanoTime() - leftAt; // the loop ran its own meanwhile
-            waiting.context = context;
-            waiting.active = 0;
-            int handled = selector.run(waiting);
-            long began = System.nanoTime();
-            wheel.expire(began / 1_000, limits.maxExpirations());
-            runSoon();
-            if (!order.isEmpty()) {
+            // between two iterations the loop runs its own tasks
+            long loopTasksNanos = lastIterationEndNanos == 0 ? 0 : System.nanoTime() - lastIterationEndNanos;
+            waitContext.begin(context);
+            int handled = selector.run(waitContext);
+            long startNanos = System.nanoTime();
+            timerWheel.expire(startNanos / NANOS_PER_MICRO, budget.maxExpirations());
+            runTasks();
+            if (!readScheduler.isEmpty()) {
                 readCallers();
-                runSoon();
+                runTasks();
             }
-            runLast();
-            leftAt = System.nanoTime();
-            times.add(tasks + waiting.active + leftAt - began);
+            runEndTasks();
+            lastIterationEndNanos = System.nanoTime();
+            times.add(loopTasksNanos + waitContext.activeNanos() + lastIterationEndNanos - startNanos);
             return handled;
         }
 
@@ -248,39 +261,51 @@
         }
     }
 
-    /** What the selector is told of how long it may wait: the loop's own tasks and ours. */
-    private final class Waiting implements IoHandlerContext {
+    /** How long the selector may wait: until the next task of the loop or the next timer of the wheel. */
+    private final class WaitContext implements IoHandlerContext {
         private IoHandlerContext context;
-        private long active;
+        private long activeNanos;
+
+        void begin(IoHandlerContext ofLoop) {
+            context = ofLoop;
+            activeNanos = 0;
+        }
+
+        long activeNanos() {
+            return activeNanos;
+        }
 
         @Override
         public boolean canBlock() {
-            return context.canBlock() && idle();
+            return context.canBlock() && hasNoWork();
         }
 
         @Override
         public long delayNanos(long nanoTime) {
-            long look = wheel.nextLook();
-            long delay = context.delayNanos(nanoTime);
-            long least = look == Long.MAX_VALUE ? delay : Math.min(delay, Math.max(0, look * 1_000 - nanoTime));
-            // a selector that counts milliseconds would spin through the last one before every timer
-            return least > 0 ? Math.max(least, transport.shortestWait()) : least;
+            long timerMicros = timerWheel.nextLook();
+            long delayNanos = context.delayNanos(nanoTime);
+            if (timerMicros != Long.MAX_VALUE) {
+                delayNanos = Math.min(delayNanos, Math.max(0, timerMicros * NANOS_PER_MICRO - nanoTime));
+            }
+            // a selector that waits in milliseconds would spin through the last one before every timer
+            return delayNanos > 0 ? Math.max(delayNanos, transport.shortestWait()) : delayNanos;
         }
 
         @Override
         public long deadlineNanos() {
-            long look = wheel.nextLook();
-            long deadline = context.deadlineNanos();
-            if (look == Long.MAX_VALUE) {
-                return deadline;
+            long timerMicros = timerWheel.nextLook();
+            long deadlineNanos = context.deadlineNanos();
+            if (timerMicros == Long.MAX_VALUE) {
+                return deadlineNanos;
             }
-            long own = Math.max(0, look * 1_000 - Ticker.systemTicker().initialNanoTime());
-            return deadline == -1 ? own : Math.min(deadline, own);
+            long timerNanos = Math.max(
+                    0, timerMicros * NANOS_PER_MICRO - Ticker.systemTicker().initialNanoTime());
+            return deadlineNanos == -1 ? timerNanos : Math.min(deadlineNanos, timerNanos);
         }
 
         @Override
         public void reportActiveIoTime(long nanos) {
-            active += nanos;
+            activeNanos += nanos;
             context.reportActiveIoTime(nanos);
         }
 
--- a/server/src/main/java/wheatspread/transport/Front.java
+++ b/server/src/main/java/wheatspread/transport/Front.java
@@ -1,10 +1,10 @@
 package wheatspread.transport;
 
-/** What a protocol makes of the sockets that a {@link Listener} accepts. */
+/** A protocol on the sockets that a {@link Listener} accepts. */
 public interface Front {
-    /** The handler of one more caller. */
+    /** Creates the handler of a new connection. */
     ClientChannelHandler caller(Listener listener);
 
-    /** What one that can't be taken gets, where the limits say that it gets an answer. */
+    /** The bytes that a rejected connection gets, where the limits say that it gets an answer. */
     byte[] refusal();
 }
--- a/server/src/main/java/wheatspread/transport/IterationTimes.java
+++ b/server/src/main/java/wheatspread/transport/IterationTimes.java
@@ -1,23 +1,27 @@
 package wheatspread.transport;
 
 /**
- * How long the turns of the event loop took without their waiting: counts by powers of two, and the longest
- * one. Times are nanoseconds inside and microseconds outside.
+ * A histogram of how long event-loop iterations took, without their waiting, in powers of two, and the longest
+ * one. Used on the event loop only.
  */
 public final class IterationTimes {
-    private final long[] counts = new long[40];
+    private static final int BUCKETS = 40;
+    private static final long NANOS_PER_MICRO = 1_000;
+    private static final double LOGGED_QUANTILE = 0.99;
+
+    private final long[] counts = new long[BUCKETS];
     private long iterations;
-    private long busy;
-    private long longest;
+    private long busyNanos;
+    private long longestNanos;
 
     void add(long nanos) {
-        counts[Math.min(counts.length - 1, 64 - Long.numberOfLeadingZeros(nanos / 1_000))]++;
+        counts[Math.min(counts.length - 1, 64 - Long.numberOfLeadingZeros(nanos / NANOS_PER_MICRO))]++;
         iterations++;
-        busy += nanos;
-        longest = Math.max(longest, nanos);
+        busyNanos += nanos;
+        longestNanos = Math.max(longestNanos, nanos);
     }
 
-    /** What is logged, as names and values in turns; the longest one since it was last asked for. */
+    /** What is logged, as alternating names and values; resets the longest iteration. */
     public Object[] fields() {
         return new Object[] {
             "count",
@@ -25,7 +29,7 @@
             "busy_us",
             busyMicros(),
             "p99_us",
-            quantileMicros(0.99),
+            quantileMicros(LOGGED_QUANTILE),
             "longest_us",
             takeLongestMicros()
         };
@@ -35,24 +39,24 @@
         return iterations;
     }
 
-    /** The time of all turns together. */
+    /** The time of all iterations together. */
     public long busyMicros() {
-        return busy / 1_000;
+        return busyNanos / NANOS_PER_MICRO;
     }
 
-    /** The longest turn since this was last asked for. */
+    /** The longest iteration since the last call. */
     public long takeLongestMicros() {
-        long taken = longest / 1_000;
-        longest = 0;
-        return taken;
+        long longestMicros = longestNanos / NANOS_PER_MICRO;
+        longestNanos = 0;
+        return longestMicros;
     }
 
-    /** A time that so great a share of the turns stayed under, to the next power of two. */
-    public long quantileMicros(double share) {
-        long left = (long) Math.ceil(share * iterations);
+    /** A time, rounded up to a power of two, that this fraction of the iterations did not exceed. */
+    public long quantileMicros(double fraction) {
+        long remaining = (long) Math.ceil(fraction * iterations);
         for (int i = 0; i < counts.length; i++) {
-            left -= counts[i];
-            if (left <= 0) {
+            remaining -= counts[i];
+            if (remaining <= 0) {
                 return 1L << i;
             }
         }
--- a/server/src/main/java/wheatspread/transport/Listener.java
+++ b/server/src/main/java/wheatspread/transport/Listener.java
@@ -31,20 +31,26 @@
 import wheatspread.logging.EventLog;
 
 /**
- * A listening socket with the callers it accepted. Who is let in, who makes room and whose time is over its
- * {@link ConnectionTable} decides; here that is done to sockets. It also bounds what waits to be written, and
- * passes on that the server leaves.
+ * A listening socket with the connections it accepted. Its {@link ConnectionTable} decides which ones are
+ * admitted, evicted or past a time limit; this class carries that out on the sockets. It also bounds the
+ * memory of unread answers, and notifies callers when the server drains.
+ *
+ * <p>Except for {@link #listen}, all methods run on the event loop. {@link #close} drains the connections and
+ * {@link #cut} closes those that are left.
  */
 public final class Listener {
-    private static final int WRITE_LOW = 64 * 1024;
-    private static final int WRITE_HIGH = 128 * 1024;
-    private static final WriteBufferWaterMark MARKS = new WriteBufferWaterMark(WRITE_LOW, WRITE_HIGH);
-    /** How often what waits to be written is looked at while anybody is beyond the high mark; us. */
-    private static final long STALLED = 100_000;
-    /** Accepting rests so long where the process has no descriptor left; us. */
-    private static final long NO_DESCRIPTOR = 100_000;
-    /** One read; most requests take less. */
-    private static final int READ = 4 * 1024;
+    private static final int WRITE_LOW_WATERMARK_BYTES = 64 * 1024;
+    private static final int WRITE_HIGH_WATERMARK_BYTES = 128 * 1024;
+    private static final WriteBufferWaterMark WRITE_WATERMARKS =
+            new WriteBufferWaterMark(WRITE_LOW_WATERMARK_BYTES, WRITE_HIGH_WATERMARK_BYTES);
+    /** How often unread answers are checked while any caller is above the high watermark. */
+    private static final long STALLED_CHECK_INTERVAL_MICROS = 100_000;
+    /** How long to stop accepting after an accept failed, as when no file descriptor is left. */
+    private static final long ACCEPT_RETRY_DELAY_MICROS = 100_000;
+    /** The size of one read; most requests take less. */
+    private static final int READ_BYTES = 4 * 1024;
+
+    private static final int ACCEPT_BACKLOG = 1_024;
 
     private final EventLoop loop;
     private final EventLoopScheduler scheduler;
@@ -52,43 +58,52 @@
     private final Front front;
     private final ConnectionTable table;
     private final EventLog log;
-    private final Set<ClientChannelHandler> writabilityChanged = new LinkedHashSet<>();
-    /** One handle reads for all callers, one after another; each has but one read a turn. */
-    private final RecvByteBufAllocator.ExtendedHandle reading = (RecvByteBufAllocator.ExtendedHandle)
-            new FixedRecvByteBufAllocator(READ).maxMessagesPerRead(1).newHandle();
+    /** Callers above the high watermark of unread answers. */
+    private final Set<ClientChannelHandler> stalled = new LinkedHashSet<>();
+    /** Shared by all connections, each of which has one read per iteration. */
+    private final RecvByteBufAllocator.ExtendedHandle readHandle = (RecvByteBufAllocator.ExtendedHandle)
+            new FixedRecvByteBufAllocator(READ_BYTES).maxMessagesPerRead(1).newHandle();
 
     private ServerChannel listening;
-    /** A handed-over socket on which nothing is accepted yet. */
-    private ServerChannel held;
+    /** An inherited socket on which nothing is accepted yet. */
+    private ServerChannel inheritedSocket;
 
-    private boolean handedOver;
+    private boolean inherited;
     private boolean stopped;
-    private Clock.Timer timer;
-    private long armedFor = Long.MAX_VALUE;
-    private boolean watching;
-    private boolean leaving;
+    private Clock.Timer expiryTimer;
+    private long expiryTimerMicros = Long.MAX_VALUE;
+    private boolean stalledCheckScheduled;
+    private boolean draining;
 
     public Listener(
-            EventLoop loop, EventLoopScheduler turns, Clock clock, Front front, ConnectionLimits limits, EventLog log) {
+            EventLoop loop,
+            EventLoopScheduler scheduler,
+            Clock clock,
+            Front front,
+            ConnectionLimits limits,
+            EventLog log) {
         this.loop = loop;
-        this.scheduler = turns;
+        this.scheduler = scheduler;
         this.clock = clock;
         this.front = front;
         this.log = log;
-        table = new ConnectionTable(limits, clock.nowMicros(), this::arm);
+        table = new ConnectionTable(limits, clock.nowMicros(), this::startExpiryTimer);
     }
 
-    /** The connections; only the loop's thread may look at them. */
+    /** The connections; to be used on the event loop only. */
     public ConnectionTable table() {
         return table;
     }
 
-    /** Binds and accepts; what cannot be bound is thrown. Returns the address that was bound. */
+    /**
+     * Binds the address and starts to accept; fails if it cannot be bound. Waits for the event loop, so it must
+     * not be called on it. Returns the address that was bound.
+     */
     public InetSocketAddress listen(InetSocketAddress address) {
         ChannelFuture binding = new Bootstrap()
                 .group(loop)
                 .channel(scheduler.transport().serverChannel())
-                .option(ChannelOption.SO_BACKLOG, 1024)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .handler(new Acceptor())
                 .bind(address)
@@ -102,41 +117,41 @@
     }
 
     /**
-     * Holds a socket that listens already, handed over on descriptor {@code fd}; nothing is bound, and
-     * nothing is accepted until {@link #acceptHeld}. Two processes that hold it share one queue, so what one
-     * leaves there the other takes. Returns the address.
+     * Takes a listening socket that the process inherited as descriptor {@code fd}; accepts nothing until
+     * {@link #acceptHeld}. Processes with the same socket share one accept queue, so one accepts what the
+     * other leaves there. Returns the address.
      */
     public InetSocketAddress hold(int fd) {
         try {
             ServerChannel channel = scheduler.transport().adoptListeningSocket(fd);
             channel.pipeline().addLast(new Acceptor());
-            held = channel;
-            handedOver = true;
+            inheritedSocket = channel;
+            inherited = true;
             return (InetSocketAddress) channel.localAddress();
-        } catch (IOException | RuntimeException e) { // Netty throws what the system said, checked or not
+        } catch (IOException | RuntimeException e) { // Netty throws the system's errors, checked or not
             throw new IllegalStateException("cannot accept on descriptor " + fd + ": " + e.getMessage(), e);
         }
     }
 
-    /** Begins to accept on the socket that is held; on the loop's thread. */
+    /** Starts to accept on the inherited socket. */
     public void acceptHeld() {
-        listening = held;
-        held = null;
-        loop.register(listening).addListener(done -> {
-            if (!done.isSuccess()) {
-                log.error("accept_failed", "error", done.cause());
+        listening = inheritedSocket;
+        inheritedSocket = null;
+        loop.register(listening).addListener(result -> {
+            if (!result.isSuccess()) {
+                log.error("accept_failed", "error", result.cause());
             }
         });
     }
 
-    /** Takes what the listening socket accepted. */
+    /** Handles the connections that the listening socket accepts. */
     private final class Acceptor extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             Channel channel = (Channel) message;
-            long pause = table.pauseAfterAccept(clock.nowMicros());
-            if (pause > 0) {
-                rest(pause); // the others wait in the backlog
+            long pauseMicros = table.pauseAfterAccept(clock.nowMicros());
+            if (pauseMicros > 0) {
+                pauseAccepting(pauseMicros); // further connections wait in the accept queue
             }
             accept(channel);
         }
@@ -144,42 +159,42 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             log.warn("accept_failed", "error", cause.getMessage());
-            rest(NO_DESCRIPTOR);
+            pauseAccepting(ACCEPT_RETRY_DELAY_MICROS);
         }
 
-        private void rest(long pause) {
+        private void pauseAccepting(long pauseMicros) {
             if (listening != null && listening.config().isAutoRead()) {
                 listening.config().setAutoRead(false);
-                clock.after(pause, () -> listening.config().setAutoRead(!stopped));
+                clock.after(pauseMicros, () -> listening.config().setAutoRead(!stopped));
             }
         }
     }
 
-    /** Takes in a channel that was accepted, here or by something else on the same loop. */
+    /** Admits or rejects a channel that was accepted, here or by something else on the same event loop. */
     public void accept(Channel channel) {
         ClientChannelHandler caller = front.caller(this);
         Connection connection = table.admit(caller, sourceOf(channel.remoteAddress()), clock.nowMicros());
         if (connection == null) {
-            refuse(channel);
+            reject(channel);
             return;
         }
-        caller.connection = connection;
+        caller.attach(connection);
         channel.config().setOption(ChannelOption.TCP_NODELAY, true);
         channel.config().setOption(ChannelOption.ALLOW_HALF_CLOSURE, true);
-        channel.config().setWriteBufferWaterMark(MARKS);
-        channel.config().setRecvByteBufAllocator(() -> reading);
+        channel.config().setWriteBufferWaterMark(WRITE_WATERMARKS);
+        channel.config().setRecvByteBufAllocator(() -> readHandle);
         channel.pipeline().addLast(caller);
         scheduler.register(
                 connection,
-                () -> loop.register(channel).addListener(done -> {
-                    if (!done.isSuccess()) {
+                () -> loop.register(channel).addListener(result -> {
+                    if (!result.isSuccess()) {
                         table.closed(connection);
                         channel.unsafe().closeForcibly();
                     }
                 }));
     }
 
-    private void refuse(Channel channel) {
+    private void reject(Channel channel) {
         Refusal refusal = table.limits().refusal();
         if (refusal == Refusal.ANSWER) {
             channel.pipeline().addLast(new ChannelInboundHandlerAdapter() {
@@ -198,7 +213,7 @@
         channel.unsafe().closeForcibly();
     }
 
-    /** What tells sources apart: an IPv4 address, or the network part of an IPv6 address. */
+    /** The number that identifies a source: its IPv4 address, or the network part of its IPv6 address. */
     static long sourceOf(SocketAddress remote) {
         if (!(remote instanceof InetSocketAddress socket)) {
             return 0;
@@ -208,40 +223,40 @@
         return address instanceof Inet4Address ? 0xFFFF_FFFFL << 32 | bytes.getInt() & 0xFFFF_FFFFL : bytes.getLong();
     }
 
-    /** A caller on a channel that something else opened: for rehearsals and tests. */
-    public ClientChannelHandler callerOf(long address) {
+    /** Creates the handler of a connection on a channel that the caller opens: for warm-up and tests. */
+    public ClientChannelHandler callerOf(long sourceAddress) {
         ClientChannelHandler caller = front.caller(this);
-        caller.connection = table.admit(caller, address, clock.nowMicros());
+        caller.attach(table.admit(caller, sourceAddress, clock.nowMicros()));
         return caller;
     }
 
-    // ---- what callers do ----
+    // ---- events of connections ----
 
     void opened(ClientChannelHandler caller) {
-        if (leaving) {
+        if (draining) {
             caller.lastCall();
         }
     }
 
     void closed(ClientChannelHandler caller) {
-        writabilityChanged.remove(caller);
-        table.closed(caller.connection);
+        stalled.remove(caller);
+        table.closed(caller.connection());
     }
 
     void recordRead(int bytes, int requests) {
         scheduler.order().recordRead(bytes, requests);
     }
 
-    void read(ClientChannelHandler caller, boolean whole, int bytes) {
-        table.read(caller.connection, clock.nowMicros(), whole, caller.open(), bytes);
+    void read(ClientChannelHandler caller, boolean wholeMessages, int partialBytes) {
+        table.read(caller.connection(), clock.nowMicros(), wholeMessages, caller.open(), partialBytes);
     }
 
     void answered(ClientChannelHandler caller) {
-        table.answered(caller.connection, clock.nowMicros(), caller.open());
+        table.answered(caller.connection(), clock.nowMicros(), caller.open());
     }
 
     void draining(ClientChannelHandler caller) {
-        table.drain(caller.connection, clock.nowMicros());
+        table.drain(caller.connection(), clock.nowMicros());
     }
 
     EventLoopScheduler scheduler() {
@@ -256,95 +271,94 @@
         return log;
     }
 
-    // ---- whose time is over ----
+    // ---- time limits ----
 
-    /** Connections without an open request are closed after so many microseconds; 0 means never. */
-    public void closeIdle(long after) {
-        table.closeIdle(after);
+    /** Closes connections that are idle for so many microseconds; 0 for the configured limit only. */
+    public void closeIdle(long timeoutMicros) {
+        table.closeIdle(timeoutMicros);
     }
 
-    /** One timer stands for all connections: it rings when the first limit ends. */
-    private void arm() {
-        long soonest = table == null ? Long.MAX_VALUE : table.soonest();
-        if (soonest < armedFor) {
-            armedFor = soonest;
-            if (timer != null) {
-                timer.cancel();
+    /** Starts the one timer for all connections, which expires when the first limit ends. */
+    private void startExpiryTimer() {
+        long nextExpiryMicros = table == null ? Long.MAX_VALUE : table.soonest();
+        if (nextExpiryMicros < expiryTimerMicros) {
+            expiryTimerMicros = nextExpiryMicros;
+            if (expiryTimer != null) {
+                expiryTimer.cancel();
             }
-            timer = clock.after(Math.max(0, soonest - clock.nowMicros()), () -> {
-                timer = null;
+            expiryTimer = clock.after(Math.max(0, nextExpiryMicros - clock.nowMicros()), () -> {
+                expiryTimer = null;
                 expire();
             });
         }
     }
 
     private void expire() {
-        if (timer != null) {
-            timer.cancel(); // set by what the last round brought about
-            timer = null;
+        if (expiryTimer != null) {
+            expiryTimer.cancel(); // started while the last round expired connections
+            expiryTimer = null;
         }
-        armedFor = Long.MAX_VALUE;
-        int most = scheduler.limits().maxExpirations();
-        if (table.expire(clock.nowMicros(), most) >= most && table.soonest() <= clock.nowMicros()) {
-            armedFor = 0; // the rest follows in the next turn, behind what is owed to anybody
+        expiryTimerMicros = Long.MAX_VALUE;
+        int max = scheduler.limits().maxExpirations();
+        if (table.expire(clock.nowMicros(), max) >= max && table.soonest() <= clock.nowMicros()) {
+            expiryTimerMicros = 0; // the rest follows in the next iteration, after what callers wait for
             scheduler.runAtEnd(this::expire);
         } else {
-            arm();
+            startExpiryTimer();
         }
     }
 
-    // ---- what waits to be written ----
+    // ---- unread answers ----
 
-    void writabilityChanged(ClientChannelHandler caller, boolean stalls) {
-        if (!stalls) {
-            writabilityChanged.remove(caller);
-        } else if (writabilityChanged.add(caller) && !watching) {
-            watching = true;
-            clock.after(STALLED, this::closeStalled);
+    void writabilityChanged(ClientChannelHandler caller, boolean isStalled) {
+        if (!isStalled) {
+            stalled.remove(caller);
+        } else if (stalled.add(caller) && !stalledCheckScheduled) {
+            stalledCheckScheduled = true;
+            clock.after(STALLED_CHECK_INTERVAL_MICROS, this::closeStalled);
         }
     }
 
-    /** Guards the heap against many callers that ask and do not read: the one furthest behind is closed. */
+    /** Bounds the memory of unread answers by closing the callers with most of them. */
     private void closeStalled() {
-        long waiting = writabilityChanged.stream()
-                .mapToLong(ConnectionActions::waitingBytes)
-                .sum();
-        while (waiting > table.limits().mostWaiting()) {
-            ClientChannelHandler worst = writabilityChanged.stream()
+        long unreadBytes =
+                stalled.stream().mapToLong(ConnectionActions::waitingBytes).sum();
+        while (unreadBytes > table.limits().mostWaiting()) {
+            ClientChannelHandler worst = stalled.stream()
                     .max(Comparator.comparingLong(ConnectionActions::waitingBytes))
                     .orElseThrow();
-            waiting -= worst.waitingBytes();
-            writabilityChanged.remove(worst);
-            table.closeStalled(worst.connection);
+            unreadBytes -= worst.waitingBytes();
+            stalled.remove(worst);
+            table.closeStalled(worst.connection());
         }
-        watching = !writabilityChanged.isEmpty();
-        if (watching) {
-            clock.after(STALLED, this::closeStalled);
+        stalledCheckScheduled = !stalled.isEmpty();
+        if (stalledCheckScheduled) {
+            clock.after(STALLED_CHECK_INTERVAL_MICROS, this::closeStalled);
         }
     }
 
-    // ---- the server leaves ----
+    // ---- shutdown ----
 
-    /** Tells all callers that nothing new may come on what they hold open. */
+    /** Notifies every caller, now or when it connects, that its connection is draining. */
     public void lastCall() {
-        leaving = true;
+        draining = true;
         table.forEach(ConnectionActions::lastCall);
     }
 
     /**
-     * Accepts nothing from now on. Whom the system has accepted already is taken in first: with the socket
-     * their connections would be reset, and the requests that they have written with them. A handed-over
-     * socket stays open until the process ends: the JDK takes the standard streams, and so the log, away with
-     * the descriptor that it inherited; who waits there is the other process's to take.
+     * Stops accepting. Connections in the accept queue are accepted first: closing the socket would reset
+     * them, and lose the requests that they carry. An inherited socket stays open until the process ends,
+     * since the JDK closes the standard streams, and so the log, together with the descriptor it inherited;
+     * connections in its queue are left to the other process.
      */
     public void stopListening() {
         if (stopped) {
             return;
         }
         stopped = true;
-        if (listening != null && handedOver) {
+        if (listening != null && inherited) {
             listening.config().setAutoRead(false);
-        } else if (listening != null) { // where another listener could not be bound, this one never was
+        } else if (listening != null) { // null if another listener failed to bind first
             try {
                 scheduler.transport().acceptAll(listening);
             } catch (IOException e) {
@@ -354,7 +368,7 @@
         }
     }
 
-    /** Accepts no more, and ends every connection by a lingering close; {@link #isEmpty} tells when. */
+    /** Stops accepting and drains every connection; {@link #isEmpty} shows when that is done. */
     public void close() {
         stopListening();
         table.forEach(ConnectionActions::leave);
@@ -365,14 +379,14 @@
         return table.size() == 0;
     }
 
-    /** Bytes that wait to be written to callers, all of them. */
+    /** The bytes that wait to be written, over all connections. */
     public long pendingBytes() {
-        long[] sum = {0};
-        table.forEach(caller -> sum[0] += caller.pendingBytes());
-        return sum[0];
+        long[] totalBytes = {0};
+        table.forEach(caller -> totalBytes[0] += caller.pendingBytes());
+        return totalBytes[0];
     }
 
-    /** Ends what is left of the connections at once. */
+    /** Closes every connection that is left at once. */
     public void cut() {
         table.forEach(ConnectionActions::close);
     }
--- a/server/src/main/java/wheatspread/transport/NioListenSocket.java
+++ b/server/src/main/java/wheatspread/transport/NioListenSocket.java
@@ -6,9 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A listening socket on the JDK's selectors whose queue can be emptied before it closes. */
+/** A listening socket on the JDK's selectors whose accept queue can be emptied before it closes. */
 public final class NioListenSocket extends NioServerSocketChannel {
-    /** Netty makes one of the class. */
+    /** Called by Netty by reflection. */
     public NioListenSocket() {}
 
     NioListenSocket(ServerSocketChannel handedOver) {
@@ -17,15 +17,15 @@
 
     /** See {@link Transport#acceptAll}. */
     void acceptAll() throws IOException {
-        List<Object> taken = new ArrayList<>();
+        List<Object> accepted = new ArrayList<>();
         try {
-            while (doReadMessages(taken) > 0) {
-                taken.forEach(pipeline()::fireChannelRead);
-                taken.clear();
+            while (doReadMessages(accepted) > 0) {
+                accepted.forEach(pipeline()::fireChannelRead);
+                accepted.clear();
             }
         } catch (IOException e) {
             throw e;
-        } catch (Exception e) { // Netty throws what the system said, checked or not
+        } catch (Exception e) { // Netty throws the system's errors, checked or not
             throw new IOException(e);
         }
     }
--- a/server/src/main/java/wheatspread/transport/Transport.java
+++ b/server/src/main/java/wheatspread/transport/Transport.java
@@ -11,7 +11,7 @@
 import java.io.IOException;
 import java.nio.channels.ServerSocketChannel;
 
-/** How sockets are reached: the JDK's selectors, or Linux's epoll where its native library loads. */
+/** The implementation of sockets: the JDK's selectors, or Linux's epoll where its native library loads. */
 public interface Transport {
     String name();
 
@@ -20,35 +20,35 @@
     Class<? extends ServerChannel> serverChannel();
 
     /**
-     * A listening socket that this process was handed on descriptor {@code fd}, as a channel that is not yet
-     * registered; thrown where it is no listening socket or the transport cannot take it.
+     * Wraps a listening socket that this process inherited as descriptor {@code fd} in a channel that is not
+     * registered yet; fails if it is no listening socket or the transport cannot use it.
      */
     default ServerChannel adoptListeningSocket(int fd) throws IOException {
         throw new IOException("transport " + name() + " takes no listening socket that is handed over");
     }
 
     /**
-     * Hands on every connection that the system has accepted and this process has not, as a read of the
-     * channel does; only from the loop's thread. What the system answers to the last accept is thrown.
+     * Accepts every connection in the system's accept queue, as a read of the channel does; on the event loop
+     * only. Fails with the error of the last accept, if there is one.
      */
     default void acceptAll(ServerChannel listening) throws IOException {
         throw new IOException("transport " + name() + " has no listening sockets");
     }
 
-    /** The shortest time it can wait, in nanoseconds; asked to wait for less it does not wait at all. */
+    /** The shortest time it can wait, in nanoseconds; for anything shorter it does not wait at all. */
     long shortestWait();
 
     Class<? extends Channel> clientChannel();
 
-    /** Only what talks to peers asks for it. */
+    /** Needed for membership only. */
     default Class<? extends DatagramChannel> datagramChannel() {
         throw new UnsupportedOperationException("transport " + name() + " has no datagrams");
     }
 
-    /** A handle that has the reads of a caller's socket wait for their turn. */
-    ClientChannel defer(IoHandle handle, EventLoopScheduler turns);
+    /** Wraps the handle of a caller's channel so that reads wait for the read scheduler. */
+    ClientChannel defer(IoHandle handle, EventLoopScheduler scheduler);
 
-    /** The transport of that name; {@code auto} is epoll where it works. */
+    /** The transport with a name: {@code nio}, {@code epoll}, or {@code auto} for epoll where it works. */
     static Transport named(String name) {
         if (name.equals("nio")) {
             return new Nio();
@@ -82,7 +82,7 @@
             return NioListenSocket.class;
         }
 
-        /** The JDK hands over descriptor 0 alone, as the channel it inherited. */
+        /** The JDK can use descriptor 0 only, as the channel it inherited. */
         @Override
         public ServerChannel adoptListeningSocket(int fd) throws IOException {
             if (fd != 0 || !(System.inheritedChannel() instanceof ServerSocketChannel inherited)) {
@@ -107,8 +107,8 @@
         }
 
         @Override
-        public ClientChannel defer(IoHandle handle, EventLoopScheduler turns) {
-            return new ClientChannel.Nio(handle, turns);
+        public ClientChannel defer(IoHandle handle, EventLoopScheduler scheduler) {
+            return new ClientChannel.Nio(handle, scheduler);
         }
     }
 }
--- a/server/src/main/java/wheatspread/uwsgi/Routes.java
+++ b/server/src/main/java/wheatspread/uwsgi/Routes.java
@@ -6,22 +6,24 @@
 import wheatspread.config.UwsgiConfig.Route;
 
 /**
- * Finds the route of a path with the precedence of nginx's locations: an exact one; else the longest prefix
- * if it goes before regular expressions; else the first regular expression; else that longest prefix. Routes
- * within the longest prefix are looked at before the regular expressions beside it, as nginx does.
+ * Finds the route of a path with the precedence of nginx's locations: an exact match; else the longest prefix
+ * if it takes precedence over regular expressions; else the first regular expression that matches; else that
+ * longest prefix. Routes nested in the longest prefix are searched before the regular expressions beside it,
+ * as in nginx. Immutable.
  */
 final class Routes {
     private final List<Route> routes;
     private final Defaults defaults;
 
-    /** A route, and whether it ends the search: a prefix does not, since a regular expression may follow. */
-    private record Found(Route route, boolean last) {}
+    /** A match; {@code isFinal} unless it is a prefix that a regular expression may still replace. */
+    private record Found(Route route, boolean isFinal) {}
 
     Routes(List<Route> routes, Defaults defaults) {
         this.routes = routes;
         this.defaults = defaults;
     }
 
+    /** Returns the defaults of the route that matches a path. */
     Defaults find(String path) {
         Found found = find(routes, path);
         return found == null ? defaults : found.route.defaults();
@@ -41,9 +43,9 @@
                 longest = route;
             }
         }
-        Found within = longest == null ? null : find(longest.routes(), path);
-        if (within != null && within.last) {
-            return within;
+        Found nested = longest == null ? null : find(longest.routes(), path);
+        if (nested != null && nested.isFinal) {
+            return nested;
         }
         if (longest == null || longest.match() != Match.PREFIX_FIRST) {
             for (Route route : level) {
@@ -53,6 +55,6 @@
                 }
             }
         }
-        return within != null || longest == null ? within : new Found(longest, false);
+        return nested != null || longest == null ? nested : new Found(longest, false);
     }
 }
--- a/server/src/main/java/wheatspread/uwsgi/UwsgiConnection.java
+++ b/server/src/main/java/wheatspread/uwsgi/UwsgiConnection.java
@@ -8,32 +8,38 @@
 import wheatspread.transport.ClientChannelHandler;
 import wheatspread.transport.Listener;
 
-/** One uwsgi caller: hands its requests to the core, and writes one response for each, in their order. */
+/** One uwsgi connection: submits its requests to the core and writes the responses in the requests' order. */
 final class UwsgiConnection extends ClientChannelHandler {
-    /** Requests that may wait for their answers; no more is read while they do. */
-    private static final int MOST_OPEN = 32;
+    /** How many requests may wait for their answers; no more is read while they do. */
+    private static final int MAX_OPEN_REQUESTS = 32;
+
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
     private final UwsgiFront front;
-    /** The responses owed, in the order of their requests. */
-    private Slot first;
+    /** The pending responses as a linked list, in the order of their requests. */
+    private PendingResponse first;
 
-    private Slot last;
-    private int open;
-    /** Reads the request that has begun; null at rest. */
+    private PendingResponse last;
+    private int openRequests;
+    /** Decodes the request that has begun; null while there is none. */
     private UwsgiDecoder decoder;
-    /** Once the slots are answered the connection is closed. */
-    private boolean lastCall;
+    /** The server is draining: the connection closes after the pending responses. */
+    private boolean serverDraining;
+
+    private boolean hasResponded;
+    /** Reading stopped with whole requests possibly left in the buffer. */
+    private boolean stoppedReading;
+
+    /** One response that is not written yet. */
+    private static final class PendingResponse {
+        /** Null until the core has accepted the request. */
+        private Long ticket;
 
-    private boolean answered;
-    /** What is held may have whole requests in it. */
-    private boolean stopped;
+        private boolean burstAdmission;
+        /** Null until the request is answered. */
+        private ByteBuf bytes;
 
-    /** The place of one response in the order of requests. */
-    private static final class Slot {
-        Long ticket;
-        boolean ofCrowd;
-        ByteBuf response;
-        Slot next;
+        private PendingResponse next;
     }
 
     UwsgiConnection(Listener listener, UwsgiFront front) {
@@ -45,170 +51,180 @@
 
     @Override
     protected int open() {
-        return open;
+        return openRequests;
     }
 
     @Override
     protected boolean acceptsMoreRequests() {
-        return open < MOST_OPEN;
+        return openRequests < MAX_OPEN_REQUESTS;
     }
 
     @Override
     protected void gone() {
-        Slot slot = first;
+        PendingResponse pending = first;
         first = null;
         last = null;
-        open = 0;
-        for (; slot != null; slot = slot.next) {
-            if (slot.response != null) {
-                slot.response.release();
+        openRequests = 0;
+        for (; pending != null; pending = pending.next) {
+            if (pending.bytes != null) {
+                pending.bytes.release();
             } else {
-                requestEnded(slot.ofCrowd, Answer.Kind.FAILED);
-                front.core.gone(slot.ticket);
+                requestEnded(pending.burstAdmission, Answer.Kind.FAILED);
+                front.core().gone(pending.ticket);
             }
         }
     }
 
     @Override
     public void lastCall() {
-        lastCall = true;
-        leaveIfDone();
+        serverDraining = true;
+        drainIfDone();
     }
 
-    /** uwsgi has no word for a last call: who comes while the server leaves gets what it came for. */
-    private void leaveIfDone() {
-        if (lastCall && answered && open == 0 && !midway()) {
+    /** uwsgi cannot announce draining, so a caller that connects meanwhile still gets its first response. */
+    private void drainIfDone() {
+        if (serverDraining && hasResponded && openRequests == 0 && !midway()) {
             leave();
         }
     }
 
-    /** A caller that asks too much at once waits; what it sent stays where it is. */
+    /** Stops at the limit of open requests; what the caller has sent beyond it stays buffered. */
     @Override
     protected int read(ByteBuf bytes) {
         int requests = 0;
-        while (bytes.isReadable() && open < MOST_OPEN && !isDraining()) {
+        while (bytes.isReadable() && openRequests < MAX_OPEN_REQUESTS && !isDraining()) {
             if (decoder == null) {
-                decoder = new UwsgiDecoder(front.config.mostVars(), front.config.mostBody());
+                decoder = new UwsgiDecoder(
+                        front.config().mostVars(), front.config().mostBody());
             }
             Object message = decoder.decode(bytes);
             if (message == null) {
                 break;
             }
             requests++;
-            Slot slot = new Slot();
-            open++;
-            if (last == null) {
-                first = slot;
-            } else {
-                last.next = slot;
-            }
-            last = slot;
-            if (message instanceof UwsgiDecoder.Malformed bad) {
+            PendingResponse pending = addPending();
+            if (message instanceof UwsgiDecoder.Malformed malformed) {
                 bytes.skipBytes(bytes.readableBytes());
-                String status = bad.tooLarge() ? "413 Content Too Large" : "400 Bad Request";
+                String status = malformed.tooLarge() ? "413 Content Too Large" : "400 Bad Request";
                 leave();
-                respond(slot, status, text(bad.complaint()), "");
+                respond(pending, status, text(malformed.problem()), "");
             } else {
-                request(slot, (UwsgiDecoder.Request) message);
+                handleRequest(pending, (UwsgiDecoder.Request) message);
             }
         }
-        stopped = bytes.isReadable() && open >= MOST_OPEN;
+        stoppedReading = bytes.isReadable() && openRequests >= MAX_OPEN_REQUESTS;
         if (!bytes.isReadable() && decoder != null && !decoder.awaitsBody()) {
             decoder = null;
         }
         return requests;
     }
 
+    private PendingResponse addPending() {
+        PendingResponse pending = new PendingResponse();
+        openRequests++;
+        if (last == null) {
+            first = pending;
+        } else {
+            last.next = pending;
+        }
+        last = pending;
+        return pending;
+    }
+
     @Override
     protected int extraBufferedBytes() {
-        return decoder != null && decoder.awaitsBody() ? front.config.mostVars() : 0;
+        return decoder != null && decoder.awaitsBody() ? front.config().mostVars() : 0;
     }
 
     // ---- requests ----
 
-    private void request(Slot slot, UwsgiDecoder.Request request) {
+    private void handleRequest(PendingResponse pending, UwsgiDecoder.Request request) {
         Map<String, String> vars = request.packet().vars();
         if (request.packet().modifier1() == UwsgiPacket.PING_MODIFIER) {
             ByteBuf pong = ctx.alloc().buffer(UwsgiPacket.HEADER_BYTES);
-            UwsgiEncoder.write(new UwsgiPacket(UwsgiPacket.PING_MODIFIER, front.core.well() ? 1 : 0, Map.of()), pong);
-            slot.response = pong;
+            UwsgiEncoder.write(
+                    new UwsgiPacket(UwsgiPacket.PING_MODIFIER, front.core().well() ? 1 : 0, Map.of()), pong);
+            pending.bytes = pong;
             writeReady();
-        } else if (!front.config.healthPath().isEmpty()
-                && front.config.healthPath().equals(VarsReader.path(vars))) {
-            boolean well = front.core.well();
-            respond(slot, well ? "200 OK" : "503 Service Unavailable", text(well ? "well" : "ill"), "");
+        } else if (!front.config().healthPath().isEmpty()
+                && front.config().healthPath().equals(VarsReader.path(vars))) {
+            boolean well = front.core().well();
+            respond(pending, well ? "200 OK" : "503 Service Unavailable", text(well ? "well" : "ill"), "");
         } else {
             try {
-                InboundRequest submission = front.reader.read(vars, request.body(), front.clock.nowMicros());
-                if (rejectedByBurstLimiter(front.core, submission.requestClass(), answer -> respond(slot, answer))) {
+                InboundRequest inbound = front.varsReader()
+                        .read(vars, request.body(), front.clock().nowMicros());
+                if (rejectedByBurstLimiter(front.core(), inbound.requestClass(), answer -> respond(pending, answer))) {
                     return;
                 }
-                slot.ofCrowd = isBurstAdmission();
-                slot.ticket = front.core.submit(submission, answer -> answer(slot, answer));
-            } catch (VarsReader.BadVar e) {
-                respond(slot, "400 Bad Request", text(e.getMessage()), "");
+                pending.burstAdmission = isBurstAdmission();
+                pending.ticket = front.core().submit(inbound, answer -> complete(pending, answer));
+            } catch (InvalidVarException e) {
+                respond(pending, "400 Bad Request", text(e.getMessage()), "");
             }
         }
     }
 
-    private void answer(Slot slot, Answer answer) {
-        requestEnded(slot.ofCrowd, answer.kind());
-        respond(slot, answer);
+    private void complete(PendingResponse pending, Answer answer) {
+        requestEnded(pending.burstAdmission, answer.kind());
+        respond(pending, answer);
     }
 
-    private void respond(Slot slot, Answer answer) {
-        String feedback =
-                Double.isNaN(answer.loadFeedback()) ? "" : "X-Recipe-Feedback: " + answer.loadFeedback() + "\r\n";
+    private void respond(PendingResponse pending, Answer answer) {
+        String feedback = Double.isNaN(answer.loadFeedback())
+                ? ""
+                : UwsgiWireNames.LOAD_FEEDBACK_HEADER + ": " + answer.loadFeedback() + "\r\n";
         switch (answer.kind()) {
-            case SERVED -> respond(slot, "200 OK", answer.body(), feedback);
+            case SERVED -> respond(pending, "200 OK", answer.body(), feedback);
             case REJECTED ->
                 respond(
-                        slot,
+                        pending,
                         "503 Service Unavailable",
                         text("refused"),
                         feedback
-                                + "Retry-After: " + retryAfter(answer.retryAfterMicros()) + "\r\n"
-                                + (answer.doNotRetry() ? "X-Recipe-Give-Up: 1\r\n" : ""));
-            case DEADLINE_EXCEEDED -> respond(slot, "504 Gateway Timeout", text("out of time"), feedback);
-            case CONFLICT -> respond(slot, "409 Conflict", text("key has another body"), feedback);
-            default -> respond(slot, "500 Internal Server Error", text("failed"), feedback);
+                                + UwsgiWireNames.RETRY_AFTER_HEADER + ": "
+                                + retryAfterSeconds(answer.retryAfterMicros()) + "\r\n"
+                                + (answer.doNotRetry() ? UwsgiWireNames.DO_NOT_RETRY_HEADER + ": 1\r\n" : ""));
+            case DEADLINE_EXCEEDED -> respond(pending, "504 Gateway Timeout", text("out of time"), feedback);
+            case CONFLICT -> respond(pending, "409 Conflict", text("key has another body"), feedback);
+            default -> respond(pending, "500 Internal Server Error", text("failed"), feedback);
         }
     }
 
-    /** Whole seconds, and never none: at once is what a refused caller must not come back. */
-    private static long retryAfter(long later) {
-        return Math.max(1, (later + 999_999) / 1_000_000);
+    /** Rounded up and at least 1, since a rejected caller must not retry at once. */
+    private static long retryAfterSeconds(long retryAfterMicros) {
+        return Math.max(1, (retryAfterMicros + MICROS_PER_SECOND - 1) / MICROS_PER_SECOND);
     }
 
     private static byte[] text(String text) {
         return (text + "\n").getBytes(StandardCharsets.UTF_8);
     }
 
-    private void respond(Slot slot, String status, byte[] body, String headers) {
-        boolean end = isDraining() || lastCall;
+    private void respond(PendingResponse pending, String status, byte[] body, String headers) {
+        boolean lastResponse = isDraining() || serverDraining;
         byte[] head = ("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length + "\r\n" + headers
-                        + (end ? "Connection: close\r\n" : "") + "\r\n")
+                        + (lastResponse ? "Connection: close\r\n" : "") + "\r\n")
                 .getBytes(StandardCharsets.ISO_8859_1);
         ByteBuf response = ctx.alloc().buffer(head.length + body.length);
-        slot.response = response.writeBytes(head).writeBytes(body);
+        pending.bytes = response.writeBytes(head).writeBytes(body);
         writeReady();
     }
 
-    /** Responses leave in the order of their requests; one that is ready early waits for those before it. */
+    /** Writes responses in the order of their requests; one that is ready early waits for those before it. */
     private void writeReady() {
-        while (first != null && first.response != null) {
-            ctx.write(first.response, ctx.voidPromise());
+        while (first != null && first.bytes != null) {
+            ctx.write(first.bytes, ctx.voidPromise());
             first = first.next;
             last = first == null ? null : last;
-            open--;
-            answered = true;
+            openRequests--;
+            hasResponded = true;
         }
         ctx.flush();
         answered();
-        leaveIfDone();
-        if (stopped && open < MOST_OPEN) {
-            stopped = false;
-            front.clock.soon(this::readBuffered);
+        drainIfDone();
+        if (stoppedReading && openRequests < MAX_OPEN_REQUESTS) {
+            stoppedReading = false;
+            front.clock().soon(this::readBuffered);
         }
     }
 }
--- a/server/src/main/java/wheatspread/uwsgi/UwsgiDecoder.java
+++ b/server/src/main/java/wheatspread/uwsgi/UwsgiDecoder.java
@@ -6,38 +6,40 @@
 import java.util.Map;
 
 /**
- * Reads a packet and, where {@code CONTENT_LENGTH} states one, the body behind it. Only a whole request goes
- * on; what cannot be read comes out as {@link Malformed}, after which the connection holds no more requests,
- * since nobody knows where the next one starts. There is one only while a request is being read.
+ * Decodes a packet and, if {@code CONTENT_LENGTH} states one, the body after it. The result is a whole
+ * request, or {@link Malformed}, after which the connection carries no more requests, since the start of the
+ * next one is unknown. A connection has a decoder only while a request is being read.
  */
 final class UwsgiDecoder {
-    private final int mostVars;
-    private final int mostBody;
+    private final int maxVarsBytes;
+    private final int maxBodyBytes;
+    /** The packet whose body has not been read; null between requests. */
     private UwsgiPacket packet;
+
     private int bodyLength;
 
     /** A packet and its body. */
     record Request(UwsgiPacket packet, byte[] body) {}
 
-    /** What was read is no request; {@code tooLarge} where it only breaks a bound. */
-    record Malformed(String complaint, boolean tooLarge) {}
+    /** What was read is no request; {@code tooLarge} if it only exceeds a limit. */
+    record Malformed(String problem, boolean tooLarge) {}
 
-    UwsgiDecoder(int mostVars, int mostBody) {
-        this.mostVars = mostVars;
-        this.mostBody = mostBody;
+    UwsgiDecoder(int maxVarsBytes, int maxBodyBytes) {
+        this.maxVarsBytes = maxVarsBytes;
+        this.maxBodyBytes = maxBodyBytes;
     }
 
-    /** Whether the vars of a request have been read, and its body has not. */
+    /** Whether the vars of a request have been read and its body has not. */
     boolean awaitsBody() {
         return packet != null;
     }
 
-    /** The next {@link Request}, {@link Malformed}, or null as long as it is not whole. */
+    /** Returns the next {@link Request}, {@link Malformed}, or null if the request is not whole yet. */
     Object decode(ByteBuf in) {
         if (packet == null) {
-            Object wrong = readPacket(in);
+            Malformed malformed = readPacket(in);
             if (packet == null) {
-                return wrong;
+                return malformed;
             }
         }
         if (in.readableBytes() < bodyLength) {
@@ -50,14 +52,14 @@
         return request;
     }
 
-    /** What is wrong with the packet; null if nothing is. */
+    /** Reads a packet, if it is whole; returns what is wrong with it, or null. */
     private Malformed readPacket(ByteBuf in) {
         if (in.readableBytes() < UwsgiPacket.HEADER_BYTES) {
             return null;
         }
         int size = in.getUnsignedShortLE(in.readerIndex() + 1);
-        if (size > mostVars) {
-            return new Malformed("vars of " + size + " bytes are over " + mostVars, true);
+        if (size > maxVarsBytes) {
+            return new Malformed("vars of " + size + " bytes are over " + maxVarsBytes, true);
         }
         if (in.readableBytes() < UwsgiPacket.HEADER_BYTES + size) {
             return null;
@@ -72,19 +74,19 @@
         if (vars == null) {
             return new Malformed("a var runs over the end of its packet", false);
         }
-        String length = vars.getOrDefault("CONTENT_LENGTH", "");
+        String length = vars.getOrDefault(UwsgiWireNames.CONTENT_LENGTH, "");
         if (!length.matches("\\d{0,9}")) {
             return new Malformed("CONTENT_LENGTH is not a length", false);
         }
         bodyLength = length.isEmpty() ? 0 : Integer.parseInt(length);
-        if (bodyLength > mostBody) {
-            return new Malformed("a body of " + bodyLength + " bytes is over " + mostBody, true);
+        if (bodyLength > maxBodyBytes) {
+            return new Malformed("a body of " + bodyLength + " bytes is over " + maxBodyBytes, true);
         }
         packet = new UwsgiPacket(modifier1, modifier2, vars);
         return null;
     }
 
-    /** The vars, or null where a size does not fit. */
+    /** Returns the vars; null if one runs over the end of the packet. */
     private static Map<String, String> readVars(ByteBuf in) {
         Map<String, String> vars = new LinkedHashMap<>();
         while (in.isReadable()) {
--- a/server/src/main/java/wheatspread/uwsgi/UwsgiEncoder.java
+++ b/server/src/main/java/wheatspread/uwsgi/UwsgiEncoder.java
@@ -4,16 +4,17 @@
 import io.netty.handler.codec.EncoderException;
 import java.nio.charset.StandardCharsets;
 
-/** Writes packets: both modifiers round the size, and sizes little-endian. */
+/** Encodes packets: the size between the two modifiers, and sizes in little-endian order. */
 public final class UwsgiEncoder {
     private UwsgiEncoder() {}
 
+    /** Writes a packet; its vars have to fit the 16 bits of its size. */
     public static void write(UwsgiPacket packet, ByteBuf out) {
         int start = out.writerIndex();
         out.writeByte(packet.modifier1()).writeShortLE(0).writeByte(packet.modifier2());
         packet.vars().forEach((name, value) -> {
-            text(name, out);
-            text(value, out);
+            writeText(name, out);
+            writeText(value, out);
         });
         int size = out.writerIndex() - start - UwsgiPacket.HEADER_BYTES;
         if (size > UwsgiPacket.MAX_VARS_BYTES) {
@@ -22,7 +23,7 @@
         out.setShortLE(start + 1, size);
     }
 
-    private static void text(String text, ByteBuf out) {
+    private static void writeText(String text, ByteBuf out) {
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         out.writeShortLE(bytes.length).writeBytes(bytes);
     }
--- a/server/src/main/java/wheatspread/uwsgi/UwsgiFront.java
+++ b/server/src/main/java/wheatspread/uwsgi/UwsgiFront.java
@@ -10,21 +10,40 @@
 import wheatspread.transport.Front;
 import wheatspread.transport.Listener;
 
-/** The second front: the uwsgi protocol, on the same core and under the same rules. */
+/**
+ * The uwsgi protocol, on the same core and under the same rules as the platform's protocol. Holds what all its
+ * connections share; used on the event loop only.
+ */
 public final class UwsgiFront implements Front {
-    final Core core;
-    final Clock clock;
-    final UwsgiConfig config;
-    VarsReader reader;
-    private long lastJob;
+    private final Core core;
+    private final Clock clock;
+    private final UwsgiConfig config;
+    private VarsReader varsReader;
+    private long lastJobId;
 
-    /** The seed only keeps the names of this front's jobs apart from those of another life. */
+    /** The seed only keeps the ids of this front's jobs apart from those of an earlier process. */
     public UwsgiFront(Core core, Clock clock, UwsgiConfig config, long seed) {
         this.core = core;
         this.clock = clock;
         this.config = config;
-        lastJob = new SplittableRandom(seed).nextLong();
-        reader = readerOf(core.site());
+        lastJobId = new SplittableRandom(seed).nextLong();
+        varsReader = newVarsReader(core.site());
+    }
+
+    Core core() {
+        return core;
+    }
+
+    Clock clock() {
+        return clock;
+    }
+
+    UwsgiConfig config() {
+        return config;
+    }
+
+    VarsReader varsReader() {
+        return varsReader;
     }
 
     @Override
@@ -39,13 +58,13 @@
                 .getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    /** Reads the classes of a retuned site from now on; on the loop's thread. */
-    public void retune(DeploymentSettings site) {
-        reader = readerOf(site);
+    /** Reads further requests by the classes of reloaded settings; on the loop's thread. */
+    public void retune(DeploymentSettings settings) {
+        varsReader = newVarsReader(settings);
     }
 
-    /** A reader of the classes of {@code site}, whose jobs go on from the names this front gave. */
-    private VarsReader readerOf(DeploymentSettings site) {
-        return new VarsReader(site, config, () -> String.format("%016x", ++lastJob));
+    /** A reader for these settings that continues the job ids of this front. */
+    private VarsReader newVarsReader(DeploymentSettings settings) {
+        return new VarsReader(settings, config, () -> String.format("%016x", ++lastJobId));
     }
 }
--- a/server/src/main/java/wheatspread/uwsgi/VarsReader.java
+++ b/server/src/main/java/wheatspread/uwsgi/VarsReader.java
@@ -10,102 +10,101 @@
 import wheatspread.core.DeploymentSettings;
 import wheatspread.core.InboundRequest;
 
-/** Reads a request's vars into a submission; what they leave out comes from its route's defaults. */
+/**
+ * Converts the vars of a uwsgi packet into an {@link InboundRequest}; what they leave out comes from the
+ * defaults of the path's route. Immutable: a reload of the settings makes a new one.
+ */
 final class VarsReader {
-    private static final double MOST_RAM = 2_000;
+    private static final double MAX_MEMORY_KB = 2_000;
+    private static final double MICROS_PER_MILLI = 1_000;
 
-    private final DeploymentSettings site;
+    private final DeploymentSettings settings;
     private final UwsgiConfig config;
     private final Routes routes;
-    private final Supplier<String> newJob;
+    private final Supplier<String> jobIds;
 
-    /** A var is missing or cannot be read. */
-    static final class BadVar extends RuntimeException {
-        private static final long serialVersionUID = 1L;
-
-        BadVar(String message) {
-            super(message);
-        }
-    }
-
-    VarsReader(DeploymentSettings site, UwsgiConfig config, Supplier<String> newJob) {
-        this.site = site;
+    VarsReader(DeploymentSettings settings, UwsgiConfig config, Supplier<String> jobIds) {
+        this.settings = settings;
         this.config = config;
-        this.newJob = newJob;
+        this.jobIds = jobIds;
         routes = new Routes(config.routes(), config.defaults());
     }
 
+    /** The path of a request, without its query. */
     static String path(Map<String, String> vars) {
-        String uri = vars.getOrDefault("PATH_INFO", vars.getOrDefault("REQUEST_URI", ""));
+        String uri = vars.getOrDefault(UwsgiWireNames.PATH, vars.getOrDefault(UwsgiWireNames.PATH_AND_QUERY, ""));
         int query = uri.indexOf('?');
         return query < 0 ? uri : uri.substring(0, query);
     }
 
-    InboundRequest read(Map<String, String> vars, byte[] body, long now) {
+    /** {@code nowMicros} is Unix time, which also is the arrival time: a packet carries none. */
+    InboundRequest read(Map<String, String> vars, byte[] body, long nowMicros) {
         Defaults defaults = routes.find(path(vars));
         UwsgiConfig.Vars names = config.vars();
-        int kind = index(vars, names.kind(), site.classes(), defaults.kind());
-        int tenant = site.tenants().isEmpty() ? 0 : index(vars, names.tenant(), site.tenants(), defaults.tenant());
-        RequestClass told = site.settings().classes().get(kind);
-        long limit = micros(vars, names.limit(), defaults.limit());
-        boolean limited = limit > 0;
-        if (!limited) {
-            limit = told.deadlineMicros();
+        int classIndex = index(vars, names.kind(), settings.classes(), defaults.kind());
+        int tenant =
+                settings.tenants().isEmpty() ? 0 : index(vars, names.tenant(), settings.tenants(), defaults.tenant());
+        RequestClass requestClass = settings.settings().classes().get(classIndex);
+        long timeoutMicros = micros(vars, names.limit(), defaults.limit());
+        boolean hasClientTimeout = timeoutMicros > 0;
+        if (!hasClientTimeout) {
+            timeoutMicros = requestClass.deadlineMicros();
         }
-        double ram = number(vars, names.ram(), defaults.ramKb());
-        if (ram > MOST_RAM) {
-            throw new BadVar(names.ram() + " is over " + MOST_RAM);
+        double memoryKb = number(vars, names.ram(), defaults.ramKb());
+        if (memoryKb > MAX_MEMORY_KB) {
+            throw new InvalidVarException(names.ram(), "is over " + MAX_MEMORY_KB);
         }
-        String unique = null;
-        String item = null;
-        if (told.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
-            unique = text(vars, names.unique());
-            if (unique == null) {
-                throw new BadVar(names.unique() + " is missing, and this class needs it");
+        String idempotencyKey = null;
+        String cacheKey = null;
+        if (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
+            idempotencyKey = text(vars, names.unique());
+            if (idempotencyKey == null) {
+                throw new InvalidVarException(names.unique(), "is missing, and this class needs it");
             }
         } else {
-            item = text(vars, names.item());
+            cacheKey = text(vars, names.item());
         }
         return new InboundRequest(
-                newJob.get(),
-                kind,
+                jobIds.get(),
+                classIndex,
                 tenant,
-                now,
-                now + limit,
-                limited,
+                nowMicros,
+                nowMicros + timeoutMicros,
+                hasClientTimeout,
                 false,
-                ram,
+                memoryKb,
                 micros(vars, names.hint(), defaults.hint()),
-                unique,
-                item,
+                idempotencyKey,
+                cacheKey,
                 body);
     }
 
+    /** Returns the value of a var; null if it is missing or empty. */
     private static String text(Map<String, String> vars, String name) {
         String value = vars.get(name);
         return value == null || value.isEmpty() ? null : value;
     }
 
-    private static int index(Map<String, String> vars, String name, List<String> known, int absent) {
+    private static int index(Map<String, String> vars, String name, List<String> known, int defaultIndex) {
         String value = text(vars, name);
-        int index = value == null ? absent : known.indexOf(value);
+        int index = value == null ? defaultIndex : known.indexOf(value);
         if (index < 0) {
-            throw new BadVar(name + (value == null ? " is missing and has no default" : " is unknown"));
+            throw new InvalidVarException(name, value == null ? "is missing and has no default" : "is unknown");
         }
         return index;
     }
 
-    private static long micros(Map<String, String> vars, String name, long absent) {
-        return Math.round(number(vars, name, absent / 1000.0) * 1000);
+    private static long micros(Map<String, String> vars, String name, long defaultMicros) {
+        return Math.round(number(vars, name, defaultMicros / MICROS_PER_MILLI) * MICROS_PER_MILLI);
     }
 
-    private static double number(Map<String, String> vars, String name, double absent) {
+    private static double number(Map<String, String> vars, String name, double defaultValue) {
         String value = text(vars, name);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (!value.matches("\\d{1,9}(\\.\\d{1,9})?")) {
-            throw new BadVar(name + " is not a number");
+            throw new InvalidVarException(name, "is not a number");
         }
         return Double.parseDouble(value);
     }
--- a/server/src/test/java/wheatspread/transport/ListenerTest.java
+++ b/server/src/test/java/wheatspread/transport/ListenerTest.java
@@ -20,17 +20,17 @@
     private static final int MEGABYTE = 1024 * 1024;
 
     private final FakeClock clock = new FakeClock(100_000_000, Runnable::run);
-    private final List<String> heard = new ArrayList<>();
-    private final EventLoopScheduler turns =
-            new EventLoopScheduler(Transport.named("nio"), IterationBudget.USUAL, 1, EventLog.lines(heard::add));
-    private final Listener listener =
-            new Listener(null, turns, clock, new Echo(), ConnectionLimits.usual(100), EventLog.lines(heard::add));
-
-    /** A front whose messages are words of three bytes; it owes an answer to each until it is told. */
-    private final class Echo implements Front {
+    private final List<String> events = new ArrayList<>();
+    private final EventLoopScheduler scheduler =
+            new EventLoopScheduler(Transport.named("nio"), IterationBudget.USUAL, 1, EventLog.lines(events::add));
+    private final Listener listener = new Listener(
+            null, scheduler, clock, new ThreeByteFront(), ConnectionLimits.usual(100), EventLog.lines(events::add));
+
+    /** A protocol whose messages are three bytes; each has to be answered by hand. */
+    private final class ThreeByteFront implements Front {
         @Override
-        public ClientChannelHandler caller(Listener of) {
-            return new Word(of);
+        public ClientChannelHandler caller(Listener owner) {
+            return new ThreeByteHandler(owner);
         }
 
         @Override
@@ -39,43 +39,43 @@
         }
     }
 
-    private final class Word extends ClientChannelHandler {
-        private int open;
+    private final class ThreeByteHandler extends ClientChannelHandler {
+        private int openRequests;
 
-        Word(Listener of) {
-            super(of);
+        ThreeByteHandler(Listener owner) {
+            super(owner);
         }
 
         @Override
         protected int read(ByteBuf bytes) {
-            int whole = 0;
+            int messages = 0;
             if (bytes.getByte(bytes.readerIndex()) == '!') {
                 throw new IllegalStateException("a fault of the front");
             }
-            for (; bytes.readableBytes() >= 3; whole++) {
-                heard.add(bytes.readCharSequence(3, StandardCharsets.US_ASCII).toString());
-                open++;
+            for (; bytes.readableBytes() >= 3; messages++) {
+                events.add(bytes.readCharSequence(3, StandardCharsets.US_ASCII).toString());
+                openRequests++;
             }
-            return whole;
+            return messages;
         }
 
         @Override
         protected int open() {
-            return open;
+            return openRequests;
         }
 
         @Override
         protected void gone() {
-            heard.add("gone with " + open);
+            events.add("gone with " + openRequests);
         }
 
         @Override
         public void lastCall() {
-            heard.add("last call");
+            events.add("last call");
         }
 
-        private void done() {
-            open--;
+        private void answerOne() {
+            openRequests--;
             answered();
         }
     }
@@ -84,62 +84,62 @@
         return new EmbeddedChannel(listener.callerOf(1));
     }
 
-    private static void say(EmbeddedChannel channel, String text) {
+    private static void receive(EmbeddedChannel channel, String text) {
         channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
     }
 
     @Test
-    void whatIsNotWholeIsHeldAndNothingIsAtRest() {
+    void partialMessageIsBufferedOnlyUntilItIsWhole() {
         EmbeddedChannel channel = open();
-        say(channel, "abcde");
+        receive(channel, "abcde");
         assertThat(listener.table().partialBytes()).isPositive();
-        say(channel, "fgh");
+        receive(channel, "fgh");
         assertThat(listener.table().partialBytes()).isPositive();
-        say(channel, "i");
-        assertThat(heard).containsExactly("abc", "def", "ghi");
+        receive(channel, "i");
+        assertThat(events).containsExactly("abc", "def", "ghi");
         assertThat(listener.table().partialBytes()).isZero();
     }
 
     @Test
-    void whoLeavesIsReadNoMoreAndClosesOnceAllIsAnswered() {
+    void drainingConnectionReadsNoMoreAndClosesOnceAllIsAnswered() {
         EmbeddedChannel channel = open();
-        Word caller = channel.pipeline().get(Word.class);
-        say(channel, "abcd");
+        ThreeByteHandler caller = channel.pipeline().get(ThreeByteHandler.class);
+        receive(channel, "abcd");
         caller.leave();
         assertThat(channel.config().isAutoRead()).isFalse();
         assertThat(listener.table().partialBytes()).isZero();
-        say(channel, "efghi");
+        receive(channel, "efghi");
         assertThat(channel.isOpen()).isTrue();
-        caller.done();
+        caller.answerOne();
         assertThat(channel.isOpen()).isFalse();
-        assertThat(heard).containsExactly("abc", "gone with 0");
+        assertThat(events).containsExactly("abc", "gone with 0");
         assertThat(listener.table().size()).isZero();
     }
 
-    /** A fault in one message takes no answers along that are owed to others. */
+    /** A fault in one message must not lose the answers to others. */
     @Test
-    void aFaultInAMessageEndsItsConnectionInOrder() {
+    void faultInAMessageDrainsItsConnection() {
         EmbeddedChannel channel = open();
-        Word caller = channel.pipeline().get(Word.class);
-        say(channel, "abc");
-        say(channel, "!");
+        ThreeByteHandler caller = channel.pipeline().get(ThreeByteHandler.class);
+        receive(channel, "abc");
+        receive(channel, "!");
         assertThat(channel.isOpen()).isTrue();
-        say(channel, "def");
-        caller.done();
+        receive(channel, "def");
+        caller.answerOne();
         assertThat(channel.isOpen()).isFalse();
-        assertThat(heard)
+        assertThat(events)
                 .hasSize(3)
                 .contains("abc", "gone with 0")
                 .anyMatch(line -> line.startsWith("caller_connection_failed"));
     }
 
-    /** Guards the heap against callers that ask and do not read their answers. */
+    /** Bounds the memory of answers that callers do not read. */
     @Test
-    void theCallerFurthestBehindIsClosedWhereTooMuchWaits() {
+    void callerWithMostUnreadAnswersIsClosed() {
         List<EmbeddedChannel> channels = new ArrayList<>();
         for (int size : new int[] {3, 9, 5}) {
             EmbeddedChannel channel = open();
-            channel.write(Unpooled.wrappedBuffer(new byte[size * MEGABYTE])); // not flushed: it waits
+            channel.write(Unpooled.wrappedBuffer(new byte[size * MEGABYTE])); // not flushed, so it stays pending
             channels.add(channel);
         }
         clock.fireAll();
@@ -148,26 +148,26 @@
     }
 
     @Test
-    void whoComesWhileTheServerLeavesHearsOfItToo() {
+    void connectionOpenedWhileDrainingIsNotifiedToo() {
         open();
         listener.lastCall();
-        assertThat(heard).containsExactly("last call");
+        assertThat(events).containsExactly("last call");
         open();
-        assertThat(heard).hasSize(2);
+        assertThat(events).hasSize(2);
     }
 
-    /** One timer stands for all limits, whatever the number of connections. */
+    /** One timer serves all limits, whatever the number of connections. */
     @Test
-    void connectionsHaveNoTimersOfTheirOwn() {
+    void connectionsShareOneTimer() {
         for (int i = 0; i < 100; i++) {
-            say(open(), "abc");
+            receive(open(), "abc");
             clock.skip(1_000);
         }
         assertThat(clock.pending()).isLessThanOrEqualTo(1);
     }
 
     @Test
-    void sourcesAreToldApartByAddressOrNetwork() throws Exception {
+    void sourcesDifferByAddressOrNetwork() throws Exception {
         long one = source("127.0.0.1");
         assertThat(one).isEqualTo(source("127.0.0.1")).isNotEqualTo(source("127.0.0.2"));
         assertThat(source("2001:db8::1"))
--- a/server/src/test/java/wheatspread/uwsgi/RoutesTest.java
+++ b/server/src/test/java/wheatspread/uwsgi/RoutesTest.java
@@ -12,7 +12,7 @@
 import wheatspread.config.UwsgiConfig.Route;
 
 class RoutesTest {
-    /** The n-th route gives class n; none gives -1. */
+    /** Route n has request class n as its default; no route gives -1. */
     private static final List<String> ROUTES = List.of(
             "prefix /",
             "prefix /a/",
@@ -35,17 +35,17 @@
         "q, -1",
         "/a/x.pngx, 3"
     })
-    void takesTheRouteThatNginxWould(String path, int kind) {
+    void findsTheRouteThatNginxFinds(String path, int classIndex) {
         List<Route> routes = ROUTES.stream()
                 .map(text -> route(text.split(" "), ROUTES.indexOf(text)))
                 .toList();
-        assertThat(new Routes(routes, defaults(-1)).find(path).kind()).isEqualTo(kind);
+        assertThat(new Routes(routes, defaults(-1)).find(path).kind()).isEqualTo(classIndex);
     }
 
-    /** Within a prefix that goes before regular expressions, regular expressions of its own still count. */
+    /** Regular expressions nested in a prefix that takes precedence over regular expressions still apply. */
     @ParameterizedTest
     @CsvSource({"/a/x, 2", "/a/in/y, 3", "/a/in/x, 2", "/a/y, 1", "/b/x, 4", "/b/y, 5", "/b/in/x, 4", "/b/in/y, 6"})
-    void looksWithinTheLongestPrefix(String path, int kind) {
+    void searchesNestedRoutesOfTheLongestPrefix(String path, int classIndex) {
         Route inA = route("regex x$".split(" "), 2);
         Route prefixInA = route("prefix /a/in/".split(" "), 3);
         Route prefixInB = route("prefix /b/in/".split(" "), 6);
@@ -53,18 +53,18 @@
                 new Route(Match.PREFIX_FIRST, "/a/", null, defaults(1), List.of(inA, prefixInA)),
                 route("regex x$".split(" "), 4),
                 new Route(Match.PREFIX, "/b/", null, defaults(5), List.of(prefixInB)));
-        assertThat(new Routes(routes, defaults(-1)).find(path).kind()).isEqualTo(kind);
+        assertThat(new Routes(routes, defaults(-1)).find(path).kind()).isEqualTo(classIndex);
     }
 
-    private static Route route(String[] words, int kind) {
+    private static Route route(String[] words, int classIndex) {
         Match match = Match.valueOf(words[0].toUpperCase(Locale.ROOT));
         Pattern pattern = match == Match.REGEX
                 ? Pattern.compile(words[1])
                 : match == Match.REGEX_ANY_CASE ? Pattern.compile(words[1], Pattern.CASE_INSENSITIVE) : null;
-        return new Route(match, words[1], pattern, defaults(kind), List.of());
+        return new Route(match, words[1], pattern, defaults(classIndex), List.of());
     }
 
-    private static Defaults defaults(int kind) {
-        return new Defaults(kind, -1, 0, 0, 0);
+    private static Defaults defaults(int classIndex) {
+        return new Defaults(classIndex, -1, 0, 0, 0);
     }
 }
