--- a/server/src/main/java/wheatspread/config/ConfigProblems.java
+++ b/server/src/main/java/wheatspread/config/ConfigProblems.java
@@ -4,41 +4,51 @@
 import java.util.List;
 
 /**
- * Complaints about settings, in the order in which they were found. The first ones are kept and the others
+ * Faults in the settings, in the order in which they were found. The first ones are kept and the others only
  * counted, so that a file with a fault in each of its lines takes no memory for them.
  */
 public final class ConfigProblems {
-    /** How many complaints are kept. */
-    public static final int MOST_KEPT = 100;
+    /** How many faults are kept. */
+    public static final int MAX_KEPT = 100;
 
-    private final List<String> kept = new ArrayList<>();
+    private final List<ConfigProblem> kept = new ArrayList<>();
     private long dropped;
 
-    /** Adds a complaint; one that is kept already is not counted again. */
-    public void add(String fault) {
-        if (kept.size() >= MOST_KEPT) {
+    /** Adds a fault that is not about one key. */
+    public void add(String message) {
+        add(ConfigProblem.general(message));
+    }
+
+    /** Adds a fault; one with the message of a kept one is not counted again. */
+    void add(ConfigProblem problem) {
+        if (kept.size() >= MAX_KEPT) {
             dropped++;
-        } else if (!kept.contains(fault)) {
-            kept.add(fault);
+        } else if (kept.stream().noneMatch(other -> other.message().equals(problem.message()))) {
+            kept.add(problem);
         }
     }
 
-    /** Adds what another reading complained of. */
-    public void addAll(JsonFields.InvalidValueException complaint) {
-        complaint.faults().forEach(this::add);
-        dropped += complaint.count() - complaint.faults().size();
+    /** Adds the faults that another file has. */
+    public void addAll(JsonFields.InvalidValueException invalid) {
+        invalid.problems().forEach(this::add);
+        dropped += invalid.count() - invalid.problems().size();
     }
 
     public boolean isEmpty() {
         return kept.isEmpty();
     }
 
-    /** Those that are kept. */
-    public List<String> kept() {
+    /** The kept faults. */
+    List<ConfigProblem> problems() {
         return List.copyOf(kept);
     }
 
-    /** How many there are, with those that are not kept. */
+    /** The messages of the kept faults. */
+    public List<String> kept() {
+        return kept.stream().map(ConfigProblem::message).toList();
+    }
+
+    /** How many faults there are, including those that are not kept. */
     public long count() {
         return kept.size() + dropped;
     }
--- a/server/src/main/java/wheatspread/config/Configuration.java
+++ b/server/src/main/java/wheatspread/config/Configuration.java
@@ -7,32 +7,32 @@
 import wheatspread.core.DeploymentSettings;
 
 /**
- * All settings of one server: what the platform told it and the operator's own file, checked each by itself
- * and against one another.
+ * All settings of one server: the platform's and the operator's file, each checked by itself and against the
+ * other.
  *
- * @param sources the files, for what holds and where it comes from
+ * @param sources the files, with the settings that hold and their origins
  */
 public record Configuration(ServerConfig server, OperatorConfig operator, List<SettingsSource> sources) {
-    /** Descriptors for kernel, announce, listeners, the JVM's own files and callers about to be closed. */
-    private static final int OWN_SOCKETS = 32;
-    /** Connections to the records service, as a share of all descriptors and at most. */
-    private static final int RECORDS_PART = 8;
+    /** Descriptors for kernel, announce service, listeners, the JVM's files and callers about to be closed. */
+    private static final int RESERVED_SOCKETS = 32;
+    /** The fraction of all descriptors for connections to the records service: one in so many. */
+    private static final int RECORDS_FRACTION = 8;
 
-    private static final int RECORDS_MOST = 40;
+    private static final int MAX_RECORDS_CONNECTIONS = 40;
 
-    /** How many connections the records client may hold of so many descriptors. */
+    /** How many connections the records client may open, given the number of descriptors. */
     public static int recordsConnections(int sockets) {
-        return Math.min(RECORDS_MOST, sockets / RECORDS_PART);
+        return Math.min(MAX_RECORDS_CONNECTIONS, sockets / RECORDS_FRACTION);
     }
 
-    /** Connections for the platform's front, or a complaint. */
+    /** How many connections the platform's protocol may have; fails if the settings leave it none. */
     public static int platformConnections(ServerConfig server, OperatorConfig operator) {
-        int sockets = server.sockets() - OWN_SOCKETS - recordsConnections(server.sockets());
-        if (operator.mostConnections() > sockets) {
+        int sockets = server.sockets() - RESERVED_SOCKETS - recordsConnections(server.sockets());
+        if (operator.maxConnections() > sockets) {
             throw new JsonFields.InvalidValueException(
-                    "connections.max is " + operator.mostConnections() + ", and limits.sockets leaves " + sockets);
+                    "connections.max is " + operator.maxConnections() + ", and limits.sockets leaves " + sockets);
         }
-        sockets = operator.mostConnections() > 0 ? operator.mostConnections() : sockets;
+        sockets = operator.maxConnections() > 0 ? operator.maxConnections() : sockets;
         sockets -= operator.uwsgi() == null ? 0 : operator.uwsgi().mostConnections();
         if (sockets < 1) {
             throw new JsonFields.InvalidValueException(
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Reads and checks everything; {@code operatorFile} is null where there is none. All that is wrong, in
-     * whichever file, is in the one complaint.
+     * Reads and checks everything; {@code operatorFile} is null if there is none. All problems, in whichever
+     * file, are in the one exception.
      */
     public static Configuration load(Map<String, String> environment, Path operatorFile) {
         try {
@@ -54,44 +54,44 @@
     }
 
     private static Configuration loadAll(Map<String, String> environment, Path operatorFile) {
-        ConfigProblems faults = new ConfigProblems();
+        ConfigProblems problems = new ConfigProblems();
         List<SettingsSource> sources = new ArrayList<>();
         ServerConfig server = null;
         String file = environment.get("GW_CONFIG");
         DeploymentSettings site = null;
         if (file == null) {
-            faults.add("GW_CONFIG is missing from the environment");
+            problems.add("GW_CONFIG is missing from the environment");
         } else {
-            JsonFields told = null;
+            JsonFields fields = null;
             try {
-                told = ServerConfig.fields(Path.of(file), environment);
-                sources.add(told.source());
-                server = ServerConfig.read(told);
+                fields = ServerConfig.fields(Path.of(file), environment);
+                sources.add(fields.source());
+                server = ServerConfig.read(fields);
                 site = server.site();
             } catch (JsonFields.InvalidValueException e) {
-                faults.addAll(e);
-                site = told == null ? null : ServerConfig.siteOf(told);
+                problems.addAll(e);
+                site = fields == null ? null : ServerConfig.siteOf(fields);
             }
         }
         OperatorConfig operator = OperatorConfig.NONE;
         if (operatorFile != null) {
             try {
-                JsonFields told = OperatorConfig.fields(operatorFile, site);
-                sources.add(told.source());
-                operator = OperatorConfig.read(told, site);
+                JsonFields fields = OperatorConfig.fields(operatorFile, site);
+                sources.add(fields.source());
+                operator = OperatorConfig.read(fields, site);
             } catch (JsonFields.InvalidValueException e) {
-                faults.addAll(e);
+                problems.addAll(e);
             }
         }
-        if (faults.isEmpty()) {
+        if (problems.isEmpty()) {
             try {
                 platformConnections(server, operator);
             } catch (JsonFields.InvalidValueException e) {
-                faults.addAll(e);
+                problems.addAll(e);
             }
         }
-        if (!faults.isEmpty()) {
-            throw new JsonFields.InvalidValueException(faults);
+        if (!problems.isEmpty()) {
+            throw new JsonFields.InvalidValueException(problems);
         }
         return new Configuration(server, operator, sources);
     }
--- a/server/src/main/java/wheatspread/config/JsonFields.java
+++ b/server/src/main/java/wheatspread/config/JsonFields.java
@@ -8,14 +8,15 @@
 import java.util.function.Supplier;
 
 /**
- * Typed access to one object of a message or a configuration; complaints name the faulty key by its path. Of
- * a message the first fault is thrown. Of a file all faults are gathered, a harmless value standing in for
- * each, and {@link #settle} throws them together.
+ * Typed access to one JSON object of a message or a settings file. A fault is reported with the path of its
+ * key. In a message the first fault is thrown. In a file all faults are collected, reading goes on with a
+ * substitute value for each, and {@link #settle} throws them together.
  */
 public final class JsonFields {
-    private static final int HOUR_MS = 3_600_000;
-    /** Of a longer value, a complaint shows only the beginning; characters. */
-    private static final int LONGEST_SHOWN = 64;
+    private static final int MAX_TIME_MS = 3_600_000;
+    private static final int MICROS_PER_MILLI = 1_000;
+    /** A message shows only the beginning of a longer value. */
+    private static final int MAX_SHOWN_CHARS = 64;
 
     private final Map<String, Object> map;
     private final String path;
@@ -27,53 +28,62 @@
         this.source = source;
     }
 
-    /** A value is missing, ill-typed or out of range; the message names its key. */
+    /** One or more values are missing, have the wrong type or are out of range. */
     public static final class InvalidValueException extends IllegalArgumentException {
         private static final long serialVersionUID = 1L;
 
-        private final transient List<String> faults;
+        private final transient List<ConfigProblem> problems;
         private final long count;
 
         public InvalidValueException(String message) {
-            super(message);
-            faults = List.of(message);
+            this(ConfigProblem.general(message));
+        }
+
+        InvalidValueException(ConfigProblem problem) {
+            super(problem.message());
+            problems = List.of(problem);
             count = 1;
         }
 
-        /** What {@code what} stands for does not go into the heap of this process. */
-        public static InvalidValueException outOfMemory(String what) {
-            return new InvalidValueException(what + " takes more memory than is left of a heap of "
+        /** The settings, which {@code subject} names, do not fit into the heap of this process. */
+        public static InvalidValueException outOfMemory(String subject) {
+            return new InvalidValueException(subject + " takes more memory than is left of a heap of "
                     + (Runtime.getRuntime().maxMemory() >> 20) + " MiB");
         }
 
-        /** Several at once; the message tells the first, and how many there are besides. */
-        InvalidValueException(ConfigProblems faults) {
-            super(faults.kept().get(0) + besides(faults));
-            this.faults = faults.kept();
-            count = faults.count();
+        /** Several faults; the message is that of the first one and states how many others there are. */
+        InvalidValueException(ConfigProblems found) {
+            super(found.kept().get(0) + others(found));
+            problems = found.problems();
+            count = found.count();
         }
 
-        private static String besides(ConfigProblems faults) {
-            if (faults.count() == 1) {
+        private static String others(ConfigProblems found) {
+            if (found.count() == 1) {
                 return "";
             }
-            String named = faults.count() == faults.kept().size()
-                    ? "them all"
-                    : "the first " + faults.kept().size();
-            return " (and " + (faults.count() - 1) + " more; 'check' names " + named + ")";
+            int kept = found.problems().size();
+            String named = found.count() == kept ? "them all" : "the first " + kept;
+            return " (and " + (found.count() - 1) + " more; 'check' names " + named + ")";
+        }
+
+        /** The faults; of very many the first ones. */
+        public List<ConfigProblem> problems() {
+            return problems;
         }
 
-        /** Each of them by itself; of very many the first ones. */
+        /** The messages of {@link #problems}. */
         public List<String> faults() {
-            return faults;
+            return problems.stream().map(ConfigProblem::message).toList();
         }
 
-        /** How many there are, with those that {@link #faults} leaves out. */
+        /** How many faults there are, including those that {@link #problems} leaves out. */
         public long count() {
             return count;
         }
     }
 
+    /** The fields of an object in a message, which {@code path} names. */
     public static JsonFields of(Object value, String path) {
         JsonFields object = of(value, path, null);
         if (object == null) {
@@ -82,7 +92,7 @@
         return object;
     }
 
-    /** Null where the value is no object. */
+    /** Returns null if the value is no object. */
     @SuppressWarnings("unchecked")
     private static JsonFields of(Object value, String path, SettingsSource source) {
         return value instanceof Map<?, ?> map ? new JsonFields((Map<String, Object>) map, path, source) : null;
@@ -92,53 +102,70 @@
         return new JsonFields(map, "", source);
     }
 
-    /** The file it stands in; null for a message. */
+    /** The file that the object is in; null for a message. */
     public SettingsSource source() {
         return source;
     }
 
-    /** Throws what is wrong with the file, once all of it has been read. */
+    /** Throws the collected faults of the file, if there are any; called once all of it has been read. */
     public void settle() {
         if (source != null) {
-            source.settle();
+            source.throwIfInvalid();
         }
     }
 
-    /** What a variable of the environment or an option says goes over the file. */
+    /** Replaces a value in the file by that of an environment variable or an option. */
     void override(String name, Object value, String origin) {
         map.put(name, value);
         if (source != null) {
-            source.overriddenBy(key(name), origin);
+            source.recordOverride(key(name), origin);
         }
     }
 
-    /** Complains of a key; where faults are gathered, reading goes on with the value that stands in. */
-    <T> T fault(String name, String complaint, T instead) {
+    /** Reports a fault of a key; where faults are collected, returns the substitute value. */
+    <T> T report(String name, String problem, T substitute) {
+        return report(name, problem, null, substitute);
+    }
+
+    /** Reports a fault of a key, with the allowed values where they are known. */
+    <T> T report(String name, String problem, String allowed, T substitute) {
         if (source == null) {
-            throw bad(name, complaint);
+            throw invalidValue(name, problem, allowed);
         }
-        source.fault(key(name), complaint);
-        return instead;
+        source.report(key(name), shownOrNull(name), allowed, problem);
+        return substitute;
+    }
+
+    private InvalidValueException invalidValue(String name, String problem, String allowed) {
+        String key = key(name);
+        return new InvalidValueException(
+                new ConfigProblem(null, 0, key, shownOrNull(name), allowed, key + " " + problem));
+    }
+
+    private String shownOrNull(String name) {
+        Object value = map.get(name);
+        return value == null ? null : shown(value);
     }
 
-    private <T> T took(String name, T value) {
-        if (source != null && source.shows()) {
-            source.took(key(name), value, map.get(name) != null);
+    private <T> T recordSetting(String name, T value) {
+        if (source != null && source.recordsSettings()) {
+            source.recordSetting(key(name), value, map.get(name) != null);
         }
         return value;
     }
 
-    /** What operators are shown in place of the elements of a large list. */
+    /** Records a text that operators see in place of the elements of a large list. */
     void summary(String name, String text) {
-        took(name, text);
+        recordSetting(name, text);
     }
 
-    /** The line on which this object stands in its file; 0 where it is not known. */
+    /** The line of the file that this object begins on; 0 if it is not known. */
     int line() {
         return source == null ? 0 : source.line(path);
     }
 
-    private String told(String name) {
+    /** The value as a message ends with it; empty if there is none. */
+    private String shownValue(String name) {
         Object value = map.get(name);
         return value == null ? "" : ": " + shown(value);
     }
@@ -151,16 +178,16 @@
             return "a list";
         }
         String text = String.valueOf(value);
-        return text.length() <= LONGEST_SHOWN
+        return text.length() <= MAX_SHOWN_CHARS
                 ? text
-                : text.substring(0, LONGEST_SHOWN) + "... (" + text.length() + " characters)";
+                : text.substring(0, MAX_SHOWN_CHARS) + "... (" + text.length() + " characters)";
     }
 
-    /** The object under a key; an empty one where it may be absent and is. */
-    public JsonFields object(String name, boolean mayBeAbsent) {
+    /** The object under a key; an empty one if it is optional and absent. */
+    public JsonFields object(String name, boolean optional) {
         JsonFields inner = of(map.get(name), key(name), source);
-        if (inner == null && (!mayBeAbsent || has(name))) {
-            fault(name, "is not an object" + told(name), null);
+        if (inner == null && (!optional || has(name))) {
+            report(name, "is not an object" + shownValue(name), null);
         }
         return inner == null ? new JsonFields(Map.of(), key(name), source) : inner;
     }
@@ -175,116 +202,134 @@
 
     public double number(String name) {
         if (map.get(name) instanceof Number n) {
-            return took(name, n.doubleValue());
+            return recordSetting(name, n.doubleValue());
         }
-        return fault(name, "is missing or not a number" + told(name), 1.0);
+        return report(name, "is missing or not a number" + shownValue(name), 1.0);
     }
 
-    public double number(String name, double absent) {
-        return has(name) ? number(name) : took(name, absent);
+    public double number(String name, double defaultValue) {
+        return has(name) ? number(name) : recordSetting(name, defaultValue);
     }
 
-    /** A number within bounds, or the value for an absent key. */
-    public double number(String name, double absent, double least, double most) {
+    /** A number within bounds; the default if the key is absent. */
+    public double number(String name, double defaultValue, double min, double max) {
         if (has(name) && !(map.get(name) instanceof Number)) {
-            return fault(
-                    name, "is missing or not a number" + told(name) + "; allowed is " + least + " to " + most, absent);
+            String allowed = min + " to " + max;
+            return report(name, notANumber(name, allowed), allowed, defaultValue);
         }
-        double value = number(name, absent);
-        return value >= least && value <= most
-                ? value
-                : fault(name, "is " + value + ", not from " + least + " to " + most, absent);
+        double value = number(name, defaultValue);
+        if (value >= min && value <= max) {
+            return value;
+        }
+        String allowed = min + " to " + max;
+        return report(name, "is " + value + ", not from " + allowed, allowed, defaultValue);
+    }
+
+    private String notANumber(String name, String allowed) {
+        return "is missing or not a number" + shownValue(name) + "; allowed is " + allowed;
     }
 
     public long integer(String name) {
         double value = number(name);
-        Object n = map.get(name);
-        if (n instanceof Long || n instanceof Integer) {
-            return took(name, ((Number) n).longValue());
+        Object parsed = map.get(name);
+        if (parsed instanceof Long || parsed instanceof Integer) {
+            return recordSetting(name, ((Number) parsed).longValue());
         }
-        return n instanceof Number ? fault(name, "is not an integer: " + value, 1L) : 1;
+        return parsed instanceof Number ? report(name, "is not an integer: " + value, 1L) : 1;
     }
 
-    /** An integer within bounds, or the value for an absent key. */
-    public int integer(String name, int absent, int least, int most) {
+    /** An integer within bounds; the default if the key is absent. */
+    public int integer(String name, int defaultValue, int min, int max) {
         if (has(name) && !(map.get(name) instanceof Number)) {
-            return fault(
-                    name, "is missing or not a number" + told(name) + "; allowed is " + least + " to " + most, absent);
+            String allowed = min + " to " + max;
+            return report(name, notANumber(name, allowed), allowed, defaultValue);
         }
-        long value = has(name) ? integer(name) : took(name, (long) absent);
-        return value >= least && value <= most
-                ? (int) value
-                : fault(name, "is " + value + ", not from " + least + " to " + most, absent);
+        long value = has(name) ? integer(name) : recordSetting(name, (long) defaultValue);
+        if (value >= min && value <= max) {
+            return (int) value;
+        }
+        String allowed = min + " to " + max;
+        return report(name, "is " + value + ", not from " + allowed, allowed, defaultValue);
     }
 
-    /**
-     * A time that a file gives in whole milliseconds, an hour at most; all but the file's bounds is in us.
-     */
-    public long micros(String name, long absent, int leastMillis) {
-        return integer(name, (int) (absent / 1_000), leastMillis, HOUR_MS) * 1_000L;
+    /** A time in microseconds that the file gives in whole milliseconds, from {@code minMillis} to an hour. */
+    public long micros(String name, long defaultMicros, int minMillis) {
+        int defaultMillis = (int) (defaultMicros / MICROS_PER_MILLI);
+        return integer(name, defaultMillis, minMillis, MAX_TIME_MS) * (long) MICROS_PER_MILLI;
     }
 
     public long id(String name) {
         return integer(name);
     }
 
-    /** Milliseconds on the wire, microseconds inside. */
+    /** A time in microseconds that the message or file gives in milliseconds. */
     public long time(String name) {
-        return Math.round(number(name) * 1000);
+        return Math.round(number(name) * MICROS_PER_MILLI);
     }
 
-    public long time(String name, long absent) {
-        return has(name) ? time(name) : Math.round(took(name, absent / 1000.0) * 1000);
+    /** The same; the default, in microseconds, if the key is absent. */
+    public long time(String name, long defaultMicros) {
+        if (has(name)) {
+            return time(name);
+        }
+        return Math.round(recordSetting(name, defaultMicros / (double) MICROS_PER_MILLI) * MICROS_PER_MILLI);
     }
 
     public boolean flag(String name) {
         return map.get(name) == Boolean.TRUE;
     }
 
-    /** True or false, or the value for an absent key. */
-    public boolean flag(String name, boolean absent) {
+    /** True or false; the default if the key is absent. */
+    public boolean flag(String name, boolean defaultValue) {
         Object value = map.get(name);
-        return value == null
-                ? took(name, absent)
-                : value instanceof Boolean b
-                        ? took(name, b)
-                        : fault(name, "is neither true nor false" + told(name), absent);
+        if (value == null) {
+            return recordSetting(name, defaultValue);
+        }
+        return value instanceof Boolean flag
+                ? recordSetting(name, flag)
+                : report(name, "is neither true nor false" + shownValue(name), "true, false", defaultValue);
     }
 
     public String text(String name) {
-        if (map.get(name) instanceof String s) {
-            return took(name, s);
+        if (map.get(name) instanceof String text) {
+            return recordSetting(name, text);
         }
-        return fault(name, "is missing or not text" + told(name), "");
+        return report(name, "is missing or not text" + shownValue(name), "");
     }
 
-    public String text(String name, String absent) {
-        return has(name) ? text(name) : took(name, absent);
+    public String text(String name, String defaultValue) {
+        return has(name) ? text(name) : recordSetting(name, defaultValue);
     }
 
+    /** The value that a word stands for. */
     public <T> T word(String name, Map<String, T> words) {
-        String told = text(name);
-        T known = words.get(told);
+        String word = text(name);
+        T known = words.get(word);
         if (known == null && map.get(name) instanceof String) {
-            fault(name, "is an unknown word: " + shown(told) + "; allowed are " + new TreeSet<>(words.keySet()), null);
+            String allowed = new TreeSet<>(words.keySet()).toString();
+            report(name, "is an unknown word: " + shown(word) + "; allowed are " + allowed, allowed, null);
         }
         return known == null ? words.values().iterator().next() : known;
     }
 
-    public <T> T word(String name, Map<String, T> words, T absent) {
-        return has(name) ? word(name, words) : took(name, absent);
+    public <T> T word(String name, Map<String, T> words, T defaultValue) {
+        return has(name) ? word(name, words) : recordSetting(name, defaultValue);
     }
 
-    /** A list of texts; empty where the key is absent. */
+    /** A list of texts; empty if the key is absent. */
     public List<String> texts(String name) {
         List<String> texts = new ArrayList<>();
-        for (Object one : list(name)) {
-            texts.add(one instanceof String s ? s : fault(name, "holds what is not text: " + shown(one), ""));
+        for (Object element : list(name)) {
+            texts.add(
+                    element instanceof String text
+                            ? text
+                            : report(name, "holds what is not text: " + shown(element), ""));
         }
-        took(name, texts);
+        recordSetting(name, texts);
         return texts;
     }
 
+    /** The list under a key; empty if the key is absent. */
     @SuppressWarnings("unchecked")
     public List<Object> list(String name) {
         Object value = map.get(name);
@@ -294,18 +339,18 @@
         if (value instanceof List<?> list) {
             return (List<Object>) list;
         }
-        return fault(name, "is not a list" + told(name), List.of());
+        return report(name, "is not a list" + shownValue(name), List.of());
     }
 
     /** The objects of a list, each with its path. */
     public List<JsonFields> objects(String name) {
         List<JsonFields> objects = new ArrayList<>();
         int index = 0;
-        for (Object one : list(name)) {
-            String at = name + "[" + index++ + "]";
-            JsonFields inner = of(one, key(at), source);
+        for (Object element : list(name)) {
+            String elementName = name + "[" + index++ + "]";
+            JsonFields inner = of(element, key(elementName), source);
             if (inner == null) {
-                fault(at, "is not an object: " + shown(one), null);
+                report(elementName, "is not an object: " + shown(element), null);
             } else {
                 objects.add(inner);
             }
@@ -314,17 +359,17 @@
     }
 
     /**
-     * The large list under a key, read: by the reader that took it from the stream of the file, or now, by a
-     * fresh one, where it stands in memory.
+     * The reader that has read the large list under a key: the one that read it from the stream of the file,
+     * or a new one, which reads it now, if the list is in memory.
      */
-    <R extends ListReader> R large(String name, Class<R> type, Supplier<R> fresh) {
+    <R extends ListReader> R largeList(String name, Class<R> type, Supplier<R> newReader) {
         if (type.isInstance(map.get(name))) {
             return type.cast(map.get(name));
         }
-        R reader = fresh.get();
+        R reader = newReader.get();
         List<Object> list = list(name);
-        if (list.size() > reader.most()) {
-            return fault(name, "has more than " + reader.most() + " elements", reader);
+        if (list.size() > reader.maxElements()) {
+            return report(name, "has more than " + reader.maxElements() + " elements", reader);
         }
         for (int index = 0; index < list.size(); index++) {
             read(list.get(index), key(name) + "[" + index + "]", source, index, reader);
@@ -332,27 +377,32 @@
         return reader;
     }
 
-    /** Hands an element of a large list to its reader. */
+    /** Passes an element of a large list to its reader. */
     static void read(Object element, String path, SettingsSource source, int index, ListReader reader) {
-        JsonFields told = of(element, path, source);
-        if (told != null) {
-            reader.read(index, told);
-        } else if (source != null) {
-            source.fault(path, "is not an object: " + shown(element));
-        } else {
-            throw new InvalidValueException(path + " is not an object: " + shown(element));
+        JsonFields fields = of(element, path, source);
+        if (fields != null) {
+            reader.read(index, fields);
+            return;
+        }
+        String shown = shown(element);
+        String problem = "is not an object: " + shown;
+        if (source == null) {
+            throw new InvalidValueException(new ConfigProblem(null, 0, path, shown, null, path + " " + problem));
         }
+        source.report(path, shown, null, problem);
     }
 
-    public InvalidValueException bad(String name, String complaint) {
-        return new InvalidValueException(key(name) + " " + complaint);
+    /** Creates the exception for a fault of a key; {@code problem} continues a sentence that begins with the key. */
+    public InvalidValueException bad(String name, String problem) {
+        return invalidValue(name, problem, null);
     }
 
-    /** A misspelt key must not pass for an absent one. */
+    /** Reports every other key, since a misspelt key must not count as an absent one. */
     public void only(Set<String> keys) {
         for (String name : names()) {
             if (!keys.contains(name)) {
-                fault(name, "is an unknown key; known are " + new TreeSet<>(keys), null);
+                String allowed = new TreeSet<>(keys).toString();
+                report(name, "is an unknown key; known are " + allowed, allowed, null);
             }
         }
     }
--- a/server/src/main/java/wheatspread/config/JsonFile.java
+++ b/server/src/main/java/wheatspread/config/JsonFile.java
@@ -23,25 +23,23 @@
 import java.util.function.Supplier;
 
 /**
- * Reads a settings file: JSON, in which comments, trailing commas and names without quotes are allowed. A key
- * that stands twice is a fault, since one of the two would be ignored. The file is read as a stream: its
- * large lists go element by element to their {@link ListReader}, and only the rest becomes a tree of maps,
- * whose size is bounded.
+ * Parses a settings file: JSON with comments, trailing commas and unquoted names. A duplicate key is a fault,
+ * since one of the two would be ignored. The file is parsed as a stream: its large lists go element by element
+ * to their {@link ListReader}, and only the rest becomes a tree of maps, whose size is bounded.
  */
 public final class JsonFile {
-    /** The longest file that is read; bytes. */
-    static final long MOST_BYTES = 16L << 20;
-    /** The longest text in a file, in characters; longer ones are refused before a key could be named. */
-    private static final int LONGEST_TEXT = 128 << 10;
+    static final long MAX_FILE_BYTES = 16L << 20;
+    /** The longest text; the parser rejects a longer one before its key is known. */
+    private static final int MAX_TEXT_CHARS = 128 << 10;
 
-    private static final int LONGEST_KEY = 1_024;
+    private static final int MAX_KEY_CHARS = 1_024;
     /**
-     * What a tree of maps may come to, in bytes: that of the file without its large lists, and that of one
+     * The largest tree of maps, as estimated: that of the file without its large lists, and that of one
      * element of such a list.
      */
-    private static final int MOST_TREE = 4 << 20;
-    /** What a value costs in the tree besides its text: entry, path and line; bytes, rounded up. */
-    private static final int VALUE_COST = 128;
+    private static final int MAX_TREE_BYTES = 4 << 20;
+    /** The memory of a value in the tree besides its text: entry, path and line; rounded up. */
+    private static final int VALUE_BYTES = 128;
 
     private static final JsonFactory FACTORY = new JsonFactoryBuilder()
             .enable(JsonReadFeature.ALLOW_JAVA_COMMENTS)
@@ -52,9 +50,9 @@
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .streamReadConstraints(StreamReadConstraints.builder()
                     .maxNestingDepth(64)
-                    .maxDocumentLength(MOST_BYTES)
-                    .maxStringLength(LONGEST_TEXT)
-                    .maxNameLength(LONGEST_KEY)
+                    .maxDocumentLength(MAX_FILE_BYTES)
+                    .maxStringLength(MAX_TEXT_CHARS)
+                    .maxNameLength(MAX_KEY_CHARS)
                     .build())
             .build();
 
@@ -69,24 +67,24 @@
         this.lists = lists;
     }
 
-    /** The object in a file; its complaints name file, line and key. */
+    /** Parses the object in a file; its faults name file, line and key. */
     public static JsonFields read(Path file) {
         return read(file, Map.of());
     }
 
-    /** The same, where the lists under the keys of {@code lists} are read by what is made for each. */
+    /** The same, where new readers read the large lists under the keys of {@code lists}. */
     static JsonFields read(Path file, Map<String, Supplier<? extends ListReader>> lists) {
         try {
             BasicFileAttributes before = Files.readAttributes(file, BasicFileAttributes.class);
-            if (before.size() > MOST_BYTES) {
-                throw new JsonFields.InvalidValueException(file + " is longer than " + MOST_BYTES + " bytes");
+            if (before.size() > MAX_FILE_BYTES) {
+                throw new JsonFields.InvalidValueException(file + " is longer than " + MAX_FILE_BYTES + " bytes");
             }
-            JsonFields told;
+            JsonFields fields;
             try (Reader text = Files.newBufferedReader(file)) {
-                told = parse(file.toString(), text, lists);
+                fields = parse(file.toString(), text, lists);
             }
             requireUnchanged(file, before);
-            return told;
+            return fields;
         } catch (IOException e) {
             throw new JsonFields.InvalidValueException(file + " cannot be read: "
                     + (e instanceof NoSuchFileException ? "there is no such file" : e.toString()));
@@ -95,16 +93,16 @@
         }
     }
 
-    /** The same of a text in memory; {@code name} is how complaints call it. */
+    /** The same for a text in memory; {@code name} takes the place of the file in messages. */
     public static JsonFields read(String name, String text) {
         try {
             return parse(name, new StringReader(text), Map.of());
         } catch (IOException e) {
-            throw new IllegalStateException(e); // a text in memory can be read
+            throw new IllegalStateException(e); // reading from memory does not fail
         }
     }
 
-    /** A file that is written in place while it is read may be half the old one and half the new one. */
+    /** Fails if the file was written while it was read: the result may be half the old and half the new one. */
     private static void requireUnchanged(Path file, BasicFileAttributes before) throws IOException {
         BasicFileAttributes after = Files.readAttributes(file, BasicFileAttributes.class);
         boolean sameFile = before.isRegularFile() && Objects.equals(before.fileKey(), after.fileKey());
@@ -140,7 +138,7 @@
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             String name = parser.currentName();
             String key = path.isEmpty() ? name : path + "." + name;
-            keep(key);
+            recordKey(key);
             parser.nextToken();
             map.put(name, value(key));
         }
@@ -163,7 +161,7 @@
         List<Object> list = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             String key = path + "[" + list.size() + "]";
-            keep(key);
+            recordKey(key);
             list.add(value(key));
         }
         return list;
@@ -171,20 +169,20 @@
 
     private ListReader largeList(String path) throws IOException {
         ListReader reader = lists.get(path).get();
-        int outside = treeBytes;
+        int treeBytesOutside = treeBytes;
         for (int index = 0; parser.nextToken() != JsonToken.END_ARRAY; index++) {
-            if (index == reader.most()) {
+            if (index == reader.maxElements()) {
                 throw new JsonFields.InvalidValueException(
-                        source.place(path) + ": " + path + " has more than " + reader.most() + " elements");
+                        source.location(path) + ": " + path + " has more than " + reader.maxElements() + " elements");
             }
             treeBytes = 0;
             source.beginElement(index);
             String key = path + "[" + index + "]";
-            keep(key);
+            recordKey(key);
             JsonFields.read(value(key), key, source, index, reader);
         }
         source.endElements();
-        treeBytes = outside;
+        treeBytes = treeBytesOutside;
         return reader;
     }
 
@@ -194,16 +192,17 @@
         return text;
     }
 
-    private void keep(String key) {
-        charge(VALUE_COST + key.length());
-        source.stands(key, parser.currentTokenLocation().getLineNr());
+    private void recordKey(String key) {
+        charge(VALUE_BYTES + key.length());
+        source.recordLine(key, parser.currentTokenLocation().getLineNr());
     }
 
+    /** Adds to the size of the tree. */
     private void charge(int bytes) {
         treeBytes += bytes;
-        if (treeBytes > MOST_TREE) {
+        if (treeBytes > MAX_TREE_BYTES) {
             throw new JsonFields.InvalidValueException(source.file() + ":"
-                    + parser.currentTokenLocation().getLineNr() + ": the settings take over " + MOST_TREE
+                    + parser.currentTokenLocation().getLineNr() + ": the settings take over " + MAX_TREE_BYTES
                     + " bytes up to here; only "
                     + (lists.isEmpty() ? "other files" : String.join(", ", lists.keySet())) + " may be large");
         }
--- a/server/src/main/java/wheatspread/config/ListReader.java
+++ b/server/src/main/java/wheatspread/config/ListReader.java
@@ -1,13 +1,13 @@
 package wheatspread.config;
 
 /**
- * Brings a list that may be large into its final form, element by element, so that no more than one element
- * stands in memory as it was read. One reader reads one list.
+ * Converts a list that may be large into its final form, element by element, so that only one element at a
+ * time is in memory as it was parsed. A reader reads one list.
  */
 interface ListReader {
-    /** The most elements that the list may have; one with more is refused. */
-    int most();
+    /** How many elements the list may have. */
+    int maxElements();
 
-    /** Takes the next element; it, and the lines its complaints name, hold no longer than this call. */
+    /** Reads the next element, which must not be kept; nor must the lines of its problems. */
     void read(int index, JsonFields element);
 }
--- a/server/src/main/java/wheatspread/config/MembershipConfig.java
+++ b/server/src/main/java/wheatspread/config/MembershipConfig.java
@@ -8,58 +8,59 @@
 import wheatspread.peers.PeerAddress;
 
 /**
- * The operator's file: membership among the servers, which is off where the key is absent. No address has a
+ * The operator's file, the part on cluster membership, which is off if its key is absent. No address has a
  * default.
  *
- * @param cluster servers of another one are not heard
+ * @param cluster the name of the cluster; messages from others are ignored
  * @param advertise where other servers reach this one
- * @param seeds advertised addresses of the servers that found a fleet and are asked for it
- * @param zone the part of the installation that this server stands in; empty for none
+ * @param seeds the advertised addresses of the servers that bootstrap the cluster and answer join requests
+ * @param zone the availability zone of this server; empty for none
  */
 public record MembershipConfig(
         String cluster, InetSocketAddress listen, String advertise, List<String> seeds, String zone) {
-    private static final int MOST_TEXT = 64;
+    private static final int MAX_TEXT_CHARS = 64;
 
-    static MembershipConfig read(JsonFields told) {
-        told.only(Set.of("cluster", "listen", "advertise", "seeds", "zone"));
-        String cluster = text(told, "cluster", told.text("cluster"));
-        if (cluster.isBlank() && told.has("cluster")) {
-            told.fault("cluster", "is empty; give the fleet a name", null);
+    static MembershipConfig read(JsonFields fields) {
+        fields.only(Set.of("cluster", "listen", "advertise", "seeds", "zone"));
+        String cluster = text(fields, "cluster", fields.text("cluster"));
+        if (cluster.isBlank() && fields.has("cluster")) {
+            fields.report("cluster", "is empty; give the fleet a name", null);
         }
-        String listen = address(told, "listen", told.text("listen"));
-        boolean any = listen.startsWith("0.0.0.0:");
-        if (any && !told.has("advertise")) {
-            told.fault("advertise", "is missing; with listen on all addresses it says which one others use", null);
+        String listen = address(fields, "listen", fields.text("listen"));
+        boolean anyAddress = listen.startsWith("0.0.0.0:");
+        if (anyAddress && !fields.has("advertise")) {
+            fields.report("advertise", "is missing; with listen on all addresses it says which one others use", null);
         }
-        String advertise =
-                any || told.has("advertise") ? address(told, "advertise", told.text("advertise", listen)) : listen;
-        List<String> seeds = told.texts("seeds");
+        String advertise = anyAddress || fields.has("advertise")
+                ? address(fields, "advertise", fields.text("advertise", listen))
+                : listen;
+        List<String> seeds = fields.texts("seeds");
         if (seeds.isEmpty() || seeds.size() > Membership.MOST_SEEDS || new HashSet<>(seeds).size() < seeds.size()) {
-            told.fault(
+            fields.report(
                     "seeds",
                     "holds " + seeds.size() + " addresses; allowed are 1 to "
                             + Membership.MOST_SEEDS
                             + " different ones, best 3 or 5",
                     null);
         }
-        seeds.forEach(one -> address(told, "seeds", one));
+        seeds.forEach(seed -> address(fields, "seeds", seed));
         return new MembershipConfig(
-                cluster, PeerAddress.parse(listen), advertise, seeds, text(told, "zone", told.text("zone", "")));
+                cluster, PeerAddress.parse(listen), advertise, seeds, text(fields, "zone", fields.text("zone", "")));
     }
 
-    private static String text(JsonFields told, String key, String text) {
-        return text.length() <= MOST_TEXT
+    private static String text(JsonFields fields, String key, String text) {
+        return text.length() <= MAX_TEXT_CHARS
                 ? text
-                : told.fault(key, "has " + text.length() + " characters; allowed are " + MOST_TEXT, "");
+                : fields.report(key, "has " + text.length() + " characters; allowed are " + MAX_TEXT_CHARS, "");
     }
 
-    /** Names are not looked up: that would hold the loop. */
-    private static String address(JsonFields told, String key, String text) {
+    /** Host names are not resolved: that would block the event loop. */
+    private static String address(JsonFields fields, String key, String text) {
         if (PeerAddress.isOne(text)) {
             return text;
         }
-        return told.has(key)
-                ? told.fault(key, "is no IPv4 address and port, as 10.0.0.7:7400: " + text, "127.0.0.1:1")
+        return fields.has(key)
+                ? fields.report(key, "is no IPv4 address and port, as 10.0.0.7:7400: " + text, "127.0.0.1:1")
                 : "127.0.0.1:1";
     }
 }
--- a/server/src/main/java/wheatspread/config/OperatorConfig.java
+++ b/server/src/main/java/wheatspread/config/OperatorConfig.java
@@ -9,20 +9,21 @@
 import wheatspread.scheduling.IterationBudget;
 
 /**
- * The operator's file: the second front, what holds for connections, and how the event loop spends its turns.
+ * The operator's file: the uwsgi protocol, limits of connections, and the budget of event-loop iterations.
  * What is absent has its default. Times are microseconds here and milliseconds in the file.
  *
- * @param uwsgi null where the second front is off
- * @param mostConnections of all fronts together; 0 for what the descriptors allow
- * @param connections what holds for every front's connections, but for their number
+ * @param uwsgi null if the uwsgi protocol is off
+ * @param maxConnections of all protocols together; 0 for as many as the descriptors allow
+ * @param connections the limits of every protocol's connections, except for their number
+ * @param turns the budget of an event-loop iteration
  * @param transport {@code nio}, {@code epoll} or {@code auto}
  * @param reportSeconds how often counters are logged; 0 for at the end only
- * @param stats whether the method {@code stats} answers on the platform's front
- * @param membership null where this server keeps to itself
+ * @param stats whether the method {@code stats} is on
+ * @param membership null if this server is in no cluster
  */
 public record OperatorConfig(
         UwsgiConfig uwsgi,
-        int mostConnections,
+        int maxConnections,
         ConnectionLimits connections,
         IterationBudget turns,
         String transport,
@@ -31,7 +32,7 @@
         LifeConfig life,
         boolean stats,
         MembershipConfig membership) {
-    /** What holds without a file, as on the platform. */
+    /** The defaults, which hold without a file, as on the platform. */
     public static final OperatorConfig NONE = new OperatorConfig(
             null,
             0,
@@ -48,38 +49,38 @@
             Map.of("close", Refusal.CLOSE, "reset", Refusal.RESET, "answer", Refusal.ANSWER);
     private static final Map<String, String> TRANSPORTS = Map.of("nio", "nio", "epoll", "epoll", "auto", "auto");
 
-    /** Complaints name the file and the key. */
+    /** Reads and checks a file; {@code site} is the deployment that it names classes and tenants of. */
     public static OperatorConfig readFile(Path file, DeploymentSettings site) {
         return read(fields(file, site), site);
     }
 
-    /** The file's keys; {@code site} may be null. */
+    /** The fields of the file; {@code site} may be null. */
     static JsonFields fields(Path file, DeploymentSettings site) {
         return JsonFile.read(file, Map.of("uwsgi.routes", () -> new RouteReader(site)));
     }
 
-    static OperatorConfig read(JsonFields told, DeploymentSettings site) {
-        told.only(
+    static OperatorConfig read(JsonFields fields, DeploymentSettings site) {
+        fields.only(
                 Set.of("uwsgi", "connections", "turns", "transport", "report_s", "log", "life", "stats", "membership"));
-        UwsgiConfig uwsgi = told.has("uwsgi") ? UwsgiConfig.read(told.object("uwsgi", false), site) : null;
-        JsonFields connections = told.object("connections", true);
+        UwsgiConfig uwsgi = fields.has("uwsgi") ? UwsgiConfig.read(fields.object("uwsgi", false), site) : null;
+        JsonFields connections = fields.object("connections", true);
         OperatorConfig config = new OperatorConfig(
                 uwsgi,
                 connections.integer("max", 0, 0, 1 << 20),
                 limits(connections),
-                turns(told.object("turns", true)),
-                told.word("transport", TRANSPORTS, "auto"),
-                told.integer("report_s", 0, 0, 3_600),
-                LogConfig.read(told.object("log", true)),
-                LifeConfig.read(told.object("life", true)),
-                told.flag("stats", false),
-                told.has("membership") ? MembershipConfig.read(told.object("membership", false)) : null);
-        told.settle();
+                turns(fields.object("turns", true)),
+                fields.word("transport", TRANSPORTS, "auto"),
+                fields.integer("report_s", 0, 0, 3_600),
+                LogConfig.read(fields.object("log", true)),
+                LifeConfig.read(fields.object("life", true)),
+                fields.flag("stats", false),
+                fields.has("membership") ? MembershipConfig.read(fields.object("membership", false)) : null);
+        fields.settle();
         return config;
     }
 
-    private static ConnectionLimits limits(JsonFields told) {
-        told.only(Set.of(
+    private static ConnectionLimits limits(JsonFields fields) {
+        fields.only(Set.of(
                 "max",
                 "max_per_source",
                 "accepts_per_s",
@@ -92,65 +93,65 @@
                 "max_partial_kb",
                 "max_waiting_kb",
                 "refused"));
-        ConnectionLimits usual = NONE.connections;
+        ConnectionLimits defaults = NONE.connections;
         return new ConnectionLimits(
                 0,
-                told.integer("max_per_source", usual.maxPerSource(), 0, 1 << 20),
-                told.integer("accepts_per_s", usual.acceptsPerSecond(), 0, 1_000_000),
-                told.integer("accept_burst", usual.acceptBurst(), 1, 1_000_000),
-                told.micros("first_request_ms", usual.firstRequest(), 10),
-                told.micros("whole_request_ms", usual.wholeRequest(), 10),
-                told.micros("idle_timeout_ms", usual.idleTimeoutMicros(), 0),
-                told.micros("leaving_ms", usual.lingering(), 10),
-                told.micros("to_speak_ms", usual.toSpeak(), 0),
-                told.integer("max_partial_kb", (int) (usual.mostHeld() >> 10), 64, 1 << 20) * 1024L,
-                told.integer("max_waiting_kb", (int) (usual.mostWaiting() >> 10), 256, 1 << 20) * 1024L,
-                told.word("refused", REFUSALS, usual.refusal()));
+                fields.integer("max_per_source", defaults.maxPerSource(), 0, 1 << 20),
+                fields.integer("accepts_per_s", defaults.acceptsPerSecond(), 0, 1_000_000),
+                fields.integer("accept_burst", defaults.acceptBurst(), 1, 1_000_000),
+                fields.micros("first_request_ms", defaults.firstRequest(), 10),
+                fields.micros("whole_request_ms", defaults.wholeRequest(), 10),
+                fields.micros("idle_timeout_ms", defaults.idleTimeoutMicros(), 0),
+                fields.micros("leaving_ms", defaults.lingering(), 10),
+                fields.micros("to_speak_ms", defaults.toSpeak(), 0),
+                fields.integer("max_partial_kb", (int) (defaults.mostHeld() >> 10), 64, 1 << 20) * 1024L,
+                fields.integer("max_waiting_kb", (int) (defaults.mostWaiting() >> 10), 256, 1 << 20) * 1024L,
+                fields.word("refused", REFUSALS, defaults.refusal()));
     }
 
-    private static IterationBudget turns(JsonFields told) {
-        told.only(Set.of("read_kb", "requests", "read_us", "lately_ms", "sleepers_part", "crowd", "expiring"));
-        IterationBudget usual = IterationBudget.USUAL;
+    private static IterationBudget turns(JsonFields fields) {
+        fields.only(Set.of("read_kb", "requests", "read_us", "lately_ms", "sleepers_part", "crowd", "expiring"));
+        IterationBudget defaults = IterationBudget.USUAL;
         return new IterationBudget(
-                told.integer("read_kb", usual.maxBytes() >> 10, 4, 1 << 16) << 10,
-                told.integer("requests", usual.maxRequests(), 1, 100_000),
-                told.integer("read_us", usual.maxReadMicros(), 100, 1_000_000),
-                told.micros("lately_ms", usual.lately(), 0),
-                told.integer("sleepers_part", usual.readsPerIdleRead(), 2, 1_000),
-                told.integer("crowd", usual.burstThreshold(), 1, 1 << 20),
-                told.integer("expiring", usual.maxExpirations(), 1, 100_000));
+                fields.integer("read_kb", defaults.maxBytes() >> 10, 4, 1 << 16) << 10,
+                fields.integer("requests", defaults.maxRequests(), 1, 100_000),
+                fields.integer("read_us", defaults.maxReadMicros(), 100, 1_000_000),
+                fields.micros("lately_ms", defaults.lately(), 0),
+                fields.integer("sleepers_part", defaults.readsPerIdleRead(), 2, 1_000),
+                fields.integer("crowd", defaults.burstThreshold(), 1, 1 << 20),
+                fields.integer("expiring", defaults.maxExpirations(), 1, 100_000));
     }
 
-    /** What holds for the uwsgi front's connections. */
+    /** The limits of uwsgi connections. */
     public ConnectionLimits uwsgiLimits() {
-        ConnectionLimits c = connections;
+        ConnectionLimits common = connections;
         return new ConnectionLimits(
                 uwsgi.mostConnections(),
-                c.maxPerSource(),
-                c.acceptsPerSecond(),
-                c.acceptBurst(),
-                c.firstRequest(),
-                uwsgi.readTimeout(),
-                uwsgi.idleTimeout(),
-                c.lingering(),
-                c.toSpeak(),
-                c.mostHeld(),
-                c.mostWaiting(),
-                c.refusal());
+                common.maxPerSource(),
+                common.acceptsPerSecond(),
+                common.acceptBurst(),
+                common.firstRequest(),
+                uwsgi.readTimeoutMicros(),
+                uwsgi.idleTimeoutMicros(),
+                common.lingering(),
+                common.toSpeak(),
+                common.mostHeld(),
+                common.mostWaiting(),
+                common.refusal());
     }
 
-    /** This, with another life and another say on {@code stats}. */
-    public OperatorConfig with(LifeConfig otherLife, boolean tellStats) {
+    /** This configuration with other settings for the process and for {@code stats}. */
+    public OperatorConfig with(LifeConfig otherLife, boolean otherStats) {
         return new OperatorConfig(
                 uwsgi,
-                mostConnections,
+                maxConnections,
                 connections,
                 turns,
                 transport,
                 reportSeconds,
                 log,
                 otherLife,
-                tellStats,
+                otherStats,
                 membership);
     }
 }
--- a/server/src/main/java/wheatspread/config/RouteReader.java
+++ b/server/src/main/java/wheatspread/config/RouteReader.java
@@ -12,12 +12,12 @@
 import wheatspread.core.DeploymentSettings;
 
 /**
- * Reads the list of routes. A route takes over what it does not say from the defaults of the front, and these
- * may stand behind the routes in the file; so the gaps are filled once the whole file has been read.
+ * Reads the list of routes. A route inherits what it leaves out from the defaults of the protocol, which may
+ * come after the routes in the file, so routes are completed once the whole file has been read.
  */
 final class RouteReader implements ListReader {
-    private static final int MOST = 1 << 16;
-    private static final int MOST_NAMES_TOLD = 8;
+    private static final int MAX_ROUTES = 1 << 16;
+    private static final int MAX_SHOWN_NAMES = 8;
     private static final Set<String> KEYS =
             Set.of("match", "path", "class", "tenant", "limit_ms", "cpu_ms", "ram_kb", "routes");
     private static final Map<String, Match> MATCHES = Map.of(
@@ -31,22 +31,22 @@
             Match.REGEX,
             "regex_any_case",
             Match.REGEX_ANY_CASE);
-    /** Stands for what a route does not say. */
-    private static final int UNTOLD = -2;
+    /** Marks what a route leaves out. */
+    private static final int INHERITED = -2;
 
-    private static final Defaults ALL_UNTOLD = new Defaults(UNTOLD, UNTOLD, UNTOLD, UNTOLD, UNTOLD);
+    private static final Defaults ALL_INHERITED = new Defaults(INHERITED, INHERITED, INHERITED, INHERITED, INHERITED);
 
     private final DeploymentSettings site;
     private final List<Route> routes = new ArrayList<>();
 
-    /** {@code site} may be null: nothing can be said of its names then. */
+    /** {@code site} may be null: names of classes and tenants are not checked then. */
     RouteReader(DeploymentSettings site) {
         this.site = site;
     }
 
     @Override
-    public int most() {
-        return MOST;
+    public int maxElements() {
+        return MAX_ROUTES;
     }
 
     @Override
@@ -58,15 +58,15 @@
                 match,
                 path,
                 pattern(element, match, path),
-                defaults(element, ALL_UNTOLD, site),
-                within(element).routes));
+                defaults(element, ALL_INHERITED, site),
+                nested(element).routes));
     }
 
-    private RouteReader within(JsonFields element) {
-        return element.large("routes", RouteReader.class, () -> new RouteReader(site));
+    private RouteReader nested(JsonFields element) {
+        return element.largeList("routes", RouteReader.class, () -> new RouteReader(site));
     }
 
-    private static Pattern pattern(JsonFields told, Match match, String path) {
+    private static Pattern pattern(JsonFields fields, Match match, String path) {
         try {
             return switch (match) {
                 case REGEX -> Pattern.compile(path);
@@ -74,69 +74,71 @@
                 default -> null;
             };
         } catch (PatternSyntaxException e) {
-            return told.fault("path", "is no regular expression: " + e.getDescription() + ": " + path, null);
+            return fields.report("path", "is no regular expression: " + e.getDescription() + ": " + path, null);
         } catch (StackOverflowError e) {
-            return told.fault("path", "is a regular expression with too many brackets in brackets", null);
+            return fields.report("path", "is a regular expression with too many brackets in brackets", null);
         }
     }
 
-    /** How many routes there are, without those within others. */
+    /** How many routes there are, not counting nested ones. */
     int size() {
         return routes.size();
     }
 
-    /** The routes, with what they leave out taken from {@code outer}. */
-    List<Route> routes(Defaults outer) {
-        return filled(routes, outer);
+    /** The routes, completed by the defaults that they inherit. */
+    List<Route> routes(Defaults inherited) {
+        return complete(routes, inherited);
     }
 
-    private static List<Route> filled(List<Route> routes, Defaults outer) {
+    private static List<Route> complete(List<Route> routes, Defaults inherited) {
         routes.replaceAll(route -> new Route(
                 route.match(),
                 route.path(),
                 route.pattern(),
-                filled(route.defaults(), outer),
-                route.routes().isEmpty() ? List.of() : filled(route.routes(), outer)));
+                complete(route.defaults(), inherited),
+                route.routes().isEmpty() ? List.of() : complete(route.routes(), inherited)));
         return List.copyOf(routes);
     }
 
-    private static Defaults filled(Defaults told, Defaults outer) {
+    private static Defaults complete(Defaults fields, Defaults inherited) {
         return new Defaults(
-                told.kind() == UNTOLD ? outer.kind() : told.kind(),
-                told.tenant() == UNTOLD ? outer.tenant() : told.tenant(),
-                told.limit() == UNTOLD ? outer.limit() : told.limit(),
-                told.hint() == UNTOLD ? outer.hint() : told.hint(),
-                told.ramKb() == UNTOLD ? outer.ramKb() : told.ramKb());
+                fields.requestClass() == INHERITED ? inherited.requestClass() : fields.requestClass(),
+                fields.tenant() == INHERITED ? inherited.tenant() : fields.tenant(),
+                fields.limit() == INHERITED ? inherited.limit() : fields.limit(),
+                fields.expectedWorkMicros() == INHERITED ? inherited.expectedWorkMicros() : fields.expectedWorkMicros(),
+                fields.memoryKb() == INHERITED ? inherited.memoryKb() : fields.memoryKb());
     }
 
-    /** Reads what holds where a packet does not say; {@code outer} is taken over for absent keys. */
-    static Defaults defaults(JsonFields told, Defaults outer, DeploymentSettings site) {
+    /** Reads the defaults of missing parameters; absent keys are inherited. */
+    static Defaults defaults(JsonFields fields, Defaults inherited, DeploymentSettings site) {
         return new Defaults(
-                index(told, "class", site == null ? null : site.classes(), outer.kind()),
-                index(told, "tenant", site == null ? null : site.tenants(), outer.tenant()),
-                told.has("limit_ms") ? told.integer("limit_ms", 0, 0, 3_600_000) * 1000L : outer.limit(),
-                told.has("cpu_ms") ? Math.round(positive(told, "cpu_ms") * 1000) : outer.hint(),
-                told.has("ram_kb") ? positive(told, "ram_kb") : outer.ramKb());
+                index(fields, "class", site == null ? null : site.classes(), inherited.requestClass()),
+                index(fields, "tenant", site == null ? null : site.tenants(), inherited.tenant()),
+                fields.has("limit_ms") ? fields.integer("limit_ms", 0, 0, 3_600_000) * 1000L : inherited.limit(),
+                fields.has("cpu_ms") ? Math.round(positive(fields, "cpu_ms") * 1000) : inherited.expectedWorkMicros(),
+                fields.has("ram_kb") ? positive(fields, "ram_kb") : inherited.memoryKb());
     }
 
-    private static double positive(JsonFields told, String key) {
-        double value = told.number(key);
+    private static double positive(JsonFields fields, String key) {
+        double value = fields.number(key);
         return value >= 0 && value < 1e6
                 ? value
-                : told.fault(key, "is out of range: " + value + "; allowed is 0 to under 1000000", 0.0);
+                : fields.report(key, "is out of range: " + value + "; allowed is 0 to under 1000000", 0.0);
     }
 
-    private static int index(JsonFields told, String key, List<String> names, int absent) {
-        if (!told.has(key) || names == null) {
-            return absent;
+    private static int index(JsonFields fields, String key, List<String> names, int defaultIndex) {
+        if (!fields.has(key) || names == null) {
+            return defaultIndex;
         }
-        int index = names.indexOf(told.text(key));
-        return index >= 0 ? index : told.fault(key, "is none of " + some(names) + ": " + told.text(key), absent);
+        int index = names.indexOf(fields.text(key));
+        return index >= 0
+                ? index
+                : fields.report(key, "is none of " + shown(names) + ": " + fields.text(key), defaultIndex);
     }
 
-    private static String some(List<String> names) {
-        return names.size() <= MOST_NAMES_TOLD
+    private static String shown(List<String> names) {
+        return names.size() <= MAX_SHOWN_NAMES
                 ? names.toString()
-                : names.subList(0, MOST_NAMES_TOLD) + " and " + (names.size() - MOST_NAMES_TOLD) + " more";
+                : names.subList(0, MAX_SHOWN_NAMES) + " and " + (names.size() - MAX_SHOWN_NAMES) + " more";
     }
 }
--- a/server/src/main/java/wheatspread/config/ServerConfig.java
+++ b/server/src/main/java/wheatspread/config/ServerConfig.java
@@ -8,16 +8,17 @@
 import wheatspread.core.DeploymentSettings;
 
 /**
- * What a real server is told: addresses, limits, the seed, and the settings of its site. What a deployment
- * may leave out, and what its absence means, stands in {@code docs/design/deployments.md}.
+ * The platform's settings of a server: addresses, limits, the seed, and the request classes and tenants of its
+ * deployment. What a deployment may leave out, and what its absence means, is in
+ * {@code docs/design/deployments.md}.
  *
- * @param records where the records service is; null where the deployment has none, since no class calls it
- * @param announce where the announce service is; null where nobody keeps a list
- * @param control where the operators' door listens ({@code control}, {@code GW_CONTROL}); null for none
- * @param inherited the descriptor of a listening socket the platform hands over for {@code listen}
- *     ({@code GW_INHERITED_FD}); -1 where the server binds its own
- * @param shared a folder that the processes of an upgrade share, for the keys that either ran
- *     ({@code shared}; {@code $TMPDIR} where a socket is handed over); null for none
+ * @param records where the records service is; null if the deployment has none, since no class calls it
+ * @param announce where the announce service is; null if the deployment has none
+ * @param control where the operators' endpoint listens ({@code control}, {@code GW_CONTROL}); null for none
+ * @param inherited the descriptor of an inherited listening socket for {@code listen}
+ *     ({@code GW_INHERITED_FD}); -1 if the server binds its own
+ * @param shared the directory in which the processes of an upgrade share the idempotency keys that either ran
+ *     ({@code shared}; {@code $TMPDIR} if a socket is inherited); null for none
  */
 public record ServerConfig(
         String name,
@@ -34,10 +35,10 @@
         Path shared) {
     private static final int DEFAULT_STOP_MS = 3_000;
     private static final int DEFAULT_SOCKETS = 1_024;
-    /** The key that {@code GW_INHERITED_FD} stands for; a file may say it too. */
+    /** The key that {@code GW_INHERITED_FD} overrides. */
     static final String INHERITED = "inherited_fd";
 
-    /** Reads the file that {@code GW_CONFIG} names; {@code GW_NAME} and {@code GW_LISTEN} go over it. */
+    /** Reads the file that {@code GW_CONFIG} names; {@code GW_NAME} and {@code GW_LISTEN} override it. */
     public static ServerConfig fromEnvironment(Map<String, String> environment) {
         String file = environment.get("GW_CONFIG");
         if (file == null) {
@@ -46,29 +47,29 @@
         return read(fields(Path.of(file), environment));
     }
 
-    /** The file's keys, with what the environment puts over them. */
+    /** The fields of the file, with those that the environment overrides. */
     static JsonFields fields(Path file, Map<String, String> environment) {
-        JsonFields told =
+        JsonFields fields =
                 JsonFile.read(file, Map.of("settings." + SettingsReader.TENANTS, () -> new TenantReader(true)));
         for (var key : Map.of("name", "GW_NAME", "listen", "GW_LISTEN", "control", "GW_CONTROL")
                 .entrySet()) {
             if (environment.get(key.getValue()) != null) {
-                told.override(key.getKey(), environment.get(key.getValue()), key.getValue());
+                fields.override(key.getKey(), environment.get(key.getValue()), key.getValue());
             }
         }
         String inherited = environment.get("GW_INHERITED_FD");
         if (inherited != null) {
             Object fd = inherited.strip().matches("\\d{1,9}") ? (Object) Integer.valueOf(inherited.strip()) : inherited;
-            told.override(INHERITED, fd, "GW_INHERITED_FD");
+            fields.override(INHERITED, fd, "GW_INHERITED_FD");
             String tmp = environment.get("TMPDIR");
-            if (tmp != null && !tmp.isBlank() && !told.has("shared")) {
-                told.override("shared", Path.of(tmp, "wheatspread-shared").toString(), "TMPDIR");
+            if (tmp != null && !tmp.isBlank() && !fields.has("shared")) {
+                fields.override("shared", Path.of(tmp, "wheatspread-shared").toString(), "TMPDIR");
             }
         }
-        return told;
+        return fields;
     }
 
-    /** This configuration with the addresses at which another one reaches the parties round the server. */
+    /** This configuration with the addresses of kernel, records service and announce service of another one. */
     public ServerConfig withAddressesOf(ServerConfig other) {
         return new ServerConfig(
                 name,
@@ -86,51 +87,52 @@
     }
 
     /**
-     * Guards a reload against a file that lost a part: an address that may be absent at the start is none to
-     * drop while the server goes on.
+     * Checks the file of a reload: it must not lack the address of a service that the server uses, although
+     * the address is optional at the start.
      */
     public void requireWhatItHad(ServerConfig next) {
-        requireStill("records", records, next.records);
-        requireStill("announce", announce, next.announce);
+        requireNotRemoved("records", records, next.records);
+        requireNotRemoved("announce", announce, next.announce);
     }
 
-    private static void requireStill(String key, InetSocketAddress had, InetSocketAddress has) {
-        if (had != null && has == null) {
-            throw new JsonFields.InvalidValueException(key + " is missing, and this server has used " + had);
+    private static void requireNotRemoved(String key, InetSocketAddress before, InetSocketAddress after) {
+        if (before != null && after == null) {
+            throw new JsonFields.InvalidValueException(key + " is missing, and this server has used " + before);
         }
     }
 
-    public static ServerConfig read(JsonFields told) {
-        JsonFields limits = told.object("limits", true);
-        DeploymentSettings site = site(told.object("settings", false));
+    public static ServerConfig read(JsonFields fields) {
+        JsonFields limits = fields.object("limits", true);
+        DeploymentSettings site = site(fields.object("settings", false));
         ServerConfig config = new ServerConfig(
-                told.text("name"),
-                address(told, "listen"),
-                address(told, "kernel"),
-                records(told, site),
-                addressOrNone(told, "announce"),
-                seed(told),
-                told.integer("stop_ms", DEFAULT_STOP_MS, 100, 600_000) * 1000L,
+                fields.text("name"),
+                address(fields, "listen"),
+                address(fields, "kernel"),
+                records(fields, site),
+                addressOrNone(fields, "announce"),
+                seed(fields),
+                fields.integer("stop_ms", DEFAULT_STOP_MS, 100, 600_000) * 1000L,
                 limits.integer("sockets", DEFAULT_SOCKETS, 64, 1 << 20),
                 site,
-                addressOrNone(told, "control"),
-                told.integer(INHERITED, -1, -1, 1 << 20),
-                told.has("shared") ? Path.of(told.text("shared")) : null);
-        told.settle();
+                addressOrNone(fields, "control"),
+                fields.integer(INHERITED, -1, -1, 1 << 20),
+                fields.has("shared") ? Path.of(fields.text("shared")) : null);
+        fields.settle();
         return config;
     }
 
-    /** The site alone, for the checks of another file that speaks of its classes; null where it is faulty. */
-    static DeploymentSettings siteOf(JsonFields told) {
+    /** The deployment's settings alone, for the checks of the operator's file; null if they are faulty. */
+    static DeploymentSettings siteOf(JsonFields fields) {
         try {
-            return told.has("settings") ? site(told.object("settings", false)) : null;
+            return fields.has("settings") ? site(fields.object("settings", false)) : null;
         } catch (IllegalArgumentException e) {
-            return null; // the whole file is read next, and complains
+            return null; // the whole file is read next, which reports the faults
         }
     }
 
     private static DeploymentSettings site(JsonFields settings) {
-        TenantReader tenants = settings.large(SettingsReader.TENANTS, TenantReader.class, () -> new TenantReader(true));
+        TenantReader tenants =
+                settings.largeList(SettingsReader.TENANTS, TenantReader.class, () -> new TenantReader(true));
         settings.summary(SettingsReader.TENANTS, tenants.summary());
         DeploymentSettings site = new DeploymentSettings(
                 SettingsReader.read(settings, tenants),
@@ -138,39 +140,39 @@
                 tenants.names(),
                 SettingsReader.gauges(settings));
         if (site.classes().isEmpty()) {
-            settings.fault("Lanes", "names no class of requests", null);
+            settings.report("Lanes", "names no class of requests", null);
         }
         return site;
     }
 
-    private static long seed(JsonFields told) {
+    private static long seed(JsonFields fields) {
         try {
-            return told.has("seed") ? Long.parseUnsignedLong(told.text("seed"), 16) : 0;
+            return fields.has("seed") ? Long.parseUnsignedLong(fields.text("seed"), 16) : 0;
         } catch (NumberFormatException e) {
-            return told.fault("seed", "is not up to 16 hex digits: " + told.text("seed"), 0L);
+            return fields.report("seed", "is not up to 16 hex digits: " + fields.text("seed"), 0L);
         }
     }
 
-    /** Where calls go: it must be there as soon as a class of the site may call, and only then. */
-    private static InetSocketAddress records(JsonFields told, DeploymentSettings site) {
+    /** The records service's address, which is required if a class of the deployment calls it. */
+    private static InetSocketAddress records(JsonFields fields, DeploymentSettings site) {
         boolean calls = site.settings().dependency().kind() != DependencyKind.NONE
                 && site.settings().classes().stream().anyMatch(RequestClass::callsDependency);
-        return calls ? address(told, "records") : addressOrNone(told, "records");
+        return calls ? address(fields, "records") : addressOrNone(fields, "records");
     }
 
-    private static InetSocketAddress addressOrNone(JsonFields told, String key) {
-        return told.has(key) ? address(told, key) : null;
+    private static InetSocketAddress addressOrNone(JsonFields fields, String key) {
+        return fields.has(key) ? address(fields, key) : null;
     }
 
-    /** An address as host and port; the host stands as a number, since there is no DNS. */
-    static InetSocketAddress address(JsonFields told, String key) {
-        String text = told.text(key);
+    /** An address as {@code host:port}; the host is an IP address, since there is no DNS. */
+    static InetSocketAddress address(JsonFields fields, String key) {
+        String text = fields.text(key);
         int colon = text.lastIndexOf(':');
         if (colon < 1
                 || !text.substring(colon + 1).matches("\\d{1,5}")
                 || Integer.parseInt(text.substring(colon + 1)) > 65_535) {
             if (!text.isEmpty()) {
-                told.fault(key, "is not host:port: " + text, null);
+                fields.report(key, "is not host:port: " + text, "host:port", null);
             }
             return new InetSocketAddress(0);
         }
--- a/server/src/main/java/wheatspread/config/SettingsReader.java
+++ b/server/src/main/java/wheatspread/config/SettingsReader.java
@@ -13,20 +13,20 @@
 import wheatspread.admission.RequestClass;
 import wheatspread.admission.ServerLimits;
 
-/** The settings of one instance, the same on the simulator's wire and in a real server's configuration. */
+/** Reads the settings of admission, which are the same in the simulator's messages and in a server's file. */
 public final class SettingsReader {
-    private static final Map<String, Idempotency> EFFECTS = Map.of(
+    private static final Map<String, Idempotency> IDEMPOTENCY = Map.of(
             "idempotent",
             Idempotency.IDEMPOTENT,
             "deduplicated",
             Idempotency.IDEMPOTENCY_KEY,
             "at_most_once",
             Idempotency.AT_MOST_ONCE);
-    private static final Map<String, DependencyKind> DEPENDENCIES =
+    private static final Map<String, DependencyKind> DEPENDENCY_KINDS =
             Map.of("silent", DependencyKind.NONE, "shared", DependencyKind.SHARED, "tier", DependencyKind.TIER);
-    private static final Map<String, PreemptionMode> HALTS =
+    private static final Map<String, PreemptionMode> PREEMPTION_MODES =
             Map.of("silent", PreemptionMode.NONE, "abort", PreemptionMode.ABORT, "suspend", PreemptionMode.SUSPEND);
-    private static final Map<String, LoadFeedbackMode> ADVICE = Map.of(
+    private static final Map<String, LoadFeedbackMode> LOAD_FEEDBACK_MODES = Map.of(
             "silent",
             LoadFeedbackMode.NONE,
             "threshold",
@@ -41,20 +41,20 @@
 
     private SettingsReader() {}
 
-    /** The settings in a message, whose tenants need no names. */
+    /** The settings in a message, whose tenants have no names. */
     public static AdmissionSettings read(JsonFields info) {
-        return read(info, info.large(TENANTS, TenantReader.class, () -> new TenantReader(false)));
+        return read(info, info.largeList(TENANTS, TenantReader.class, () -> new TenantReader(false)));
     }
 
-    /** The settings with tenants that have been read. */
+    /** The settings with tenants that have been read already. */
     static AdmissionSettings read(JsonFields info, TenantReader tenants) {
         JsonFields family = info.object("FamilyInfo", false);
         JsonFields rules = info.object("Rules", false);
         JsonFields ceilings = info.object("Ceilings", true);
-        JsonFields prices = info.object("Tariffs", true);
+        JsonFields costs = info.object("Tariffs", true);
         List<RequestClass> classes = new ArrayList<>();
-        for (JsonFields lane : info.objects("Lanes")) {
-            classes.add(requestClass(lane, family, classes.size()));
+        for (JsonFields classFields : info.objects("Lanes")) {
+            classes.add(requestClass(classFields, family, classes.size()));
         }
         ServerLimits limits = new ServerLimits(
                 family.number("MemoryKb"),
@@ -65,44 +65,44 @@
                 rules.time("Cold", 0),
                 rules.time("AnswerSlack", 0),
                 rules.time("DrainGrace", 0));
-        DependencyLimits below = new DependencyLimits(
-                family.word("DependsOn", DEPENDENCIES, DependencyKind.NONE),
+        DependencyLimits dependency = new DependencyLimits(
+                family.word("DependsOn", DEPENDENCY_KINDS, DependencyKind.NONE),
                 family.number("CallsOut", 0),
                 family.time("DepWindow", 0),
                 family.time("Linger", 0));
-        ClientSettings callers = new ClientSettings(
+        ClientSettings clients = new ClientSettings(
                 (int) family.number("Callers", 0),
-                family.word("Say", ADVICE, LoadFeedbackMode.NONE),
+                family.word("Say", LOAD_FEEDBACK_MODES, LoadFeedbackMode.NONE),
                 family.time("Heeded", 0),
                 ceilings.flag("RetryAfter") ? ceilings.time("MaxRetryAfter", 0) : 0,
                 family.flag("RegistryFollows"),
                 family.time("Idle", 0),
-                prices.number("Handshake", 0),
-                prices.number("Connection", 0));
+                costs.number("Handshake", 0),
+                costs.number("Connection", 0));
         return new AdmissionSettings(
                 (int) family.integer("NCores"),
                 (int) info.number("ReplicasOfMe", 0),
                 family.flag("Cold"),
-                family.word("Halt", HALTS, PreemptionMode.NONE),
+                family.word("Halt", PREEMPTION_MODES, PreemptionMode.NONE),
                 family.time("Fresh", 0),
                 info.time("Resolution", 0),
                 limits,
-                below,
-                callers,
+                dependency,
+                clients,
                 classes,
                 tenants.tenants());
     }
 
-    private static RequestClass requestClass(JsonFields lane, JsonFields family, int index) {
-        long deadline = lane.time("Deadline");
+    private static RequestClass requestClass(JsonFields classFields, JsonFields family, int index) {
+        long deadlineMicros = classFields.time("Deadline");
         return new RequestClass(
-                lane.time("Aim", deadline),
-                lane.number("AimStretch", 0),
-                deadline,
-                lane.word("Effect", EFFECTS),
-                lane.number("Worth", 1),
-                lane.number("LateWorth", 0),
-                lane.time("Window", 0),
+                classFields.time("Aim", deadlineMicros),
+                classFields.number("AimStretch", 0),
+                deadlineMicros,
+                classFields.word("Effect", IDEMPOTENCY),
+                classFields.number("Worth", 1),
+                classFields.number("LateWorth", 0),
+                classFields.time("Window", 0),
                 nth(family, "ClassCalls", index) == Boolean.TRUE,
                 nth(family, "ClassSkipWorth", index) instanceof Number n ? n.doubleValue() : 0);
     }
@@ -115,12 +115,12 @@
     /** The names of the gauges, in the order in which readings come. */
     public static List<String> gauges(JsonFields info) {
         List<String> names = new ArrayList<>();
-        info.object("FamilyInfo", false).list("Gauges").forEach(g -> names.add(String.valueOf(g)));
+        info.object("FamilyInfo", false).list("Gauges").forEach(gauge -> names.add(String.valueOf(gauge)));
         return names;
     }
 
     /** The names listed under a key, as those of classes are. */
     static List<String> names(JsonFields info, String list) {
-        return info.objects(list).stream().map(one -> one.text("Name")).toList();
+        return info.objects(list).stream().map(element -> element.text("Name")).toList();
     }
 }
--- a/server/src/main/java/wheatspread/config/SettingsSource.java
+++ b/server/src/main/java/wheatspread/config/SettingsSource.java
@@ -6,24 +6,26 @@
 import java.util.Map;
 
 /**
- * The file that settings come from: on which line each key stands, what is wrong with it, and what was taken
- * over from where. A whole file is read before its faults are told, so that all of them are. Of the elements
- * of a large list, the lines are known while the element is read, and only the first ones are shown.
+ * The file that settings come from: the line of each key, the faults found, and the settings that hold with
+ * their origins. A whole file is read before its faults are thrown, so that all of them are. In a large list,
+ * the lines of an element are known while it is read, and only the first elements are recorded as settings.
  */
 public final class SettingsSource {
-    /** So many elements of a large list are shown one by one. */
-    static final int ELEMENTS_SHOWN = 32;
-    /** A longer complaint is cut. */
-    private static final int LONGEST_COMPLAINT = 1_000;
+    /** How many elements of a large list are recorded one by one. */
+    static final int MAX_RECORDED_ELEMENTS = 32;
+    /** A longer message is cut. */
+    private static final int MAX_MESSAGE_CHARS = 1_000;
 
     private final String file;
     private final Map<String, Integer> lines = new HashMap<>();
     private final Map<String, Integer> elementLines = new HashMap<>();
-    private final ConfigProblems faults = new ConfigProblems();
+    private final ConfigProblems problems = new ConfigProblems();
     private final Map<String, Setting> settings = new LinkedHashMap<>();
-    private final Map<String, String> over = new LinkedHashMap<>();
+    /** By key, the variable or option whose value replaces that of the file. */
+    private final Map<String, String> overrides = new LinkedHashMap<>();
+
     private boolean inElement;
-    private boolean shown = true;
+    private boolean recording = true;
 
     /** One value that holds, and where it comes from: {@code FILE:LINE}, a variable, or {@code default}. */
     public record Setting(String key, Object value, String origin) {}
@@ -37,80 +39,89 @@
         return file;
     }
 
-    /** What stands in the file from now on is the element of this index in a large list. */
+    /** The keys from now on belong to an element of a large list. */
     void beginElement(int index) {
         inElement = true;
-        shown = index < ELEMENTS_SHOWN;
+        recording = index < MAX_RECORDED_ELEMENTS;
         elementLines.clear();
     }
 
     void endElements() {
         inElement = false;
-        shown = true;
+        recording = true;
         elementLines.clear();
     }
 
-    /** A key stands on this line. */
-    void stands(String key, int line) {
+    /** Records the line that a key is on. */
+    void recordLine(String key, int line) {
         (inElement ? elementLines : lines).put(key, line);
     }
 
-    /** A key's value was replaced by what a variable or an option says. */
-    void overriddenBy(String key, String origin) {
-        over.put(key, origin);
+    /** Records that a variable or an option replaces the value of a key. */
+    void recordOverride(String key, String origin) {
+        overrides.put(key, origin);
     }
 
-    /** The line on which a key stands; 0 where it is not known. */
+    /** The line that a key is on; 0 if it is not known. */
     int line(String key) {
         Integer line = elementLines.get(key);
         return line == null ? lines.getOrDefault(key, 0) : line;
     }
 
-    /** Where a key stands, or the nearest object round it that stands in the file. */
-    String place(String key) {
-        if (over.containsKey(key)) {
-            return over.get(key);
+    /** The location of a key, or of the nearest enclosing object that is in the file. */
+    String location(String key) {
+        if (overrides.containsKey(key)) {
+            return overrides.get(key);
         }
-        for (String at = key; !at.isEmpty(); at = outer(at)) {
-            if (line(at) > 0) {
-                return file + ":" + line(at);
+        int line = nearestLine(key);
+        return line > 0 ? file + ":" + line : file;
+    }
+
+    private int nearestLine(String key) {
+        for (String path = key; !path.isEmpty(); path = enclosing(path)) {
+            if (line(path) > 0) {
+                return line(path);
             }
         }
-        return file;
+        return 0;
     }
 
-    private static String outer(String key) {
+    private static String enclosing(String key) {
         return key.substring(0, Math.max(0, Math.max(key.lastIndexOf('.'), key.lastIndexOf('['))));
     }
 
-    void fault(String key, String complaint) {
-        String whole = place(key) + ": " + key + " " + complaint;
-        faults.add(whole.length() <= LONGEST_COMPLAINT ? whole : whole.substring(0, LONGEST_COMPLAINT) + "...");
+    /** Reports a fault; {@code problem} continues a sentence that begins with the key. */
+    void report(String key, String value, String allowed, String problem) {
+        String message = location(key) + ": " + key + " " + problem;
+        if (message.length() > MAX_MESSAGE_CHARS) {
+            message = message.substring(0, MAX_MESSAGE_CHARS) + "...";
+        }
+        problems.add(new ConfigProblem(file, nearestLine(key), key, value, allowed, message));
     }
 
-    /** Whether what is read now is to be shown as a setting that holds. */
-    boolean shows() {
-        return shown;
+    /** Whether what is read now is to be recorded as a setting that holds. */
+    boolean recordsSettings() {
+        return recording;
     }
 
-    void took(String key, Object value, boolean told) {
-        settings.put(key, new Setting(key, value, told ? place(key) : "default"));
+    void recordSetting(String key, Object value, boolean given) {
+        settings.put(key, new Setting(key, value, given ? location(key) : "default"));
     }
 
-    /** What is wrong, each with file, line, key and what is allowed; of very many the first ones. */
-    public List<String> faults() {
-        return faults.kept();
+    /** The messages of the faults; of very many the first ones. */
+    public List<String> messages() {
+        return problems.kept();
     }
 
-    /** What holds, in the order in which it was read. */
+    /** The settings that hold, in the order in which they were read. */
     public List<Setting> settings() {
         return List.copyOf(settings.values());
     }
 
-    /** Complains of all faults at once, if there are any. */
-    void settle() {
-        if (!faults.isEmpty()) {
-            throw new JsonFields.InvalidValueException(faults);
+    /** Throws all faults together, if there are any. */
+    void throwIfInvalid() {
+        if (!problems.isEmpty()) {
+            throw new JsonFields.InvalidValueException(problems);
         }
     }
 }
--- a/server/src/main/java/wheatspread/config/TenantReader.java
+++ b/server/src/main/java/wheatspread/config/TenantReader.java
@@ -5,34 +5,33 @@
 import wheatspread.admission.TenantList;
 import wheatspread.core.NameTable;
 
-/** Reads the list of tenants: quotas into one array, names into one table. */
+/** Reads the list of tenants, the quotas into one array and the names into one table. */
 final class TenantReader implements ListReader {
     /** The longest name, in bytes of UTF-8. */
-    static final int LONGEST_NAME = 1_024;
-    /** Requests a second over the fleet. */
-    private static final double MOST_QUOTA = 1e9;
+    static final int MAX_NAME_BYTES = 1_024;
 
-    private static final int MOST = 1 << 18;
+    private static final double MAX_QUOTA_PER_SECOND = 1e9;
+    private static final int MAX_TENANTS = 1 << 18;
 
     private final boolean named;
     private final NameTable.Builder names = new NameTable.Builder();
     private double[] quotas = new double[8];
     private int size;
-    /** Of each name, the element it was told by and the line of that element. */
+    /** By name, the element that it was read from and the line of that element. */
     private int[] elements = new int[8];
 
     private int[] lines = new int[8];
     private int distinct;
     private NameTable built;
 
-    /** {@code named} tells whether the names matter: the simulator's messages leave them out. */
+    /** {@code named} is whether tenants have names: in the simulator's messages they have none. */
     TenantReader(boolean named) {
         this.named = named;
     }
 
     @Override
-    public int most() {
-        return MOST;
+    public int maxElements() {
+        return MAX_TENANTS;
     }
 
     @Override
@@ -40,7 +39,7 @@
         if (size == quotas.length) {
             quotas = Arrays.copyOf(quotas, size + size / 2);
         }
-        quotas[size++] = element.number("QuotaPerS", 0, 0, MOST_QUOTA);
+        quotas[size++] = element.number("QuotaPerS", 0, 0, MAX_QUOTA_PER_SECOND);
         if (named) {
             name(index, element);
         }
@@ -49,22 +48,22 @@
     private void name(int index, JsonFields element) {
         String name = element.text("Name");
         if (!(element.get("Name") instanceof String)) {
-            return; // text() has complained
+            return; // text() has reported it
         }
         byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
         int first = names.indexOf(name);
-        if (bytes.length < 1 || bytes.length > LONGEST_NAME) {
-            element.fault("Name", "has " + bytes.length + " bytes; allowed are 1 to " + LONGEST_NAME, null);
+        if (bytes.length < 1 || bytes.length > MAX_NAME_BYTES) {
+            element.report("Name", "has " + bytes.length + " bytes; allowed are 1 to " + MAX_NAME_BYTES, null);
         } else if (!new String(bytes, StandardCharsets.UTF_8).equals(name)) {
-            element.fault("Name", "holds half a character, a surrogate without its pair", null);
+            element.report("Name", "holds half a character, a surrogate without its pair", null);
         } else if (first >= 0) {
-            element.fault(
+            element.report(
                     "Name", "is told twice, first by element " + elements[first] + place(first) + ": " + name, null);
         } else {
             try {
                 add(index, element, name);
             } catch (IllegalArgumentException e) { // names made to have one hash code
-                element.fault("Name", "cannot be held: " + e.getMessage(), null);
+                element.report("Name", "cannot be held: " + e.getMessage(), null);
             }
         }
     }
@@ -88,7 +87,7 @@
         return TenantList.ofQuotas(Arrays.copyOf(quotas, size));
     }
 
-    /** Their names by the same index, unless there were complaints. */
+    /** The names by the same index, unless there were faults. */
     NameTable names() {
         if (built == null) {
             built = names.build();
@@ -96,14 +95,14 @@
         return built;
     }
 
-    /** What operators are shown in place of each tenant. */
+    /** What operators see in place of each tenant. */
     String summary() {
-        double least = size == 0 ? 0 : quotas[0];
-        double greatest = least;
+        double min = size == 0 ? 0 : quotas[0];
+        double max = min;
         for (int i = 1; i < size; i++) {
-            least = Math.min(least, quotas[i]);
-            greatest = Math.max(greatest, quotas[i]);
+            min = Math.min(min, quotas[i]);
+            max = Math.max(max, quotas[i]);
         }
-        return size + " tenants, QuotaPerS from " + least + " to " + greatest;
+        return size + " tenants, QuotaPerS from " + min + " to " + max;
     }
 }
--- a/server/src/main/java/wheatspread/config/UwsgiConfig.java
+++ b/server/src/main/java/wheatspread/config/UwsgiConfig.java
@@ -7,16 +7,16 @@
 import wheatspread.core.DeploymentSettings;
 
 /**
- * The operator's file: where the uwsgi front listens, its bounds, which vars carry what, and what holds for
- * a request whose packet does not say. Times are microseconds here and milliseconds in the file.
+ * The operator's file, the part on uwsgi: address and limits, the names of the vars that carry a request's
+ * parameters, and the defaults of missing ones. Times are microseconds here and milliseconds in the file.
  */
 public record UwsgiConfig(
         InetSocketAddress listen,
         int mostConnections,
-        int mostVars,
-        int mostBody,
-        long readTimeout,
-        long idleTimeout,
+        int maxVarsBytes,
+        int maxBodyBytes,
+        long readTimeoutMicros,
+        long idleTimeoutMicros,
         String healthPath,
         Vars vars,
         Defaults defaults,
@@ -33,9 +33,10 @@
             "defaults",
             "routes");
     private static final Set<String> DEFAULT_KEYS = Set.of("class", "tenant", "limit_ms", "cpu_ms", "ram_kb");
-    /** The names of the vars that carry a request's particulars. */
+
+    /** The names of the vars that carry a request's parameters. */
     public record Vars(String kind, String tenant, String limit, String hint, String ram, String unique, String item) {
-        /** What a proxy is asked to call them, unless the file says otherwise. */
+        /** The default names. */
         public static final Vars USUAL = new Vars(
                 "RECIPE_CLASS",
                 "RECIPE_TENANT",
@@ -46,10 +47,10 @@
                 "RECIPE_ITEM");
     }
 
-    /** What holds where a packet does not say; an index of -1 and a limit of 0 mean that nothing is set. */
-    public record Defaults(int kind, int tenant, long limit, long hint, double ramKb) {}
+    /** The defaults of missing parameters; an index of -1 and a timeout of 0 mean that there is no default. */
+    public record Defaults(int requestClass, int tenant, long limit, long expectedWorkMicros, double memoryKb) {}
 
-    /** How a route's path is compared, as the location forms of nginx are. */
+    /** How a path is matched, as by the location forms of nginx. */
     public enum Match {
         EXACT,
         PREFIX,
@@ -59,38 +60,38 @@
     }
 
     /**
-     * Defaults for the requests whose path matches; {@code pattern} is null unless it is a regex. The routes
-     * within it are looked at where it is the one that matches; they take nothing over from it.
+     * The defaults of requests whose path matches; {@code pattern} is null unless it is a regular expression.
+     * Nested routes are searched if this one matches; they inherit nothing from it.
      */
     public record Route(Match match, String path, Pattern pattern, Defaults defaults, List<Route> routes) {}
 
-    static UwsgiConfig read(JsonFields told, DeploymentSettings site) {
-        told.only(KEYS);
-        JsonFields names = told.object("vars", true);
+    static UwsgiConfig read(JsonFields fields, DeploymentSettings site) {
+        fields.only(KEYS);
+        JsonFields names = fields.object("vars", true);
         names.only(Set.of("class", "tenant", "limit_ms", "cpu_ms", "ram_kb", "unique", "item"));
-        Vars usual = Vars.USUAL;
+        Vars defaultNames = Vars.USUAL;
         Vars vars = new Vars(
-                names.text("class", usual.kind),
-                names.text("tenant", usual.tenant),
-                names.text("limit_ms", usual.limit),
-                names.text("cpu_ms", usual.hint),
-                names.text("ram_kb", usual.ram),
-                names.text("unique", usual.unique),
-                names.text("item", usual.item));
+                names.text("class", defaultNames.kind),
+                names.text("tenant", defaultNames.tenant),
+                names.text("limit_ms", defaultNames.limit),
+                names.text("cpu_ms", defaultNames.hint),
+                names.text("ram_kb", defaultNames.ram),
+                names.text("unique", defaultNames.unique),
+                names.text("item", defaultNames.item));
         Defaults none = new Defaults(-1, -1, 0, 0, 24);
-        JsonFields absent = told.object("defaults", true);
-        absent.only(DEFAULT_KEYS);
-        Defaults defaults = RouteReader.defaults(absent, none, site);
-        RouteReader routes = told.large("routes", RouteReader.class, () -> new RouteReader(site));
-        told.summary("routes", routes.size() + " routes");
+        JsonFields defaultFields = fields.object("defaults", true);
+        defaultFields.only(DEFAULT_KEYS);
+        Defaults defaults = RouteReader.defaults(defaultFields, none, site);
+        RouteReader routes = fields.largeList("routes", RouteReader.class, () -> new RouteReader(site));
+        fields.summary("routes", routes.size() + " routes");
         return new UwsgiConfig(
-                ServerConfig.address(told, "listen"),
-                told.integer("max_connections", 256, 1, 1 << 20),
-                told.integer("max_vars", 16_384, 64, 65_535),
-                told.integer("max_body", 2_048, 0, 1 << 20),
-                told.micros("read_timeout_ms", 5_000_000L, 10),
-                told.micros("idle_timeout_ms", 60_000_000L, 10),
-                told.text("health_path", ""),
+                ServerConfig.address(fields, "listen"),
+                fields.integer("max_connections", 256, 1, 1 << 20),
+                fields.integer("max_vars", 16_384, 64, 65_535),
+                fields.integer("max_body", 2_048, 0, 1 << 20),
+                fields.micros("read_timeout_ms", 5_000_000L, 10),
+                fields.micros("idle_timeout_ms", 60_000_000L, 10),
+                fields.text("health_path", ""),
                 vars,
                 defaults,
                 routes.routes(defaults));
--- a/server/src/main/java/wheatspread/uwsgi/UwsgiConnection.java
+++ b/server/src/main/java/wheatspread/uwsgi/UwsgiConnection.java
@@ -95,7 +95,7 @@
         while (bytes.isReadable() && openRequests < MAX_OPEN_REQUESTS && !isDraining()) {
             if (decoder == null) {
                 decoder = new UwsgiDecoder(
-                        front.config().mostVars(), front.config().mostBody());
+                        front.config().maxVarsBytes(), front.config().maxBodyBytes());
             }
             Object message = decoder.decode(bytes);
             if (message == null) {
@@ -133,7 +133,7 @@
 
     @Override
     protected int extraBufferedBytes() {
-        return decoder != null && decoder.awaitsBody() ? front.config().mostVars() : 0;
+        return decoder != null && decoder.awaitsBody() ? front.config().maxVarsBytes() : 0;
     }
 
     // ---- requests ----
--- a/server/src/main/java/wheatspread/uwsgi/VarsReader.java
+++ b/server/src/main/java/wheatspread/uwsgi/VarsReader.java
@@ -41,7 +41,7 @@
     InboundRequest read(Map<String, String> vars, byte[] body, long nowMicros) {
         Defaults defaults = routes.find(path(vars));
         UwsgiConfig.Vars names = config.vars();
-        int classIndex = index(vars, names.kind(), settings.classes(), defaults.kind());
+        int classIndex = index(vars, names.kind(), settings.classes(), defaults.requestClass());
         int tenant =
                 settings.tenants().isEmpty() ? 0 : index(vars, names.tenant(), settings.tenants(), defaults.tenant());
         RequestClass requestClass = settings.settings().classes().get(classIndex);
@@ -50,7 +50,7 @@
         if (!hasClientTimeout) {
             timeoutMicros = requestClass.deadlineMicros();
         }
-        double memoryKb = number(vars, names.ram(), defaults.ramKb());
+        double memoryKb = number(vars, names.ram(), defaults.memoryKb());
         if (memoryKb > MAX_MEMORY_KB) {
             throw new InvalidVarException(names.ram(), "is over " + MAX_MEMORY_KB);
         }
@@ -73,7 +73,7 @@
                 hasClientTimeout,
                 false,
                 memoryKb,
-                micros(vars, names.hint(), defaults.hint()),
+                micros(vars, names.hint(), defaults.expectedWorkMicros()),
                 idempotencyKey,
                 cacheKey,
                 body);
--- /dev/null
+++ b/server/src/test/java/wheatspread/config/ConfigProblemTest.java
@@ -0,0 +1,49 @@
+package wheatspread.config;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.catchThrowableOfType;
+
+import java.util.Map;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+/** A fault carries file, line, key, value and allowed values beside its message. */
+class ConfigProblemTest {
+    @Test
+    void faultsOfAFileAreTyped() {
+        JsonFields fields = JsonFile.read("a.json", "{\n\"count\": 9,\n\"mode\": \"odd\",\n\"other\": 1}");
+        fields.only(Set.of("count", "mode"));
+        fields.integer("count", 1, 1, 5);
+        fields.word("mode", Map.of("on", true, "off", false));
+        JsonFields.InvalidValueException invalid =
+                catchThrowableOfType(JsonFields.InvalidValueException.class, fields::settle);
+        assertThat(invalid.problems())
+                .containsExactly(
+                        new ConfigProblem(
+                                "a.json",
+                                4,
+                                "other",
+                                "1",
+                                "[count, mode]",
+                                "a.json:4: other is an unknown key; known are [count, mode]"),
+                        new ConfigProblem("a.json", 2, "count", "9", "1 to 5", "a.json:2: count is 9, not from 1 to 5"),
+                        new ConfigProblem(
+                                "a.json",
+                                3,
+                                "mode",
+                                "odd",
+                                "[off, on]",
+                                "a.json:3: mode is an unknown word: odd; allowed are [off, on]"));
+        assertThat(invalid.faults()).hasSize(3).first().asString().startsWith("a.json:4: other");
+    }
+
+    @Test
+    void faultOfAMessageHasNoFile() {
+        JsonFields fields = JsonFields.of(Map.of("share", 2), "message");
+        JsonFields.InvalidValueException invalid =
+                catchThrowableOfType(JsonFields.InvalidValueException.class, () -> fields.number("share", 0.5, 0, 1));
+        assertThat(invalid.problems())
+                .containsExactly(new ConfigProblem(
+                        null, 0, "message.share", "2", "0.0 to 1.0", "message.share is 2.0, not from 0.0 to 1.0"));
+    }
+}
--- a/server/src/test/java/wheatspread/config/ConfigTest.java
+++ b/server/src/test/java/wheatspread/config/ConfigTest.java
@@ -43,29 +43,30 @@
                 "/settings/Lanes/1|Deadline|null|settings.Lanes[1].Deadline is missing or not a number",
                 "/settings/Lanes/0|Name|7|settings.Lanes[0].Name is missing or not text"
             })
-    void aFaultyPlatformKeyIsNamed(String pointer, String key, String value, String complaint) throws IOException {
-        Map<String, Object> told = changed(PLATFORM, pointer == null ? "" : pointer, key, value);
-        assertThatThrownBy(() -> ServerConfig.read(JsonFields.of(told, "")))
+    void faultyPlatformKeyIsNamed(String pointer, String key, String value, String message) throws IOException {
+        Map<String, Object> fields = changed(PLATFORM, pointer == null ? "" : pointer, key, value);
+        assertThatThrownBy(() -> ServerConfig.read(JsonFields.of(fields, "")))
                 .isInstanceOf(JsonFields.InvalidValueException.class)
-                .hasMessageContaining(complaint);
+                .hasMessageContaining(message);
     }
 
     /** Guards against a start that ends for want of an address which nothing at this site would use. */
     @Test
-    void aSiteWithoutCallsNeedsNoRecordsServiceAndMayHaveNoList() throws IOException {
-        JSONObject told = new JSONObject(Files.readString(PLATFORM));
-        ServerConfig calling = ServerConfig.read(JsonFields.of(told.toMap(), ""));
-        told.remove("records");
-        told.remove("announce");
-        told.getJSONObject("settings").getJSONObject("FamilyInfo").put("DependsOn", "silent");
-        ServerConfig config = ServerConfig.read(JsonFields.of(told.toMap(), ""));
+    void deploymentWithoutCallsNeedsNeitherRecordsNorAnnounceService() throws IOException {
+        JSONObject fields = new JSONObject(Files.readString(PLATFORM));
+        ServerConfig calling = ServerConfig.read(JsonFields.of(fields.toMap(), ""));
+        fields.remove("records");
+        fields.remove("announce");
+        fields.getJSONObject("settings").getJSONObject("FamilyInfo").put("DependsOn", "silent");
+        ServerConfig config = ServerConfig.read(JsonFields.of(fields.toMap(), ""));
         assertThat(config.records()).isNull();
         assertThat(config.announce()).isNull();
-        told.getJSONObject("settings")
+        fields.getJSONObject("settings")
                 .getJSONObject("FamilyInfo")
                 .put("DependsOn", "shared")
                 .put("ClassCalls", List.of(false, false));
-        assertThat(ServerConfig.read(JsonFields.of(told.toMap(), "")).records()).isNull();
+        assertThat(ServerConfig.read(JsonFields.of(fields.toMap(), "")).records())
+                .isNull();
         assertThatThrownBy(() -> calling.requireWhatItHad(config))
                 .isInstanceOf(JsonFields.InvalidValueException.class)
                 .hasMessageContaining("records is missing, and this server has used");
@@ -84,17 +85,17 @@
                 "/uwsgi/routes/1|match|like|uwsgi.routes[1].match is an unknown word: like",
                 "/uwsgi/routes/1|tenant|east|uwsgi.routes[1].tenant is none of [north, south]: east"
             })
-    void aFaultyOperatorKeyIsNamed(String pointer, String key, String value, String complaint) throws IOException {
+    void faultyOperatorKeyIsNamed(String pointer, String key, String value, String message) throws IOException {
         ServerConfig config = ServerConfig.read(JsonFields.of(changed(PLATFORM, "", "name", "w1"), ""));
-        JsonFields told =
+        JsonFields fields =
                 JsonFields.of(changed(OPERATOR, pointer, key, value), "").object("uwsgi", false);
-        assertThatThrownBy(() -> UwsgiConfig.read(told, config.site()))
+        assertThatThrownBy(() -> UwsgiConfig.read(fields, config.site()))
                 .isInstanceOf(JsonFields.InvalidValueException.class)
-                .hasMessageContaining(complaint);
+                .hasMessageContaining(message);
     }
 
     @Test
-    void theOperatorsFileInDeployIsReadAndRoutesInheritItsDefaults() throws IOException {
+    void deployedOperatorFileIsReadAndRoutesInheritItsDefaults() throws IOException {
         JSONObject platform = new JSONObject(Files.readString(PLATFORM));
         String[] classes = {"recipe-page", "search", "ingredients", "save-plan"};
         JSONObject lane =
@@ -115,7 +116,7 @@
     }
 
     @Test
-    void aBadOperatorsFileIsNamedWithItsKeyAndWhatIsAllowed() throws Exception {
+    void faultsOfTheOperatorFileNameKeyAndAllowedValues() throws Exception {
         JSONObject platform = new JSONObject(Files.readString(PLATFORM));
         ServerConfig config = ServerConfig.read(JsonFields.of(platform.toMap(), ""));
         Map<String, String> complaints = Map.of(
@@ -137,7 +138,7 @@
     }
 
     @Test
-    void membershipIsOffWithoutItsKeyAndHasNoAddressOfItsOwn() throws Exception {
+    void membershipIsOffWithoutItsKeyAndHasNoDefaultAddress() throws Exception {
         ServerConfig config = ServerConfig.read(JsonFields.of(new JSONObject(Files.readString(PLATFORM)).toMap(), ""));
         assertThat(OperatorConfig.NONE.membership()).isNull();
         assertThat(readOperator("{}", config).membership()).isNull();
--- a/server/src/test/java/wheatspread/config/SettingsAtSizeTest.java
+++ b/server/src/test/java/wheatspread/config/SettingsAtSizeTest.java
@@ -153,7 +153,7 @@
         Path config = config(tenants(TENANTS).map(one -> one.replace("QuotaPerS\": ", "QuotaPerS\": -1")));
         assertThatThrownBy(() -> load(config, null))
                 .isInstanceOfSatisfying(JsonFields.InvalidValueException.class, e -> {
-                    assertThat(e.faults()).hasSize(ConfigProblems.MOST_KEPT);
+                    assertThat(e.faults()).hasSize(ConfigProblems.MAX_KEPT);
                     assertThat(e.count()).isEqualTo(TENANTS);
                 })
                 .hasMessageEndingWith("(and 99999 more; 'check' names the first 100)");
@@ -209,7 +209,7 @@
     /** Changes the file as soon as its first tenant is read. */
     private record TenantChange(Path file, StandardOpenOption how) implements ListReader {
         @Override
-        public int most() {
+        public int maxElements() {
             return TENANTS;
         }
 
--- a/server/src/test/java/wheatspread/uwsgi/RoutesTest.java
+++ b/server/src/test/java/wheatspread/uwsgi/RoutesTest.java
@@ -39,7 +39,7 @@
         List<Route> routes = ROUTES.stream()
                 .map(text -> route(text.split(" "), ROUTES.indexOf(text)))
                 .toList();
-        assertThat(new Routes(routes, defaults(-1)).find(path).kind()).isEqualTo(classIndex);
+        assertThat(new Routes(routes, defaults(-1)).find(path).requestClass()).isEqualTo(classIndex);
     }
 
     /** Regular expressions nested in a prefix that takes precedence over regular expressions still apply. */
@@ -53,7 +53,7 @@
                 new Route(Match.PREFIX_FIRST, "/a/", null, defaults(1), List.of(inA, prefixInA)),
                 route("regex x$".split(" "), 4),
                 new Route(Match.PREFIX, "/b/", null, defaults(5), List.of(prefixInB)));
-        assertThat(new Routes(routes, defaults(-1)).find(path).kind()).isEqualTo(classIndex);
+        assertThat(new Routes(routes, defaults(-1)).find(path).requestClass()).isEqualTo(classIndex);
     }
 
     private static Route route(String[] words, int classIndex) {
