--- a/server/src/main/java/wheatspread/membership/CutDetector.java
+++ b/server/src/main/java/wheatspread/membership/CutDetector.java
@@ -32,15 +32,15 @@
     private record Summary(long digest, ViewChange whole, ViewChange hasty) {}
 
     /** Somebody who wants to become a member, with what those who would watch it say. */
-    static final class Joiner {
+    private static final class Joiner {
         final Member member;
-        final int[] watchers;
+        final int[] observers;
         final int[] counters;
 
-        Joiner(Member member, int[] watchers) {
+        Joiner(Member member, int[] observers) {
             this.member = member;
-            this.watchers = watchers;
-            counters = new int[watchers.length];
+            this.observers = observers;
+            counters = new int[observers.length];
         }
     }
 
@@ -139,8 +139,9 @@
         return leavingMembers;
     }
 
-    Map<MemberId, Joiner> joiners() {
-        return joiners;
+    /** Who asks to join, in the order of their identities. */
+    List<Member> joiners() {
+        return joiners.values().stream().map(joiner -> joiner.member).toList();
     }
 
     /** Equal where the same is known, and very likely different where not. */
@@ -184,8 +185,24 @@
         return counters[member][slot];
     }
 
-    Joiner joiner(MemberId id) {
-        return joiners.get(id);
+    /** Whether somebody with this identity asks to join. */
+    boolean isJoiner(MemberId id) {
+        return joiners.containsKey(id);
+    }
+
+    /** Who would observe a joiner; see {@link #isJoiner}. */
+    int[] observersOfJoiner(MemberId joiner) {
+        return joiners.get(joiner).observers.clone();
+    }
+
+    /** What an observer said last about a joiner: odd is "reachable". */
+    int joinerCounter(MemberId joiner, int observerIndex) {
+        return joiners.get(joiner).counters[observerIndex];
+    }
+
+    /** Whether a counter says "down", "suspected" or "reachable": it is odd then. */
+    static boolean isSet(int counter) {
+        return (counter & 1) == 1;
     }
 
     /** How many watchers say that a member is down. */
--- a/server/src/main/java/wheatspread/membership/FailureDetector.java
+++ b/server/src/main/java/wheatspread/membership/FailureDetector.java
@@ -50,6 +50,14 @@
         return state;
     }
 
+    boolean isSuspectOrDown() {
+        return state == State.SUSPECT || state == State.DOWN;
+    }
+
+    boolean isDown() {
+        return state == State.DOWN;
+    }
+
     /** Since when it is suspected or down. */
     long suspectedSinceMicros() {
         return suspectedSinceMicros;
--- a/server/src/main/java/wheatspread/membership/GossipUpdate.java
+++ b/server/src/main/java/wheatspread/membership/GossipUpdate.java
@@ -17,9 +17,21 @@
         return this;
     }
 
-    /** Whether it is part of the agreement on the next view, and not evidence about members. */
-    default boolean isAgreement() {
-        return false;
+    /** How the update is handled once it is known; evidence unless a kind says otherwise. */
+    default Category category() {
+        return Category.EVIDENCE;
+    }
+
+    /** How an update that was new here is passed on, and what it may lead to. */
+    enum Category {
+        /** May change which members leave or join: passed on as received. */
+        EVIDENCE,
+        /** Shortens others' suspicions, and changes no view: passed on as received. */
+        SUSPICION,
+        /** A promise of a classic round: passed on as received, with the votes known here. */
+        PROMISE,
+        /** Votes that are merged with those known here: the merged votes are passed on. */
+        VOTES
     }
 
     /** One method for each kind of update, so that a new kind does not compile until all handle it. */
@@ -67,6 +79,11 @@
         public Object supersessionKey() {
             return List.of('s', subject, observerIndex);
         }
+
+        @Override
+        public Category category() {
+            return Category.SUSPICION;
+        }
     }
 
     /** A member leaves by its own decision. */
@@ -111,8 +128,8 @@
         }
 
         @Override
-        public boolean isAgreement() {
-            return true;
+        public Category category() {
+            return Category.VOTES;
         }
     }
 
@@ -129,8 +146,8 @@
         }
 
         @Override
-        public boolean isAgreement() {
-            return true;
+        public Category category() {
+            return Category.VOTES;
         }
     }
 
@@ -147,8 +164,8 @@
         }
 
         @Override
-        public boolean isAgreement() {
-            return true;
+        public Category category() {
+            return Category.PROMISE;
         }
     }
 
@@ -165,8 +182,8 @@
         }
 
         @Override
-        public boolean isAgreement() {
-            return true;
+        public Category category() {
+            return Category.VOTES;
         }
     }
 }
--- a/server/src/test/java/wheatspread/membership/CutDetectorTest.java
+++ b/server/src/test/java/wheatspread/membership/CutDetectorTest.java
@@ -92,7 +92,7 @@
         assertThat(tally.onJoining(member(3, 6))).as("an older start").isFalse();
         assertThat(tally.onJoining(next)).isTrue();
         assertThat(tally.onJoining(next)).isFalse();
-        assertThat(tally.joiner(next.id()).watchers).doesNotContain(3).hasSize(10);
+        assertThat(tally.observersOfJoiner(next.id())).doesNotContain(3).hasSize(10);
         for (int slot = 0; slot < 8; slot++) {
             assertThat(tally.change(true)).isNull();
             tally.onJoinerReachable(next.id(), slot, 1);
