--- a/server/src/main/java/wheatspread/membership/BootstrapProtocol.java
+++ b/server/src/main/java/wheatspread/membership/BootstrapProtocol.java
@@ -25,7 +25,7 @@
     }
 
     /**
-     * Takes the next step towards a new cluster, where one is due.
+     * Takes the next step towards a new cluster, where it is time for one.
      *
      * @param unixMillis the time by the calendar, for the epoch
      * @return the first view of the new cluster, to be installed; null while there is none
--- a/server/src/main/java/wheatspread/membership/ClusterBootstrap.java
+++ b/server/src/main/java/wheatspread/membership/ClusterBootstrap.java
@@ -9,223 +9,263 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How a fleet comes to its first view. Only a seed founds, and only one that is in no view and has not heard
- * of one that stands for a while. It asks the other seeds; each consents to one founder at a time, and no
- * seed that is in a view consents. With more than half of the seeds it makes the first view of an epoch that
- * no other founder can use. So no view is made twice, and two fleets come to be only where consent ran out
- * while its founder was cut off; the later one then gives way ({@link Precedence}).
+ * Cluster bootstrap: how the first view of a cluster is formed. Only a seed forms a cluster, and only one that is in no
+ * view and has for a while heard of none with a reachable quorum. It asks the other seeds for consent; each consents to
+ * one founder at a time, and none that is in a view consents. With consent of more than half of the seeds it makes the
+ * first view of an epoch that no other founder can use.
  *
- * <p>On an operator's order a seed founds with whoever consents, and so do members of a view that does not
- * stand.
+ * <p>So no view number is used twice. Two clusters are formed only where consent expired while its founder was
+ * partitioned; the later one then yields ({@link ViewPrecedence}).
  *
- * <p>It sends nothing and reads no clock; times are microseconds.
+ * <p>On an operator's order a seed forms a cluster with whoever consents, also members of a view without a reachable
+ * quorum.
  */
 final class ClusterBootstrap {
-    /** What is to be done now. */
+    /** What the caller is to do. */
     enum Step {
+        /** Nothing until {@link #nextStepMicros}. */
         NOTHING,
+        /** Ask the seeds for consent to {@link #epoch}. */
         REQUEST_CONSENT,
+        /** Install {@link #firstView}. */
         FORM_CLUSTER
     }
 
     private enum Phase {
-        NONE,
+        /** In a view, or not a seed. */
+        IDLE,
+        /** In no view, and waiting whether one is heard of. */
         QUIET,
-        ASKING
+        /** Asking for consent. */
+        REQUESTING
     }
 
-    /** An epoch is the Unix milliseconds of its founding times this, plus the founder's place. */
+    /** Entries that a list of seeds may have. An epoch is the founding's Unix milliseconds times this, plus a rank. */
     static final int MAX_SEEDS = 32;
-    /** No standing view was heard of for so long; longer than one whose members have gone still says so. */
+    /** No view with a reachable quorum was heard of for this time; members that are gone claim one for less long. */
     static final long QUIET_MICROS = 5_000_000;
-    /** Consent holds for so long. */
+    /** How long a consent is valid. */
     static final long CONSENT_MICROS = 4_000_000;
-    /** Further seeds and newcomers are waited for so long after the last of them. */
-    private static final long GATHER = 1_000_000;
+    /** Wait for further consents and joiners after the last of them, so that the first view has most servers. */
+    private static final long GATHER_MICROS = 1_000_000;
 
-    private static final long AGAIN = 300_000;
-    /** Each seed waits so much longer than the one before it in the list, so that one asks first. */
-    private static final long STAGGER = 500_000;
-    /** Who knocked so long ago may have gone. */
-    private static final long FRESH = 3_000_000;
+    private static final long REQUEST_INTERVAL_MICROS = 300_000;
+    /** Each seed waits this much longer than the one before it in the list, so that usually one asks alone. */
+    private static final long RANK_DELAY_MICROS = 500_000;
+    /** A server whose last join request is older may be gone. */
+    private static final long JOIN_REQUEST_VALID_MICROS = 3_000_000;
+    /** Join requests that are remembered; the oldest is forgotten first. */
+    private static final int MAX_JOIN_REQUESTS = 4_096;
 
-    private static final int MOST_KNOCKERS = 4_096;
+    private static final long FIRST_VIEW_NUMBER = 1;
 
     private final List<String> seeds;
-    private final String address;
-    private final int place;
+    private final String ownAddress;
+    /** This server's place in the list of seeds; negative where it is none. */
+    private final int rank;
+
     private final RandomGenerator random;
-    private final Map<MemberId, Knocked> knockers = new LinkedHashMap<>();
+    private final Map<MemberId, TimedRequest> joinRequests = new LinkedHashMap<>();
+    /** Who will be in the first view. */
     private final Map<MemberId, Member> founders = new LinkedHashMap<>();
-    private final Set<String> consenting = new LinkedHashSet<>();
-    private Phase phase = Phase.NONE;
-    private boolean ordered;
-    private long quietUntil;
-    private long askedAt;
-    private long askAt;
-    private long gatherUntil;
+
+    private final Set<String> consentingAddresses = new LinkedHashSet<>();
+    private Phase phase = Phase.IDLE;
+    private boolean orderedByOperator;
+    private long quietUntilMicros;
+    private long requestingSinceMicros;
+    private long nextRequestMicros;
+    private long gatherUntilMicros;
     private long epoch;
     private long lastEpoch;
-    private MemberId consentTo;
-    private long consentUntil;
+    /** The other founder that this server consented to last; null for none. */
+    private MemberId consentGivenTo;
+
+    private long consentUntilMicros;
 
-    private record Knocked(Member member, long at) {}
+    private record TimedRequest(Member member, long atMicros) {}
 
-    ClusterBootstrap(List<String> seeds, String address, RandomGenerator random) {
+    ClusterBootstrap(List<String> seeds, String ownAddress, RandomGenerator random) {
         if (seeds.size() > MAX_SEEDS) {
             throw new IllegalArgumentException("at most " + MAX_SEEDS + " seeds");
         }
         this.seeds = List.copyOf(seeds);
-        this.address = address;
+        this.ownAddress = ownAddress;
         this.random = random;
-        place = seeds.indexOf(address);
+        rank = seeds.indexOf(ownAddress);
     }
 
     boolean isSeed() {
-        return place >= 0;
+        return rank >= 0;
     }
 
-    /** This member is in no view from now on. */
-    void onLeftView(long now) {
-        phase = isSeed() ? Phase.QUIET : Phase.NONE;
-        ordered = false;
-        quietUntil = now + QUIET_MICROS + Math.max(0, place) * STAGGER;
+    /** This server is in no view from now on. */
+    void onLeftView(long nowMicros) {
+        phase = isSeed() ? Phase.QUIET : Phase.IDLE;
+        orderedByOperator = false;
+        quietUntilMicros = nowMicros + QUIET_MICROS + Math.max(0, rank) * RANK_DELAY_MICROS;
     }
 
-    /** It is in a view. */
+    /** This server is in a view from now on. */
     void onEnteredView() {
-        phase = Phase.NONE;
-        ordered = false;
-        knockers.clear();
+        phase = Phase.IDLE;
+        orderedByOperator = false;
+        joinRequests.clear();
     }
 
-    /** A view that stands was heard of: it is to be joined, and none to be founded. */
-    void onReachableQuorum(long now) {
-        if (phase != Phase.NONE && !ordered) {
-            onLeftView(now);
+    /** A view with a reachable quorum was heard of: it is to be joined, and no cluster to be formed. */
+    void onReachableQuorum(long nowMicros) {
+        if (phase != Phase.IDLE && !orderedByOperator) {
+            onLeftView(nowMicros);
         }
     }
 
-    /** Somebody wants to join, and there is nothing yet to be joined. */
-    void onJoinRequest(Member member, long now) {
-        Knocked old = knockers.remove(member.id());
-        if (knockers.size() >= MOST_KNOCKERS) {
-            knockers.remove(knockers.keySet().iterator().next());
+    /** A server asks to join, while there is no view here that it could join. */
+    void onJoinRequest(Member member, long nowMicros) {
+        TimedRequest last = joinRequests.remove(member.id());
+        if (joinRequests.size() >= MAX_JOIN_REQUESTS) {
+            joinRequests.remove(joinRequests.keySet().iterator().next());
         }
-        knockers.put(member.id(), new Knocked(member, now));
-        if (old == null && phase == Phase.ASKING) {
-            gatherUntil = now + GATHER;
+        joinRequests.put(member.id(), new TimedRequest(member, nowMicros));
+        if (last == null && phase == Phase.REQUESTING) {
+            gatherUntilMicros = nowMicros + GATHER_MICROS;
         }
     }
 
-    /** The operator orders a new epoch with all that consent. */
-    void orderByOperator(long now) {
+    /** An operator orders a new epoch with all that consent. */
+    void orderByOperator(long nowMicros) {
         phase = Phase.QUIET;
-        ordered = true;
-        quietUntil = now;
-        consentTo = null;
+        orderedByOperator = true;
+        quietUntilMicros = nowMicros;
+        consentGivenTo = null;
     }
 
     /**
-     * Another founder asks; returns whether this member consents. {@code free}: it is in no view, or, for
-     * an order, in one that does not stand.
+     * Another founder asks for consent; returns whether this server gives it.
+     *
+     * @param free whether this server is in no view or, for an operator's order, in none with a reachable quorum
      */
-    boolean grantConsent(MemberId founder, boolean free, long now) {
-        if (!free || phase == Phase.ASKING || consentTo != null && !consentTo.equals(founder) && now < consentUntil) {
+    boolean grantConsent(MemberId founder, boolean free, long nowMicros) {
+        boolean boundToAnother =
+                consentGivenTo != null && !consentGivenTo.equals(founder) && nowMicros < consentUntilMicros;
+        if (!free || phase == Phase.REQUESTING || boundToAnother) {
             return false;
         }
-        consentTo = founder;
-        consentUntil = now + CONSENT_MICROS;
+        consentGivenTo = founder;
+        consentUntilMicros = nowMicros + CONSENT_MICROS;
         return true;
     }
 
-    /** Somebody consents to the founding of that epoch. */
-    void onConsent(long to, Member member, long now) {
-        if (phase == Phase.ASKING && to == epoch && founders.putIfAbsent(member.id(), member) == null) {
-            consenting.add(member.address());
-            gatherUntil = now + GATHER;
+    /** A server consents to the cluster of that epoch. */
+    void onConsent(long consentedEpoch, Member member, long nowMicros) {
+        boolean current = phase == Phase.REQUESTING && consentedEpoch == epoch;
+        if (current && founders.putIfAbsent(member.id(), member) == null) {
+            consentingAddresses.add(member.address());
+            gatherUntilMicros = nowMicros + GATHER_MICROS;
         }
     }
 
+    /** When {@link #nextStep} has something to do next. */
     long nextStepMicros() {
         return switch (phase) {
-            case NONE -> Long.MAX_VALUE;
-            case QUIET -> quietUntil;
-            case ASKING -> askAt;
+            case IDLE -> Long.MAX_VALUE;
+            case QUIET -> quietUntilMicros;
+            case REQUESTING -> nextRequestMicros;
         };
     }
 
-    /** The next thing to do; {@code unixMillis} is the time by the calendar, for the epoch. */
-    Step nextStep(Member self, long now, long unixMillis) {
-        if (phase == Phase.QUIET && now >= quietUntil) {
-            if (consentTo != null && now < consentUntil) {
-                quietUntil = consentUntil + random.nextLong(CONSENT_MICROS);
+    /** The next step at this time; {@code unixMillis} is the time by the calendar, for the epoch. */
+    Step nextStep(Member self, long nowMicros, long unixMillis) {
+        if (phase == Phase.QUIET && nowMicros >= quietUntilMicros) {
+            if (consentGivenTo != null && nowMicros < consentUntilMicros) {
+                quietUntilMicros = consentUntilMicros + random.nextLong(CONSENT_MICROS);
                 return Step.NOTHING;
             }
-            begin(self, now, unixMillis);
-        }
-        if (phase != Phase.ASKING) {
-            return Step.NOTHING;
+            startRequesting(self, nowMicros, unixMillis);
         }
-        boolean enough = ordered || 2 * consentingSeeds() > seeds.size();
-        boolean all = !ordered && consenting.containsAll(seeds);
-        if (enough && now >= gatherUntil && (all || now >= askedAt + 2 * GATHER)
-                || enough && now >= askedAt + CONSENT_MICROS - GATHER) {
-            knockers.values().forEach(one -> {
-                if (now - one.at <= FRESH) {
-                    founders.putIfAbsent(one.member.id(), one.member);
-                }
-            });
+        return phase == Phase.REQUESTING ? nextRequestStep(nowMicros) : Step.NOTHING;
+    }
+
+    private Step nextRequestStep(long nowMicros) {
+        if (isReadyToForm(nowMicros)) {
+            addFreshJoiners(nowMicros);
             return Step.FORM_CLUSTER;
         }
-        if (now >= askedAt + CONSENT_MICROS) { // whoever consented is free again: another may try, or this one later
+        if (nowMicros >= requestingSinceMicros + CONSENT_MICROS) {
+            // all consents have expired: another founder may try, or this one again later
             phase = Phase.QUIET;
-            quietUntil = now + random.nextLong(CONSENT_MICROS);
+            quietUntilMicros = nowMicros + random.nextLong(CONSENT_MICROS);
             return Step.NOTHING;
         }
-        if (now >= askAt) {
-            askAt = now + AGAIN;
+        if (nowMicros >= nextRequestMicros) {
+            nextRequestMicros = nowMicros + REQUEST_INTERVAL_MICROS;
             return Step.REQUEST_CONSENT;
         }
         return Step.NOTHING;
     }
 
-    private void begin(Member self, long now, long unixMillis) {
-        phase = Phase.ASKING;
-        epoch = Math.max(unixMillis * MAX_SEEDS + Math.max(0, place), lastEpoch + MAX_SEEDS);
+    /** Whether enough consent, and either nobody further is to be expected or the consents are about to expire. */
+    private boolean isReadyToForm(long nowMicros) {
+        boolean enough = orderedByOperator || 2 * countConsentingSeeds() > seeds.size();
+        if (!enough) {
+            return false;
+        }
+        boolean allConsent = !orderedByOperator && consentingAddresses.containsAll(seeds);
+        boolean gatheredLong = nowMicros >= requestingSinceMicros + 2 * GATHER_MICROS;
+        boolean gathered = nowMicros >= gatherUntilMicros && (allConsent || gatheredLong);
+        boolean consentsExpireSoon = nowMicros >= requestingSinceMicros + CONSENT_MICROS - GATHER_MICROS;
+        return gathered || consentsExpireSoon;
+    }
+
+    private void addFreshJoiners(long nowMicros) {
+        for (TimedRequest request : joinRequests.values()) {
+            if (nowMicros - request.atMicros <= JOIN_REQUEST_VALID_MICROS) {
+                founders.putIfAbsent(request.member.id(), request.member);
+            }
+        }
+    }
+
+    private void startRequesting(Member self, long nowMicros, long unixMillis) {
+        phase = Phase.REQUESTING;
+        epoch = Math.max(unixMillis * MAX_SEEDS + Math.max(0, rank), lastEpoch + MAX_SEEDS);
         lastEpoch = epoch;
-        askedAt = now;
-        askAt = now;
-        gatherUntil = now + GATHER;
-        consentTo = null;
+        requestingSinceMicros = nowMicros;
+        nextRequestMicros = nowMicros;
+        gatherUntilMicros = nowMicros + GATHER_MICROS;
+        consentGivenTo = null;
         founders.clear();
-        consenting.clear();
+        consentingAddresses.clear();
         founders.put(self.id(), self);
-        consenting.add(address);
+        consentingAddresses.add(ownAddress);
     }
 
-    private int consentingSeeds() {
+    private int countConsentingSeeds() {
         int count = 0;
-        for (String one : seeds) {
-            count += consenting.contains(one) ? 1 : 0;
+        for (String seed : seeds) {
+            count += consentingAddresses.contains(seed) ? 1 : 0;
         }
         return count;
     }
 
+    /** The epoch that consent is asked for. */
     long epoch() {
         return epoch;
     }
 
     boolean isOrderedByOperator() {
-        return ordered;
+        return orderedByOperator;
     }
 
-    /** The first view, after {@link Step#FORM_CLUSTER}; of two that have a name, the one that started later. */
+    /** The first view, after {@link Step#FORM_CLUSTER}; of two incarnations of a server, the later one is in it. */
     View firstView() {
         Map<String, Member> byName = new LinkedHashMap<>();
-        for (Member one : founders.values()) {
-            byName.merge(one.id().name(), one, (a, b) -> a.id().start() >= b.id().start() ? a : b);
+        for (Member founder : founders.values()) {
+            byName.merge(founder.id().name(), founder, ClusterBootstrap::laterIncarnation);
         }
-        return new View(new ViewId(epoch, 1), new ArrayList<>(byName.values()));
+        return new View(new ViewId(epoch, FIRST_VIEW_NUMBER), new ArrayList<>(byName.values()));
+    }
+
+    private static Member laterIncarnation(Member first, Member second) {
+        return first.id().start() >= second.id().start() ? first : second;
     }
 }
--- a/server/src/main/java/wheatspread/membership/CutDetector.java
+++ b/server/src/main/java/wheatspread/membership/CutDetector.java
@@ -8,30 +8,33 @@
 import java.util.TreeMap;
 
 /**
- * What the watchers of one view report, and the change that follows from it (L. Suresh and others, "Stable
- * and Consistent Membership at Scale with Rapid", 2018). Each pair of a watcher and its subject has a
- * counter: odd is "down" for a member and "heard" for one that wants to join; the larger counter holds, so a
- * report may be taken back and news may come in any order. One watcher's word moves nothing: somebody goes
- * when the high mark is reached, and while anybody stands between the marks the change waits for it, so that
- * all servers see the same one.
+ * Multi-process cut detection: finds the one change of a view that the observers' reports lead to (L. Suresh and
+ * others, "Stable and Consistent Membership at Scale with Rapid", 2018).
  *
- * <p>It sends nothing and reads no clock.
+ * <p>Each pair of an observer and its subject has a counter that only grows: odd means "down" for a member and
+ * "reachable" for a joiner. The larger counter wins, so reports can be taken back and may arrive late, doubled or in
+ * any order; members with equal counters find equal changes. A subject is removed, or a joiner admitted, from the high
+ * watermark of reports on. One between the low and the high watermark is unstable, and the change waits for it, so
+ * that crashes at about the same time become one change on all members. One observer alone never moves anything.
  */
 final class CutDetector {
+    private static final int DIGEST_FACTOR = 31;
+
     private final View view;
-    private final int[][] counters;
-    /** As the counters, with odd for "suspected": no report yet, and often none in the end. */
-    private final int[][] suspicions;
+    /** By member and observer; odd is "down". */
+    private final int[][] reportCounters;
+    /** By member and observer; odd is "suspected", which is not reported yet and often never will be. */
+    private final int[][] suspicionCounters;
 
     private final BitSet leavingMembers = new BitSet();
     private final Map<MemberId, Joiner> joiners = new TreeMap<>();
-    private final int mostJoiners;
-    /** What follows from all this, until something else is heard; most messages bring nothing new. */
+    private final int maxJoiners;
+    /** Derived from the above and null after a change of it: most messages bring nothing new. */
     private Summary summary;
 
-    private record Summary(long digest, ViewChange whole, ViewChange hasty) {}
+    private record Summary(long digest, ViewChange stableChange, ViewChange changeIgnoringUnstable) {}
 
-    /** Somebody who wants to become a member, with what those who would watch it say. */
+    /** A server that asks to join, its prospective observers and their counters. */
     private static final class Joiner {
         final Member member;
         final int[] observers;
@@ -44,255 +47,261 @@
         }
     }
 
-    /** Beyond {@code mostJoiners} nobody else is heard of until the next view. */
-    CutDetector(View view, int mostJoiners) {
+    /** Beyond {@code maxJoiners} further joiners are ignored until the next view. */
+    CutDetector(View view, int maxJoiners) {
         this.view = view;
-        this.mostJoiners = mostJoiners;
-        counters = new int[view.size()][];
-        suspicions = new int[view.size()][];
-        for (int i = 0; i < counters.length; i++) {
-            counters[i] = new int[view.observersOf(i).length];
-            suspicions[i] = new int[counters[i].length];
+        this.maxJoiners = maxJoiners;
+        reportCounters = new int[view.size()][];
+        suspicionCounters = new int[view.size()][];
+        for (int member = 0; member < reportCounters.length; member++) {
+            int observers = view.observersOf(member).length;
+            reportCounters[member] = new int[observers];
+            suspicionCounters[member] = new int[observers];
         }
     }
 
-    /** A watcher's word on a member; returns whether it was news. */
-    boolean onReport(int member, int slot, int counter) {
-        return changes(raise(counters[member], slot, counter));
-    }
-
-    /** A watcher's suspicion of a member, which moves nothing; returns whether it was news. */
-    boolean onSuspicion(int member, int slot, int counter) {
-        return raise(suspicions[member], slot, counter);
-    }
-
-    int suspicionCounter(int member, int slot) {
-        return suspicions[member][slot];
+    /** Whether a counter says "down", "suspected" or "reachable": it is odd then. */
+    static boolean isSet(int counter) {
+        return (counter & 1) == 1;
     }
 
-    int observerCount(int member) {
-        return counters[member].length;
+    /** An observer's report on a member; returns whether it was new. */
+    boolean onReport(int member, int observerIndex, int counter) {
+        return invalidateIf(raise(reportCounters[member], observerIndex, counter));
     }
 
-    /** How many watchers other than that one suspect a member. */
-    int otherSuspecters(int member, int slot) {
-        return odd(suspicions[member]) - (suspicions[member][slot] & 1);
+    /** An observer's suspicion of a member, which leads to no change; returns whether it was new. */
+    boolean onSuspicion(int member, int observerIndex, int counter) {
+        return raise(suspicionCounters[member], observerIndex, counter);
     }
 
-    /** A member goes by itself. */
+    /** A member announces that it leaves; returns whether that was new. */
     boolean onLeaving(int member) {
-        boolean news = !leavingMembers.get(member);
+        boolean isNew = !leavingMembers.get(member);
         leavingMembers.set(member);
-        return changes(news);
+        return invalidateIf(isNew);
     }
 
     /**
-     * Somebody wants to join; returns whether it was news. One of an older start than a member or another
-     * joiner of its name is passed over.
+     * A server asks to join; returns whether that was new. An incarnation that is not later than that of a member or
+     * another joiner of its name is ignored.
      */
-    boolean onJoining(Member member) {
-        Member old = view.memberNamed(member.id().name());
-        if (joiners.containsKey(member.id())
-                || joiners.size() >= mostJoiners
-                || old != null && old.id().start() >= member.id().start()) {
+    boolean onJoining(Member joiner) {
+        String name = joiner.id().name();
+        Member predecessor = view.memberNamed(name);
+        boolean outdated =
+                predecessor != null && predecessor.id().start() >= joiner.id().start();
+        if (joiners.containsKey(joiner.id()) || joiners.size() >= maxJoiners || outdated) {
             return false;
         }
         for (MemberId other : List.copyOf(joiners.keySet())) {
-            if (other.name().equals(member.id().name())) {
-                if (other.start() > member.id().start()) {
+            if (other.name().equals(name)) {
+                if (other.start() > joiner.id().start()) {
                     return false;
                 }
                 joiners.remove(other);
             }
         }
-        summary = null;
-        joiners.put(
-                member.id(),
-                new Joiner(member, view.observersOf(member.id().name(), old == null ? -1 : view.indexOf(old.id()))));
-        return true;
+        int excluded = predecessor == null ? View.NO_MEMBER : view.indexOf(predecessor.id());
+        joiners.put(joiner.id(), new Joiner(joiner, view.observersOf(name, excluded)));
+        return invalidateIf(true);
     }
 
-    /** The word on a joiner of one who would watch it. */
-    boolean onJoinerReachable(MemberId joiner, int slot, int counter) {
-        Joiner of = joiners.get(joiner);
-        return of != null && changes(raise(of.counters, slot, counter));
+    /** A prospective observer's report on a joiner; returns whether it was new. */
+    boolean onJoinerReachable(MemberId joiner, int observerIndex, int counter) {
+        Joiner known = joiners.get(joiner);
+        return known != null && invalidateIf(raise(known.counters, observerIndex, counter));
     }
 
-    /** Where something is news, what followed from all before holds no longer. */
-    private boolean changes(boolean news) {
-        if (news) {
+    private boolean invalidateIf(boolean isNew) {
+        if (isNew) {
             summary = null;
         }
-        return news;
+        return isNew;
     }
 
-    private static boolean raise(int[] of, int slot, int counter) {
-        if (slot < 0 || slot >= of.length || counter <= of[slot]) {
+    private static boolean raise(int[] counters, int index, int counter) {
+        if (index < 0 || index >= counters.length || counter <= counters[index]) {
             return false;
         }
-        of[slot] = counter;
+        counters[index] = counter;
         return true;
     }
 
-    /** Who said that it goes. */
-    BitSet leavingMembers() {
-        return leavingMembers;
-    }
-
-    /** Who asks to join, in the order of their identities. */
-    List<Member> joiners() {
-        return joiners.values().stream().map(joiner -> joiner.member).toList();
+    int observerCount(int member) {
+        return reportCounters[member].length;
     }
 
-    /** Equal where the same is known, and very likely different where not. */
-    long digest() {
-        return summary().digest;
+    int reportCounter(int member, int observerIndex) {
+        return reportCounters[member][observerIndex];
     }
 
-    /**
-     * How many members are missed: they may have gone, or be behind a cut. Suspicions count here, since a
-     * side that is cut off distrusts itself and is slow to report. It goes through all members.
-     */
-    int countUnreachable() {
-        return countMissed(unstable());
+    int suspicionCounter(int member, int observerIndex) {
+        return suspicionCounters[member][observerIndex];
     }
 
-    /**
-     * The change that the reports lead to; null while there is none, or while somebody stands between the
-     * marks. Who is {@code hasty} has waited for these long enough, and leaves them in.
-     */
-    ViewChange change(boolean hasty) {
-        return hasty ? summary().hasty : summary().whole;
+    /** How many observers report a member down. */
+    int downReports(int member) {
+        return countSet(reportCounters[member]);
     }
 
-    private Summary summary() {
-        if (summary == null) {
-            BitSet unstable = unstable();
-            summary = new Summary(computeDigest(), computeChange(unstable, false), computeChange(unstable, true));
-        }
-        return summary;
+    /** How many observers suspect a member, without that one. */
+    int otherSuspecters(int member, int observerIndex) {
+        int own = suspicionCounters[member][observerIndex] & 1;
+        return countSet(suspicionCounters[member]) - own;
     }
 
-    private long computeDigest() {
-        long digest = Arrays.deepHashCode(counters) * 31L + leavingMembers.hashCode();
-        for (Joiner one : joiners.values()) {
-            digest = digest * 31 + one.member.hashCode() * 31L + Arrays.hashCode(one.counters);
-        }
-        return digest;
+    /** The members that announced that they leave, by index. */
+    BitSet leavingMembers() {
+        return leavingMembers;
     }
 
-    int reportCounter(int member, int slot) {
-        return counters[member][slot];
+    /** The servers that ask to join, in the order of their identities. */
+    List<Member> joiners() {
+        return joiners.values().stream().map(joiner -> joiner.member).toList();
     }
 
-    /** Whether somebody with this identity asks to join. */
+    /** Whether a server with this identity asks to join. */
     boolean isJoiner(MemberId id) {
         return joiners.containsKey(id);
     }
 
-    /** Who would observe a joiner; see {@link #isJoiner}. */
+    /** The members that would observe a joiner; see {@link #isJoiner}. */
     int[] observersOfJoiner(MemberId joiner) {
         return joiners.get(joiner).observers.clone();
     }
 
-    /** What an observer said last about a joiner: odd is "reachable". */
+    /** An observer's counter on a joiner; see {@link #isJoiner}. */
     int joinerCounter(MemberId joiner, int observerIndex) {
         return joiners.get(joiner).counters[observerIndex];
     }
 
-    /** Whether a counter says "down", "suspected" or "reachable": it is odd then. */
-    static boolean isSet(int counter) {
-        return (counter & 1) == 1;
-    }
-
-    /** How many watchers say that a member is down. */
-    int downReports(int member) {
-        return odd(counters[member]);
+    /** Equal where the same is known, and very likely different where not. Suspicions do not count. */
+    long digest() {
+        return summary().digest;
     }
 
-    private static int odd(int[] of) {
-        int odd = 0;
-        for (int one : of) {
-            odd += one & 1;
-        }
-        return odd;
+    /**
+     * The change that the reports lead to; null while there is none.
+     *
+     * @param ignoreUnstable whether unstable members stay in the view and unstable joiners outside; else there is no
+     *     change while any is unstable
+     */
+    ViewChange change(boolean ignoreUnstable) {
+        return ignoreUnstable ? summary().changeIgnoringUnstable : summary().stableChange;
     }
 
     /**
-     * How many watchers count against a member: those that say so, and of a member that is unstable also
-     * those who are unstable themselves, since who is gone can't report whom it watched.
+     * How many members seem unreachable from here: crashed, or behind a partition. Suspicions count too, since the
+     * smaller side of a partition distrusts its own health and is slow to report. It goes through all members.
      */
-    private int against(int member, BitSet unstable) {
-        int against = downReports(member);
-        if (unstable.get(member)) {
-            int[] watchers = view.observersOf(member);
-            for (int slot = 0; slot < watchers.length; slot++) {
-                if ((counters[member][slot] & 1) == 0 && unstable.get(watchers[slot])) {
-                    against++;
+    int countUnreachable() {
+        BitSet unreachable = unstableMembers();
+        int counted = 0;
+        // most observers of a member behind a partition are there too and report nothing, so each round counts only
+        // the observers that are still reachable, until a round finds no further member
+        while (unreachable.cardinality() > counted) {
+            counted = unreachable.cardinality();
+            for (int member = 0; member < view.size(); member++) {
+                if (isMissedByHalfOfReachableObservers(member, unreachable)) {
+                    unreachable.set(member);
                 }
             }
         }
-        return against;
+        return counted;
     }
 
-    /**
-     * Who is missed by half of the watchers that are not missed themselves is missed too: beside a cut most
-     * watchers of those behind it are there as well and say nothing.
-     */
-    private int countMissed(BitSet unstable) {
-        BitSet missed = (BitSet) unstable.clone();
-        int before = 0;
-        while (missed.cardinality() > before) {
-            before = missed.cardinality();
-            for (int i = 0; i < view.size(); i++) {
-                int[] watchers = view.observersOf(i);
-                int here = 0;
-                for (int watcher : watchers) {
-                    here += missed.get(watcher) ? 0 : 1;
-                }
-                int against = 0;
-                for (int slot = 0; slot < watchers.length; slot++) {
-                    against += (counters[i][slot] | suspicions[i][slot]) & 1;
-                }
-                missed.set(i, missed.get(i) || against > 0 && 2 * against >= here);
-            }
+    private boolean isMissedByHalfOfReachableObservers(int member, BitSet unreachable) {
+        int reachableObservers = 0;
+        for (int observer : view.observersOf(member)) {
+            reachableObservers += unreachable.get(observer) ? 0 : 1;
+        }
+        int missing = 0;
+        for (int observer = 0; observer < reportCounters[member].length; observer++) {
+            missing += (reportCounters[member][observer] | suspicionCounters[member][observer]) & 1;
+        }
+        return missing > 0 && 2 * missing >= reachableObservers;
+    }
+
+    private Summary summary() {
+        if (summary == null) {
+            BitSet unstable = unstableMembers();
+            summary = new Summary(computeDigest(), computeChange(unstable, false), computeChange(unstable, true));
+        }
+        return summary;
+    }
+
+    private long computeDigest() {
+        long digest = Arrays.deepHashCode(reportCounters) * (long) DIGEST_FACTOR + leavingMembers.hashCode();
+        for (Joiner joiner : joiners.values()) {
+            long joinerHash = joiner.member.hashCode() * (long) DIGEST_FACTOR + Arrays.hashCode(joiner.counters);
+            digest = digest * DIGEST_FACTOR + joinerHash;
         }
-        return before;
+        return digest;
     }
 
-    private BitSet unstable() {
+    private BitSet unstableMembers() {
         BitSet unstable = new BitSet();
-        for (int i = 0; i < view.size(); i++) {
-            unstable.set(i, counters[i].length > 0 && downReports(i) >= View.lowWatermark(counters[i].length));
+        for (int member = 0; member < view.size(); member++) {
+            int observers = observerCount(member);
+            unstable.set(member, observers > 0 && downReports(member) >= View.lowWatermark(observers));
         }
         return unstable;
     }
 
-    private ViewChange computeChange(BitSet unstable, boolean hasty) {
+    private ViewChange computeChange(BitSet unstable, boolean ignoreUnstable) {
         List<MemberId> out = new ArrayList<>();
-        for (int i = 0; i < view.size(); i++) {
-            boolean gone = leavingMembers.get(i)
-                    || unstable.get(i) && against(i, unstable) >= View.highWatermark(counters[i].length);
-            if (gone) {
-                out.add(view.members().get(i).id());
-            } else if (unstable.get(i) && !hasty) {
+        for (int member = 0; member < view.size(); member++) {
+            boolean aboveHighWatermark = unstable.get(member)
+                    && effectiveReports(member, unstable) >= View.highWatermark(observerCount(member));
+            if (leavingMembers.get(member) || aboveHighWatermark) {
+                out.add(view.members().get(member).id());
+            } else if (unstable.get(member) && !ignoreUnstable) {
                 return null;
             }
         }
         List<Member> in = new ArrayList<>();
-        for (Joiner one : joiners.values()) {
-            int heard = odd(one.counters);
-            if (heard >= View.highWatermark(one.counters.length)) {
-                in.add(one.member);
-                Member old = view.memberNamed(one.member.id().name());
-                if (old != null && !out.contains(old.id())) {
-                    out.add(old.id()); // it was restarted before anybody noticed
-                }
-            } else if (heard >= View.lowWatermark(one.counters.length) && !hasty) {
+        for (Joiner joiner : joiners.values()) {
+            int reachable = countSet(joiner.counters);
+            if (reachable >= View.highWatermark(joiner.counters.length)) {
+                in.add(joiner.member);
+                removePredecessor(joiner.member, out);
+            } else if (reachable >= View.lowWatermark(joiner.counters.length) && !ignoreUnstable) {
                 return null;
             }
         }
         ViewChange change = ViewChange.of(out, in);
         return change.isEmpty() ? null : change;
     }
+
+    /** A server that restarted before its observers noticed takes the place of its earlier incarnation. */
+    private void removePredecessor(Member joiner, List<MemberId> out) {
+        Member predecessor = view.memberNamed(joiner.id().name());
+        if (predecessor != null && !out.contains(predecessor.id())) {
+            out.add(predecessor.id());
+        }
+    }
+
+    /**
+     * The reports on an unstable member, with those of its observers that are unstable themselves: an observer that
+     * crashed together with its subject can't report it (Rapid's implicit alerts).
+     */
+    private int effectiveReports(int member, BitSet unstable) {
+        int reports = downReports(member);
+        int[] observers = view.observersOf(member);
+        for (int observerIndex = 0; observerIndex < observers.length; observerIndex++) {
+            if (!isSet(reportCounters[member][observerIndex]) && unstable.get(observers[observerIndex])) {
+                reports++;
+            }
+        }
+        return reports;
+    }
+
+    private static int countSet(int[] counters) {
+        int set = 0;
+        for (int counter : counters) {
+            set += counter & 1;
+        }
+        return set;
+    }
 }
--- a/server/src/main/java/wheatspread/membership/Departure.java
+++ b/server/src/main/java/wheatspread/membership/Departure.java
@@ -3,20 +3,31 @@
 import java.util.List;
 
 /**
- * Why somebody went from one view to the next, as far as it was known where this is told.
+ * A member of one view that is not in the next, with the cause as far as it is known on this server.
  *
- * @param witnesses names of the watchers that reported it; none where it went by itself or was restarted
+ * @param witnesses names of the observers that reported it down; none where that is not the cause
  */
 public record Departure(MemberId who, Cause cause, List<String> witnesses) {
-    /** What took it out. */
+    /** Why a member departed. */
     public enum Cause {
-        /** It said that it goes. */
-        LEFT,
-        /** Its watchers missed it. */
-        MISSED,
-        /** The next process of its name was there already. */
-        RESTARTED,
-        /** The view was told by others, who may know. */
-        TOLD
+        /** It announced that it leaves. */
+        LEFT("LEFT"),
+        /** Its observers reported it down. */
+        MISSED("MISSED"),
+        /** A later incarnation of it joined. */
+        RESTARTED("RESTARTED"),
+        /** The view was learnt from another member, which may know the cause. */
+        LEARNT_FROM_PEER("TOLD");
+
+        private final String logName;
+
+        Cause(String logName) {
+            this.logName = logName;
+        }
+
+        /** The name in the log, which stays when the constant is renamed. */
+        public String logName() {
+            return logName;
+        }
     }
 }
--- a/server/src/main/java/wheatspread/membership/DetectorSettings.java
+++ b/server/src/main/java/wheatspread/membership/DetectorSettings.java
@@ -1,55 +1,64 @@
 package wheatspread.membership;
 
 /**
- * How a member watches others. Times are microseconds.
+ * How a member observes others. Times are microseconds.
  *
- * @param period from one probe of a subject to the next
- * @param direct how long the answer to a probe is waited for before others are asked to probe
- * @param whole how long a probe takes in all, with those others
- * @param helpers how many others are asked
- * @param leastSuspicion how long a suspicion lasts that enough others share
- * @param mostSuspicion how long one lasts that nobody shares
- * @param confirmations so many others' suspicions make one as short as it may be; 0 for one length, as in
- *     SWIM
- * @param worstHealth how much a member may distrust itself: its waits grow to one more than that many times;
- *     0 for not at all
- * @param lateTurn a turn that comes this late counts against the member's own health
+ * @param probePeriodMicros from one probe of a subject to the next
+ * @param directTimeoutMicros how long an answer to a probe is waited for before helpers are asked
+ * @param probeTimeoutMicros how long a probe takes in all, with those helpers
+ * @param helpers how many members are asked to probe indirectly
+ * @param minSuspicionMicros timeout of a suspicion with enough confirmations
+ * @param maxSuspicionMicros timeout of a suspicion without any
+ * @param confirmations other observers' suspicions that make the timeout the shortest; 0 for one timeout, as in SWIM
+ * @param maxHealthScore the worst local health score: waits grow to one more than that many times; 0 for not at all
+ * @param lateTurnMicros a turn that is this late counts against the member's own health
  */
 public record DetectorSettings(
-        long period,
-        long direct,
-        long whole,
+        long probePeriodMicros,
+        long directTimeoutMicros,
+        long probeTimeoutMicros,
         int helpers,
-        long leastSuspicion,
-        long mostSuspicion,
+        long minSuspicionMicros,
+        long maxSuspicionMicros,
         int confirmations,
-        int worstHealth,
-        long lateTurn) {
-    /** Somebody who ends is reported by all its watchers after some 2 to 3 s. */
+        int maxHealthScore,
+        long lateTurnMicros) {
+    /** What the server uses: a member that crashes is reported by all its observers after some 2 to 3 s. */
     public static final DetectorSettings USUAL =
             new DetectorSettings(1_000_000, 300_000, 700_000, 3, 1_000_000, 3_000_000, 3, 8, 200_000);
 
+    /** Checks that the timeouts are in order. */
     public DetectorSettings {
-        if (!(0 < direct
-                && direct <= whole
-                && whole <= period
-                && 0 <= leastSuspicion
-                && leastSuspicion <= mostSuspicion
-                && confirmations >= 0
-                && worstHealth >= 0
-                && lateTurn > 0)) {
-            throw new IllegalArgumentException(
-                    "direct <= whole <= period and leastSuspicion <= " + "mostSuspicion: " + this);
+        boolean probeTimesInOrder = 0 < directTimeoutMicros
+                && directTimeoutMicros <= probeTimeoutMicros
+                && probeTimeoutMicros <= probePeriodMicros;
+        boolean suspicionTimesInOrder = 0 <= minSuspicionMicros && minSuspicionMicros <= maxSuspicionMicros;
+        if (!probeTimesInOrder
+                || !suspicionTimesInOrder
+                || confirmations < 0
+                || maxHealthScore < 0
+                || lateTurnMicros <= 0) {
+            throw new IllegalArgumentException("timeouts out of order, or a count below 0: " + this);
         }
     }
 
-    /** SWIM without suspicion: the first probe that fails is a report. */
+    /** SWIM without suspicions: the first probe that fails is reported. */
     public DetectorSettings plain() {
-        return new DetectorSettings(period, direct, whole, helpers, 0, 0, 0, 0, Long.MAX_VALUE);
+        return new DetectorSettings(
+                probePeriodMicros, directTimeoutMicros, probeTimeoutMicros, helpers, 0, 0, 0, 0, Long.MAX_VALUE);
     }
 
-    /** SWIM with suspicions of one length, and trust in oneself. */
+    /** SWIM with suspicions of one timeout, and without local health. */
     public DetectorSettings suspicious() {
-        return new DetectorSettings(period, direct, whole, helpers, mostSuspicion, mostSuspicion, 0, 0, Long.MAX_VALUE);
+        return new DetectorSettings(
+                probePeriodMicros,
+                directTimeoutMicros,
+                probeTimeoutMicros,
+                helpers,
+                maxSuspicionMicros,
+                maxSuspicionMicros,
+                0,
+                0,
+                Long.MAX_VALUE);
     }
 }
--- a/server/src/main/java/wheatspread/membership/FailureDetector.java
+++ b/server/src/main/java/wheatspread/membership/FailureDetector.java
@@ -1,49 +1,56 @@
 package wheatspread.membership;
 
 /**
- * What one member makes of another that it watches. A probe that is not answered in time is asked again
- * through others; one that fails even so begins a suspicion, which lasts the shorter the more other watchers
- * share it; one that is not answered until then becomes a report. An answer ends all of it, and takes a
- * report back.
- *
- * <p>It sends nothing, reads no clock and holds no random source; times are microseconds.
+ * What one observer concludes about one subject, after SWIM with Lifeguard's suspicion timeouts. A probe that is not
+ * answered in time is repeated through helpers; one that fails even so starts a suspicion, which lasts the shorter the
+ * more other observers share it; a suspicion that runs out becomes a report. Any answer ends all of it and takes a
+ * report back. Probes go on at each state, so that a subject that is down can recover.
  */
 final class FailureDetector {
-    /** Where it stands. */
+    /** What is concluded about the subject. */
     enum State {
+        /** It answered last. */
         HEALTHY,
+        /** The first probe since an answer is under way. */
         PROBING,
+        /** That probe is repeated through helpers. */
         PROBING_INDIRECTLY,
+        /** A probe failed, and the suspicion timeout runs. */
         SUSPECT,
+        /** The suspicion timeout ran out, and the subject is reported. */
         DOWN
     }
 
-    /** What is to be done now. */
+    /** What the observer is to do. */
     enum Step {
+        /** Nothing until {@link #nextStepMicros}. */
         NOTHING,
+        /** Send a probe. */
         PROBE,
+        /** Ask helpers to probe. */
         PROBE_INDIRECTLY,
+        /** Publish a suspicion. */
         SUSPECT,
+        /** Publish a report that the subject is down. */
         REPORT
     }
 
     private final DetectorSettings settings;
     private final LocalHealth health;
     private State state = State.HEALTHY;
-    /** When the present probe began, or when the next one is due. */
-    private long probeAt;
+    /** When the current probe began or, between probes, when the next one does. */
+    private long probeMicros;
 
     private boolean probing;
-    private boolean askedAround;
+    private boolean helpersAsked;
     private long suspectedSinceMicros;
-    private int updateConfirmations;
-    private int enough;
+    private int confirmations;
+    private int confirmationsNeeded;
 
-    /** The first probe is due at {@code first}. */
-    FailureDetector(DetectorSettings settings, LocalHealth health, long first) {
+    FailureDetector(DetectorSettings settings, LocalHealth health, long firstProbeMicros) {
         this.settings = settings;
         this.health = health;
-        probeAt = first;
+        probeMicros = firstProbeMicros;
     }
 
     State state() {
@@ -58,88 +65,103 @@
         return state == State.DOWN;
     }
 
-    /** Since when it is suspected or down. */
+    /** When the suspicion began; only while {@link #isSuspectOrDown}. */
     long suspectedSinceMicros() {
         return suspectedSinceMicros;
     }
 
-    /** How many other watchers share the suspicion, of how many that there are. */
-    void updateConfirmations(int others, int possible) {
-        updateConfirmations = others;
-        enough = Math.min(settings.confirmations(), possible);
+    /** How many other observers share the suspicion, and how many there are. */
+    void updateConfirmations(int sharedBy, int otherObservers) {
+        confirmations = sharedBy;
+        confirmationsNeeded = Math.min(settings.confirmations(), otherObservers);
     }
 
     /** When {@link #nextStep} has something to do next. */
     long nextStepMicros() {
-        long probe = !probing
-                ? probeAt
-                : askedAround
-                        ? probeAt + settings.whole() * health.multiplier()
-                        : probeAt + settings.direct() * health.multiplier();
-        return state == State.SUSPECT ? Math.min(probe, suspectedSinceMicros + suspicionTimeoutMicros()) : probe;
+        long next = probeMicros;
+        if (probing) {
+            next += helpersAsked ? probeTimeoutMicros() : directTimeoutMicros();
+        }
+        return state == State.SUSPECT ? Math.min(next, suspectedSinceMicros + suspicionTimeoutMicros()) : next;
+    }
+
+    private long directTimeoutMicros() {
+        return settings.directTimeoutMicros() * health.multiplier();
     }
 
-    /** How long the present suspicion lasts, by how many share it. */
+    private long probeTimeoutMicros() {
+        return settings.probeTimeoutMicros() * health.multiplier();
+    }
+
+    /**
+     * How long the current suspicion lasts: between the longest and the shortest timeout, by the logarithm of its
+     * confirmations, as in Lifeguard.
+     */
     long suspicionTimeoutMicros() {
-        double spread = settings.mostSuspicion() - settings.leastSuspicion();
-        double share = enough == 0 ? 0 : Math.log1p(Math.min(updateConfirmations, enough)) / Math.log1p(enough);
-        return (long) (settings.mostSuspicion() - spread * share) * health.multiplier();
+        double range = settings.maxSuspicionMicros() - settings.minSuspicionMicros();
+        double confirmed = confirmationsNeeded == 0
+                ? 0
+                : Math.log1p(Math.min(confirmations, confirmationsNeeded)) / Math.log1p(confirmationsNeeded);
+        return (long) (settings.maxSuspicionMicros() - range * confirmed) * health.multiplier();
     }
 
-    /** The next thing to do at this time; to be asked again until it is nothing. */
-    Step nextStep(long now) {
-        if (state == State.SUSPECT && now >= suspectedSinceMicros + suspicionTimeoutMicros()) {
+    /** The next step at this time; to be called again until there is none. */
+    Step nextStep(long nowMicros) {
+        if (state == State.SUSPECT && nowMicros >= suspectedSinceMicros + suspicionTimeoutMicros()) {
             state = State.DOWN;
             return Step.REPORT;
         }
         if (!probing) {
-            if (now < probeAt) {
-                return Step.NOTHING;
-            }
-            probing = true;
-            askedAround = false;
-            probeAt = now;
-            state = state == State.HEALTHY ? State.PROBING : state;
-            return Step.PROBE;
+            return nowMicros < probeMicros ? Step.NOTHING : startProbe(nowMicros);
         }
-        if (!askedAround && now >= probeAt + settings.direct() * health.multiplier()) {
-            askedAround = true;
+        if (!helpersAsked && nowMicros >= probeMicros + directTimeoutMicros()) {
+            helpersAsked = true;
             state = state == State.PROBING ? State.PROBING_INDIRECTLY : state;
             return Step.PROBE_INDIRECTLY;
         }
-        if (now >= probeAt + settings.whole() * health.multiplier()) {
-            probing = false;
-            probeAt += settings.period() * health.multiplier();
-            if (state == State.PROBING_INDIRECTLY) {
-                state = State.SUSPECT;
-                suspectedSinceMicros = now;
-                return Step.SUSPECT;
-            }
+        if (nowMicros >= probeMicros + probeTimeoutMicros()) {
+            return failProbe(nowMicros);
         }
         return Step.NOTHING;
     }
 
-    /**
-     * It answered, directly or through somebody; returns whether a suspicion or a report is to be taken
-     * back.
-     */
+    private Step startProbe(long nowMicros) {
+        probing = true;
+        helpersAsked = false;
+        probeMicros = nowMicros;
+        state = state == State.HEALTHY ? State.PROBING : state;
+        return Step.PROBE;
+    }
+
+    private Step failProbe(long nowMicros) {
+        probing = false;
+        probeMicros += settings.probePeriodMicros() * health.multiplier();
+        if (state != State.PROBING_INDIRECTLY) {
+            return Step.NOTHING;
+        }
+        state = State.SUSPECT;
+        suspectedSinceMicros = nowMicros;
+        return Step.SUSPECT;
+    }
+
+    /** The subject answered, directly or through a helper; returns whether a suspicion or report is to be withdrawn. */
     boolean onAnswer() {
-        boolean back = state == State.SUSPECT || state == State.DOWN;
+        boolean withdraw = isSuspectOrDown();
         state = State.HEALTHY;
-        updateConfirmations = 0;
+        confirmations = 0;
         if (probing) {
             probing = false;
-            probeAt += settings.period();
+            probeMicros += settings.probePeriodMicros();
         }
-        return back;
+        return withdraw;
     }
 
     /**
-     * This member was stopped for so long: what came meanwhile is not read yet, so nothing that was waited
-     * for counts as missed, and who is suspected gets the time back.
+     * This process was suspended for that time. Answers that came meanwhile are not read yet, so no probe counts as
+     * failed, and a suspected subject gets the time back.
      */
-    void extendDeadlines(long micros) {
-        probeAt += micros;
-        suspectedSinceMicros += micros;
+    void extendDeadlines(long suspendedMicros) {
+        probeMicros += suspendedMicros;
+        suspectedSinceMicros += suspendedMicros;
     }
 }
--- a/server/src/main/java/wheatspread/membership/GossipQueue.java
+++ b/server/src/main/java/wheatspread/membership/GossipQueue.java
@@ -8,88 +8,104 @@
 import java.util.Map;
 
 /**
- * News to be passed on, each piece a bounded number of times (A. Das and others, "SWIM", 2002), that which
- * was passed on least first. Newer news of a subject takes the place of older. A message takes time for the
- * pieces that it takes, not for all that wait: under loss these are many.
+ * Gossip updates to be sent, each a bounded number of times, the least sent first (A. Das and others, "SWIM", 2002). An
+ * update takes the place of a queued one with an equal {@link GossipUpdate#supersessionKey}. The cost of a message
+ * grows with the updates that it takes, not with all that are queued, which are many while messages are lost.
  */
 final class GossipQueue {
-    /** Each piece is passed on so many times the logarithm of the fleet's size. */
-    private static final int TIMES = 4;
-    /** So many times as many entries as are in use may wait, and so many more, before they are sorted out. */
-    private static final int SLACK = 2;
-
-    private static final int SLACK_AT_LEAST = 256;
+    /** Each update is sent so many times the binary logarithm of the fleet's size, which reaches all very likely. */
+    private static final int SENDS_PER_LOG_SIZE = 4;
+    /** Superseded entries are removed once the queue is this many times as long as its valid entries, */
+    private static final int MAX_LENGTH_RATIO = 2;
+    /** and longer by that number besides, so that short queues are not cleaned all the time. */
+    private static final int LENGTH_ALLOWANCE = 256;
 
+    /** The valid entries by supersession key. */
     private final Map<Object, Entry> entries = new HashMap<>();
-    /** By how often they are still to be passed on, 1 first; entries that were replaced are passed over. */
-    private final List<Deque<Entry>> byLeft = new ArrayList<>();
+    /** Queued entries by how often they are still to be sent, from 1 on; superseded ones are skipped. */
+    private final List<Deque<Entry>> bySendsLeft = new ArrayList<>();
 
     private int queuedEntries;
 
     private static final class Entry {
-        final GossipUpdate news;
-        int left;
+        private final GossipUpdate update;
+        private int sendsLeft;
 
-        Entry(GossipUpdate news, int left) {
-            this.news = news;
-            this.left = left;
+        Entry(GossipUpdate update, int sendsLeft) {
+            this.update = update;
+            this.sendsLeft = sendsLeft;
         }
     }
 
-    /** Forgets all: what was news of one view is none of the next. */
-    void reset(int fleet) {
+    /** Empties the queue for a view of that size. */
+    void reset(int fleetSize) {
         entries.clear();
-        byLeft.clear();
+        bySendsLeft.clear();
         queuedEntries = 0;
-        for (int times = TIMES * (32 - Integer.numberOfLeadingZeros(fleet)); times > 0; times--) {
-            byLeft.add(new ArrayDeque<>());
+        int logSize = Integer.SIZE - Integer.numberOfLeadingZeros(fleetSize);
+        for (int sends = SENDS_PER_LOG_SIZE * logSize; sends > 0; sends--) {
+            bySendsLeft.add(new ArrayDeque<>());
         }
     }
 
-    void add(GossipUpdate news) {
-        Entry entry = new Entry(news, byLeft.size());
-        entries.put(news.supersessionKey(), entry);
-        await(entry);
-        if (queuedEntries > SLACK * entries.size() + SLACK_AT_LEAST) { // or those replaced would pile up
-            byLeft.forEach(some -> some.removeIf(one -> entries.get(one.news.supersessionKey()) != one));
-            queuedEntries = entries.size();
+    void add(GossipUpdate update) {
+        Entry entry = new Entry(update, bySendsLeft.size());
+        entries.put(update.supersessionKey(), entry);
+        enqueue(entry);
+        if (queuedEntries > MAX_LENGTH_RATIO * entries.size() + LENGTH_ALLOWANCE) {
+            removeSuperseded();
         }
     }
 
-    private void await(Entry entry) {
-        byLeft.get(entry.left - 1).add(entry);
+    private void enqueue(Entry entry) {
+        bySendsLeft.get(entry.sendsLeft - 1).add(entry);
         queuedEntries++;
     }
 
+    private void removeSuperseded() {
+        bySendsLeft.forEach(queue -> queue.removeIf(entry -> !isValid(entry)));
+        queuedEntries = entries.size();
+    }
+
+    private boolean isValid(Entry entry) {
+        return entries.get(entry.update.supersessionKey()) == entry;
+    }
+
     boolean isEmpty() {
         return entries.isEmpty();
     }
 
-    /** How many entries there are, with those that were replaced and are not sorted out yet. */
+    /** How many entries are queued, with superseded ones that are not removed yet. */
     int queuedEntries() {
         return queuedEntries;
     }
 
-    /** Up to so many pieces for one message. */
-    List<GossipUpdate> poll(int most) {
-        List<Entry> chosen = new ArrayList<>();
-        for (int left = byLeft.size(); left > 0 && chosen.size() < most; left--) {
-            Deque<Entry> some = byLeft.get(left - 1);
-            while (!some.isEmpty() && chosen.size() < most) {
-                Entry entry = some.poll();
-                queuedEntries--;
-                if (entries.get(entry.news.supersessionKey()) == entry) {
-                    chosen.add(entry);
-                }
+    /** Takes up to so many updates for one message, and queues each again until it was sent often enough. */
+    List<GossipUpdate> poll(int maxUpdates) {
+        List<Entry> taken = takeLeastSent(maxUpdates);
+        List<GossipUpdate> updates = new ArrayList<>(taken.size());
+        for (Entry entry : taken) {
+            updates.add(entry.update);
+            entry.sendsLeft--;
+            if (entry.sendsLeft > 0) {
+                enqueue(entry);
+            } else {
+                entries.remove(entry.update.supersessionKey());
             }
         }
-        List<GossipUpdate> taken = new ArrayList<>(chosen.size());
-        for (Entry entry : chosen) {
-            taken.add(entry.news);
-            if (--entry.left > 0) {
-                await(entry);
-            } else {
-                entries.remove(entry.news.supersessionKey());
+        return updates;
+    }
+
+    private List<Entry> takeLeastSent(int maxUpdates) {
+        List<Entry> taken = new ArrayList<>();
+        for (int sendsLeft = bySendsLeft.size(); sendsLeft > 0 && taken.size() < maxUpdates; sendsLeft--) {
+            Deque<Entry> queue = bySendsLeft.get(sendsLeft - 1);
+            while (!queue.isEmpty() && taken.size() < maxUpdates) {
+                Entry entry = queue.poll();
+                queuedEntries--;
+                if (isValid(entry)) {
+                    taken.add(entry);
+                }
             }
         }
         return taken;
--- a/server/src/main/java/wheatspread/membership/LocalHealth.java
+++ b/server/src/main/java/wheatspread/membership/LocalHealth.java
@@ -1,52 +1,54 @@
 package wheatspread.membership;
 
 /**
- * How far a member trusts itself to judge others (A. Dadgar and others, "Lifeguard", 2018): a member whose
- * turns run late, whose probes fail while none of those asked for help says anything, or who has to refute
- * that it is gone, waits longer before it accuses. It reads no clock; times are microseconds.
+ * Lifeguard's local health multiplier (A. Dadgar and others, 2018): a member whose turns run late, whose probes fail
+ * while no helper answers either, or that is itself reported down, is likely to be at fault, and waits longer before
+ * it suspects others.
  */
 final class LocalHealth {
     private final DetectorSettings settings;
+    /** 0 in good health, {@link DetectorSettings#maxHealthScore} at worst. */
     private int score;
 
     LocalHealth(DetectorSettings settings) {
         this.settings = settings;
     }
 
-    /** How many times as long as usual this member waits; 1 for one in good health. */
+    /** How many times as long as usual this member waits; 1 in good health. */
     int multiplier() {
         return score + 1;
     }
 
-    /** A turn came so much later than it was due; returns whether that was a stop, and not a turn. */
-    boolean onLateTurn(long late) {
-        if (late < settings.lateTurn()) {
+    /** A turn came late by that time; returns whether that is so late that this process was suspended. */
+    boolean onLateTurn(long lateMicros) {
+        if (lateMicros < settings.lateTurnMicros()) {
             return false;
         }
-        worse((int) Math.min(settings.worstHealth(), 1 + late / settings.whole()));
+        worsen((int) Math.min(settings.maxHealthScore(), 1 + lateMicros / settings.probeTimeoutMicros()));
         return true;
     }
 
-    /** A probe was answered in time. */
+    /** A probe was answered. */
     void onProbeAnswered() {
         score = Math.max(0, score - 1);
     }
 
     /**
-     * A probe failed, and of those asked for help so many said that it failed for them too. Where none said
-     * anything, it may be this member that is not heard. Lifeguard counts each silent one; a member beside a
-     * zone that is cut off then asks many who can't answer, and would wait nine times as long to say so.
+     * A probe failed. Where helpers were asked and none sent a nack, this member may be the one that is not reached.
+     * Lifeguard counts each silent helper; here they count once, since a member beside a partitioned zone asks many
+     * that can't answer, and would be far too slow to report them.
      */
-    void onProbeFailed(int asked, int said) {
-        worse(asked > 0 && said == 0 ? 1 : 0);
+    void onProbeFailed(int helpersAsked, int nacksReceived) {
+        boolean noHelperAnswered = helpersAsked > 0 && nacksReceived == 0;
+        worsen(noHelperAnswered ? 1 : 0);
     }
 
-    /** Somebody took this member for gone. */
+    /** Another member reported this one down. */
     void onReported() {
-        worse(1);
+        worsen(1);
     }
 
-    private void worse(int by) {
-        score = Math.min(settings.worstHealth(), score + by);
+    private void worsen(int by) {
+        score = Math.min(settings.maxHealthScore(), score + by);
     }
 }
--- a/server/src/main/java/wheatspread/membership/MemberId.java
+++ b/server/src/main/java/wheatspread/membership/MemberId.java
@@ -1,9 +1,11 @@
 package wheatspread.membership;
 
 /**
- * One process of a server: the server's name and the number of its start, which grows from one start to the
- * next. A server that was restarted is another one than before, and what is said of the old one does not hit
- * it.
+ * The identity of one process of a server. A server that restarted is another member than before: what is reported of
+ * the earlier process does not affect it, and it can't vote again where that one may have voted.
+ *
+ * @param name the server's name
+ * @param start the incarnation: a number that grows from one start of the server to the next
  */
 public record MemberId(String name, long start) implements Comparable<MemberId> {
     @Override
--- a/server/src/main/java/wheatspread/membership/MonitoredSubjects.java
+++ b/server/src/main/java/wheatspread/membership/MonitoredSubjects.java
@@ -87,7 +87,7 @@
         MonitoredSubject subject = previous.get(member.id());
         if (subject == null) {
             // first probes are spread over a period, or all members of a new view would probe at once
-            long firstProbeMicros = nowMicros + random.nextLong(settings.period());
+            long firstProbeMicros = nowMicros + random.nextLong(settings.probePeriodMicros());
             FailureDetector detector = new FailureDetector(settings, health, firstProbeMicros);
             subject = MonitoredSubject.ofMember(member, detector, observerIndex);
         }
--- a/server/src/main/java/wheatspread/membership/ProbeScheduler.java
+++ b/server/src/main/java/wheatspread/membership/ProbeScheduler.java
@@ -92,7 +92,8 @@
     void onIndirectPing(String address, Body.IndirectPing request, long nowMicros) {
         if (relayedProbes.hasCapacity()) {
             lastProbeNumber++;
-            relayedProbes.start(lastProbeNumber, address, request, nowMicros + settings.direct(), nowMicros);
+            relayedProbes.start(
+                    lastProbeNumber, address, request, nowMicros + settings.directTimeoutMicros(), nowMicros);
         }
     }
 
--- a/server/src/main/java/wheatspread/membership/RelayedProbes.java
+++ b/server/src/main/java/wheatspread/membership/RelayedProbes.java
@@ -39,7 +39,7 @@
         return true;
     }
 
-    /** Tells the requesters of probes that timed out. */
+    /** Sends a nack to the requesters of probes that timed out. */
     void expire(long nowMicros) {
         for (Map.Entry<Long, RelayedProbe> entry : List.copyOf(probes.entrySet())) {
             RelayedProbe probe = entry.getValue();
--- a/server/src/main/java/wheatspread/membership/SeedNotifier.java
+++ b/server/src/main/java/wheatspread/membership/SeedNotifier.java
@@ -6,7 +6,7 @@
 import wheatspread.membership.Message.Body;
 
 /**
- * Tells seeds that are not in this view, and so in none or in another cluster's, that this cluster exists. It keeps
+ * Notifies seeds that are not in this view, and so in none or in another cluster's, that this cluster exists. It keeps
  * restarted seeds from forming a second cluster, and lets two clusters find each other.
  */
 final class SeedNotifier {
--- a/server/src/main/java/wheatspread/membership/View.java
+++ b/server/src/main/java/wheatspread/membership/View.java
@@ -8,47 +8,62 @@
 import java.util.Set;
 
 /**
- * A numbered list of members, the same on every server that has this number. Members stand in the order of
- * their names; their place in it is their index, which votes and reports go by.
+ * A numbered list of members, the same on every server that holds this number. Members are in the order of their
+ * names; a member's place in it is its index, by which votes and reports name it. Immutable.
  */
 public final class View {
-    /** Each member is watched by so many others, or by all others where they are fewer. */
+    /** Observers of each member; all others where they are fewer. */
     public static final int OBSERVERS_PER_SUBJECT = 10;
-    /** A member is unstable from this share of its watchers on that report it, */
-    private static final double LOW = 0.3;
-    /** and goes from this share on. */
-    private static final double HIGH = 0.8;
+    /** The index that no member has. */
+    static final int NO_MEMBER = -1;
+    /** Share of a member's observers from whose reports on it is unstable (Rapid's L). */
+    private static final double LOW_WATERMARK_SHARE = 0.3;
+    /** Share of a member's observers from whose reports on it is removed (Rapid's H). */
+    private static final double HIGH_WATERMARK_SHARE = 0.8;
+    /** A single observer's report is not enough where there are more. */
+    private static final int MIN_HIGH_WATERMARK = 2;
 
     private final ViewId id;
     private final List<Member> members;
     /** By member, the hash of its name. */
-    private final long[] hashes;
-    /** By member, the indexes of those who watch it. */
-    private final int[][] watchers;
+    private final long[] nameHashes;
+    /** By member, the indexes of its observers. */
+    private final int[][] observers;
 
+    /**
+     * A view of these members, in whatever order they are given.
+     *
+     * @throws IllegalArgumentException if two members have the same name
+     */
     public View(ViewId id, List<Member> members) {
         this.id = id;
         List<Member> sorted = new ArrayList<>(members);
         sorted.sort(Comparator.comparing(Member::id));
         this.members = List.copyOf(sorted);
+        checkNamesDiffer(sorted);
+        nameHashes =
+                sorted.stream().mapToLong(member -> hash(member.id().name())).toArray();
+        observers = new int[sorted.size()][];
+        for (int index = 0; index < observers.length; index++) {
+            observers[index] = observersOf(sorted.get(index).id().name(), index);
+        }
+    }
+
+    private static void checkNamesDiffer(List<Member> members) {
         Set<String> names = new HashSet<>();
-        for (Member one : sorted) {
-            if (!names.add(one.id().name())) {
-                throw new IllegalArgumentException(
-                        "two members have the name " + one.id().name());
+        for (Member member : members) {
+            String name = member.id().name();
+            if (!names.add(name)) {
+                throw new IllegalArgumentException("two members have the name " + name);
             }
         }
-        hashes = sorted.stream().mapToLong(one -> hash(one.id().name())).toArray();
-        watchers = new int[sorted.size()][];
-        for (int i = 0; i < watchers.length; i++) {
-            watchers[i] = observersOf(sorted.get(i).id().name(), i);
-        }
     }
 
     public ViewId id() {
         return id;
     }
 
+    /** All members, in the order of their indexes. */
     public List<Member> members() {
         return members;
     }
@@ -57,7 +72,7 @@
         return members.size();
     }
 
-    /** The index of a member, or -1. */
+    /** The index of a member, or -1 where it is none. */
     public int indexOf(MemberId member) {
         int from = 0;
         int to = members.size() - 1;
@@ -70,50 +85,51 @@
             from = order < 0 ? middle + 1 : from;
             to = order < 0 ? to : middle - 1;
         }
-        return -1;
+        return NO_MEMBER;
     }
 
-    /** The member of a name, whatever its start; null where there is none. */
+    /** The member with a name, of whatever incarnation; null where there is none. */
     public Member memberNamed(String name) {
         return members.stream()
-                .filter(one -> one.id().name().equals(name))
+                .filter(member -> member.id().name().equals(name))
                 .findFirst()
                 .orElse(null);
     }
 
-    /** Who watches the member of that index. */
+    /** The indexes of the observers of a member. */
     public int[] observersOf(int member) {
-        return watchers[member].clone();
+        return observers[member].clone();
     }
 
     /**
-     * Who watches somebody of that name, a member or one that wants to become one: the members that score
-     * highest for it (rendezvous hashing), so that each watches about as many as watch it, no two are
-     * watched by the same ones, and few pairs change where one comes or goes. {@code self} is left out; -1
-     * for nobody.
+     * The observers of a member or joiner of that name: the members with the highest scores for it (rendezvous
+     * hashing). So each observes about as many as observe it, sets of observers differ, and few pairs change where
+     * one member comes or goes.
+     *
+     * @param excluded the index of a member that is left out, -1 for none
      */
-    public int[] observersOf(String name, int self) {
-        int most = Math.min(OBSERVERS_PER_SUBJECT, members.size() - (self < 0 ? 0 : 1));
-        long seed = hash(name);
-        int[] best = new int[most];
-        long[] scores = new long[most];
+    public int[] observersOf(String name, int excluded) {
+        int count = Math.min(OBSERVERS_PER_SUBJECT, members.size() - (excluded < 0 ? 0 : 1));
+        long subjectHash = hash(name);
+        int[] best = new int[count];
+        long[] scores = new long[count];
         int found = 0;
-        for (int i = 0; i < members.size(); i++) {
-            if (i == self) {
+        for (int candidate = 0; candidate < members.size(); candidate++) {
+            if (candidate == excluded) {
                 continue;
             }
-            long score = mixed(seed, hashes[i]);
-            int at = found;
-            while (at > 0 && scores[at - 1] < score) {
-                at--;
+            long score = combine(subjectHash, nameHashes[candidate]);
+            int rank = found;
+            while (rank > 0 && scores[rank - 1] < score) {
+                rank--;
             }
-            if (at < most) {
-                int shift = Math.min(found, most - 1);
-                System.arraycopy(scores, at, scores, at + 1, shift - at);
-                System.arraycopy(best, at, best, at + 1, shift - at);
-                scores[at] = score;
-                best[at] = i;
-                found = Math.min(most, found + 1);
+            if (rank < count) {
+                int shifted = Math.min(found, count - 1) - rank;
+                System.arraycopy(scores, rank, scores, rank + 1, shifted);
+                System.arraycopy(best, rank, best, rank + 1, shifted);
+                scores[rank] = score;
+                best[rank] = candidate;
+                found = Math.min(count, found + 1);
             }
         }
         return best;
@@ -123,43 +139,44 @@
         return Hashing.komihash5_0().hashCharsToLong(name);
     }
 
-    /** Two hashes as one, in a few operations: a large fleet has millions of pairs. */
-    private static long mixed(long a, long b) {
-        long mixed = a + Long.rotateLeft(b, 32) * 0x9e3779b97f4a7c15L;
+    /** Mixes two hashes in a few operations, since a large fleet has millions of pairs. */
+    private static long combine(long first, long second) {
+        long mixed = first + Long.rotateLeft(second, 32) * 0x9e3779b97f4a7c15L;
         mixed = (mixed ^ mixed >>> 32) * 0xd6e8feb86659fd93L;
         mixed = (mixed ^ mixed >>> 32) * 0xd6e8feb86659fd93L;
         return mixed ^ mixed >>> 32;
     }
 
-    /** So many of {@code of} watchers make somebody unstable. */
-    public static int lowWatermark(int of) {
-        return Math.max(1, (int) Math.ceil(LOW * of));
+    /** Reports from which on a subject with so many observers is unstable. */
+    public static int lowWatermark(int observerCount) {
+        return Math.max(1, (int) Math.ceil(LOW_WATERMARK_SHARE * observerCount));
     }
 
-    /** So many of {@code of} watchers suffice; never a single one where there are two or more. */
-    public static int highWatermark(int of) {
-        return Math.max(Math.min(2, of), (int) Math.ceil(HIGH * of));
+    /** Reports from which on a subject with so many observers is removed; never one where there are two or more. */
+    public static int highWatermark(int observerCount) {
+        int byShare = (int) Math.ceil(HIGH_WATERMARK_SHARE * observerCount);
+        return Math.max(Math.min(MIN_HIGH_WATERMARK, observerCount), byShare);
     }
 
-    /** So many members are a quorum of a round that a coordinator leads. */
+    /** Members that are a quorum of a classic round: any two of them meet. */
     public int classicQuorum() {
         return members.size() / 2 + 1;
     }
 
     /**
-     * So many equal votes end the round without a coordinator: the fewest of which any two groups meet in
-     * every {@link #classicQuorum} (L. Lamport, "Fast Paxos", 2006).
+     * Equal votes that decide the fast round: the fewest so that any two fast quorums meet in every classic one
+     * (L. Lamport, "Fast Paxos", 2006: the fast quorum requirement).
      */
     public int fastQuorum() {
         return (2 * members.size() - classicQuorum()) / 2 + 1;
     }
 
-    /** The view that a change leads to. */
+    /** The next view, which a change leads to. */
     public View withChange(ViewChange change) {
         List<Member> next = new ArrayList<>();
-        for (Member one : members) {
-            if (!change.out().contains(one.id())) {
-                next.add(one);
+        for (Member member : members) {
+            if (!change.out().contains(member.id())) {
+                next.add(member);
             }
         }
         next.addAll(change.in());
--- a/server/src/main/java/wheatspread/membership/ViewAgreement.java
+++ b/server/src/main/java/wheatspread/membership/ViewAgreement.java
@@ -8,68 +8,79 @@
 import java.util.TreeMap;
 
 /**
- * Where the members of one view agree on the change that leads to the next: Fast Paxos, one decree a view
- * (L. Lamport, "Fast Paxos", 2006). Each member votes once in the fast round, for the change that it has
- * seen itself; where enough votes are equal, that is all. Where votes split or are lost, a member begins a
- * round of its own with a higher ballot, asks for what was voted, and leads to the one change that may have
- * been decided, or to its own where none can have been.
+ * Agreement of the members of one view on the change that leads to the next: Fast Paxos with one instance a view
+ * (L. Lamport, "Fast Paxos", 2006). In the fast round each member votes once, for the change that its own cut detector
+ * found; equal votes of a fast quorum decide. Where votes split or are lost, a member starts a classic round with a
+ * higher ballot: it collects promises (phase 1), proposes the only change that may have been decided, or its own where
+ * none can have been, and a classic quorum that accepts it decides (phase 2).
  *
- * <p>It sends nothing. What a member knows of a round only grows, whoever tells it and in whatever order:
- * votes are passed on by all, so a coordinator need not be heard by those that vote. A member that forgot
- * its votes must not vote again; that is so because a restarted one has another start number and is no
- * member of the view.
+ * <p>It sends nothing. What a member knows of a round only grows, whoever it comes from and in whatever order, so votes
+ * and promises spread by gossip and a coordinator need not be reachable from those that vote. Safety rests on this: a
+ * member that forgot its votes never votes again in this view. A restarted one does not, as it is another member.
  */
 public final class ViewAgreement {
-    /** The ballot of the fast round. */
+    /** The ballot of the fast round; classic rounds have higher ones. */
     public static final long FAST_BALLOT = 0;
-    /** Of who has not voted. */
+    /** The ballot of a member that has not voted. */
     public static final long NOT_VOTED = -1;
-
+    /** The low bits of a classic ballot are the coordinator's index, so that no two members use the same ballot. */
     private static final int COORDINATOR_BITS = 20;
 
+    private static final long COORDINATOR_MASK = (1L << COORDINATOR_BITS) - 1;
+    private static final long DIGEST_FACTOR = 31;
+
     private final View view;
-    private final int self;
+    private final int ownIndex;
     private final int classicQuorum;
     private final int fastQuorum;
-    /** No vote is given in a ballot below this one. */
+    /** As an acceptor: this member votes in no ballot below this one. */
     private long promisedBallot = FAST_BALLOT;
-
+    /** As an acceptor: the ballot of its last vote. */
     private long votedBallot = NOT_VOTED;
+    /** As an acceptor: its last vote; null before. */
     private ViewChange votedChange;
-    /** Who voted for what in the fast round. */
+    /** The votes of the fast round by change, as indexes of members. */
     private final Map<ViewChange, BitSet> fastVotes = new LinkedHashMap<>();
-    /** The highest ballot that was heard of, with what is known of it. What is below it is forgotten. */
+    /** The highest ballot heard of. The following is known of that one; what is known of lower ones is forgotten. */
     private long ballot = FAST_BALLOT;
 
     private final TreeMap<Integer, Promise> promises = new TreeMap<>();
+    /** What the coordinator proposed in phase 2a; null before. */
     private ViewChange proposal;
+
     private final BitSet acceptors = new BitSet();
+    /** The change that this member's cut detector found last; null before. */
     private ViewChange preferred;
+
     private ViewChange decided;
 
-    /** What a member had voted when it promised to vote in no lower ballot. */
+    /**
+     * What a member sends in phase 1b: its last vote before it promised to vote in no lower ballot.
+     *
+     * @param votedBallot {@link #NOT_VOTED} where it has not voted
+     * @param votedChange null where it has not voted
+     */
     public record Promise(long votedBallot, ViewChange votedChange) {}
 
-    /** {@code self} is the index of this member in the view. */
-    ViewAgreement(View view, int self) {
-        this(view, self, view.classicQuorum(), view.fastQuorum());
+    ViewAgreement(View view, int ownIndex) {
+        this(view, ownIndex, view.classicQuorum(), view.fastQuorum());
     }
 
-    /** With quorums of another size: for tests that show what these would do. */
-    ViewAgreement(View view, int self, int classicQuorum, int fastQuorum) {
+    /** With quorums of another size, for tests that show what those would do. */
+    ViewAgreement(View view, int ownIndex, int classicQuorum, int fastQuorum) {
         this.view = view;
-        this.self = self;
+        this.ownIndex = ownIndex;
         this.classicQuorum = classicQuorum;
         this.fastQuorum = fastQuorum;
     }
 
-    /** A copy of the moment. */
+    /** A copy of the present state. */
     ViewAgreement(ViewAgreement other) {
-        this(other.view, other.self, other.classicQuorum, other.fastQuorum);
+        this(other.view, other.ownIndex, other.classicQuorum, other.fastQuorum);
         promisedBallot = other.promisedBallot;
         votedBallot = other.votedBallot;
         votedChange = other.votedChange;
-        other.fastVotes.forEach((change, bits) -> fastVotes.put(change, (BitSet) bits.clone()));
+        other.fastVotes.forEach((change, voters) -> fastVotes.put(change, (BitSet) voters.clone()));
         ballot = other.ballot;
         promises.putAll(other.promises);
         proposal = other.proposal;
@@ -78,49 +89,51 @@
         decided = other.decided;
     }
 
-    // ---- what this member does ----
-
-    /** What this member would have decided; it votes for it where it may still vote in the fast round. */
+    /** Proposes a change: votes for it in the fast round, if this member may still vote there. */
     void propose(ViewChange change) {
         preferred = change;
         if (promisedBallot == FAST_BALLOT && votedBallot == NOT_VOTED) {
             votedBallot = FAST_BALLOT;
             votedChange = change;
-            fastVotes.computeIfAbsent(change, none -> new BitSet()).set(self);
+            fastVotes.computeIfAbsent(change, none -> new BitSet()).set(ownIndex);
         }
         advance();
     }
 
-    /** Begins a round of this member's own, above all that it has heard of. */
+    /** Starts a classic round with this member as coordinator, above all ballots heard of (phase 1a). */
     void startClassicRound() {
-        adoptBallot(((ballot >> COORDINATOR_BITS) + 1) << COORDINATOR_BITS | self);
+        long round = (ballot >> COORDINATOR_BITS) + 1;
+        adoptBallot(round << COORDINATOR_BITS | ownIndex);
         advance();
     }
 
-    // ---- what it hears; each says whether that was news ----
-
+    /** Votes of the fast round (phase 2b of the fast ballot); returns whether any is new. */
     boolean onFastVotes(ViewChange change, BitSet voters) {
-        if (fastVotes.size() >= view.size() && !fastVotes.containsKey(change)) {
-            return false; // each member votes once, so somebody talks nonsense
+        boolean tooManyChanges = fastVotes.size() >= view.size() && !fastVotes.containsKey(change);
+        if (tooManyChanges) {
+            return false; // each member votes once, so some sender is faulty
         }
         BitSet known = fastVotes.computeIfAbsent(change, none -> new BitSet());
-        int before = known.cardinality();
+        int knownBefore = known.cardinality();
         known.or(voters);
         if (known.isEmpty()) {
             fastVotes.remove(change);
         }
-        return known.cardinality() > before && advance();
+        return known.cardinality() > knownBefore && advance();
     }
 
+    /** A classic round was started (phase 1a); returns whether that is new. */
     boolean onPrepare(long of) {
         return of > ballot && adoptBallot(of) && advance();
     }
 
+    /** A member's promise (phase 1b); returns whether it is new. */
     boolean onPromise(long of, int from, Promise promise) {
         adoptBallot(of);
         return of == ballot && of > FAST_BALLOT && promises.putIfAbsent(from, promise) == null && advance();
     }
 
+    /** The coordinator's proposal (phase 2a); returns whether it is new. */
     boolean onAccept(long of, ViewChange change) {
         adoptBallot(of);
         if (of != ballot || proposal != null || of <= FAST_BALLOT) {
@@ -130,28 +143,28 @@
         return advance();
     }
 
+    /** The coordinator's proposal with votes for it (phase 2b); returns whether any of it is new. */
     boolean onAccepted(long of, ViewChange change, BitSet voters) {
-        boolean news = onAccept(of, change);
+        boolean newProposal = onAccept(of, change);
         if (of != ballot || of <= FAST_BALLOT) {
-            return news;
+            return newProposal;
         }
-        int before = acceptors.cardinality();
+        int knownBefore = acceptors.cardinality();
         acceptors.or(voters);
-        return acceptors.cardinality() > before && advance() || news;
+        return acceptors.cardinality() > knownBefore && advance() || newProposal;
     }
 
-    /**
-     * Somebody knows what was decided. Who knows takes no part in rounds any more, and tells this instead.
-     */
+    /** Another member knows the decision. A member that knows it takes no part in rounds and passes it on instead. */
     boolean onDecided(ViewChange change) {
-        boolean news = decided == null;
-        decided = news ? change : decided;
-        return news;
+        boolean isNew = decided == null;
+        decided = isNew ? change : decided;
+        return isNew;
     }
 
-    private boolean adoptBallot(long to) {
-        if (to > ballot) {
-            ballot = to;
+    /** Follows a higher ballot; always true, to be chained. */
+    private boolean adoptBallot(long other) {
+        if (other > ballot) {
+            ballot = other;
             promises.clear();
             proposal = null;
             acceptors.clear();
@@ -159,24 +172,45 @@
         return true;
     }
 
-    /** Does all that what is known now leads to. */
+    /** Takes all steps that what is known now allows; always true, to be chained. */
     private boolean advance() {
-        if (decided != null) {
-            return true;
+        if (decided == null) {
+            promise();
+            proposeAsCoordinator();
+            accept();
+            decide();
         }
+        return true;
+    }
+
+    /** Phase 1b: promises to vote in no lower ballot. */
+    private void promise() {
         if (ballot > promisedBallot) {
             promisedBallot = ballot;
-            promises.put(self, new Promise(votedBallot, votedChange));
+            promises.put(ownIndex, new Promise(votedBallot, votedChange));
         }
-        if (ballot > FAST_BALLOT && coordinator() == self && proposal == null && promises.size() >= classicQuorum) {
-            proposal = choose();
+    }
+
+    /** Phase 2a: as coordinator with promises of a classic quorum, proposes a change. */
+    private void proposeAsCoordinator() {
+        boolean coordinator = ballot > FAST_BALLOT && coordinator() == ownIndex;
+        if (coordinator && proposal == null && promises.size() >= classicQuorum) {
+            proposal = chooseProposal();
         }
+    }
+
+    /** Phase 2b: votes for the proposal, unless it promised not to. */
+    private void accept() {
         if (proposal != null && votedBallot < ballot && promisedBallot <= ballot) {
             promisedBallot = ballot;
             votedBallot = ballot;
             votedChange = proposal;
-            acceptors.set(self);
+            acceptors.set(ownIndex);
         }
+    }
+
+    /** Learns the decision from the votes of a quorum, of the classic round or else of the fast one. */
+    private void decide() {
         if (proposal != null && acceptors.cardinality() >= classicQuorum) {
             decided = proposal;
         }
@@ -185,42 +219,40 @@
                 decided = change;
             }
         });
-        return true;
     }
 
-    /** The one change that may have been decided in a lower ballot, or the one that this member prefers. */
-    private ViewChange choose() {
-        long latest =
+    /** The only change that may have been decided in a lower ballot; where none can have been, the preferred one. */
+    private ViewChange chooseProposal() {
+        long highestVote =
                 promises.values().stream().mapToLong(Promise::votedBallot).max().orElse(NOT_VOTED);
-        Map<ViewChange, Integer> counts = new HashMap<>();
-        for (Promise one : promises.values()) {
-            if (one.votedBallot == latest && latest > FAST_BALLOT) {
-                return one.votedChange;
+        Map<ViewChange, Integer> fastVoteCounts = new HashMap<>();
+        for (Promise promise : promises.values()) {
+            if (promise.votedBallot == highestVote && highestVote > FAST_BALLOT) {
+                return promise.votedChange;
             }
-            if (one.votedBallot == FAST_BALLOT) {
-                counts.merge(one.votedChange, 1, Integer::sum);
+            if (promise.votedBallot == FAST_BALLOT) {
+                fastVoteCounts.merge(promise.votedChange, 1, Integer::sum);
             }
         }
-        // so many of those heard must have voted for it, if it was decided in the fast round
-        int enough = promises.size() + fastQuorum - view.size();
-        ViewChange most = preferred;
-        int votes = 0;
-        for (Map.Entry<ViewChange, Integer> one : counts.entrySet()) {
-            if (one.getValue() >= Math.max(1, enough)) {
-                return one.getKey();
+        // a change decided in the fast round has at least so many votes among any members that promised
+        int possiblyDecided = Math.max(1, promises.size() + fastQuorum - view.size());
+        ViewChange mostVoted = preferred;
+        int mostVotes = 0;
+        for (Map.Entry<ViewChange, Integer> entry : fastVoteCounts.entrySet()) {
+            if (entry.getValue() >= possiblyDecided) {
+                return entry.getKey();
             }
-            if (preferred == null && one.getValue() > votes) {
-                votes = one.getValue();
-                most = one.getKey();
+            if (preferred == null && entry.getValue() > mostVotes) {
+                mostVotes = entry.getValue();
+                mostVoted = entry.getKey();
             }
         }
-        return most;
+        return mostVoted;
     }
 
-    // ---- what is known ----
-
+    /** The index of the member that coordinates the current classic round. */
     private int coordinator() {
-        return (int) (ballot & ((1L << COORDINATOR_BITS) - 1));
+        return (int) (ballot & COORDINATOR_MASK);
     }
 
     /** The change that was decided; null while none is known to be. */
@@ -228,12 +260,12 @@
         return decided;
     }
 
-    /** Whether anybody is known to have voted or begun a round. */
+    /** Whether any member is known to have voted or started a round. */
     boolean isInProgress() {
         return ballot > FAST_BALLOT || !fastVotes.isEmpty();
     }
 
-    /** Whether a round that this member begins could lead to anything. */
+    /** Whether a round that this member coordinates would have a change to propose. */
     boolean hasCandidate() {
         return preferred != null || !fastVotes.isEmpty();
     }
@@ -260,14 +292,14 @@
 
     /** Equal where the same is known of votes and rounds, and very likely different where not. */
     long digest() {
-        return fastVotes.hashCode() * 31L * 31
-                + promises.hashCode() * 31L
+        return fastVotes.hashCode() * DIGEST_FACTOR * DIGEST_FACTOR
+                + promises.hashCode() * DIGEST_FACTOR
                 + acceptors.hashCode()
                 + ballot
                 + Objects.hashCode(proposal);
     }
 
-    /** What tells this state from any other. */
+    /** The whole state: two agreements with equal texts behave alike. */
     @Override
     public String toString() {
         return promisedBallot + "|" + votedBallot + votedChange + "|" + fastVotes + "|" + ballot + promises + proposal
--- a/server/src/main/java/wheatspread/membership/ViewChange.java
+++ b/server/src/main/java/wheatspread/membership/ViewChange.java
@@ -6,21 +6,26 @@
 import java.util.List;
 
 /**
- * What leads from one view to the next: who goes and who comes, each in order, so that the same change is
- * equal whoever made it.
+ * The difference between a view and the next, on which members agree. Both lists are sorted, so that equal changes are
+ * equal whoever found them.
+ *
+ * @param out members that are removed
+ * @param in servers that are added
  */
 public record ViewChange(List<MemberId> out, List<Member> in) {
+    /** Copies both lists, which must be sorted; see {@link #of}. */
     public ViewChange {
         out = List.copyOf(out);
         in = List.copyOf(in);
     }
 
+    /** A change that removes and adds these, in whatever order they are given. */
     public static ViewChange of(Collection<MemberId> out, Collection<Member> in) {
-        List<MemberId> going = new ArrayList<>(out);
-        going.sort(null);
-        List<Member> coming = new ArrayList<>(in);
-        coming.sort(Comparator.comparing(Member::id));
-        return new ViewChange(going, coming);
+        List<MemberId> removed = new ArrayList<>(out);
+        removed.sort(null);
+        List<Member> added = new ArrayList<>(in);
+        added.sort(Comparator.comparing(Member::id));
+        return new ViewChange(removed, added);
     }
 
     public boolean isEmpty() {
--- a/server/src/main/java/wheatspread/membership/ViewExchange.java
+++ b/server/src/main/java/wheatspread/membership/ViewExchange.java
@@ -2,7 +2,10 @@
 
 import wheatspread.membership.Message.Body;
 
-/** Brings members that hold different views to the same one: asks for a view that takes precedence, sends the own one. */
+/**
+ * Brings members that hold different views to the same one: asks for a view that takes precedence over the one held
+ * here, and sends this one where it takes precedence.
+ */
 final class ViewExchange {
     private final MembershipState state;
     private final PeerRateLimit rateLimit;
--- a/server/src/main/java/wheatspread/membership/ViewId.java
+++ b/server/src/main/java/wheatspread/membership/ViewId.java
@@ -1,15 +1,17 @@
 package wheatspread.membership;
 
 /**
- * The number of a view. A fleet that was formed anew, since none was left that could agree, counts from 1
- * again in a later epoch, so that no number is ever used twice.
+ * The number of a view, which is never used twice. A cluster that is formed anew, because no quorum was left, counts
+ * from 1 again in a later epoch.
  *
- * @param epoch the founding of the fleet ({@link Founding}), which grows with time; 0 for no view at all
- * @param number from 1, one more with each view
+ * @param epoch when the cluster was formed ({@link ClusterBootstrap}), which grows with time; 0 for no view at all
+ * @param number from 1, one more with each view of the epoch
  */
 public record ViewId(long epoch, long number) implements Comparable<ViewId> {
+    /** The number of a member that holds no view. */
     public static final ViewId NONE = new ViewId(0, 0);
 
+    /** The number of the next view in the same epoch. */
     public ViewId next() {
         return new ViewId(epoch, number + 1);
     }
--- a/server/src/main/java/wheatspread/membership/ViewInstaller.java
+++ b/server/src/main/java/wheatspread/membership/ViewInstaller.java
@@ -47,7 +47,7 @@
 
     /** Installs a view that was formed, agreed elsewhere or learnt from another member. */
     void install(View next, long nowMicros) {
-        install(next, Departure.Cause.TOLD, nowMicros);
+        install(next, Departure.Cause.LEARNT_FROM_PEER, nowMicros);
     }
 
     /** Installs the view that a change decided here leads to. */
--- a/server/src/main/java/wheatspread/membership/ViewPrecedence.java
+++ b/server/src/main/java/wheatspread/membership/ViewPrecedence.java
@@ -1,25 +1,27 @@
 package wheatspread.membership;
 
 /**
- * Which of two views a member goes by. In one epoch the higher number holds: a quorum agreed on it. Between
- * epochs, that is between fleets, numbers say nothing; a fleet that has lost its quorum gives way to one
- * that has it, and of two that have it the later founded to the earlier.
+ * Which of two views a member follows. In one epoch the higher number wins, since a quorum agreed on it. Between
+ * epochs, and so between clusters, numbers mean nothing: a cluster without a reachable quorum yields to one that has
+ * it, and of two that have it the later formed to the earlier. Never do two members each follow the other's view.
  */
 final class ViewPrecedence {
     private ViewPrecedence() {}
 
     /**
-     * Whether a view that is told of goes before the one that is held.
+     * Whether another member's view takes precedence over the one held here.
      *
-     * @param stands whether it stands where it was told of
-     * @param mine the view held, {@link ViewId#NONE} for none
-     * @param mineStands whether that one stands here; for one who is not in it, whether it was heard of late
-     *     that it does
+     * @param other the other member's view
+     * @param otherReachable whether its quorum is reachable there
+     * @param own the view held here, {@link ViewId#NONE} for none
+     * @param ownReachable whether its quorum is reachable here; where this server is not in it, whether a member of it
+     *     said so lately
      */
-    static boolean takesPrecedence(ViewId theirs, boolean stands, ViewId mine, boolean mineStands) {
-        if (theirs.epoch() == mine.epoch()) {
-            return theirs.number() > mine.number();
+    static boolean takesPrecedence(ViewId other, boolean otherReachable, ViewId own, boolean ownReachable) {
+        if (other.epoch() == own.epoch()) {
+            return other.number() > own.number();
         }
-        return stands && theirs.epoch() > 0 && (!mineStands || theirs.epoch() < mine.epoch());
+        boolean earlierOrOwnLost = !ownReachable || other.epoch() < own.epoch();
+        return otherReachable && other.epoch() > 0 && earlierOrOwnLost;
     }
 }
--- a/server/src/main/java/wheatspread/peers/PeerTransport.java
+++ b/server/src/main/java/wheatspread/peers/PeerTransport.java
@@ -212,7 +212,7 @@
                     .map(member -> member.id().toString())
                     .toList();
             List<String> departed = gone.stream()
-                    .map(departure -> departure.who() + " " + departure.cause() + " " + departure.witnesses())
+                    .map(departure -> departure.who() + " " + departure.cause().logName() + " " + departure.witnesses())
                     .toList();
             // a hash that is equal on all servers with this view; the list itself is too long for a line
             String membersHash = Integer.toHexString(now.members().toString().hashCode());
--- a/server/src/test/java/wheatspread/membership/CutDetectorTest.java
+++ b/server/src/test/java/wheatspread/membership/CutDetectorTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Which reports lead to which change. */
+/** Which reports lead to which view change. */
 class CutDetectorTest {
     private static Member member(int number, long start) {
         return new Member(new MemberId(String.format("m%03d", number), start), "", "", "", 0);
@@ -25,117 +25,117 @@
         return new View(new ViewId(1, 1), all);
     }
 
-    private static void report(CutDetector tally, int member, int watchers) {
-        for (int slot = 0; slot < watchers; slot++) {
-            tally.onReport(member, slot, 1);
+    private static void report(CutDetector detector, int member, int observers) {
+        for (int observer = 0; observer < observers; observer++) {
+            detector.onReport(member, observer, 1);
         }
     }
 
     @Test
-    void oneWordMovesNothingAndTheHighMarkDoes() {
+    void singleReportChangesNothingAndTheHighWatermarkRemoves() {
         for (int size : new int[] {3, 4, 7, 30}) {
             View view = view(size);
-            CutDetector tally = new CutDetector(view, 10);
-            int watchers = view.observersOf(1).length;
-            report(tally, 1, 1);
-            assertThat(tally.change(true)).as("one of %d", watchers).isNull();
-            report(tally, 1, View.highWatermark(watchers) - 1);
-            assertThat(tally.change(true)).isNull();
-            report(tally, 1, View.highWatermark(watchers));
-            assertThat(tally.change(false))
+            CutDetector detector = new CutDetector(view, 10);
+            int observers = view.observersOf(1).length;
+            report(detector, 1, 1);
+            assertThat(detector.change(true)).as("one of %d", observers).isNull();
+            report(detector, 1, View.highWatermark(observers) - 1);
+            assertThat(detector.change(true)).isNull();
+            report(detector, 1, View.highWatermark(observers));
+            assertThat(detector.change(false))
                     .isEqualTo(ViewChange.of(List.of(view.members().get(1).id()), List.of()));
         }
     }
 
     @Test
-    void whoStandsBetweenTheMarksIsWaitedForAndStays() {
+    void unstableMemberBlocksTheChangeAndStaysInTheView() {
         View view = view(30);
-        CutDetector tally = new CutDetector(view, 10);
-        report(tally, 1, 10);
-        report(tally, 2, 4);
-        assertThat(tally.change(false)).isNull();
-        assertThat(tally.change(true).out())
+        CutDetector detector = new CutDetector(view, 10);
+        report(detector, 1, 10);
+        report(detector, 2, 4);
+        assertThat(detector.change(false)).isNull();
+        assertThat(detector.change(true).out())
                 .containsExactly(view.members().get(1).id());
-        for (int slot = 0; slot < 4; slot++) {
-            assertThat(tally.onReport(2, slot, 2)).as("taken back").isTrue();
-            assertThat(tally.onReport(2, slot, 1))
-                    .as("an old word that comes late")
+        for (int observer = 0; observer < 4; observer++) {
+            assertThat(detector.onReport(2, observer, 2)).as("withdrawn").isTrue();
+            assertThat(detector.onReport(2, observer, 1))
+                    .as("an older report that arrives late")
                     .isFalse();
         }
-        assertThat(tally.change(false).out())
+        assertThat(detector.change(false).out())
                 .containsExactly(view.members().get(1).id());
     }
 
-    /** Half of the watchers of a member of the zone are gone with it, and can't report it. */
+    /** Half of the observers of a member of the zone crashed with it, and can't report it. */
     @Test
-    void aZoneThatFallsIsOneChange() {
+    void crashedZoneIsOneChange() {
         View view = view(30);
-        CutDetector tally = new CutDetector(view, 10);
+        CutDetector detector = new CutDetector(view, 10);
         for (int i = 0; i < 10; i++) {
-            int[] watchers = view.observersOf(i);
-            for (int slot = 0; slot < watchers.length; slot++) {
-                if (watchers[slot] >= 10) {
-                    tally.onReport(i, slot, 1);
+            int[] observers = view.observersOf(i);
+            for (int observer = 0; observer < observers.length; observer++) {
+                if (observers[observer] >= 10) {
+                    detector.onReport(i, observer, 1);
                 }
             }
         }
-        assertThat(tally.change(false).out())
+        assertThat(detector.change(false).out())
                 .hasSize(10)
                 .allMatch(id -> id.name().compareTo("m010") < 0);
     }
 
     @Test
-    void aServerThatWasRestartedUnnoticedTakesItsOldPlaceInOneChange() {
+    void restartedServerReplacesItsEarlierIncarnationInOneChange() {
         View view = view(12);
-        CutDetector tally = new CutDetector(view, 2);
-        Member next = member(3, 8);
-        assertThat(tally.onJoining(member(3, 6))).as("an older start").isFalse();
-        assertThat(tally.onJoining(next)).isTrue();
-        assertThat(tally.onJoining(next)).isFalse();
-        assertThat(tally.observersOfJoiner(next.id())).doesNotContain(3).hasSize(10);
-        for (int slot = 0; slot < 8; slot++) {
-            assertThat(tally.change(true)).isNull();
-            tally.onJoinerReachable(next.id(), slot, 1);
+        CutDetector detector = new CutDetector(view, 2);
+        Member restarted = member(3, 8);
+        assertThat(detector.onJoining(member(3, 6))).as("an older start").isFalse();
+        assertThat(detector.onJoining(restarted)).isTrue();
+        assertThat(detector.onJoining(restarted)).isFalse();
+        assertThat(detector.observersOfJoiner(restarted.id())).doesNotContain(3).hasSize(10);
+        for (int observer = 0; observer < 8; observer++) {
+            assertThat(detector.change(true)).isNull();
+            detector.onJoinerReachable(restarted.id(), observer, 1);
         }
-        assertThat(tally.change(true))
-                .isEqualTo(ViewChange.of(List.of(view.members().get(3).id()), List.of(next)));
-        assertThat(tally.onJoining(member(20, 1))).isTrue();
-        assertThat(tally.onJoining(member(21, 1))).as("beyond the bound").isFalse();
+        assertThat(detector.change(true))
+                .isEqualTo(ViewChange.of(List.of(view.members().get(3).id()), List.of(restarted)));
+        assertThat(detector.onJoining(member(20, 1))).isTrue();
+        assertThat(detector.onJoining(member(21, 1))).as("beyond the bound").isFalse();
     }
 
     @Test
-    void whoLeavesGoesByItsOwnWord() {
+    void leavingMemberIsRemovedWithoutReports() {
         View view = view(5);
-        CutDetector tally = new CutDetector(view, 2);
-        assertThat(tally.onLeaving(4)).isTrue();
-        assertThat(tally.onLeaving(4)).isFalse();
-        assertThat(tally.change(false).out())
+        CutDetector detector = new CutDetector(view, 2);
+        assertThat(detector.onLeaving(4)).isTrue();
+        assertThat(detector.onLeaving(4)).isFalse();
+        assertThat(detector.change(false).out())
                 .containsExactly(view.members().get(4).id());
     }
 
-    /** The order in which news comes changes nothing, and nobody goes whom few report. */
+    /** The order of reports does not matter, and no member below the low watermark is removed. */
     @Property(tries = 300)
-    void theSameNewsInAnyOrderIsTheSameChange(@ForAll Random random, @ForAll @IntRange(min = 3, max = 40) int size) {
+    void reportsInAnyOrderLeadToTheSameChange(@ForAll Random random, @ForAll @IntRange(min = 3, max = 40) int size) {
         View view = view(size);
-        List<int[]> news = new ArrayList<>();
+        List<int[]> reports = new ArrayList<>();
         for (int i = 0; i < random.nextInt(size * 6); i++) {
             int subject = random.nextInt(size);
-            int slots = view.observersOf(subject).length;
-            news.add(new int[] {subject, random.nextInt(slots), 1 + random.nextInt(3)});
+            int observers = view.observersOf(subject).length;
+            reports.add(new int[] {subject, random.nextInt(observers), 1 + random.nextInt(3)});
         }
-        CutDetector one = new CutDetector(view, 10);
-        news.forEach(word -> one.onReport(word[0], word[1], word[2]));
-        Collections.shuffle(news, random);
-        CutDetector other = new CutDetector(view, 10);
-        news.forEach(word -> other.onReport(word[0], word[1], word[2]));
-        for (boolean hasty : new boolean[] {false, true}) {
-            ViewChange change = one.change(hasty);
-            assertThat(other.change(hasty)).isEqualTo(change);
+        CutDetector first = new CutDetector(view, 10);
+        reports.forEach(report -> first.onReport(report[0], report[1], report[2]));
+        Collections.shuffle(reports, random);
+        CutDetector second = new CutDetector(view, 10);
+        reports.forEach(report -> second.onReport(report[0], report[1], report[2]));
+        for (boolean ignoreUnstable : new boolean[] {false, true}) {
+            ViewChange change = first.change(ignoreUnstable);
+            assertThat(second.change(ignoreUnstable)).isEqualTo(change);
             if (change != null) {
                 for (MemberId gone : change.out()) {
                     int index = view.indexOf(gone);
                     int low = View.lowWatermark(view.observersOf(index).length);
-                    assertThat(one.downReports(index)).isGreaterThanOrEqualTo(low);
+                    assertThat(first.downReports(index)).isGreaterThanOrEqualTo(low);
                 }
             }
         }
--- a/server/src/test/java/wheatspread/membership/GossipQueueTest.java
+++ b/server/src/test/java/wheatspread/membership/GossipQueueTest.java
@@ -14,7 +14,7 @@
     }
 
     @Test
-    void eachPieceGoesOutABoundedNumberOfTimesAndTheNewestFirst() {
+    void eachUpdateIsSentABoundedNumberOfTimesAndTheLeastSentFirst() {
         GossipQueue queue = queue();
         GossipUpdate.Leaving first = new GossipUpdate.Leaving(1);
         GossipUpdate.Leaving second = new GossipUpdate.Leaving(2);
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void newerNewsOfASubjectTakesThePlaceOfOlder() {
+    void newerUpdateSupersedesAnOlderOneWithAnEqualKey() {
         GossipQueue queue = queue();
         queue.add(new GossipUpdate.Report(1, 2, 1));
         queue.add(new GossipUpdate.Report(1, 2, 2));
@@ -40,9 +40,9 @@
                 .containsExactlyInAnyOrder(new GossipUpdate.Report(1, 2, 2), new GossipUpdate.Report(1, 3, 1));
     }
 
-    /** Where news never ends, what was replaced must not pile up behind it. */
+    /** While updates never end, superseded ones must not accumulate behind them. */
     @Test
-    void replacedNewsDoesNotPileUp() {
+    void supersededUpdatesDoNotAccumulate() {
         GossipQueue queue = queue();
         for (int i = 1; i <= 200_000; i++) {
             queue.add(new GossipUpdate.Suspicion(i % 10, 0, i));
--- a/server/src/test/java/wheatspread/membership/Net.java
+++ b/server/src/test/java/wheatspread/membership/Net.java
@@ -13,24 +13,24 @@
 import java.util.function.BiPredicate;
 
 /**
- * A network with faults on virtual time, and the members on it. That no two views have one number is asserted
- * at each change.
+ * A simulated network with faults on virtual time, and the members on it. Asserts at each change that no two views have
+ * the same number.
  */
 final class Net {
     final SplittableRandom random;
     final Map<String, Membership> members = new HashMap<>();
     final Map<ViewId, View> views = new HashMap<>();
     final Map<String, List<View>> seen = new HashMap<>();
-    final Map<String, Long> stoppedUntil = new HashMap<>();
-    final Set<String> dead = new HashSet<>();
+    final Map<String, Long> suspendedUntil = new HashMap<>();
+    final Set<String> crashed = new HashSet<>();
     final PriorityQueue<Event> events = new PriorityQueue<>();
-    BiPredicate<String, String> cut = (from, to) -> false;
+    BiPredicate<String, String> partition = (from, to) -> false;
     double loss;
-    long now = 10_000_000_000L;
+    long nowMicros = 10_000_000_000L;
     long serial;
     long messages;
 
-    private record Event(long at, long serial, String at2, Runnable task) implements Comparable<Event> {
+    private record Event(long at, long serial, String recipient, Runnable task) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
             return at != other.at ? Long.compare(at, other.at) : Long.compare(serial, other.serial);
@@ -52,12 +52,12 @@
                     @Override
                     public void send(String address, Message message) {
                         messages++;
-                        if (random.nextDouble() >= loss && !cut.test(name, address)) {
-                            at(now + 200 + random.nextLong(3_000), address, () -> {
+                        if (random.nextDouble() >= loss && !partition.test(name, address)) {
+                            at(nowMicros + 200 + random.nextLong(3_000), address, () -> {
                                 Membership to = members.get(address);
                                 if (to != null) {
-                                    to.received(name, message, now);
-                                    plan(address);
+                                    to.received(name, message, nowMicros);
+                                    scheduleTurn(address);
                                 }
                             });
                         }
@@ -65,8 +65,8 @@
 
                     @Override
                     public void changed(View before, View next, List<Departure> gone) {
-                        View same = views.putIfAbsent(next.id(), next);
-                        assertThat(same == null || same.equals(next))
+                        View known = views.putIfAbsent(next.id(), next);
+                        assertThat(known == null || known.equals(next))
                                 .as("two views %s", next.id())
                                 .isTrue();
                         seen.computeIfAbsent(name, none -> new ArrayList<>()).add(next);
@@ -74,53 +74,53 @@
 
                     @Override
                     public long unixMillis() {
-                        return 1_700_000_000_000L + now / 1_000;
+                        return 1_700_000_000_000L + nowMicros / 1_000;
                     }
                 });
-        dead.remove(name);
+        crashed.remove(name);
         members.put(name, one);
         if (first != null) {
-            one.begin(first, now);
+            one.begin(first, nowMicros);
         } else {
-            one.start(now);
+            one.start(nowMicros);
         }
-        plan(name);
+        scheduleTurn(name);
     }
 
     void at(long time, String who, Runnable task) {
         events.add(new Event(time, serial++, who, task));
     }
 
-    /** Its next turn; one that is planned twice does nothing the second time. */
-    void plan(String name) {
+    /** Schedules its next turn; one that is scheduled twice does nothing the second time. */
+    void scheduleTurn(String name) {
         Membership one = members.get(name);
-        at(Math.max(now, one.nextTurn()), name, () -> {
-            if (members.get(name) == one && now >= one.nextTurn()) {
-                one.turn(now);
-                plan(name);
+        at(Math.max(nowMicros, one.nextTurn()), name, () -> {
+            if (members.get(name) == one && nowMicros >= one.nextTurn()) {
+                one.turn(nowMicros);
+                scheduleTurn(name);
             }
         });
     }
 
     void run(long micros) {
-        long until = now + micros;
+        long until = nowMicros + micros;
         while (!events.isEmpty() && events.peek().at <= until) {
             Event event = events.poll();
-            long stopped = stoppedUntil.getOrDefault(event.at2, 0L);
-            if (dead.contains(event.at2)) {
+            long suspended = suspendedUntil.getOrDefault(event.recipient, 0L);
+            if (crashed.contains(event.recipient)) {
                 continue;
             }
-            if (stopped > event.at) { // a stopped process does all of it when it wakes
-                events.add(new Event(stopped, event.serial, event.at2, event.task));
+            if (suspended > event.at) { // a suspended process handles all of it when it resumes
+                events.add(new Event(suspended, event.serial, event.recipient, event.task));
                 continue;
             }
-            now = event.at;
+            nowMicros = event.at;
             event.task.run();
         }
-        now = until;
+        nowMicros = until;
     }
 
-    void fleet(int size) {
+    void startCluster(int size) {
         List<Member> all = new ArrayList<>();
         for (int i = 0; i < size; i++) {
             all.add(member(name(i), 1));
@@ -133,15 +133,15 @@
         return String.format("m%03d", i);
     }
 
-    void kill(String name) {
-        dead.add(name);
+    void crash(String name) {
+        crashed.add(name);
     }
 
-    /** One view on all that live, of that size. */
+    /** The view, of that size, which all members that have not crashed hold. */
     View agreed(int size) {
         Set<View> views = new HashSet<>();
         members.forEach((name, one) -> {
-            if (!dead.contains(name)) {
+            if (!crashed.contains(name)) {
                 views.add(one.view());
                 assertThat(one.isIn()).as(name).isTrue();
             }
--- a/server/src/test/java/wheatspread/membership/ViewAgreementSearchTest.java
+++ b/server/src/test/java/wheatspread/membership/ViewAgreementSearchTest.java
@@ -17,40 +17,39 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Searches what may become of an agreement: every order in which proposals, rounds and messages can come,
- * each lost, late or doubled. A message that was sent may reach anybody at any later time, or never. So a
- * crash needs no step of its own: it is a member to which nothing more happens. What is looked at is what
- * was voted, by the books of the search: no two changes may ever have a quorum of votes, whoever knows of
- * it. So the votes of the fast round and of those who accepted need not be delivered; {@link AgreementTest}
- * plays their way.
+ * Explores the state space of an agreement: all orders in which proposals, rounds and messages can come, with each
+ * message lost, late or duplicated. A message that was sent may reach any member at any later time, or never, so a
+ * crash needs no step of its own: it is a member to which nothing more happens. The search records all votes itself
+ * and checks that no two changes ever have a quorum of them, whoever knows it. So the votes of the fast round and of
+ * acceptors need not be delivered; {@link ViewAgreementTest} covers their delivery.
  */
 class ViewAgreementSearchTest {
     private static final ViewChange X = ViewChange.of(List.of(new MemberId("x", 1)), List.of());
     private static final ViewChange Y = ViewChange.of(List.of(new MemberId("y", 1)), List.of());
 
-    /** What may be told: of a ballot, who says it, and what goes with it. */
-    private record Item(char kind, long ballot, int from, long votedIn, ViewChange change) {}
+    /** A message of a ballot, its sender and its content. */
+    private record RoundMessage(char kind, long ballot, int from, long votedBallot, ViewChange change) {}
 
-    /** What a search may do. */
+    /** Limits of a search. */
     private record Bounds(int members, int rounds, int restarts, int classicQuorum, int fastQuorum, boolean swapped) {}
 
-    /** All members at one moment, with all messages so far. */
-    private static final class Moment {
+    /** The state of all members, with all messages sent so far. */
+    private static final class SystemState {
         final ViewAgreement[] members;
-        final Set<Item> sent = new LinkedHashSet<>();
-        final Set<Item> votes = new HashSet<>();
+        final Set<RoundMessage> sent = new LinkedHashSet<>();
+        final Set<RoundMessage> votes = new HashSet<>();
         int rounds;
         int restarts;
         int proposed;
 
-        Moment(Bounds bounds, View view) {
+        SystemState(Bounds bounds, View view) {
             members = new ViewAgreement[bounds.members];
             for (int i = 0; i < members.length; i++) {
                 members[i] = new ViewAgreement(view, i, bounds.classicQuorum, bounds.fastQuorum);
             }
         }
 
-        Moment(Moment other) {
+        SystemState(SystemState other) {
             members = other.members.clone();
             sent.addAll(other.sent);
             votes.addAll(other.votes);
@@ -59,34 +58,34 @@
             proposed = other.proposed;
         }
 
-        /** A copy in which one member has another state, once it has told all that it votes and asks. */
-        Moment with(int who, ViewAgreement next) {
-            Moment moment = new Moment(this);
-            moment.members[who] = next;
+        /** A copy in which one member has another state and has sent its votes and its proposal. */
+        SystemState with(int who, ViewAgreement next) {
+            SystemState current = new SystemState(this);
+            current.members[who] = next;
             next.fastVotes()
-                    .forEach((change, voters) ->
-                            voters.stream().forEach(one -> moment.votes.add(new Item('v', 0, one, 0, change))));
+                    .forEach((change, voters) -> voters.stream()
+                            .forEach(one -> current.votes.add(new RoundMessage('v', 0, one, 0, change))));
             long ballot = next.ballot();
             if (ballot > ViewAgreement.FAST_BALLOT) {
-                moment.sent.add(new Item('p', ballot, 0, 0, null));
+                current.sent.add(new RoundMessage('p', ballot, 0, 0, null));
                 ViewAgreement.Promise mine = next.promises().get(who);
                 if (mine != null) {
-                    moment.sent.add(new Item('r', ballot, who, mine.votedBallot(), mine.votedChange()));
+                    current.sent.add(new RoundMessage('r', ballot, who, mine.votedBallot(), mine.votedChange()));
                 }
                 if (next.proposal() != null) {
-                    moment.sent.add(new Item('a', ballot, 0, 0, next.proposal()));
+                    current.sent.add(new RoundMessage('a', ballot, 0, 0, next.proposal()));
                     next.acceptors().stream()
-                            .forEach(one -> moment.votes.add(new Item('v', ballot, one, 0, next.proposal())));
+                            .forEach(one -> current.votes.add(new RoundMessage('v', ballot, one, 0, next.proposal())));
                 }
             }
-            return moment;
+            return current;
         }
 
         /** The changes that a quorum voted for in one ballot. */
         Set<ViewChange> chosen(Bounds bounds) {
             Map<String, Integer> counts = new HashMap<>();
             Set<ViewChange> chosen = new HashSet<>();
-            for (Item vote : votes) {
+            for (RoundMessage vote : votes) {
                 int count = counts.merge(vote.ballot + "/" + vote.change, 1, Integer::sum);
                 if (count >= (vote.ballot == 0 ? bounds.fastQuorum : bounds.classicQuorum)) {
                     chosen.add(vote.change);
@@ -101,8 +100,8 @@
                 key.append(one).append('\n');
             }
             List<String> all = new ArrayList<>();
-            sent.forEach(item -> all.add(item.toString()));
-            votes.forEach(item -> all.add(item.toString()));
+            sent.forEach(message -> all.add(message.toString()));
+            votes.forEach(message -> all.add(message.toString()));
             all.sort(null);
             return key.append(all)
                     .append(rounds)
@@ -112,72 +111,75 @@
         }
     }
 
-    private static void hear(ViewAgreement member, Item item) {
-        switch (item.kind) {
-            case 'p' -> member.onPrepare(item.ballot);
-            case 'r' -> member.onPromise(item.ballot, item.from, new ViewAgreement.Promise(item.votedIn, item.change));
-            default -> member.onAccept(item.ballot, item.change);
+    private static void deliver(ViewAgreement member, RoundMessage message) {
+        switch (message.kind) {
+            case 'p' -> member.onPrepare(message.ballot);
+            case 'r' ->
+                member.onPromise(
+                        message.ballot, message.from, new ViewAgreement.Promise(message.votedBallot, message.change));
+            default -> member.onAccept(message.ballot, message.change);
         }
     }
 
-    /** What a search found. */
-    private record Found(long states, String conflict, boolean whole) {}
+    /** The result of a search; the conflict is null where there is none. */
+    private record SearchResult(long states, String conflict, boolean complete) {}
 
-    private static Found search(Bounds bounds, int mostStates) {
+    private static SearchResult search(Bounds bounds, int maxStates) {
         List<Member> all = new ArrayList<>();
         for (int i = 0; i < bounds.members; i++) {
             all.add(new Member(new MemberId("m" + i, 1), "", "", "", 0));
         }
         View view = new View(new ViewId(1, 1), all);
         Set<Long> seen = new HashSet<>();
-        Deque<Moment> open = new ArrayDeque<>();
-        open.add(new Moment(bounds, view));
+        Deque<SystemState> open = new ArrayDeque<>();
+        open.add(new SystemState(bounds, view));
         while (!open.isEmpty()) {
-            Moment moment = open.pollLast();
-            for (Moment next : successors(moment, bounds, view)) {
+            SystemState current = open.pollLast();
+            for (SystemState next : successors(current, bounds, view)) {
                 if (next.chosen(bounds).size() > 1) {
-                    return new Found(seen.size(), next.key(), false);
+                    return new SearchResult(seen.size(), next.key(), false);
                 }
-                if (seen.size() < mostStates && seen.add(Hashing.komihash5_0().hashCharsToLong(next.key()))) {
+                if (seen.size() < maxStates && seen.add(Hashing.komihash5_0().hashCharsToLong(next.key()))) {
                     open.addLast(next);
                 }
             }
         }
-        return new Found(seen.size(), null, seen.size() < mostStates);
+        return new SearchResult(seen.size(), null, seen.size() < maxStates);
     }
 
-    private static List<Moment> successors(Moment moment, Bounds bounds, View view) {
-        List<Moment> next = new ArrayList<>();
+    private static List<SystemState> successors(SystemState current, Bounds bounds, View view) {
+        List<SystemState> next = new ArrayList<>();
         for (int who = 0; who < bounds.members; who++) {
-            ViewAgreement member = moment.members[who];
-            if ((moment.proposed & 1 << who) == 0) {
+            ViewAgreement member = current.members[who];
+            if ((current.proposed & 1 << who) == 0) {
                 ViewAgreement proposing = new ViewAgreement(member);
                 proposing.propose(who % 2 == 0 != bounds.swapped ? X : Y);
-                Moment after = moment.with(who, proposing);
+                SystemState after = current.with(who, proposing);
                 after.proposed |= 1 << who;
                 next.add(after);
             }
-            if (moment.rounds < bounds.rounds && member.hasCandidate() && member.decided() == null) {
-                ViewAgreement beginning = new ViewAgreement(member);
-                beginning.startClassicRound();
-                Moment after = moment.with(who, beginning);
+            if (current.rounds < bounds.rounds && member.hasCandidate() && member.decided() == null) {
+                ViewAgreement coordinator = new ViewAgreement(member);
+                coordinator.startClassicRound();
+                SystemState after = current.with(who, coordinator);
                 after.rounds++;
                 next.add(after);
             }
-            if (moment.restarts < bounds.restarts) {
-                Moment after = moment.with(who, new ViewAgreement(view, who, bounds.classicQuorum, bounds.fastQuorum));
+            if (current.restarts < bounds.restarts) {
+                SystemState after =
+                        current.with(who, new ViewAgreement(view, who, bounds.classicQuorum, bounds.fastQuorum));
                 after.restarts++;
                 after.proposed &= ~(1 << who);
                 next.add(after);
             }
-            for (Item item : moment.sent) {
-                if (item.kind == 'r' && (item.ballot & 0xFFFFF) != who) {
-                    continue; // a promise matters to who leads the round alone
+            for (RoundMessage message : current.sent) {
+                if (message.kind == 'r' && (message.ballot & 0xFFFFF) != who) {
+                    continue; // a promise matters to the coordinator of its ballot alone
                 }
-                ViewAgreement hearing = new ViewAgreement(member);
-                hear(hearing, item);
-                if (!hearing.toString().equals(member.toString())) {
-                    next.add(moment.with(who, hearing));
+                ViewAgreement receiver = new ViewAgreement(member);
+                deliver(receiver, message);
+                if (!receiver.toString().equals(member.toString())) {
+                    next.add(current.with(who, receiver));
                 }
             }
         }
@@ -186,28 +188,28 @@
 
     @Test
     @Timeout(60)
-    void threeMembersNeverChooseTwoChanges() {
-        Found found = search(new Bounds(3, 2, 0, 2, 3, false), 200_000);
+    void threeMembersNeverDecideTwoChanges() {
+        SearchResult found = search(new Bounds(3, 2, 0, 2, 3, false), 200_000);
         System.out.println("3 members, 2 rounds: " + found.states() + " states");
         assertThat(found.conflict()).isNull();
-        assertThat(found.whole()).isTrue();
+        assertThat(found.complete()).isTrue();
     }
 
-    /** Bounded: not all that five can do, but the first states of every way. */
+    /** Bounded: not all states of five members, but the first ones of every path. */
     @Test
     @Timeout(60)
-    void fiveMembersDoNotWithinTheBound() {
-        Found found = search(new Bounds(5, 2, 0, 3, 4, false), 40_000);
+    void fiveMembersNeverDecideTwoChangesWithinTheStateLimit() {
+        SearchResult found = search(new Bounds(5, 2, 0, 3, 4, false), 40_000);
         System.out.println("5 members, 2 rounds: " + found.states() + " states");
         assertThat(found.conflict()).isNull();
     }
 
-    /** What the search is for: each of these would give two servers different views of one number. */
+    /** Shows that the search finds faults: each of these would give two servers different views of one number. */
     @Test
     @Timeout(60)
-    void aQuorumThatIsOneTooSmallIsFound() {
+    void quorumThatIsOneTooSmallLeadsToAConflict() {
         assertThat(search(new Bounds(3, 2, 0, 1, 3, false), 200_000).conflict()).contains("x#1", "y#1");
-        // which of two that might have been decided is taken is no more than the order of a map here
+        // which of two possibly decided changes is proposed depends on the order of a map here
         assertThat(Stream.of(false, true)
                         .map(swapped -> search(new Bounds(3, 2, 0, 2, 2, swapped), 200_000)
                                 .conflict()))
@@ -216,7 +218,7 @@
 
     @Test
     @Timeout(60)
-    void aVoteForgottenAtARestartIsFound() {
+    void voteForgottenAtARestartLeadsToAConflict() {
         assertThat(search(new Bounds(3, 2, 1, 2, 3, false), 200_000).conflict()).contains("x#1", "y#1");
     }
 }
--- a/server/src/test/java/wheatspread/membership/ViewAgreementTest.java
+++ b/server/src/test/java/wheatspread/membership/ViewAgreementTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Members that tell each other all they know, in drawn orders with losses, until one change is decided. */
+/** Members that exchange all they know, in random orders with losses, until one change is decided. */
 class ViewAgreementTest {
     private static View view(int members) {
         List<Member> all = new ArrayList<>();
@@ -21,7 +21,7 @@
         return new View(new ViewId(1, 1), all);
     }
 
-    private static void tell(ViewAgreement from, ViewAgreement to) {
+    private static void exchange(ViewAgreement from, ViewAgreement to) {
         if (from.decided() != null) {
             to.onDecided(from.decided());
             return;
@@ -42,15 +42,15 @@
     }
 
     @Test
-    void equalVotesDecideWithoutACoordinator() {
+    void equalFastVotesDecideWithoutACoordinator() {
         View view = view(5);
         List<ViewAgreement> members = new ArrayList<>();
-        for (int i = 0; i < 4; i++) { // the fifth is the one that goes, and says nothing
+        for (int i = 0; i < 4; i++) { // the fifth crashed
             members.add(new ViewAgreement(view, i));
             members.get(i).propose(out("m04"));
         }
         for (int i = 0; i < 3; i++) {
-            tell(members.get(i), members.get(3));
+            exchange(members.get(i), members.get(3));
             assertThat(members.get(3).decided()).isEqualTo(i < 2 ? null : out("m04"));
         }
         assertThat(members.get(3).ballot()).isEqualTo(ViewAgreement.FAST_BALLOT);
@@ -59,27 +59,27 @@
     }
 
     @Test
-    void lessThanAQuorumDecidesNothing() {
+    void lessThanAQuorumNeverDecides() {
         View view = view(5);
-        ViewAgreement one = new ViewAgreement(view, 0);
-        ViewAgreement other = new ViewAgreement(view, 1);
+        ViewAgreement first = new ViewAgreement(view, 0);
+        ViewAgreement second = new ViewAgreement(view, 1);
         for (int round = 0; round < 10; round++) {
-            one.propose(out("m04"));
-            other.propose(out("m04"));
-            one.startClassicRound();
-            tell(one, other);
-            tell(other, one);
-            other.startClassicRound();
-            tell(other, one);
-            tell(one, other);
+            first.propose(out("m04"));
+            second.propose(out("m04"));
+            first.startClassicRound();
+            exchange(first, second);
+            exchange(second, first);
+            second.startClassicRound();
+            exchange(second, first);
+            exchange(first, second);
         }
-        assertThat(one.decided()).isNull();
-        assertThat(other.decided()).isNull();
+        assertThat(first.decided()).isNull();
+        assertThat(second.decided()).isNull();
     }
 
     @Test
     @Timeout(60)
-    void splitVotesAndLossesEndInOneChangeWithAnyMinorityGone() {
+    void splitVotesAndLossesDecideOneChangeWithAnyMinorityCrashed() {
         Set<ViewChange> seen = new HashSet<>();
         for (int seed = 0; seed < 3_000; seed++) {
             Random random = new Random(seed);
@@ -95,13 +95,13 @@
             for (int step = 0; step < 20_000 && !all; step++) {
                 ViewAgreement from = members.get(random.nextInt(alive));
                 ViewAgreement to = members.get(random.nextInt(alive));
-                int what = random.nextInt(100);
-                if (what < 10) {
+                int action = random.nextInt(100);
+                if (action < 10) {
                     from.propose(out("m0" + random.nextInt(3)));
-                } else if (what < 11 && from.hasCandidate()) {
+                } else if (action < 11 && from.hasCandidate()) {
                     from.startClassicRound();
-                } else if (what < 80 && from != to) { // the rest is lost
-                    tell(from, to);
+                } else if (action < 80 && from != to) { // the rest is lost
+                    exchange(from, to);
                 }
                 all = true;
                 for (ViewAgreement one : members) {
--- a/server/src/test/java/wheatspread/membership/ViewTest.java
+++ b/server/src/test/java/wheatspread/membership/ViewTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Who watches whom, how many are enough, and how one view leads to the next. */
+/** Observers, watermarks, quorums, and how a change leads to the restarted view. */
 class ViewTest {
     private static Member member(String name, long start) {
         return new Member(new MemberId(name, start), "", "", "", 0);
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void anyTwoFastQuorumsMeetInEveryClassicOne() {
+    void anyTwoFastQuorumsIntersectInEveryClassicQuorum() {
         for (int size = 1; size < 200; size++) {
             View view = view(size);
             assertThat(2 * view.classicQuorum()).isGreaterThan(size);
@@ -38,49 +38,49 @@
     }
 
     @Test
-    void eachIsWatchedByOthersAndWatchesAboutAsMany() {
+    void everyMemberHasItsOwnSetOfObserversAndObservesAboutAsMany() {
         View view = view(200);
-        int[] watching = new int[view.size()];
+        int[] subjectCounts = new int[view.size()];
         Set<String> sets = new HashSet<>();
         for (int i = 0; i < view.size(); i++) {
-            int[] watchers = view.observersOf(i);
-            assertThat(watchers)
+            int[] observers = view.observersOf(i);
+            assertThat(observers)
                     .hasSize(View.OBSERVERS_PER_SUBJECT)
                     .doesNotHaveDuplicates()
                     .doesNotContain(i);
-            for (int one : watchers) {
-                watching[one]++;
+            for (int one : observers) {
+                subjectCounts[one]++;
             }
-            Arrays.sort(watchers);
-            sets.add(Arrays.toString(watchers));
+            Arrays.sort(observers);
+            sets.add(Arrays.toString(observers));
         }
-        assertThat(Arrays.stream(watching).max().orElseThrow()).isLessThan(3 * View.OBSERVERS_PER_SUBJECT);
-        assertThat(sets).as("no two are watched by the same ones").hasSize(200);
+        assertThat(Arrays.stream(subjectCounts).max().orElseThrow()).isLessThan(3 * View.OBSERVERS_PER_SUBJECT);
+        assertThat(sets).as("no two have the same observers").hasSize(200);
         assertThat(view(3).observersOf(0)).containsExactlyInAnyOrder(1, 2);
         assertThat(view(1).observersOf(0)).isEmpty();
     }
 
     @Test
-    void oneWatchersWordIsNeverEnoughWhereThereAreTwo() {
+    void singleReportNeverReachesTheHighWatermarkOfTwoObserversOrMore() {
         assertThat(View.highWatermark(1)).isEqualTo(1);
-        for (int of = 2; of <= View.OBSERVERS_PER_SUBJECT; of++) {
-            assertThat(View.highWatermark(of)).isBetween(2, of);
-            assertThat(View.lowWatermark(of)).isBetween(1, View.highWatermark(of));
+        for (int observerCount = 2; observerCount <= View.OBSERVERS_PER_SUBJECT; observerCount++) {
+            assertThat(View.highWatermark(observerCount)).isBetween(2, observerCount);
+            assertThat(View.lowWatermark(observerCount)).isBetween(1, View.highWatermark(observerCount));
         }
         assertThat(View.highWatermark(View.OBSERVERS_PER_SUBJECT)).isEqualTo(8);
     }
 
     @Test
-    void aRestartedMemberTakesThePlaceOfTheOldOne() {
+    void restartedMemberReplacesItsEarlierIncarnation() {
         View view = view(4);
         MemberId old = view.members().get(2).id();
-        Member next = member(old.name(), 8);
-        View after = view.withChange(ViewChange.of(List.of(old), List.of(next)));
+        Member restarted = member(old.name(), 8);
+        View after = view.withChange(ViewChange.of(List.of(old), List.of(restarted)));
         assertThat(after.indexOf(old)).isEqualTo(-1);
-        assertThat(after.indexOf(next.id())).isEqualTo(2);
-        assertThat(after.memberNamed(old.name())).isEqualTo(next);
+        assertThat(after.indexOf(restarted.id())).isEqualTo(2);
+        assertThat(after.memberNamed(old.name())).isEqualTo(restarted);
         assertThat(after.id()).isGreaterThan(view.id());
-        assertThatThrownBy(() -> view.withChange(ViewChange.of(List.of(), List.of(next))))
+        assertThatThrownBy(() -> view.withChange(ViewChange.of(List.of(), List.of(restarted))))
                 .isInstanceOf(IllegalArgumentException.class)
                 .hasMessageContaining(old.name());
     }
