--- a/lab/src/main/java/wheatspread/lab/capacity/CapacityTables.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/CapacityTables.java
@@ -229,7 +229,7 @@
     private List<String> failedRuns() throws IOException {
         List<String> table = head("report", "run", "what the report says");
         for (String file : reportFiles()) {
-            capacity.reports().failedRuns(file).forEach((name, why) -> table.add(row(file, name, why)));
+            capacity.reports().findings(file).forEach(finding -> table.add(row(file, finding.run(), finding.text())));
         }
         return table;
     }
--- a/lab/src/main/java/wheatspread/lab/capacity/ReportFiles.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/ReportFiles.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import java.util.stream.Collectors;
+import java.util.TreeSet;
 import org.json.JSONArray;
 import org.json.JSONObject;
 import wheatspread.lab.report.Series;
@@ -51,20 +51,19 @@
                 .orElse("");
     }
 
-    /** The runs of a report that did not go as planned or were not begun, by name, with what the report says. */
-    Map<String, String> failedRuns(String file) throws IOException {
-        Map<String, String> runs = new TreeMap<>();
-        JSONObject all = report(file).orElseGet(JSONObject::new);
-        for (String name : all.keySet()) {
-            JSONObject run = all.optJSONObject(name, new JSONObject());
-            JSONArray faults = run.optJSONArray(FAULTS, new JSONArray());
+    /** The runs of a report that did not go as planned, were not begun, or played faults on a fleet; sorted by name. */
+    List<RunFinding> findings(String file) throws IOException {
+        List<RunFinding> findings = new ArrayList<>();
+        JSONObject report = report(file).orElseGet(JSONObject::new);
+        for (String name : new TreeSet<>(report.keySet())) {
+            JSONObject run = report.optJSONObject(name, new JSONObject());
             if (run.has(NOT_RUN)) {
-                runs.put(name, "not run: " + run.getString(NOT_RUN));
-            } else if (!faults.isEmpty()) {
-                runs.put(name, faults.toList().stream().map(String::valueOf).collect(Collectors.joining("; ")));
+                findings.add(new RunFinding(name, "not run: " + run.getString(NOT_RUN)));
+            } else {
+                findings.addAll(RunFinding.ofFaults(name, run.optJSONArray(FAULTS, new JSONArray())));
             }
         }
-        return runs;
+        return findings;
     }
 
     private static Optional<Series> figures(LinePlan line, JSONObject report) {
