--- a/server/src/main/java/wheatspread/admission/sfq/ConcurrencyLimit.java
+++ b/server/src/main/java/wheatspread/admission/sfq/ConcurrencyLimit.java
@@ -23,15 +23,15 @@
 
     private final ReloadableSettings settings;
     private final InFlightRequests inFlight;
-    private final WarmUp warmUp;
+    private final SlowStart slowStart;
     private final GaugeMonitor gauges;
     private int depth;
     private int crowdedTicks;
 
-    ConcurrencyLimit(ReloadableSettings settings, InFlightRequests inFlight, WarmUp warmUp, GaugeMonitor gauges) {
+    ConcurrencyLimit(ReloadableSettings settings, InFlightRequests inFlight, SlowStart slowStart, GaugeMonitor gauges) {
         this.settings = settings;
         this.inFlight = inFlight;
-        this.warmUp = warmUp;
+        this.slowStart = slowStart;
         this.gauges = gauges;
         depth = settings.cores();
     }
@@ -44,7 +44,7 @@
     /** Whether one more request may be started. */
     boolean hasFreeSlot() {
         return inFlight.running() < depth
-                && inFlight.started() < (int) (MAX_STARTED_SHARE * warmUp.survivableRequests());
+                && inFlight.started() < (int) (MAX_STARTED_SHARE * slowStart.survivableRequests());
     }
 
     /** Adapts D to the gauges, once a tick. */
@@ -55,7 +55,7 @@
         } else if (gauges.isStuck()) {
             depth = settings.cores();
         }
-        int ceiling = (int) (MAX_RUNNING_SHARE * warmUp.survivableRequests());
+        int ceiling = (int) (MAX_RUNNING_SHARE * slowStart.survivableRequests());
         depth = Math.max(settings.cores(), Math.min(depth, ceiling));
     }
 
--- a/server/src/main/java/wheatspread/admission/sfq/ServiceTimeEstimator.java
+++ b/server/src/main/java/wheatspread/admission/sfq/ServiceTimeEstimator.java
@@ -19,7 +19,7 @@
     private final ReloadableSettings settings;
     private final DecisionClock clock;
     private final InFlightRequests inFlight;
-    private final WarmUp warmUp;
+    private final SlowStart slowStart;
     private final WorkHintModel hints;
     /** By class: mean time on the cores. */
     private double[] meanCoreMicros;
@@ -31,11 +31,12 @@
     private double abandonedShare;
     private double slotMicros;
 
-    ServiceTimeEstimator(ReloadableSettings settings, DecisionClock clock, InFlightRequests inFlight, WarmUp warmUp) {
+    ServiceTimeEstimator(
+            ReloadableSettings settings, DecisionClock clock, InFlightRequests inFlight, SlowStart slowStart) {
         this.settings = settings;
         this.clock = clock;
         this.inFlight = inFlight;
-        this.warmUp = warmUp;
+        this.slowStart = slowStart;
         hints = new WorkHintModel(settings.answerMarginMicros());
         meanCoreMicros = new double[settings.classCount()];
         meanElapsedMicros = new double[settings.classCount()];
@@ -106,7 +107,7 @@
         if (hintMicros <= 0) {
             return MEDIAN_OF_MEAN * slowdown * elapsedMicros;
         }
-        double coreMicros = hints.coreMicros(hintMicros, warmUp.guaranteedSpeed());
+        double coreMicros = hints.coreMicros(hintMicros, slowStart.guaranteedSpeed());
         return coreMicros * Math.max(1, slowdown / HINT_STRETCH_THRESHOLD)
                 + elapsedMicros
                 - meanCoreMicros[tracked.request.requestClass()];
@@ -121,7 +122,7 @@
                 .toArray();
         double usualMicros = meanCoreMicrosOfAll > 0
                 ? meanCoreMicrosOfAll
-                : INITIAL_SLOT_SHARE * settings.shortestObjectiveMicros() / warmUp.guaranteedSpeed();
+                : INITIAL_SLOT_SHARE * settings.shortestObjectiveMicros() / slowStart.guaranteedSpeed();
         double meanAgeMicros = Arrays.stream(agesMicros).average().orElse(0);
         slotMicros = agesMicros.length < settings.cores() ? usualMicros : Math.max(usualMicros, meanAgeMicros);
     }
@@ -137,7 +138,7 @@
      * at once, so a cold server that offered all of it would be overloaded.
      */
     double provenSpeed() {
-        double guaranteed = warmUp.guaranteedSpeed();
+        double guaranteed = slowStart.guaranteedSpeed();
         return guaranteed >= 1 ? 1 : Math.min(1, Math.max(guaranteed, hints.measuredSpeed()));
     }
 }
--- a/server/src/main/java/wheatspread/admission/sfq/SfqAdmissionController.java
+++ b/server/src/main/java/wheatspread/admission/sfq/SfqAdmissionController.java
@@ -54,10 +54,10 @@
         fairQueue = new FairQueue(initial.tenants());
         unstarted = new UnstartedRequests(clock, inFlight, fairQueue);
 
-        WarmUp warmUp = new WarmUp(settings, clock);
+        SlowStart slowStart = new SlowStart(settings, clock);
         clientWaits = new ClientWaitEstimator(settings);
-        serviceTimes = new ServiceTimeEstimator(settings, clock, inFlight, warmUp);
-        concurrency = new ConcurrencyLimit(settings, inFlight, warmUp, gauges);
+        serviceTimes = new ServiceTimeEstimator(settings, clock, inFlight, slowStart);
+        concurrency = new ConcurrencyLimit(settings, inFlight, slowStart, gauges);
         heldQueueBound = new HeldQueueBound(inFlight, serviceTimes, concurrency);
         overload = new OverloadDetector(clock);
         LoadPressure pressure = new LoadPressure(settings, heldQueueBound, overload);
--- a/server/src/main/java/wheatspread/admission/sfq/WarmUp.java
+++ b/server/src/main/java/wheatspread/admission/sfq/SlowStart.java
@@ -6,14 +6,14 @@
  * The least speed that a server has while it warms up, as a share of its full speed, and the concurrency that it
  * survives at that speed. The speed rises linearly from the configured floor to 1 over the configured warm-up time.
  */
-final class WarmUp {
+final class SlowStart {
     /** Keeps divisions by the speed finite where the configured floor is 0. */
     private static final double MIN_SPEED = 0.01;
 
     private final ReloadableSettings settings;
     private final DecisionClock clock;
 
-    WarmUp(ReloadableSettings settings, DecisionClock clock) {
+    SlowStart(ReloadableSettings settings, DecisionClock clock) {
         this.settings = settings;
         this.clock = clock;
     }
