--- a/server/src/main/java/wheatspread/logging/EventLayout.java
+++ b/server/src/main/java/wheatspread/logging/EventLayout.java
@@ -3,15 +3,16 @@
 import ch.qos.logback.classic.spi.ILoggingEvent;
 import ch.qos.logback.core.LayoutBase;
 import java.time.Instant;
+import java.util.Collection;
 import java.util.List;
 import org.json.JSONObject;
 import org.json.JSONWriter;
 import org.slf4j.event.KeyValuePair;
 
 /**
- * One line for each event. JSON: {@code
- * {"at":"2026-12-01T10:00:00.123Z","level":"INFO","event":"phase",...}}; text: the same with blanks, as
- * {@code name=value}. {@code server} stands in every line where it is known.
+ * Formats an event as one line. JSON: {@code
+ * {"at":"2026-12-01T10:00:00.123Z","level":"INFO","event":"phase",...}}; text: the same as
+ * {@code name=value}, separated by blanks. Every line names the server, if its name is known.
  */
 final class EventLayout extends LayoutBase<ILoggingEvent> {
     private final boolean json;
@@ -34,14 +35,14 @@
 
     private String text(ILoggingEvent event, List<KeyValuePair> pairs, Throwable fault) {
         Object[] fields = new Object[2 * pairs.size() + (fault == null ? 0 : 2)];
-        int at = 0;
+        int index = 0;
         for (KeyValuePair pair : pairs) {
-            fields[at++] = pair.key;
-            fields[at++] = pair.value;
+            fields[index++] = pair.key;
+            fields[index++] = pair.value;
         }
         if (fault != null) {
-            fields[at++] = "fault";
-            fields[at] = fault;
+            fields[index++] = "fault";
+            fields[index] = fault;
         }
         return Instant.ofEpochMilli(event.getTimeStamp()) + " " + event.getLevel() + " "
                 + (server == null ? "" : server + " ") + EventLog.line(event.getFormattedMessage(), fields)
@@ -62,7 +63,7 @@
             line.key("server").value(server);
         }
         for (KeyValuePair pair : pairs) {
-            line.key(pair.key).value(plain(pair.value));
+            line.key(pair.key).value(jsonValue(pair.value));
         }
         if (fault != null) {
             line.key("fault").value(fault.toString());
@@ -71,15 +72,18 @@
         return out.append('\n').toString();
     }
 
-    /** Numbers that JSON has no word for, and whatever is no JSON value, stand as text. */
-    private static Object plain(Object value) {
-        boolean number = value instanceof Number n && Double.isFinite(n.doubleValue());
-        return value == null
-                ? JSONObject.NULL
-                : number || value instanceof Boolean
-                        ? value
-                        : value instanceof java.util.Collection<?> all
-                                ? all.stream().map(EventLayout::plain).toList()
-                                : String.valueOf(value);
+    /** Converts a value to one that JSON can represent; anything else becomes text, as do NaN and infinity. */
+    private static Object jsonValue(Object value) {
+        if (value == null) {
+            return JSONObject.NULL;
+        }
+        boolean finiteNumber = value instanceof Number number && Double.isFinite(number.doubleValue());
+        if (finiteNumber || value instanceof Boolean) {
+            return value;
+        }
+        if (value instanceof Collection<?> elements) {
+            return elements.stream().map(EventLayout::jsonValue).toList();
+        }
+        return String.valueOf(value);
     }
 }
--- a/server/src/main/java/wheatspread/logging/EventLog.java
+++ b/server/src/main/java/wheatspread/logging/EventLog.java
@@ -5,14 +5,14 @@
 import java.util.function.Consumer;
 
 /**
- * Where the program says what happened: one name for each thing an operator may look for, and fields in place
- * of sentences. Names are words joined by underscores and never change their meaning; docs/operating/log.md
- * lists them. Nothing is logged for each request.
+ * The log of events for operators: an event has a name that can be searched for, and fields in place of
+ * sentences. Names are words joined by underscores and never change their meaning; docs/operating/log.md lists
+ * them. Nothing is logged per request.
  */
 public interface EventLog {
     /**
-     * How much an event matters: INFO for what is usual, WARN for what should be looked at, ERROR for a
-     * fault.
+     * The severity of an event: INFO for normal operation, WARN for what operators should look into, ERROR for
+     * a fault.
      */
     enum Level {
         DEBUG,
@@ -21,10 +21,10 @@
         ERROR
     }
 
-    /** A log that keeps nothing. */
+    /** A log that discards every event. */
     EventLog NONE = (level, event, fields) -> {};
 
-    /** {@code fields} are names and values in turns; an odd last one is a name without a value. */
+    /** Logs an event; {@code fields} are alternating names and values. */
     void log(Level level, String event, Object... fields);
 
     default void info(String event, Object... fields) {
@@ -39,12 +39,12 @@
         log(Level.ERROR, event, fields);
     }
 
-    /** A log of lines as {@link #line} writes them, for tests and for programs that read them on. */
-    static EventLog lines(Consumer<String> to) {
-        return (level, event, fields) -> to.accept(line(event, fields));
+    /** A log that passes on events formatted by {@link #line}, for tests and for programs that process them. */
+    static EventLog lines(Consumer<String> receiver) {
+        return (level, event, fields) -> receiver.accept(line(event, fields));
     }
 
-    /** The same names and values, in their order; values may be null. */
+    /** Converts alternating names and values to a map in the same order; values may be null. */
     static Map<String, Object> map(Object... fields) {
         Map<String, Object> map = new LinkedHashMap<>();
         for (int i = 0; i + 1 < fields.length; i += 2) {
@@ -53,25 +53,24 @@
         return map;
     }
 
-    /** The event with its fields as {@code event name=value}; values with blanks stand in quotes. */
+    /** Formats an event as {@code event name=value}; values with special characters are quoted. */
     static String line(String event, Object... fields) {
         StringBuilder text = new StringBuilder(event);
         for (int i = 0; i + 1 < fields.length; i += 2) {
-            String value = String.valueOf(fields[i + 1]);
-            boolean plain = !value.isEmpty() && value.chars().noneMatch(c -> c <= ' ' || c == '"' || c == '=');
-            text.append(' ')
-                    .append(fields[i])
-                    .append('=')
-                    .append(
-                            plain
-                                    ? value
-                                    : '"'
-                                            + value.replace("\\", "\\\\")
-                                                    .replace("\"", "\\\"")
-                                                    .replace("\n", "\\n")
-                                                    .replace("\r", "\\r")
-                                            + '"');
+            text.append(' ').append(fields[i]).append('=').append(quoteIfNeeded(String.valueOf(fields[i + 1])));
         }
         return text.toString();
     }
+
+    private static String quoteIfNeeded(String value) {
+        boolean plain = !value.isEmpty() && value.chars().noneMatch(c -> c <= ' ' || c == '"' || c == '=');
+        if (plain) {
+            return value;
+        }
+        String escaped = value.replace("\\", "\\\\")
+                .replace("\"", "\\\"")
+                .replace("\n", "\\n")
+                .replace("\r", "\\r");
+        return '"' + escaped + '"';
+    }
 }
--- a/server/src/main/java/wheatspread/logging/LogSetup.java
+++ b/server/src/main/java/wheatspread/logging/LogSetup.java
@@ -13,31 +13,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sets Logback up without a file of its own, which would cost a start its XML reader. Lines go to standard
- * error by a thread of their own: a reader that stops reading must not hold up the event loop. Past {@link
- * #QUEUE} lines that wait, further ones are dropped.
+ * Configures Logback without a configuration file, which would load an XML parser at start-up. Lines are
+ * written to standard error by a separate thread, since whoever reads them must not block the event loop by
+ * reading slowly. Lines beyond a queue of {@link #MAX_QUEUED_LINES} are dropped.
  */
 public final class LogSetup extends ContextAwareBase implements Configurator {
-    /** Lines that may wait to be written. */
-    private static final int QUEUE = 1_024;
-    /** How long the end of the process waits for them, in milliseconds. */
-    private static final int FLUSH_MS = 500;
+    private static final int MAX_QUEUED_LINES = 1_024;
+    /** How long {@link #flush} waits for queued lines. */
+    private static final int FLUSH_TIMEOUT_MS = 500;
 
-    /** Found by Logback as the one that sets it up; what holds until {@link #use} says otherwise. */
+    /** Called by Logback at its start; the configuration holds until the first call of {@link #use}. */
     @Override
     public ExecutionStatus configure(LoggerContext context) {
-        set(context, false, "info", null);
+        configure(context, false, "info", null);
         return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
     }
 
     /**
-     * From now on lines are JSON or text, of this level or more, and name the server; null where it has none.
+     * Configures the format, the lowest level, and the server's name in every line; null for no name.
      */
     public static void use(boolean json, String level, String server) {
-        set((LoggerContext) LoggerFactory.getILoggerFactory(), json, level, server);
+        configure((LoggerContext) LoggerFactory.getILoggerFactory(), json, level, server);
     }
 
-    private static void set(LoggerContext context, boolean json, String level, String server) {
+    private static void configure(LoggerContext context, boolean json, String level, String server) {
         context.reset();
         EventLayout layout = new EventLayout(json, server);
         layout.setContext(context);
@@ -54,19 +53,19 @@
         console.start();
         AsyncAppender queue = new AsyncAppender();
         queue.setContext(context);
-        queue.setQueueSize(QUEUE);
+        queue.setQueueSize(MAX_QUEUED_LINES);
         queue.setDiscardingThreshold(0);
         queue.setNeverBlock(true);
-        queue.setMaxFlushTime(FLUSH_MS);
+        queue.setMaxFlushTime(FLUSH_TIMEOUT_MS);
         queue.addAppender(console);
         queue.start();
         Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
-        root.setLevel(Level.WARN); // of the libraries, faults only
+        root.setLevel(Level.WARN); // for libraries
         root.addAppender(queue);
         context.getLogger("wheatspread").setLevel(Level.toLevel(level));
     }
 
-    /** Writes what waits; for the last moment of a process. */
+    /** Writes the queued lines and stops the log; called last in a process. */
     public static void flush() {
         ((LoggerContext) LoggerFactory.getILoggerFactory()).stop();
     }
--- a/server/src/main/java/wheatspread/logging/RepeatLimit.java
+++ b/server/src/main/java/wheatspread/logging/RepeatLimit.java
@@ -4,53 +4,56 @@
 import java.util.Map;
 
 /**
- * Bounds how often one event is written: so many in a window, after which they are only counted, and the
- * count goes out with the first one of a later window. A peer that makes the same fault a thousand times a
- * second must neither fill the disk nor hide what else happens. It reads no clock; times are microseconds.
+ * A rate limit for each event name: beyond the limit of a window events are only counted, and the count is
+ * written with the first event of a later window. A peer that causes the same fault a thousand times a second
+ * must neither fill the disk nor hide other events. It reads no clock and is not thread-safe.
  */
 public final class RepeatLimit {
-    /** Names that are kept; further ones share a place, since a name may be made of what a peer sent. */
-    private static final int MOST_NAMES = 256;
+    /** How many names have a count of their own; others share one, since peers may influence names. */
+    private static final int MAX_NAMES = 256;
 
-    private static final String OTHERS = "";
+    /** The name under which events beyond {@link #MAX_NAMES} are counted. */
+    private static final String OTHER_NAMES = "";
 
-    private final int most;
-    private final long window;
+    private static final long SUPPRESSED = -1;
+
+    private final int maxEvents;
+    private final long windowMicros;
     private final Map<String, Count> counts = new LinkedHashMap<>();
 
     private static final class Count {
-        long since;
-        int written;
-        long leftOut;
+        private long windowStartMicros;
+        private int written;
+        private long suppressed;
     }
 
-    /** So many events of one name in so many microseconds; 0 events for no bound. */
-    public RepeatLimit(int most, long window) {
-        this.most = most;
-        this.window = window;
+    /** Allows {@code maxEvents} events of one name per window; 0 for no limit. */
+    public RepeatLimit(int maxEvents, long windowMicros) {
+        this.maxEvents = maxEvents;
+        this.windowMicros = windowMicros;
     }
 
     /**
-     * Whether an event of this name is to be written now: -1 if not, else how many of its name were left out
-     * since the last one that was.
+     * Decides whether an event is written now: returns -1 if not, else how many events of its name have been
+     * suppressed since the last one that was written.
      */
-    public long admit(String event, long now) {
-        if (most == 0) {
+    public long admit(String event, long nowMicros) {
+        if (maxEvents == 0) {
             return 0;
         }
-        String name = counts.size() < MOST_NAMES || counts.containsKey(event) ? event : OTHERS;
+        String name = counts.size() < MAX_NAMES || counts.containsKey(event) ? event : OTHER_NAMES;
         Count count = counts.computeIfAbsent(name, key -> new Count());
-        if (now - count.since >= window || count.written == 0) {
-            count.since = now;
+        if (nowMicros - count.windowStartMicros >= windowMicros || count.written == 0) {
+            count.windowStartMicros = nowMicros;
             count.written = 0;
         }
-        if (count.written >= most) {
-            count.leftOut++;
-            return -1;
+        if (count.written >= maxEvents) {
+            count.suppressed++;
+            return SUPPRESSED;
         }
         count.written++;
-        long leftOut = count.leftOut;
-        count.leftOut = 0;
-        return leftOut;
+        long suppressed = count.suppressed;
+        count.suppressed = 0;
+        return suppressed;
     }
 }
--- a/server/src/main/java/wheatspread/logging/StructuredLog.java
+++ b/server/src/main/java/wheatspread/logging/StructuredLog.java
@@ -6,35 +6,35 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * The program's log on SLF4J: the event's name is the message, its fields are key-value pairs. Any thread may
- * log; what is written waits for no disk, since {@link LogSetup} hands it to a thread of its own.
+ * The event log on SLF4J: the event's name is the message, its fields are key-value pairs. Thread-safe; a
+ * thread that logs does not wait for I/O, since {@link LogSetup} configures an asynchronous appender.
  */
 public final class StructuredLog implements EventLog {
     private final Logger logger = LoggerFactory.getLogger("wheatspread");
     private final RepeatLimit repeats;
-    private final LongSupplier micros;
+    private final LongSupplier clockMicros;
 
-    /** {@code micros} is the clock by which repeats are counted. */
-    public StructuredLog(RepeatLimit repeats, LongSupplier micros) {
+    /** {@code clockMicros} is the clock of the rate limit. */
+    public StructuredLog(RepeatLimit repeats, LongSupplier clockMicros) {
         this.repeats = repeats;
-        this.micros = micros;
+        this.clockMicros = clockMicros;
     }
 
     @Override
     public void log(Level level, String event, Object... fields) {
-        long leftOut;
+        long suppressed;
         synchronized (repeats) {
-            leftOut = repeats.admit(event, micros.getAsLong());
+            suppressed = repeats.admit(event, clockMicros.getAsLong());
         }
-        if (leftOut < 0) {
+        if (suppressed < 0) {
             return;
         }
         LoggingEventBuilder builder = logger.atLevel(org.slf4j.event.Level.valueOf(level.name()));
         for (int i = 0; i + 1 < fields.length; i += 2) {
             builder = builder.addKeyValue(String.valueOf(fields[i]), fields[i + 1]);
         }
-        if (leftOut > 0) {
-            builder = builder.addKeyValue("left_out", leftOut);
+        if (suppressed > 0) {
+            builder = builder.addKeyValue("left_out", suppressed);
         }
         builder.log(event);
     }
--- a/server/src/test/java/wheatspread/config/SettingsAtSizeTest.java
+++ b/server/src/test/java/wheatspread/config/SettingsAtSizeTest.java
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void tenantsAndRoutesAreReadInWhicheverOrderTheKeysStand() throws IOException {
+    void tenantsAndRoutesAreReadInAnyOrderOfKeys() throws IOException {
         Configuration all = load(config(tenants(TENANTS)), operator());
         var site = all.server().site();
         assertThat(site.tenants()).hasSize(TENANTS);
@@ -89,10 +89,10 @@
         assertThat(all.sources().get(1).settings()).anyMatch(one -> one.value().equals("16000 routes"));
     }
 
-    /** Guards against a start, or a check, that the heap of the deployment has no room for. */
+    /** A start or a check with large settings must fit into the heap of the deployment. */
     @Test
     @Timeout(value = 60, unit = TimeUnit.SECONDS)
-    void theDeployedHeapHasRoomForTheReading() throws Exception {
+    void largeSettingsFitIntoTheDeployedHeap() throws Exception {
         assertThat(run("-Xmx48m", config(tenants(TENANTS)), "check", operator().toString()))
                 .containsExactly("nothing is wrong", "exit 0");
     }
@@ -100,20 +100,20 @@
     @ParameterizedTest
     @CsvSource({"check", "serve"})
     @Timeout(value = 60, unit = TimeUnit.SECONDS)
-    void memoryThatEndsInSpiteOfItIsOneMessageAndTheExitCodeOfSettings(String command) throws Exception {
-        List<String> told = run("-Xmx12m", config(tenants(TENANTS * 5 / 2)), command);
-        assertThat(told).last().isEqualTo("exit 78");
-        told.remove("1 fault");
-        assertThat(told).hasSize(2).first().asString().contains("more memory");
+    void outOfMemoryIsOneMessageAndTheExitCodeOfSettings(String command) throws Exception {
+        List<String> output = run("-Xmx12m", config(tenants(TENANTS * 5 / 2)), command);
+        assertThat(output).last().isEqualTo("exit 78");
+        output.remove("1 fault");
+        assertThat(output).hasSize(2).first().asString().contains("more memory");
     }
 
-    /** What the program said, and what it ended with. */
+    /** Returns the output of the program and its exit code. */
     private static List<String> run(String heap, Path config, String... words) throws Exception {
         Process process = AtSize.process(heap, config, words).start();
-        List<String> told = new ArrayList<>(
+        List<String> output = new ArrayList<>(
                 new String(process.getInputStream().readAllBytes()).lines().toList());
-        told.add("exit " + process.waitFor());
-        return told;
+        output.add("exit " + process.waitFor());
+        return output;
     }
 
     @ParameterizedTest
@@ -132,16 +132,16 @@
                 "['x']|Parties[100] is not an object: a list",
                 "5|Parties[100] is not an object: 5"
             })
-    void aFaultyTenantAmongManyIsNamedWithItsPlace(String faulty, String complaint) throws IOException {
-        String told = faulty.replace('\'', '"').replace("64KiB", "n".repeat(64 << 10));
-        Path config = config(Stream.of(tenants(100), Stream.of(told), Stream.of("{\"Name\": \"last\"}"))
+    void faultyTenantAmongManyIsNamedWithItsLocation(String faulty, String message) throws IOException {
+        String tenant = faulty.replace('\'', '"').replace("64KiB", "n".repeat(64 << 10));
+        Path config = config(Stream.of(tenants(100), Stream.of(tenant), Stream.of("{\"Name\": \"last\"}"))
                 .flatMap(one -> one));
         assertThat(faults(config)).hasSize(1);
-        assertThat(faults(config).get(0)).startsWith(config + ":117: ").contains(complaint);
+        assertThat(faults(config).get(0)).startsWith(config + ":117: ").contains(message);
     }
 
     @Test
-    void aQuotaOfNoughtIsNoneTold() throws IOException {
+    void quotaOfZeroEqualsAnAbsentOne() throws IOException {
         var site = load(config("[{\"Name\": \"a\", \"QuotaPerS\": 0}, {\"Name\": \"b\"}]"), null)
                 .server()
                 .site();
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void ofVeryManyFaultsTheFirstAreKeptAndTheRestCounted() throws IOException {
+    void firstOfManyFaultsAreKeptAndTheRestCounted() throws IOException {
         Path config = config(tenants(TENANTS).map(one -> one.replace("QuotaPerS\": ", "QuotaPerS\": -1")));
         assertThatThrownBy(() -> load(config, null))
                 .isInstanceOfSatisfying(JsonFields.InvalidValueException.class, e -> {
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void whatIsNoListOrTooLongAListIsRefused() throws IOException {
+    void valueThatIsNoListOrTooLongIsRejected() throws IOException {
         assertThat(faults(config("{\"Name\": \"x\"}")))
                 .singleElement()
                 .asString()
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void aRouteToATenantThatIsNoneOfManyIsToldBriefly() throws IOException {
+    void unknownTenantOfARouteIsReportedBriefly() throws IOException {
         Path operator = Files.writeString(dir.resolve("operator.json"), """
             {"uwsgi": {"listen": "127.0.0.1:0", "routes": [
               {"match": "prefix", "path": "/", "routes": [{"match": "exact", "path": "/x", "tenant": "nobody"}]}]}}
@@ -188,7 +188,7 @@
     }
 
     @Test
-    void aFileCutInItsMiddleIsRefused() throws IOException {
+    void truncatedFileIsRejected() throws IOException {
         Path config = config(tenants(TENANTS));
         String whole = Files.readString(config);
         Files.writeString(config, whole.substring(0, whole.length() / 2));
@@ -198,12 +198,12 @@
     /** A file that is written over in place, or cut, while it is read is not taken for one of its two states. */
     @ParameterizedTest
     @CsvSource({"TRUNCATE_EXISTING, is not a JSON object", "APPEND, was changed while it was read"})
-    void aFileChangedWhileItIsReadIsRefused(StandardOpenOption how, String complaint) throws IOException {
+    void fileChangedWhileItIsReadIsRejected(StandardOpenOption how, String message) throws IOException {
         Path config = config(tenants(TENANTS));
         ListReader changing = new TenantChange(config, how);
         assertThatThrownBy(() -> JsonFile.read(config, Map.of("settings.Parties", () -> changing)))
                 .isInstanceOf(JsonFields.InvalidValueException.class)
-                .hasMessageContaining(complaint);
+                .hasMessageContaining(message);
     }
 
     /** Changes the file as soon as its first tenant is read. */
--- a/server/src/test/java/wheatspread/logging/LoggingTest.java
+++ b/server/src/test/java/wheatspread/logging/LoggingTest.java
@@ -15,42 +15,42 @@
 
 class LoggingTest {
     @Test
-    void repeatsAreCountedInPlaceOfWritten() {
+    void eventsBeyondTheLimitAreOnlyCounted() {
         RepeatLimit limit = new RepeatLimit(3, 1_000);
         for (int i = 0; i < 10; i++) {
             assertThat(limit.admit("a", i)).isEqualTo(i < 3 ? 0 : -1);
         }
-        assertThat(limit.admit("b", 10)).isZero(); // another name has a count of its own
+        assertThat(limit.admit("b", 10)).isZero(); // another name has its own count
         assertThat(limit.admit("a", 1_000)).isEqualTo(7);
         assertThat(limit.admit("a", 1_001)).isZero();
         assertThat(new RepeatLimit(0, 1).admit("a", 0)).isZero();
     }
 
     @Test
-    void namesMadeOfWhatAPeerSentDoNotFillTheMemory() {
+    void namesInfluencedByPeersDoNotFillTheMemory() {
         RepeatLimit limit = new RepeatLimit(1, 1_000);
         int written = 0;
         for (int i = 0; i < 10_000; i++) {
             written += limit.admit("name " + i, 1) >= 0 ? 1 : 0;
         }
-        assertThat(written).isEqualTo(257); // the last one stands for all others
+        assertThat(written).isEqualTo(257); // the last one is shared by all others
     }
 
     @Test
-    void linesAreTextOrJsonWithTheSameFields() {
+    void textAndJsonLinesHaveTheSameFields() {
         List<ILoggingEvent> events = new ArrayList<>();
         Logger logger = ((LoggerContext) LoggerFactory.getILoggerFactory()).getLogger("wheatspread");
-        AppenderBase<ILoggingEvent> kept = new AppenderBase<>() {
+        AppenderBase<ILoggingEvent> appender = new AppenderBase<>() {
             @Override
             protected void append(ILoggingEvent event) {
                 events.add(event);
             }
         };
-        kept.start();
-        Level before = logger.getLevel();
+        appender.start();
+        Level originalLevel = logger.getLevel();
         logger.setLevel(Level.INFO);
         logger.setAdditive(false);
-        logger.addAppender(kept);
+        logger.addAppender(appender);
         try {
             EventLog log = new StructuredLog(new RepeatLimit(1, 1_000), () -> events.size() * 600L);
             log.warn("odd_thing", "text", "a \"b\"\nc", "count", 3, "share", Double.NaN, "empty", null);
@@ -59,16 +59,16 @@
             log.warn("odd_thing", "again", true);
             log.log(EventLog.Level.DEBUG, "too_fine");
         } finally {
-            logger.detachAppender(kept);
+            logger.detachAppender(appender);
             logger.setAdditive(true);
-            logger.setLevel(before);
+            logger.setLevel(originalLevel);
         }
         assertThat(events).hasSize(3);
         String json = new EventLayout(true, "n1").doLayout(events.get(0));
         assertThat(json).endsWith("\n").hasLineCount(1);
-        JSONObject told = new JSONObject(json);
-        assertThat(told.remove("at").toString()).startsWith("20").endsWith("Z");
-        assertThat(told.toMap())
+        JSONObject fields = new JSONObject(json);
+        assertThat(fields.remove("at").toString()).startsWith("20").endsWith("Z");
+        assertThat(fields.toMap())
                 .containsEntry("event", "odd_thing")
                 .containsEntry("server", "n1")
                 .containsEntry("text", "a \"b\"\nc")
