--- a/server/src/main/java/wheatspread/config/ConfigProblems.java
+++ b/server/src/main/java/wheatspread/config/ConfigProblems.java
@@ -48,6 +48,16 @@
         return kept.stream().map(ConfigProblem::message).toList();
     }
 
+    /** The message of the first fault, and how many others there are; only if there is one. */
+    String summary() {
+        String first = kept.get(0).message();
+        if (count() == 1) {
+            return first;
+        }
+        String named = dropped == 0 ? "them all" : "the first " + kept.size();
+        return first + " (and " + (count() - 1) + " more; 'check' names " + named + ")";
+    }
+
     /** How many faults there are, including those that are not kept. */
     public long count() {
         return kept.size() + dropped;
--- a/server/src/main/java/wheatspread/config/JsonFields.java
+++ b/server/src/main/java/wheatspread/config/JsonFields.java
@@ -15,8 +15,6 @@
 public final class JsonFields {
     private static final int MAX_TIME_MS = 3_600_000;
     private static final int MICROS_PER_MILLI = 1_000;
-    /** A message shows only the beginning of a longer value. */
-    private static final int MAX_SHOWN_CHARS = 64;
 
     private final Map<String, Object> map;
     private final String path;
@@ -53,20 +51,11 @@
 
         /** Several faults; the message is that of the first one and states how many others there are. */
         InvalidValueException(ConfigProblems found) {
-            super(found.kept().get(0) + others(found));
+            super(found.summary());
             problems = found.problems();
             count = found.count();
         }
 
-        private static String others(ConfigProblems found) {
-            if (found.count() == 1) {
-                return "";
-            }
-            int kept = found.problems().size();
-            String named = found.count() == kept ? "them all" : "the first " + kept;
-            return " (and " + (found.count() - 1) + " more; 'check' names " + named + ")";
-        }
-
         /** The faults; of very many the first ones. */
         public List<ConfigProblem> problems() {
             return problems;
@@ -144,7 +133,7 @@
 
     private String shownOrNull(String name) {
         Object value = map.get(name);
-        return value == null ? null : shown(value);
+        return value == null ? null : ConfigProblem.shown(value);
     }
 
     private <T> T recordSetting(String name, T value) {
@@ -167,20 +156,7 @@
     /** The value as a message ends with it; empty if there is none. */
     private String shownValue(String name) {
         Object value = map.get(name);
-        return value == null ? "" : ": " + shown(value);
-    }
-
-    private static String shown(Object value) {
-        if (value instanceof Map) {
-            return "an object";
-        }
-        if (value instanceof List || value instanceof ListReader) {
-            return "a list";
-        }
-        String text = String.valueOf(value);
-        return text.length() <= MAX_SHOWN_CHARS
-                ? text
-                : text.substring(0, MAX_SHOWN_CHARS) + "... (" + text.length() + " characters)";
+        return value == null ? "" : ": " + ConfigProblem.shown(value);
     }
 
     /** The object under a key; an empty one if it is optional and absent. */
@@ -200,6 +176,7 @@
         return map.get(name);
     }
 
+    /** A number, which must be there. */
     public double number(String name) {
         if (map.get(name) instanceof Number n) {
             return recordSetting(name, n.doubleValue());
@@ -229,6 +206,7 @@
         return "is missing or not a number" + shownValue(name) + "; allowed is " + allowed;
     }
 
+    /** An integer, which must be there. */
     public long integer(String name) {
         double value = number(name);
         Object parsed = map.get(name);
@@ -290,6 +268,7 @@
                 : report(name, "is neither true nor false" + shownValue(name), "true, false", defaultValue);
     }
 
+    /** A text, which must be there. */
     public String text(String name) {
         if (map.get(name) instanceof String text) {
             return recordSetting(name, text);
@@ -307,7 +286,11 @@
         T known = words.get(word);
         if (known == null && map.get(name) instanceof String) {
             String allowed = new TreeSet<>(words.keySet()).toString();
-            report(name, "is an unknown word: " + shown(word) + "; allowed are " + allowed, allowed, null);
+            report(
+                    name,
+                    "is an unknown word: " + ConfigProblem.shown(word) + "; allowed are " + allowed,
+                    allowed,
+                    null);
         }
         return known == null ? words.values().iterator().next() : known;
     }
@@ -323,7 +306,7 @@
             texts.add(
                     element instanceof String text
                             ? text
-                            : report(name, "holds what is not text: " + shown(element), ""));
+                            : report(name, "holds what is not text: " + ConfigProblem.shown(element), ""));
         }
         recordSetting(name, texts);
         return texts;
@@ -350,7 +333,7 @@
             String elementName = name + "[" + index++ + "]";
             JsonFields inner = of(element, key(elementName), source);
             if (inner == null) {
-                report(elementName, "is not an object: " + shown(element), null);
+                report(elementName, "is not an object: " + ConfigProblem.shown(element), null);
             } else {
                 objects.add(inner);
             }
@@ -384,7 +367,7 @@
             reader.read(index, fields);
             return;
         }
-        String shown = shown(element);
+        String shown = ConfigProblem.shown(element);
         String problem = "is not an object: " + shown;
         if (source == null) {
             throw new InvalidValueException(new ConfigProblem(null, 0, path, shown, null, path + " " + problem));
--- a/server/src/main/java/wheatspread/config/ServerConfig.java
+++ b/server/src/main/java/wheatspread/config/ServerConfig.java
@@ -101,6 +101,7 @@
         }
     }
 
+    /** Reads and checks the fields of a file. */
     public static ServerConfig read(JsonFields fields) {
         JsonFields limits = fields.object("limits", true);
         DeploymentSettings site = site(fields.object("settings", false));
--- a/server/src/main/java/wheatspread/jsonrpc/RpcFront.java
+++ b/server/src/main/java/wheatspread/jsonrpc/RpcFront.java
@@ -28,6 +28,7 @@
     /** The phase of the process's lifecycle; null where the method {@code stats} is off. */
     private Supplier<String> lifecyclePhase;
 
+    /** Submits requests to {@code core}, whose settings it reads them by. */
     public RpcFront(Core core, Clock clock) {
         this.core = core;
         this.clock = clock;
--- a/server/src/main/java/wheatspread/kernel/KernelLink.java
+++ b/server/src/main/java/wheatspread/kernel/KernelLink.java
@@ -55,6 +55,7 @@
     private int unansweredRequests;
     private long retryDelayMs = MIN_RETRY_DELAY_MS;
 
+    /** Creates a closed session; the listener gets every notice exactly once, on the event loop. */
     public KernelLink(Bootstrap clients, InetSocketAddress address, Listener listener, EventLog log) {
         loop = clients.config().group();
         this.clients = clients;
--- a/server/src/main/java/wheatspread/transport/EventLoopScheduler.java
+++ b/server/src/main/java/wheatspread/transport/EventLoopScheduler.java
@@ -55,6 +55,7 @@
     /** Whether the connection being read was idle. */
     private boolean readingIdle;
 
+    /** The seed spreads the retries of requests that the burst limiter rejects. */
     public EventLoopScheduler(Transport transport, IterationBudget budget, long seed, EventLog log) {
         this.transport = transport;
         this.budget = budget;
--- a/server/src/main/java/wheatspread/transport/Listener.java
+++ b/server/src/main/java/wheatspread/transport/Listener.java
@@ -75,6 +75,7 @@
     private boolean stalledCheckScheduled;
     private boolean draining;
 
+    /** Creates a listener that accepts nothing yet. */
     public Listener(
             EventLoop loop,
             EventLoopScheduler scheduler,
