--- a/server/src/test/java/wheatspread/core/CoreHarness.java
+++ b/server/src/test/java/wheatspread/core/CoreHarness.java
@@ -163,7 +163,7 @@
 
         @Override
         public void onCompletion(long id, Outcome outcome, long elapsedMicros) {
-            controllerEvents.add("completed " + id + " " + outcome);
+            controllerEvents.add("completed " + id + " " + outcome + " " + elapsedMicros);
         }
 
         @Override
--- a/server/src/test/java/wheatspread/core/CoreIdempotencyTest.java
+++ b/server/src/test/java/wheatspread/core/CoreIdempotencyTest.java
@@ -142,4 +142,19 @@
         harness.settle();
         assertThat(harness.kernelCommands).containsExactly("run a", "run c");
     }
+
+    /** The controller is given the time up to the batch that reports it, not up to the owner's rejection. */
+    @Test
+    void reportsTheTimeThatAJoinerWaitedForAnOwnerThatNeverRan() {
+        harness.decide(actions -> actions.joinResult(2));
+        Long owner = harness.submit("a", "k");
+        harness.submit("b", "k");
+        harness.settle();
+        harness.clock.skip(2_000);
+        core.refuseUnlessBegun(owner);
+        harness.clock.skip(500);
+        harness.settle();
+        assertThat(harness.answers).containsExactly("a REJECTED", "b REJECTED");
+        assertThat(harness.controllerEvents).containsExactly("completed 2 FAILED 2500");
+    }
 }
