--- a/server/src/main/java/wheatspread/control/ControlConnection.java
+++ b/server/src/main/java/wheatspread/control/ControlConnection.java
@@ -6,7 +6,7 @@
 import wheatspread.transport.ClientChannelHandler;
 import wheatspread.transport.Listener;
 
-/** One caller of the operators' door: reads the head of one call, answers it, and closes. */
+/** One connection to the operators' endpoint: reads the head of one request, answers it, and closes. */
 final class ControlConnection extends ClientChannelHandler {
     private final ControlFront front;
     private boolean answered;
@@ -23,7 +23,7 @@
 
     @Override
     protected void gone() {
-        // an answer is made at once, so nothing waits for one
+        // a request is answered at once, so none is open
     }
 
     @Override
@@ -41,19 +41,20 @@
         }
         int end = endOfHead(bytes);
         if (end < 0) {
-            if (bytes.readableBytes() > ControlFront.MOST_HEAD) {
+            if (bytes.readableBytes() > ControlFront.MAX_HEAD_BYTES) {
                 bytes.skipBytes(bytes.readableBytes());
                 answer(ControlFront.response(
-                        "431 Request Header Fields Too Large", "head over " + ControlFront.MOST_HEAD + " bytes\n"));
+                        "431 Request Header Fields Too Large",
+                        "head over " + ControlFront.MAX_HEAD_BYTES + " bytes\n"));
                 return 1;
             }
-            return 0; // the rest comes in later pieces
+            return 0; // the rest of the head has not come yet
         }
         int length = end - bytes.readerIndex();
         String head =
                 bytes.readCharSequence(length, StandardCharsets.ISO_8859_1).toString();
-        bytes.skipBytes(bytes.readableBytes()); // one call a connection: a body or more calls are not read
-        answer(ControlEndpoints.answer(head, front.ready.getAsBoolean(), front.vars, front.more));
+        bytes.skipBytes(bytes.readableBytes()); // one request a connection: a body and further requests are not read
+        answer(front.endpoints.answer(head));
         return 1;
     }
 
@@ -64,7 +65,7 @@
         leave();
     }
 
-    /** Where the blank line that ends the head stands, just past it; -1 before it has come. */
+    /** The index just after the blank line that ends the head; -1 before it has come. */
     private static int endOfHead(ByteBuf bytes) {
         int from = bytes.readerIndex();
         int to = bytes.writerIndex();
--- a/server/src/main/java/wheatspread/control/ControlEndpoints.java
+++ b/server/src/main/java/wheatspread/control/ControlEndpoints.java
@@ -1,42 +1,73 @@
 package wheatspread.control;
 
+import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
+import java.util.regex.Pattern;
+import wheatspread.control.ControlFront.AdditionalEndpoints;
+import wheatspread.control.ControlFront.ControlResponse;
 
-/** What the operators' door makes of the head of a call: the response, with no I/O of its own. */
+/** Answers the requests of the operators' endpoint, from the head of a request to the bytes of a response. */
 final class ControlEndpoints {
-    private ControlEndpoints() {}
+    private static final String READY_PATH = "/_ready";
+    private static final String METRICS_PATH = "/_vars";
+    private static final Pattern HTTP_VERSION = Pattern.compile("HTTP/1\\.[01]");
+    private static final int REQUEST_LINE_PARTS = 3;
 
-    /** The response to a call whose head, up to its blank line, is {@code head}. */
-    static byte[] answer(String head, boolean ready, Supplier<String> vars, ControlFront.More more) {
+    private final BooleanSupplier ready;
+    private final Supplier<String> metrics;
+    private final AdditionalEndpoints additionalEndpoints;
+
+    /**
+     * {@code ready} says whether the process serves; {@code metrics} gives the metrics as lines of text;
+     * {@code additionalEndpoints} is null where there are none.
+     */
+    ControlEndpoints(BooleanSupplier ready, Supplier<String> metrics, AdditionalEndpoints additionalEndpoints) {
+        this.ready = ready;
+        this.metrics = metrics;
+        this.additionalEndpoints = additionalEndpoints;
+    }
+
+    /** The response to a request with this head, which ends with its blank line. */
+    byte[] answer(String head) {
         int lineEnd = head.indexOf('\n');
-        String line = (lineEnd < 0 ? head : head.substring(0, lineEnd)).strip();
-        String[] parts = line.split(" ", -1);
-        if (parts.length != 3
-                || !parts[2].matches("HTTP/1\\.[01]")
-                || parts[0].isEmpty()
-                || !parts[1].startsWith("/")) {
+        String requestLine = (lineEnd < 0 ? head : head.substring(0, lineEnd)).strip();
+        String[] parts = requestLine.split(" ", -1);
+        if (!isRequestLine(parts)) {
             return ControlFront.response("400 Bad Request", "not an HTTP/1.1 request line\n");
         }
-        String path = parts[1];
-        int query = path.indexOf('?');
-        if (query >= 0) {
-            path = path.substring(0, query);
-        }
-        if (!path.equals("/_ready") && !path.equals("/_vars")) {
-            ControlFront.Told told = more == null ? null : more.answer(parts[0], path);
-            if (told != null) {
-                return ControlFront.response(told.status(), told.body());
-            }
-            return ControlFront.response("404 Not Found", "known are /_ready and /_vars\n");
+        String method = parts[0];
+        String path = withoutQuery(parts[1]);
+        if (!path.equals(READY_PATH) && !path.equals(METRICS_PATH)) {
+            return answerAdditional(method, path);
         }
-        if (!parts[0].equals("GET") && !parts[0].equals("HEAD")) {
+        if (!method.equals("GET") && !method.equals("HEAD")) {
             return ControlFront.response("405 Method Not Allowed", "only GET\n");
         }
-        if (path.equals("/_ready")) {
-            return ready
-                    ? ControlFront.response("200 OK", "ready\n")
-                    : ControlFront.response("503 Service Unavailable", "not ready\n");
-        }
-        return ControlFront.response("200 OK", vars.get());
+        return path.equals(READY_PATH) ? readiness() : ControlFront.response("200 OK", metrics.get());
+    }
+
+    private static boolean isRequestLine(String[] parts) {
+        return parts.length == REQUEST_LINE_PARTS
+                && HTTP_VERSION.matcher(parts[2]).matches()
+                && !parts[0].isEmpty()
+                && parts[1].startsWith("/");
+    }
+
+    private static String withoutQuery(String target) {
+        int query = target.indexOf('?');
+        return query < 0 ? target : target.substring(0, query);
+    }
+
+    private byte[] answerAdditional(String method, String path) {
+        ControlResponse response = additionalEndpoints == null ? null : additionalEndpoints.answer(method, path);
+        return response == null
+                ? ControlFront.response("404 Not Found", "known are /_ready and /_vars\n")
+                : ControlFront.response(response.status(), response.body());
+    }
+
+    private byte[] readiness() {
+        return ready.getAsBoolean()
+                ? ControlFront.response("200 OK", "ready\n")
+                : ControlFront.response("503 Service Unavailable", "not ready\n");
     }
 }
--- a/server/src/main/java/wheatspread/control/ControlFront.java
+++ b/server/src/main/java/wheatspread/control/ControlFront.java
@@ -9,57 +9,57 @@
 import wheatspread.transport.Listener;
 
 /**
- * The operators' door: HTTP/1.1 with one call a connection, {@code GET /_ready} and {@code GET /_vars}. It
- * runs on the loop of the recipe traffic, whose turns are short, so a caller hears within the second the
- * operators wait; its own table bounds how many may be connected and how long one may take to finish a call.
+ * The operators' endpoint: HTTP/1.1 with one request a connection, {@code GET /_ready} and {@code GET /_vars}. It runs
+ * on the event loop of the recipe traffic, whose iterations are short, so a caller is answered within the second that
+ * operators wait. Its own connection table bounds how many callers there are and how long one may take.
  */
 public final class ControlFront implements Front {
-    /** Callers at a time; the operators send one call every second or two, and a few that never finish. */
-    public static final int MOST_CALLERS = 64;
-    /** A call must be whole by then, or its connection makes room; us. */
-    public static final long WHOLE_CALL = 2_000_000;
-    /** The most bytes one call may have before the end of its head. */
-    static final int MOST_HEAD = 8 << 10;
+    /** Connections at a time: operators send one request every second or two, and a few connections never finish. */
+    public static final int MAX_CONNECTIONS = 64;
+    /** A connection whose request is not complete by then makes room for others. */
+    public static final long REQUEST_TIMEOUT_MICROS = 2_000_000;
+    /** The size of a request up to the end of its head. */
+    static final int MAX_HEAD_BYTES = 8 << 10;
+    /** The bytes that wait to be written to callers which do not read, of all connections together. */
+    private static final long MAX_PENDING_BYTES = 4L << 20;
 
-    final BooleanSupplier ready;
-    final Supplier<String> vars;
-    /** Calls that there are besides; null for none. */
-    final More more;
+    final ControlEndpoints endpoints;
 
-    /** Answers further calls. */
-    public interface More {
-        /** Null for a path that is not known. */
-        Told answer(String method, String path);
+    /** Further requests that the endpoint answers. */
+    public interface AdditionalEndpoints {
+        /** The response to a request; null for a path that is not known. */
+        ControlResponse answer(String method, String path);
     }
 
-    /** An answer, with the status as HTTP says it. */
-    public record Told(String status, String body) {}
+    /** A response; {@code status} is code and reason phrase, as in "200 OK". */
+    public record ControlResponse(String status, String body) {}
 
     /**
-     * {@code ready} says whether the process can serve; {@code vars} gives the figures as lines of text;
-     * {@code more} is null where there are no further calls.
+     * An endpoint. The suppliers are called on the loop's thread.
+     *
+     * @param ready whether the process serves
+     * @param metrics gives the metrics, as lines of text
+     * @param additionalEndpoints null where there are none
      */
-    public ControlFront(BooleanSupplier ready, Supplier<String> vars, More more) {
-        this.ready = ready;
-        this.vars = vars;
-        this.more = more;
+    public ControlFront(BooleanSupplier ready, Supplier<String> metrics, AdditionalEndpoints additionalEndpoints) {
+        endpoints = new ControlEndpoints(ready, metrics, additionalEndpoints);
     }
 
-    /** The bounds of the door's own connections, apart from those of the recipe traffic. */
+    /** The bounds of the endpoint's own connections, apart from those of the recipe traffic. */
     public static ConnectionLimits limits() {
-        ConnectionLimits usual = ConnectionLimits.usual(MOST_CALLERS);
+        ConnectionLimits usual = ConnectionLimits.usual(MAX_CONNECTIONS);
         return new ConnectionLimits(
-                MOST_CALLERS,
+                MAX_CONNECTIONS,
                 0,
                 0,
                 usual.acceptBurst(),
-                WHOLE_CALL,
-                WHOLE_CALL,
-                WHOLE_CALL,
+                REQUEST_TIMEOUT_MICROS,
+                REQUEST_TIMEOUT_MICROS,
+                REQUEST_TIMEOUT_MICROS,
                 usual.lingering(),
                 usual.toSpeak(),
-                MOST_CALLERS * (long) MOST_HEAD,
-                4L << 20,
+                MAX_CONNECTIONS * (long) MAX_HEAD_BYTES,
+                MAX_PENDING_BYTES,
                 ConnectionLimits.Refusal.ANSWER);
     }
 
@@ -73,7 +73,7 @@
         return response("503 Service Unavailable", "busy\n");
     }
 
-    /** A whole response that ends the connection. */
+    /** The bytes of a response, after which the connection is closed. */
     static byte[] response(String status, String body) {
         byte[] text = body.getBytes(StandardCharsets.UTF_8);
         String head = "HTTP/1.1 " + status + "\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: "
--- a/server/src/main/java/wheatspread/control/MetricsPage.java
+++ b/server/src/main/java/wheatspread/control/MetricsPage.java
@@ -4,36 +4,54 @@
 import java.util.Map;
 import wheatspread.core.RequestCounters;
 
-/** The figures of {@code GET /_vars}, one {@code name=value} a line, by the names the operators read. */
+/**
+ * The metrics of {@code GET /_vars}: one {@code name=value} a line. Operators' tools read the names, so they never
+ * change.
+ */
 public final class MetricsPage {
     private static final String PREFIX = "edge_gw.";
+    /** The order of the final answers in {@link RequestCounters#byClass}. */
+    private static final int SUCCESS = 0;
+
+    private static final int OVERLOAD = 1;
+    private static final int ERROR = 2;
+    private static final long[] NO_REPLIES = new long[3];
 
     private MetricsPage() {}
 
     /**
-     * The figures from the start of the process: each class's final answers, the runs handed to the
-     * kernel, the tries taken and not ended, and the files taken and turned down at SIGHUP. Every class of
-     * the site is named, with 0 where nothing came.
+     * The metrics since the start of the process. Every request class of the deployment is listed, with 0 where no
+     * request came.
+     *
+     * @param counters final answers by class, and the runs that were dispatched to the kernel
+     * @param classes the names of the request classes, in the order of their numbers
+     * @param openRequests requests that are not answered yet
+     * @param appliedReloads configurations applied at SIGHUP
+     * @param rejectedReloads configurations rejected at SIGHUP
      */
     public static String text(
-            RequestCounters counts, List<String> classes, int concurrent, long reloadSuccess, long reloadFailure) {
+            RequestCounters counters,
+            List<String> classes,
+            int openRequests,
+            long appliedReloads,
+            long rejectedReloads) {
         StringBuilder text = new StringBuilder(256);
-        Map<Integer, long[]> byClass = counts.byClass();
-        for (int kind = 0; kind < classes.size(); kind++) {
-            long[] of = byClass.getOrDefault(kind, new long[3]);
-            String name = PREFIX + "replies." + classes.get(kind) + ".";
-            line(text, name + "success", of[0]);
-            line(text, name + "overload", of[1]);
-            line(text, name + "error", of[2]);
+        Map<Integer, long[]> repliesByClass = counters.byClass();
+        for (int number = 0; number < classes.size(); number++) {
+            long[] replies = repliesByClass.getOrDefault(number, NO_REPLIES);
+            String name = PREFIX + "replies." + classes.get(number) + ".";
+            appendLine(text, name + "success", replies[SUCCESS]);
+            appendLine(text, name + "overload", replies[OVERLOAD]);
+            appendLine(text, name + "error", replies[ERROR]);
         }
-        line(text, PREFIX + "dispatches", counts.runs());
-        line(text, PREFIX + "concurrent", concurrent);
-        line(text, PREFIX + "reload_success", reloadSuccess);
-        line(text, PREFIX + "reload_failure", reloadFailure);
+        appendLine(text, PREFIX + "dispatches", counters.runs());
+        appendLine(text, PREFIX + "concurrent", openRequests);
+        appendLine(text, PREFIX + "reload_success", appliedReloads);
+        appendLine(text, PREFIX + "reload_failure", rejectedReloads);
         return text.toString();
     }
 
-    private static void line(StringBuilder text, String name, long value) {
+    private static void appendLine(StringBuilder text, String name, long value) {
         text.append(name).append('=').append(value).append('\n');
     }
 }
--- a/server/src/main/java/wheatspread/daemon/AtomicFile.java
+++ b/server/src/main/java/wheatspread/daemon/AtomicFile.java
@@ -9,35 +9,39 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** Files that are read by other processes while they are written: written beside, then renamed into place. */
+/**
+ * Replaces files that other processes read at any time: the text is written to a temporary file beside the old one,
+ * which is then renamed over it. A reader finds the old text or the new one whole. Calls block for the disk; two calls
+ * for the same file must not overlap, since they share the temporary file.
+ */
 public final class AtomicFile {
     private AtomicFile() {}
 
-    /** Who reads the file finds the old text or this one whole; a crash of the machine may lose it. */
+    /** Replaces the file. A crash of the machine may lose the new text. */
     public static void write(Path file, String text) throws IOException {
-        Path beside = beside(file);
-        Files.writeString(beside, text);
-        Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE);
+        Path temporary = temporaryFile(file);
+        Files.writeString(temporary, text);
+        Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** The same, and when it returns the text outlives a crash of the machine. */
+    /** Replaces the file. When it returns, the text survives a crash of the machine. */
     public static void writeSynced(Path file, String text) throws IOException {
-        Path beside = beside(file);
+        Path temporary = temporaryFile(file);
         try (FileChannel out = FileChannel.open(
-                beside, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
+                temporary, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
             ByteBuffer bytes = ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
             while (bytes.hasRemaining()) {
                 out.write(bytes);
             }
             out.force(true);
         }
-        Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE);
-        try (FileChannel folder = FileChannel.open(file.toAbsolutePath().getParent(), StandardOpenOption.READ)) {
-            folder.force(true);
+        Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE);
+        try (FileChannel directory = FileChannel.open(file.toAbsolutePath().getParent(), StandardOpenOption.READ)) {
+            directory.force(true);
         }
     }
 
-    private static Path beside(Path file) {
+    private static Path temporaryFile(Path file) {
         return file.resolveSibling(file.getFileName() + ".new");
     }
 }
--- a/server/src/main/java/wheatspread/daemon/ConfigReloader.java
+++ b/server/src/main/java/wheatspread/daemon/ConfigReloader.java
@@ -6,55 +6,62 @@
 import wheatspread.config.ServerConfig;
 import wheatspread.logging.EventLog;
 
-/** What SIGHUP brings: reads and checks a configuration whole before anything changes, and counts. */
+/**
+ * What SIGHUP does:
+ *
+ * <ol>
+ * <li>The signal's thread reads the whole configuration and checks it; {@link ServerConfig#requireWhatItHad} rejects
+ *     one that lacks what the process was started with.
+ * <li>The loop's thread applies it by {@link ReloadApplier}, which lists what a reload changes. Everything else in the
+ *     file holds from the next start on, and the log says so ({@code needs_start}).
+ * <li>One of the two counters of the operators' endpoint goes up by one.
+ * </ol>
+ *
+ * <p>A configuration that is not valid, or comes while the process closes, changes nothing. Any thread may call.
+ */
 final class ConfigReloader {
-    private final ServerConfig config;
-    private final Consumer<ServerConfig> takeOver;
+    private final ServerConfig startConfig;
+    private final Consumer<ServerConfig> applier;
     private final EventLog log;
-    private final AtomicLong taken = new AtomicLong();
-    private final AtomicLong refused = new AtomicLong();
+    private final AtomicLong applied = new AtomicLong();
+    private final AtomicLong rejected = new AtomicLong();
 
     /**
-     * {@code config} is what the process was started with; {@code takeOver} takes one over and calls
-     * {@link #taken}, or throws.
+     * A reloader for a process that was started with {@code startConfig}. {@code applier} returns once a configuration
+     * is applied, or throws.
      */
-    ConfigReloader(ServerConfig config, Consumer<ServerConfig> takeOver, EventLog log) {
-        this.config = config;
-        this.takeOver = takeOver;
+    ConfigReloader(ServerConfig startConfig, Consumer<ServerConfig> applier, EventLog log) {
+        this.startConfig = startConfig;
+        this.applier = applier;
         this.log = log;
     }
 
     /**
-     * Reads a configuration on the caller's thread and hands it on; one that is wrong changes nothing. One
-     * at a time, or an older file might be taken over behind a newer one, and several would take the memory
-     * of one each. Whatever is thrown, an {@link Error} too, counts as a refusal, so that each call moves one
-     * of the counts by one.
+     * Reads a configuration on the calling thread and applies it. One call runs at a time: otherwise an older file
+     * could be applied after a newer one, and each would take the memory of a configuration. Whatever is thrown, an
+     * {@link Error} too, counts as rejected, so that each call moves one counter by one.
      */
-    synchronized void read(Supplier<ServerConfig> reader) {
+    synchronized void reload(Supplier<ServerConfig> reader) {
         try {
             ServerConfig next = reader.get();
-            config.requireWhatItHad(next);
-            takeOver.accept(next);
+            startConfig.requireWhatItHad(next);
+            applier.accept(next);
+            applied.incrementAndGet();
         } catch (Throwable e) {
-            refuse(e);
+            reject(e);
         }
     }
 
-    private void refuse(Throwable why) {
-        refused.incrementAndGet(); // first, since the log may need memory that is not there
-        log.warn("reload_refused", "reason", why instanceof RuntimeException ? why.getMessage() : why.toString());
+    private void reject(Throwable cause) {
+        rejected.incrementAndGet(); // first, since the log may need memory that is not there
+        log.warn("reload_refused", "reason", cause instanceof RuntimeException ? cause.getMessage() : cause.toString());
     }
 
-    /** A file was taken over. */
-    void taken() {
-        taken.incrementAndGet();
+    long appliedCount() {
+        return applied.get();
     }
 
-    long takenSoFar() {
-        return taken.get();
-    }
-
-    long refusedSoFar() {
-        return refused.get();
+    long rejectedCount() {
+        return rejected.get();
     }
 }
--- a/server/src/main/java/wheatspread/daemon/CounterReporter.java
+++ b/server/src/main/java/wheatspread/daemon/CounterReporter.java
@@ -12,70 +12,78 @@
 import wheatspread.transport.EventLoopScheduler;
 import wheatspread.transport.Listener;
 
-/** The counters in the log: every few seconds where the operator asks for it, and at the end. */
+/**
+ * Logs the counters of requests, connections and the event loop: at an interval where the operator sets one, and once
+ * at the end of the process. Only the loop's thread calls.
+ */
 final class CounterReporter {
+    private static final long MICROS_PER_SECOND = 1_000_000;
+
     private final Core core;
-    private final Map<Listener, InetSocketAddress> fronts;
-    private final EventLoopScheduler turns;
+    private final Map<Listener, InetSocketAddress> listeners;
+    private final EventLoopScheduler scheduler;
     private final Clock clock;
-    private final int seconds;
-    private final BooleanSupplier goesOn;
+    private final int intervalSeconds;
+    private final BooleanSupplier isActive;
     private final EventLog log;
 
-    /** Every so many {@code seconds}, 0 for never, as long as {@code goesOn}. */
+    /** Logs every {@code intervalSeconds}, 0 for never, as long as {@code isActive}. */
     CounterReporter(
             Core core,
-            Map<Listener, InetSocketAddress> fronts,
-            EventLoopScheduler turns,
+            Map<Listener, InetSocketAddress> listeners,
+            EventLoopScheduler scheduler,
             Clock clock,
-            int seconds,
-            BooleanSupplier goesOn,
+            int intervalSeconds,
+            BooleanSupplier isActive,
             EventLog log) {
         this.core = core;
-        this.fronts = fronts;
-        this.turns = turns;
+        this.listeners = listeners;
+        this.scheduler = scheduler;
         this.clock = clock;
-        this.seconds = seconds;
-        this.goesOn = goesOn;
+        this.intervalSeconds = intervalSeconds;
+        this.isActive = isActive;
         this.log = log;
     }
 
-    void begin() {
-        if (seconds > 0) {
-            clock.after(seconds * 1_000_000L, this::tellAgain);
+    /** Logs the counters after the interval, and again after each further one. */
+    void scheduleNext() {
+        if (intervalSeconds > 0) {
+            clock.after(intervalSeconds * MICROS_PER_SECOND, this::logAndScheduleNext);
         }
     }
 
-    private void tellAgain() {
-        if (goesOn.getAsBoolean()) {
-            tell();
-            begin();
+    private void logAndScheduleNext() {
+        if (isActive.getAsBoolean()) {
+            logCounters();
+            scheduleNext();
         }
     }
 
-    /** What came of the limits so far. */
-    void tell() {
+    /** Logs the counters from the start of the process. */
+    void logCounters() {
         log.info("counts", core.counts().fields());
-        fronts.forEach((front, address) -> {
-            ConnectionTable table = front.table();
+        listeners.forEach((listener, address) -> {
+            ConnectionTable table = listener.table();
             log.info(
                     "connections",
-                    all(
+                    concatenate(
                             new Object[] {"front", address, "now", table.size(), "resting", table.sizeOf(State.RESTING)
                             },
                             table.counters().fields()));
         });
-        log.info("turns", all(turns.times().fields(), turns.gate().fields(), new Object[] {
-            "exhausted",
-            turns.order().exhausted(),
-            "sleepers",
-            turns.order().sleepers(),
-            "timers",
-            turns.wheel().size()
-        }));
+        log.info(
+                "turns",
+                concatenate(scheduler.times().fields(), scheduler.gate().fields(), new Object[] {
+                    "exhausted",
+                    scheduler.order().exhausted(),
+                    "sleepers",
+                    scheduler.order().sleepers(),
+                    "timers",
+                    scheduler.wheel().size()
+                }));
     }
 
-    private static Object[] all(Object[]... fields) {
+    private static Object[] concatenate(Object[]... fields) {
         return Arrays.stream(fields).flatMap(Arrays::stream).toArray();
     }
 }
--- a/server/src/main/java/wheatspread/daemon/EventLoopClock.java
+++ b/server/src/main/java/wheatspread/daemon/EventLoopClock.java
@@ -5,18 +5,25 @@
 import wheatspread.timers.TimerWheel;
 import wheatspread.transport.EventLoopScheduler;
 
-/** The system's Unix clock, with the timers and turns of the one event loop. */
+/**
+ * The system's Unix clock, with the timers and tasks of one event loop. Any thread may read the time; timers and tasks
+ * are set on the loop's thread, and run there.
+ */
 public final class EventLoopClock implements Clock {
-    private final EventLoopScheduler turns;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    private static final int NANOS_PER_MICRO = 1_000;
 
-    public EventLoopClock(EventLoopScheduler turns) {
-        this.turns = turns;
+    private final EventLoopScheduler scheduler;
+
+    /** The clock of the loop that this scheduler runs. */
+    public EventLoopClock(EventLoopScheduler scheduler) {
+        this.scheduler = scheduler;
     }
 
     /** The system's Unix clock, in microseconds. */
     public static long unixMicros() {
         Instant now = Instant.now();
-        return now.getEpochSecond() * 1_000_000 + now.getNano() / 1000;
+        return now.getEpochSecond() * MICROS_PER_SECOND + now.getNano() / NANOS_PER_MICRO;
     }
 
     @Override
@@ -26,32 +33,32 @@
 
     @Override
     public Timer after(long micros, Runnable task) {
-        Bell bell = new Bell(task);
-        turns.wheel().set(bell, EventLoopScheduler.micros() + micros);
-        return bell;
+        WheelTimer timer = new WheelTimer(task);
+        scheduler.wheel().set(timer, EventLoopScheduler.micros() + micros);
+        return timer;
     }
 
     @Override
     public void soon(Runnable task) {
-        turns.soon(task);
+        scheduler.soon(task);
     }
 
-    /** A timer of the wheel. */
-    private final class Bell extends TimerWheel.Timer implements Timer {
+    /** A timer of the scheduler's timer wheel. */
+    private final class WheelTimer extends TimerWheel.Timer implements Timer {
         private final Runnable task;
 
-        Bell(Runnable task) {
+        WheelTimer(Runnable task) {
             this.task = task;
         }
 
         @Override
         protected void ring() {
-            turns.run(task);
+            scheduler.run(task);
         }
 
         @Override
         public void cancel() {
-            turns.wheel().cancel(this);
+            scheduler.wheel().cancel(this);
         }
     }
 }
--- a/server/src/main/java/wheatspread/daemon/FrontListeners.java
+++ b/server/src/main/java/wheatspread/daemon/FrontListeners.java
@@ -7,89 +7,108 @@
 import java.util.Map;
 import wheatspread.transport.Listener;
 
-/** The listeners of one server with the addresses they are to listen on, and those they were bound to. */
+/**
+ * The listeners of a server: those of its fronts, with the addresses they are to listen on and those they were bound
+ * to, and that of the operators' endpoint.
+ *
+ * <p>{@link #bind} is called once, on the thread that starts the server; the addresses may be read by any thread after
+ * that. All else is called on the loop's thread. {@link ShutdownSequence} closes the listeners.
+ */
 final class FrontListeners {
-    /** In the order in which they are bound. */
+    /** In the order in which they are bound; without the operators' endpoint. */
     private final Map<Listener, InetSocketAddress> addresses = new LinkedHashMap<>();
 
-    private final List<InetSocketAddress> bound = new ArrayList<>();
-    /** The front of the platform's proxies, which may accept on a socket it was handed. */
-    private final Listener platform;
-    /** The descriptor of that socket; -1 for none. */
-    private final int inherited;
-    /** The operators' door; null where there is none. */
-    private final Listener door;
+    private final List<InetSocketAddress> boundAddresses = new ArrayList<>();
+    /** That of the platform's proxies, which may accept on an inherited socket. */
+    private final Listener platformListener;
+    /** The file descriptor of the inherited socket; -1 for none. */
+    private final int inheritedDescriptor;
+    /** That of the operators' endpoint; null where there is none. */
+    private final Listener controlListener;
 
-    private volatile InetSocketAddress doorAddress;
+    private volatile InetSocketAddress controlAddress;
 
-    FrontListeners(Map<Listener, InetSocketAddress> addresses, Listener platform, int inherited, Listener door) {
+    FrontListeners(
+            Map<Listener, InetSocketAddress> addresses,
+            Listener platformListener,
+            int inheritedDescriptor,
+            Listener controlListener) {
         this.addresses.putAll(addresses);
-        this.platform = platform;
-        this.inherited = inherited;
-        this.door = door;
+        this.platformListener = platformListener;
+        this.inheritedDescriptor = inheritedDescriptor;
+        this.controlListener = controlListener;
     }
 
-    /** Binds the door, to {@code doorAt}, and the others; what cannot be bound is thrown. */
-    void bind(InetSocketAddress doorAt) {
-        if (door != null) {
-            doorAddress = bind(door, doorAt);
+    /** Binds the operators' endpoint to {@code controlAddress}, then the fronts. What cannot be bound is thrown. */
+    void bind(InetSocketAddress controlAddress) {
+        if (controlListener != null) {
+            this.controlAddress = listen(controlListener, controlAddress);
         }
-        addresses.forEach((front, address) ->
-                bound.add(front == platform && inherited >= 0 ? front.hold(inherited) : bind(front, address)));
+        addresses.forEach((listener, address) -> boundAddresses.add(bindFront(listener, address)));
     }
 
-    private static InetSocketAddress bind(Listener front, InetSocketAddress address) {
+    private InetSocketAddress bindFront(Listener listener, InetSocketAddress address) {
+        boolean inherits = listener == platformListener && inheritedDescriptor >= 0;
+        return inherits ? listener.hold(inheritedDescriptor) : listen(listener, address);
+    }
+
+    private static InetSocketAddress listen(Listener listener, InetSocketAddress address) {
         try {
-            return front.listen(address);
-        } catch (Exception e) { // Netty throws what the system said, checked or not
+            return listener.listen(address);
+        } catch (Exception e) { // Netty throws the system's error, checked or not
             throw new IllegalStateException("cannot listen on " + address + ": " + e.getMessage(), e);
         }
     }
 
-    /** All of them but the door. */
+    /** The listeners of the fronts. */
     List<Listener> listeners() {
         return List.copyOf(addresses.keySet());
     }
 
-    /** Where they listen, in the order in which they were bound, without the door. */
-    List<InetSocketAddress> bound() {
-        return List.copyOf(bound);
+    /** The listeners of the fronts, with the addresses that they are to listen on. */
+    Map<Listener, InetSocketAddress> addresses() {
+        return addresses;
+    }
+
+    /** The addresses to which the fronts were bound, in that order. */
+    List<InetSocketAddress> boundAddresses() {
+        return List.copyOf(boundAddresses);
     }
 
     /** Null where there is none. */
-    Listener door() {
-        return door;
+    Listener controlListener() {
+        return controlListener;
     }
 
-    /** Null before it listens, and where there is none. */
-    InetSocketAddress doorAddress() {
-        return doorAddress;
+    /** Null before it is bound, and where there is none. */
+    InetSocketAddress controlAddress() {
+        return controlAddress;
     }
 
-    /** Takes what comes to a socket that was handed over, once the process serves. */
-    void acceptHeld() {
-        if (inherited >= 0) {
-            platform.acceptHeld(); // until now the process before this one took what came
+    /** Accepts connections of an inherited socket; until the process serves, the earlier process accepts them. */
+    void acceptInherited() {
+        if (inheritedDescriptor >= 0) {
+            platformListener.acceptHeld();
         }
     }
 
-    /** Leaves what comes to a socket that was handed over to the next process. */
-    void releaseHeld() {
-        if (inherited >= 0) {
-            platform.stopListening();
+    /** Leaves further connections of an inherited socket to the next process. */
+    void releaseInherited() {
+        if (inheritedDescriptor >= 0) {
+            platformListener.stopListening();
         }
     }
 
-    /** Closes connections unused for so many microseconds. */
-    void closeIdle(long after) {
-        addresses.keySet().forEach(front -> front.closeIdle(after));
+    /** Closes the connections of the fronts that were idle for so long. */
+    void closeIdle(long idleMicros) {
+        addresses.keySet().forEach(listener -> listener.closeIdle(idleMicros));
     }
 
-    /** Closes all, the door too. */
+    /** Closes all listeners, that of the operators' endpoint too. */
     void close() {
         addresses.keySet().forEach(Listener::close);
-        if (door != null) {
-            door.close();
+        if (controlListener != null) {
+            controlListener.close();
         }
     }
 }
--- a/server/src/main/java/wheatspread/daemon/GracefulShutdown.java
+++ b/server/src/main/java/wheatspread/daemon/GracefulShutdown.java
@@ -14,125 +14,130 @@
 import wheatspread.transport.Listener;
 
 /**
- * The graceful shutdown of one server: from the notice to leave to the end of its last connection. What is
- * due when {@link DrainDeadlines} says; here it is done to the core and the listeners. Only the loop's thread calls.
+ * Drains the requests and connections of a server. {@link DrainDeadlines} says which step is to be taken at which
+ * time; here it is carried out on the core and the listeners. {@link ShutdownSequence} has the whole of a shutdown.
+ * Only the loop's thread calls.
  */
 final class GracefulShutdown {
-    /** How often the drain is looked after; us. */
-    private static final long DRAIN_LOOK = 25_000;
-    /** How often connections that linger are looked after; us. */
-    private static final long CLOSE_LOOK = 5_000;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final long DRAIN_POLL_MICROS = 25_000;
+    private static final long CLOSE_POLL_MICROS = 5_000;
 
     private final Core core;
-    private final List<Listener> fronts;
+    private final List<Listener> listeners;
     private final Clock clock;
-    private final ProcessMarkerFiles marks;
+    private final ProcessMarkerFiles markerFiles;
     private final EventLog log;
-    private final BooleanSupplier unread;
-    private final Consumer<Event> life;
-    private DrainDeadlines drain;
-    private RequestCounters atNotice;
-    private Core.InHand handAtNotice;
+    private final BooleanSupplier hasUnreadInput;
+    private final Consumer<Event> drainEnded;
+    private DrainDeadlines deadlines;
+    private RequestCounters countersAtSignal;
+    private Core.InHand openAtSignal;
 
     /**
-     * {@code unread} tells whether callers have written what has not been read yet; {@code life} hears how
-     * the drain ended.
+     * {@code hasUnreadInput} says whether callers have written what has not been read yet; {@code drainEnded} is given
+     * {@link Event#ALL_ANSWERED} or {@link Event#DRAIN_TIMED_OUT} at the end of the drain.
      */
     GracefulShutdown(
             Core core,
-            List<Listener> fronts,
+            List<Listener> listeners,
             Clock clock,
-            ProcessMarkerFiles marks,
+            ProcessMarkerFiles markerFiles,
             EventLog log,
-            BooleanSupplier unread,
-            Consumer<Event> life) {
+            BooleanSupplier hasUnreadInput,
+            Consumer<Event> drainEnded) {
         this.core = core;
-        this.fronts = fronts;
+        this.listeners = listeners;
         this.clock = clock;
-        this.marks = marks;
+        this.markerFiles = markerFiles;
         this.log = log;
-        this.unread = unread;
-        this.life = life;
+        this.hasUnreadInput = hasUnreadInput;
+        this.drainEnded = drainEnded;
     }
 
-    /** The notice was heard at {@code noticeAt}, Unix microseconds; for the rest see {@link DrainDeadlines}. */
-    void begin(long noticeAt, long stopAfter, long grace, boolean listed) {
-        atNotice = core.countsNow();
-        handAtNotice = core.inHand();
-        drain = new DrainDeadlines(noticeAt, stopAfter, grace, listed);
-        core.drain(noticeAt, stopAfter);
-        fronts.forEach(Listener::lastCall);
-        look();
+    /** Begins the drain; for the parameters see {@link DrainDeadlines}. */
+    void begin(long signalledAtMicros, long stopTimeoutMicros, long graceMicros, boolean listed) {
+        countersAtSignal = core.countsNow();
+        openAtSignal = core.inHand();
+        deadlines = new DrainDeadlines(signalledAtMicros, stopTimeoutMicros, graceMicros, listed);
+        core.drain(signalledAtMicros, stopTimeoutMicros);
+        listeners.forEach(Listener::lastCall);
+        poll();
     }
 
-    /** A second notice that asks not to wait. */
-    void hurry() {
-        if (drain != null && !drain.hurried()) {
-            drain.hurry(clock.nowMicros());
+    /** Ends the grace, and rejects what has not started. Before the drain it does nothing. */
+    void answerImmediately() {
+        if (deadlines != null && !deadlines.isImmediate()) {
+            deadlines.answerImmediately(clock.nowMicros());
         }
     }
 
     /**
-     * Looks whether all is answered, and all that was written is read: a busy process may come to it late.
-     * New tries come until the listener is closed, so none is left before.
+     * Takes the step of the time. Input that is not read yet counts as one unanswered request: a busy process may be
+     * late in reading it.
      */
-    private void look() {
-        DrainDeadlines.Step step = drain.look(clock.nowMicros(), core.open() + (unread.getAsBoolean() ? 1 : 0));
-        if (step != DrainDeadlines.Step.LISTEN) {
-            fronts.forEach(Listener::stopListening);
+    private void poll() {
+        int unanswered = core.open() + (hasUnreadInput.getAsBoolean() ? 1 : 0);
+        DrainDeadlines.Step step = deadlines.step(clock.nowMicros(), unanswered);
+        if (step != DrainDeadlines.Step.ACCEPT) {
+            listeners.forEach(Listener::stopListening);
         }
-        if (step == DrainDeadlines.Step.ANSWER_ALL) {
-            core.answerAll();
-        }
-        if (step == DrainDeadlines.Step.LEAVE_EMPTY || step == DrainDeadlines.Step.LEAVE_IN_TIME) {
-            life.accept(step == DrainDeadlines.Step.LEAVE_EMPTY ? Event.EMPTY : Event.TIME_UP);
-        } else {
-            clock.after(DRAIN_LOOK, this::look);
+        switch (step) {
+            case CLOSE_ALL_ANSWERED -> drainEnded.accept(Event.ALL_ANSWERED);
+            case CLOSE_TIMED_OUT -> drainEnded.accept(Event.DRAIN_TIMED_OUT);
+            case REJECT_NOT_STARTED -> {
+                core.answerAll();
+                clock.after(DRAIN_POLL_MICROS, this::poll);
+            }
+            default -> clock.after(DRAIN_POLL_MICROS, this::poll);
         }
     }
 
-    /** What the drain answered, what it had to fail, and whether anything is left without an answer. */
-    void tell() {
+    /**
+     * Logs, and writes to the report file, what was open at the signal, what became of it, and what is unanswered.
+     */
+    void logReport() {
         List<Object> fields = new ArrayList<>(List.of(
                 "took_ms",
-                drain.took(clock.nowMicros()) / 1000,
+                deadlines.elapsedMicros(clock.nowMicros()) / MICROS_PER_MILLI,
                 "held",
-                handAtNotice.held(),
+                openAtSignal.held(),
                 "running",
-                handAtNotice.running(),
+                openAtSignal.running(),
                 "paused",
-                handAtNotice.paused(),
+                openAtSignal.paused(),
                 "calling",
-                handAtNotice.calling(),
+                openAtSignal.calling(),
                 "joined",
-                handAtNotice.joined()));
-        fields.addAll(List.of(core.counts().since(atNotice)));
+                openAtSignal.joined()));
+        fields.addAll(List.of(core.counts().since(countersAtSignal)));
         fields.addAll(List.of("unanswered", core.open()));
         log.info("drained", fields.toArray());
-        marks.report(new JSONObject(EventLog.map(fields.toArray())));
+        markerFiles.report(new JSONObject(EventLog.map(fields.toArray())));
     }
 
     /**
-     * Ends all connections, the operators' door among them (null where there is none), and then runs
-     * {@code ended}. The process must not end before: the system would reset connections with bytes that
-     * nobody read, and the answers on their way with them.
+     * Closes all connections, those of the operators' endpoint too ({@code controlListener} is null where there is
+     * none), and then runs {@code closed}. The process must not exit before: the system would reset connections with
+     * bytes that nobody has read, and the answers on their way would be lost.
      */
-    void close(Listener door, Runnable ended) {
-        List<Listener> all = new ArrayList<>(fronts);
-        if (door != null) {
-            all.add(door);
+    void close(Listener controlListener, Runnable closed) {
+        List<Listener> all = new ArrayList<>(listeners);
+        if (controlListener != null) {
+            all.add(controlListener);
         }
         all.forEach(Listener::close);
-        awaitClosed(all, clock.nowMicros(), ended);
+        awaitClosed(all, clock.nowMicros(), closed);
     }
 
-    private void awaitClosed(List<Listener> all, long closingAt, Runnable ended) {
-        long pending = all.stream().mapToLong(Listener::pendingBytes).sum();
-        if (all.stream().allMatch(Listener::isEmpty) || !drain.lingers(clock.nowMicros(), closingAt, pending)) {
+    private void awaitClosed(List<Listener> all, long closingAtMicros, Runnable closed) {
+        long pendingBytes = all.stream().mapToLong(Listener::pendingBytes).sum();
+        if (all.stream().allMatch(Listener::isEmpty)
+                || !deadlines.mayLinger(clock.nowMicros(), closingAtMicros, pendingBytes)) {
             all.forEach(Listener::cut);
-            clock.soon(ended);
+            clock.soon(closed);
         } else {
-            clock.after(CLOSE_LOOK, () -> awaitClosed(all, closingAt, ended));
+            clock.after(CLOSE_POLL_MICROS, () -> awaitClosed(all, closingAtMicros, closed));
         }
     }
 }
--- a/server/src/main/java/wheatspread/daemon/KernelReadiness.java
+++ b/server/src/main/java/wheatspread/daemon/KernelReadiness.java
@@ -6,45 +6,56 @@
 import wheatspread.lifecycle.Lifecycle.Phase;
 import wheatspread.logging.EventLog;
 
-/** Tells that the kernel is late, again and again, and gives up where the operator says so. */
+/**
+ * Waits for the kernel in the phase {@code AWAITING_KERNEL}: logs every {@link #LOG_INTERVAL_MICROS} that it is not
+ * ready, and reports a timeout where the operator sets one. Only the loop's thread calls.
+ */
 final class KernelReadiness {
-    /** How long a kernel may stay away before that is logged, first; us. */
-    private static final long LATE = 10_000_000;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final long LOG_INTERVAL_MICROS = 10_000_000;
 
     private final Clock clock;
-    private final long most;
+    private final long timeoutMicros;
     private final InetSocketAddress address;
-    private final Lifecycle life;
-    private final Runnable giveUp;
+    private final Lifecycle lifecycle;
+    private final Runnable timedOut;
     private final EventLog log;
-    private final long began;
+    private final long startedAtMicros;
 
-    /** Gives up after {@code most} microseconds; 0 for never. */
-    KernelReadiness(Clock clock, long most, InetSocketAddress address, Lifecycle life, Runnable giveUp, EventLog log) {
+    /** {@code timedOut} runs after {@code timeoutMicros}; never if that is 0. The time runs from this call. */
+    KernelReadiness(
+            Clock clock,
+            long timeoutMicros,
+            InetSocketAddress address,
+            Lifecycle lifecycle,
+            Runnable timedOut,
+            EventLog log) {
         this.clock = clock;
-        this.most = most;
+        this.timeoutMicros = timeoutMicros;
         this.address = address;
-        this.life = life;
-        this.giveUp = giveUp;
+        this.lifecycle = lifecycle;
+        this.timedOut = timedOut;
         this.log = log;
-        began = clock.nowMicros();
+        startedAtMicros = clock.nowMicros();
     }
 
-    void begin() {
-        long left = most > 0 ? began + most - clock.nowMicros() : LATE;
-        clock.after(Math.min(left, LATE), this::look);
+    /** Checks again after the log interval, or at the timeout if that is sooner. */
+    void scheduleCheck() {
+        long remainingMicros =
+                timeoutMicros > 0 ? startedAtMicros + timeoutMicros - clock.nowMicros() : LOG_INTERVAL_MICROS;
+        clock.after(Math.min(remainingMicros, LOG_INTERVAL_MICROS), this::check);
     }
 
-    private void look() {
-        if (life.phase() != Phase.WAITING) {
+    private void check() {
+        if (lifecycle.phase() != Phase.AWAITING_KERNEL) {
             return;
         }
-        long waited = clock.nowMicros() - began;
-        log.warn("kernel_late", "waited_ms", waited / 1000, "address", address);
-        if (most > 0 && waited >= most) {
-            giveUp.run();
+        long waitedMicros = clock.nowMicros() - startedAtMicros;
+        log.warn("kernel_late", "waited_ms", waitedMicros / MICROS_PER_MILLI, "address", address);
+        if (timeoutMicros > 0 && waitedMicros >= timeoutMicros) {
+            timedOut.run();
         } else {
-            begin();
+            scheduleCheck();
         }
     }
 }
--- a/server/src/main/java/wheatspread/daemon/MembershipService.java
+++ b/server/src/main/java/wheatspread/daemon/MembershipService.java
@@ -18,10 +18,15 @@
 import wheatspread.transport.EventLoopScheduler;
 import wheatspread.transport.Transport;
 
-/** This server among its peers, and what operators are told of that. */
+/**
+ * This server as a member of a cluster of peers, with what operators see of it: metrics, and the paths
+ * {@code /_members} and {@code /_members/form} of their endpoint. It owns the sockets to the peers;
+ * {@link ShutdownSequence} has it leave the cluster and closes it. {@link #open} is called on the thread that starts
+ * the server, all else on the loop's thread.
+ */
 final class MembershipService {
-    /** How often a socket is tried again that the process before this one still holds; us. */
-    private static final long BIND_AGAIN = 250_000;
+    /** The pause before another attempt to bind a socket that the earlier process still holds. */
+    private static final long BIND_RETRY_MICROS = 250_000;
 
     private final String cluster;
     private final String name;
@@ -40,7 +45,7 @@
         Package program = MembershipService.class.getPackage();
         String build = program.getImplementationVersion() == null ? "" : program.getImplementationVersion();
         Member self = new Member(new MemberId(name, start), config.advertise(), config.zone(), build, 0);
-        // drawn apart from all other servers of the fleet, or all would do everything at once
+        // a seed of its own, or all servers of the fleet would send at the same times
         peers = new PeerTransport(
                 cluster,
                 config.listen(),
@@ -54,8 +59,8 @@
     }
 
     /**
-     * Binds the sockets. {@code upgrade}: the process before this one may hold them until it has left, so
-     * they are tried again; else what can't be bound is thrown.
+     * Binds the sockets. In an {@code upgrade} the earlier process may hold them until it exits, so binding is retried
+     * until it succeeds; otherwise a socket that cannot be bound is thrown.
      */
     void open(boolean upgrade) {
         Future<Void> opening = peers.open();
@@ -63,7 +68,7 @@
             opening.addListener(done -> {
                 if (!done.isSuccess()) {
                     log.info("peers_wait", "error", done.cause().getMessage());
-                    clock.after(BIND_AGAIN, this::openAgain);
+                    clock.after(BIND_RETRY_MICROS, this::retryOpen);
                 }
             });
         } else if (!opening.awaitUninterruptibly().isSuccess()) {
@@ -72,23 +77,25 @@
         }
     }
 
-    private void openAgain() {
+    private void retryOpen() {
         if (!closed) {
             open(true);
         }
     }
 
+    /** Announces to the peers that this server leaves. */
     void leave() {
         peers.leave();
     }
 
+    /** Closes the sockets. */
     void close() {
         closed = true;
         peers.close();
     }
 
-    /** The lines of this for the figures of the operators' door. */
-    String vars() {
+    /** Its lines for the metrics of the operators' endpoint. */
+    String metrics() {
         Membership membership = peers.membership();
         View view = membership.view();
         return peers.counts().text("edge_gw.peers.") + "edge_gw.peers.members="
@@ -96,44 +103,44 @@
                 + (membership.stands(EventLoopScheduler.micros()) ? 1 : 0) + "\n";
     }
 
-    /** The operators' calls that there are with this; null for any other. */
-    ControlFront.Told answer(String method, String path) {
+    /** Answers its paths of the operators' endpoint; null for any other path. */
+    ControlFront.ControlResponse answer(String method, String path) {
         if (path.equals("/_members")) {
             return method.equals("GET")
-                    ? new ControlFront.Told("200 OK", members().toString() + "\n")
-                    : new ControlFront.Told("405 Method Not Allowed", "only GET\n");
+                    ? new ControlFront.ControlResponse("200 OK", membersJson().toString() + "\n")
+                    : new ControlFront.ControlResponse("405 Method Not Allowed", "only GET\n");
         }
         if (path.equals("/_members/form")) {
             if (!method.equals("POST")) {
-                return new ControlFront.Told("405 Method Not Allowed", "only POST\n");
+                return new ControlFront.ControlResponse("405 Method Not Allowed", "only POST\n");
             }
             String refused = peers.found();
             log.info("form_ordered", "refused", refused == null ? "no" : refused);
             return refused == null
-                    ? new ControlFront.Told("200 OK", "forming\n")
-                    : new ControlFront.Told("409 Conflict", refused + "\n");
+                    ? new ControlFront.ControlResponse("200 OK", "forming\n")
+                    : new ControlFront.ControlResponse("409 Conflict", refused + "\n");
         }
         return null;
     }
 
-    private JSONObject members() {
-        long now = EventLoopScheduler.micros();
+    private JSONObject membersJson() {
+        long nowMicros = EventLoopScheduler.micros();
         Membership membership = peers.membership();
         View view = membership.view();
         JSONArray members = new JSONArray();
         for (int i = 0; view != null && i < view.size(); i++) {
-            Member one = view.members().get(i);
+            Member member = view.members().get(i);
             boolean in = membership.isIn();
             members.put(new JSONObject()
-                    .put("name", one.id().name())
-                    .put("start", one.id().start())
-                    .put("address", one.address())
-                    .put("zone", one.zone())
-                    .put("build", one.build())
-                    .put("config", one.config())
+                    .put("name", member.id().name())
+                    .put("start", member.id().start())
+                    .put("address", member.address())
+                    .put("zone", member.zone())
+                    .put("build", member.build())
+                    .put("config", member.config())
                     .put("suspected_by", in ? membership.suspectedBy(i) : List.of())
                     .put("missed_by", in ? membership.reportedBy(i) : List.of())
-                    .put("suspected_ms", membership.suspectedFor(one.id(), now) / 1_000));
+                    .put("suspected_ms", membership.suspectedFor(member.id(), nowMicros) / 1_000));
         }
         return new JSONObject()
                 .put("cluster", cluster)
@@ -142,8 +149,8 @@
                 .put("epoch", view == null ? 0 : view.id().epoch())
                 .put("number", view == null ? 0 : view.id().number())
                 .put("in", membership.isIn())
-                .put("stands", membership.stands(now))
-                .put("why_not", membership.whyNot(now))
+                .put("stands", membership.stands(nowMicros))
+                .put("why_not", membership.whyNot(nowMicros))
                 .put("distrust", membership.distrust())
                 .put("members", members);
     }
--- a/server/src/main/java/wheatspread/daemon/ProcessMarkerFiles.java
+++ b/server/src/main/java/wheatspread/daemon/ProcessMarkerFiles.java
@@ -20,14 +20,19 @@
 import wheatspread.logging.EventLog;
 
 /**
- * The files by which a supervisor knows a process: a lock held while it lives, a mark that it is ready, and
- * the report of its drain. They are written by a thread of their own, since a disk may stall; what fails is
- * logged, and the process goes on.
+ * The files by which a supervisor knows a process: a lock file that it holds while it runs, a ready file that exists
+ * while it serves, and the report of its drain. Each is optional.
+ *
+ * <p>The lock is taken on the calling thread. The other files are written by a thread of this object, since a disk may
+ * stall; what fails is logged, and the process goes on. {@link Server#awaitStopped} closes it.
  */
 public final class ProcessMarkerFiles implements AutoCloseable {
-    private static final int LAST_WRITE_MS = 300;
-    private static final int LOCK_TRIES = 6;
-    private static final int LOCK_WAIT_MS = 40;
+    /** How long the end of the process waits for the files. */
+    private static final int CLOSE_TIMEOUT_MILLIS = 300;
+    /** A supervisor that checks whether the lock is held takes it for a moment, so one attempt may fail. */
+    private static final int MAX_LOCK_ATTEMPTS = 6;
+
+    private static final int LOCK_RETRY_MILLIS = 40;
 
     /** Another process holds the lock. */
     public static final class Taken extends Exception {
@@ -40,36 +45,36 @@
 
     private final LifeConfig files;
     private final EventLog log;
-    private final ExecutorService disk;
+    /** Null where neither a ready file nor a report is asked for. */
+    private final ExecutorService writer;
+    /** Open as long as the process runs; null without a lock file. */
     private FileChannel lock;
 
     ProcessMarkerFiles(LifeConfig files, EventLog log) {
         this.files = files;
         this.log = log;
-        boolean none = files.readyFile() == null && files.reportFile() == null;
-        disk = none
-                ? null
-                : Executors.newSingleThreadExecutor(task -> {
-                    Thread thread = new Thread(task, "marks");
-                    thread.setDaemon(true);
-                    return thread;
-                });
+        boolean writesFiles = files.readyFile() != null || files.reportFile() != null;
+        writer = writesFiles ? Executors.newSingleThreadExecutor(this::newThread) : null;
+    }
+
+    private Thread newThread(Runnable task) {
+        Thread thread = new Thread(task, "marker-files");
+        thread.setDaemon(true);
+        thread.setUncaughtExceptionHandler(
+                (failed, cause) -> log.error("thread_failed", "thread", failed.getName(), "error", cause));
+        return thread;
     }
 
     /**
-     * Takes the lock, in which name and mark then stand, for good; the system lets go of it when the process
-     * ends, however it ends.
+     * Takes the lock file, writes name and mark into it, and removes the ready file and the report of a process that
+     * was killed. The system releases the lock when the process ends, however it ends.
      */
     void lock(String name, String mark) throws IOException, Taken {
         if (files.lockFile() == null) {
             return;
         }
         lock = FileChannel.open(files.lockFile(), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-        FileLock taken = null;
-        for (int i = 0; i < LOCK_TRIES && taken == null; i++) {
-            taken = tryLock(i);
-        }
-        if (taken == null) {
+        if (!tryLock()) {
             lock.close();
             throw new Taken(files.lockFile());
         }
@@ -77,17 +82,26 @@
         lock.truncate(0);
         lock.write(ByteBuffer.wrap((identity + "\n").getBytes(StandardCharsets.UTF_8)));
         if (files.readyFile() != null) {
-            Files.deleteIfExists(files.readyFile()); // of one that was killed
+            Files.deleteIfExists(files.readyFile());
         }
         if (files.reportFile() != null) {
             Files.deleteIfExists(files.reportFile());
         }
     }
 
-    /** A supervisor that looks whether the lock is held takes it for a moment. */
-    private FileLock tryLock(int round) throws IOException {
+    private boolean tryLock() throws IOException {
+        for (int attempt = 0; attempt < MAX_LOCK_ATTEMPTS; attempt++) {
+            if (tryLockAfter(attempt == 0 ? 0 : LOCK_RETRY_MILLIS) != null) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Null where it is not free. */
+    private FileLock tryLockAfter(int delayMillis) throws IOException {
         try {
-            TimeUnit.MILLISECONDS.sleep(round == 0 ? 0 : LOCK_WAIT_MS);
+            TimeUnit.MILLISECONDS.sleep(delayMillis);
             return lock.tryLock();
         } catch (OverlappingFileLockException e) {
             return null;
@@ -97,10 +111,10 @@
         }
     }
 
-    /** Marks the process of this name as ready at these addresses since {@code atMillis}, Unix time. */
+    /** Writes the ready file: the process of this name serves at these addresses since this Unix time. */
     void ready(String name, List<InetSocketAddress> bound, long atMillis) {
         List<String> listen = bound.stream()
-                .map(one -> one.getHostString() + ":" + one.getPort())
+                .map(address -> address.getHostString() + ":" + address.getPort())
                 .toList();
         write(files.readyFile(), identity(name).put("listen", listen).put("at", atMillis));
     }
@@ -111,9 +125,10 @@
                 .put("pid", ProcessHandle.current().pid());
     }
 
+    /** Removes the ready file. */
     void notReady() {
         if (files.readyFile() != null) {
-            disk.execute(() -> {
+            writer.execute(() -> {
                 try {
                     Files.deleteIfExists(files.readyFile());
                 } catch (IOException e) {
@@ -123,32 +138,33 @@
         }
     }
 
+    /** Writes the report of the drain. */
     void report(JSONObject report) {
         write(files.reportFile(), report);
     }
 
-    private void write(Path file, JSONObject text) {
+    private void write(Path file, JSONObject content) {
         if (file == null) {
             return;
         }
         CompletableFuture.runAsync(
                 () -> {
                     try {
-                        AtomicFile.write(file, text + "\n");
+                        AtomicFile.write(file, content + "\n");
                     } catch (IOException e) {
                         log.warn("mark_failed", "file", file, "error", e);
                     }
                 },
-                disk);
+                writer);
     }
 
-    /** Waits a little for what is still to be written. */
+    /** Waits for what is still to be written, for {@link #CLOSE_TIMEOUT_MILLIS} at most. */
     @Override
     public void close() {
-        if (disk != null) {
-            disk.shutdown();
+        if (writer != null) {
+            writer.shutdown();
             try {
-                disk.awaitTermination(LAST_WRITE_MS, TimeUnit.MILLISECONDS);
+                writer.awaitTermination(CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/server/src/main/java/wheatspread/daemon/ReloadApplier.java
+++ b/server/src/main/java/wheatspread/daemon/ReloadApplier.java
@@ -10,40 +10,46 @@
 import wheatspread.records.RecordsClient;
 import wheatspread.uwsgi.UwsgiFront;
 
-/** Brings the addresses and the classes of a new configuration to the parts of a running server. */
+/**
+ * Applies a new configuration to a running server. A reload changes the request classes and tenants of the settings,
+ * and the addresses of the kernel, the records service and announce; everything else holds from the next start on.
+ */
 final class ReloadApplier {
-    private final ServerConfig started;
+    private final ServerConfig startConfig;
     private final Core core;
     private final KernelLink kernel;
     private final RecordsClient records;
-    private final AnnounceClient announcer;
+    private final AnnounceClient announceClient;
     private final RpcFront platform;
     private final UwsgiFront uwsgi;
     private final EventLog log;
 
-    /** {@code started} is what the process was started with; {@code uwsgi} is null where that front is off. */
+    /** {@code startConfig} is that of the start; {@code uwsgi} is null where that front is off. */
     ReloadApplier(
-            ServerConfig started,
+            ServerConfig startConfig,
             Core core,
             KernelLink kernel,
             RecordsClient records,
-            AnnounceClient announcer,
+            AnnounceClient announceClient,
             RpcFront platform,
             UwsgiFront uwsgi,
             EventLog log) {
-        this.started = started;
+        this.startConfig = startConfig;
         this.core = core;
         this.kernel = kernel;
         this.records = records;
-        this.announcer = announcer;
+        this.announceClient = announceClient;
         this.platform = platform;
         this.uwsgi = uwsgi;
         this.log = log;
     }
 
-    /** On the loop's thread. The classes come first: they are what may yet be refused, and that is thrown. */
-    void of(ServerConfig next) {
-        DeploymentSettings site = core.retune(next.site());
+    /**
+     * Called on the loop's thread. The settings come first: they are all that can still be rejected, which is thrown
+     * before anything has changed.
+     */
+    void apply(ServerConfig next) {
+        DeploymentSettings deployment = core.retune(next.site());
         log.info(
                 "reload",
                 "kernel",
@@ -53,14 +59,14 @@
                 "announce",
                 next.announce(),
                 "needs_start",
-                !next.withAddressesOf(started).equals(started));
+                !next.withAddressesOf(startConfig).equals(startConfig));
         kernel.moveTo(next.kernel());
         records.moveTo(next.records());
-        announcer.moveTo(next.announce());
-        platform.retune(site);
+        announceClient.moveTo(next.announce());
+        platform.retune(deployment);
         if (uwsgi != null) {
-            uwsgi.retune(site);
+            uwsgi.retune(deployment);
         }
-        log.info("retuned", "classes", site.classes());
+        log.info("retuned", "classes", deployment.classes());
     }
 }
--- a/server/src/main/java/wheatspread/daemon/Server.java
+++ b/server/src/main/java/wheatspread/daemon/Server.java
@@ -1,79 +1,48 @@
 package wheatspread.daemon;
 
-import io.netty.bootstrap.Bootstrap;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import io.netty.channel.MultiThreadIoEventLoopGroup;
-import io.netty.util.concurrent.Future;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.TimeUnit;
 import java.util.function.BiFunction;
 import java.util.function.Supplier;
-import wheatspread.admission.sfq.SfqAdmissionController;
-import wheatspread.announce.AnnounceClient;
-import wheatspread.config.Configuration;
 import wheatspread.config.OperatorConfig;
 import wheatspread.config.ServerConfig;
-import wheatspread.control.ControlFront;
-import wheatspread.control.MetricsPage;
 import wheatspread.core.Clock;
-import wheatspread.core.Core;
 import wheatspread.core.RequestCounters;
-import wheatspread.handover.SharedIdempotencyClaims;
-import wheatspread.jsonrpc.RpcFront;
-import wheatspread.kernel.KernelLink;
 import wheatspread.lifecycle.Lifecycle;
 import wheatspread.lifecycle.Lifecycle.Event;
 import wheatspread.lifecycle.Lifecycle.Phase;
 import wheatspread.logging.EventLog;
-import wheatspread.records.RecordsClient;
 import wheatspread.transport.EventLoopScheduler;
-import wheatspread.transport.Listener;
-import wheatspread.transport.Transport;
-import wheatspread.uwsgi.UwsgiFront;
 
 /**
- * One server process: wires core, links and fronts to one event loop, and leads it from start to exit by what
- * {@link Lifecycle} and {@link Drain} say.
+ * One server process, from its start to its exit. {@link ServerFactory} creates its parts; this class takes them
+ * through the phases of {@link Lifecycle}. {@link ShutdownSequence} describes what SIGTERM leads to, and
+ * {@link ConfigReloader} what SIGHUP changes.
+ *
+ * <p>The caller's thread makes, in this order, the calls {@link #lock}, {@link #warmUp}, {@link #start} and
+ * {@link #awaitStopped}, of which the first two may be left out. The threads of signals call {@link #notice} and
+ * {@link #reload} at any time. The phase changes on the loop's thread only.
  */
 public final class Server {
-    /** EX_SOFTWARE of sysexits.h. */
+    /** EX_SOFTWARE of sysexits.h: the exit code where the event loop has died. */
     public static final int LOOP_ENDED = 70;
 
-    /** How often a thread that waits for the loop looks whether it has ended; ms. */
-    private static final long LOOP_LOOK_MS = 500;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final ServerConfig config;
-    private final EventLog log;
     private final OperatorConfig operator;
-    private final EventLoopScheduler turns;
-    private final MultiThreadIoEventLoopGroup group;
-    private final EventLoop loop;
-    private final Clock clock;
-    private final KernelLink kernel;
-    private final RecordsClient records;
-    private final AnnounceClient announcer;
-    private final Core core;
-    private final FrontListeners fronts;
-    /** This server among its peers; null where the operator's file does not ask for that. */
-    private final MembershipService fleet;
-
-    private final ConfigReloader reloads;
-    private final ReloadApplier takeOver;
+    private final EventLog log;
+    private final Lifecycle lifecycle = new Lifecycle(this::phaseEntered);
     private final CountDownLatch stopped = new CountDownLatch(1);
-    private final Lifecycle life = new Lifecycle(this::entered);
-    private final ProcessMarkerFiles marks;
-    private final GracefulShutdown shutdown;
-    private final CounterReporter reports;
-    /** When the notice to leave was heard, in Unix microseconds; the loop may come to it later. */
-    private long noticeAt;
+    private final ServerComponents components;
+    private final ServerEventLoop eventLoop;
+    private final ShutdownSequence shutdown;
 
-    /** {@code newClock} makes the clock of the loop. */
+    /** Creates a server that does not listen yet; {@code newClock} makes the clock of its loop. */
     public Server(
             ServerConfig config,
             OperatorConfig operator,
@@ -82,324 +51,182 @@
         this.config = config;
         this.operator = operator;
         this.log = log;
-        Transport transport = Transport.named(operator.transport());
-        turns = new EventLoopScheduler(transport, operator.turns(), config.seed(), log);
-        group = new MultiThreadIoEventLoopGroup(1, turns);
-        loop = group.next();
-        // without its loop a server reads and answers nothing, and nobody would learn of it
-        group.terminationFuture().addListener(ended -> stopped.countDown());
-        clock = newClock.apply(loop, turns);
-        turns.usedBy(clock::nowMicros);
-        Bootstrap clients =
-                new Bootstrap().group(loop).channel(transport.clientChannel()).option(ChannelOption.TCP_NODELAY, true);
-        int calls = Configuration.recordsConnections(config.sockets());
-        records = new RecordsClient(clients, config.records(), calls, clock, log);
-        announcer = new AnnounceClient(clients, config.announce(), config.name(), log);
-        core = new Core(
-                config.site(),
-                settings -> new SfqAdmissionController(settings, config.seed()),
-                clock,
-                records,
-                this::announce,
-                log);
-        kernel = new KernelLink(clients, config.kernel(), core, log);
-        core.attach(kernel);
-        if (config.shared() != null) {
-            try {
-                core.shareKeysWith(new SharedIdempotencyClaims(
-                        config.shared().resolve(config.name()),
-                        ProcessHandle.current().pid(),
-                        log));
-            } catch (IOException e) {
-                log.warn("claims_failed", "folder", config.shared(), "error", e.toString());
-            }
-        }
-        core.whenUp(() -> on(Event.KERNEL_UP));
-        marks = new ProcessMarkerFiles(operator.life(), log);
-        reloads = new ConfigReloader(config, next -> onLoop(() -> takeOver(next)), log);
-        int sockets = Configuration.platformConnections(config, operator);
-        UwsgiFront uwsgi =
-                operator.uwsgi() == null ? null : new UwsgiFront(core, clock, operator.uwsgi(), config.seed());
-        Map<Listener, InetSocketAddress> addresses = new LinkedHashMap<>(); // in the order in which they are bound
-        if (uwsgi != null) {
-            addresses.put(
-                    new Listener(loop, turns, clock, uwsgi, operator.uwsgiLimits(), log),
-                    operator.uwsgi().listen());
-        }
-        RpcFront platform = new RpcFront(core, clock);
-        takeOver = new ReloadApplier(config, core, kernel, records, announcer, platform, uwsgi, log);
-        if (operator.stats()) {
-            platform.tellStats(() -> life.phase().storedName());
-        }
-        Listener platformFront = new Listener(
-                loop, turns, clock, platform, operator.connections().with(sockets), log);
-        addresses.put(platformFront, config.listen());
-        fleet = operator.membership() == null
-                ? null
-                : new MembershipService(operator.membership(), config.name(), transport, loop, clock, log);
-        Listener door = config.control() == null
-                ? null
-                : new Listener(
-                        loop,
-                        turns,
-                        clock,
-                        new ControlFront(
-                                () -> life.phase() == Phase.SERVING, this::vars, fleet == null ? null : fleet::answer),
-                        ControlFront.limits(),
-                        log);
-        fronts = new FrontListeners(addresses, platformFront, config.inherited(), door);
-        shutdown = new GracefulShutdown(
-                core,
-                fronts.listeners(),
-                clock,
-                marks,
-                log,
-                () -> !turns.order().isEmpty(),
-                this::on);
-        reports = new CounterReporter(
-                core,
-                addresses,
-                turns,
-                clock,
-                operator.reportSeconds(),
-                () -> life.phase().compareTo(Phase.CLOSING) < 0,
-                log);
-        core.closeIdleWith(fronts::closeIdle);
+        components = new ServerFactory(config, operator, newClock, lifecycle, this::handle, log).create();
+        eventLoop = components.eventLoop();
+        eventLoop.whenEnded(stopped::countDown); // without its loop a server would neither serve nor exit
+        shutdown = new ShutdownSequence(config, components, lifecycle);
     }
 
+    // ---- the caller's thread ----
+
     /**
-     * Reports whether this process takes work. Where the socket was handed over, a notice to leave is an
-     * upgrade: the new process reports for the same name, and a 'false' of the old one would take the name
-     * off the list for both, so the old one falls silent instead.
+     * Takes the operator's lock file, if there is one; only one process of this name may hold it. {@code mark} is
+     * written into it.
      */
-    private void announce(boolean accepting) {
-        if (config.inherited() >= 0 && life.leaving()) {
-            announcer.close();
-        } else {
-            announcer.announce(accepting);
-        }
-    }
-
-    /** The figures of the operators' door; on the loop's thread. */
-    private String vars() {
-        String own = MetricsPage.text(
-                core.counts(), core.site().classes(), core.open(), reloads.takenSoFar(), reloads.refusedSoFar());
-        return fleet == null ? own : own + fleet.vars();
-    }
-
-    /** Something happened to the process; on the loop's thread only. */
-    private void on(Event event) {
-        if (!life.on(event) && (event == Event.NOTICE || event == Event.HURRY)) {
-            log.info("notice_again", "phase", life.phase().storedName(), "hurry", event == Event.HURRY);
-        }
-        if (event == Event.HURRY) {
-            shutdown.hurry();
-        }
-    }
-
-    private void entered(Phase from, Phase to, Event by) {
-        log.info("phase", "from", from.storedName(), "to", to.storedName(), "by", by.storedName());
-        switch (to) {
-            case BINDING -> kernel.open();
-            case WAITING -> {
-                new KernelReadiness(
-                                clock,
-                                operator.life().kernelWait(),
-                                config.kernel(),
-                                life,
-                                () -> on(Event.KERNEL_GIVEN_UP),
-                                log)
-                        .begin();
-                reports.begin();
-            }
-            case SERVING -> {
-                if (from == Phase.BINDING) {
-                    reports.begin();
-                }
-                fronts.acceptHeld();
-                marks.ready(config.name(), fronts.bound(), clock.nowMicros() / 1000);
-            }
-            case DRAINING -> {
-                noticeAt = noticeAt == 0 ? clock.nowMicros() : noticeAt; // a kernel that was given up on sends none
-                beginDrain();
-            }
-            case CLOSING -> close();
-            case STOPPED -> stopped.countDown();
-            default -> {}
-        }
-    }
-
-    /** Takes the operator's lock; only one process of this name may go on. {@code mark} stands in it. */
     public void lock(String mark) throws IOException, ProcessMarkerFiles.Taken {
-        marks.lock(config.name(), mark);
+        components.markerFiles().lock(config.name(), mark);
     }
 
-    /** Tells the loop's thread and waits for it. */
-    private void ask(Event event) {
-        onLoop(() -> on(event));
-    }
-
-    /** The start begins, unless it has begun or a notice to leave came before it. */
-    private void begin() {
-        onLoop(() -> {
-            if (life.phase() == Phase.NEW) {
-                on(Event.START);
-            }
-        });
-    }
-
-    /** Warms the JVM before anybody can ask; a notice to leave ends it. */
+    /** Warms up the JVM before any caller can connect. A drain signal ends it. */
     public void warmUp() {
         begin();
-        if (!life.leaving()) {
-            long began = System.nanoTime();
-            int played = new WarmUp(config.site()).play(WarmUp.LONGEST_NS, life::leaving);
-            log.info("rehearsed", "requests", played, "took_ms", (System.nanoTime() - began) / 1_000_000);
+        if (!lifecycle.isStopping()) {
+            long startNanos = System.nanoTime();
+            int served = new WarmUp(config.site()).play(WarmUp.MAX_DURATION_NANOS, lifecycle::isStopping);
+            log.info("rehearsed", "requests", served, "took_ms", (System.nanoTime() - startNanos) / NANOS_PER_MILLI);
         }
     }
 
     /**
-     * Binds the listeners; what cannot be bound is thrown, after all that was bound is closed. Returns
-     * whether the server listens: a notice to leave may have come first.
+     * Binds the listeners. An address that cannot be bound is thrown, after all that was bound is closed. Returns
+     * whether the server listens; it does not if a drain signal came first.
      */
     public boolean start() {
         begin();
-        ask(Event.REHEARSED);
-        if (life.leaving()) {
+        eventLoop.runAndWait(() -> handle(Event.WARMED_UP));
+        if (lifecycle.isStopping()) {
             return false;
         }
         try {
-            fronts.bind(config.control());
-            if (fleet != null) {
-                fleet.open(config.inherited() >= 0);
+            components.listeners().bind(config.control());
+            if (components.membership() != null) {
+                components.membership().open(config.inherited() >= 0);
             }
         } catch (RuntimeException e) {
-            onLoop(this::bindFailed);
+            eventLoop.runAndWait(() -> {
+                shutdown.closeAfterFailedBind();
+                handle(Event.BIND_FAILED);
+            });
             throw e;
         }
         log.info(
                 "listening",
                 "addresses",
-                fronts.bound(),
+                bound(),
                 "inherited_fd",
                 config.inherited(),
                 "control",
                 config.control() == null ? "none" : config.control());
-        ask(Event.BOUND);
+        eventLoop.runAndWait(() -> handle(Event.BOUND));
         return true;
     }
 
-    private void bindFailed() {
-        fronts.close();
-        if (fleet != null) {
-            fleet.close();
-        }
-        kernel.close();
-        on(Event.BIND_FAILED);
+    /** Begins the start, unless it has begun or a drain signal came before it. */
+    private void begin() {
+        eventLoop.runAndWait(() -> {
+            if (lifecycle.phase() == Phase.NEW) {
+                handle(Event.START);
+            }
+        });
     }
 
-    /** Where the operators' door listens; null where it does not. */
-    public InetSocketAddress doorAddress() {
-        return fronts.doorAddress();
+    /**
+     * Waits until the process may exit, and returns its exit code: {@link #LOOP_ENDED} where its event loop has
+     * died.
+     */
+    public int awaitStopped() throws InterruptedException {
+        stopped.await();
+        components.markerFiles().close();
+        eventLoop.close();
+        return lifecycle.phase() == Phase.STOPPED ? lifecycle.exitCode() : LOOP_ENDED;
     }
 
-    /** The addresses that were bound: the uwsgi front's first where it is on, then the platform's. */
-    public List<InetSocketAddress> bound() {
-        return fronts.bound();
+    // ---- any thread ----
+
+    /** The address of the operators' endpoint; null where there is none, and before it is bound. */
+    public InetSocketAddress controlAddress() {
+        return components.listeners().controlAddress();
     }
 
-    /**
-     * Takes over the addresses and the classes of a new configuration while everything goes on; any thread
-     * may call, and returns when that is done. {@code reader} reads and checks it.
-     */
-    public void reload(Supplier<ServerConfig> reader) {
-        reloads.read(reader);
+    /** The addresses that were bound: that of the uwsgi front first, where it is on, then the platform's. */
+    public List<InetSocketAddress> bound() {
+        return components.listeners().boundAddresses();
     }
 
-    /** Runs a task on the loop's thread and waits for it; what it throws, and a loop that has ended, is thrown. */
-    private void onLoop(Runnable task) {
-        if (loop.inEventLoop()) {
-            task.run();
-            return;
-        }
-        Future<?> done = loop.submit(task);
-        while (!done.awaitUninterruptibly(LOOP_LOOK_MS)) {
-            if (loop.isTerminated()) {
-                throw new IllegalStateException("the event loop has ended");
-            }
-        }
-        done.syncUninterruptibly();
+    /** Any thread may call. */
+    public Phase phase() {
+        return lifecycle.phase();
     }
 
-    /** On the loop's thread. */
-    private void takeOver(ServerConfig next) {
-        on(Event.RELOAD);
-        if (life.phase().compareTo(Phase.CLOSING) >= 0) {
-            throw new IllegalStateException("this process is leaving");
-        }
-        takeOver.of(next);
-        reloads.taken();
+    /**
+     * SIGHUP: applies a new configuration while the server runs on. {@code reader} reads and checks it on the calling
+     * thread. Returns when it is applied or rejected.
+     */
+    public void reload(Supplier<ServerConfig> reader) {
+        components.reloader().reload(reader);
     }
 
-    /** The notice to leave; a second one changes nothing. */
+    /** SIGTERM: drains the server. A second call changes nothing. */
     public void drain() {
         notice(Event.NOTICE);
     }
 
-    /** The notice to leave, or a second one that asks not to wait; any thread may call. */
-    public void notice(Event event) {
-        long heardAt = clock.nowMicros();
-        loop.execute(() -> {
-            noticeAt = noticeAt == 0 ? heardAt : noticeAt;
-            on(event);
+    /** A signal: {@link Event#NOTICE} drains the server, {@link Event#HURRY} ends the grace of its drain. */
+    public void notice(Event signal) {
+        long signalledAtMicros = eventLoop.clock().nowMicros();
+        eventLoop.execute(() -> {
+            shutdown.signalled(signalledAtMicros);
+            handle(signal);
         });
     }
 
-    /** Where the process stands; any thread may ask. */
-    public Phase phase() {
-        return life.phase();
+    /** Ends the loop at once, with whatever is open; for a start that failed and for tests. */
+    void kill() {
+        eventLoop.kill();
     }
 
-    private void beginDrain() {
-        marks.notReady();
-        shutdown.begin(
-                noticeAt, config.stopMicros(), config.site().settings().limits().drainGraceMicros(), life.kernelUp());
-        if (fleet != null) {
-            fleet.leave();
-        }
-        fronts.releaseHeld();
+    /** The counters of requests so far. */
+    RequestCounters counts() {
+        return components.core().counts();
     }
 
-    private void close() {
-        shutdown.tell();
-        reports.tell();
-        if (fleet != null) {
-            fleet.close();
+    // ---- the loop's thread ----
+
+    private void handle(Event event) {
+        boolean drainSignal = event == Event.NOTICE || event == Event.HURRY;
+        if (!lifecycle.handle(event) && drainSignal) {
+            log.info("notice_again", "phase", lifecycle.phase().storedName(), "hurry", event == Event.HURRY);
+        }
+        if (event == Event.HURRY) {
+            shutdown.answerImmediately();
         }
-        kernel.close();
-        records.close();
-        announcer.close();
-        shutdown.close(fronts.door(), () -> on(Event.CLOSED));
     }
 
-    /** What became of the tries so far. */
-    RequestCounters counts() {
-        return core.counts();
+    private void phaseEntered(Phase from, Phase to, Event by) {
+        log.info("phase", "from", from.storedName(), "to", to.storedName(), "by", by.storedName());
+        switch (to) {
+            case BINDING -> components.kernel().open();
+            case AWAITING_KERNEL -> {
+                awaitKernel();
+                components.counterReporter().scheduleNext();
+            }
+            case SERVING -> {
+                if (from == Phase.BINDING) {
+                    components.counterReporter().scheduleNext();
+                }
+                beginService();
+            }
+            case DRAINING -> shutdown.beginDrain();
+            case CLOSING -> shutdown.close(this::handle);
+            case STOPPED -> stopped.countDown();
+            default -> {}
+        }
     }
 
-    /** Ends at once, with whatever is open; for a start that failed and for tests. */
-    void kill() {
-        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
+    private void awaitKernel() {
+        new KernelReadiness(
+                        eventLoop.clock(),
+                        operator.life().kernelWait(),
+                        config.kernel(),
+                        lifecycle,
+                        () -> handle(Event.KERNEL_TIMED_OUT),
+                        log)
+                .scheduleCheck();
     }
 
-    /**
-     * Waits until the process may end, and returns what it is to exit with: {@link #LOOP_ENDED} where its
-     * event loop has died.
-     */
-    public int awaitStopped() throws InterruptedException {
-        stopped.await();
-        marks.close();
-        group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
-        return life.phase() == Phase.STOPPED ? life.exitCode() : LOOP_ENDED;
+    private void beginService() {
+        components.listeners().acceptInherited();
+        long readyAtMillis = eventLoop.clock().nowMicros() / MICROS_PER_MILLI;
+        components.markerFiles().ready(config.name(), bound(), readyAtMillis);
     }
 }
--- /dev/null
+++ b/server/src/main/java/wheatspread/daemon/ServerFactory.java
@@ -0,0 +1,209 @@
+package wheatspread.daemon;
+
+import io.netty.bootstrap.Bootstrap;
+import io.netty.channel.EventLoop;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.function.BiFunction;
+import java.util.function.Consumer;
+import wheatspread.admission.sfq.SfqAdmissionController;
+import wheatspread.announce.AnnounceClient;
+import wheatspread.config.Configuration;
+import wheatspread.config.OperatorConfig;
+import wheatspread.config.ServerConfig;
+import wheatspread.control.ControlFront;
+import wheatspread.control.MetricsPage;
+import wheatspread.core.Clock;
+import wheatspread.core.Core;
+import wheatspread.handover.SharedIdempotencyClaims;
+import wheatspread.jsonrpc.RpcFront;
+import wheatspread.kernel.KernelLink;
+import wheatspread.lifecycle.Lifecycle;
+import wheatspread.lifecycle.Lifecycle.Event;
+import wheatspread.lifecycle.Lifecycle.Phase;
+import wheatspread.logging.EventLog;
+import wheatspread.records.RecordsClient;
+import wheatspread.transport.EventLoopScheduler;
+import wheatspread.transport.Listener;
+import wheatspread.uwsgi.UwsgiFront;
+
+/**
+ * Creates the parts of a server and connects them to each other. It starts the thread of the event loop; no file,
+ * listener or connection is opened. What the operator's file does not ask for is not created.
+ */
+final class ServerFactory {
+    private final ServerConfig config;
+    private final OperatorConfig operator;
+    private final Lifecycle lifecycle;
+    private final Consumer<Event> events;
+    private final EventLog log;
+    private final ServerEventLoop eventLoop;
+    private final Clock clock;
+
+    /**
+     * {@code newClock} makes the clock of the loop; {@code events} hears, on the loop's thread, that the kernel is
+     * ready, that a drain has ended, and of a reload.
+     */
+    ServerFactory(
+            ServerConfig config,
+            OperatorConfig operator,
+            BiFunction<EventLoop, EventLoopScheduler, Clock> newClock,
+            Lifecycle lifecycle,
+            Consumer<Event> events,
+            EventLog log) {
+        this.config = config;
+        this.operator = operator;
+        this.lifecycle = lifecycle;
+        this.events = events;
+        this.log = log;
+        eventLoop = new ServerEventLoop(operator, config.seed(), newClock, log);
+        clock = eventLoop.clock();
+    }
+
+    ServerComponents create() {
+        Bootstrap clients = eventLoop.clientBootstrap();
+        int recordsConnections = Configuration.recordsConnections(config.sockets());
+        RecordsClient records = new RecordsClient(clients, config.records(), recordsConnections, clock, log);
+        AnnounceClient announceClient = new AnnounceClient(clients, config.announce(), config.name(), log);
+        Core core = createCore(records, announceClient);
+        KernelLink kernel = new KernelLink(clients, config.kernel(), core, log);
+        core.attach(kernel);
+        shareIdempotencyClaims(core);
+        core.whenUp(() -> events.accept(Event.KERNEL_READY));
+
+        RpcFront platform = createPlatformFront(core);
+        UwsgiFront uwsgi =
+                operator.uwsgi() == null ? null : new UwsgiFront(core, clock, operator.uwsgi(), config.seed());
+        ReloadApplier applier = new ReloadApplier(config, core, kernel, records, announceClient, platform, uwsgi, log);
+        ConfigReloader reloader = createReloader(applier);
+        MembershipService membership = createMembership();
+        FrontListeners listeners = createListeners(platform, uwsgi, createControlListener(core, reloader, membership));
+        ProcessMarkerFiles markerFiles = new ProcessMarkerFiles(operator.life(), log);
+        core.closeIdleWith(listeners::closeIdle);
+        return new ServerComponents(
+                eventLoop,
+                core,
+                kernel,
+                records,
+                announceClient,
+                listeners,
+                membership,
+                markerFiles,
+                reloader,
+                createShutdown(core, listeners, markerFiles),
+                createCounterReporter(core, listeners));
+    }
+
+    private Core createCore(RecordsClient records, AnnounceClient announceClient) {
+        AvailabilityAnnouncer announcer = new AvailabilityAnnouncer(config, lifecycle, announceClient);
+        return new Core(
+                config.site(),
+                settings -> new SfqAdmissionController(settings, config.seed()),
+                clock,
+                records,
+                announcer::announce,
+                log);
+    }
+
+    /** A directory that cannot be used is logged, and the process goes on without sharing. */
+    private void shareIdempotencyClaims(Core core) {
+        if (config.shared() == null) {
+            return;
+        }
+        try {
+            core.shareKeysWith(new SharedIdempotencyClaims(
+                    config.shared().resolve(config.name()),
+                    ProcessHandle.current().pid(),
+                    log));
+        } catch (IOException e) {
+            log.warn("claims_failed", "folder", config.shared(), "error", e.toString());
+        }
+    }
+
+    private RpcFront createPlatformFront(Core core) {
+        RpcFront platform = new RpcFront(core, clock);
+        if (operator.stats()) {
+            platform.tellStats(() -> lifecycle.phase().storedName());
+        }
+        return platform;
+    }
+
+    private ConfigReloader createReloader(ReloadApplier applier) {
+        return new ConfigReloader(
+                config,
+                next -> eventLoop.runAndWait(() -> {
+                    events.accept(Event.RELOAD);
+                    if (lifecycle.phase().compareTo(Phase.CLOSING) >= 0) {
+                        throw new IllegalStateException("this process is leaving");
+                    }
+                    applier.apply(next);
+                }),
+                log);
+    }
+
+    private MembershipService createMembership() {
+        return operator.membership() == null
+                ? null
+                : new MembershipService(
+                        operator.membership(), config.name(), eventLoop.transport(), eventLoop.loop(), clock, log);
+    }
+
+    /** The listener of the operators' endpoint; null where there is none. {@code membership} may be null. */
+    private Listener createControlListener(Core core, ConfigReloader reloader, MembershipService membership) {
+        if (config.control() == null) {
+            return null;
+        }
+        ControlFront control = new ControlFront(
+                () -> lifecycle.phase() == Phase.SERVING,
+                () -> metrics(core, reloader, membership),
+                membership == null ? null : membership::answer);
+        return new Listener(eventLoop.loop(), eventLoop.scheduler(), clock, control, ControlFront.limits(), log);
+    }
+
+    private static String metrics(Core core, ConfigReloader reloader, MembershipService membership) {
+        String ownMetrics = MetricsPage.text(
+                core.counts(), core.site().classes(), core.open(), reloader.appliedCount(), reloader.rejectedCount());
+        return membership == null ? ownMetrics : ownMetrics + membership.metrics();
+    }
+
+    /** {@code uwsgi} and {@code controlListener} may be null. */
+    private FrontListeners createListeners(RpcFront platform, UwsgiFront uwsgi, Listener controlListener) {
+        EventLoop loop = eventLoop.loop();
+        EventLoopScheduler scheduler = eventLoop.scheduler();
+        Map<Listener, InetSocketAddress> addresses = new LinkedHashMap<>(); // in the order in which they are bound
+        if (uwsgi != null) {
+            addresses.put(
+                    new Listener(loop, scheduler, clock, uwsgi, operator.uwsgiLimits(), log),
+                    operator.uwsgi().listen());
+        }
+        int platformConnections = Configuration.platformConnections(config, operator);
+        Listener platformListener = new Listener(
+                loop, scheduler, clock, platform, operator.connections().with(platformConnections), log);
+        addresses.put(platformListener, config.listen());
+        return new FrontListeners(addresses, platformListener, config.inherited(), controlListener);
+    }
+
+    private GracefulShutdown createShutdown(Core core, FrontListeners listeners, ProcessMarkerFiles markerFiles) {
+        return new GracefulShutdown(
+                core,
+                listeners.listeners(),
+                clock,
+                markerFiles,
+                log,
+                () -> !eventLoop.scheduler().order().isEmpty(),
+                events);
+    }
+
+    private CounterReporter createCounterReporter(Core core, FrontListeners listeners) {
+        return new CounterReporter(
+                core,
+                listeners.addresses(),
+                eventLoop.scheduler(),
+                clock,
+                operator.reportSeconds(),
+                () -> lifecycle.phase().compareTo(Phase.CLOSING) < 0,
+                log);
+    }
+}
--- a/server/src/main/java/wheatspread/daemon/SignalHandlers.java
+++ b/server/src/main/java/wheatspread/daemon/SignalHandlers.java
@@ -3,16 +3,17 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Signals, on which the JVM ends if nobody handles them. The JDK exports them to everybody, but in a package
- * whose use the compiler warns of without a way to say that it is meant; so they are looked up.
+ * Handlers of signals. The JDK's class for them is exported, but the compiler warns of its use without a way to
+ * suppress the warning, so it is looked up by name. A process installs its handlers before its start does anything
+ * that a signal must not interrupt.
  */
 public final class SignalHandlers {
     private SignalHandlers() {}
 
     /**
-     * Runs a task, on a thread of the JVM's, whenever a signal such as {@code HUP} comes. Returns whether it
-     * will: a process that was started with HUP, INT or TERM ignored, as {@code nohup} does it, passes that
-     * on to all that it starts, and the JVM leaves it so.
+     * Runs a task whenever a signal such as {@code HUP} comes, on a thread that the JVM starts for each. Returns
+     * whether it will: a process that was started with HUP, INT or TERM ignored, as {@code nohup} does it, passes that
+     * on to its children, and the JVM does not change it.
      */
     public static boolean handle(String name, Runnable task) {
         try {
--- a/server/src/main/java/wheatspread/daemon/WarmUp.java
+++ b/server/src/main/java/wheatspread/daemon/WarmUp.java
@@ -29,84 +29,107 @@
 import wheatspread.transport.Transport;
 
 /**
- * Takes some requests through a front, a core and a module of its own before the process listens, without a
- * socket. Guards against the first seconds of service: until the JVM has loaded and compiled what a request
- * needs, a part of a core is too slow for the load, tries wait unread, and good ones are refused.
+ * Warms up the JVM before the process listens: it takes requests through a front, a core and an admission controller
+ * of its own, without a socket, on a clock of its own. Otherwise the first seconds of service would be too slow for the
+ * load, until the JVM has loaded and compiled what a request needs, and good requests would be rejected.
+ *
+ * <p>It is its own clock, kernel and records service, for which each run ends well after {@link #STEP_MICROS}. The
+ * thread that starts the server makes all calls.
  */
 final class WarmUp implements Clock, Kernel, RecordsService {
-    private static final int ROUNDS = 400;
-    /** It ends early where the core is slow: a server that comes late serves nobody. */
-    static final long LONGEST_NS = 1_500_000_000L;
+    private static final int MAX_REQUESTS = 400;
+    /** It ends early on a slow processor, since a server that starts late serves nobody. */
+    static final long MAX_DURATION_NANOS = 1_500_000_000L;
 
-    private static final long STEP = 5_000;
+    /** How long a run, a call and its reply take each, and the time between two requests. */
+    private static final long STEP_MICROS = 5_000;
+
+    private static final long MICROS_PER_MILLI = 1_000;
     private static final byte[] BODY = new byte[256];
 
-    private record Task(long at, long number, Runnable what) {}
+    /** A timer; those of one time run in the order in which they were set. */
+    private record Task(long atMicros, long number, Runnable action) {}
 
-    private final DeploymentSettings site;
+    private final DeploymentSettings deployment;
     private final Core core;
-    private final PriorityQueue<Task> tasks =
-            new PriorityQueue<>(Comparator.comparingLong(Task::at).thenComparingLong(Task::number));
-    private final Deque<Runnable> soon = new ArrayDeque<>();
-    private long now = 1_000_000_000;
-    private long set;
-    private long notices;
-
-    WarmUp(DeploymentSettings site) {
-        this.site = site;
+    private final PriorityQueue<Task> timers =
+            new PriorityQueue<>(Comparator.comparingLong(Task::atMicros).thenComparingLong(Task::number));
+    private final Deque<Runnable> readyTasks = new ArrayDeque<>();
+    private long nowMicros = 1_000_000_000;
+    private long lastTimerNumber;
+    private long lastNotice;
+
+    WarmUp(DeploymentSettings deployment) {
+        this.deployment = deployment;
         core = new Core(
-                site, settings -> new SfqAdmissionController(settings, 1), this, this, accepting -> {}, EventLog.NONE);
+                deployment,
+                settings -> new SfqAdmissionController(settings, 1),
+                this,
+                this,
+                accepting -> {},
+                EventLog.NONE);
         core.attach(this);
         core.booted(false, 0);
     }
 
     /**
-     * Goes on for so many nanoseconds at most, or until there is no more use in it; returns how many requests
+     * Plays {@link #MAX_REQUESTS} requests, or fewer if {@code maxNanos} are over or it is cancelled. Returns how many
      * were served.
      */
-    int play(long longest, BooleanSupplier over) {
-        long until = System.nanoTime() + longest;
-        EventLoopScheduler turns =
+    int play(long maxNanos, BooleanSupplier cancelled) {
+        long deadlineNanos = System.nanoTime() + maxNanos;
+        EventLoopScheduler scheduler =
                 new EventLoopScheduler(Transport.named("nio"), IterationBudget.USUAL, 1, EventLog.NONE);
         var listener = new wheatspread.transport.Listener(
-                null, turns, this, new RpcFront(core, this), ConnectionLimits.usual(1), EventLog.NONE);
+                null, scheduler, this, new RpcFront(core, this), ConnectionLimits.usual(1), EventLog.NONE);
         EmbeddedChannel channel = new EmbeddedChannel(listener.callerOf(0));
         int served = 0;
-        for (int round = 1; round <= ROUNDS && System.nanoTime() < until && !over.getAsBoolean(); round++) {
-            channel.writeInbound(Unpooled.copiedBuffer(request(round) + "\n", StandardCharsets.UTF_8));
-            pass(now + STEP);
-            for (Object out = channel.readOutbound(); out != null; out = channel.readOutbound()) {
-                served += out instanceof ByteBuf line
-                                && line.toString(StandardCharsets.UTF_8).contains("\"result\"")
-                        ? 1
-                        : 0;
-                ReferenceCountUtil.release(out);
+        for (int number = 1; number <= MAX_REQUESTS; number++) {
+            if (System.nanoTime() >= deadlineNanos || cancelled.getAsBoolean()) {
+                break;
             }
+            channel.writeInbound(Unpooled.copiedBuffer(request(number) + "\n", StandardCharsets.UTF_8));
+            advanceTo(nowMicros + STEP_MICROS);
+            served += countResults(channel);
         }
         channel.finishAndReleaseAll();
         return served;
     }
 
-    private String request(int round) {
-        int kind = round % site.classes().size();
-        RequestClass told = site.settings().classes().get(kind);
+    private static int countResults(EmbeddedChannel channel) {
+        int results = 0;
+        for (Object message = channel.readOutbound(); message != null; message = channel.readOutbound()) {
+            if (message instanceof ByteBuf line
+                    && line.toString(StandardCharsets.UTF_8).contains("\"result\"")) {
+                results++;
+            }
+            ReferenceCountUtil.release(message);
+        }
+        return results;
+    }
+
+    private String request(int number) {
+        int classNumber = number % deployment.classes().size();
+        RequestClass requestClass = deployment.settings().classes().get(classNumber);
         JSONObject params = new JSONObject()
-                .put("txn", String.format("%016x", round))
-                .put("door", now / 1000)
+                .put("txn", String.format("%016x", number))
+                .put("door", nowMicros / MICROS_PER_MILLI)
                 .put("lb", 1)
-                .put("limit", told.deadlineMicros() / 1000)
+                .put("limit", requestClass.deadlineMicros() / MICROS_PER_MILLI)
                 .put("cpu", 20.5)
                 .put("ram", 20.5)
                 .put("standing", 0.5)
                 .put("blob", encoded());
-        if (!site.tenants().isEmpty()) {
-            params.put("team", site.tenants().get(round % site.tenants().size()));
+        if (!deployment.tenants().isEmpty()) {
+            params.put(
+                    "team",
+                    deployment.tenants().get(number % deployment.tenants().size()));
         }
-        params.put(told.idempotency() == Idempotency.IDEMPOTENCY_KEY ? "unique" : "item", "warm-up-" + round);
+        params.put(requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY ? "unique" : "item", "warm-up-" + number);
         return new JSONObject()
                 .put("jsonrpc", "2.0")
-                .put("id", round)
-                .put("method", site.classes().get(kind))
+                .put("id", number)
+                .put("method", deployment.classes().get(classNumber))
                 .put("params", params)
                 .toString();
     }
@@ -115,65 +138,68 @@
         return Base64.getEncoder().encodeToString(BODY);
     }
 
-    private void pass(long until) {
-        while (!soon.isEmpty() || !tasks.isEmpty() && tasks.peek().at() <= until) {
-            if (soon.isEmpty()) {
-                now = Math.max(now, tasks.peek().at());
-                tasks.poll().what().run();
+    private void advanceTo(long untilMicros) {
+        while (!readyTasks.isEmpty() || !timers.isEmpty() && timers.peek().atMicros() <= untilMicros) {
+            if (readyTasks.isEmpty()) {
+                nowMicros = Math.max(nowMicros, timers.peek().atMicros());
+                timers.poll().action().run();
             } else {
-                soon.poll().run();
+                readyTasks.poll().run();
             }
         }
-        now = until;
+        nowMicros = untilMicros;
     }
 
     // ---- the clock ----
 
     @Override
     public long nowMicros() {
-        return now;
+        return nowMicros;
     }
 
     @Override
     public Timer after(long micros, Runnable task) {
-        Task one = new Task(now + micros, ++set, task);
-        tasks.add(one);
-        return () -> tasks.remove(one);
+        Task timer = new Task(nowMicros + micros, ++lastTimerNumber, task);
+        timers.add(timer);
+        return () -> timers.remove(timer);
     }
 
     @Override
     public void soon(Runnable task) {
-        soon.add(task);
+        readyTasks.add(task);
     }
 
     // ---- the kernel: each run asks for a call, if its class makes calls, and ends well ----
 
     @Override
     public void run(String job, String kind, byte[] body) {
-        boolean calls =
-                site.settings().classes().get(site.classes().indexOf(kind)).callsDependency();
-        after(STEP, () -> {
+        boolean calls = deployment
+                .settings()
+                .classes()
+                .get(deployment.classes().indexOf(kind))
+                .callsDependency();
+        after(STEP_MICROS, () -> {
             if (calls) {
-                core.blocked(job, ++notices, body);
+                core.blocked(job, ++lastNotice, body);
             } else {
-                core.ended(job, End.OK, STEP, body);
+                core.ended(job, End.OK, STEP_MICROS, body);
             }
         });
     }
 
     @Override
     public void pause(String job) {
-        core.ended(job, End.STOPPED, STEP, null);
+        core.ended(job, End.STOPPED, STEP_MICROS, null);
     }
 
     @Override
     public void resume(String job) {
-        core.ended(job, End.OK, STEP, BODY);
+        core.ended(job, End.OK, STEP_MICROS, BODY);
     }
 
     @Override
     public void callDone(String job, byte[] reply) {
-        after(STEP, () -> core.ended(job, End.OK, STEP, reply));
+        after(STEP_MICROS, () -> core.ended(job, End.OK, STEP_MICROS, reply));
     }
 
     @Override
@@ -190,7 +216,7 @@
 
     @Override
     public Call call(String job, byte[] body, long patience, RecordsService.Listener listener) {
-        Timer reply = after(STEP, () -> listener.ended(Outcome.OK, body));
+        Timer reply = after(STEP_MICROS, () -> listener.ended(Outcome.OK, body));
         return reply::cancel;
     }
 }
--- a/server/src/main/java/wheatspread/lifecycle/DrainDeadlines.java
+++ b/server/src/main/java/wheatspread/lifecycle/DrainDeadlines.java
@@ -1,86 +1,118 @@
 package wheatspread.lifecycle;
 
 /**
- * The clock of a drain: how long callers are still listened to, when the rest must be answered, and when the
- * process goes. Callers hear late of the notice, so what comes within the grace is served; what comes later
- * is refused; nobody is cut off. It reads no clock; times are microseconds.
+ * What a drain does at which time after the signal. The process that sent the signal kills this one after
+ * {@code stopTimeout}; all is over before that.
+ *
+ * <table>
+ * <caption>The steps of a drain</caption>
+ * <tr><th>step</th><th>from</th><th>until</th></tr>
+ * <tr><td>{@code ACCEPT}</td><td>the signal</td><td>the grace is over: callers learn late that the server drains, so
+ *     what they send within the grace is served</td></tr>
+ * <tr><td>{@code AWAIT_ANSWERS}</td><td>the end of the grace</td><td>what was accepted last had
+ *     {@link #LAST_ACCEPTED_READ_MICROS} to be read, and every request is answered</td></tr>
+ * <tr><td>{@code REJECT_NOT_STARTED}</td><td>the same, if the drain was made immediate</td>
+ *     <td>every request is answered</td></tr>
+ * <tr><td>{@code CLOSE_ALL_ANSWERED}</td><td>every request is answered</td><td>-</td></tr>
+ * <tr><td>{@code CLOSE_TIMED_OUT}</td><td>{@link #STOP_MARGIN_MICROS} before the stop, whatever is open</td>
+ *     <td>-</td></tr>
+ * </table>
+ *
+ * <p>It reads no clock; times are Unix microseconds. One thread calls it.
  */
 public final class DrainDeadlines {
-    /** The process ends this long before it would be killed. */
-    public static final long STOP_MARGIN = 120_000;
-    /** What was accepted just before the listener closed gets this long to be read. */
-    public static final long LISTENER_GONE = 150_000;
-
-    /** The last connections are cut off this long before the process would be killed. */
-    public static final long CUT_MARGIN = 50_000;
+    /** The process closes its connections this long before it would be killed. */
+    public static final long STOP_MARGIN_MICROS = 120_000;
+    /** A connection that was accepted just before the listeners closed gets this long to be read. */
+    public static final long LAST_ACCEPTED_READ_MICROS = 150_000;
+    /** The last connections are aborted this long before the process would be killed. */
+    public static final long CONNECTION_ABORT_MARGIN_MICROS = 50_000;
     /** A caller that has all its answers gets this long to close its side as well. */
-    public static final long LINGER = 500_000;
+    public static final long LINGER_MICROS = 500_000;
 
-    /** What to do now. */
+    /** What a drain does now; the table of the class says when. */
     public enum Step {
-        LISTEN,
-        STOP_LISTENING,
-        ANSWER_ALL,
-        LEAVE_EMPTY,
-        LEAVE_IN_TIME
+        /** New connections and requests are taken. */
+        ACCEPT,
+        /** The listeners are closed; requests that were sent are answered. */
+        AWAIT_ANSWERS,
+        /** Requests that have not started are rejected at once. */
+        REJECT_NOT_STARTED,
+        /** The drain ends, and nothing is open. */
+        CLOSE_ALL_ANSWERED,
+        /** The drain ends, whatever is open. */
+        CLOSE_TIMED_OUT
     }
 
-    private final long noticeAt;
-    private final long leaveBy;
-    private final long cutBy;
-    private long listenUntil;
-    private boolean hurried;
+    private final long signalledAtMicros;
+    private final long closeAtMicros;
+    private final long abortConnectionsAtMicros;
+    private long acceptUntilMicros;
+    private boolean immediate;
 
     /**
-     * @param stopAfter how long after the notice the process is killed
-     * @param grace how long callers may send what still runs
-     * @param listed whether callers can know this server: one whose kernel never came up is on no list
+     * The deadlines of a drain.
+     *
+     * @param signalledAtMicros when the signal came
+     * @param stopTimeoutMicros how long after the signal the process is killed
+     * @param graceMicros how long callers may send requests that are still served
+     * @param listed whether callers can know this server: one whose kernel was never ready is on no list, so it does
+     *     not wait for the grace
      */
-    public DrainDeadlines(long now, long stopAfter, long grace, boolean listed) {
-        noticeAt = now;
-        leaveBy = now + Math.max(STOP_MARGIN, stopAfter - STOP_MARGIN);
-        cutBy = Math.max(leaveBy, now + stopAfter - CUT_MARGIN);
-        listenUntil = listed ? Math.max(now, Math.min(now + grace, leaveBy - 2 * STOP_MARGIN)) : now;
+    public DrainDeadlines(long signalledAtMicros, long stopTimeoutMicros, long graceMicros, boolean listed) {
+        this.signalledAtMicros = signalledAtMicros;
+        closeAtMicros = signalledAtMicros + Math.max(STOP_MARGIN_MICROS, stopTimeoutMicros - STOP_MARGIN_MICROS);
+        abortConnectionsAtMicros =
+                Math.max(closeAtMicros, signalledAtMicros + stopTimeoutMicros - CONNECTION_ABORT_MARGIN_MICROS);
+        acceptUntilMicros = listed ? endOfGrace(graceMicros) : signalledAtMicros;
     }
 
-    /**
-     * A second notice: all that is open is answered now, and what is still on its way gets its short time.
-     */
-    public void hurry(long now) {
-        if (!hurried) {
-            hurried = true;
-            listenUntil = Math.min(listenUntil, now);
+    /** A short stop timeout shortens the grace, so that time to answer is left. */
+    private long endOfGrace(long graceMicros) {
+        long latestMicros = closeAtMicros - 2 * STOP_MARGIN_MICROS;
+        return Math.max(signalledAtMicros, Math.min(signalledAtMicros + graceMicros, latestMicros));
+    }
+
+    /** Ends the grace now, and rejects what has not started. Calls after the first change nothing. */
+    public void answerImmediately(long nowMicros) {
+        if (!immediate) {
+            immediate = true;
+            acceptUntilMicros = Math.min(acceptUntilMicros, nowMicros);
         }
     }
 
-    public boolean hurried() {
-        return hurried;
+    public boolean isImmediate() {
+        return immediate;
     }
 
-    /** The next step, with so many requests that owe an answer. */
-    public Step look(long now, int open) {
-        if (now >= leaveBy) {
-            return Step.LEAVE_IN_TIME;
+    /** The step now, with so many requests that are not answered. */
+    public Step step(long nowMicros, int unanswered) {
+        if (nowMicros >= closeAtMicros) {
+            return Step.CLOSE_TIMED_OUT;
+        }
+        if (nowMicros < acceptUntilMicros) {
+            return Step.ACCEPT;
         }
-        if (now < listenUntil) {
-            return Step.LISTEN;
+        if (nowMicros < acceptUntilMicros + LAST_ACCEPTED_READ_MICROS) {
+            return Step.AWAIT_ANSWERS;
         }
-        if (now < listenUntil + LISTENER_GONE) {
-            return Step.STOP_LISTENING;
+        if (unanswered == 0) {
+            return Step.CLOSE_ALL_ANSWERED;
         }
-        return open == 0 ? Step.LEAVE_EMPTY : hurried ? Step.ANSWER_ALL : Step.STOP_LISTENING;
+        return immediate ? Step.REJECT_NOT_STARTED : Step.AWAIT_ANSWERS;
     }
 
     /**
-     * Whether connections that were closed at {@code closingAt} may go on lingering, with so many bytes that
-     * wait to be written to their callers.
+     * Whether connections whose closing began at {@code closingAtMicros} may wait for their callers: for bytes that
+     * are not written until the abort deadline, for the caller's own close for {@link #LINGER_MICROS}.
      */
-    public boolean lingers(long now, long closingAt, long pending) {
-        return now < cutBy && (pending > 0 || now < closingAt + LINGER);
+    public boolean mayLinger(long nowMicros, long closingAtMicros, long pendingBytes) {
+        return nowMicros < abortConnectionsAtMicros
+                && (pendingBytes > 0 || nowMicros < closingAtMicros + LINGER_MICROS);
     }
 
-    /** How long ago the notice came. */
-    public long took(long now) {
-        return now - noticeAt;
+    /** The time since the signal. */
+    public long elapsedMicros(long nowMicros) {
+        return nowMicros - signalledAtMicros;
     }
 }
--- a/server/src/main/java/wheatspread/lifecycle/Lifecycle.java
+++ b/server/src/main/java/wheatspread/lifecycle/Lifecycle.java
@@ -4,22 +4,44 @@
 import java.util.Map;
 
 /**
- * The phases of a process and every way from one to the next. What may happen in a phase stands in one table;
- * anything else is a fault of the program and thrown. It does no I/O and reads no clock.
+ * The states of a server process. Which event leads from which phase to which stands in one table; an event without
+ * an entry for the current phase is a fault of the program, and thrown.
+ *
+ * <table>
+ * <caption>Phases, and the events by which a process leaves them</caption>
+ * <tr><th>phase</th><th>what the process does</th><th>left by</th></tr>
+ * <tr><td>{@code NEW}</td><td>exists</td>
+ *     <td>{@code START} to {@code WARMING_UP}; a drain signal to {@code STOPPED}</td></tr>
+ * <tr><td>{@code WARMING_UP}</td><td>warms up the JVM; nothing listens</td>
+ *     <td>{@code WARMED_UP} to {@code BINDING}; a drain signal to {@code STOPPED}</td></tr>
+ * <tr><td>{@code BINDING}</td><td>binds the listeners and connects to the kernel</td>
+ *     <td>{@code BOUND} to {@code AWAITING_KERNEL}, or to {@code SERVING} if the kernel is ready already;
+ *     {@code BIND_FAILED} to {@code STOPPED}; a drain signal to {@code CANCELLING_START}</td></tr>
+ * <tr><td>{@code CANCELLING_START}</td><td>binds on, since a listener may have accepted connections already</td>
+ *     <td>{@code BOUND} to {@code DRAINING}; {@code BIND_FAILED} to {@code STOPPED}</td></tr>
+ * <tr><td>{@code AWAITING_KERNEL}</td><td>listens, and rejects requests for want of a kernel</td>
+ *     <td>{@code KERNEL_READY} to {@code SERVING}; {@code KERNEL_TIMED_OUT} or a drain signal to
+ *     {@code DRAINING}</td></tr>
+ * <tr><td>{@code SERVING}</td><td>takes requests</td><td>a drain signal to {@code DRAINING}</td></tr>
+ * <tr><td>{@code DRAINING}</td><td>answers what was sent to it</td>
+ *     <td>{@code ALL_ANSWERED} or {@code DRAIN_TIMED_OUT} to {@code CLOSING}</td></tr>
+ * <tr><td>{@code CLOSING}</td><td>closes its connections</td><td>{@code CLOSED} to {@code STOPPED}</td></tr>
+ * <tr><td>{@code STOPPED}</td><td>may exit</td><td>-</td></tr>
+ * </table>
+ *
+ * <p>The drain signals are {@code NOTICE} (SIGTERM, or a first SIGINT) and {@code HURRY} (a second SIGINT). They and
+ * {@code RELOAD} (SIGHUP) are allowed in every phase; where the table names no successor, the phase stays as it is.
+ *
+ * <p>It does no I/O and reads no clock. One thread calls {@link #handle}; any thread may read the phase.
  */
 public final class Lifecycle {
-    /**
-     * {@code REHEARSING} warms the JVM and {@code BINDING} opens the listeners; {@code RETREATING} is a
-     * start that is to end as soon as its listeners are known; {@code WAITING} listens for want of a kernel
-     * and refuses; {@code SERVING} takes work; {@code DRAINING} answers what there is; {@code CLOSING} lets
-     * go of sockets.
-     */
+    /** The phases, in the order in which they follow each other: no event leads back. */
     public enum Phase {
         NEW("NEW"),
-        REHEARSING("REHEARSING"),
+        WARMING_UP("REHEARSING"),
         BINDING("BINDING"),
-        RETREATING("RETREATING"),
-        WAITING("WAITING"),
+        CANCELLING_START("RETREATING"),
+        AWAITING_KERNEL("WAITING"),
         SERVING("SERVING"),
         DRAINING("DRAINING"),
         CLOSING("CLOSING"),
@@ -31,28 +53,32 @@
             this.storedName = storedName;
         }
 
-        /** The name in files and in the log. It stays when the constant is renamed. */
+        /** The name in the log and in the answer to {@code stats}. It stays when the constant is renamed. */
         public String storedName() {
             return storedName;
         }
     }
 
-    /**
-     * {@code NOTICE} is the notice to leave, {@code HURRY} a second one that asks not to wait; {@code EMPTY}
-     * and {@code TIME_UP} end a drain.
-     */
+    /** What can happen to a process. */
     public enum Event {
         START("START"),
-        REHEARSED("REHEARSED"),
+        WARMED_UP("REHEARSED"),
         BOUND("BOUND"),
         BIND_FAILED("BIND_FAILED"),
-        KERNEL_UP("KERNEL_UP"),
-        KERNEL_GIVEN_UP("KERNEL_GIVEN_UP"),
+        KERNEL_READY("KERNEL_UP"),
+        /** The kernel was not ready in the time that the operator allows. */
+        KERNEL_TIMED_OUT("KERNEL_GIVEN_UP"),
+        /** SIGTERM, or a first SIGINT: the process is to drain. */
         NOTICE("NOTICE"),
+        /** A second SIGINT: the drain is not to wait for further requests. */
         HURRY("HURRY"),
+        /** SIGHUP: the configuration is to be read again. */
         RELOAD("RELOAD"),
-        EMPTY("EMPTY"),
-        TIME_UP("TIME_UP"),
+        /** The drain has ended since every request is answered. */
+        ALL_ANSWERED("EMPTY"),
+        /** The drain has ended since its time is over. */
+        DRAIN_TIMED_OUT("TIME_UP"),
+        /** The last connection is closed. */
         CLOSED("CLOSED");
 
         private final String storedName;
@@ -61,191 +87,121 @@
             this.storedName = storedName;
         }
 
-        /** The name in files and in the log. It stays when the constant is renamed. */
+        /** The name in the log. It stays when the constant is renamed. */
         public String storedName() {
             return storedName;
         }
     }
 
-    /** Exit codes, as in sysexits.h. */
-    public static final int OK = 0;
+    /** EX_OK of sysexits.h. */
+    public static final int EXIT_OK = 0;
+    /** EX_UNAVAILABLE of sysexits.h: an address could not be bound, or the kernel was not ready in time. */
+    public static final int EXIT_UNAVAILABLE = 69;
 
-    public static final int UNAVAILABLE = 69;
-
-    /** Hears of every change of phase. */
+    /** Is called on every change of phase, by the thread that calls {@link #handle}. */
     public interface Listener {
-        void entered(Phase from, Phase to, Event by);
-    }
-
-    private static final Map<Phase, Map<Event, Phase>> TABLE = new EnumMap<>(Phase.class);
-
-    static {
-        row(
-                Phase.NEW,
-                Event.START,
-                Phase.REHEARSING,
-                Event.NOTICE,
-                Phase.STOPPED,
-                Event.HURRY,
-                Phase.STOPPED,
-                Event.RELOAD,
-                Phase.NEW);
-        // nothing has been accepted yet, so there is nothing to drain
-        row(
-                Phase.REHEARSING,
-                Event.REHEARSED,
-                Phase.BINDING,
-                Event.NOTICE,
-                Phase.STOPPED,
-                Event.HURRY,
-                Phase.STOPPED,
-                Event.RELOAD,
-                Phase.REHEARSING);
-        // the kernel's link opens while the listeners are bound
-        row(
-                Phase.BINDING,
-                Event.BOUND,
-                Phase.WAITING,
-                Event.BIND_FAILED,
-                Phase.STOPPED,
-                Event.NOTICE,
-                Phase.RETREATING,
-                Event.HURRY,
-                Phase.RETREATING,
-                Event.RELOAD,
-                Phase.BINDING,
-                Event.KERNEL_UP,
-                Phase.BINDING);
-        // a listener may have accepted before the others are bound
-        row(
-                Phase.RETREATING,
-                Event.BOUND,
-                Phase.DRAINING,
-                Event.BIND_FAILED,
-                Phase.STOPPED,
-                Event.NOTICE,
-                Phase.RETREATING,
-                Event.HURRY,
-                Phase.RETREATING,
-                Event.RELOAD,
-                Phase.RETREATING,
-                Event.KERNEL_UP,
-                Phase.RETREATING);
-        row(
-                Phase.WAITING,
-                Event.KERNEL_UP,
-                Phase.SERVING,
-                Event.KERNEL_GIVEN_UP,
-                Phase.DRAINING,
-                Event.NOTICE,
-                Phase.DRAINING,
-                Event.HURRY,
-                Phase.DRAINING,
-                Event.RELOAD,
-                Phase.WAITING);
-        row(Phase.SERVING, Event.NOTICE, Phase.DRAINING, Event.HURRY, Phase.DRAINING, Event.RELOAD, Phase.SERVING);
-        // a repeated notice doesn't move the drain's clock; a kernel that comes up now finds no work
-        row(
-                Phase.DRAINING,
-                Event.EMPTY,
-                Phase.CLOSING,
-                Event.TIME_UP,
-                Phase.CLOSING,
-                Event.NOTICE,
-                Phase.DRAINING,
-                Event.HURRY,
-                Phase.DRAINING,
-                Event.RELOAD,
-                Phase.DRAINING,
-                Event.KERNEL_UP,
-                Phase.DRAINING);
-        row(
-                Phase.CLOSING,
-                Event.CLOSED,
-                Phase.STOPPED,
-                Event.NOTICE,
-                Phase.CLOSING,
-                Event.HURRY,
-                Phase.CLOSING,
-                Event.RELOAD,
-                Phase.CLOSING,
-                Event.KERNEL_UP,
-                Phase.CLOSING);
-        row(
-                Phase.STOPPED,
-                Event.NOTICE,
-                Phase.STOPPED,
-                Event.HURRY,
-                Phase.STOPPED,
-                Event.RELOAD,
-                Phase.STOPPED,
-                Event.KERNEL_UP,
-                Phase.STOPPED,
-                Event.REHEARSED,
-                Phase.STOPPED);
+        /** The process has entered the phase {@code to}. */
+        void phaseEntered(Phase from, Phase to, Event by);
     }
 
-    private static void row(Phase from, Object... pairs) {
-        Map<Event, Phase> row = new EnumMap<>(Event.class);
-        for (int i = 0; i < pairs.length; i += 2) {
-            row.put((Event) pairs[i], (Phase) pairs[i + 1]);
-        }
-        TABLE.put(from, row);
-    }
+    private static final Map<Phase, Map<Event, Phase>> TRANSITIONS = transitions();
 
     private final Listener listener;
     private volatile Phase phase = Phase.NEW;
-    private volatile int exitCode = OK;
-    private boolean kernelUp;
+    private volatile int exitCode = EXIT_OK;
+    private boolean kernelWasReady;
 
+    /** A process in phase {@code NEW}. */
     public Lifecycle(Listener listener) {
         this.listener = listener;
     }
 
-    /** Where an event leads from a phase; null where it cannot happen. */
+    private static Map<Phase, Map<Event, Phase>> transitions() {
+        Map<Phase, Map<Event, Phase>> table = new EnumMap<>(Phase.class);
+        for (Phase phase : Phase.values()) {
+            table.put(phase, new EnumMap<>(Event.class));
+        }
+        table.get(Phase.NEW).put(Event.START, Phase.WARMING_UP);
+        table.get(Phase.WARMING_UP).put(Event.WARMED_UP, Phase.BINDING);
+        table.get(Phase.BINDING).put(Event.BOUND, Phase.AWAITING_KERNEL);
+        table.get(Phase.BINDING).put(Event.BIND_FAILED, Phase.STOPPED);
+        table.get(Phase.CANCELLING_START).put(Event.BOUND, Phase.DRAINING);
+        table.get(Phase.CANCELLING_START).put(Event.BIND_FAILED, Phase.STOPPED);
+        table.get(Phase.AWAITING_KERNEL).put(Event.KERNEL_READY, Phase.SERVING);
+        table.get(Phase.AWAITING_KERNEL).put(Event.KERNEL_TIMED_OUT, Phase.DRAINING);
+        table.get(Phase.DRAINING).put(Event.ALL_ANSWERED, Phase.CLOSING);
+        table.get(Phase.DRAINING).put(Event.DRAIN_TIMED_OUT, Phase.CLOSING);
+        table.get(Phase.CLOSING).put(Event.CLOSED, Phase.STOPPED);
+        // a start that was stopped while the warm-up still ran
+        table.get(Phase.STOPPED).put(Event.WARMED_UP, Phase.STOPPED);
+        for (Phase phase : Phase.values()) {
+            table.get(phase).put(Event.NOTICE, afterDrainSignal(phase));
+            table.get(phase).put(Event.HURRY, afterDrainSignal(phase));
+            table.get(phase).put(Event.RELOAD, phase);
+        }
+        // the link to the kernel opens with BINDING, and may become ready in any later phase
+        for (Phase phase : Phase.values()) {
+            if (phase.compareTo(Phase.BINDING) >= 0 && phase != Phase.SERVING) {
+                table.get(phase).putIfAbsent(Event.KERNEL_READY, phase);
+            }
+        }
+        return table;
+    }
+
+    /** Before anything listens there is nothing to drain; a repeated signal changes nothing. */
+    private static Phase afterDrainSignal(Phase phase) {
+        return switch (phase) {
+            case NEW, WARMING_UP -> Phase.STOPPED;
+            case BINDING -> Phase.CANCELLING_START;
+            case AWAITING_KERNEL, SERVING -> Phase.DRAINING;
+            default -> phase;
+        };
+    }
+
+    /** The phase to which an event leads; null where it cannot happen. */
     public static Phase next(Phase from, Event event) {
-        return TABLE.get(from).get(event);
+        return TRANSITIONS.get(from).get(event);
     }
 
-    /** Any thread may look. */
+    /** Any thread may call. */
     public Phase phase() {
         return phase;
     }
 
-    /** What the process is to exit with once it has stopped. */
+    /** The exit code of the process once it has stopped. Any thread may call. */
     public int exitCode() {
         return exitCode;
     }
 
-    /** Whether the notice to leave was given, or the process goes for another reason. */
-    public boolean leaving() {
-        return phase == Phase.RETREATING || phase.compareTo(Phase.DRAINING) >= 0;
+    /** Whether the process drains or is past that. Any thread may call. */
+    public boolean isStopping() {
+        return phase == Phase.CANCELLING_START || phase.compareTo(Phase.DRAINING) >= 0;
     }
 
-    /** Whether the kernel was up at any time; before that nothing can have run. */
-    public boolean kernelUp() {
-        return kernelUp;
+    /** Whether the kernel was ready at any time; before that no request can have run. */
+    public boolean kernelWasReady() {
+        return kernelWasReady;
     }
 
-    /** Something happened; returns whether the phase changed. One thread at a time. */
-    public boolean on(Event event) {
+    /** Takes the transition of an event, and returns whether the phase changed. One thread calls. */
+    public boolean handle(Event event) {
         Phase from = phase;
         Phase to = next(from, event);
         if (to == null) {
             throw new IllegalStateException(event.storedName + " cannot happen in phase " + from.storedName);
         }
-        kernelUp |= event == Event.KERNEL_UP;
-        if (event == Event.BIND_FAILED || event == Event.KERNEL_GIVEN_UP) {
-            exitCode = UNAVAILABLE;
+        kernelWasReady |= event == Event.KERNEL_READY;
+        if (event == Event.BIND_FAILED || event == Event.KERNEL_TIMED_OUT) {
+            exitCode = EXIT_UNAVAILABLE;
         }
-        if (to == Phase.WAITING && kernelUp) {
-            to = Phase.SERVING; // the link was quicker than the listeners
+        if (to == Phase.AWAITING_KERNEL && kernelWasReady) {
+            to = Phase.SERVING;
         }
         if (to == from) {
             return false;
         }
         phase = to;
-        listener.entered(from, to, event);
+        listener.phaseEntered(from, to, event);
         return true;
     }
 }
--- a/server/src/main/java/wheatspread/supervisor/CommandSpool.java
+++ b/server/src/main/java/wheatspread/supervisor/CommandSpool.java
@@ -63,7 +63,7 @@
         }
     }
 
-    /** The oldest pending command; null if there is none. One that is not JSON is answered with an error and dropped. */
+    /** The oldest pending command; null if there is none. One that is not JSON is answered with an error. */
     Command next() throws IOException {
         for (Path file : pendingFiles()) {
             try {
--- a/server/src/test/java/wheatspread/daemon/BothFrontsTest.java
+++ b/server/src/test/java/wheatspread/daemon/BothFrontsTest.java
@@ -18,13 +18,13 @@
 /** Both protocols at once, on one core: the same requests come to the same ends and counts. */
 class BothFrontsTest {
     @Test
-    void bothProtocolsSeeTheSameOutcomesAndCounts() throws Exception {
-        try (Stage stage = new Stage();
-                StandInProxy proxy = new StandInProxy(stage)) {
-            StandInKernel kernel = new StandInKernel(stage);
+    void bothProtocolsGiveTheSameOutcomesAndCounters() throws Exception {
+        try (ServerFixture fixture = new ServerFixture();
+                StandInProxy proxy = new StandInProxy(fixture)) {
+            StandInKernel kernel = new StandInKernel(fixture);
             start(kernel);
-            start(() -> answerCalls(stage));
-            assertThat(stage.nextAnnounced()).endsWith("{\"accepting\":\"true\"}");
+            start(() -> answerCalls(fixture));
+            assertThat(fixture.nextAnnounced()).endsWith("{\"accepting\":\"true\"}");
 
             proxy.ask("stew", "north", 5000, null, "ok-1");
             proxy.ask("stew", "south", 5000, null, "error-2");
@@ -34,7 +34,7 @@
             proxy.ask("save", "north", 8000, "k1", "other-4");
             proxy.ask("stew", "east", 5000, null, "ok-5");
             proxy.ask("save", "south", 8000, null, "ok-6");
-            expect(
+            assertOutcomes(
                     proxy,
                     Map.of(
                             "ok-1",
@@ -57,23 +57,23 @@
             assertThat(Collections.frequency(kernel.runs, "ok-1")).isEqualTo(2);
 
             proxy.ask("stew", "north", 900, null, "hang-7");
-            stage.clock().advance(900_000);
-            expect(proxy, Map.of("hang-7", "out of time"));
+            fixture.clock().advance(900_000);
+            assertOutcomes(proxy, Map.of("hang-7", "out of time"));
 
             proxy.ask("save", "north", 8000, "k2", "hang-8");
-            stage.clock().advance(0);
-            stage.server.drain();
-            stage.clock().advance(2_600_000);
+            fixture.clock().advance(0);
+            fixture.server.drain();
+            fixture.clock().advance(2_600_000);
             proxy.ask("stew", "north", 5000, null, "ok-9");
-            stage.clock().advance(1_400_000);
-            expect(proxy, Map.of("hang-8", "out of time", "ok-9", "refused"));
-            stage.server.awaitStopped();
+            fixture.clock().advance(1_400_000);
+            assertOutcomes(proxy, Map.of("hang-8", "out of time", "ok-9", "refused"));
+            fixture.server.awaitStopped();
 
-            assertThat(stage.announced.poll()).endsWith("{\"accepting\":\"false\"}");
+            assertThat(fixture.announced.poll()).endsWith("{\"accepting\":\"false\"}");
             assertThat(kernel.runs).doesNotContain("ok-9").contains("hang-8");
             // each front: ok-1, call-3 and ok-4 twice served; error-2, other-4, hang-7 and hang-8 failed;
             // ok-9 refused
-            assertThat(stage.server.counts().toString())
+            assertThat(fixture.server.counts().toString())
                     .startsWith("read 18, served 8, refused 2, failed 8")
                     .contains("gone 0, runs 10, joins 4");
         }
@@ -82,24 +82,24 @@
     /** Guards against a process whose event loop has died, and that stays for ever, deaf to SIGTERM. */
     @Test
     @Timeout(20)
-    void aServerWhoseLoopDiedSaysSoInPlaceOfHanging() throws Exception {
-        try (Stage stage = new Stage()) {
-            stage.server.kill();
-            assertThat(stage.server.awaitStopped()).isEqualTo(Server.LOOP_ENDED);
+    void serverExitsWithItsOwnCodeWhenTheEventLoopDies() throws Exception {
+        try (ServerFixture fixture = new ServerFixture()) {
+            fixture.server.kill();
+            assertThat(fixture.server.awaitStopped()).isEqualTo(Server.LOOP_ENDED);
         }
     }
 
     /** Guards against a warm-up that compiles the refusal of requests in place of their service. */
     @Test
-    void theWarmUpServesWhatItAsks() throws Exception {
-        JSONObject told = new JSONObject(Files.readString(Path.of("src/test/resources/config.json")));
+    void warmUpServesItsRequests() throws Exception {
+        JSONObject json = new JSONObject(Files.readString(Path.of("src/test/resources/config.json")));
         WarmUp warmUp =
-                new WarmUp(ServerConfig.read(JsonFields.of(told.toMap(), "")).site());
+                new WarmUp(ServerConfig.read(JsonFields.of(json.toMap(), "")).site());
         assertThat(warmUp.play(Long.MAX_VALUE / 2, () -> false)).isBetween(390, 400);
     }
 
     /** The answers over both protocols are those, and so the same. */
-    private static void expect(StandInProxy proxy, Map<String, String> outcomes) throws IOException {
+    private static void assertOutcomes(StandInProxy proxy, Map<String, String> outcomes) throws IOException {
         assertThat(proxy.overJsonRpc()).isEqualTo(new TreeMap<>(outcomes));
         assertThat(proxy.overUwsgi()).isEqualTo(new TreeMap<>(outcomes));
         proxy.forget();
@@ -112,23 +112,23 @@
     }
 
     /** A records service that answers every call with the same reply. */
-    private static void answerCalls(Stage stage) {
-        while (!stage.records.isClosed()) {
+    private static void answerCalls(ServerFixture fixture) {
+        while (!fixture.records.isClosed()) {
             try {
-                Wire wire = new Wire(stage.records.accept());
-                start(() -> answerCalls(wire));
+                TestConnection connection = new TestConnection(fixture.records.accept());
+                start(() -> answerCalls(connection));
             } catch (IOException e) {
-                continue; // the stage was closed
+                continue; // the fixture was closed
             }
         }
     }
 
-    private static void answerCalls(Wire wire) {
-        try (wire) {
-            for (String line = wire.line(); line != null; line = wire.line()) {
+    private static void answerCalls(TestConnection connection) {
+        try (connection) {
+            for (String line = connection.line(); line != null; line = connection.line()) {
                 String[] words = line.split(" ");
-                wire.bytes(Integer.parseInt(words[3]) + 2);
-                wire.write((words[1] + " DONE 5\r\nreply\r\n").getBytes(StandardCharsets.US_ASCII));
+                connection.bytes(Integer.parseInt(words[3]) + 2);
+                connection.write((words[1] + " DONE 5\r\nreply\r\n").getBytes(StandardCharsets.US_ASCII));
             }
         } catch (IOException e) {
             return; // that connection ended
--- a/server/src/test/java/wheatspread/daemon/ControlFrontTest.java
+++ b/server/src/test/java/wheatspread/daemon/ControlFrontTest.java
@@ -18,27 +18,28 @@
 class ControlFrontTest {
     @Test
     @Timeout(30)
-    void saysReadyOnlyWhenServingAndCountsEachClass() throws Exception {
-        try (Stage stage = new Stage();
-                StandInProxy proxy = new StandInProxy(stage)) {
-            InetSocketAddress door = stage.server.doorAddress();
-            assertThat(call(door, "GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n")).startsWith("HTTP/1.1 503");
-            StandInKernel kernel = new StandInKernel(stage);
+    void readyOnlyWhileServingAndMetricsCountEachClass() throws Exception {
+        try (ServerFixture fixture = new ServerFixture();
+                StandInProxy proxy = new StandInProxy(fixture)) {
+            InetSocketAddress controlAddress = fixture.server.controlAddress();
+            assertThat(request(controlAddress, "GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n"))
+                    .startsWith("HTTP/1.1 503");
+            StandInKernel kernel = new StandInKernel(fixture);
             Thread thread = new Thread(kernel, "stand-in");
             thread.setDaemon(true);
             thread.start();
-            assertThat(stage.nextAnnounced()).endsWith("{\"accepting\":\"true\"}");
-            assertThat(call(door, "GET /_ready HTTP/1.1\r\n\r\n")).startsWith("HTTP/1.1 200");
+            assertThat(fixture.nextAnnounced()).endsWith("{\"accepting\":\"true\"}");
+            assertThat(request(controlAddress, "GET /_ready HTTP/1.1\r\n\r\n")).startsWith("HTTP/1.1 200");
 
             proxy.ask("stew", "north", 5000, null, "ok-1");
             proxy.ask("stew", "south", 5000, null, "error-2");
             proxy.ask("stew", "north", 900, null, "hang-3");
-            stage.clock().advance(900_000);
+            fixture.clock().advance(900_000);
             Map<String, String> ends = Map.of("ok-1", "served 1-ko", "error-2", "failed", "hang-3", "out of time");
             assertThat(proxy.overJsonRpc()).isEqualTo(ends);
             assertThat(proxy.overUwsgi()).isEqualTo(ends);
             // each over both fronts: two served, four failed, six runs
-            String vars = call(door, "GET /_vars HTTP/1.1\r\n\r\n");
+            String vars = request(controlAddress, "GET /_vars HTTP/1.1\r\n\r\n");
             assertThat(vars)
                     .startsWith("HTTP/1.1 200")
                     .contains(
@@ -51,28 +52,29 @@
                             "\nedge_gw.reload_success=0\n",
                             "\nedge_gw.reload_failure=0\n");
 
-            stage.reload("stop_ms", "not a number");
-            assertThat(call(door, "GET /_vars HTTP/1.1\r\n\r\n"))
+            fixture.reload("stop_ms", "not a number");
+            assertThat(request(controlAddress, "GET /_vars HTTP/1.1\r\n\r\n"))
                     .contains("\nedge_gw.reload_failure=1\n", "\nedge_gw.reload_success=0\n");
         }
     }
 
     @Test
     @Timeout(30)
-    void answersBadCallsAndStaysOpenToOthersWhileSomeSayNothing() throws Exception {
-        try (Stage stage = new Stage()) {
-            InetSocketAddress door = stage.server.doorAddress();
+    void malformedRequestsAreAnsweredWhileOtherConnectionsStaySilent() throws Exception {
+        try (ServerFixture fixture = new ServerFixture()) {
+            InetSocketAddress controlAddress = fixture.server.controlAddress();
             List<Socket> silent = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
-                silent.add(new Socket(door.getAddress(), door.getPort()));
+                silent.add(new Socket(controlAddress.getAddress(), controlAddress.getPort()));
             }
-            assertThat(call(door, "GET /elsewhere HTTP/1.1\r\n\r\n")).startsWith("HTTP/1.1 404");
-            assertThat(call(door, "POST /_vars HTTP/1.1\r\nContent-Length: 0\r\n\r\n"))
+            assertThat(request(controlAddress, "GET /elsewhere HTTP/1.1\r\n\r\n"))
+                    .startsWith("HTTP/1.1 404");
+            assertThat(request(controlAddress, "POST /_vars HTTP/1.1\r\nContent-Length: 0\r\n\r\n"))
                     .startsWith("HTTP/1.1 405");
-            assertThat(call(door, "hello there\r\n\r\n")).startsWith("HTTP/1.1 400");
-            assertThat(call(door, "GET /_vars HTTP/1.1\r\n" + "X: y\r\n".repeat(3000) + "\r\n"))
+            assertThat(request(controlAddress, "hello there\r\n\r\n")).startsWith("HTTP/1.1 400");
+            assertThat(request(controlAddress, "GET /_vars HTTP/1.1\r\n" + "X: y\r\n".repeat(3000) + "\r\n"))
                     .startsWith("HTTP/1.1 431");
-            try (Socket pieces = new Socket(door.getAddress(), door.getPort())) {
+            try (Socket pieces = new Socket(controlAddress.getAddress(), controlAddress.getPort())) {
                 OutputStream out = pieces.getOutputStream();
                 for (byte b : "GET /_vars HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)) {
                     out.write(b);
@@ -82,15 +84,15 @@
                         .startsWith("HTTP/1.1 200")
                         .contains("edge_gw.dispatches=0");
             }
-            for (Socket one : silent) {
-                one.close();
+            for (Socket connection : silent) {
+                connection.close();
             }
         }
     }
 
     /** One call on a connection of its own, and all that comes back until the server closes it. */
-    static String call(InetSocketAddress door, String request) throws IOException {
-        try (Socket socket = new Socket(door.getAddress(), door.getPort())) {
+    static String request(InetSocketAddress controlAddress, String request) throws IOException {
+        try (Socket socket = new Socket(controlAddress.getAddress(), controlAddress.getPort())) {
             socket.setSoTimeout(5_000);
             socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
             return read(socket.getInputStream());
--- a/server/src/test/java/wheatspread/daemon/EndingsTest.java
+++ b/server/src/test/java/wheatspread/daemon/EndingsTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import wheatspread.daemon.ScriptedPeer.End;
+import wheatspread.daemon.FaultyClient.StreamEnd;
 import wheatspread.lifecycle.DrainDeadlines;
 import wheatspread.transport.Transport;
 
@@ -27,11 +27,11 @@
  */
 @Timeout(60)
 class EndingsTest {
-    private static final long GRACE = 2_500_000;
+    private static final long GRACE_MICROS = 2_500_000;
 
-    private Stage stage;
+    private ServerFixture current;
     private StandInKernel kernel;
-    private int lastTxn;
+    private int lastTransaction;
 
     static List<String> transports() {
         return List.of("nio", Transport.named("auto").name()).stream()
@@ -39,17 +39,17 @@
                 .toList();
     }
 
-    private Stage begin(String over, String transport) throws Exception {
-        stage = new Stage(over, transport);
-        kernel = new StandInKernel(stage);
+    private ServerFixture begin(String operatorOverrides, String transport) throws Exception {
+        current = new ServerFixture(operatorOverrides, transport);
+        kernel = new StandInKernel(current);
         Thread thread = new Thread(kernel, "stand-in");
         thread.setDaemon(true);
         thread.start();
-        assertThat(stage.nextAnnounced()).endsWith("{\"accepting\":\"true\"}");
-        return stage;
+        assertThat(current.nextAnnounced()).endsWith("{\"accepting\":\"true\"}");
+        return current;
     }
 
-    private String ask(int id, String body) {
+    private String requestLine(int id, String body) {
         return new JSONObject()
                         .put("jsonrpc", "2.0")
                         .put("id", id)
@@ -57,8 +57,8 @@
                         .put(
                                 "params",
                                 new JSONObject()
-                                        .put("txn", String.format("%016x", ++lastTxn))
-                                        .put("door", stage.clock().nowMicros() / 1000)
+                                        .put("txn", String.format("%016x", ++lastTransaction))
+                                        .put("door", current.clock().nowMicros() / 1000)
                                         .put("lb", 1)
                                         .put("team", "north")
                                         .put("limit", 5000)
@@ -67,13 +67,13 @@
                 + "\n";
     }
 
-    /** A try of one keyed request that came to the machine so long ago. */
-    private String save(int id, int agoMs) {
-        JSONObject request = new JSONObject(ask(id, "ok-plan")).put("method", "save");
+    /** An attempt of a request with one idempotency key, which arrived so long ago. */
+    private String idempotentRequestLine(int id, int agoMs) {
+        JSONObject request = new JSONObject(requestLine(id, "ok-plan")).put("method", "save");
         request.getJSONObject("params")
                 .put("unique", "key")
                 .put("limit", 8_000)
-                .put("door", stage.clock().nowMicros() / 1000 - agoMs);
+                .put("door", current.clock().nowMicros() / 1000 - agoMs);
         return request + "\n";
     }
 
@@ -96,16 +96,16 @@
     /** Every request up to this id has one final answer: a result, or a refusal where it was too much. */
     private static void assertAnsweredOnce(List<String> outcomes, int count) {
         List<Integer> ids = outcomes.stream()
-                .map(one -> Integer.valueOf(one.split(" ")[0]))
+                .map(outcome -> Integer.valueOf(outcome.split(" ")[0]))
                 .sorted()
                 .toList();
         assertThat(ids).isEqualTo(IntStream.rangeClosed(1, count).boxed().toList());
         assertThat(outcomes)
-                .allMatch(one -> one.matches("\\d+ (served|-32066)"))
-                .anyMatch(one -> one.endsWith(" served"));
+                .allMatch(outcome -> outcome.matches("\\d+ (served|-32066)"))
+                .anyMatch(outcome -> outcome.endsWith(" served"));
     }
 
-    /** Waits until so many answers have been given; the kernel's stand-in is not on the clock of the test. */
+    /** Waits until so many requests are answered; the simulated kernel does not run on the clock of the test. */
     private void awaitAnswers(int count) {
         Pattern answers = Pattern.compile("served (\\d+), refused (\\d+), failed (\\d+)");
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
@@ -114,8 +114,8 @@
             assertThat(System.nanoTime())
                     .as("%d of %d answered", answered, count)
                     .isLessThan(until);
-            stage.clock().advance(0);
-            Matcher now = answers.matcher(stage.server.counts().toString());
+            current.clock().advance(0);
+            Matcher now = answers.matcher(current.server.counts().toString());
             assertThat(now.find()).isTrue();
             answered = IntStream.rangeClosed(1, 3)
                     .map(i -> Integer.parseInt(now.group(i)))
@@ -126,53 +126,53 @@
     /** Never run and unanswered: the crossing request is closed on with an end of stream, and is not run. */
     @ParameterizedTest
     @MethodSource("transports")
-    void aRequestThatCrossesAnIdleCloseIsNotRunAndNotReset(String transport) throws Exception {
-        try (Stage s = begin("{\"connections\":{\"idle_timeout_ms\":1000}}", transport);
-                ScriptedPeer peer = ScriptedPeer.to(s.jsonrpc)) {
-            peer.write(ask(1, "ok-1"));
-            assertThat(outcomes(List.of(peer.line()))).containsExactly("1 served");
-            s.clock().cross(1_000_000, () -> {
-                peer.write(ask(2, "ok-2"));
+    void requestThatCrossesAnIdleCloseIsNeitherRunNorReset(String transport) throws Exception {
+        try (ServerFixture fixture = begin("{\"connections\":{\"idle_timeout_ms\":1000}}", transport);
+                FaultyClient client = FaultyClient.to(fixture.jsonrpc)) {
+            client.write(requestLine(1, "ok-1"));
+            assertThat(outcomes(List.of(client.line()))).containsExactly("1 served");
+            fixture.clock().cross(1_000_000, () -> {
+                client.write(requestLine(2, "ok-2"));
                 return null;
             });
-            assertThat(peer.readToEnd(4096)).isEqualTo(End.CLOSED);
-            assertThat(peer.lines()).isEmpty();
+            assertThat(client.readToEnd(4096)).isEqualTo(StreamEnd.CLOSED);
+            assertThat(client.lines()).isEmpty();
             assertThat(kernel.runs).containsExactly("ok-1");
         }
     }
 
     @ParameterizedTest
     @MethodSource("transports")
-    void halfALineAtACloseTakesNoAnswerAlong(String transport) throws Exception {
-        try (Stage s = begin("{\"connections\":{\"whole_request_ms\":100}}", transport);
-                ScriptedPeer peer = ScriptedPeer.to(s.jsonrpc)) {
-            peer.write(ask(1, "call-1") + "{\"jsonrpc\":\"2.0\",\"id\":2,");
-            try (Wire records = new Wire(s.records.accept())) {
+    void incompleteLineAtACloseLosesNoAnswer(String transport) throws Exception {
+        try (ServerFixture fixture = begin("{\"connections\":{\"whole_request_ms\":100}}", transport);
+                FaultyClient client = FaultyClient.to(fixture.jsonrpc)) {
+            client.write(requestLine(1, "call-1") + "{\"jsonrpc\":\"2.0\",\"id\":2,");
+            try (TestConnection records = new TestConnection(fixture.records.accept())) {
                 String job = records.line().split(" ")[1];
                 records.line();
-                s.clock().advance(100_000); // its half line took too long
-                peer.write("\"method\":\"stew\"");
-                s.clock().advance(0);
+                fixture.clock().advance(100_000); // its half line took too long
+                client.write("\"method\":\"stew\"");
+                fixture.clock().advance(0);
                 records.write((job + " DONE 2\r\nok\r\n").getBytes(StandardCharsets.US_ASCII));
-                assertThat(peer.readToEnd(1)).isEqualTo(End.CLOSED);
+                assertThat(client.readToEnd(1)).isEqualTo(StreamEnd.CLOSED);
             }
-            assertThat(outcomes(peer.lines())).containsExactly("1 served");
+            assertThat(outcomes(client.lines())).containsExactly("1 served");
         }
     }
 
     /** A line over its bound is an error, and what was asked before it is answered all the same. */
     @ParameterizedTest
     @MethodSource("transports")
-    void aLineOverItsBoundResetsNothing(String transport) throws Exception {
-        try (Stage s = begin("{}", transport);
-                ScriptedPeer peer = ScriptedPeer.to(s.jsonrpc)) {
-            peer.write(ask(1, "ok-1") + "x".repeat(100_000));
-            assertThat(peer.readToEnd(1)).isEqualTo(End.CLOSED);
-            assertThat(outcomes(peer.lines())).containsExactly("1 served", "null -32700");
-            try (ScriptedPeer other = ScriptedPeer.to(s.jsonrpc)) {
-                other.write("\u00ff\u0000{\"id\":\n" + ask(1, "ok-2"));
-                assertThat(outcomes(List.of(other.line()))).containsExactly("null -32700");
-                assertThat(outcomes(List.of(other.line()))).containsExactly("1 served");
+    void lineOverItsBoundIsAnErrorAndNotAReset(String transport) throws Exception {
+        try (ServerFixture fixture = begin("{}", transport);
+                FaultyClient client = FaultyClient.to(fixture.jsonrpc)) {
+            client.write(requestLine(1, "ok-1") + "x".repeat(100_000));
+            assertThat(client.readToEnd(1)).isEqualTo(StreamEnd.CLOSED);
+            assertThat(outcomes(client.lines())).containsExactly("1 served", "null -32700");
+            try (FaultyClient otherClient = FaultyClient.to(fixture.jsonrpc)) {
+                otherClient.write("\u00ff\u0000{\"id\":\n" + requestLine(1, "ok-2"));
+                assertThat(outcomes(List.of(otherClient.line()))).containsExactly("null -32700");
+                assertThat(outcomes(List.of(otherClient.line()))).containsExactly("1 served");
             }
         }
     }
@@ -180,12 +180,12 @@
     /** A caller that sends without end after its close is cut off at the bound. */
     @ParameterizedTest
     @MethodSource("transports")
-    void whoSendsWithoutEndAfterItsCloseIsCutOff(String transport) throws Exception {
-        try (Stage s = begin("{}", transport);
-                ScriptedPeer peer = ScriptedPeer.to(s.jsonrpc)) {
+    void callerThatSendsOnAfterItsCloseIsAborted(String transport) throws Exception {
+        try (ServerFixture fixture = begin("{}", transport);
+                FaultyClient client = FaultyClient.to(fixture.jsonrpc)) {
             assertThatThrownBy(() -> {
                         for (int i = 0; i < 1_000; i++) {
-                            peer.write("x".repeat(64 * 1024));
+                            client.write("x".repeat(64 * 1024));
                         }
                     })
                     .isInstanceOf(IOException.class);
@@ -194,77 +194,77 @@
 
     @ParameterizedTest
     @MethodSource("transports")
-    void manySmallAnswersReachASlowReaderThroughTheShutdown(String transport) throws Exception {
+    void slowReaderGetsAllAnswersDuringAShutdown(String transport) throws Exception {
         int count = 32;
-        try (Stage s = begin("{}", transport);
-                ScriptedPeer peer = ScriptedPeer.to(s.jsonrpc, 2_048)) {
+        try (ServerFixture fixture = begin("{}", transport);
+                FaultyClient client = FaultyClient.to(fixture.jsonrpc, 2_048)) {
             StringBuilder all = new StringBuilder();
             for (int id = 1; id <= count; id++) {
-                all.append(ask(id, "ok-" + "y".repeat(2_000) + id));
+                all.append(requestLine(id, "ok-" + "y".repeat(2_000) + id));
             }
-            peer.write(all + "{\"jsonrpc\"");
+            client.write(all + "{\"jsonrpc\"");
             awaitAnswers(count);
-            s.server.drain();
-            s.clock().cross(GRACE + DrainDeadlines.LISTENER_GONE + 50_000, () -> {
-                peer.write(":\"2.0\"");
+            fixture.server.drain();
+            fixture.clock().cross(GRACE_MICROS + DrainDeadlines.LAST_ACCEPTED_READ_MICROS + 50_000, () -> {
+                client.write(":\"2.0\"");
                 return null;
             });
-            peer.write(",\"id\"");
-            assertThat(peer.readToEnd(512)).isEqualTo(End.CLOSED);
-            assertAnsweredOnce(outcomes(peer.lines()), count);
-            peer.shutOutput();
-            s.clock().advance(DrainDeadlines.LINGER);
-            assertThat(s.server.awaitStopped()).isZero();
+            client.write(",\"id\"");
+            assertThat(client.readToEnd(512)).isEqualTo(StreamEnd.CLOSED);
+            assertAnsweredOnce(outcomes(client.lines()), count);
+            client.shutOutput();
+            fixture.clock().advance(DrainDeadlines.LINGER_MICROS);
+            assertThat(fixture.server.awaitStopped()).isZero();
         }
     }
 
     /** It costs the server its bound of time, and the others nothing. */
     @ParameterizedTest
     @MethodSource("transports")
-    void whoNeverReadsHoldsTheProcessToItsBoundOnly(String transport) throws Exception {
-        try (Stage s = begin("{}", transport);
-                ScriptedPeer peer = ScriptedPeer.to(s.jsonrpc, 2_048);
-                ScriptedPeer other = ScriptedPeer.to(s.jsonrpc)) {
+    void callerThatNeverReadsDelaysTheExitUpToItsBoundOnly(String transport) throws Exception {
+        try (ServerFixture fixture = begin("{}", transport);
+                FaultyClient client = FaultyClient.to(fixture.jsonrpc, 2_048);
+                FaultyClient otherClient = FaultyClient.to(fixture.jsonrpc)) {
             for (int id = 1; id <= 32; id++) {
-                peer.write(ask(id, "ok-" + "z".repeat(2_000)));
+                client.write(requestLine(id, "ok-" + "z".repeat(2_000)));
             }
             awaitAnswers(32);
-            other.write(ask(1, "ok-1"));
+            otherClient.write(requestLine(1, "ok-1"));
             awaitAnswers(33);
-            s.server.drain();
-            s.clock().advance(3_900_000);
-            assertThat(other.readToEnd(4096)).isEqualTo(End.CLOSED);
-            assertAnsweredOnce(outcomes(other.lines()), 1);
-            s.clock().advance(50_000); // stop_ms is 4000
-            assertThat(s.server.awaitStopped()).isZero();
+            fixture.server.drain();
+            fixture.clock().advance(3_900_000);
+            assertThat(otherClient.readToEnd(4096)).isEqualTo(StreamEnd.CLOSED);
+            assertAnsweredOnce(outcomes(otherClient.lines()), 1);
+            fixture.clock().advance(50_000); // stop_ms is 4000
+            assertThat(fixture.server.awaitStopped()).isZero();
         }
     }
 
     /** Forty wait in the queue of the listening socket, with their requests written, when it is closed. */
     @ParameterizedTest
     @MethodSource("transports")
-    void whoWaitsInTheBacklogAtTheListenersEndIsAnswered(String transport) throws Exception {
-        List<ScriptedPeer> peers = new ArrayList<>();
-        try (Stage s = begin("{}", transport)) {
-            s.server.drain();
-            s.clock().advance(GRACE - 1);
-            s.clock().cross(25_001, () -> {
+    void connectionsInTheBacklogAreAnsweredWhenTheListenerCloses(String transport) throws Exception {
+        List<FaultyClient> clients = new ArrayList<>();
+        try (ServerFixture fixture = begin("{}", transport)) {
+            fixture.server.drain();
+            fixture.clock().advance(GRACE_MICROS - 1);
+            fixture.clock().cross(25_001, () -> {
                 for (int i = 0; i < 40; i++) {
-                    ScriptedPeer peer = ScriptedPeer.to(s.jsonrpc);
-                    peers.add(peer);
-                    peer.write(ask(1, "ok-late"));
+                    FaultyClient client = FaultyClient.to(fixture.jsonrpc);
+                    clients.add(client);
+                    client.write(requestLine(1, "ok-late"));
                 }
                 return null;
             });
-            assertThatThrownBy(() -> ScriptedPeer.to(s.jsonrpc)).isInstanceOf(ConnectException.class);
-            s.clock().advance(DrainDeadlines.LISTENER_GONE + 50_000);
-            for (ScriptedPeer peer : peers) {
-                assertThat(peer.readToEnd(4096)).isEqualTo(End.CLOSED);
-                assertThat(outcomes(peer.lines())).containsExactly("1 -32066");
-                peer.close();
+            assertThatThrownBy(() -> FaultyClient.to(fixture.jsonrpc)).isInstanceOf(ConnectException.class);
+            fixture.clock().advance(DrainDeadlines.LAST_ACCEPTED_READ_MICROS + 50_000);
+            for (FaultyClient client : clients) {
+                assertThat(client.readToEnd(4096)).isEqualTo(StreamEnd.CLOSED);
+                assertThat(outcomes(client.lines())).containsExactly("1 -32066");
+                client.close();
             }
-            s.clock().advance(DrainDeadlines.LINGER);
-            assertThat(s.server.awaitStopped()).isZero();
+            fixture.clock().advance(DrainDeadlines.LINGER_MICROS);
+            assertThat(fixture.server.awaitStopped()).isZero();
             assertThat(kernel.runs).isEmpty();
         }
     }
@@ -272,18 +272,18 @@
     /** Accepted just before the listener's end, and silent until after it: closed in order, not reset. */
     @ParameterizedTest
     @MethodSource("transports")
-    void whoSpeaksInTheMomentOfTheLastCloseIsNotReset(String transport) throws Exception {
-        try (Stage s = begin("{}", transport);
-                ScriptedPeer peer = ScriptedPeer.to(s.jsonrpc)) {
-            s.clock().advance(0);
-            s.server.drain();
-            s.clock().advance(GRACE + DrainDeadlines.LISTENER_GONE - 25_000);
-            s.clock().cross(50_000, () -> {
-                peer.write(ask(1, "ok-1"));
+    void requestThatCrossesTheLastCloseIsNotReset(String transport) throws Exception {
+        try (ServerFixture fixture = begin("{}", transport);
+                FaultyClient client = FaultyClient.to(fixture.jsonrpc)) {
+            fixture.clock().advance(0);
+            fixture.server.drain();
+            fixture.clock().advance(GRACE_MICROS + DrainDeadlines.LAST_ACCEPTED_READ_MICROS - 25_000);
+            fixture.clock().cross(50_000, () -> {
+                client.write(requestLine(1, "ok-1"));
                 return null;
             });
-            assertThat(peer.readToEnd(4096)).isEqualTo(End.CLOSED);
-            assertThat(outcomes(peer.lines())).isEmpty();
+            assertThat(client.readToEnd(4096)).isEqualTo(StreamEnd.CLOSED);
+            assertThat(outcomes(client.lines())).isEmpty();
             assertThat(kernel.runs).isEmpty();
         }
     }
@@ -291,65 +291,65 @@
     /** A caller that says no more may still read: what it asked is answered, then its stream ends. */
     @ParameterizedTest
     @MethodSource("transports")
-    void whoEndsItsStreamWithARequestOpenIsAnswered(String transport) throws Exception {
-        try (Stage s = begin("{}", transport);
-                ScriptedPeer peer = ScriptedPeer.to(s.jsonrpc)) {
-            peer.write(ask(1, "call-1"));
-            try (Wire records = new Wire(s.records.accept())) {
+    void callerThatEndsItsStreamIsStillAnswered(String transport) throws Exception {
+        try (ServerFixture fixture = begin("{}", transport);
+                FaultyClient client = FaultyClient.to(fixture.jsonrpc)) {
+            client.write(requestLine(1, "call-1"));
+            try (TestConnection records = new TestConnection(fixture.records.accept())) {
                 String job = records.line().split(" ")[1];
                 records.line();
-                s.clock().cross(0, () -> {
-                    peer.dribble(ask(2, "ok-2") + "{\"half");
-                    peer.shutOutput();
+                fixture.clock().cross(0, () -> {
+                    client.writeBytewise(requestLine(2, "ok-2") + "{\"half");
+                    client.shutOutput();
                     return null;
                 });
-                s.clock().advance(60_000);
+                fixture.clock().advance(60_000);
                 records.write((job + " DONE 2\r\nok\r\n").getBytes(StandardCharsets.US_ASCII));
-                assertThat(peer.readToEnd(4096)).isEqualTo(End.CLOSED);
+                assertThat(client.readToEnd(4096)).isEqualTo(StreamEnd.CLOSED);
             }
-            List<String> outcomes = outcomes(peer.lines());
+            List<String> outcomes = outcomes(client.lines());
             assertThat(outcomes).hasSize(2).contains("1 served");
             assertThat(outcomes.get(1)).isIn("2 served", "2 -32066");
         }
     }
 
-    /** All tries of one key in one turn, the first too late to be worth a run: the others share one. */
+    /** Three attempts in one turn of the loop, the first too late to be run: the other two share one run. */
     @ParameterizedTest
     @MethodSource("transports")
-    void triesOfAKeyThatAreReadTogetherRunOnce(String transport) throws Exception {
-        try (Stage s = begin("{}", transport);
-                ScriptedPeer peer = ScriptedPeer.to(s.jsonrpc)) {
-            peer.write(save(1, 4_000) + save(2, 0) + save(3, 0));
+    void attemptsWithOneIdempotencyKeyReadTogetherRunOnce(String transport) throws Exception {
+        try (ServerFixture fixture = begin("{}", transport);
+                FaultyClient client = FaultyClient.to(fixture.jsonrpc)) {
+            client.write(idempotentRequestLine(1, 4_000) + idempotentRequestLine(2, 0) + idempotentRequestLine(3, 0));
             awaitAnswers(3);
-            peer.shutOutput();
-            assertThat(peer.readToEnd(4096)).isEqualTo(End.CLOSED);
-            assertThat(outcomes(peer.lines())).containsExactly("1 -32066", "2 served", "3 served");
+            client.shutOutput();
+            assertThat(client.readToEnd(4096)).isEqualTo(StreamEnd.CLOSED);
+            assertThat(outcomes(client.lines())).containsExactly("1 -32066", "2 served", "3 served");
             assertThat(kernel.runs).hasSize(1);
         }
     }
 
-    /** A caller that resets its connection is gone; its neighbour hears nothing of that. */
+    /** A caller that resets its connection is gone; another connection is served on. */
     @ParameterizedTest
     @MethodSource("transports")
-    void aResetTouchesNobodyElse(String transport) throws Exception {
-        try (Stage s = begin("{}", transport);
-                ScriptedPeer peer = ScriptedPeer.to(s.jsonrpc);
-                ScriptedPeer other = ScriptedPeer.to(s.jsonrpc)) {
-            peer.write(ask(1, "hang-1"));
-            other.write(ask(1, "call-1"));
-            try (Wire records = new Wire(s.records.accept())) {
+    void resetOfOneConnectionAffectsNoOther(String transport) throws Exception {
+        try (ServerFixture fixture = begin("{}", transport);
+                FaultyClient client = FaultyClient.to(fixture.jsonrpc);
+                FaultyClient otherClient = FaultyClient.to(fixture.jsonrpc)) {
+            client.write(requestLine(1, "hang-1"));
+            otherClient.write(requestLine(1, "call-1"));
+            try (TestConnection records = new TestConnection(fixture.records.accept())) {
                 String job = records.line().split(" ")[1];
                 records.line();
-                s.clock().cross(10_000, () -> {
-                    peer.write("{\"half");
-                    peer.reset();
+                fixture.clock().cross(10_000, () -> {
+                    client.write("{\"half");
+                    client.reset();
                     return null;
                 });
-                s.clock().advance(100_000);
+                fixture.clock().advance(100_000);
                 records.write((job + " DONE 2\r\nok\r\n").getBytes(StandardCharsets.US_ASCII));
-                assertThat(outcomes(List.of(other.line()))).containsExactly("1 served");
+                assertThat(outcomes(List.of(otherClient.line()))).containsExactly("1 served");
             }
-            assertThat(s.server.counts().toString()).contains("gone 1,");
+            assertThat(fixture.server.counts().toString()).contains("gone 1,");
         }
     }
 }
--- a/server/src/test/java/wheatspread/daemon/ScriptedPeer.java
+++ b/server/src/test/java/wheatspread/daemon/FaultyClient.java
@@ -15,37 +15,37 @@
  * A caller that does on purpose what callers do at the wrong instant: it ends one side of its connection,
  * resets it, stalls, sends single bytes, or lets its receive window fill.
  */
-final class ScriptedPeer implements Closeable {
+final class FaultyClient implements Closeable {
     /** How a connection ended, as its peer saw it. */
-    enum End {
+    enum StreamEnd {
         CLOSED,
         RESET,
         SILENT
     }
 
     /** A program that stays silent fails a test rather than hang it. */
-    private static final long PATIENCE_NS = TimeUnit.SECONDS.toNanos(10);
+    private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
 
     private final SocketChannel channel;
     private final StringBuilder read = new StringBuilder();
 
-    private ScriptedPeer(SocketChannel channel) {
+    private FaultyClient(SocketChannel channel) {
         this.channel = channel;
     }
 
-    static ScriptedPeer to(InetSocketAddress address) throws IOException {
+    static FaultyClient to(InetSocketAddress address) throws IOException {
         return to(address, 0);
     }
 
     /** With a receive buffer of so many bytes; 0 for the system's. */
-    static ScriptedPeer to(InetSocketAddress address, int window) throws IOException {
+    static FaultyClient to(InetSocketAddress address, int receiveBufferBytes) throws IOException {
         SocketChannel channel = SocketChannel.open();
-        if (window > 0) {
-            channel.setOption(StandardSocketOptions.SO_RCVBUF, window);
+        if (receiveBufferBytes > 0) {
+            channel.setOption(StandardSocketOptions.SO_RCVBUF, receiveBufferBytes);
         }
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         channel.connect(address);
-        return new ScriptedPeer(channel);
+        return new FaultyClient(channel);
     }
 
     void write(String text) throws IOException {
@@ -55,14 +55,14 @@
         }
     }
 
-    /** One byte a segment. */
-    void dribble(String text) throws IOException {
-        for (byte one : text.getBytes(StandardCharsets.UTF_8)) {
-            channel.write(ByteBuffer.wrap(new byte[] {one}));
+    /** Writes one byte a segment. */
+    void writeBytewise(String text) throws IOException {
+        for (byte singleByte : text.getBytes(StandardCharsets.UTF_8)) {
+            channel.write(ByteBuffer.wrap(new byte[] {singleByte}));
         }
     }
 
-    /** Says no more, and reads on. */
+    /** Shuts the output down; the input stays open. */
     void shutOutput() throws IOException {
         channel.shutdownOutput();
     }
@@ -87,23 +87,23 @@
         return line;
     }
 
-    /** Reads to the end of the stream, {@code step} bytes at a time, and tells how it ended. */
-    End readToEnd(int step) throws IOException {
+    /** Reads to the end of the stream, {@code maxBytes} at a time, and returns how it ended. */
+    StreamEnd readToEnd(int maxBytes) throws IOException {
         channel.configureBlocking(false);
-        long until = System.nanoTime() + PATIENCE_NS;
+        long deadlineNanos = System.nanoTime() + TIMEOUT_NANOS;
         try {
-            while (System.nanoTime() < until) {
-                int got = fill(step);
-                if (got < 0) {
-                    return End.CLOSED;
+            while (System.nanoTime() < deadlineNanos) {
+                int count = fill(maxBytes);
+                if (count < 0) {
+                    return StreamEnd.CLOSED;
                 }
-                if (got == 0) {
+                if (count == 0) {
                     Thread.onSpinWait();
                 }
             }
-            return End.SILENT;
-        } catch (IOException e) { // SocketChannel tells of a reset by a plain one
-            return End.RESET;
+            return StreamEnd.SILENT;
+        } catch (IOException e) { // SocketChannel reports a reset as a plain IOException
+            return StreamEnd.RESET;
         }
     }
 
@@ -117,11 +117,11 @@
         return lines;
     }
 
-    private int fill(int most) throws IOException {
-        ByteBuffer some = ByteBuffer.allocate(most);
-        int got = channel.read(some);
-        read.append(new String(some.array(), 0, some.position(), StandardCharsets.UTF_8));
-        return got;
+    private int fill(int maxBytes) throws IOException {
+        ByteBuffer buffer = ByteBuffer.allocate(maxBytes);
+        int count = channel.read(buffer);
+        read.append(new String(buffer.array(), 0, buffer.position(), StandardCharsets.UTF_8));
+        return count;
     }
 
     @Override
--- a/server/src/test/java/wheatspread/daemon/FloodTest.java
+++ b/server/src/test/java/wheatspread/daemon/FloodTest.java
@@ -10,53 +10,53 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Callers that connect and say nothing, or half a line, in any number, while a party is away. Nothing passes
- * on the clock of the test, so nobody's time to speak is over.
+ * Many connections that send nothing, or half a line, while a service is away. The clock of the test stands still, so
+ * no connection times out.
  */
 @Timeout(60)
 class FloodTest {
     private static final String CHECK = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n";
-    /** The configuration of the stage leaves the platform's front 160 connections of its 256 descriptors. */
+    /** The configuration of the fixture leaves the platform's front 160 connections of its 256 descriptors. */
     private static final int FLOOD = 400;
 
-    private final List<ScriptedPeer> flood = new ArrayList<>();
+    private final List<FaultyClient> idlePeers = new ArrayList<>();
 
-    private void flood(Stage stage, String said) throws IOException {
+    private void idlePeers(ServerFixture fixture, String sentText) throws IOException {
         for (int i = 0; i < FLOOD; i++) {
-            ScriptedPeer one = ScriptedPeer.to(stage.jsonrpc);
-            flood.add(one);
-            one.write(said);
-            stage.clock().advance(0);
+            FaultyClient client = FaultyClient.to(fixture.jsonrpc);
+            idlePeers.add(client);
+            client.write(sentText);
+            fixture.clock().advance(0);
         }
     }
 
-    private static void assertChecksAreAnswered(Stage stage) throws IOException {
+    private static void assertChecksAreAnswered(ServerFixture fixture) throws IOException {
         for (int i = 0; i < 20; i++) {
-            try (ScriptedPeer check = ScriptedPeer.to(stage.jsonrpc)) {
-                check.write(CHECK);
-                assertThat(check.line()).contains("\"well\":");
+            try (FaultyClient client = FaultyClient.to(fixture.jsonrpc)) {
+                client.write(CHECK);
+                assertThat(client.line()).contains("\"well\":");
             }
         }
     }
 
     @ParameterizedTest
     @CsvSource({"nio,''", "nio,'{\"jsonrpc\":'", "auto,''", "auto,'{\"jsonrpc\":'"})
-    void checksAreAnsweredAndThePartiesReachedThroughIt(String transport, String said) throws Exception {
-        try (Stage stage = new Stage("{}", transport)) {
-            stage.down("announce");
-            flood(stage, said);
-            assertChecksAreAnswered(stage);
-            StandInKernel kernel = new StandInKernel(stage);
+    void healthChecksAndServicesWorkDuringAConnectionFlood(String transport, String sentText) throws Exception {
+        try (ServerFixture fixture = new ServerFixture("{}", transport)) {
+            fixture.stopService("announce");
+            idlePeers(fixture, sentText);
+            assertChecksAreAnswered(fixture);
+            StandInKernel kernel = new StandInKernel(fixture);
             Thread thread = new Thread(kernel, "stand-in");
             thread.setDaemon(true);
             thread.start(); // the link waited in its queue; now it is answered
-            stage.awaitLogged("to=SERVING");
-            stage.up("announce");
-            assertThat(stage.nextAnnounced()).endsWith("{\"accepting\":\"true\"}");
-            assertChecksAreAnswered(stage);
+            fixture.awaitLogged("to=SERVING");
+            fixture.startService("announce");
+            assertThat(fixture.nextAnnounced()).endsWith("{\"accepting\":\"true\"}");
+            assertChecksAreAnswered(fixture);
         } finally {
-            for (ScriptedPeer one : flood) {
-                one.close();
+            for (FaultyClient client : idlePeers) {
+                client.close();
             }
         }
     }
--- a/server/src/test/java/wheatspread/daemon/GracefulShutdownTest.java
+++ b/server/src/test/java/wheatspread/daemon/GracefulShutdownTest.java
@@ -18,19 +18,19 @@
 import wheatspread.lifecycle.Lifecycle.Event;
 import wheatspread.logging.EventLog;
 
-/** When a drain ends, by what callers have written and nobody has read yet. */
+/** When a drain ends, while input of callers is unread. */
 class GracefulShutdownTest {
-    private static final long MS = 1_000;
+    private static final long MICROS_PER_MILLI = 1_000;
 
-    private final List<Event> heard = new ArrayList<>();
+    private final List<Event> events = new ArrayList<>();
     private final FakeClock clock = new FakeClock(1_700_000_000_000_000L, Runnable::run);
-    private boolean unread;
+    private boolean unreadInput;
     private GracefulShutdown shutdown;
 
     @BeforeEach
     void begin() throws Exception {
-        JSONObject told = new JSONObject(Files.readString(Path.of("src/test/resources/config.json")));
-        ServerConfig config = ServerConfig.read(JsonFields.of(told.toMap(), ""));
+        JSONObject json = new JSONObject(Files.readString(Path.of("src/test/resources/config.json")));
+        ServerConfig config = ServerConfig.read(JsonFields.of(json.toMap(), ""));
         EventLog log = EventLog.lines(line -> {});
         Core core = new Core(
                 config.site(),
@@ -40,36 +40,43 @@
                 accepting -> {},
                 log);
         shutdown = new GracefulShutdown(
-                core, List.of(), clock, new ProcessMarkerFiles(LifeConfig.USUAL, log), log, () -> unread, heard::add);
+                core,
+                List.of(),
+                clock,
+                new ProcessMarkerFiles(LifeConfig.USUAL, log),
+                log,
+                () -> unreadInput,
+                events::add);
     }
 
-    /** What was written long ago and is not read yet would be lost with its connection. */
+    /** Input that is not read yet would be lost with its connection. */
     @Test
-    void aBusyProcessReadsWhatWasWrittenBeforeItLeaves() {
-        unread = true;
-        shutdown.begin(clock.nowMicros(), 4_000 * MS, 2_500 * MS, true);
-        clock.advance(3_000 * MS);
-        assertThat(heard).isEmpty();
-        unread = false;
-        clock.advance(25 * MS);
-        assertThat(heard).containsExactly(Event.EMPTY);
+    void drainWaitsForUnreadInput() {
+        unreadInput = true;
+        shutdown.begin(clock.nowMicros(), 4_000 * MICROS_PER_MILLI, 2_500 * MICROS_PER_MILLI, true);
+        clock.advance(3_000 * MICROS_PER_MILLI);
+        assertThat(events).isEmpty();
+        unreadInput = false;
+        clock.advance(25 * MICROS_PER_MILLI);
+        assertThat(events).containsExactly(Event.ALL_ANSWERED);
     }
 
     @Test
-    void whatIsNeverReadHoldsNobodyPastTheStop() {
-        unread = true;
-        shutdown.begin(clock.nowMicros(), 4_000 * MS, 2_500 * MS, true);
-        clock.advance(3_900 * MS);
-        assertThat(heard).containsExactly(Event.TIME_UP);
+    void drainTimesOutWithUnreadInput() {
+        unreadInput = true;
+        shutdown.begin(clock.nowMicros(), 4_000 * MICROS_PER_MILLI, 2_500 * MICROS_PER_MILLI, true);
+        clock.advance(3_900 * MICROS_PER_MILLI);
+        assertThat(events).containsExactly(Event.DRAIN_TIMED_OUT);
     }
 
-    /** The clock of the drain runs from the notice, however late the loop comes to it. */
+    /** The deadlines run from the signal, however late the loop comes to it. */
     @Test
-    void theDrainRunsFromTheNotice() {
-        shutdown.begin(clock.nowMicros() - 1_000 * MS, 4_000 * MS, 2_500 * MS, true);
-        clock.advance(1_640 * MS);
-        assertThat(heard).isEmpty();
-        clock.advance(35 * MS);
-        assertThat(heard).containsExactly(Event.EMPTY);
+    void drainDeadlinesRunFromTheSignal() {
+        shutdown.begin(
+                clock.nowMicros() - 1_000 * MICROS_PER_MILLI, 4_000 * MICROS_PER_MILLI, 2_500 * MICROS_PER_MILLI, true);
+        clock.advance(1_640 * MICROS_PER_MILLI);
+        assertThat(events).isEmpty();
+        clock.advance(35 * MICROS_PER_MILLI);
+        assertThat(events).containsExactly(Event.ALL_ANSWERED);
     }
 }
--- a/server/src/test/java/wheatspread/daemon/ManualClock.java
+++ b/server/src/test/java/wheatspread/daemon/ManualClock.java
@@ -47,7 +47,7 @@
 
     /**
      * Moves on with the loop held: {@code between} happens after the loop last looked at its sockets and
-     * before the timers that are due ring, so it crosses what they do, every time.
+     * before the timers of that time fire, so it crosses what they do, every time.
      */
     void cross(long micros, Callable<?> between) {
         long until = nowMicros() + micros;
--- a/server/src/test/java/wheatspread/daemon/ReloadAtSizeTest.java
+++ b/server/src/test/java/wheatspread/daemon/ReloadAtSizeTest.java
@@ -34,59 +34,59 @@
         return () -> ServerConfig.fromEnvironment(Map.of("GW_CONFIG", config.toString()));
     }
 
-    private static void expectCounts(Stage stage, int taken, int refused) throws IOException {
-        assertThat(ControlFrontTest.call(stage.server.doorAddress(), "GET /_vars HTTP/1.1\r\n\r\n"))
+    private static void assertReloadCounts(ServerFixture fixture, int taken, int refused) throws IOException {
+        assertThat(ControlFrontTest.request(fixture.server.controlAddress(), "GET /_vars HTTP/1.1\r\n\r\n"))
                 .contains("\nedge_gw.reload_success=" + taken + "\n", "\nedge_gw.reload_failure=" + refused + "\n");
     }
 
     @Test
     @Timeout(60)
-    void tenReloadsAtOnceWithManyTenantsAreEachTakenOrRefused() throws Exception {
+    void concurrentReloadsWithManyTenantsAreEachAppliedOrRejected() throws Exception {
         String whole = AtSize.config(AtSize.tenants(AtSize.TENANTS));
         Path good = config("good.json", whole);
         Path cut = config("cut.json", whole.substring(0, whole.length() / 2));
-        try (Stage stage = new Stage()) {
+        try (ServerFixture fixture = new ServerFixture()) {
             List<Thread> signals = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
                 Path file = i % 2 == 0 ? good : cut;
-                signals.add(new Thread(() -> stage.server.reload(reader(file)), "signal " + i));
+                signals.add(new Thread(() -> fixture.server.reload(reader(file)), "signal " + i));
             }
             signals.forEach(Thread::start);
             for (Thread signal : signals) {
                 signal.join();
             }
-            expectCounts(stage, 5, 5);
+            assertReloadCounts(fixture, 5, 5);
         }
     }
 
     @Test
     @Timeout(30)
-    void whateverTheReaderThrowsIsARefusal() throws Exception {
-        try (Stage stage = new Stage()) {
-            stage.server.reload(() -> {
+    void anythingTheReaderThrowsCountsAsRejected() throws Exception {
+        try (ServerFixture fixture = new ServerFixture()) {
+            fixture.server.reload(() -> {
                 throw new OutOfMemoryError("of the test");
             });
-            stage.awaitLogged("reload_refused reason=\"java.lang.OutOfMemoryError: of the test\"");
-            stage.server.reload(() -> {
+            fixture.awaitLogged("reload_refused reason=\"java.lang.OutOfMemoryError: of the test\"");
+            fixture.server.reload(() -> {
                 throw new NoClassDefFoundError("of the test");
             });
-            expectCounts(stage, 0, 2);
+            assertReloadCounts(fixture, 0, 2);
         }
     }
 
     @Test
     @Timeout(30)
-    void whateverTheTakingOverThrowsIsARefusal() throws Exception {
-        JSONObject told = new JSONObject(Files.readString(Path.of("src/test/resources/config.json")));
-        ServerConfig config = ServerConfig.read(JsonFields.of(told.toMap(), ""));
+    void anythingTheApplierThrowsCountsAsRejected() throws Exception {
+        JSONObject json = new JSONObject(Files.readString(Path.of("src/test/resources/config.json")));
+        ServerConfig config = ServerConfig.read(JsonFields.of(json.toMap(), ""));
         ConfigReloader reloads = new ConfigReloader(
                 config,
                 next -> {
                     throw new StackOverflowError("of the test");
                 },
                 EventLog.NONE);
-        reloads.read(() -> config);
-        assertThat(reloads.refusedSoFar()).isEqualTo(1);
+        reloads.reload(() -> config);
+        assertThat(reloads.rejectedCount()).isEqualTo(1);
         ServerConfig noKernel = new ServerConfig(
                 "w1",
                 config.listen(),
@@ -100,20 +100,20 @@
                 null,
                 -1,
                 null);
-        try (Stage stage = new Stage()) { // on the loop's thread
-            stage.server.reload(() -> noKernel);
-            expectCounts(stage, 0, 1);
-            stage.server.kill();
-            stage.server.reload(() -> config);
-            stage.awaitLogged("reload_refused"); // the one before
-            stage.awaitLogged("reload_refused reason=\"event executor terminated\"");
+        try (ServerFixture fixture = new ServerFixture()) { // on the loop's thread
+            fixture.server.reload(() -> noKernel);
+            assertReloadCounts(fixture, 0, 1);
+            fixture.server.kill();
+            fixture.server.reload(() -> config);
+            fixture.awaitLogged("reload_refused"); // the one before
+            fixture.awaitLogged("reload_refused reason=\"event executor terminated\"");
         }
     }
 
     /** Guards against the process that has no memory left for a second configuration beside its own. */
     @Test
     @Timeout(120)
-    void aProcessOfTheDeployedHeapHearsEverySignal() throws Exception {
+    void processWithTheDeployedHeapHandlesEverySighup() throws Exception {
         try (ServerSocket kernels = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             Thread kernel = new Thread(() -> bootEveryLink(kernels), "kernel");
             kernel.setDaemon(true);
@@ -149,7 +149,7 @@
     private static void bootEveryLink(ServerSocket kernels) {
         try {
             while (true) {
-                Wire link = new Wire(kernels.accept());
+                TestConnection link = new TestConnection(kernels.accept());
                 link.line();
                 link.line("{\"type\":\"BOOTED\",\"state\":\"WARM\",\"took\":5}");
             }
--- a/server/src/test/java/wheatspread/daemon/ReloadTest.java
+++ b/server/src/test/java/wheatspread/daemon/ReloadTest.java
@@ -12,56 +12,56 @@
 class ReloadTest {
     @Test
     @Timeout(30)
-    void aClassAddedAtReloadIsServedAndABadFileChangesNothing() throws Exception {
-        try (Stage stage = new Stage();
-                StandInProxy proxy = new StandInProxy(stage)) {
-            begin(stage);
-            stage.retune(settings -> settings.getJSONArray("Lanes")
+    void addedClassIsServedAndInvalidFilesChangeNothing() throws Exception {
+        try (ServerFixture fixture = new ServerFixture();
+                StandInProxy proxy = new StandInProxy(fixture)) {
+            startKernel(fixture);
+            fixture.retune(settings -> settings.getJSONArray("Lanes")
                     .put(new JSONObject()
                             .put("Name", "soup")
                             .put("Deadline", 5000.0)
                             .put("Effect", "idempotent")));
-            stage.awaitLogged("retuned");
-            expect(proxy, "stew", "ok-1");
+            fixture.awaitLogged("retuned");
+            assertServedOverBothProtocols(proxy, "stew", "ok-1");
 
-            stage.retune(
+            fixture.retune(
                     settings -> settings.getJSONArray("Lanes").getJSONObject(0).put("Deadline", 0));
-            stage.awaitLogged("reload_refused");
-            stage.retune(
+            fixture.awaitLogged("reload_refused");
+            fixture.retune(
                     settings -> settings.getJSONArray("Lanes").getJSONObject(0).remove("Deadline"));
-            stage.awaitLogged("reload_refused");
-            expect(proxy, "soup", "ok-2");
-            expect(proxy, "stew", "ok-3");
+            fixture.awaitLogged("reload_refused");
+            assertServedOverBothProtocols(proxy, "soup", "ok-2");
+            assertServedOverBothProtocols(proxy, "stew", "ok-3");
         }
     }
 
     @Test
     @Timeout(30)
-    void runsGoOnWhileTheKernelMovesTwice() throws Exception {
-        try (Stage stage = new Stage();
-                StandInProxy proxy = new StandInProxy(stage)) {
-            StandInKernel kernel = begin(stage);
-            expect(proxy, "stew", "ok-1");
+    void runsContinueWhileTheKernelMovesTwice() throws Exception {
+        try (ServerFixture fixture = new ServerFixture();
+                StandInProxy proxy = new StandInProxy(fixture)) {
+            StandInKernel kernel = startKernel(fixture);
+            assertServedOverBothProtocols(proxy, "stew", "ok-1");
             for (int move = 0; move < 2; move++) {
-                stage.reload("", "");
-                stage.awaitLogged("retuned");
-                expect(proxy, "stew", "ok-after-" + move);
+                fixture.reload("", "");
+                fixture.awaitLogged("retuned");
+                assertServedOverBothProtocols(proxy, "stew", "ok-after-" + move);
             }
             assertThat(kernel.runs).allMatch(body -> Collections.frequency(kernel.runs, body) == 2);
         }
     }
 
-    private static StandInKernel begin(Stage stage) throws InterruptedException {
-        StandInKernel kernel = new StandInKernel(stage);
+    private static StandInKernel startKernel(ServerFixture fixture) throws InterruptedException {
+        StandInKernel kernel = new StandInKernel(fixture);
         Thread thread = new Thread(kernel, "stand-in");
         thread.setDaemon(true);
         thread.start();
-        assertThat(stage.nextAnnounced()).endsWith("{\"accepting\":\"true\"}");
+        assertThat(fixture.nextAnnounced()).endsWith("{\"accepting\":\"true\"}");
         return kernel;
     }
 
     /** Both fronts are served. */
-    private static void expect(StandInProxy proxy, String kind, String body) throws Exception {
+    private static void assertServedOverBothProtocols(StandInProxy proxy, String kind, String body) throws Exception {
         proxy.ask(kind, "north", 5000, null, body);
         Map<String, String> served = Map.of(body, "served " + new StringBuilder(body).reverse());
         assertThat(proxy.overJsonRpc()).isEqualTo(served);
