--- a/server/src/test/java/wheatspread/daemon/SceneTest.java
+++ b/server/src/test/java/wheatspread/daemon/SceneTest.java
@@ -25,14 +25,14 @@
 import wheatspread.uwsgi.UwsgiPacket;
 
 /**
- * Plays recorded exchanges against the program. A line {@code party> text} is sent to it, {@code party< text}
- * must come from it; {@code clock 50} moves the clock on by milliseconds; {@code cut}, {@code down} and
- * {@code up} break a connection or a service, and {@code quiet} says that nothing came; {@code reload} gives
- * all parties new addresses, after which old connections are called {@code old-kernel} and so on (with
- * {@code late} the new kernel's refuses until {@code up kernel}), or changes one key; {@code operator} goes
- * over the operator's file; {@code bytes} sends part of a line; {@code mute} leaves reports unanswered;
+ * Plays recorded exchanges against the program. A line {@code peer> text} is sent to it, {@code peer< text}
+ * must come from it; {@code clock 50} moves the clock on by milliseconds; {@code cut}, {@code stopService} and
+ * {@code startService} break a connection or a service, and {@code quiet} says that nothing came; {@code reload} gives
+ * all peers new addresses, after which old connections are called {@code old-kernel} and so on (with
+ * {@code late} the new kernel's refuses until {@code startService kernel}), or changes one key; {@code operator} goes
+ * over the operator's file; {@code bytes} sends part of a line; {@code announceUnanswered} leaves reports unanswered;
  * {@code drain} is SIGTERM, {@code hurry} a second SIGINT, and {@code stopped} gives lingering connections
- * their time and waits for the end and its exit code. The parties are the kernel, the records service,
+ * their time and waits for the end and its exit code. The peers are the kernel, the records service,
  * announce, proxies ({@code p1}) and uwsgi callers ({@code u1}).
  */
 class SceneTest {
@@ -48,18 +48,18 @@
 
     @ParameterizedTest
     @MethodSource("scenes")
-    void plays(Path scene, String transport) throws Exception {
+    void sceneIsFollowed(Path scene, String transport) throws Exception {
         List<String> lines = Files.readAllLines(scene);
-        String over = lines.stream()
+        String operatorLine = lines.stream()
                 .filter(line -> line.startsWith("operator "))
                 .findFirst()
                 .orElse("operator {}");
-        try (Stage stage = new Stage(over.substring(9), transport);
-                Parties parties = new Parties(stage)) {
+        try (ServerFixture fixture = new ServerFixture(operatorLine.substring(9), transport);
+                ScenePeers peers = new ScenePeers(fixture)) {
             for (int i = 0; i < lines.size(); i++) {
                 if (!lines.get(i).isBlank() && !lines.get(i).matches("(#|operator ).*")) {
                     try {
-                        parties.play(lines.get(i));
+                        peers.play(lines.get(i));
                     } catch (IOException e) {
                         throw new AssertionError(scene + ":" + (i + 1) + ": " + lines.get(i) + ": " + e, e);
                     } catch (AssertionError e) {
@@ -71,119 +71,142 @@
     }
 
     /** Everybody round the program, played by the lines of a scene. */
-    private static final class Parties implements AutoCloseable {
-        private final Stage stage;
-        private final Map<String, Wire> wires = new HashMap<>();
+    private static final class ScenePeers implements AutoCloseable {
+        private final ServerFixture fixture;
+        private final Map<String, TestConnection> connections = new HashMap<>();
         private final Map<String, String> jobs = new HashMap<>();
         private boolean gauges = true;
 
-        Parties(Stage stage) {
-            this.stage = stage;
+        ScenePeers(ServerFixture fixture) {
+            this.fixture = fixture;
         }
 
         void play(String line) throws Exception {
             String[] words = line.split(" ", 2);
-            String rest = words.length > 1 ? words[1] : "";
-            String party = words[0].substring(0, words[0].length() - 1);
-            if (words[0].equals("clock")) {
-                barrier();
-                stage.clock().advance(Long.parseLong(rest) * 1000);
-            } else if (words[0].equals("drain")) {
-                barrier();
-                stage.server.drain();
-            } else if (words[0].equals("hurry")) {
-                barrier();
-                stage.server.notice(Lifecycle.Event.HURRY);
-            } else if (words[0].equals("reload")) {
-                barrier();
-                String[] bad = rest.split(" ", 2);
-                stage.reload(bad[0], bad.length > 1 ? bad[1] : "");
-                if (rest.isEmpty() || rest.equals("late")) {
-                    for (String name : List.of("kernel", "records")) {
-                        if (wires.containsKey(name)) {
-                            wires.put("old-" + name, wires.remove(name));
-                        }
+            String argument = words.length > 1 ? words[1] : "";
+            switch (words[0]) {
+                case "clock" -> {
+                    barrier();
+                    fixture.clock().advance(Long.parseLong(argument) * 1000);
+                }
+                case "drain" -> {
+                    barrier();
+                    fixture.server.drain();
+                }
+                case "hurry" -> {
+                    barrier();
+                    fixture.server.notice(Lifecycle.Event.HURRY);
+                }
+                case "reload" -> reload(argument);
+                case "logged" -> {
+                    barrier();
+                    assertThat(fixture.logged)
+                            .contains(argument.replace("$kernel", "/127.0.0.1:" + fixture.kernels.getLocalPort()));
+                }
+                case "mute" -> fixture.announceUnanswered = true;
+                case "bytes" -> {
+                    String[] part = argument.split(" ", 2);
+                    connection(part[0]).write(part[1].getBytes(StandardCharsets.UTF_8));
+                }
+                case "stopped" -> stopped(argument);
+                case "nogauges" -> gauges = false;
+                case "quiet" -> {
+                    barrier();
+                    assertThat(
+                                    argument.equals("kernel")
+                                            ? kernelLines()
+                                            : connection(argument).available())
+                            .isZero();
+                }
+                case "down" -> fixture.stopService(argument);
+                case "up" -> fixture.startService(argument);
+                case "cut" -> cut(argument);
+                default -> message(words[0], argument);
+            }
+        }
+
+        private void reload(String argument) throws IOException {
+            barrier();
+            String[] change = argument.split(" ", 2);
+            fixture.reload(change[0], change.length > 1 ? change[1] : "");
+            if (argument.isEmpty() || argument.equals("late")) {
+                for (String name : List.of("kernel", "records")) {
+                    if (connections.containsKey(name)) {
+                        connections.put("old-" + name, connections.remove(name));
                     }
                 }
-            } else if (words[0].equals("logged")) {
-                barrier();
-                assertThat(stage.logged)
-                        .contains(rest.replace("$kernel", "/127.0.0.1:" + stage.kernels.getLocalPort()));
-            } else if (words[0].equals("mute")) {
-                stage.mute = true;
-            } else if (words[0].equals("bytes")) {
-                String[] part = rest.split(" ", 2);
-                wire(part[0]).write(part[1].getBytes(StandardCharsets.UTF_8));
-            } else if (words[0].equals("stopped")) {
-                stage.clock().advance(DrainDeadlines.LINGER); // the callers of a scene don't close their side
-                assertThat(stage.server.awaitStopped()).isEqualTo(rest.isEmpty() ? 0 : Integer.parseInt(rest));
-            } else if (words[0].equals("nogauges")) {
-                gauges = false;
-            } else if (words[0].equals("quiet")) {
-                barrier();
-                assertThat(rest.equals("kernel") ? kernelLines() : wire(rest).available())
-                        .isZero();
-            } else if (words[0].equals("down")) {
-                stage.down(rest);
-            } else if (words[0].equals("up")) {
-                stage.up(rest);
-            } else if (words[0].equals("cut") && rest.equals("announce")) {
-                stage.cutAnnounce();
-            } else if (words[0].equals("cut")) {
-                wires.remove(rest).close();
-            } else if (words[0].endsWith("job")) {
-                job(words[0].charAt(words[0].length() - 4) == '<', rest.split(" ", 2));
-            } else if (words[0].endsWith(":")) {
-                byte[] wanted = ByteBufUtil.decodeHexDump(rest);
-                assertThat(wire(party).bytes(wanted.length)).isEqualTo(wanted);
-            } else if (words[0].endsWith(">")) {
-                send(party, rest);
+            }
+        }
+
+        private void stopped(String exitCode) throws InterruptedException {
+            fixture.clock().advance(DrainDeadlines.LINGER_MICROS); // the callers of a scene don't close their side
+            assertThat(fixture.server.awaitStopped()).isEqualTo(exitCode.isEmpty() ? 0 : Integer.parseInt(exitCode));
+        }
+
+        private void cut(String peer) throws IOException {
+            if (peer.equals("announce")) {
+                fixture.closeAnnounceConnection();
+            } else {
+                connections.remove(peer).close();
+            }
+        }
+
+        /** A line that is sent by a peer, or that a peer must get. */
+        private void message(String direction, String text) throws Exception {
+            String peer = direction.substring(0, direction.length() - 1);
+            if (direction.endsWith("job")) {
+                job(direction.charAt(direction.length() - 4) == '<', text.split(" ", 2));
+            } else if (direction.endsWith(":")) {
+                byte[] expected = ByteBufUtil.decodeHexDump(text);
+                assertThat(connection(peer).bytes(expected.length)).isEqualTo(expected);
+            } else if (direction.endsWith(">")) {
+                send(peer, text);
             } else {
-                expect(party, rest);
+                expect(peer, text);
             }
         }
 
         /** Kernel lines about a job that the program named itself; the scene numbers it. */
-        private void job(boolean wanted, String[] words) throws IOException {
+        private void job(boolean expected, String[] words) throws IOException {
             JSONObject message = new JSONObject(words[1]);
-            if (wanted) {
-                JSONObject got = new JSONObject(kernelLine());
-                String job = String.valueOf(got.remove("job"));
+            if (expected) {
+                JSONObject actual = new JSONObject(kernelLine());
+                String job = String.valueOf(actual.remove("job"));
                 assertThat(jobs.computeIfAbsent(words[0], number -> job)).isEqualTo(job);
-                assertThat(got.similar(message))
-                        .as("wanted %s, got %s", message, got)
+                assertThat(actual.similar(message))
+                        .as("wanted %s, got %s", message, actual)
                         .isTrue();
             } else {
-                wire("kernel").line(message.put("job", jobs.get(words[0])).toString());
+                connection("kernel").line(message.put("job", jobs.get(words[0])).toString());
             }
         }
 
         /** All that was written has been read: the loop looks at its sockets before it runs its tasks. */
         private void barrier() {
-            stage.clock().advance(0);
+            fixture.clock().advance(0);
         }
 
-        private Wire wire(String party) throws IOException {
-            Wire wire = wires.get(party);
-            if (wire == null) {
-                wire = party.equals("kernel")
-                        ? new Wire(stage.kernels.accept())
-                        : party.startsWith("records")
-                                ? new Wire(stage.records.accept())
-                                : Wire.to(party.startsWith("u") ? stage.uwsgi : stage.jsonrpc);
-                wires.put(party, wire);
+        private TestConnection connection(String peer) throws IOException {
+            TestConnection connection = connections.get(peer);
+            if (connection == null) {
+                connection = peer.equals("kernel")
+                        ? new TestConnection(fixture.kernels.accept())
+                        : peer.startsWith("records")
+                                ? new TestConnection(fixture.records.accept())
+                                : TestConnection.to(peer.startsWith("u") ? fixture.uwsgi : fixture.jsonrpc);
+                connections.put(peer, connection);
             }
-            return wire;
+            return connection;
         }
 
-        private void send(String party, String text) throws IOException {
-            if (party.startsWith("u")) {
-                wire(party).write(packet(text));
-            } else if (party.contains("records")) {
-                wire(party).write(unescape(text));
+        private void send(String peer, String text) throws IOException {
+            if (peer.startsWith("u")) {
+                connection(peer).write(packet(text));
+            } else if (peer.contains("records")) {
+                connection(peer).write(unescape(text));
             } else {
-                wire(party)
-                        .line(text.replace("$now", Long.toString(stage.clock().nowMicros() / 1000)));
+                connection(peer)
+                        .line(text.replace("$now", Long.toString(fixture.clock().nowMicros() / 1000)));
             }
         }
 
@@ -213,31 +236,33 @@
             return ByteBufUtil.getBytes(out.writeBytes(body.getBytes(StandardCharsets.ISO_8859_1)));
         }
 
-        private void expect(String party, String wanted) throws Exception {
-            if (party.equals("announce")) {
-                assertThat(stage.nextAnnounced()).isEqualTo(wanted);
+        private void expect(String peer, String expected) throws Exception {
+            if (peer.equals("announce")) {
+                assertThat(fixture.nextAnnounced()).isEqualTo(expected);
                 return;
             }
-            if (party.startsWith("u") && !wanted.equals("closed")) {
-                assertThat(response(wire(party))).isEqualTo(wanted);
+            if (peer.startsWith("u") && !expected.equals("closed")) {
+                assertThat(response(connection(peer))).isEqualTo(expected);
                 return;
             }
-            String got = party.equals("kernel") ? kernelLine() : wire(party).line();
-            if (wanted.equals("closed")) {
-                assertThat(got).isNull();
-            } else if (wanted.startsWith("{")) {
-                String text = wanted.replace("$now", Long.toString(stage.clock().nowMicros() / 1000));
-                assertThat(new JSONObject(got).similar(new JSONObject(text)))
-                        .as("wanted %s, got %s", text, got)
+            String actual =
+                    peer.equals("kernel") ? kernelLine() : connection(peer).line();
+            if (expected.equals("closed")) {
+                assertThat(actual).isNull();
+            } else if (expected.startsWith("{")) {
+                String text =
+                        expected.replace("$now", Long.toString(fixture.clock().nowMicros() / 1000));
+                assertThat(new JSONObject(actual).similar(new JSONObject(text)))
+                        .as("wanted %s, got %s", text, actual)
                         .isTrue();
             } else {
-                assertThat(got).isEqualTo(wanted);
+                assertThat(actual).isEqualTo(expected);
             }
         }
 
         /** How many bytes the kernel has to read, questions for gauges left out. */
         private int kernelLines() throws IOException {
-            Wire kernel = wire("kernel");
+            TestConnection kernel = connection("kernel");
             int waiting = kernel.available();
             while (waiting > 0) {
                 String line = kernel.line();
@@ -251,39 +276,40 @@
         }
 
         private String kernelLine() throws IOException {
-            String got = wire("kernel").line();
-            while (got != null && got.contains("\"SYSINFO\"")) {
-                answerGauges(got);
-                got = wire("kernel").line();
+            String actual = connection("kernel").line();
+            while (actual != null && actual.contains("\"SYSINFO\"")) {
+                answerGauges(actual);
+                actual = connection("kernel").line();
             }
-            return got;
+            return actual;
         }
 
         private void answerGauges(String question) throws IOException {
             String ref = new JSONObject(question).getString("ref");
             if (gauges || ref.equals("sync")) {
-                wire("kernel").line("{\"type\":\"INFO\",\"ref\":\"" + ref + "\",\"gauges\":[0.3,1,0.1,2]}");
+                connection("kernel").line("{\"type\":\"INFO\",\"ref\":\"" + ref + "\",\"gauges\":[0.3,1,0.1,2]}");
             }
         }
 
         /** Status, the headers that matter here, and the body. */
-        private static String response(Wire wire) throws IOException {
-            StringBuilder got = new StringBuilder(String.valueOf(wire.line()).replace("HTTP/1.1 ", ""));
+        private static String response(TestConnection connection) throws IOException {
+            StringBuilder actual =
+                    new StringBuilder(String.valueOf(connection.line()).replace("HTTP/1.1 ", ""));
             int length = 0;
-            for (String header = wire.line(); header != null && !header.isEmpty(); header = wire.line()) {
+            for (String header = connection.line(); header != null && !header.isEmpty(); header = connection.line()) {
                 if (header.startsWith("Content-Length: ")) {
                     length = Integer.parseInt(header.substring(16));
                 } else if (!header.startsWith("X-")) {
-                    got.append(" | ").append(header);
+                    actual.append(" | ").append(header);
                 }
             }
-            return got + " | " + new String(wire.bytes(length), StandardCharsets.ISO_8859_1).trim();
+            return actual + " | " + new String(connection.bytes(length), StandardCharsets.ISO_8859_1).trim();
         }
 
         @Override
         public void close() throws IOException {
-            for (Wire wire : wires.values()) {
-                wire.close();
+            for (TestConnection connection : connections.values()) {
+                connection.close();
             }
         }
     }
--- a/server/src/test/java/wheatspread/daemon/Stage.java
+++ b/server/src/test/java/wheatspread/daemon/ServerFixture.java
@@ -17,16 +17,16 @@
 import wheatspread.config.ServerConfig;
 import wheatspread.logging.EventLog;
 
-/** A server with the clock of a test, and the parties round it on ephemeral ports. */
-final class Stage implements AutoCloseable {
+/** A server on the clock of a test, and the services and clients around it on ephemeral ports. */
+final class ServerFixture implements AutoCloseable {
     volatile ServerSocket kernels = socket(0);
     volatile ServerSocket records = socket(0);
     private volatile ServerSocket announce = socket(0);
-    private volatile Wire announcing;
+    private volatile TestConnection announceConnection;
     private volatile boolean closed;
-    private volatile String last = "";
+    private volatile String lastAnnouncement = "";
     /** Reports count, but get no answer. */
-    volatile boolean mute;
+    volatile boolean announceUnanswered;
     /** What was announced, repeats left out. */
     final BlockingQueue<String> announced = new LinkedBlockingQueue<>();
 
@@ -34,32 +34,35 @@
     final Server server;
     final InetSocketAddress uwsgi;
     final InetSocketAddress jsonrpc;
-    private final Wire asking;
+    private final TestConnection healthCheckConnection;
     private ManualClock clock;
 
-    Stage() throws IOException {
+    ServerFixture() throws IOException {
         this("{}", "nio");
     }
 
     /** {@code over} goes over the operator's file, key by key. */
-    Stage(String over, String transport) throws IOException {
+    ServerFixture(String operatorOverrides, String transport) throws IOException {
         ServerConfig config = ServerConfig.read(JsonFields.of(configuration().toMap(), ""));
-        JSONObject told = new JSONObject(Files.readString(Path.of("src/test/resources/operator.json")));
-        JSONObject more = new JSONObject(over).put("transport", transport);
-        JSONObject uwsgiOver = more.optJSONObject("uwsgi", new JSONObject());
-        uwsgiOver.keySet().forEach(key -> told.getJSONObject("uwsgi").put(key, uwsgiOver.get(key)));
-        more.keySet().stream().filter(key -> !key.equals("uwsgi")).forEach(key -> told.put(key, more.get(key)));
-        Path file = Files.writeString(Files.createTempFile("operator", ".json"), told.toString());
-        OperatorConfig front = OperatorConfig.readFile(file, config.site());
+        JSONObject json = new JSONObject(Files.readString(Path.of("src/test/resources/operator.json")));
+        JSONObject overrides = new JSONObject(operatorOverrides).put("transport", transport);
+        JSONObject uwsgiOverrides = overrides.optJSONObject("uwsgi", new JSONObject());
+        uwsgiOverrides.keySet().forEach(key -> json.getJSONObject("uwsgi").put(key, uwsgiOverrides.get(key)));
+        overrides.keySet().stream()
+                .filter(key -> !key.equals("uwsgi"))
+                .forEach(key -> json.put(key, overrides.get(key)));
+        Path file = Files.writeString(Files.createTempFile("operator", ".json"), json.toString());
+        OperatorConfig operator = OperatorConfig.readFile(file, config.site());
         Files.delete(file);
-        Thread thread = new Thread(this::hearAnnouncements, "announce stand-in");
+        Thread thread = new Thread(this::serveAnnouncements, "announce stand-in");
         thread.setDaemon(true);
         thread.start();
-        server = new Server(config, front, (loop, turns) -> clock = new ManualClock(loop), EventLog.lines(logged::add));
+        server = new Server(
+                config, operator, (loop, turns) -> clock = new ManualClock(loop), EventLog.lines(logged::add));
         server.start();
         uwsgi = server.bound().get(0);
         jsonrpc = server.bound().get(1);
-        asking = Wire.to(jsonrpc);
+        healthCheckConnection = TestConnection.to(jsonrpc);
         clock.settleWith(this::roundTrip);
     }
 
@@ -73,10 +76,10 @@
 
     /**
      * A configuration with new addresses, the old ones refusing (with {@code late}, the new kernel's refuses
-     * too until it is {@link #up}); or one with a key changed to a value.
+     * too until it is {@link #startService}); or one with a key changed to a value.
      */
     void reload(String key, String value) throws IOException {
-        JSONObject told = configuration();
+        JSONObject json = configuration();
         if (key.isEmpty() || key.equals("late")) {
             kernels.close();
             records.close();
@@ -84,26 +87,26 @@
             kernels = socket(0);
             records = socket(0);
             announce = socket(0);
-            last = "";
-            told = configuration();
+            lastAnnouncement = "";
+            json = configuration();
             if (key.equals("late")) {
                 kernels.close();
             }
         } else {
-            told.put(key, value);
+            json.put(key, value);
         }
-        read(told);
+        read(json);
     }
 
     /** The same addresses, with settings that are changed so. */
     void retune(Consumer<JSONObject> change) throws IOException {
-        JSONObject told = configuration();
-        change.accept(told.getJSONObject("settings"));
-        read(told);
+        JSONObject json = configuration();
+        change.accept(json.getJSONObject("settings"));
+        read(json);
     }
 
-    private void read(JSONObject told) {
-        JsonFields fields = JsonFields.of(told.toMap(), "");
+    private void read(JSONObject json) {
+        JsonFields fields = JsonFields.of(json.toMap(), "");
         server.reload(() -> ServerConfig.read(fields));
     }
 
@@ -124,10 +127,10 @@
     /** A health check, on a connection of its own as the protocol has it. */
     private void roundTrip() {
         try {
-            asking.line("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}");
-            String line = asking.line();
+            healthCheckConnection.line("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}");
+            String line = healthCheckConnection.line();
             while (line != null && line.contains("lastCall")) {
-                line = asking.line();
+                line = healthCheckConnection.line();
             }
         } catch (IOException e) {
             return; // the server has closed: there is nothing left to settle
@@ -144,39 +147,39 @@
         return clock;
     }
 
-    private void hearAnnouncements() {
+    private void serveAnnouncements() {
         while (!closed) {
-            try (Wire wire = new Wire(announce.accept())) {
-                announcing = wire;
-                for (String line = wire.line(); line != null; line = wire.line()) {
+            try (TestConnection connection = new TestConnection(announce.accept())) {
+                announceConnection = connection;
+                for (String line = connection.line(); line != null; line = connection.line()) {
                     int length = 0;
-                    for (String header = wire.line(); !header.isEmpty(); header = wire.line()) {
+                    for (String header = connection.line(); !header.isEmpty(); header = connection.line()) {
                         if (header.toLowerCase().startsWith("content-length:")) {
                             length = Integer.parseInt(header.substring(15).trim());
                         }
                     }
-                    String report = line + " " + new String(wire.bytes(length), StandardCharsets.UTF_8);
-                    if (!mute) {
-                        wire.write("HTTP/1.1 204 No Content\r\n\r\n".getBytes(StandardCharsets.UTF_8));
+                    String report = line + " " + new String(connection.bytes(length), StandardCharsets.UTF_8);
+                    if (!announceUnanswered) {
+                        connection.write("HTTP/1.1 204 No Content\r\n\r\n".getBytes(StandardCharsets.UTF_8));
                     }
-                    if (!report.equals(last)) {
+                    if (!report.equals(lastAnnouncement)) {
                         announced.add(report);
                     }
-                    last = report;
+                    lastAnnouncement = report;
                 }
             } catch (IOException e) {
-                last = ""; // the connection ended, or the stage did
+                lastAnnouncement = ""; // the connection or the fixture was closed
             }
         }
     }
 
     /** A service goes down: connections are refused. */
-    void down(String service) throws IOException {
+    void stopService(String service) throws IOException {
         (service.equals("records") ? records : announce).close();
     }
 
     /** It comes back at the same address. */
-    void up(String service) throws IOException {
+    void startService(String service) throws IOException {
         if (service.equals("records")) {
             records = socket(records.getLocalPort());
         } else if (service.equals("kernel")) {
@@ -186,8 +189,8 @@
         }
     }
 
-    void cutAnnounce() throws IOException {
-        announcing.close();
+    void closeAnnounceConnection() throws IOException {
+        announceConnection.close();
     }
 
     String nextAnnounced() throws InterruptedException {
@@ -197,7 +200,7 @@
     @Override
     public void close() throws IOException {
         closed = true;
-        asking.close();
+        healthCheckConnection.close();
         server.kill();
         kernels.close();
         records.close();
--- a/server/src/test/java/wheatspread/daemon/SignalsTest.java
+++ b/server/src/test/java/wheatspread/daemon/SignalsTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Whether a process that was started with a signal ignored knows it. */
+/** Whether a process that was started with a signal ignored can detect that. */
 class SignalsTest {
-    /** Tells whether it will hear HUP. */
-    static final class Heard {
-        private Heard() {}
+    /** A program that prints whether its handler of HUP will be called. */
+    static final class HupHandlerProgram {
+        private HupHandlerProgram() {}
 
         public static void main(String[] args) {
             System.out.println(SignalHandlers.handle("HUP", () -> {}));
@@ -20,22 +20,22 @@
 
     @Test
     @Timeout(30)
-    void aProcessStartedAsNohupDoesItKnowsThatItHearsNoReload() throws Exception {
-        assertThat(started("")).isEqualTo("true");
-        assertThat(started("trap '' HUP; ")).isEqualTo("false");
+    void processStartedWithAnIgnoredSignalDetectsIt() throws Exception {
+        assertThat(outputOf("")).isEqualTo("true");
+        assertThat(outputOf("trap '' HUP; ")).isEqualTo("false");
         // what the log of such a server recommends
-        assertThat(started("trap '' HUP; exec env --default-signal=HUP ")).isEqualTo("true");
+        assertThat(outputOf("trap '' HUP; exec env --default-signal=HUP ")).isEqualTo("true");
     }
 
-    private static String started(String before) throws Exception {
+    private static String outputOf(String before) throws Exception {
         String java = Path.of(System.getProperty("java.home"), "bin", "java")
                 + " -XX:TieredStopAtLevel=1 -cp '" + System.getProperty("java.class.path") + "' '"
-                + Heard.class.getName() + "'";
+                + HupHandlerProgram.class.getName() + "'";
         Process process = new ProcessBuilder("/bin/sh", "-c", before + java)
                 .redirectErrorStream(true)
                 .start();
-        String told = new String(process.getInputStream().readAllBytes()).strip();
+        String output = new String(process.getInputStream().readAllBytes()).strip();
         assertThat(process.waitFor(10, TimeUnit.SECONDS)).isTrue();
-        return told;
+        return output;
     }
 }
--- a/server/src/test/java/wheatspread/daemon/StandInKernel.java
+++ b/server/src/test/java/wheatspread/daemon/StandInKernel.java
@@ -14,64 +14,64 @@
 /**
  * A kernel that does what a body says: {@code ok} ends with the body turned round, {@code call} ends with the
  * reply to its call, {@code error} fails, and {@code hang} never ends. It notes every run. Its links follow
- * the protocol's page: a new one replaces the one before, runs and numbers go on, and the notices that its
- * {@code OPEN} says were missed come again. A stage that moves closes its socket, and the next link comes to
+ * the protocol's page: a new one replaces the one before, runs and numbers go on, and the messages that its
+ * {@code OPEN} says were missed are sent again. A fixture that moves closes its socket, and the next link comes to
  * the new one.
  */
 final class StandInKernel implements Runnable {
     final List<String> runs = Collections.synchronizedList(new ArrayList<>());
-    private final Stage stage;
+    private final ServerFixture fixture;
     private final Map<String, String> bodies = new HashMap<>();
     private final List<JSONObject> notices = new ArrayList<>();
-    private Wire link;
+    private TestConnection link;
 
-    StandInKernel(Stage stage) {
-        this.stage = stage;
+    StandInKernel(ServerFixture fixture) {
+        this.fixture = fixture;
     }
 
     @Override
     public void run() {
-        while (!stage.isClosed()) {
-            ServerSocket at = stage.kernels;
+        while (!fixture.isClosed()) {
+            ServerSocket at = fixture.kernels;
             try {
-                Wire wire = new Wire(at.accept());
-                Thread thread = new Thread(() -> serve(wire), "kernel link");
+                TestConnection connection = new TestConnection(at.accept());
+                Thread thread = new Thread(() -> serve(connection), "kernel link");
                 thread.setDaemon(true);
                 thread.start();
             } catch (IOException e) {
-                // nobody came, or the stage has moved or closed
+                // no connection came, or the fixture has moved or closed
             }
         }
     }
 
-    private void serve(Wire wire) {
-        try (wire) {
-            for (String line = wire.line(); line != null; line = wire.line()) {
-                command(wire, new JSONObject(line));
+    private void serve(TestConnection connection) {
+        try (connection) {
+            for (String line = connection.line(); line != null; line = connection.line()) {
+                command(connection, new JSONObject(line));
             }
         } catch (IOException e) {
-            // the link was replaced, or the stage was closed
+            // the link was replaced, or the fixture was closed
         }
     }
 
-    private synchronized void command(Wire wire, JSONObject command) throws IOException {
+    private synchronized void command(TestConnection connection, JSONObject command) throws IOException {
         String job = command.optString("job");
         if (command.getString("type").equals("OPEN")) {
-            open(wire, command.getLong("n"));
-        } else if (wire == link) {
+            open(connection, command.getLong("n"));
+        } else if (connection == link) {
             carryOut(command, job);
         }
     }
 
-    private void open(Wire wire, long read) throws IOException {
-        Wire old = link;
-        link = wire;
+    private void open(TestConnection connection, long read) throws IOException {
+        TestConnection old = link;
+        link = connection;
         if (old != null) {
             old.close();
         }
-        wire.line("{\"type\":\"BOOTED\",\"state\":\"WARM\",\"took\":5}");
+        connection.line("{\"type\":\"BOOTED\",\"state\":\"WARM\",\"took\":5}");
         for (JSONObject missed : notices.subList((int) read, notices.size())) {
-            wire.line(missed.toString());
+            connection.line(missed.toString());
         }
     }
 
--- a/server/src/test/java/wheatspread/daemon/StandInProxy.java
+++ b/server/src/test/java/wheatspread/daemon/StandInProxy.java
@@ -21,19 +21,19 @@
     private static final Map<Integer, String> CODES =
             Map.of(-32066, "refused", -32000, "failed", -32001, "out of time", -32602, "malformed", -32002, "conflict");
 
-    private final Stage stage;
-    private final Wire jsonrpc;
-    private final Wire uwsgi;
+    private final ServerFixture fixture;
+    private final TestConnection jsonrpc;
+    private final TestConnection uwsgi;
     /** What is asked and not answered, in order; JSON-RPC answers name theirs. */
     private final List<String> asked = new ArrayList<>();
 
     private final Map<String, String> idNames = new LinkedHashMap<>();
     private int lastId;
 
-    StandInProxy(Stage stage) throws IOException {
-        this.stage = stage;
-        jsonrpc = Wire.to(stage.jsonrpc);
-        uwsgi = Wire.to(stage.uwsgi);
+    StandInProxy(ServerFixture fixture) throws IOException {
+        this.fixture = fixture;
+        jsonrpc = TestConnection.to(fixture.jsonrpc);
+        uwsgi = TestConnection.to(fixture.uwsgi);
     }
 
     /** Asks over both; {@code unique} is null in classes without keys. */
@@ -43,7 +43,7 @@
         idNames.put(Integer.toString(id), body);
         JSONObject params = new JSONObject()
                 .put("txn", String.format("%016x", id))
-                .put("door", stage.clock().nowMicros() / 1000)
+                .put("door", fixture.clock().nowMicros() / 1000)
                 .put("lb", 1)
                 .put("team", tenant)
                 .put("limit", limitMs)
--- a/server/src/test/java/wheatspread/daemon/StartTest.java
+++ b/server/src/test/java/wheatspread/daemon/StartTest.java
@@ -35,10 +35,10 @@
     private final List<String> logged = Collections.synchronizedList(new ArrayList<>());
 
     private Server server(String listen, LifeConfig life) throws IOException {
-        JSONObject told =
+        JSONObject json =
                 new JSONObject(Files.readString(Path.of("src/test/resources/config.json"))).put("listen", listen);
         return new Server(
-                ServerConfig.read(JsonFields.of(told.toMap(), "")),
+                ServerConfig.read(JsonFields.of(json.toMap(), "")),
                 OperatorConfig.NONE.with(life, true),
                 (loop, turns) -> new EventLoopClock(turns),
                 EventLog.lines(logged::add));
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void anAddressThatIsTakenEndsTheStartAndNamesIt() throws Exception {
+    void addressInUseEndsTheStartAndIsNamed() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             String address = "127.0.0.1:" + taken.getLocalPort();
             Server server = server(address, LifeConfig.USUAL);
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void aNoticeBeforeTheListenersAreBoundEndsTheStart() throws Exception {
+    void drainSignalBeforeTheListenersAreBoundEndsTheStart() throws Exception {
         Server server = server("127.0.0.1:0", LifeConfig.USUAL);
         server.notice(Event.RELOAD);
         server.notice(Event.NOTICE);
@@ -76,7 +76,7 @@
         assertThat(server.awaitStopped()).isZero();
         Server other = server("127.0.0.1:0", LifeConfig.USUAL);
         Thread notice = new Thread(() -> {
-            await(() -> other.phase() == Phase.REHEARSING);
+            await(() -> other.phase() == Phase.WARMING_UP);
             other.notice(Event.NOTICE);
         });
         notice.start();
@@ -93,10 +93,10 @@
      * tell that the kernel is up while the process warms up, and nobody would hear it a second time.
      */
     @Test
-    void aKernelThatMovesDuringTheWarmUpIsHeardAtItsNewAddress() throws Exception {
+    void kernelThatMovesDuringTheWarmUpIsReachedAtItsNewAddress() throws Exception {
         try (ServerSocket moved = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             moved.setSoTimeout(10_000);
-            JSONObject told = new JSONObject(Files.readString(Path.of("src/test/resources/config.json")))
+            JSONObject json = new JSONObject(Files.readString(Path.of("src/test/resources/config.json")))
                     .put("listen", "127.0.0.1:0")
                     .put("kernel", "127.0.0.1:" + moved.getLocalPort());
             Server server = server("127.0.0.1:0", LifeConfig.USUAL);
@@ -104,8 +104,8 @@
             kernel.setDaemon(true);
             kernel.start();
             Thread hangup = new Thread(() -> {
-                await(() -> server.phase() == Phase.REHEARSING);
-                server.reload(() -> ServerConfig.read(JsonFields.of(told.toMap(), "")));
+                await(() -> server.phase() == Phase.WARMING_UP);
+                server.reload(() -> ServerConfig.read(JsonFields.of(json.toMap(), "")));
             });
             hangup.start();
             server.warmUp();
@@ -121,7 +121,7 @@
     private static void bootEveryLink(ServerSocket kernels) {
         try {
             while (true) {
-                Wire link = new Wire(kernels.accept());
+                TestConnection link = new TestConnection(kernels.accept());
                 link.line();
                 link.line("{\"type\":\"BOOTED\",\"state\":\"WARM\",\"took\":5}");
             }
@@ -131,25 +131,25 @@
     }
 
     @Test
-    void oneProcessOfANameGoesOnAndItsMarksComeAndGo() throws Exception {
+    void oneProcessHoldsTheLockAndReadyFileFollowsItsService() throws Exception {
         Path lock = dir.resolve("lock");
         Path ready = Files.writeString(dir.resolve("ready"), "of one that was killed");
         Path report = dir.resolve("report");
-        String over = new JSONObject()
+        String operatorOverrides = new JSONObject()
                 .put(
                         "life",
                         new JSONObject().put("ready_file", ready.toString()).put("report_file", report.toString()))
                 .toString();
-        try (Stage stage = new Stage(over, "nio");
-                Wire kernel = new Wire(stage.kernels.accept())) {
+        try (ServerFixture fixture = new ServerFixture(operatorOverrides, "nio");
+                TestConnection kernel = new TestConnection(fixture.kernels.accept())) {
             kernel.line();
             kernel.line("{\"type\":\"BOOTED\",\"state\":\"WARM\",\"took\":10}");
-            await(() -> stage.logged.stream().anyMatch(line -> line.contains("to=SERVING")));
+            await(() -> fixture.logged.stream().anyMatch(line -> line.contains("to=SERVING")));
             await(() -> read(ready).contains("\"name\":\"w1\""));
-            stage.server.drain();
+            fixture.server.drain();
             await(() -> !Files.exists(ready));
-            stage.clock().advance(3_000_000 + DrainDeadlines.LINGER);
-            assertThat(stage.server.awaitStopped()).isZero();
+            fixture.clock().advance(3_000_000 + DrainDeadlines.LINGER_MICROS);
+            assertThat(fixture.server.awaitStopped()).isZero();
             assertThat(new JSONObject(Files.readString(report)).getInt("unanswered"))
                     .isZero();
         }
--- a/server/src/test/java/wheatspread/daemon/Wire.java
+++ b/server/src/test/java/wheatspread/daemon/TestConnection.java
@@ -10,22 +10,22 @@
 import java.util.Arrays;
 
 /** One end of a real connection to the program, read and written byte for byte. */
-final class Wire implements Closeable {
+final class TestConnection implements Closeable {
     /** A program that stays silent fails a test rather than hang it. */
-    private static final int PATIENCE_MS = 10_000;
+    private static final int TIMEOUT_MILLIS = 10_000;
 
     private final Socket socket;
     private final InputStream in;
 
-    Wire(Socket socket) throws IOException {
+    TestConnection(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(TIMEOUT_MILLIS);
         socket.setTcpNoDelay(true);
         in = socket.getInputStream();
     }
 
-    static Wire to(InetSocketAddress address) throws IOException {
-        return new Wire(new Socket(address.getAddress(), address.getPort()));
+    static TestConnection to(InetSocketAddress address) throws IOException {
+        return new TestConnection(new Socket(address.getAddress(), address.getPort()));
     }
 
     void write(byte[] bytes) throws IOException {
--- a/server/src/test/java/wheatspread/lifecycle/LifecycleTest.java
+++ b/server/src/test/java/wheatspread/lifecycle/LifecycleTest.java
@@ -15,8 +15,8 @@
 import wheatspread.lifecycle.Lifecycle.Phase;
 
 class LifecycleTest {
-    private final List<String> entered = new ArrayList<>();
-    private final Lifecycle life = new Lifecycle((from, to, by) -> entered.add(to.storedName()));
+    private final List<String> enteredPhases = new ArrayList<>();
+    private final Lifecycle lifecycle = new Lifecycle((from, to, by) -> enteredPhases.add(to.storedName()));
 
     /** The names in the log and in the answer of {@code stats}; they never change. */
     @Test
@@ -53,7 +53,7 @@
      * end.
      */
     @Test
-    void signalsAreLegalInEveryPhaseAndNoneLeadsBack() {
+    void signalsAreAllowedInEveryPhaseAndNoEventLeadsBack() {
         for (Phase phase : Phase.values()) {
             for (Event signal : Set.of(Event.NOTICE, Event.HURRY, Event.RELOAD)) {
                 Phase next = Lifecycle.next(phase, signal);
@@ -69,9 +69,9 @@
         }
     }
 
-    /** From every phase that can be reached, the notice leads to the end by events that can happen there. */
+    /** From every phase that can be reached, a drain signal leads to the end by events that can happen there. */
     @Test
-    void whereverTheNoticeComesTheEndCanBeReached() {
+    void fromEveryPhaseADrainSignalLeadsToStoppedAndNeverToServing() {
         Map<Phase, Set<Phase>> onward = new EnumMap<>(Phase.class);
         for (Phase phase : Phase.values()) {
             Set<Phase> reached = EnumSet.noneOf(Phase.class);
@@ -97,57 +97,57 @@
     }
 
     @Test
-    void anOrdinaryLifeAndOneWhoseKernelIsQuick() {
-        for (Event event : List.of(Event.START, Event.REHEARSED, Event.KERNEL_UP, Event.BOUND, Event.RELOAD)) {
-            life.on(event);
+    void kernelThatIsReadyBeforeTheListenersSkipsTheWaitForIt() {
+        for (Event event : List.of(Event.START, Event.WARMED_UP, Event.KERNEL_READY, Event.BOUND, Event.RELOAD)) {
+            lifecycle.handle(event);
         }
-        assertThat(life.phase()).isEqualTo(Phase.SERVING);
-        assertThat(life.leaving()).isFalse();
-        assertThat(life.on(Event.NOTICE)).isTrue();
-        assertThat(life.on(Event.NOTICE)).isFalse();
-        life.on(Event.EMPTY);
-        life.on(Event.CLOSED);
-        assertThat(entered).containsExactly("REHEARSING", "BINDING", "SERVING", "DRAINING", "CLOSING", "STOPPED");
-        assertThat(life.exitCode()).isZero();
-        assertThatThrownBy(() -> life.on(Event.START))
+        assertThat(lifecycle.phase()).isEqualTo(Phase.SERVING);
+        assertThat(lifecycle.isStopping()).isFalse();
+        assertThat(lifecycle.handle(Event.NOTICE)).isTrue();
+        assertThat(lifecycle.handle(Event.NOTICE)).isFalse();
+        lifecycle.handle(Event.ALL_ANSWERED);
+        lifecycle.handle(Event.CLOSED);
+        assertThat(enteredPhases).containsExactly("REHEARSING", "BINDING", "SERVING", "DRAINING", "CLOSING", "STOPPED");
+        assertThat(lifecycle.exitCode()).isZero();
+        assertThatThrownBy(() -> lifecycle.handle(Event.START))
                 .isInstanceOf(IllegalStateException.class)
                 .hasMessage("START cannot happen in phase STOPPED");
     }
 
     @Test
-    void aStartThatFailsAndAKernelThatNeverComesTellByTheirCode() {
-        life.on(Event.START);
-        life.on(Event.REHEARSED);
-        life.on(Event.NOTICE);
-        assertThat(life.phase()).isEqualTo(Phase.RETREATING);
-        life.on(Event.BIND_FAILED);
-        assertThat(life.exitCode()).isEqualTo(Lifecycle.UNAVAILABLE);
+    void failedBindAndKernelTimeoutExitAsUnavailable() {
+        lifecycle.handle(Event.START);
+        lifecycle.handle(Event.WARMED_UP);
+        lifecycle.handle(Event.NOTICE);
+        assertThat(lifecycle.phase()).isEqualTo(Phase.CANCELLING_START);
+        lifecycle.handle(Event.BIND_FAILED);
+        assertThat(lifecycle.exitCode()).isEqualTo(Lifecycle.EXIT_UNAVAILABLE);
         Lifecycle other = new Lifecycle((from, to, by) -> {});
-        other.on(Event.START);
-        other.on(Event.REHEARSED);
-        other.on(Event.BOUND);
-        other.on(Event.KERNEL_GIVEN_UP);
+        other.handle(Event.START);
+        other.handle(Event.WARMED_UP);
+        other.handle(Event.BOUND);
+        other.handle(Event.KERNEL_TIMED_OUT);
         assertThat(other.phase()).isEqualTo(Phase.DRAINING);
-        assertThat(other.exitCode()).isEqualTo(Lifecycle.UNAVAILABLE);
+        assertThat(other.exitCode()).isEqualTo(Lifecycle.EXIT_UNAVAILABLE);
     }
 
     @Test
-    void aDrainListensForTheGraceThenWaitsForAnswersAndLeavesInTime() {
+    void drainAcceptsForTheGraceThenAwaitsAnswersAndClosesBeforeTheStop() {
         DrainDeadlines drain = new DrainDeadlines(0, 4_000_000, 2_500_000, true);
-        assertThat(drain.look(2_499_999, 0)).isEqualTo(DrainDeadlines.Step.LISTEN);
-        assertThat(drain.look(2_500_000, 0)).isEqualTo(DrainDeadlines.Step.STOP_LISTENING); // what was just accepted
-        assertThat(drain.look(2_650_000, 1)).isEqualTo(DrainDeadlines.Step.STOP_LISTENING);
-        assertThat(drain.look(2_650_000, 0)).isEqualTo(DrainDeadlines.Step.LEAVE_EMPTY);
-        assertThat(drain.look(3_880_000, 1)).isEqualTo(DrainDeadlines.Step.LEAVE_IN_TIME);
-        assertThat(new DrainDeadlines(0, 1_000_000, 2_500_000, true).look(640_000, 0))
-                .isEqualTo(DrainDeadlines.Step.STOP_LISTENING); // a short stop leaves time to answer
-        assertThat(new DrainDeadlines(0, 4_000_000, 2_500_000, false).look(150_000, 0))
-                .isEqualTo(DrainDeadlines.Step.LEAVE_EMPTY);
+        assertThat(drain.step(2_499_999, 0)).isEqualTo(DrainDeadlines.Step.ACCEPT);
+        assertThat(drain.step(2_500_000, 0)).isEqualTo(DrainDeadlines.Step.AWAIT_ANSWERS); // what was just accepted
+        assertThat(drain.step(2_650_000, 1)).isEqualTo(DrainDeadlines.Step.AWAIT_ANSWERS);
+        assertThat(drain.step(2_650_000, 0)).isEqualTo(DrainDeadlines.Step.CLOSE_ALL_ANSWERED);
+        assertThat(drain.step(3_880_000, 1)).isEqualTo(DrainDeadlines.Step.CLOSE_TIMED_OUT);
+        assertThat(new DrainDeadlines(0, 1_000_000, 2_500_000, true).step(640_000, 0))
+                .isEqualTo(DrainDeadlines.Step.AWAIT_ANSWERS); // a short stop leaves time to answer
+        assertThat(new DrainDeadlines(0, 4_000_000, 2_500_000, false).step(150_000, 0))
+                .isEqualTo(DrainDeadlines.Step.CLOSE_ALL_ANSWERED);
         drain = new DrainDeadlines(0, 4_000_000, 2_500_000, true);
-        drain.hurry(100_000);
-        drain.hurry(900_000);
-        assertThat(drain.look(200_000, 3)).isEqualTo(DrainDeadlines.Step.STOP_LISTENING);
-        assertThat(drain.look(250_000, 3)).isEqualTo(DrainDeadlines.Step.ANSWER_ALL);
-        assertThat(drain.look(250_000, 0)).isEqualTo(DrainDeadlines.Step.LEAVE_EMPTY);
+        drain.answerImmediately(100_000);
+        drain.answerImmediately(900_000);
+        assertThat(drain.step(200_000, 3)).isEqualTo(DrainDeadlines.Step.AWAIT_ANSWERS);
+        assertThat(drain.step(250_000, 3)).isEqualTo(DrainDeadlines.Step.REJECT_NOT_STARTED);
+        assertThat(drain.step(250_000, 0)).isEqualTo(DrainDeadlines.Step.CLOSE_ALL_ANSWERED);
     }
 }
--- a/server/src/test/java/wheatspread/supervisor/SimulatedHost.java
+++ b/server/src/test/java/wheatspread/supervisor/SimulatedHost.java
@@ -16,14 +16,14 @@
 import wheatspread.fleet.FleetState.RunningProcess;
 
 /**
- * A machine in memory with a clock of its own. Processes start, lock, become well, leave and die as their
- * build says; the supervisor can be crashed before and after each thing it does. It notes what must never
- * happen.
+ * A host in memory with a clock of its own. Processes start, take their lock, become healthy, drain and crash as the
+ * behaviour of their build says; the supervisor can be crashed before and after each of its operations. It records
+ * violations of what must never happen.
  */
 final class SimulatedHost implements HostOperations {
     static final long MICROS_PER_MILLI = 1_000;
 
-    /** The supervisor died. */
+    /** A crash of the supervisor. */
     static final class SupervisorCrash extends RuntimeException {
         private static final long serialVersionUID = 1L;
     }
@@ -68,11 +68,11 @@
     private FleetState savedState;
     long nowMicros = 1_000_000_000_000L;
     private long lastPid = 100;
-    /** The supervisor dies at this step; -1 for never. */
+    /** The supervisor crashes at this step; -1 for never. */
     int crashAtStep = -1;
 
     int steps;
-    /** Health checks go unanswered. */
+    /** Whether health checks get no answer. */
     boolean checksUnanswered;
 
     private void step() {
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Time passes, and processes with it. */
+    /** Moves the clock on; processes exit as their behaviour says. */
     void advance(long micros) {
         nowMicros += micros;
         for (SimulatedProcess instance : processes.values()) {
@@ -95,7 +95,7 @@
         }
     }
 
-    /** A new supervisor: what the old one held in memory is gone. */
+    /** A new supervisor has started; what the old one held in memory is lost. */
     void supervisorRestarted() {
         watched.clear();
         checkResults.clear();
@@ -134,7 +134,7 @@
         if (before != null && before.running && lockHolder(name) != null) {
             violations.add(name + " was started while it lives");
         } else if (before != null && before.running) {
-            lockLosers.add(name); // the first one takes the lock in the end, and this one finds it taken
+            lockLosers.add(name); // the first process takes the lock, and this one exits
             startedGenerations.add(name + "." + generation);
             return ++lastPid;
         }
--- a/server/src/test/java/wheatspread/supervisor/SupervisorTest.java
+++ b/server/src/test/java/wheatspread/supervisor/SupervisorTest.java
@@ -19,7 +19,7 @@
 import wheatspread.logging.EventLog;
 import wheatspread.supervisor.SimulatedHost.Behaviour;
 
-/** A supervisor on a machine in memory, which lets it die at every step. */
+/** A supervisor on a simulated host, which can crash it at every step. */
 class SupervisorTest {
     private static final long MICROS_PER_MILLI = SimulatedHost.MICROS_PER_MILLI;
     private static final long TURN_MICROS = 50 * MICROS_PER_MILLI;
@@ -37,7 +37,7 @@
     private FleetController fleet;
     private Supervisor supervisor;
     private int maxUnavailableSeen;
-    /** Whether the fleet was whole once, after which its members out of service are counted. */
+    /** Whether all instances served at one time; unavailable ones are counted from then on. */
     private boolean allServedOnce;
 
     private int killedByTest;
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Turns until something holds or the time is over; a supervisor that dies comes back after 0.4 s. */
+    /** Runs turns until a condition holds or the time is over; a crashed supervisor is restarted after 0.4 s. */
     private void runTurns(long most, java.util.function.BooleanSupplier until) {
         for (long end = host.nowMicros + most; host.nowMicros < end && !until.getAsBoolean(); ) {
             try {
@@ -138,7 +138,7 @@
                 .hasMessageContaining("n9");
     }
 
-    /** The supervisor dies before and after each thing it does, at every step of a start and a roll. */
+    /** The supervisor crashes before and after each of its operations, through a start and a rollout. */
     @Test
     void supervisorCrashAtAnyStepStartsNothingTwiceAndCompletesTheRollout() {
         awaitAllHealthy();
@@ -162,7 +162,7 @@
                     120_000 * MICROS_PER_MILLI,
                     () -> rolloutIsOver() && fleet.instances().count(State.HEALTHY) == 6);
             assertThat(host.violations).as("died at step %d", at).isEmpty();
-            // a command that was given and not written down before the death is given again by its spool
+            // a command that was not saved before the crash is given again by the spool
             if (fleet.rollout() != null) {
                 assertThat(fleet.rollout().status()).as("died at step %d", at).isEqualTo(RolloutStatus.COMPLETED);
                 assertThat(countRunning("v2")).as("died at step %d", at).isEqualTo(5);
@@ -175,7 +175,7 @@
         }
     }
 
-    /** A start in doubt that shows only after its time is taken on, and not started beside. */
+    /** Its process is adopted when it takes the lock, and no second one is started. */
     @Test
     void unconfirmedStartThatLocksLateIsAdopted() {
         host.builds.put("v1", new Behaviour(2_450 * MICROS_PER_MILLI, 3_000 * MICROS_PER_MILLI, 0, 0, false, 0));
@@ -230,7 +230,7 @@
         assertThat(countRunning("v1")).isEqualTo(6);
     }
 
-    /** A fifth of the fleet is killed in the middle: the roll waits until enough of them are back. */
+    /** A fifth of the fleet is killed during the rollout, which waits until enough of it is available again. */
     @Test
     void rolloutPausesWhileOtherInstancesAreUnavailableAndResumes() {
         plan = plan(20, 0.2);
@@ -261,7 +261,7 @@
         assertThat(fleet.instances().count(State.HEALTHY)).isEqualTo(5);
         host.builds.put("v1", Behaviour.GOOD);
         runTurns(5_000 * MICROS_PER_MILLI, () -> false);
-        assertThat(fleet.instances().get("n3").state()).isEqualTo(State.CRASH_LOOP); // until somebody starts it
+        assertThat(fleet.instances().get("n3").state()).isEqualTo(State.CRASH_LOOP); // until an operator starts it
         fleet.enable("n3", host.nowMicros);
         awaitAllHealthy();
     }
@@ -292,7 +292,7 @@
         runTurns(6_000 * MICROS_PER_MILLI, () -> false);
         assertThat(host.processes.get("n2").running).isFalse();
         assertThat(host.processes.get("n2").exitCode).isEqualTo(137);
-        assertThat(fleet.instances().get("n2").state()).isEqualTo(State.STOPPED); // drained: it stays away
+        assertThat(fleet.instances().get("n2").state()).isEqualTo(State.STOPPED); // drained: it is not restarted
         host.checksUnanswered = true;
         runTurns(4_000 * MICROS_PER_MILLI, () -> false);
         assertThat(fleet.instances().get("n1").state()).isEqualTo(State.UNHEALTHY);
@@ -321,7 +321,7 @@
         assertThat(host.processes.values()).allMatch(instance -> instance.exitCode == 0);
     }
 
-    /** Members and supervisor die at random while a roll goes on; in the end everybody runs, once. */
+    /** In the end each instance runs, once, or is held for a crash loop. */
     @Property(tries = 150, seed = "41")
     void fleetRecoversFromRandomCrashesOfInstancesAndSupervisor(@ForAll long seed) {
         host = new SimulatedHost();
