--- a/server/src/main/java/wheatspread/membership/ClusterBootstrap.java
+++ b/server/src/main/java/wheatspread/membership/ClusterBootstrap.java
@@ -42,7 +42,7 @@
 
     /** Entries that a list of seeds may have. An epoch is the founding's Unix milliseconds times this, plus a rank. */
     static final int MAX_SEEDS = 32;
-    /** No view with a reachable quorum was heard of for this time; members that are gone claim one for less long. */
+    /** A seed waits until it has heard of no reachable quorum for this time; a lost quorum is noticed sooner. */
     static final long QUIET_MICROS = 5_000_000;
     /** How long a consent is valid. */
     static final long CONSENT_MICROS = 4_000_000;
@@ -52,7 +52,7 @@
     private static final long REQUEST_INTERVAL_MICROS = 300_000;
     /** Each seed waits this much longer than the one before it in the list, so that usually one asks alone. */
     private static final long RANK_DELAY_MICROS = 500_000;
-    /** A server whose last join request is older may be gone. */
+    /** A server whose last join request is older may have stopped. */
     private static final long JOIN_REQUEST_VALID_MICROS = 3_000_000;
     /** Join requests that are remembered; the oldest is forgotten first. */
     private static final int MAX_JOIN_REQUESTS = 4_096;
--- a/server/src/main/java/wheatspread/membership/GossipUpdate.java
+++ b/server/src/main/java/wheatspread/membership/GossipUpdate.java
@@ -102,7 +102,7 @@
         }
     }
 
-    /** A prospective observer's word on a joiner: an odd counter says that it answers probes. */
+    /** A prospective observer's report on a joiner: an odd counter says that it answers probes. */
     record JoinerReachable(MemberId joiner, int observerIndex, int counter) implements GossipUpdate {
         @Override
         public <R> R accept(Visitor<R> visitor) {
--- a/server/src/main/java/wheatspread/membership/QuorumReachability.java
+++ b/server/src/main/java/wheatspread/membership/QuorumReachability.java
@@ -4,9 +4,9 @@
 import java.util.BitSet;
 
 /**
- * Judges whether a quorum of one member's view seems to be reachable. The smaller side of a partition keeps its view and
- * treats it as outdated by this judgement. Any of three signs means that no quorum is reachable, since each is blind
- * somewhere:
+ * Judges whether a quorum of one member's view seems to be reachable. The smaller side of a partition keeps its view
+ * and treats it as outdated by this judgement. Any of three signs means that no quorum is reachable, since each is
+ * blind somewhere:
  *
  * <ul>
  * <li>fewer than a quorum are left without the members that observers on this side miss: exact on a side with a third
--- a/server/src/test/java/wheatspread/membership/MembershipTest.java
+++ b/server/src/test/java/wheatspread/membership/MembershipTest.java
@@ -73,7 +73,9 @@
             Net net = cluster(seed, 12);
             net.partition = (from, to) -> from.equals("m001") && to.equals("m002");
             net.run(20 * SECOND);
-            assertThat(net.views).as("seed %d: m002 does not hear m001", seed).hasSize(1);
+            assertThat(net.views)
+                    .as("seed %d: messages from m001 to m002 are lost", seed)
+                    .hasSize(1);
             net.partition = (from, to) -> from.equals("m001");
             net.run(20 * SECOND);
             assertThat(net.members.get("m000").view().size()).isEqualTo(11);
--- a/server/src/test/java/wheatspread/membership/ViewAgreementSearchTest.java
+++ b/server/src/test/java/wheatspread/membership/ViewAgreementSearchTest.java
@@ -60,25 +60,25 @@
 
         /** A copy in which one member has another state and has sent its votes and its proposal. */
         SystemState with(int who, ViewAgreement next) {
-            SystemState current = new SystemState(this);
-            current.members[who] = next;
+            SystemState copy = new SystemState(this);
+            copy.members[who] = next;
             next.fastVotes()
-                    .forEach((change, voters) -> voters.stream()
-                            .forEach(one -> current.votes.add(new RoundMessage('v', 0, one, 0, change))));
+                    .forEach((change, voters) ->
+                            voters.stream().forEach(one -> copy.votes.add(new RoundMessage('v', 0, one, 0, change))));
             long ballot = next.ballot();
             if (ballot > ViewAgreement.FAST_BALLOT) {
-                current.sent.add(new RoundMessage('p', ballot, 0, 0, null));
+                copy.sent.add(new RoundMessage('p', ballot, 0, 0, null));
                 ViewAgreement.Promise mine = next.promises().get(who);
                 if (mine != null) {
-                    current.sent.add(new RoundMessage('r', ballot, who, mine.votedBallot(), mine.votedChange()));
+                    copy.sent.add(new RoundMessage('r', ballot, who, mine.votedBallot(), mine.votedChange()));
                 }
                 if (next.proposal() != null) {
-                    current.sent.add(new RoundMessage('a', ballot, 0, 0, next.proposal()));
+                    copy.sent.add(new RoundMessage('a', ballot, 0, 0, next.proposal()));
                     next.acceptors().stream()
-                            .forEach(one -> current.votes.add(new RoundMessage('v', ballot, one, 0, next.proposal())));
+                            .forEach(one -> copy.votes.add(new RoundMessage('v', ballot, one, 0, next.proposal())));
                 }
             }
-            return current;
+            return copy;
         }
 
         /** The changes that a quorum voted for in one ballot. */
--- a/server/src/test/java/wheatspread/peers/MessageCodecTest.java
+++ b/server/src/test/java/wheatspread/peers/MessageCodecTest.java
@@ -55,7 +55,7 @@
                 .isInstanceOfSatisfying(
                         MalformedMessageException.class,
                         e -> assertThat(e.reason()).isEqualTo(MalformedMessageException.Reason.UNSUPPORTED_VERSION));
-        // a piece of news and a field that this version has never heard of
+        // a gossip update and a field that this version does not know
         byte[] unknown = {(byte) 0x4a, 0x03, (byte) 0xa0, 0x06, 0x01, (byte) 0xa8, 0x06, 0x05};
         byte[] encoded =
                 received.toBuilder().setMinor(MessageCodec.MINOR + 1).build().toByteArray();
@@ -94,8 +94,8 @@
     }
 
     /**
-     * A million datagrams that were encoded once and then corrupted, one seed; and a quarter of a million that
-     * somebody corrupted and sealed again, which only must not harm the process.
+     * A million valid datagrams that were corrupted, from one seed; and a quarter of a million with a valid checksum
+     * over a corrupted envelope, which only must not harm the process.
      */
     @Test
     @Timeout(100)
@@ -139,7 +139,7 @@
             try {
                 MessageCodec.Received received = CODEC.decode(corrupted);
                 read++;
-                if (!checksumValid || !received.message().view().equals(view.id())) { // else it may well be true
+                if (!checksumValid || !received.message().view().equals(view.id())) { // else it may be a valid change
                     self.received(received.address(), received.message(), i);
                 }
             } catch (MalformedMessageException e) {
@@ -150,7 +150,7 @@
         assertThat(rejected.get(MalformedMessageException.Reason.CORRUPT)).isGreaterThan(990_000);
         assertThat(rejected.get(MalformedMessageException.Reason.INVALID)).isGreaterThan(100_000);
         assertThat(read).isGreaterThan(1_000);
-        assertThat(sent[0]).as("answers to garbage are bounded").isLessThan(read);
+        assertThat(sent[0]).as("answers to corrupt messages are bounded").isLessThan(read);
     }
 
     private static byte[] corrupt(byte[] encoded, SplittableRandom random) {
