--- a/lab/src/main/java/wheatspread/lab/CapacityCommand.java
+++ b/lab/src/main/java/wheatspread/lab/CapacityCommand.java
@@ -56,7 +56,7 @@
                 return differences.isEmpty() ? 0 : 1;
             }
         } catch (JsonFields.InvalidValueException e) {
-            e.faults().forEach(System.err::println);
+            e.messages().forEach(System.err::println);
             return USAGE;
         } catch (IllegalArgumentException e) {
             System.err.println(e.getMessage());
--- a/lab/src/main/java/wheatspread/lab/CrowdCommand.java
+++ b/lab/src/main/java/wheatspread/lab/CrowdCommand.java
@@ -25,10 +25,10 @@
     @Override
     public Integer call() throws Exception {
         Report report = new Report("idle-in-memory");
-        try (MemoryCrowd warming = new MemoryCrowd(Math.min(count, 5_000), IterationBudget.USUAL, IDLE)) {
+        try (MemoryCrowd warming = new MemoryCrowd(Math.min(count, 5_000), IterationBudget.DEFAULT, IDLE)) {
             warming.play(); // the JVM compiles meanwhile
         }
-        try (MemoryCrowd crowd = new MemoryCrowd(count, IterationBudget.USUAL, IDLE)) {
+        try (MemoryCrowd crowd = new MemoryCrowd(count, IterationBudget.DEFAULT, IDLE)) {
             report.put("crowd", crowd.play());
         }
         System.out.println(report.get("crowd").toString(1));
--- a/lab/src/main/java/wheatspread/lab/DemoCommand.java
+++ b/lab/src/main/java/wheatspread/lab/DemoCommand.java
@@ -132,7 +132,7 @@
         Map<String, String> vars = new LinkedHashMap<>(told);
         vars.put("CONTENT_LENGTH", Integer.toString(body.length()));
         ByteBuf packet = Unpooled.buffer();
-        UwsgiEncoder.write(new UwsgiPacket(UwsgiPacket.REQUEST, 0, vars), packet);
+        UwsgiEncoder.write(new UwsgiPacket(UwsgiPacket.REQUEST_MODIFIER, 0, vars), packet);
         packet.writeBytes(body.getBytes(StandardCharsets.UTF_8));
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(10_000);
--- a/lab/src/main/java/wheatspread/lab/FaultsCommand.java
+++ b/lab/src/main/java/wheatspread/lab/FaultsCommand.java
@@ -54,7 +54,7 @@
             try {
                 plays = plays(scenarios, pairs, seed);
             } catch (JsonFields.InvalidValueException e) {
-                e.faults().forEach(System.err::println);
+                e.messages().forEach(System.err::println);
                 return USAGE;
             }
             for (Map.Entry<String, Scenario> one : plays.entrySet()) {
--- a/lab/src/main/java/wheatspread/lab/ModelCommand.java
+++ b/lab/src/main/java/wheatspread/lab/ModelCommand.java
@@ -78,11 +78,11 @@
     public Integer call() throws Exception {
         DetectorSettings settings = Map.of(
                         "usual",
-                        DetectorSettings.USUAL,
+                        DetectorSettings.DEFAULT,
                         "suspicious",
-                        DetectorSettings.USUAL.suspicious(),
+                        DetectorSettings.DEFAULT.withFixedSuspicion(),
                         "plain",
-                        DetectorSettings.USUAL.plain())
+                        DetectorSettings.DEFAULT.withoutSuspicion())
                 .get(detector);
         if (settings == null) {
             System.err.println("--detector is " + detector + "; allowed are usual, suspicious and plain");
@@ -95,7 +95,7 @@
             try {
                 plays = FaultsCommand.plays(scenarios, pairs, seed);
             } catch (JsonFields.InvalidValueException e) {
-                e.faults().forEach(System.err::println);
+                e.messages().forEach(System.err::println);
                 return USAGE;
             }
             for (Map.Entry<String, Scenario> one : plays.entrySet()) {
--- a/lab/src/main/java/wheatspread/lab/bench/ConnectionsBenchmark.java
+++ b/lab/src/main/java/wheatspread/lab/bench/ConnectionsBenchmark.java
@@ -49,26 +49,26 @@
 
     private static final class Nobody implements ConnectionActions {
         @Override
-        public void lastCall() {}
+        public void notifyDraining() {}
 
         @Override
-        public void leave() {}
+        public void drain() {}
 
         @Override
         public void close() {}
 
         @Override
-        public long waitingBytes() {
+        public long bytesUntilWritable() {
             return 0;
         }
 
         @Override
-        public boolean advances() {
+        public boolean madeWriteProgress() {
             return false;
         }
 
         @Override
-        public long pendingBytes() {
+        public long pendingWriteBytes() {
             return 0;
         }
     }
@@ -77,21 +77,21 @@
     @Setup(Level.Iteration)
     public void fill() {
         now = 1_000_000;
-        ConnectionLimits usual = ConnectionLimits.usual(size);
+        ConnectionLimits usual = ConnectionLimits.defaults(size);
         table = new ConnectionTable(
                 new ConnectionLimits(
                         size,
                         0,
                         0,
                         1_000,
-                        usual.firstRequest(),
-                        usual.wholeRequest(),
+                        usual.firstByteTimeoutMicros(),
+                        usual.messageTimeoutMicros(),
                         IDLE,
-                        usual.lingering(),
-                        usual.toSpeak(),
-                        usual.mostHeld(),
-                        usual.mostWaiting(),
-                        usual.refusal()),
+                        usual.lingerTimeoutMicros(),
+                        usual.evictionGraceMicros(),
+                        usual.maxPartialBytes(),
+                        usual.maxPendingWriteBytes(),
+                        usual.rejection()),
                 now,
                 () -> {});
         nodes = new Connection[size];
@@ -120,7 +120,7 @@
         Connection c = nodes[step()];
         table.read(c, now, true, 1, 0);
         table.answered(c, now, 0);
-        return table.soonest();
+        return table.nextExpiryMicros();
     }
 
     /** The timer is cancelled and set again, as Netty's heap would. */
--- a/lab/src/main/java/wheatspread/lab/bench/TimersBenchmark.java
+++ b/lab/src/main/java/wheatspread/lab/bench/TimersBenchmark.java
@@ -45,7 +45,7 @@
         private long deadline;
 
         @Override
-        protected void ring() {
+        protected void onExpiry() {
             rung++;
         }
 
@@ -92,7 +92,7 @@
         tasks[i] = new Task();
         wheel.set(tasks[i], now + ahead[i & 0xFFFF]);
         wheel.expire(now, 32);
-        return wheel.nextLook();
+        return wheel.nextAdvanceMicros();
     }
 
     @Benchmark
@@ -106,7 +106,7 @@
         agrona.poll(
                 now,
                 (unit, time, number) -> {
-                    byNumber.remove(number).ring();
+                    byNumber.remove(number).onExpiry();
                     return true;
                 },
                 32);
--- a/lab/src/main/java/wheatspread/lab/capacity/CapacityPlan.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/CapacityPlan.java
@@ -25,7 +25,7 @@
     }
 
     static CapacityPlan read(JsonFields told) {
-        told.only(Set.of("quantities", "budgets", "assumed", "lines", "rows"));
+        told.requireKnownKeys(Set.of("quantities", "budgets", "assumed", "lines", "rows"));
         CapacityPlan plan = new CapacityPlan(
                 new LinkedHashMap<>(),
                 new LinkedHashMap<>(),
@@ -37,12 +37,12 @@
         told.objects("assumed").forEach(plan::readAssumption);
         told.objects("lines").forEach(plan::readLine);
         told.objects("rows").forEach(plan::readRow);
-        told.settle();
+        told.throwIfInvalid();
         return plan;
     }
 
     private void readQuantity(JsonFields told) {
-        told.only(Set.of("name", "value", "unit", "text", "fixed", "assumed"));
+        told.requireKnownKeys(Set.of("name", "value", "unit", "text", "fixed", "assumed"));
         Quantity quantity = new Quantity(
                 newName(told),
                 told.number("value"),
@@ -54,34 +54,34 @@
     }
 
     private void readBudget(JsonFields told) {
-        told.only(Set.of("name", "value", "unit", "text"));
+        told.requireKnownKeys(Set.of("name", "value", "unit", "text"));
         Budget budget = new Budget(told.text("name"), told.number("value"), told.text("unit"), told.text("text"));
         if (budget.value() <= 0 || budgets.put(budget.name(), budget) != null) {
-            throw told.bad("name", "is taken already, or its value is not positive: " + budget);
+            throw told.invalidValue("name", "is taken already, or its value is not positive: " + budget);
         }
     }
 
     private void readAssumption(JsonFields told) {
-        told.only(Set.of("name", "value", "unit", "because"));
+        told.requireKnownKeys(Set.of("name", "value", "unit", "because"));
         Assumption assumption =
                 new Assumption(newName(told), told.number("value"), told.text("unit"), told.text("because"));
         assumed.put(assumption.name(), assumption);
     }
 
     private void readLine(JsonFields told) {
-        told.only(Set.of("name", "report", "series", "figures", "unit", "fit", "at", "virtual"));
+        told.requireKnownKeys(Set.of("name", "report", "series", "figures", "unit", "fit", "at", "virtual"));
         String name = newName(told);
         if (told.has("series") == told.has("figures")) {
-            throw told.bad("series", "or figures has to be there, and not both");
+            throw told.invalidValue("series", "or figures has to be there, and not both");
         }
         String at = told.text("at");
         if (!quantities.containsKey(at)) {
-            throw told.bad("at", "is no quantity: " + at + "; known are " + quantities.keySet());
+            throw told.invalidValue("at", "is no quantity: " + at + "; known are " + quantities.keySet());
         }
         List<LinePlan.At> figures = new ArrayList<>();
         for (JsonFields one : told.objects("figures")) {
-            one.only(Set.of("size", "keys"));
-            figures.add(new LinePlan.At(one.number("size"), one.texts("keys")));
+            one.requireKnownKeys(Set.of("size", "keys"));
+            figures.add(new LinePlan.At(one.number("size"), one.textList("keys")));
         }
         lines.put(
                 name,
@@ -91,19 +91,19 @@
                         told.text("series", null),
                         figures,
                         told.text("unit", ""),
-                        told.word("fit", Fit.words()),
+                        told.oneOf("fit", Fit.words()),
                         at,
                         told.flag("virtual", false)));
     }
 
     private void readRow(JsonFields told) {
-        told.only(Set.of("role", "situation", "what", "unit", "value", "mechanism", "budget", "note"));
+        told.requireKnownKeys(Set.of("role", "situation", "what", "unit", "value", "mechanism", "budget", "note"));
         Budget budget = budgets.get(told.text("budget", ""));
         if (told.has("budget") && budget == null) {
-            throw told.bad("budget", "is none of " + budgets.keySet());
+            throw told.invalidValue("budget", "is none of " + budgets.keySet());
         }
         if (!told.has("value") && !told.has("note")) {
-            throw told.bad("note", "has to say why there is no value");
+            throw told.invalidValue("note", "has to say why there is no value");
         }
         rows.add(new RowPlan(
                 told.text("role"),
@@ -121,11 +121,11 @@
         try {
             expression = Expression.parse(told.text("value"));
         } catch (IllegalArgumentException e) {
-            throw told.bad("value", "cannot be read: " + e.getMessage());
+            throw told.invalidValue("value", "cannot be read: " + e.getMessage());
         }
         for (String name : expression.names()) {
             if (!isNamed(name)) {
-                throw told.bad("value", "names " + name + ", which is no quantity, assumption or line");
+                throw told.invalidValue("value", "names " + name + ", which is no quantity, assumption or line");
             }
         }
         return expression;
@@ -133,9 +133,9 @@
 
     /** The classes of the program that a row names; a class that does not exist is a fault. */
     private static List<String> mechanism(JsonFields told) {
-        List<String> classes = told.texts("mechanism");
+        List<String> classes = told.textList("mechanism");
         if (classes.isEmpty()) {
-            throw told.bad("mechanism", "is empty; where nothing carries the row it is [\"" + MISSING + "\"]");
+            throw told.invalidValue("mechanism", "is empty; where nothing carries the row it is [\"" + MISSING + "\"]");
         }
         if (classes.equals(List.of(MISSING))) {
             return List.of();
@@ -144,7 +144,7 @@
             try {
                 Class.forName(PACKAGE + name, false, CapacityPlan.class.getClassLoader());
             } catch (ClassNotFoundException e) {
-                throw told.bad("mechanism", "names a class that does not exist: " + PACKAGE + name);
+                throw told.invalidValue("mechanism", "names a class that does not exist: " + PACKAGE + name);
             }
         }
         return classes;
@@ -153,7 +153,7 @@
     private String newName(JsonFields told) {
         String name = told.text("name");
         if (isNamed(name)) {
-            throw told.bad("name", "is taken already: " + name);
+            throw told.invalidValue("name", "is taken already: " + name);
         }
         return name;
     }
--- a/lab/src/main/java/wheatspread/lab/deployments/DeploymentRun.java
+++ b/lab/src/main/java/wheatspread/lab/deployments/DeploymentRun.java
@@ -93,7 +93,7 @@
                 ServerConfig config = ServerConfig.read(JsonFields.of(told.toMap(), ""));
                 server = new Server(
                         config,
-                        OperatorConfig.NONE,
+                        OperatorConfig.DEFAULT,
                         (loop, turns) -> clock = new SteppedClock(loop, START),
                         EventLog.NONE);
             } catch (IllegalArgumentException e) {
@@ -103,7 +103,7 @@
             server.start();
             kernels.setSoTimeout(ACCEPT_TIMEOUT_MS);
             kernelLink = new LineConnection(kernels.accept());
-            healthCheck.await(server.bound().get(0));
+            healthCheck.await(server.boundAddresses().get(0));
             plan();
             run();
         }
@@ -170,7 +170,7 @@
             }
         }
         try {
-            InetSocketAddress to = server.bound().get(0);
+            InetSocketAddress to = server.boundAddresses().get(0);
             SocketChannel channel = SocketChannel.open(new InetSocketAddress(to.getAddress(), to.getPort()));
             ClientConnection client = new ClientConnection(new LineConnection(channel.socket()));
             clients.add(client);
@@ -205,7 +205,7 @@
     /** Reads and carries out all that comes until nothing more does. */
     private void settle() throws IOException {
         for (int quiet = 0; quiet < QUIET_ROUNDS; quiet++) {
-            healthCheck.await(server.bound().get(0));
+            healthCheck.await(server.boundAddresses().get(0));
             clock.idle();
             if (pump()) {
                 quiet = -1;
--- a/lab/src/main/java/wheatspread/lab/deployments/SteppedClock.java
+++ b/lab/src/main/java/wheatspread/lab/deployments/SteppedClock.java
@@ -24,7 +24,7 @@
     }
 
     @Override
-    public Timer after(long micros, Runnable task) {
+    public Timer schedule(long micros, Runnable task) {
         long at = now + Math.max(0, micros);
         int number = ++set;
         timers.computeIfAbsent(at, t -> new TreeMap<>()).put(number, task);
@@ -32,7 +32,7 @@
     }
 
     @Override
-    public void soon(Runnable task) {
+    public void runAfterTurn(Runnable task) {
         loop.execute(task);
     }
 
--- a/lab/src/main/java/wheatspread/lab/faults/Scenario.java
+++ b/lab/src/main/java/wheatspread/lab/faults/Scenario.java
@@ -81,7 +81,7 @@
     }
 
     static Scenario read(JsonFields told, long seed) {
-        told.only(Set.of("members", "zones", "seeds", "load_per_s", "run_s", "faults", "expect"));
+        told.requireKnownKeys(Set.of("members", "zones", "seeds", "load_per_s", "run_s", "faults", "expect"));
         int size = told.integer("members", 0, 1, 2_000);
         Map<String, String> zones = zones(told, size);
         Random random = new Random(seed);
@@ -91,7 +91,7 @@
         }
         faults.sort(Comparator.comparingLong(Fault::at));
         JsonFields expect = told.object("expect", true);
-        expect.only(Set.of("views_at_most", "final_members", "converged_within_s", "gone"));
+        expect.requireKnownKeys(Set.of("views_at_most", "final_members", "converged_within_s", "gone"));
         Scenario scenario = new Scenario(
                 zones,
                 told.integer("seeds", Math.min(3, size), 1, Math.min(32, size)),
@@ -103,20 +103,20 @@
                         expect.integer("final_members", -1, -1, 2_000),
                         seconds(expect, "converged_within_s", 10),
                         expect.has("gone") ? targets(expect, "gone", zones, random) : null));
-        told.settle();
+        told.throwIfInvalid();
         return scenario;
     }
 
     private static Map<String, String> zones(JsonFields told, int size) {
         Map<String, String> zones = new LinkedHashMap<>();
         JsonFields sizes = told.object("zones", true);
-        for (String zone : sizes.names()) {
+        for (String zone : sizes.keys()) {
             for (int i = sizes.integer(zone, 0, 1, 2_000); i > 0; i--) {
                 zones.put("m" + (zones.size() + 1), zone);
             }
         }
         if (!zones.isEmpty() && zones.size() != size) {
-            throw told.bad("zones", "hold " + zones.size() + " members; members says " + size);
+            throw told.invalidValue("zones", "hold " + zones.size() + " members; members says " + size);
         }
         while (zones.size() < size) {
             zones.put("m" + (zones.size() + 1), "");
@@ -125,11 +125,11 @@
     }
 
     private static Fault fault(JsonFields told, Map<String, String> zones, Random random) {
-        Fault.Kind kind = told.word("do", Fault.Kind.words());
-        told.only(Set.of("at_s", "for_s", "do", "from", "to", "on", "share", "ms", "period_ms"));
+        Fault.Kind kind = told.oneOf("do", Fault.Kind.words());
+        told.requireKnownKeys(Set.of("at_s", "for_s", "do", "from", "to", "on", "share", "ms", "period_ms"));
         Set<String> on = targets(told, "on", zones, random);
         if (kind.isOfLinks() ? told.has("on") : !told.has("on") || told.has("from") || told.has("to")) {
-            throw told.bad(
+            throw told.invalidValue(
                     "do",
                     "is " + kind.name().toLowerCase() + ", which takes " + (kind.isOfLinks() ? "from and to" : "on"));
         }
@@ -155,7 +155,7 @@
         if (!told.has(key)) {
             return new LinkedHashSet<>(zones.keySet());
         }
-        for (String one : told.texts(key)) {
+        for (String one : told.textList(key)) {
             if (one.equals("all")) {
                 chosen.addAll(zones.keySet());
             } else if (one.startsWith("zone:") && zones.containsValue(one.substring(5))) {
@@ -171,7 +171,7 @@
             } else if (zones.containsKey(one)) {
                 chosen.add(one);
             } else {
-                throw told.bad(
+                throw told.invalidValue(
                         key, "names " + one + "; known are all, zone:X, share:0.25 and the members " + zones.keySet());
             }
         }
--- a/lab/src/main/java/wheatspread/lab/load/Holder.java
+++ b/lab/src/main/java/wheatspread/lab/load/Holder.java
@@ -210,7 +210,7 @@
             vars.put("RECIPE_ITEM", item);
         }
         ByteBuf out = Unpooled.buffer();
-        UwsgiEncoder.write(new UwsgiPacket(UwsgiPacket.REQUEST, 0, vars), out);
+        UwsgiEncoder.write(new UwsgiPacket(UwsgiPacket.REQUEST_MODIFIER, 0, vars), out);
         return out;
     }
 
--- a/lab/src/main/java/wheatspread/lab/memory/MemoryCrowd.java
+++ b/lab/src/main/java/wheatspread/lab/memory/MemoryCrowd.java
@@ -50,7 +50,7 @@
         group = new MultiThreadIoEventLoopGroup(1, turns);
         loop = group.next();
         clock = new EventLoopClock(turns);
-        turns.usedBy(clock::nowMicros);
+        turns.setConnectionClock(clock::nowMicros);
         Core core;
         try (StandInServices parties = new StandInServices(RUN, RUN)) {
             ServerConfig config =
@@ -59,12 +59,12 @@
                     config.site(),
                     settings -> new SfqAdmissionController(settings, 1),
                     clock,
-                    (job, body, patience, to) -> clock.after(RUN, () -> to.ended(Outcome.OK, body))::cancel,
+                    (job, body, patience, to) -> clock.schedule(RUN, () -> to.onCallEnded(Outcome.OK, body))::cancel,
                     accepting -> {},
                     EventLog.NONE);
         }
-        core.attach(new Runs(core));
-        ConnectionLimits usual = ConnectionLimits.usual(count);
+        core.attachKernel(new Runs(core));
+        ConnectionLimits usual = ConnectionLimits.defaults(count);
         ConnectionLimits own = new ConnectionLimits(
                 count,
                 0,
@@ -74,12 +74,12 @@
                 60_000_000,
                 idle,
                 2_000_000,
-                usual.toSpeak(),
-                usual.mostHeld(),
-                usual.mostWaiting(),
-                usual.refusal());
+                usual.evictionGraceMicros(),
+                usual.maxPartialBytes(),
+                usual.maxPendingWriteBytes(),
+                usual.rejection());
         listener = new Listener(loop, turns, clock, new RpcFront(core, clock), own, EventLog.NONE);
-        loop.submit(() -> core.booted(false, 20_000_000)).syncUninterruptibly();
+        loop.submit(() -> core.onBooted(false, 20_000_000)).syncUninterruptibly();
     }
 
     /** A kernel whose runs all take the same time and ask for no call. */
@@ -92,12 +92,12 @@
 
         @Override
         public void run(String job, String kind, byte[] body) {
-            clock.after(RUN, () -> to.ended(job, End.OK, RUN, body));
+            clock.schedule(RUN, () -> to.onRunEnded(job, End.OK, RUN, body));
         }
 
         @Override
-        public void pause(String job) {
-            to.ended(job, End.STOPPED, RUN, null);
+        public void suspend(String job) {
+            to.onRunEnded(job, End.STOPPED, RUN, null);
         }
 
         @Override
@@ -106,18 +106,18 @@
         }
 
         @Override
-        public void callDone(String job, byte[] reply) {
+        public void completeDependencyCall(String job, byte[] reply) {
             throw new IllegalStateException("no run asks for a call");
         }
 
         @Override
-        public void skipCall(String job, long notice) {
+        public void skipDependencyCall(String job, long notice) {
             throw new IllegalStateException("no run asks for a call");
         }
 
         @Override
-        public void askGauges() {
-            to.gauges(new double[] {0.3, 1, 0.1, 10});
+        public void requestGauges() {
+            to.onGauges(new double[] {0.3, 1, 0.1, 10});
         }
     }
 
@@ -143,7 +143,7 @@
         }
         await(() -> answers.get() >= count, 30);
         figures.put("spoke", answers.get()).put("heap_per_connection", (liveBytes() - empty) / (double) count);
-        TimeUnit.MICROSECONDS.sleep(turns.limits().lately() * 6 / 5); // by now they are asleep
+        TimeUnit.MICROSECONDS.sleep(turns.budget().recentUseMicros() * 6 / 5); // by now they are asleep
         List<byte[]> requests = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             requests.add(Sites.request(
@@ -170,9 +170,9 @@
         began = System.nanoTime();
         await(() -> listener.table().size() == 0, 30);
         return figures.put("expiry_took_ms", (System.nanoTime() - began) / 1_000_000)
-                .put("expiry_left", (Object) inLoop(() -> listener.table().sizeOf(State.RESTING)))
+                .put("expiry_left", (Object) inLoop(() -> listener.table().count(State.IDLE)))
                 .put("expiry_longest_turn_us", inLoop(() -> turns.times().takeLongestMicros()))
-                .put("timers", (Object) inLoop(() -> turns.wheel().size()));
+                .put("timers", (Object) inLoop(() -> turns.timerWheel().size()));
     }
 
     private void hear(MemoryChannel from, ByteBuf bytes) {
--- a/lab/src/main/java/wheatspread/lab/memory/MemoryTransport.java
+++ b/lab/src/main/java/wheatspread/lab/memory/MemoryTransport.java
@@ -31,12 +31,12 @@
     }
 
     @Override
-    public IoHandlerFactory handlers() {
+    public IoHandlerFactory ioHandlers() {
         return Selector::new;
     }
 
     @Override
-    public long shortestWait() {
+    public long minWaitNanos() {
         return 1;
     }
 
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public ClientChannel defer(IoHandle handle, EventLoopScheduler turns) {
+    public ClientChannel deferReads(IoHandle handle, EventLoopScheduler turns) {
         return new Deferring(handle, turns);
     }
 
@@ -71,7 +71,7 @@
         }
 
         @Override
-        protected IoOps mute(IoOps ops) {
+        protected IoOps withoutReadInterest(IoOps ops) {
             return ops;
         }
     }
--- a/lab/src/main/java/wheatspread/lab/model/CapacitySweep.java
+++ b/lab/src/main/java/wheatspread/lab/model/CapacitySweep.java
@@ -151,7 +151,7 @@
                 continue;
             }
             Scenario scenario = situation.scenario(size);
-            ModelRun.Outcome outcome = new ModelRun(scenario, DetectorSettings.USUAL, seed)
+            ModelRun.Outcome outcome = new ModelRun(scenario, DetectorSettings.DEFAULT, seed)
                     .limit(limit)
                     .play();
             JSONObject figures = outcome.figures();
--- a/lab/src/main/java/wheatspread/lab/model/ModelFleet.java
+++ b/lab/src/main/java/wheatspread/lab/model/ModelFleet.java
@@ -76,7 +76,7 @@
         }
 
         void plan() {
-            long next = membership.nextTurn();
+            long next = membership.nextTurnMicros();
             if (next < planned) {
                 planned = next;
                 time.at(next, () -> turn(next));
@@ -87,7 +87,7 @@
             if (planned == at) {
                 planned = Long.MAX_VALUE;
                 run(() -> {
-                    if (membership.nextTurn() <= time.now()) {
+                    if (membership.nextTurnMicros() <= time.now()) {
                         membership.turn(time.now());
                     }
                 });
@@ -117,23 +117,23 @@
                 for (long delay : links.fate(name, receiver, time.now())) {
                     time.at(time.now() + delay + random.nextLong(NEAR, FAR), () -> {
                         Process there = processes.get(receiver);
-                        there.run(() -> there.membership.received(address, message, time.now()));
+                        there.run(() -> there.membership.receive(address, message, time.now()));
                     });
                 }
             }
         }
 
         @Override
-        public void changed(View before, View now, List<Departure> gone) {
+        public void onViewInstalled(View before, View now, List<Departure> gone) {
             View same = views.putIfAbsent(now.id(), now);
             if (same != null && !same.equals(now)) {
                 faults.add("two views " + now.id() + ": " + same + " and " + now + " on " + name);
             }
             if (same == null) {
                 for (Departure one : gone) {
-                    if (one.cause() == Departure.Cause.MISSED) {
-                        Process there = processes.get(one.who().name());
-                        missed.add(new Missed(one.who().name(), time.now(), there.alive));
+                    if (one.cause() == Departure.Cause.REPORTED_DOWN) {
+                        Process there = processes.get(one.member().name());
+                        missed.add(new Missed(one.member().name(), time.now(), there.alive));
                     }
                 }
             }
@@ -171,7 +171,7 @@
         if (first == null) {
             process.membership.start(time.now());
         } else {
-            process.membership.begin(first, time.now());
+            process.membership.startWithView(first, time.now());
         }
         process.plan();
     }
@@ -195,7 +195,7 @@
         processes.forEach((name, one) -> {
             if (one.alive) {
                 View view = one.membership.view();
-                boolean stands = one.membership.stands(time.now());
+                boolean stands = one.membership.isQuorumReachable(time.now());
                 counts.merge(
                         view == null ? "none" : view.id() + " of " + view.size() + (stands ? "" : " old"),
                         1,
@@ -214,7 +214,7 @@
                 if (view == null
                         || view.size() != size
                         || first != null && !first.id().equals(view.id())
-                        || !one.membership.stands(time.now())) {
+                        || !one.membership.isQuorumReachable(time.now())) {
                     return false;
                 }
                 first = view;
@@ -226,7 +226,8 @@
     /** The bytes of the message that carries a whole view, as a server gets it that joins. */
     int bytesOf(View view) {
         MemberId from = view.members().get(0).id();
-        return codec.encode(new Message(from, view.id(), true, 0, new Message.Body.ViewIs(view), List.of())).length;
+        return codec.encode(new Message(from, view.id(), true, 0, new Message.Body.ViewResponse(view), List.of()))
+                .length;
     }
 
     int living() {
--- a/lab/src/main/java/wheatspread/lab/model/ModelSweep.java
+++ b/lab/src/main/java/wheatspread/lab/model/ModelSweep.java
@@ -41,7 +41,7 @@
         Map<String, Double> bytes = new LinkedHashMap<>();
         Map<String, double[]> messages = new LinkedHashMap<>();
         for (int size : sizes) {
-            ModelRun.Outcome outcome = new ModelRun(crash(size), DetectorSettings.USUAL, seed).play();
+            ModelRun.Outcome outcome = new ModelRun(crash(size), DetectorSettings.DEFAULT, seed).play();
             held &= tell("crash in a fleet of " + size, outcome);
             detect.put(size + "", outcome.figures().getDouble("converged_ms"));
             bytes.put(size + "", outcome.figures().getDouble("bytes_per_member_s"));
@@ -93,9 +93,9 @@
 
     private static Map<String, DetectorSettings> detectors() {
         Map<String, DetectorSettings> all = new LinkedHashMap<>();
-        all.put("usual", DetectorSettings.USUAL);
-        all.put("SWIM with suspicion", DetectorSettings.USUAL.suspicious());
-        all.put("SWIM without", DetectorSettings.USUAL.plain());
+        all.put("usual", DetectorSettings.DEFAULT);
+        all.put("SWIM with suspicion", DetectorSettings.DEFAULT.withFixedSuspicion());
+        all.put("SWIM without", DetectorSettings.DEFAULT.withoutSuspicion());
         return all;
     }
 
--- a/lab/src/main/java/wheatspread/lab/scale/HollowHost.java
+++ b/lab/src/main/java/wheatspread/lab/scale/HollowHost.java
@@ -39,7 +39,7 @@
         long overRate;
 
         Lane(Transport transport, String cluster, List<String> seeds, long seed) {
-            EventLoopScheduler turns = new EventLoopScheduler(transport, IterationBudget.USUAL, seed, EventLog.NONE);
+            EventLoopScheduler turns = new EventLoopScheduler(transport, IterationBudget.DEFAULT, seed, EventLog.NONE);
             group = new MultiThreadIoEventLoopGroup(1, turns);
             loop = group.next();
             clock = new EventLoopClock(turns);
@@ -78,7 +78,7 @@
         }
 
         private void startLater(MemberSpec later) {
-            clock.after(RESTART_MICROS, () -> start(later));
+            clock.schedule(RESTART_MICROS, () -> start(later));
         }
 
         /** What it has sent stays in the sums. */
@@ -86,7 +86,7 @@
             members.remove(member.spec().name());
             sent += member.counts().sent();
             sentBytes += member.counts().sentBytes();
-            overRate += member.counts().overRateCount();
+            overRate += member.counts().overRate();
         }
 
         void links(LinkFaults now) {
@@ -168,7 +168,7 @@
                 distrusting += one.distrusts() ? 1 : 0;
                 sent += one.counts().sent();
                 sentBytes += one.counts().sentBytes();
-                overRate += one.counts().overRateCount();
+                overRate += one.counts().overRate();
                 if (one.view() != null) {
                     views.merge(one.view().toString(), 1, Integer::sum);
                 }
--- a/lab/src/main/java/wheatspread/lab/scale/HollowMember.java
+++ b/lab/src/main/java/wheatspread/lab/scale/HollowMember.java
@@ -57,7 +57,7 @@
                 clock,
                 new SplittableRandom(drawn),
                 this);
-        peers.filter(links);
+        peers.setLinkFilter(links);
     }
 
     MemberSpec spec() {
@@ -77,7 +77,7 @@
     void leave(Runnable then) {
         whenLeft = then;
         peers.leave();
-        clock.after(LEAVE_MICROS, this::left);
+        clock.schedule(LEAVE_MICROS, this::left);
     }
 
     private void left() {
@@ -97,7 +97,7 @@
     }
 
     PeerCounters counts() {
-        return peers.counts();
+        return peers.counters();
     }
 
     /** The view that holds here; null before the first. */
@@ -111,13 +111,13 @@
 
     /** Whether it thinks that its view is old. */
     boolean isOld() {
-        return !peers.membership().stands(EventLoopScheduler.micros());
+        return !peers.membership().isQuorumReachable(EventLoopScheduler.monotonicMicros());
     }
 
     /** Whether it waits longer than usual before it accuses others. */
     boolean distrusts() {
         Membership membership = peers.membership();
-        return membership.distrust() > 1;
+        return membership.localHealthMultiplier() > 1;
     }
 
     @Override
@@ -133,7 +133,7 @@
             removed.accept(gone);
         }
         if (whenLeft != null && !in) {
-            clock.soon(this::left);
+            clock.runAfterTurn(this::left);
         }
     }
 }
--- a/lab/src/main/java/wheatspread/lab/settings/UwsgiWire.java
+++ b/lab/src/main/java/wheatspread/lab/settings/UwsgiWire.java
@@ -43,7 +43,7 @@
 
     private static ByteBuf packet(Map<String, String> vars) {
         ByteBuf out = Unpooled.buffer();
-        UwsgiEncoder.write(new UwsgiPacket(UwsgiPacket.REQUEST, 0, vars), out);
+        UwsgiEncoder.write(new UwsgiPacket(UwsgiPacket.REQUEST_MODIFIER, 0, vars), out);
         return out;
     }
 
--- a/server/src/main/java/wheatspread/commands/BenchlinkCommand.java
+++ b/server/src/main/java/wheatspread/commands/BenchlinkCommand.java
@@ -16,7 +16,7 @@
         try {
             new BenchLink(System.in, System.out).serve();
             return ExitCodes.OK;
-        } catch (BenchLink.BadInput e) {
+        } catch (BenchLink.InvalidInputException e) {
             throw new ExitCodes.Failure(ExitCodes.DATA, e.getMessage());
         }
     }
--- a/server/src/main/java/wheatspread/commands/CheckCommand.java
+++ b/server/src/main/java/wheatspread/commands/CheckCommand.java
@@ -55,9 +55,9 @@
             });
         }
         PrintWriter out = spec.commandLine().getOut();
-        faults.kept().forEach(out::println);
-        if (faults.count() > faults.kept().size()) {
-            out.println("and " + (faults.count() - faults.kept().size()) + " more, which are not named");
+        faults.messages().forEach(out::println);
+        if (faults.count() > faults.messages().size()) {
+            out.println("and " + (faults.count() - faults.messages().size()) + " more, which are not named");
         }
         out.println(
                 faults.isEmpty() ? "nothing is wrong" : faults.count() + (faults.count() == 1 ? " fault" : " faults"));
--- a/server/src/main/java/wheatspread/commands/FleetCommand.java
+++ b/server/src/main/java/wheatspread/commands/FleetCommand.java
@@ -78,11 +78,11 @@
         /** Gives a command to the supervisor. */
         JSONObject ask(FleetConfig config, JSONObject command) throws InterruptedException {
             try {
-                JSONObject answer = new CommandSpool(config.dir()).ask(command, ANSWER_MS);
+                JSONObject answer = new CommandSpool(config.directory()).submit(command, ANSWER_MS);
                 if (answer == null) {
                     throw new ExitCodes.Failure(
                             ExitCodes.TRY_LATER,
-                            "no supervisor answers for " + config.dir() + "; the command waits for one");
+                            "no supervisor answers for " + config.directory() + "; the command waits for one");
                 } else if (answer.has("error")) {
                     throw new ExitCodes.Failure(ExitCodes.UNAVAILABLE, answer.getString("error"));
                 }
@@ -112,16 +112,16 @@
         @Override
         public Integer call() throws IOException, InterruptedException {
             FleetConfig config = config();
-            LogSetup.use(config.log().json(), config.log().level(), "fleet");
+            LogSetup.configureOutput(config.log().json(), config.log().level(), "fleet");
             EventLog log = new StructuredLog(
                     new RepeatLimit(
-                            config.log().repeats() * config.members().size(),
-                            config.log().window()),
+                            config.log().maxRepeats() * config.members().size(),
+                            config.log().repeatWindowMicros()),
                     () -> System.nanoTime() / 1_000);
             FleetRunner runner = new FleetRunner(config, log);
-            SignalHandlers.handle("TERM", runner::goDown);
-            SignalHandlers.handle("INT", runner::goDown);
-            if (!SignalHandlers.handle("HUP", runner::reload)) {
+            SignalHandlers.handle("TERM", runner::requestShutDown);
+            SignalHandlers.handle("INT", runner::requestShutDown);
+            if (!SignalHandlers.handle("HUP", runner::requestReload)) {
                 log.error(
                         "signal_ignored",
                         "signals",
@@ -133,7 +133,7 @@
             try {
                 runner.run();
                 return ExitCodes.OK;
-            } catch (FleetRunner.Busy e) {
+            } catch (FleetRunner.SupervisorRunningException e) {
                 throw new ExitCodes.Failure(ExitCodes.TRY_LATER, e.getMessage());
             } finally {
                 LogSetup.flush();
@@ -182,7 +182,7 @@
                                     .put("names", names)
                                     .put("count", count))
                     .getLong("at");
-            return noWait ? ExitCodes.OK : follow(new StatusFile(config.dir()), at);
+            return noWait ? ExitCodes.OK : follow(new StatusFile(config.directory()), at);
         }
 
         private int follow(StatusFile file, long since) throws IOException, InterruptedException {
--- a/server/src/main/java/wheatspread/commands/ServeCommand.java
+++ b/server/src/main/java/wheatspread/commands/ServeCommand.java
@@ -82,9 +82,9 @@
                         all.operator().life().with(readyFile, lockFile, reportFile),
                         stats || all.operator().stats());
         LogConfig told = operator.log();
-        LogSetup.use(told.json(), told.level(), config.name());
-        EventLog log =
-                new StructuredLog(new RepeatLimit(told.repeats(), told.window()), () -> System.nanoTime() / 1_000);
+        LogSetup.configureOutput(told.json(), told.level(), config.name());
+        EventLog log = new StructuredLog(
+                new RepeatLimit(told.maxRepeats(), told.repeatWindowMicros()), () -> System.nanoTime() / 1_000);
         try {
             return serve(config, operator, mark, log, server -> {});
         } finally {
@@ -103,7 +103,7 @@
             throw JsonFields.InvalidValueException.outOfMemory("what the settings ask for");
         }
         int code = server.awaitStopped();
-        if (code == Server.LOOP_ENDED) {
+        if (code == Server.EXIT_EVENT_LOOP_ENDED) {
             log.error("loop_ended");
         }
         return code;
@@ -120,7 +120,7 @@
         }
         try {
             server.lock(mark);
-        } catch (ProcessMarkerFiles.Taken e) {
+        } catch (ProcessMarkerFiles.LockTakenException e) {
             throw new ExitCodes.Failure(ExitCodes.TRY_LATER, e.getMessage());
         } catch (IOException e) {
             throw new ExitCodes.Failure(ExitCodes.CANNOT_CREATE, e.toString());
@@ -140,9 +140,10 @@
     /** From here on a notice to leave finds somebody, in every phase. */
     private static void listenToSignals(Server server, EventLog log) {
         AtomicBoolean interrupted = new AtomicBoolean();
-        boolean heard = SignalHandlers.handle("TERM", () -> server.notice(Event.NOTICE));
+        boolean heard = SignalHandlers.handle("TERM", () -> server.signal(Event.DRAIN));
         // at a terminal the second Ctrl-C means that somebody waits
-        SignalHandlers.handle("INT", () -> server.notice(interrupted.getAndSet(true) ? Event.HURRY : Event.NOTICE));
+        SignalHandlers.handle(
+                "INT", () -> server.signal(interrupted.getAndSet(true) ? Event.DRAIN_IMMEDIATELY : Event.DRAIN));
         heard &= SignalHandlers.handle("HUP", () -> server.reload(() -> ServerConfig.fromEnvironment(System.getenv())));
         if (!heard) { // every reload, or the notice, would pass unseen
             log.error(
--- a/server/src/main/java/wheatspread/commands/StatusCommand.java
+++ b/server/src/main/java/wheatspread/commands/StatusCommand.java
@@ -35,7 +35,7 @@
 
     @Override
     public Integer call() throws IOException {
-        StatusFile file = new StatusFile(config().dir());
+        StatusFile file = new StatusFile(config().directory());
         JSONObject status = file.read();
         if (status == null) {
             throw new ExitCodes.Failure(ExitCodes.TRY_LATER, "no supervisor has run for this fleet");
@@ -52,7 +52,7 @@
     }
 
     private static boolean isStale(JSONObject status, long now) {
-        return now - status.getLong("at") > StatusFile.STALE_MS;
+        return now - status.getLong("at") > StatusFile.STALE_AFTER_MILLIS;
     }
 
     private static boolean inService(JSONObject status, long now) {
--- a/server/src/main/java/wheatspread/commands/TrainCommand.java
+++ b/server/src/main/java/wheatspread/commands/TrainCommand.java
@@ -32,9 +32,9 @@
             Wheatspread.prepared(new ServeCommand()).parseArgs("--stats");
             Configuration all =
                     Configuration.load(Map.of("GW_CONFIG", config.toString(), "GW_LISTEN", "127.0.0.1:0"), null);
-            LogSetup.use(false, "error", all.server().name());
+            LogSetup.configureOutput(false, "error", all.server().name());
             EventLog log = new StructuredLog(new RepeatLimit(1, 1), () -> 0);
-            ServeCommand.serve(all.server(), all.operator(), "", log, server -> server.notice(Event.NOTICE));
+            ServeCommand.serve(all.server(), all.operator(), "", log, server -> server.signal(Event.DRAIN));
             LogSetup.flush();
         } catch (Exception e) {
             System.err.println("wheatspread: no training: " + e);
--- a/server/src/main/java/wheatspread/config/ConfigProblems.java
+++ b/server/src/main/java/wheatspread/config/ConfigProblems.java
@@ -11,7 +11,7 @@
     /** How many faults are kept. */
     public static final int MAX_KEPT = 100;
 
-    private final List<ConfigProblem> kept = new ArrayList<>();
+    private final List<ConfigProblem> messages = new ArrayList<>();
     private long dropped;
 
     /** Adds a fault that is not about one key. */
@@ -21,10 +21,10 @@
 
     /** Adds a fault; one with the message of a kept one is not counted again. */
     void add(ConfigProblem problem) {
-        if (kept.size() >= MAX_KEPT) {
+        if (messages.size() >= MAX_KEPT) {
             dropped++;
-        } else if (kept.stream().noneMatch(other -> other.message().equals(problem.message()))) {
-            kept.add(problem);
+        } else if (messages.stream().noneMatch(other -> other.message().equals(problem.message()))) {
+            messages.add(problem);
         }
     }
 
@@ -35,31 +35,31 @@
     }
 
     public boolean isEmpty() {
-        return kept.isEmpty();
+        return messages.isEmpty();
     }
 
     /** The kept faults. */
     List<ConfigProblem> problems() {
-        return List.copyOf(kept);
+        return List.copyOf(messages);
     }
 
     /** The messages of the kept faults. */
-    public List<String> kept() {
-        return kept.stream().map(ConfigProblem::message).toList();
+    public List<String> messages() {
+        return messages.stream().map(ConfigProblem::message).toList();
     }
 
     /** The message of the first fault, and how many others there are; only if there is one. */
     String summary() {
-        String first = kept.get(0).message();
+        String first = messages.get(0).message();
         if (count() == 1) {
             return first;
         }
-        String named = dropped == 0 ? "them all" : "the first " + kept.size();
+        String named = dropped == 0 ? "them all" : "the first " + messages.size();
         return first + " (and " + (count() - 1) + " more; 'check' names " + named + ")";
     }
 
     /** How many faults there are, including those that are not kept. */
     public long count() {
-        return kept.size() + dropped;
+        return messages.size() + dropped;
     }
 }
--- a/server/src/main/java/wheatspread/config/Configuration.java
+++ b/server/src/main/java/wheatspread/config/Configuration.java
@@ -21,19 +21,19 @@
     private static final int MAX_RECORDS_CONNECTIONS = 40;
 
     /** How many connections the records client may open, given the number of descriptors. */
-    public static int recordsConnections(int sockets) {
+    public static int maxRecordsConnections(int sockets) {
         return Math.min(MAX_RECORDS_CONNECTIONS, sockets / RECORDS_FRACTION);
     }
 
     /** How many connections the platform's protocol may have; fails if the settings leave it none. */
-    public static int platformConnections(ServerConfig server, OperatorConfig operator) {
-        int sockets = server.sockets() - RESERVED_SOCKETS - recordsConnections(server.sockets());
+    public static int maxPlatformConnections(ServerConfig server, OperatorConfig operator) {
+        int sockets = server.maxSockets() - RESERVED_SOCKETS - maxRecordsConnections(server.maxSockets());
         if (operator.maxConnections() > sockets) {
             throw new JsonFields.InvalidValueException(
                     "connections.max is " + operator.maxConnections() + ", and limits.sockets leaves " + sockets);
         }
         sockets = operator.maxConnections() > 0 ? operator.maxConnections() : sockets;
-        sockets -= operator.uwsgi() == null ? 0 : operator.uwsgi().mostConnections();
+        sockets -= operator.uwsgi() == null ? 0 : operator.uwsgi().maxConnections();
         if (sockets < 1) {
             throw new JsonFields.InvalidValueException(
                     "uwsgi.max_connections leaves no sockets to the platform's front");
@@ -73,7 +73,7 @@
                 site = fields == null ? null : ServerConfig.siteOf(fields);
             }
         }
-        OperatorConfig operator = OperatorConfig.NONE;
+        OperatorConfig operator = OperatorConfig.DEFAULT;
         if (operatorFile != null) {
             try {
                 JsonFields fields = OperatorConfig.fields(operatorFile, site);
@@ -85,7 +85,7 @@
         }
         if (problems.isEmpty()) {
             try {
-                platformConnections(server, operator);
+                maxPlatformConnections(server, operator);
             } catch (JsonFields.InvalidValueException e) {
                 problems.addAll(e);
             }
--- a/server/src/main/java/wheatspread/config/FleetConfig.java
+++ b/server/src/main/java/wheatspread/config/FleetConfig.java
@@ -15,18 +15,18 @@
 /**
  * A fleet's file: its members, the builds they run, and how they are checked, started and updated.
  *
- * @param dir the directory of the fleet's state, logs and marker files
+ * @param directory the directory of the fleet's state, logs and marker files
  * @param builds by label, how a process of each build is started
- * @param checkEvery the time between two health checks of a member, in microseconds
- * @param checkTimeout the time limit of a health check, in microseconds
+ * @param checkIntervalMicros the time between two health checks of a member, in microseconds
+ * @param checkTimeoutMicros the time limit of a health check, in microseconds
  */
 public record FleetConfig(
         Path file,
-        Path dir,
+        Path directory,
         Map<String, Build> builds,
         List<MemberConfig> members,
-        long checkEvery,
-        long checkTimeout,
+        long checkIntervalMicros,
+        long checkTimeoutMicros,
         FleetPlan plan,
         LogConfig log) {
     private static final Set<String> KEYS = Set.of(
@@ -49,14 +49,14 @@
     }
 
     static FleetConfig read(Path file, JsonFields fields) {
-        fields.only(KEYS);
+        fields.requireKnownKeys(KEYS);
         Path root = file.toAbsolutePath().getParent();
         Map<String, Build> builds = builds(fields, root);
         List<MemberConfig> members = members(fields, root);
         JsonFields checks = fields.object("checks", true);
-        checks.only(Set.of("every_ms", "timeout_ms", "stale_ms", "bad_after", "hung_ms"));
+        checks.requireKnownKeys(Set.of("every_ms", "timeout_ms", "stale_ms", "bad_after", "hung_ms"));
         JsonFields start = fields.object("start", true);
-        start.only(Set.of("at_once", "timeout_ms", "settle_ms"));
+        start.requireKnownKeys(Set.of("at_once", "timeout_ms", "settle_ms"));
         String build = fields.text("build");
         if (!build.isEmpty() && !builds.containsKey(build)) {
             fields.report("build", "is none of " + builds.keySet() + ": " + build, null);
@@ -82,17 +82,17 @@
                 checks.micros("timeout_ms", 400_000, 10),
                 plan,
                 LogConfig.read(fields.object("log", true)));
-        fields.settle();
+        fields.throwIfInvalid();
         return config;
     }
 
     private static Map<String, Build> builds(JsonFields fields, Path root) {
         Map<String, Build> builds = new LinkedHashMap<>();
         JsonFields all = fields.object("builds", false);
-        for (String label : all.names()) {
+        for (String label : all.keys()) {
             JsonFields build = all.object(label, false);
-            build.only(Set.of("command", "environment"));
-            List<String> command = new ArrayList<>(build.texts("command"));
+            build.requireKnownKeys(Set.of("command", "environment"));
+            List<String> command = new ArrayList<>(build.textList("command"));
             if (command.isEmpty()) {
                 build.report("command", "names no program", null);
             }
@@ -103,7 +103,7 @@
                                     .toString()));
             Map<String, String> environment = new LinkedHashMap<>();
             JsonFields vars = build.object("environment", true);
-            vars.names().forEach(name -> environment.put(name, vars.text(name)));
+            vars.keys().forEach(name -> environment.put(name, vars.text(name)));
             builds.put(label, new Build(label, command, environment));
         }
         if (builds.isEmpty() && fields.has("builds")) {
@@ -117,7 +117,7 @@
         Map<String, String> taken = new HashMap<>();
         String defaultConfig = fields.text("config", "");
         for (JsonFields member : fields.objects("members")) {
-            member.only(Set.of("name", "listen", "config"));
+            member.requireKnownKeys(Set.of("name", "listen", "config"));
             String name = member.text("name");
             if (!name.matches("[A-Za-z0-9][A-Za-z0-9_-]{0,63}")) {
                 member.report("name", "is no name: " + name + "; allowed are up to 64 letters, digits, - and _", null);
@@ -143,8 +143,8 @@
         return members;
     }
 
-    private static FleetPlan.Rolling rolling(JsonFields fields) {
-        fields.only(Set.of(
+    private static FleetPlan.RolloutPolicy rolling(JsonFields fields) {
+        fields.requireKnownKeys(Set.of(
                 "out_share",
                 "out_most",
                 "proven_answers",
@@ -153,7 +153,7 @@
                 "failed_share",
                 "failures",
                 "roll_back"));
-        return new FleetPlan.Rolling(
+        return new FleetPlan.RolloutPolicy(
                 fields.number("out_share", 0.2, 0, 1),
                 fields.integer("out_most", 0, 0, 10_000),
                 fields.integer("proven_answers", 5, 0, 1_000_000),
@@ -164,8 +164,8 @@
                 fields.flag("roll_back", true));
     }
 
-    private static FleetPlan.Backoff backoff(JsonFields fields) {
-        fields.only(Set.of(
+    private static FleetPlan.BackoffPolicy backoff(JsonFields fields) {
+        fields.requireKnownKeys(Set.of(
                 "first_ms",
                 "factor",
                 "longest_ms",
@@ -174,7 +174,7 @@
                 "loop_exits",
                 "loop_within_ms",
                 "hold_ms"));
-        return new FleetPlan.Backoff(
+        return new FleetPlan.BackoffPolicy(
                 fields.micros("first_ms", 200_000, 0),
                 fields.number("factor", 2, 1, 100),
                 fields.micros("longest_ms", 30_000_000, 0),
@@ -194,7 +194,7 @@
                 }
                 ServerConfig.read(ServerConfig.fields(path, Map.of("GW_NAME", "checked", "GW_LISTEN", "127.0.0.1:0")));
             } catch (JsonFields.InvalidValueException e) {
-                e.faults().forEach(messages);
+                e.messages().forEach(messages);
             }
         });
     }
--- a/server/src/main/java/wheatspread/config/JsonFields.java
+++ b/server/src/main/java/wheatspread/config/JsonFields.java
@@ -10,7 +10,7 @@
 /**
  * Typed access to one JSON object of a message or a settings file. A fault is reported with the path of its
  * key. In a message the first fault is thrown. In a file all faults are collected, reading goes on with a
- * substitute value for each, and {@link #settle} throws them together.
+ * substitute value for each, and {@link #throwIfInvalid} throws them together.
  */
 public final class JsonFields {
     private static final int MAX_TIME_MS = 3_600_000;
@@ -62,7 +62,7 @@
         }
 
         /** The messages of {@link #problems}. */
-        public List<String> faults() {
+        public List<String> messages() {
             return problems.stream().map(ConfigProblem::message).toList();
         }
 
@@ -97,7 +97,7 @@
     }
 
     /** Throws the collected faults of the file, if there are any; called once all of it has been read. */
-    public void settle() {
+    public void throwIfInvalid() {
         if (source != null) {
             source.throwIfInvalid();
         }
@@ -241,14 +241,14 @@
     }
 
     /** A time in microseconds that the message or file gives in milliseconds. */
-    public long time(String name) {
+    public long millisAsMicros(String name) {
         return Math.round(number(name) * MICROS_PER_MILLI);
     }
 
     /** The same; the default, in microseconds, if the key is absent. */
-    public long time(String name, long defaultMicros) {
+    public long millisAsMicros(String name, long defaultMicros) {
         if (has(name)) {
-            return time(name);
+            return millisAsMicros(name);
         }
         return Math.round(recordSetting(name, defaultMicros / (double) MICROS_PER_MILLI) * MICROS_PER_MILLI);
     }
@@ -281,7 +281,7 @@
     }
 
     /** The value that a word stands for. */
-    public <T> T word(String name, Map<String, T> words) {
+    public <T> T oneOf(String name, Map<String, T> words) {
         String word = text(name);
         T known = words.get(word);
         if (known == null && map.get(name) instanceof String) {
@@ -295,12 +295,12 @@
         return known == null ? words.values().iterator().next() : known;
     }
 
-    public <T> T word(String name, Map<String, T> words, T defaultValue) {
-        return has(name) ? word(name, words) : recordSetting(name, defaultValue);
+    public <T> T oneOf(String name, Map<String, T> words, T defaultValue) {
+        return has(name) ? oneOf(name, words) : recordSetting(name, defaultValue);
     }
 
     /** A list of texts; empty if the key is absent. */
-    public List<String> texts(String name) {
+    public List<String> textList(String name) {
         List<String> texts = new ArrayList<>();
         for (Object element : list(name)) {
             texts.add(
@@ -376,13 +376,13 @@
     }
 
     /** Creates the exception for a fault of a key; {@code problem} continues a sentence that begins with the key. */
-    public InvalidValueException bad(String name, String problem) {
+    public InvalidValueException invalidValue(String name, String problem) {
         return invalidValue(name, problem, null);
     }
 
     /** Reports every other key, since a misspelt key must not count as an absent one. */
-    public void only(Set<String> keys) {
-        for (String name : names()) {
+    public void requireKnownKeys(Set<String> keys) {
+        for (String name : keys()) {
             if (!keys.contains(name)) {
                 String allowed = new TreeSet<>(keys).toString();
                 report(name, "is an unknown key; known are " + allowed, allowed, null);
@@ -390,7 +390,7 @@
         }
     }
 
-    public Set<String> names() {
+    public Set<String> keys() {
         return map.keySet();
     }
 
--- a/server/src/main/java/wheatspread/config/LifeConfig.java
+++ b/server/src/main/java/wheatspread/config/LifeConfig.java
@@ -10,15 +10,15 @@
  * @param readyFile exists from the moment the server is healthy until it starts to drain
  * @param lockFile is locked while the process runs and holds its process id; a second process ends at once
  * @param reportFile gets the report of the graceful shutdown
- * @param kernelWait how long the kernel may take to come up before the process ends, in microseconds; 0 for no
+ * @param kernelTimeoutMicros how long the kernel may take to come up before the process ends, in microseconds; 0 for no
  *     limit
  */
-public record LifeConfig(Path readyFile, Path lockFile, Path reportFile, long kernelWait) {
+public record LifeConfig(Path readyFile, Path lockFile, Path reportFile, long kernelTimeoutMicros) {
     /** The defaults, which hold on the platform. */
-    public static final LifeConfig USUAL = new LifeConfig(null, null, null, 0);
+    public static final LifeConfig DEFAULT = new LifeConfig(null, null, null, 0);
 
     static LifeConfig read(JsonFields fields) {
-        fields.only(Set.of("ready_file", "lock_file", "report_file", "kernel_wait_ms"));
+        fields.requireKnownKeys(Set.of("ready_file", "lock_file", "report_file", "kernel_wait_ms"));
         return new LifeConfig(
                 path(fields, "ready_file"),
                 path(fields, "lock_file"),
@@ -41,6 +41,6 @@
                 ready == null ? readyFile : ready,
                 lock == null ? lockFile : lock,
                 report == null ? reportFile : report,
-                kernelWait);
+                kernelTimeoutMicros);
     }
 }
--- a/server/src/main/java/wheatspread/config/MembershipConfig.java
+++ b/server/src/main/java/wheatspread/config/MembershipConfig.java
@@ -21,7 +21,7 @@
     private static final int MAX_TEXT_CHARS = 64;
 
     static MembershipConfig read(JsonFields fields) {
-        fields.only(Set.of("cluster", "listen", "advertise", "seeds", "zone"));
+        fields.requireKnownKeys(Set.of("cluster", "listen", "advertise", "seeds", "zone"));
         String cluster = text(fields, "cluster", fields.text("cluster"));
         if (cluster.isBlank() && fields.has("cluster")) {
             fields.report("cluster", "is empty; give the fleet a name", null);
@@ -34,12 +34,12 @@
         String advertise = anyAddress || fields.has("advertise")
                 ? address(fields, "advertise", fields.text("advertise", listen))
                 : listen;
-        List<String> seeds = fields.texts("seeds");
-        if (seeds.isEmpty() || seeds.size() > Membership.MOST_SEEDS || new HashSet<>(seeds).size() < seeds.size()) {
+        List<String> seeds = fields.textList("seeds");
+        if (seeds.isEmpty() || seeds.size() > Membership.MAX_SEEDS || new HashSet<>(seeds).size() < seeds.size()) {
             fields.report(
                     "seeds",
                     "holds " + seeds.size() + " addresses; allowed are 1 to "
-                            + Membership.MOST_SEEDS
+                            + Membership.MAX_SEEDS
                             + " different ones, best 3 or 5",
                     null);
         }
@@ -56,7 +56,7 @@
 
     /** Host names are not resolved: that would block the event loop. */
     private static String address(JsonFields fields, String key, String text) {
-        if (PeerAddress.isOne(text)) {
+        if (PeerAddress.isValid(text)) {
             return text;
         }
         return fields.has(key)
--- a/server/src/main/java/wheatspread/config/OperatorConfig.java
+++ b/server/src/main/java/wheatspread/config/OperatorConfig.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Set;
 import wheatspread.connections.ConnectionLimits;
-import wheatspread.connections.ConnectionLimits.Refusal;
+import wheatspread.connections.ConnectionLimits.Rejection;
 import wheatspread.core.DeploymentSettings;
 import wheatspread.scheduling.IterationBudget;
 
@@ -15,7 +15,7 @@
  * @param uwsgi null if the uwsgi protocol is off
  * @param maxConnections of all protocols together; 0 for as many as the descriptors allow
  * @param connections the limits of every protocol's connections, except for their number
- * @param turns the budget of an event-loop iteration
+ * @param iterationBudget the budget of an event-loop iteration
  * @param transport {@code nio}, {@code epoll} or {@code auto}
  * @param reportSeconds how often counters are logged; 0 for at the end only
  * @param stats whether the method {@code stats} is on
@@ -25,7 +25,7 @@
         UwsgiConfig uwsgi,
         int maxConnections,
         ConnectionLimits connections,
-        IterationBudget turns,
+        IterationBudget iterationBudget,
         String transport,
         int reportSeconds,
         LogConfig log,
@@ -33,20 +33,20 @@
         boolean stats,
         MembershipConfig membership) {
     /** The defaults, which hold without a file, as on the platform. */
-    public static final OperatorConfig NONE = new OperatorConfig(
+    public static final OperatorConfig DEFAULT = new OperatorConfig(
             null,
             0,
-            ConnectionLimits.usual(0),
-            IterationBudget.USUAL,
+            ConnectionLimits.defaults(0),
+            IterationBudget.DEFAULT,
             "nio",
             0,
-            LogConfig.USUAL,
-            LifeConfig.USUAL,
+            LogConfig.DEFAULT,
+            LifeConfig.DEFAULT,
             false,
             null);
 
-    private static final Map<String, Refusal> REFUSALS =
-            Map.of("close", Refusal.CLOSE, "reset", Refusal.RESET, "answer", Refusal.ANSWER);
+    private static final Map<String, Rejection> REFUSALS =
+            Map.of("close", Rejection.CLOSE, "reset", Rejection.RESET, "answer", Rejection.ANSWER);
     private static final Map<String, String> TRANSPORTS = Map.of("nio", "nio", "epoll", "epoll", "auto", "auto");
 
     /** Reads and checks a file; {@code site} is the deployment that it names classes and tenants of. */
@@ -60,7 +60,7 @@
     }
 
     static OperatorConfig read(JsonFields fields, DeploymentSettings site) {
-        fields.only(
+        fields.requireKnownKeys(
                 Set.of("uwsgi", "connections", "turns", "transport", "report_s", "log", "life", "stats", "membership"));
         UwsgiConfig uwsgi = fields.has("uwsgi") ? UwsgiConfig.read(fields.object("uwsgi", false), site) : null;
         JsonFields connections = fields.object("connections", true);
@@ -68,19 +68,19 @@
                 uwsgi,
                 connections.integer("max", 0, 0, 1 << 20),
                 limits(connections),
-                turns(fields.object("turns", true)),
-                fields.word("transport", TRANSPORTS, "auto"),
+                iterationBudget(fields.object("turns", true)),
+                fields.oneOf("transport", TRANSPORTS, "auto"),
                 fields.integer("report_s", 0, 0, 3_600),
                 LogConfig.read(fields.object("log", true)),
                 LifeConfig.read(fields.object("life", true)),
                 fields.flag("stats", false),
                 fields.has("membership") ? MembershipConfig.read(fields.object("membership", false)) : null);
-        fields.settle();
+        fields.throwIfInvalid();
         return config;
     }
 
     private static ConnectionLimits limits(JsonFields fields) {
-        fields.only(Set.of(
+        fields.requireKnownKeys(Set.of(
                 "max",
                 "max_per_source",
                 "accepts_per_s",
@@ -93,30 +93,31 @@
                 "max_partial_kb",
                 "max_waiting_kb",
                 "refused"));
-        ConnectionLimits defaults = NONE.connections;
+        ConnectionLimits defaults = DEFAULT.connections;
         return new ConnectionLimits(
                 0,
                 fields.integer("max_per_source", defaults.maxPerSource(), 0, 1 << 20),
                 fields.integer("accepts_per_s", defaults.acceptsPerSecond(), 0, 1_000_000),
                 fields.integer("accept_burst", defaults.acceptBurst(), 1, 1_000_000),
-                fields.micros("first_request_ms", defaults.firstRequest(), 10),
-                fields.micros("whole_request_ms", defaults.wholeRequest(), 10),
+                fields.micros("first_request_ms", defaults.firstByteTimeoutMicros(), 10),
+                fields.micros("whole_request_ms", defaults.messageTimeoutMicros(), 10),
                 fields.micros("idle_timeout_ms", defaults.idleTimeoutMicros(), 0),
-                fields.micros("leaving_ms", defaults.lingering(), 10),
-                fields.micros("to_speak_ms", defaults.toSpeak(), 0),
-                fields.integer("max_partial_kb", (int) (defaults.mostHeld() >> 10), 64, 1 << 20) * 1024L,
-                fields.integer("max_waiting_kb", (int) (defaults.mostWaiting() >> 10), 256, 1 << 20) * 1024L,
-                fields.word("refused", REFUSALS, defaults.refusal()));
+                fields.micros("leaving_ms", defaults.lingerTimeoutMicros(), 10),
+                fields.micros("to_speak_ms", defaults.evictionGraceMicros(), 0),
+                fields.integer("max_partial_kb", (int) (defaults.maxPartialBytes() >> 10), 64, 1 << 20) * 1024L,
+                fields.integer("max_waiting_kb", (int) (defaults.maxPendingWriteBytes() >> 10), 256, 1 << 20) * 1024L,
+                fields.oneOf("refused", REFUSALS, defaults.rejection()));
     }
 
-    private static IterationBudget turns(JsonFields fields) {
-        fields.only(Set.of("read_kb", "requests", "read_us", "lately_ms", "sleepers_part", "crowd", "expiring"));
-        IterationBudget defaults = IterationBudget.USUAL;
+    private static IterationBudget iterationBudget(JsonFields fields) {
+        fields.requireKnownKeys(
+                Set.of("read_kb", "requests", "read_us", "lately_ms", "sleepers_part", "crowd", "expiring"));
+        IterationBudget defaults = IterationBudget.DEFAULT;
         return new IterationBudget(
                 fields.integer("read_kb", defaults.maxBytes() >> 10, 4, 1 << 16) << 10,
                 fields.integer("requests", defaults.maxRequests(), 1, 100_000),
                 fields.integer("read_us", defaults.maxReadMicros(), 100, 1_000_000),
-                fields.micros("lately_ms", defaults.lately(), 0),
+                fields.micros("lately_ms", defaults.recentUseMicros(), 0),
                 fields.integer("sleepers_part", defaults.readsPerIdleRead(), 2, 1_000),
                 fields.integer("crowd", defaults.burstThreshold(), 1, 1 << 20),
                 fields.integer("expiring", defaults.maxExpirations(), 1, 100_000));
@@ -126,18 +127,18 @@
     public ConnectionLimits uwsgiLimits() {
         ConnectionLimits common = connections;
         return new ConnectionLimits(
-                uwsgi.mostConnections(),
+                uwsgi.maxConnections(),
                 common.maxPerSource(),
                 common.acceptsPerSecond(),
                 common.acceptBurst(),
-                common.firstRequest(),
+                common.firstByteTimeoutMicros(),
                 uwsgi.readTimeoutMicros(),
                 uwsgi.idleTimeoutMicros(),
-                common.lingering(),
-                common.toSpeak(),
-                common.mostHeld(),
-                common.mostWaiting(),
-                common.refusal());
+                common.lingerTimeoutMicros(),
+                common.evictionGraceMicros(),
+                common.maxPartialBytes(),
+                common.maxPendingWriteBytes(),
+                common.rejection());
     }
 
     /** This configuration with other settings for the process and for {@code stats}. */
@@ -146,7 +147,7 @@
                 uwsgi,
                 maxConnections,
                 connections,
-                turns,
+                iterationBudget,
                 transport,
                 reportSeconds,
                 log,
--- a/server/src/main/java/wheatspread/config/RouteReader.java
+++ b/server/src/main/java/wheatspread/config/RouteReader.java
@@ -51,9 +51,9 @@
 
     @Override
     public void read(int index, JsonFields element) {
-        Match match = element.word("match", MATCHES);
+        Match match = element.oneOf("match", MATCHES);
         String path = element.text("path");
-        element.only(KEYS);
+        element.requireKnownKeys(KEYS);
         routes.add(new Route(
                 match,
                 path,
@@ -104,7 +104,7 @@
         return new Defaults(
                 fields.requestClass() == INHERITED ? inherited.requestClass() : fields.requestClass(),
                 fields.tenant() == INHERITED ? inherited.tenant() : fields.tenant(),
-                fields.limit() == INHERITED ? inherited.limit() : fields.limit(),
+                fields.timeoutMicros() == INHERITED ? inherited.timeoutMicros() : fields.timeoutMicros(),
                 fields.expectedWorkMicros() == INHERITED ? inherited.expectedWorkMicros() : fields.expectedWorkMicros(),
                 fields.memoryKb() == INHERITED ? inherited.memoryKb() : fields.memoryKb());
     }
@@ -114,7 +114,9 @@
         return new Defaults(
                 index(fields, "class", site == null ? null : site.classes(), inherited.requestClass()),
                 index(fields, "tenant", site == null ? null : site.tenants(), inherited.tenant()),
-                fields.has("limit_ms") ? fields.integer("limit_ms", 0, 0, 3_600_000) * 1000L : inherited.limit(),
+                fields.has("limit_ms")
+                        ? fields.integer("limit_ms", 0, 0, 3_600_000) * 1000L
+                        : inherited.timeoutMicros(),
                 fields.has("cpu_ms") ? Math.round(positive(fields, "cpu_ms") * 1000) : inherited.expectedWorkMicros(),
                 fields.has("ram_kb") ? positive(fields, "ram_kb") : inherited.memoryKb());
     }
--- a/server/src/main/java/wheatspread/config/ServerConfig.java
+++ b/server/src/main/java/wheatspread/config/ServerConfig.java
@@ -15,10 +15,10 @@
  * @param records where the records service is; null if the deployment has none, since no class calls it
  * @param announce where the announce service is; null if the deployment has none
  * @param control where the operators' endpoint listens ({@code control}, {@code GW_CONTROL}); null for none
- * @param inherited the descriptor of an inherited listening socket for {@code listen}
+ * @param inheritedDescriptor the descriptor of an inherited listening socket for {@code listen}
  *     ({@code GW_INHERITED_FD}); -1 if the server binds its own
- * @param shared the directory in which the processes of an upgrade share the idempotency keys that either ran
- *     ({@code shared}; {@code $TMPDIR} if a socket is inherited); null for none
+ * @param sharedDirectory the directory in which the processes of an upgrade share the idempotency keys that either ran
+ *     ({@code sharedDirectory}; {@code $TMPDIR} if a socket is inherited); null for none
  */
 public record ServerConfig(
         String name,
@@ -27,12 +27,12 @@
         InetSocketAddress records,
         InetSocketAddress announce,
         long seed,
-        long stopMicros,
-        int sockets,
+        long shutdownTimeoutMicros,
+        int maxSockets,
         DeploymentSettings site,
         InetSocketAddress control,
-        int inherited,
-        Path shared) {
+        int inheritedDescriptor,
+        Path sharedDirectory) {
     private static final int DEFAULT_STOP_MS = 3_000;
     private static final int DEFAULT_SOCKETS = 1_024;
     /** The key that {@code GW_INHERITED_FD} overrides. */
@@ -78,19 +78,19 @@
                 other.records,
                 other.announce,
                 seed,
-                stopMicros,
-                sockets,
+                shutdownTimeoutMicros,
+                maxSockets,
                 site,
                 control,
-                inherited,
-                shared);
+                inheritedDescriptor,
+                sharedDirectory);
     }
 
     /**
      * Checks the file of a reload: it must not lack the address of a service that the server uses, although
      * the address is optional at the start.
      */
-    public void requireWhatItHad(ServerConfig next) {
+    public void requireNoServiceRemoved(ServerConfig next) {
         requireNotRemoved("records", records, next.records);
         requireNotRemoved("announce", announce, next.announce);
     }
@@ -118,7 +118,7 @@
                 addressOrNone(fields, "control"),
                 fields.integer(INHERITED, -1, -1, 1 << 20),
                 fields.has("shared") ? Path.of(fields.text("shared")) : null);
-        fields.settle();
+        fields.throwIfInvalid();
         return config;
     }
 
--- a/server/src/main/java/wheatspread/config/SettingsReader.java
+++ b/server/src/main/java/wheatspread/config/SettingsReader.java
@@ -62,30 +62,30 @@
                 family.number("KbPerKey", 0),
                 rules.number("TipMultiple"),
                 rules.number("ColdFrom", 1),
-                rules.time("Cold", 0),
-                rules.time("AnswerSlack", 0),
-                rules.time("DrainGrace", 0));
+                rules.millisAsMicros("Cold", 0),
+                rules.millisAsMicros("AnswerSlack", 0),
+                rules.millisAsMicros("DrainGrace", 0));
         DependencyLimits dependency = new DependencyLimits(
-                family.word("DependsOn", DEPENDENCY_KINDS, DependencyKind.NONE),
+                family.oneOf("DependsOn", DEPENDENCY_KINDS, DependencyKind.NONE),
                 family.number("CallsOut", 0),
-                family.time("DepWindow", 0),
-                family.time("Linger", 0));
+                family.millisAsMicros("DepWindow", 0),
+                family.millisAsMicros("Linger", 0));
         ClientSettings clients = new ClientSettings(
                 (int) family.number("Callers", 0),
-                family.word("Say", LOAD_FEEDBACK_MODES, LoadFeedbackMode.NONE),
-                family.time("Heeded", 0),
-                ceilings.flag("RetryAfter") ? ceilings.time("MaxRetryAfter", 0) : 0,
+                family.oneOf("Say", LOAD_FEEDBACK_MODES, LoadFeedbackMode.NONE),
+                family.millisAsMicros("Heeded", 0),
+                ceilings.flag("RetryAfter") ? ceilings.millisAsMicros("MaxRetryAfter", 0) : 0,
                 family.flag("RegistryFollows"),
-                family.time("Idle", 0),
+                family.millisAsMicros("Idle", 0),
                 costs.number("Handshake", 0),
                 costs.number("Connection", 0));
         return new AdmissionSettings(
                 (int) family.integer("NCores"),
                 (int) info.number("ReplicasOfMe", 0),
                 family.flag("Cold"),
-                family.word("Halt", PREEMPTION_MODES, PreemptionMode.NONE),
-                family.time("Fresh", 0),
-                info.time("Resolution", 0),
+                family.oneOf("Halt", PREEMPTION_MODES, PreemptionMode.NONE),
+                family.millisAsMicros("Fresh", 0),
+                info.millisAsMicros("Resolution", 0),
                 limits,
                 dependency,
                 clients,
@@ -94,15 +94,15 @@
     }
 
     private static RequestClass requestClass(JsonFields classFields, JsonFields family, int index) {
-        long deadlineMicros = classFields.time("Deadline");
+        long deadlineMicros = classFields.millisAsMicros("Deadline");
         return new RequestClass(
-                classFields.time("Aim", deadlineMicros),
+                classFields.millisAsMicros("Aim", deadlineMicros),
                 classFields.number("AimStretch", 0),
                 deadlineMicros,
-                classFields.word("Effect", IDEMPOTENCY),
+                classFields.oneOf("Effect", IDEMPOTENCY),
                 classFields.number("Worth", 1),
                 classFields.number("LateWorth", 0),
-                classFields.time("Window", 0),
+                classFields.millisAsMicros("Window", 0),
                 nth(family, "ClassCalls", index) == Boolean.TRUE,
                 nth(family, "ClassSkipWorth", index) instanceof Number n ? n.doubleValue() : 0);
     }
--- a/server/src/main/java/wheatspread/config/SettingsSource.java
+++ b/server/src/main/java/wheatspread/config/SettingsSource.java
@@ -110,7 +110,7 @@
 
     /** The messages of the faults; of very many the first ones. */
     public List<String> messages() {
-        return problems.kept();
+        return problems.messages();
     }
 
     /** The settings that hold, in the order in which they were read. */
--- a/server/src/main/java/wheatspread/config/UwsgiConfig.java
+++ b/server/src/main/java/wheatspread/config/UwsgiConfig.java
@@ -12,7 +12,7 @@
  */
 public record UwsgiConfig(
         InetSocketAddress listen,
-        int mostConnections,
+        int maxConnections,
         int maxVarsBytes,
         int maxBodyBytes,
         long readTimeoutMicros,
@@ -35,9 +35,16 @@
     private static final Set<String> DEFAULT_KEYS = Set.of("class", "tenant", "limit_ms", "cpu_ms", "ram_kb");
 
     /** The names of the vars that carry a request's parameters. */
-    public record Vars(String kind, String tenant, String limit, String hint, String ram, String unique, String item) {
+    public record Vars(
+            String requestClass,
+            String tenant,
+            String timeout,
+            String expectedWork,
+            String memory,
+            String idempotencyKey,
+            String cacheKey) {
         /** The default names. */
-        public static final Vars USUAL = new Vars(
+        public static final Vars DEFAULT = new Vars(
                 "RECIPE_CLASS",
                 "RECIPE_TENANT",
                 "RECIPE_LIMIT_MS",
@@ -48,7 +55,8 @@
     }
 
     /** The defaults of missing parameters; an index of -1 and a timeout of 0 mean that there is no default. */
-    public record Defaults(int requestClass, int tenant, long limit, long expectedWorkMicros, double memoryKb) {}
+    public record Defaults(
+            int requestClass, int tenant, long timeoutMicros, long expectedWorkMicros, double memoryKb) {}
 
     /** How a path is matched, as by the location forms of nginx. */
     public enum Match {
@@ -66,21 +74,21 @@
     public record Route(Match match, String path, Pattern pattern, Defaults defaults, List<Route> routes) {}
 
     static UwsgiConfig read(JsonFields fields, DeploymentSettings site) {
-        fields.only(KEYS);
+        fields.requireKnownKeys(KEYS);
         JsonFields names = fields.object("vars", true);
-        names.only(Set.of("class", "tenant", "limit_ms", "cpu_ms", "ram_kb", "unique", "item"));
-        Vars defaultNames = Vars.USUAL;
+        names.requireKnownKeys(Set.of("class", "tenant", "limit_ms", "cpu_ms", "ram_kb", "unique", "item"));
+        Vars defaultNames = Vars.DEFAULT;
         Vars vars = new Vars(
-                names.text("class", defaultNames.kind),
+                names.text("class", defaultNames.requestClass),
                 names.text("tenant", defaultNames.tenant),
-                names.text("limit_ms", defaultNames.limit),
-                names.text("cpu_ms", defaultNames.hint),
-                names.text("ram_kb", defaultNames.ram),
-                names.text("unique", defaultNames.unique),
-                names.text("item", defaultNames.item));
+                names.text("limit_ms", defaultNames.timeout),
+                names.text("cpu_ms", defaultNames.expectedWork),
+                names.text("ram_kb", defaultNames.memory),
+                names.text("unique", defaultNames.idempotencyKey),
+                names.text("item", defaultNames.cacheKey));
         Defaults none = new Defaults(-1, -1, 0, 0, 24);
         JsonFields defaultFields = fields.object("defaults", true);
-        defaultFields.only(DEFAULT_KEYS);
+        defaultFields.requireKnownKeys(DEFAULT_KEYS);
         Defaults defaults = RouteReader.defaults(defaultFields, none, site);
         RouteReader routes = fields.largeList("routes", RouteReader.class, () -> new RouteReader(site));
         fields.summary("routes", routes.size() + " routes");
--- a/server/src/main/java/wheatspread/connections/Connection.java
+++ b/server/src/main/java/wheatspread/connections/Connection.java
@@ -15,7 +15,7 @@
         /** Requests are open, and no further message has begun. */
         AWAITING_ANSWERS,
         /** Idle: it has sent requests before, and all of them are answered. */
-        RESTING,
+        IDLE,
         /** No more requests are read; the open ones wait for their answers. */
         DRAINING,
         /** Everything is answered and the output is shut; it stays until the caller closes too. */
@@ -151,7 +151,7 @@
         if (openRequests > 0) {
             return State.AWAITING_ANSWERS;
         }
-        return hasSentRequest ? State.RESTING : State.NEW;
+        return hasSentRequest ? State.IDLE : State.NEW;
     }
 
     // ---- the links of the table's lists ----
--- a/server/src/main/java/wheatspread/connections/ConnectionCounters.java
+++ b/server/src/main/java/wheatspread/connections/ConnectionCounters.java
@@ -71,7 +71,7 @@
         switch (state) {
             case NEW -> expiredSilent++;
             case PARTIAL_MESSAGE -> expiredPartial++;
-            case RESTING -> expiredIdle++;
+            case IDLE -> expiredIdle++;
             default -> expiredLingering++;
         }
     }
--- a/server/src/main/java/wheatspread/connections/ConnectionLimits.java
+++ b/server/src/main/java/wheatspread/connections/ConnectionLimits.java
@@ -7,37 +7,37 @@
  * @param maxPerSource connections of one address at a time; 0 for no limit but the one for all
  * @param acceptsPerSecond how fast connections are accepted; 0 for no limit
  * @param acceptBurst how many may be accepted at once after a pause
- * @param firstRequest time limit from the accept to the first byte
- * @param wholeRequest time limit from the first to the last byte of a message
+ * @param firstByteTimeoutMicros time limit from the accept to the first byte
+ * @param messageTimeoutMicros time limit from the first to the last byte of a message
  * @param idleTimeoutMicros time limit for an idle connection; 0 for none
- * @param lingering time limit for a lingering connection that does not take its answers
- * @param toSpeak a connection that sends nothing for longer is evicted before others
- * @param mostHeld bytes of partial messages, over all connections
- * @param mostWaiting bytes of answers that stalled callers do not read, over all connections
- * @param refusal what a rejected connection gets
+ * @param lingerTimeoutMicros time limit for a lingering connection that does not take its answers
+ * @param evictionGraceMicros a connection that sends nothing for longer is evicted before others
+ * @param maxPartialBytes bytes of partial messages, over all connections
+ * @param maxPendingWriteBytes bytes of answers that stalled callers do not read, over all connections
+ * @param rejection what a rejected connection gets
  */
 public record ConnectionLimits(
         int maxConnections,
         int maxPerSource,
         int acceptsPerSecond,
         int acceptBurst,
-        long firstRequest,
-        long wholeRequest,
+        long firstByteTimeoutMicros,
+        long messageTimeoutMicros,
         long idleTimeoutMicros,
-        long lingering,
-        long toSpeak,
-        long mostHeld,
-        long mostWaiting,
-        Refusal refusal) {
+        long lingerTimeoutMicros,
+        long evictionGraceMicros,
+        long maxPartialBytes,
+        long maxPendingWriteBytes,
+        Rejection rejection) {
     /** What a rejected connection gets: an orderly close, a reset, or an answer and an orderly close. */
-    public enum Refusal {
+    public enum Rejection {
         CLOSE,
         RESET,
         ANSWER
     }
 
     /** The limits that hold unless the operator's file says otherwise. */
-    public static ConnectionLimits usual(int maxConnections) {
+    public static ConnectionLimits defaults(int maxConnections) {
         return new ConnectionLimits(
                 maxConnections,
                 0,
@@ -50,23 +50,23 @@
                 200_000,
                 8 << 20,
                 12 << 20,
-                Refusal.CLOSE);
+                Rejection.CLOSE);
     }
 
     /** The same limits for another number of connections. */
-    public ConnectionLimits with(int connections) {
+    public ConnectionLimits withMaxConnections(int connections) {
         return new ConnectionLimits(
                 connections,
                 maxPerSource,
                 acceptsPerSecond,
                 acceptBurst,
-                firstRequest,
-                wholeRequest,
+                firstByteTimeoutMicros,
+                messageTimeoutMicros,
                 idleTimeoutMicros,
-                lingering,
-                toSpeak,
-                mostHeld,
-                mostWaiting,
-                refusal);
+                lingerTimeoutMicros,
+                evictionGraceMicros,
+                maxPartialBytes,
+                maxPendingWriteBytes,
+                rejection);
     }
 }
--- a/server/src/main/java/wheatspread/connections/ConnectionTable.java
+++ b/server/src/main/java/wheatspread/connections/ConnectionTable.java
@@ -25,7 +25,7 @@
     private long partialBytes;
     private long idleTimeoutMicros;
 
-    /** {@code expiryChanged} is run when a limit may end sooner than {@link #soonest} said before. */
+    /** {@code expiryChanged} is run when a limit may end sooner than {@link #nextExpiryMicros} said before. */
     public ConnectionTable(ConnectionLimits limits, long nowMicros, Runnable expiryChanged) {
         this.limits = limits;
         this.expiryChanged = expiryChanged;
@@ -47,7 +47,7 @@
     }
 
     /** How many connections are in a state. */
-    public int sizeOf(State state) {
+    public int count(State state) {
         return lists.size(state);
     }
 
@@ -97,7 +97,7 @@
      * for longest of the source with most idle ones; last those within the grace.
      */
     private boolean evictOne(long nowMicros) {
-        long graceStartMicros = nowMicros - limits.toSpeak();
+        long graceStartMicros = nowMicros - limits.evictionGraceMicros();
         Connection lingering = lists.first(State.LINGERING);
         if (lingering != null) {
             counters.countEvictedLingering();
@@ -186,11 +186,11 @@
         }
         boolean sameMessage = connection.state() == State.PARTIAL_MESSAGE && !wholeMessages && bytes > 0;
         updateState(connection, sameMessage ? connection.sinceMicros() : nowMicros);
-        while (partialBytes > limits.mostHeld() && lists.first(State.PARTIAL_MESSAGE) != null) {
+        while (partialBytes > limits.maxPartialBytes() && lists.first(State.PARTIAL_MESSAGE) != null) {
             Connection oldest = lists.first(State.PARTIAL_MESSAGE);
             counters.countClosedForMemory();
             drain(oldest, nowMicros);
-            oldest.actions().leave();
+            oldest.actions().drain();
         }
     }
 
@@ -242,7 +242,7 @@
 
     private void place(Connection connection, State state, long sinceMicros) {
         lists.add(connection, state, sinceMicros);
-        if (state == State.RESTING) {
+        if (state == State.IDLE) {
             sources.becameIdle(connection);
         }
         if (lists.first(state) == connection && state != State.AWAITING_ANSWERS) {
@@ -252,7 +252,7 @@
 
     private void remove(Connection connection) {
         lists.remove(connection);
-        if (connection.state() == State.RESTING) {
+        if (connection.state() == State.IDLE) {
             sources.leftIdle(connection);
         }
     }
@@ -277,10 +277,12 @@
     private long timeoutMicros(State state) {
         return switch (state) {
             case NEW ->
-                idleTimeoutMicros == 0 ? limits.firstRequest() : Math.min(idleTimeoutMicros, limits.firstRequest());
-            case PARTIAL_MESSAGE -> limits.wholeRequest();
-            case RESTING -> idleTimeoutMicros;
-            case LINGERING -> limits.lingering();
+                idleTimeoutMicros == 0
+                        ? limits.firstByteTimeoutMicros()
+                        : Math.min(idleTimeoutMicros, limits.firstByteTimeoutMicros());
+            case PARTIAL_MESSAGE -> limits.messageTimeoutMicros();
+            case IDLE -> idleTimeoutMicros;
+            case LINGERING -> limits.lingerTimeoutMicros();
             default -> 0;
         };
     }
@@ -292,15 +294,15 @@
     }
 
     /** When the first limit ends, in microseconds; {@link Long#MAX_VALUE} if none will. */
-    public long soonest() {
+    public long nextExpiryMicros() {
         return Math.min(
                 Math.min(nextExpiryMicros(State.NEW), nextExpiryMicros(State.PARTIAL_MESSAGE)),
-                Math.min(nextExpiryMicros(State.RESTING), nextExpiryMicros(State.LINGERING)));
+                Math.min(nextExpiryMicros(State.IDLE), nextExpiryMicros(State.LINGERING)));
     }
 
     /**
      * Ends the connections past their limit, {@code max} at most, and returns how many were checked. The rest
-     * stays for the next call, and {@link #soonest} shows that there is some.
+     * stays for the next call, and {@link #nextExpiryMicros} shows that there is some.
      */
     public int expire(long nowMicros, int max) {
         int checked = 0;
@@ -316,7 +318,7 @@
     private void expire(Connection connection, long nowMicros) {
         State state = connection.state();
         if (connection.isUnread()
-                || state == State.LINGERING && connection.actions().advances()) {
+                || state == State.LINGERING && connection.actions().madeWriteProgress()) {
             remove(connection);
             place(connection, state, nowMicros); // it waits for this server, or still takes its answers
             return;
@@ -326,7 +328,7 @@
             close(connection);
         } else {
             drain(connection, nowMicros);
-            connection.actions().leave(); // a request on its way must not be answered by a reset
+            connection.actions().drain(); // a request on its way must not be answered by a reset
         }
     }
 
--- a/server/src/main/java/wheatspread/control/ControlConnection.java
+++ b/server/src/main/java/wheatspread/control/ControlConnection.java
@@ -17,24 +17,24 @@
     }
 
     @Override
-    protected int open() {
+    protected int openRequests() {
         return 0;
     }
 
     @Override
-    protected void gone() {
+    protected void clientDisconnected() {
         // a request is answered at once, so none is open
     }
 
     @Override
-    public void lastCall() {
-        if (!midway()) {
-            leave();
+    public void notifyDraining() {
+        if (!hasPartialMessage()) {
+            drain();
         }
     }
 
     @Override
-    protected int read(ByteBuf bytes) {
+    protected int readMessages(ByteBuf bytes) {
         if (answered) {
             bytes.skipBytes(bytes.readableBytes());
             return 0;
@@ -61,8 +61,8 @@
     private void answer(byte[] response) {
         answered = true;
         write(Unpooled.wrappedBuffer(response));
-        answered();
-        leave();
+        answerWritten();
+        drain();
     }
 
     /** The index just after the blank line that ends the head; -1 before it has come. */
--- a/server/src/main/java/wheatspread/control/ControlFront.java
+++ b/server/src/main/java/wheatspread/control/ControlFront.java
@@ -47,7 +47,7 @@
 
     /** The bounds of the endpoint's own connections, apart from those of the recipe traffic. */
     public static ConnectionLimits limits() {
-        ConnectionLimits usual = ConnectionLimits.usual(MAX_CONNECTIONS);
+        ConnectionLimits usual = ConnectionLimits.defaults(MAX_CONNECTIONS);
         return new ConnectionLimits(
                 MAX_CONNECTIONS,
                 0,
@@ -56,20 +56,20 @@
                 REQUEST_TIMEOUT_MICROS,
                 REQUEST_TIMEOUT_MICROS,
                 REQUEST_TIMEOUT_MICROS,
-                usual.lingering(),
-                usual.toSpeak(),
+                usual.lingerTimeoutMicros(),
+                usual.evictionGraceMicros(),
                 MAX_CONNECTIONS * (long) MAX_HEAD_BYTES,
                 MAX_PENDING_BYTES,
-                ConnectionLimits.Refusal.ANSWER);
+                ConnectionLimits.Rejection.ANSWER);
     }
 
     @Override
-    public ClientChannelHandler caller(Listener listener) {
+    public ClientChannelHandler newHandler(Listener listener) {
         return new ControlConnection(listener, this);
     }
 
     @Override
-    public byte[] refusal() {
+    public byte[] rejectionBytes() {
         return response("503 Service Unavailable", "busy\n");
     }
 
--- a/server/src/main/java/wheatspread/control/MetricsPage.java
+++ b/server/src/main/java/wheatspread/control/MetricsPage.java
@@ -10,7 +10,7 @@
  */
 public final class MetricsPage {
     private static final String PREFIX = "edge_gw.";
-    /** The order of the final answers in {@link RequestCounters#byClass}. */
+    /** The order of the final answers in {@link RequestCounters#answersByClass}. */
     private static final int SUCCESS = 0;
 
     private static final int OVERLOAD = 1;
@@ -36,7 +36,7 @@
             long appliedReloads,
             long rejectedReloads) {
         StringBuilder text = new StringBuilder(256);
-        Map<Integer, long[]> repliesByClass = counters.byClass();
+        Map<Integer, long[]> repliesByClass = counters.answersByClass();
         for (int number = 0; number < classes.size(); number++) {
             long[] replies = repliesByClass.getOrDefault(number, NO_REPLIES);
             String name = PREFIX + "replies." + classes.get(number) + ".";
--- a/server/src/main/java/wheatspread/core/ActionExecutor.java
+++ b/server/src/main/java/wheatspread/core/ActionExecutor.java
@@ -120,7 +120,7 @@
         Attempt attempt = attempts.byId(id);
         // the controller asks again at every tick until the stop is confirmed; the kernel is asked once
         if (attempt != null && attempt.requestSuspension()) {
-            kernel.pause(attempt.job());
+            kernel.suspend(attempt.job());
         }
     }
 
--- a/server/src/main/java/wheatspread/core/ActiveSettings.java
+++ b/server/src/main/java/wheatspread/core/ActiveSettings.java
@@ -18,7 +18,7 @@
 
     /** Merges reloaded settings into those in force; see {@link DeploymentSettings}. */
     void reload(DeploymentSettings next) {
-        current = current.retunedTo(next);
+        current = current.reloadedWith(next);
     }
 
     /** Notes whether the kernel started cold, as it said when it booted. */
--- a/server/src/main/java/wheatspread/core/AttachedKernel.java
+++ b/server/src/main/java/wheatspread/core/AttachedKernel.java
@@ -17,8 +17,8 @@
     }
 
     @Override
-    public void pause(String job) {
-        target.pause(job);
+    public void suspend(String job) {
+        target.suspend(job);
     }
 
     @Override
@@ -27,17 +27,17 @@
     }
 
     @Override
-    public void callDone(String job, byte[] reply) {
-        target.callDone(job, reply);
+    public void completeDependencyCall(String job, byte[] reply) {
+        target.completeDependencyCall(job, reply);
     }
 
     @Override
-    public void skipCall(String job, long noticeNumber) {
-        target.skipCall(job, noticeNumber);
+    public void skipDependencyCall(String job, long noticeNumber) {
+        target.skipDependencyCall(job, noticeNumber);
     }
 
     @Override
-    public void askGauges() {
-        target.askGauges();
+    public void requestGauges() {
+        target.requestGauges();
     }
 }
--- a/server/src/main/java/wheatspread/core/Clock.java
+++ b/server/src/main/java/wheatspread/core/Clock.java
@@ -6,10 +6,10 @@
     long nowMicros();
 
     /** Runs a task once, {@code delayMicros} microseconds from now. */
-    Timer after(long delayMicros, Runnable task);
+    Timer schedule(long delayMicros, Runnable task);
 
     /** Runs a task once the input of the current event-loop turn has been read, on the same thread. */
-    void soon(Runnable task);
+    void runAfterTurn(Runnable task);
 
     /** A scheduled task. */
     interface Timer {
--- a/server/src/main/java/wheatspread/core/Core.java
+++ b/server/src/main/java/wheatspread/core/Core.java
@@ -73,7 +73,7 @@
     // ---- settings and collaborators ----
 
     /** The settings in force. */
-    public DeploymentSettings site() {
+    public DeploymentSettings settings() {
         return settings.current();
     }
 
@@ -82,7 +82,7 @@
      * {@link DeploymentSettings}), and returns the result. The controller learns of them before any request of a new
      * class.
      */
-    public DeploymentSettings retune(DeploymentSettings next) {
+    public DeploymentSettings reload(DeploymentSettings next) {
         settings.reload(next);
         idempotencyTable.applySettings(settings.current());
         if (events.started()) {
@@ -93,22 +93,22 @@
     }
 
     /** Shares the claims on idempotency keys with another process of this server, during an upgrade. */
-    public void shareKeysWith(IdempotencyClaims shared) {
+    public void shareIdempotencyClaims(IdempotencyClaims shared) {
         idempotencyTable.shareClaims(shared);
     }
 
     /** Sets the kernel, which needs the core as its listener and so is built after it. */
-    public void attach(Kernel link) {
+    public void attachKernel(Kernel link) {
         kernel.attach(link);
     }
 
     /** Sets who closes connections that were idle for so many microseconds, when the controller asks for it. */
-    public void closeIdleWith(Consumer<Long> closer) {
+    public void setIdleConnectionCloser(Consumer<Long> closer) {
         actions.setIdleConnectionCloser(closer::accept);
     }
 
     /** Sets what to do when the kernel is up for the first time. */
-    public void whenUp(Runnable task) {
+    public void setFirstBootHandler(Runnable task) {
         firstBootHandler = task;
     }
 
@@ -126,22 +126,22 @@
      * Rejects an attempt that is not taken in, because a limit of the front was reached. It never runs; the client
      * is advised to retry after {@code retryAfterMicros}, as far as the settings allow that.
      */
-    public void turnAway(int requestClass, Reply reply, long retryAfterMicros) {
+    public void reject(int requestClass, Reply reply, long retryAfterMicros) {
         lifecycle.rejectUnread(requestClass, reply, retryAfterMicros);
     }
 
     /** The longest Retry-After advice that clients may be given, in microseconds; 0 where the settings allow none. */
-    public long mostStayAway() {
+    public long maxRetryAfterMicros() {
         return settings.maxRetryAfterMicros();
     }
 
     /** The client of an attempt disconnected or cancelled it: no answer is owed any more. */
-    public void gone(Long ticket) {
+    public void cancel(Long ticket) {
         lifecycle.cancel(ticket);
     }
 
     /** The client can send nothing more, but may still read: rejects its attempt if it never ran. */
-    public void refuseUnlessBegun(Long ticket) {
+    public void rejectUnlessStarted(Long ticket) {
         lifecycle.rejectUnlessStarted(ticket);
     }
 
@@ -151,18 +151,18 @@
     }
 
     /** How many attempts are unanswered. */
-    public int open() {
+    public int unansweredCount() {
         return attempts.unanswered().size();
     }
 
     /** Unanswered attempts by how far they have come; {@code joined} ones wait for another one's result. */
-    public record InHand(int held, int running, int paused, int calling, int joined) {}
+    public record InFlightCounts(int queued, int running, int suspended, int awaitingDependency, int joined) {}
 
     /** Counts the unanswered attempts; a suspended run counts as joined where its attempt joined another one. */
-    public InHand inHand() {
+    public InFlightCounts inFlight() {
         List<Attempt.Phase> phases =
                 attempts.unanswered().stream().map(Attempt::phase).toList();
-        return new InHand(
+        return new InFlightCounts(
                 count(phases, Attempt.Phase.QUEUED),
                 count(phases, Attempt.Phase.RUNNING),
                 count(phases, Attempt.Phase.SUSPENDED),
@@ -177,27 +177,27 @@
     // ---- state for operators and health checks ----
 
     /** The live counters. */
-    public RequestCounters counts() {
+    public RequestCounters counters() {
         return counters;
     }
 
     /** A copy of the counters as they are now. */
-    public RequestCounters countsNow() {
+    public RequestCounters countersSnapshot() {
         return counters.copy();
     }
 
     /** Whether health checks succeed. */
-    public boolean well() {
+    public boolean healthy() {
         return events.started() && health.healthy();
     }
 
     /** The load feedback that goes with answers and health checks; NaN where none is set. */
-    public double feedback() {
+    public double loadFeedback() {
         return answers.loadFeedback();
     }
 
     /** How long until this server is warm at the latest, in microseconds; 0 once it is. */
-    public long warmIn() {
+    public long warmUpRemainingMicros() {
         return Math.max(0, warmAtMicros - clock.nowMicros());
     }
 
@@ -212,13 +212,13 @@
         health.update(false);
         long remainingMicros = Math.max(0, noticeMicros + stopAfterMicros - clock.nowMicros());
         events.add(controller -> controller.onDrain(remainingMicros));
-        clock.after(Math.max(0, remainingMicros - STOP_MARGIN_MICROS), answers::failAllUnanswered);
+        clock.schedule(Math.max(0, remainingMicros - STOP_MARGIN_MICROS), answers::failAllUnanswered);
     }
 
     // ---- the kernel's reports ----
 
     @Override
-    public void booted(boolean cold, long ageMicros) {
+    public void onBooted(boolean cold, long ageMicros) {
         if (events.started()) {
             return; // the link came back; the controller goes on
         }
@@ -226,7 +226,7 @@
         long kernelStartMicros = clock.nowMicros() - ageMicros;
         events.start(controllerFactory.apply(settings.forController()), actions, kernelStartMicros);
         warmAtMicros = cold ? kernelStartMicros + settings.warmUpMicros() : 0;
-        clock.after(SWEEP_INTERVAL_MICROS, this::sweepKeys);
+        clock.schedule(SWEEP_INTERVAL_MICROS, this::sweepKeys);
         if (!drain.draining()) {
             announcer.announce(true);
         }
@@ -235,26 +235,26 @@
 
     private void sweepKeys() {
         idempotencyTable.sweep(clock.nowMicros());
-        clock.after(SWEEP_INTERVAL_MICROS, this::sweepKeys);
+        clock.schedule(SWEEP_INTERVAL_MICROS, this::sweepKeys);
     }
 
     @Override
-    public void blocked(String job, long noticeNumber, byte[] call) {
+    public void onDependencyCallRequested(String job, long noticeNumber, byte[] call) {
         kernelEvents.dependencyCallRequested(job, noticeNumber, call);
     }
 
     @Override
-    public void ended(String job, Kernel.End end, long elapsedMicros, byte[] result) {
+    public void onRunEnded(String job, Kernel.End end, long elapsedMicros, byte[] result) {
         kernelEvents.runEnded(job, end, elapsedMicros, result);
     }
 
     @Override
-    public void notStarted(String job) {
+    public void onRunNotStarted(String job) {
         kernelEvents.runNotStarted(job);
     }
 
     @Override
-    public void gauges(double[] readings) {
+    public void onGauges(double[] readings) {
         kernelEvents.gaugesReported(readings);
     }
 }
--- a/server/src/main/java/wheatspread/core/DependencyCalls.java
+++ b/server/src/main/java/wheatspread/core/DependencyCalls.java
@@ -27,7 +27,7 @@
         pending.cancel();
         counters.dependencyCallStarted();
         long startedAtMicros = clock.nowMicros();
-        pending.setTimeout(clock.after(timeoutMicros, () -> {
+        pending.setTimeout(clock.schedule(timeoutMicros, () -> {
             pending.cancel();
             reportEnd(attempt, Outcome.TIMED_OUT, startedAtMicros);
         }));
@@ -35,7 +35,7 @@
             pending.ended();
             if (outcome == Outcome.OK) {
                 pending.resolved();
-                kernel.callDone(attempt.job(), reply);
+                kernel.completeDependencyCall(attempt.job(), reply);
             }
             reportEnd(attempt, outcome, startedAtMicros);
         }));
@@ -50,7 +50,7 @@
     void skip(Attempt attempt) {
         PendingDependencyCall pending = attempt.dependencyCall();
         counters.dependencyCallSkipped();
-        kernel.skipCall(attempt.job(), pending.noticeNumber());
+        kernel.skipDependencyCall(attempt.job(), pending.noticeNumber());
         pending.resolved();
     }
 }
--- a/server/src/main/java/wheatspread/core/DeploymentSettings.java
+++ b/server/src/main/java/wheatspread/core/DeploymentSettings.java
@@ -36,7 +36,7 @@
      * after all others. A class that {@code next} drops stays, so that requests in flight, and those that clients
      * send until they have read the new settings, keep their class. All else stays as it is.
      */
-    public DeploymentSettings retunedTo(DeploymentSettings next) {
+    public DeploymentSettings reloadedWith(DeploymentSettings next) {
         List<String> names = new ArrayList<>(classes);
         List<RequestClass> requestClasses = new ArrayList<>(settings.classes());
         for (int index = 0; index < next.classes().size(); index++) {
@@ -70,7 +70,7 @@
     }
 
     /** The gauges with these names in this order, read by {@code valueAt}; NaN where one is missing. */
-    public static LoadGauges reading(List<String> names, IntToDoubleFunction valueAt) {
+    public static LoadGauges gaugesFrom(List<String> names, IntToDoubleFunction valueAt) {
         Map<String, Double> values = new HashMap<>();
         for (int index = 0; index < names.size(); index++) {
             values.put(names.get(index), valueAt.applyAsDouble(index));
--- a/server/src/main/java/wheatspread/core/EventBatcher.java
+++ b/server/src/main/java/wheatspread/core/EventBatcher.java
@@ -80,7 +80,7 @@
     private void scheduleFlush() {
         if (!flushScheduled) {
             flushScheduled = true;
-            clock.soon(this::flush);
+            clock.runAfterTurn(this::flush);
         }
     }
 
@@ -124,14 +124,14 @@
         wakeupTimesMicros.add(wakeupMicros);
         flushAt(wakeupMicros);
         if (delayMicros > 2 * GAUGE_REQUEST_LEAD_MICROS) {
-            clock.after(delayMicros - GAUGE_REQUEST_LEAD_MICROS, kernel::askGauges);
+            clock.schedule(delayMicros - GAUGE_REQUEST_LEAD_MICROS, kernel::requestGauges);
         }
     }
 
     /** Timers may run a little early by the Unix clock; a flush before the time would find no expired wakeup. */
     private void flushAt(long wakeupMicros) {
         long remainingMicros = wakeupMicros - clock.nowMicros();
-        clock.after(Math.max(0, remainingMicros), () -> {
+        clock.schedule(Math.max(0, remainingMicros), () -> {
             if (clock.nowMicros() < wakeupMicros) {
                 flushAt(wakeupMicros);
             } else {
--- a/server/src/main/java/wheatspread/core/FinalAnswers.java
+++ b/server/src/main/java/wheatspread/core/FinalAnswers.java
@@ -124,7 +124,7 @@
             case OK -> Outcome.OK;
             case ERROR -> Outcome.FAILED;
             case STOPPED -> Outcome.CANCELED;
-            case MOOT -> Outcome.IGNORED;
+            case IGNORED -> Outcome.IGNORED;
         };
     }
 
--- a/server/src/main/java/wheatspread/core/Kernel.java
+++ b/server/src/main/java/wheatspread/core/Kernel.java
@@ -14,42 +14,42 @@
         /** The run was suspended at the core's request. */
         STOPPED,
         /** The kernel ignored the command to start or resume the run. */
-        MOOT
+        IGNORED
     }
 
     /** Starts a run of the class named {@code requestClass}. */
     void run(String job, String requestClass, byte[] body);
 
     /** Suspends a run; the listener hears of its end with {@link End#STOPPED}. */
-    void pause(String job);
+    void suspend(String job);
 
     /** Resumes a suspended run. */
     void resume(String job);
 
     /** Hands the reply of a dependency call to the run that waits for it. */
-    void callDone(String job, byte[] reply);
+    void completeDependencyCall(String job, byte[] reply);
 
     /** Continues a run without the dependency call that the notice {@code noticeNumber} asked for. */
-    void skipCall(String job, long noticeNumber);
+    void skipDependencyCall(String job, long noticeNumber);
 
     /** Asks for the gauges, which the listener is given. */
-    void askGauges();
+    void requestGauges();
 
     /** Receives what the kernel reports, on the core's thread. */
     interface Listener {
         /** The kernel is up, for the first time or again; it started {@code ageMicros} microseconds ago. */
-        void booted(boolean cold, long ageMicros);
+        void onBooted(boolean cold, long ageMicros);
 
         /** A run ended after {@code elapsedMicros}; {@code result} is null unless it ended {@link End#OK}. */
-        void ended(String job, End end, long elapsedMicros, byte[] result);
+        void onRunEnded(String job, End end, long elapsedMicros, byte[] result);
 
         /** A run waits for a dependency call with the body {@code call}; the notice identifies the call. */
-        void blocked(String job, long noticeNumber, byte[] call);
+        void onDependencyCallRequested(String job, long noticeNumber, byte[] call);
 
         /** The gauges, in the order that the deployment settings name them. */
-        void gauges(double[] readings);
+        void onGauges(double[] readings);
 
         /** A command to start or resume a run was not carried out. */
-        void notStarted(String job);
+        void onRunNotStarted(String job);
     }
 }
--- a/server/src/main/java/wheatspread/core/KernelEvents.java
+++ b/server/src/main/java/wheatspread/core/KernelEvents.java
@@ -42,7 +42,7 @@
             case OK -> answers.endRun(attempt, end, result, elapsedMicros);
             case ERROR -> answers.endRun(attempt, end, null, elapsedMicros);
             case STOPPED -> stopped(attempt, elapsedMicros);
-            case MOOT -> ignored(attempt);
+            case IGNORED -> ignored(attempt);
             default -> throw new IllegalArgumentException(end.toString());
         }
     }
@@ -84,7 +84,7 @@
 
     /** The kernel reported its gauges. */
     void gaugesReported(double[] readings) {
-        events.setGauges(DeploymentSettings.reading(
+        events.setGauges(DeploymentSettings.gaugesFrom(
                 settings.current().gauges(), index -> index < readings.length ? readings[index] : Double.NaN));
     }
 }
--- a/server/src/main/java/wheatspread/core/PendingDependencyCall.java
+++ b/server/src/main/java/wheatspread/core/PendingDependencyCall.java
@@ -54,7 +54,7 @@
     /** Cancels the call in flight, if any; its listener is not called any more. */
     void cancel() {
         if (call != null) {
-            call.giveUp();
+            call.cancel();
             call = null;
             timeout.cancel();
         }
--- a/server/src/main/java/wheatspread/core/RecordsService.java
+++ b/server/src/main/java/wheatspread/core/RecordsService.java
@@ -10,12 +10,12 @@
     /** A call in flight. */
     interface Call {
         /** Cancels the call; its listener is not called any more. */
-        void giveUp();
+        void cancel();
     }
 
     /** Receives the end of one call, on the core's thread. */
     interface Listener {
         /** The call ended; {@code reply} is null unless the outcome is {@link Outcome#OK}. */
-        void ended(Outcome outcome, byte[] reply);
+        void onCallEnded(Outcome outcome, byte[] reply);
     }
 }
--- a/server/src/main/java/wheatspread/core/RequestCounters.java
+++ b/server/src/main/java/wheatspread/core/RequestCounters.java
@@ -123,7 +123,7 @@
     }
 
     /** The final answers of each class that has had one, by its index: served, rejected and failed. */
-    public Map<Integer, long[]> byClass() {
+    public Map<Integer, long[]> answersByClass() {
         Map<Integer, long[]> copy = new TreeMap<>();
         answersByClass.forEach((index, answers) -> copy.put(index, answers.toArray()));
         return copy;
@@ -143,7 +143,7 @@
     }
 
     /** What was counted since the copy {@code earlier} was made, as log fields: names and values in turns. */
-    public Object[] since(RequestCounters earlier) {
+    public Object[] logFieldsSince(RequestCounters earlier) {
         List<Object> fields = new ArrayList<>();
         for (Counter counter : Counter.values()) {
             fields.add(counter.logName);
@@ -153,8 +153,8 @@
     }
 
     /** All counters as log fields: names and values in turns. */
-    public Object[] fields() {
-        return since(new RequestCounters());
+    public Object[] logFields() {
+        return logFieldsSince(new RequestCounters());
     }
 
     @Override
--- a/server/src/main/java/wheatspread/core/RequestLifecycle.java
+++ b/server/src/main/java/wheatspread/core/RequestLifecycle.java
@@ -48,7 +48,7 @@
         }
         // its last byte came now, whenever its first one did
         Attempt attempt = attempts.add(request, reply, drain.isPastGrace(clock.nowMicros()));
-        attempt.setDeadlineTimer(clock.after(remainingMicros, () -> answers.failAtDeadline(attempt)));
+        attempt.setDeadlineTimer(clock.schedule(remainingMicros, () -> answers.failAtDeadline(attempt)));
         events.add(controller -> arrive(controller, attempt));
         return attempt.id();
     }
--- a/server/src/main/java/wheatspread/daemon/AvailabilityAnnouncer.java
+++ b/server/src/main/java/wheatspread/daemon/AvailabilityAnnouncer.java
@@ -23,7 +23,7 @@
     }
 
     void announce(boolean accepting) {
-        if (config.inherited() >= 0 && lifecycle.isStopping()) {
+        if (config.inheritedDescriptor() >= 0 && lifecycle.isStopping()) {
             client.close();
         } else {
             client.announce(accepting);
--- a/server/src/main/java/wheatspread/daemon/ConfigReloader.java
+++ b/server/src/main/java/wheatspread/daemon/ConfigReloader.java
@@ -10,7 +10,8 @@
  * What SIGHUP does:
  *
  * <ol>
- * <li>The signal's thread reads the whole configuration and checks it; {@link ServerConfig#requireWhatItHad} rejects
+ * <li>The signal's thread reads the whole configuration and checks it; {@link ServerConfig#requireNoServiceRemoved}
+ * rejects
  *     one that lacks what the process was started with.
  * <li>The loop's thread applies it by {@link ReloadApplier}, which lists what a reload changes. Everything else in the
  *     file holds from the next start on, and the log says so ({@code needs_start}).
@@ -44,7 +45,7 @@
     synchronized void reload(Supplier<ServerConfig> reader) {
         try {
             ServerConfig next = reader.get();
-            startConfig.requireWhatItHad(next);
+            startConfig.requireNoServiceRemoved(next);
             applier.accept(next);
             applied.incrementAndGet();
         } catch (Throwable e) {
--- a/server/src/main/java/wheatspread/daemon/CounterReporter.java
+++ b/server/src/main/java/wheatspread/daemon/CounterReporter.java
@@ -48,7 +48,7 @@
     /** Logs the counters after the interval, and again after each further one. */
     void scheduleNext() {
         if (intervalSeconds > 0) {
-            clock.after(intervalSeconds * MICROS_PER_SECOND, this::logAndScheduleNext);
+            clock.schedule(intervalSeconds * MICROS_PER_SECOND, this::logAndScheduleNext);
         }
     }
 
@@ -61,25 +61,24 @@
 
     /** Logs the counters from the start of the process. */
     void logCounters() {
-        log.info("counts", core.counts().fields());
+        log.info("counts", core.counters().logFields());
         listeners.forEach((listener, address) -> {
             ConnectionTable table = listener.table();
             log.info(
                     "connections",
                     concatenate(
-                            new Object[] {"front", address, "now", table.size(), "resting", table.sizeOf(State.RESTING)
-                            },
+                            new Object[] {"front", address, "now", table.size(), "resting", table.count(State.IDLE)},
                             table.counters().fields()));
         });
         log.info(
                 "turns",
-                concatenate(scheduler.times().fields(), scheduler.gate().fields(), new Object[] {
+                concatenate(scheduler.times().fields(), scheduler.burstLimiter().fields(), new Object[] {
                     "exhausted",
-                    scheduler.order().exhausted(),
+                    scheduler.readScheduler().exhaustedIterations(),
                     "sleepers",
-                    scheduler.order().sleepers(),
+                    scheduler.readScheduler().idleReads(),
                     "timers",
-                    scheduler.wheel().size()
+                    scheduler.timerWheel().size()
                 }));
     }
 
--- a/server/src/main/java/wheatspread/daemon/EventLoopClock.java
+++ b/server/src/main/java/wheatspread/daemon/EventLoopClock.java
@@ -32,15 +32,15 @@
     }
 
     @Override
-    public Timer after(long micros, Runnable task) {
+    public Timer schedule(long micros, Runnable task) {
         WheelTimer timer = new WheelTimer(task);
-        scheduler.wheel().set(timer, EventLoopScheduler.micros() + micros);
+        scheduler.timerWheel().set(timer, EventLoopScheduler.monotonicMicros() + micros);
         return timer;
     }
 
     @Override
-    public void soon(Runnable task) {
-        scheduler.soon(task);
+    public void runAfterTurn(Runnable task) {
+        scheduler.runInIteration(task);
     }
 
     /** A timer of the scheduler's timer wheel. */
@@ -52,13 +52,13 @@
         }
 
         @Override
-        protected void ring() {
-            scheduler.run(task);
+        protected void onExpiry() {
+            scheduler.runSafely(task);
         }
 
         @Override
         public void cancel() {
-            scheduler.wheel().cancel(this);
+            scheduler.timerWheel().cancel(this);
         }
     }
 }
--- a/server/src/main/java/wheatspread/daemon/FrontListeners.java
+++ b/server/src/main/java/wheatspread/daemon/FrontListeners.java
@@ -49,7 +49,7 @@
 
     private InetSocketAddress bindFront(Listener listener, InetSocketAddress address) {
         boolean inherits = listener == platformListener && inheritedDescriptor >= 0;
-        return inherits ? listener.hold(inheritedDescriptor) : listen(listener, address);
+        return inherits ? listener.holdListeningSocket(inheritedDescriptor) : listen(listener, address);
     }
 
     private static InetSocketAddress listen(Listener listener, InetSocketAddress address) {
@@ -106,9 +106,9 @@
 
     /** Closes all listeners, that of the operators' endpoint too. */
     void close() {
-        addresses.keySet().forEach(Listener::close);
+        addresses.keySet().forEach(Listener::drainAll);
         if (controlListener != null) {
-            controlListener.close();
+            controlListener.drainAll();
         }
     }
 }
--- a/server/src/main/java/wheatspread/daemon/GracefulShutdown.java
+++ b/server/src/main/java/wheatspread/daemon/GracefulShutdown.java
@@ -32,7 +32,7 @@
     private final Consumer<Event> drainEnded;
     private DrainDeadlines deadlines;
     private RequestCounters countersAtSignal;
-    private Core.InHand openAtSignal;
+    private Core.InFlightCounts openAtSignal;
 
     /**
      * {@code hasUnreadInput} says whether callers have written what has not been read yet; {@code drainEnded} is given
@@ -57,11 +57,11 @@
 
     /** Begins the drain; for the parameters see {@link DrainDeadlines}. */
     void begin(long signalledAtMicros, long stopTimeoutMicros, long graceMicros, boolean listed) {
-        countersAtSignal = core.countsNow();
-        openAtSignal = core.inHand();
+        countersAtSignal = core.countersSnapshot();
+        openAtSignal = core.inFlight();
         deadlines = new DrainDeadlines(signalledAtMicros, stopTimeoutMicros, graceMicros, listed);
         core.drain(signalledAtMicros, stopTimeoutMicros);
-        listeners.forEach(Listener::lastCall);
+        listeners.forEach(Listener::notifyDraining);
         poll();
     }
 
@@ -77,7 +77,7 @@
      * late in reading it.
      */
     private void poll() {
-        int unanswered = core.open() + (hasUnreadInput.getAsBoolean() ? 1 : 0);
+        int unanswered = core.unansweredCount() + (hasUnreadInput.getAsBoolean() ? 1 : 0);
         DrainDeadlines.Step step = deadlines.step(clock.nowMicros(), unanswered);
         if (step != DrainDeadlines.Step.ACCEPT) {
             listeners.forEach(Listener::stopListening);
@@ -87,9 +87,9 @@
             case CLOSE_TIMED_OUT -> drainEnded.accept(Event.DRAIN_TIMED_OUT);
             case REJECT_NOT_STARTED -> {
                 core.answerAll();
-                clock.after(DRAIN_POLL_MICROS, this::poll);
+                clock.schedule(DRAIN_POLL_MICROS, this::poll);
             }
-            default -> clock.after(DRAIN_POLL_MICROS, this::poll);
+            default -> clock.schedule(DRAIN_POLL_MICROS, this::poll);
         }
     }
 
@@ -101,17 +101,17 @@
                 "took_ms",
                 deadlines.elapsedMicros(clock.nowMicros()) / MICROS_PER_MILLI,
                 "held",
-                openAtSignal.held(),
+                openAtSignal.queued(),
                 "running",
                 openAtSignal.running(),
                 "paused",
-                openAtSignal.paused(),
+                openAtSignal.suspended(),
                 "calling",
-                openAtSignal.calling(),
+                openAtSignal.awaitingDependency(),
                 "joined",
                 openAtSignal.joined()));
-        fields.addAll(List.of(core.counts().since(countersAtSignal)));
-        fields.addAll(List.of("unanswered", core.open()));
+        fields.addAll(List.of(core.counters().logFieldsSince(countersAtSignal)));
+        fields.addAll(List.of("unanswered", core.unansweredCount()));
         log.info("drained", fields.toArray());
         markerFiles.report(new JSONObject(EventLog.map(fields.toArray())));
     }
@@ -126,18 +126,18 @@
         if (controlListener != null) {
             all.add(controlListener);
         }
-        all.forEach(Listener::close);
+        all.forEach(Listener::drainAll);
         awaitClosed(all, clock.nowMicros(), closed);
     }
 
     private void awaitClosed(List<Listener> all, long closingAtMicros, Runnable closed) {
-        long pendingBytes = all.stream().mapToLong(Listener::pendingBytes).sum();
+        long pendingBytes = all.stream().mapToLong(Listener::pendingWriteBytes).sum();
         if (all.stream().allMatch(Listener::isEmpty)
                 || !deadlines.mayLinger(clock.nowMicros(), closingAtMicros, pendingBytes)) {
-            all.forEach(Listener::cut);
-            clock.soon(closed);
+            all.forEach(Listener::closeAll);
+            clock.runAfterTurn(closed);
         } else {
-            clock.after(CLOSE_POLL_MICROS, () -> awaitClosed(all, closingAtMicros, closed));
+            clock.schedule(CLOSE_POLL_MICROS, () -> awaitClosed(all, closingAtMicros, closed));
         }
     }
 }
--- a/server/src/main/java/wheatspread/daemon/KernelReadiness.java
+++ b/server/src/main/java/wheatspread/daemon/KernelReadiness.java
@@ -43,7 +43,7 @@
     void scheduleCheck() {
         long remainingMicros =
                 timeoutMicros > 0 ? startedAtMicros + timeoutMicros - clock.nowMicros() : LOG_INTERVAL_MICROS;
-        clock.after(Math.min(remainingMicros, LOG_INTERVAL_MICROS), this::check);
+        clock.schedule(Math.min(remainingMicros, LOG_INTERVAL_MICROS), this::check);
     }
 
     private void check() {
--- a/server/src/main/java/wheatspread/daemon/MembershipService.java
+++ b/server/src/main/java/wheatspread/daemon/MembershipService.java
@@ -68,7 +68,7 @@
             opening.addListener(done -> {
                 if (!done.isSuccess()) {
                     log.info("peers_wait", "error", done.cause().getMessage());
-                    clock.after(BIND_RETRY_MICROS, this::retryOpen);
+                    clock.schedule(BIND_RETRY_MICROS, this::retryOpen);
                 }
             });
         } else if (!opening.awaitUninterruptibly().isSuccess()) {
@@ -98,9 +98,9 @@
     String metrics() {
         Membership membership = peers.membership();
         View view = membership.view();
-        return peers.counts().text("edge_gw.peers.") + "edge_gw.peers.members="
+        return peers.counters().text("edge_gw.peers.") + "edge_gw.peers.members="
                 + (view == null ? 0 : view.size()) + "\nedge_gw.peers.stands="
-                + (membership.stands(EventLoopScheduler.micros()) ? 1 : 0) + "\n";
+                + (membership.isQuorumReachable(EventLoopScheduler.monotonicMicros()) ? 1 : 0) + "\n";
     }
 
     /** Answers its paths of the operators' endpoint; null for any other path. */
@@ -114,7 +114,7 @@
             if (!method.equals("POST")) {
                 return new ControlFront.ControlResponse("405 Method Not Allowed", "only POST\n");
             }
-            String refused = peers.found();
+            String refused = peers.orderBootstrap();
             log.info("form_ordered", "refused", refused == null ? "no" : refused);
             return refused == null
                     ? new ControlFront.ControlResponse("200 OK", "forming\n")
@@ -124,13 +124,13 @@
     }
 
     private JSONObject membersJson() {
-        long nowMicros = EventLoopScheduler.micros();
+        long nowMicros = EventLoopScheduler.monotonicMicros();
         Membership membership = peers.membership();
         View view = membership.view();
         JSONArray members = new JSONArray();
         for (int i = 0; view != null && i < view.size(); i++) {
             Member member = view.members().get(i);
-            boolean in = membership.isIn();
+            boolean in = membership.isMember();
             members.put(new JSONObject()
                     .put("name", member.id().name())
                     .put("start", member.id().start())
@@ -138,9 +138,9 @@
                     .put("zone", member.zone())
                     .put("build", member.build())
                     .put("config", member.config())
-                    .put("suspected_by", in ? membership.suspectedBy(i) : List.of())
-                    .put("missed_by", in ? membership.reportedBy(i) : List.of())
-                    .put("suspected_ms", membership.suspectedFor(member.id(), nowMicros) / 1_000));
+                    .put("suspected_by", in ? membership.suspectingObservers(i) : List.of())
+                    .put("missed_by", in ? membership.reportingObservers(i) : List.of())
+                    .put("suspected_ms", membership.suspectedForMicros(member.id(), nowMicros) / 1_000));
         }
         return new JSONObject()
                 .put("cluster", cluster)
@@ -148,10 +148,10 @@
                 .put("start", membership.self().id().start())
                 .put("epoch", view == null ? 0 : view.id().epoch())
                 .put("number", view == null ? 0 : view.id().number())
-                .put("in", membership.isIn())
-                .put("stands", membership.stands(nowMicros))
-                .put("why_not", membership.whyNot(nowMicros))
-                .put("distrust", membership.distrust())
+                .put("in", membership.isMember())
+                .put("stands", membership.isQuorumReachable(nowMicros))
+                .put("why_not", membership.quorumUnreachableReason(nowMicros))
+                .put("distrust", membership.localHealthMultiplier())
                 .put("members", members);
     }
 }
--- a/server/src/main/java/wheatspread/daemon/ProcessMarkerFiles.java
+++ b/server/src/main/java/wheatspread/daemon/ProcessMarkerFiles.java
@@ -35,10 +35,10 @@
     private static final int LOCK_RETRY_MILLIS = 40;
 
     /** Another process holds the lock. */
-    public static final class Taken extends Exception {
+    public static final class LockTakenException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Taken(Path file) {
+        LockTakenException(Path file) {
             super(file + " is locked: this server runs already");
         }
     }
@@ -69,14 +69,14 @@
      * Takes the lock file, writes name and mark into it, and removes the ready file and the report of a process that
      * was killed. The system releases the lock when the process ends, however it ends.
      */
-    void lock(String name, String mark) throws IOException, Taken {
+    void lock(String name, String mark) throws IOException, LockTakenException {
         if (files.lockFile() == null) {
             return;
         }
         lock = FileChannel.open(files.lockFile(), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         if (!tryLock()) {
             lock.close();
-            throw new Taken(files.lockFile());
+            throw new LockTakenException(files.lockFile());
         }
         JSONObject identity = identity(name).put("mark", mark);
         lock.truncate(0);
--- a/server/src/main/java/wheatspread/daemon/ReloadApplier.java
+++ b/server/src/main/java/wheatspread/daemon/ReloadApplier.java
@@ -49,7 +49,7 @@
      * before anything has changed.
      */
     void apply(ServerConfig next) {
-        DeploymentSettings deployment = core.retune(next.site());
+        DeploymentSettings deployment = core.reload(next.site());
         log.info(
                 "reload",
                 "kernel",
--- a/server/src/main/java/wheatspread/daemon/Server.java
+++ b/server/src/main/java/wheatspread/daemon/Server.java
@@ -23,12 +23,12 @@
  * {@link ConfigReloader} what SIGHUP changes.
  *
  * <p>The caller's thread makes, in this order, the calls {@link #lock}, {@link #warmUp}, {@link #start} and
- * {@link #awaitStopped}, of which the first two may be left out. The threads of signals call {@link #notice} and
+ * {@link #awaitStopped}, of which the first two may be left out. The threads of signals call {@link #signal} and
  * {@link #reload} at any time. The phase changes on the loop's thread only.
  */
 public final class Server {
     /** EX_SOFTWARE of sysexits.h: the exit code where the event loop has died. */
-    public static final int LOOP_ENDED = 70;
+    public static final int EXIT_EVENT_LOOP_ENDED = 70;
 
     private static final long MICROS_PER_MILLI = 1_000;
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -63,7 +63,7 @@
      * Takes the operator's lock file, if there is one; only one process of this name may hold it. {@code mark} is
      * written into it.
      */
-    public void lock(String mark) throws IOException, ProcessMarkerFiles.Taken {
+    public void lock(String mark) throws IOException, ProcessMarkerFiles.LockTakenException {
         components.markerFiles().lock(config.name(), mark);
     }
 
@@ -90,7 +90,7 @@
         try {
             components.listeners().bind(config.control());
             if (components.membership() != null) {
-                components.membership().open(config.inherited() >= 0);
+                components.membership().open(config.inheritedDescriptor() >= 0);
             }
         } catch (RuntimeException e) {
             eventLoop.runAndWait(() -> {
@@ -102,9 +102,9 @@
         log.info(
                 "listening",
                 "addresses",
-                bound(),
+                boundAddresses(),
                 "inherited_fd",
-                config.inherited(),
+                config.inheritedDescriptor(),
                 "control",
                 config.control() == null ? "none" : config.control());
         eventLoop.runAndWait(() -> handle(Event.BOUND));
@@ -121,14 +121,15 @@
     }
 
     /**
-     * Waits until the process may exit, and returns its exit code: {@link #LOOP_ENDED} where its event loop has
+     * Waits until the process may exit, and returns its exit code: {@link #EXIT_EVENT_LOOP_ENDED} where its event
+     * loop has
      * died.
      */
     public int awaitStopped() throws InterruptedException {
         stopped.await();
         components.markerFiles().close();
         eventLoop.close();
-        return lifecycle.phase() == Phase.STOPPED ? lifecycle.exitCode() : LOOP_ENDED;
+        return lifecycle.phase() == Phase.STOPPED ? lifecycle.exitCode() : EXIT_EVENT_LOOP_ENDED;
     }
 
     // ---- any thread ----
@@ -139,7 +140,7 @@
     }
 
     /** The addresses that were bound: that of the uwsgi front first, where it is on, then the platform's. */
-    public List<InetSocketAddress> bound() {
+    public List<InetSocketAddress> boundAddresses() {
         return components.listeners().boundAddresses();
     }
 
@@ -158,11 +159,11 @@
 
     /** SIGTERM: drains the server. A second call changes nothing. */
     public void drain() {
-        notice(Event.NOTICE);
+        signal(Event.DRAIN);
     }
 
-    /** A signal: {@link Event#NOTICE} drains the server, {@link Event#HURRY} ends the grace of its drain. */
-    public void notice(Event signal) {
+    /** A signal: {@link Event#DRAIN} drains the server, {@link Event#DRAIN_IMMEDIATELY} ends the grace of its drain. */
+    public void signal(Event signal) {
         long signalledAtMicros = eventLoop.clock().nowMicros();
         eventLoop.execute(() -> {
             shutdown.signalled(signalledAtMicros);
@@ -177,17 +178,18 @@
 
     /** The counters of requests so far. */
     RequestCounters counts() {
-        return components.core().counts();
+        return components.core().counters();
     }
 
     // ---- the loop's thread ----
 
     private void handle(Event event) {
-        boolean drainSignal = event == Event.NOTICE || event == Event.HURRY;
+        boolean drainSignal = event == Event.DRAIN || event == Event.DRAIN_IMMEDIATELY;
         if (!lifecycle.handle(event) && drainSignal) {
-            log.info("notice_again", "phase", lifecycle.phase().storedName(), "hurry", event == Event.HURRY);
+            log.info(
+                    "notice_again", "phase", lifecycle.phase().storedName(), "hurry", event == Event.DRAIN_IMMEDIATELY);
         }
-        if (event == Event.HURRY) {
+        if (event == Event.DRAIN_IMMEDIATELY) {
             shutdown.answerImmediately();
         }
     }
@@ -216,7 +218,7 @@
     private void awaitKernel() {
         new KernelReadiness(
                         eventLoop.clock(),
-                        operator.life().kernelWait(),
+                        operator.life().kernelTimeoutMicros(),
                         config.kernel(),
                         lifecycle,
                         () -> handle(Event.KERNEL_TIMED_OUT),
@@ -227,6 +229,6 @@
     private void beginService() {
         components.listeners().acceptInherited();
         long readyAtMillis = eventLoop.clock().nowMicros() / MICROS_PER_MILLI;
-        components.markerFiles().ready(config.name(), bound(), readyAtMillis);
+        components.markerFiles().ready(config.name(), boundAddresses(), readyAtMillis);
     }
 }
--- a/server/src/main/java/wheatspread/daemon/ServerEventLoop.java
+++ b/server/src/main/java/wheatspread/daemon/ServerEventLoop.java
@@ -35,11 +35,11 @@
             BiFunction<EventLoop, EventLoopScheduler, Clock> newClock,
             EventLog log) {
         transport = Transport.named(operator.transport());
-        scheduler = new EventLoopScheduler(transport, operator.turns(), seed, log);
+        scheduler = new EventLoopScheduler(transport, operator.iterationBudget(), seed, log);
         group = new MultiThreadIoEventLoopGroup(1, threadFactory(log), scheduler);
         loop = group.next();
         clock = newClock.apply(loop, scheduler);
-        scheduler.usedBy(clock::nowMicros);
+        scheduler.setConnectionClock(clock::nowMicros);
     }
 
     private static ThreadFactory threadFactory(EventLog log) {
--- a/server/src/main/java/wheatspread/daemon/ServerFactory.java
+++ b/server/src/main/java/wheatspread/daemon/ServerFactory.java
@@ -64,14 +64,14 @@
 
     ServerComponents create() {
         Bootstrap clients = eventLoop.clientBootstrap();
-        int recordsConnections = Configuration.recordsConnections(config.sockets());
+        int recordsConnections = Configuration.maxRecordsConnections(config.maxSockets());
         RecordsClient records = new RecordsClient(clients, config.records(), recordsConnections, clock, log);
         AnnounceClient announceClient = new AnnounceClient(clients, config.announce(), config.name(), log);
         Core core = createCore(records, announceClient);
         KernelLink kernel = new KernelLink(clients, config.kernel(), core, log);
-        core.attach(kernel);
+        core.attachKernel(kernel);
         shareIdempotencyClaims(core);
-        core.whenUp(() -> events.accept(Event.KERNEL_READY));
+        core.setFirstBootHandler(() -> events.accept(Event.KERNEL_READY));
 
         RpcFront platform = createPlatformFront(core);
         UwsgiFront uwsgi =
@@ -81,7 +81,7 @@
         MembershipService membership = createMembership();
         FrontListeners listeners = createListeners(platform, uwsgi, createControlListener(core, reloader, membership));
         ProcessMarkerFiles markerFiles = new ProcessMarkerFiles(operator.life(), log);
-        core.closeIdleWith(listeners::closeIdle);
+        core.setIdleConnectionCloser(listeners::closeIdle);
         return new ServerComponents(
                 eventLoop,
                 core,
@@ -109,23 +109,23 @@
 
     /** A directory that cannot be used is logged, and the process goes on without sharing. */
     private void shareIdempotencyClaims(Core core) {
-        if (config.shared() == null) {
+        if (config.sharedDirectory() == null) {
             return;
         }
         try {
-            core.shareKeysWith(new SharedIdempotencyClaims(
-                    config.shared().resolve(config.name()),
+            core.shareIdempotencyClaims(new SharedIdempotencyClaims(
+                    config.sharedDirectory().resolve(config.name()),
                     ProcessHandle.current().pid(),
                     log));
         } catch (IOException e) {
-            log.warn("claims_failed", "folder", config.shared(), "error", e.toString());
+            log.warn("claims_failed", "folder", config.sharedDirectory(), "error", e.toString());
         }
     }
 
     private RpcFront createPlatformFront(Core core) {
         RpcFront platform = new RpcFront(core, clock);
         if (operator.stats()) {
-            platform.tellStats(() -> lifecycle.phase().storedName());
+            platform.enableStats(() -> lifecycle.phase().storedName());
         }
         return platform;
     }
@@ -164,7 +164,11 @@
 
     private static String metrics(Core core, ConfigReloader reloader, MembershipService membership) {
         String ownMetrics = MetricsPage.text(
-                core.counts(), core.site().classes(), core.open(), reloader.appliedCount(), reloader.rejectedCount());
+                core.counters(),
+                core.settings().classes(),
+                core.unansweredCount(),
+                reloader.appliedCount(),
+                reloader.rejectedCount());
         return membership == null ? ownMetrics : ownMetrics + membership.metrics();
     }
 
@@ -178,11 +182,11 @@
                     new Listener(loop, scheduler, clock, uwsgi, operator.uwsgiLimits(), log),
                     operator.uwsgi().listen());
         }
-        int platformConnections = Configuration.platformConnections(config, operator);
+        int platformConnections = Configuration.maxPlatformConnections(config, operator);
         Listener platformListener = new Listener(
-                loop, scheduler, clock, platform, operator.connections().with(platformConnections), log);
+                loop, scheduler, clock, platform, operator.connections().withMaxConnections(platformConnections), log);
         addresses.put(platformListener, config.listen());
-        return new FrontListeners(addresses, platformListener, config.inherited(), controlListener);
+        return new FrontListeners(addresses, platformListener, config.inheritedDescriptor(), controlListener);
     }
 
     private GracefulShutdown createShutdown(Core core, FrontListeners listeners, ProcessMarkerFiles markerFiles) {
@@ -192,7 +196,7 @@
                 clock,
                 markerFiles,
                 log,
-                () -> !eventLoop.scheduler().order().isEmpty(),
+                () -> !eventLoop.scheduler().readScheduler().isEmpty(),
                 events);
     }
 
--- a/server/src/main/java/wheatspread/daemon/ShutdownSequence.java
+++ b/server/src/main/java/wheatspread/daemon/ShutdownSequence.java
@@ -49,7 +49,9 @@
         signalled(components.eventLoop().clock().nowMicros());
         components.markerFiles().notReady();
         long graceMicros = config.site().settings().limits().drainGraceMicros();
-        components.shutdown().begin(signalledAtMicros, config.stopMicros(), graceMicros, lifecycle.kernelWasReady());
+        components
+                .shutdown()
+                .begin(signalledAtMicros, config.shutdownTimeoutMicros(), graceMicros, lifecycle.kernelWasReady());
         if (components.membership() != null) {
             components.membership().leave();
         }
--- a/server/src/main/java/wheatspread/daemon/WarmUp.java
+++ b/server/src/main/java/wheatspread/daemon/WarmUp.java
@@ -68,8 +68,8 @@
                 this,
                 accepting -> {},
                 EventLog.NONE);
-        core.attach(this);
-        core.booted(false, 0);
+        core.attachKernel(this);
+        core.onBooted(false, 0);
     }
 
     /**
@@ -79,10 +79,10 @@
     int play(long maxNanos, BooleanSupplier cancelled) {
         long deadlineNanos = System.nanoTime() + maxNanos;
         EventLoopScheduler scheduler =
-                new EventLoopScheduler(Transport.named("nio"), IterationBudget.USUAL, 1, EventLog.NONE);
+                new EventLoopScheduler(Transport.named("nio"), IterationBudget.DEFAULT, 1, EventLog.NONE);
         var listener = new wheatspread.transport.Listener(
-                null, scheduler, this, new RpcFront(core, this), ConnectionLimits.usual(1), EventLog.NONE);
-        EmbeddedChannel channel = new EmbeddedChannel(listener.callerOf(0));
+                null, scheduler, this, new RpcFront(core, this), ConnectionLimits.defaults(1), EventLog.NONE);
+        EmbeddedChannel channel = new EmbeddedChannel(listener.newEmbeddedHandler(0));
         int served = 0;
         for (int number = 1; number <= MAX_REQUESTS; number++) {
             if (System.nanoTime() >= deadlineNanos || cancelled.getAsBoolean()) {
@@ -158,14 +158,14 @@
     }
 
     @Override
-    public Timer after(long micros, Runnable task) {
+    public Timer schedule(long micros, Runnable task) {
         Task timer = new Task(nowMicros + micros, ++lastTimerNumber, task);
         timers.add(timer);
         return () -> timers.remove(timer);
     }
 
     @Override
-    public void soon(Runnable task) {
+    public void runAfterTurn(Runnable task) {
         readyTasks.add(task);
     }
 
@@ -178,45 +178,45 @@
                 .classes()
                 .get(deployment.classes().indexOf(kind))
                 .callsDependency();
-        after(STEP_MICROS, () -> {
+        schedule(STEP_MICROS, () -> {
             if (calls) {
-                core.blocked(job, ++lastNotice, body);
+                core.onDependencyCallRequested(job, ++lastNotice, body);
             } else {
-                core.ended(job, End.OK, STEP_MICROS, body);
+                core.onRunEnded(job, End.OK, STEP_MICROS, body);
             }
         });
     }
 
     @Override
-    public void pause(String job) {
-        core.ended(job, End.STOPPED, STEP_MICROS, null);
+    public void suspend(String job) {
+        core.onRunEnded(job, End.STOPPED, STEP_MICROS, null);
     }
 
     @Override
     public void resume(String job) {
-        core.ended(job, End.OK, STEP_MICROS, BODY);
+        core.onRunEnded(job, End.OK, STEP_MICROS, BODY);
     }
 
     @Override
-    public void callDone(String job, byte[] reply) {
-        after(STEP_MICROS, () -> core.ended(job, End.OK, STEP_MICROS, reply));
+    public void completeDependencyCall(String job, byte[] reply) {
+        schedule(STEP_MICROS, () -> core.onRunEnded(job, End.OK, STEP_MICROS, reply));
     }
 
     @Override
-    public void skipCall(String job, long notice) {
-        callDone(job, BODY);
+    public void skipDependencyCall(String job, long notice) {
+        completeDependencyCall(job, BODY);
     }
 
     @Override
-    public void askGauges() {
-        core.gauges(new double[] {0.5, 2, 0.1, 3});
+    public void requestGauges() {
+        core.onGauges(new double[] {0.5, 2, 0.1, 3});
     }
 
     // ---- the records service ----
 
     @Override
     public Call call(String job, byte[] body, long patience, RecordsService.Listener listener) {
-        Timer reply = after(STEP_MICROS, () -> listener.ended(Outcome.OK, body));
+        Timer reply = schedule(STEP_MICROS, () -> listener.onCallEnded(Outcome.OK, body));
         return reply::cancel;
     }
 }
--- a/server/src/main/java/wheatspread/fleet/FleetLog.java
+++ b/server/src/main/java/wheatspread/fleet/FleetLog.java
@@ -1,6 +1,6 @@
 package wheatspread.fleet;
 
-import wheatspread.fleet.FleetPlan.Backoff;
+import wheatspread.fleet.FleetPlan.BackoffPolicy;
 import wheatspread.logging.EventLog;
 import wheatspread.logging.EventLog.Level;
 
@@ -84,7 +84,7 @@
     }
 
     /** An instance is held for a crash loop. */
-    void crashLoopDetected(FleetInstance instance, Backoff backoff) {
+    void crashLoopDetected(FleetInstance instance, BackoffPolicy backoff) {
         log.error(
                 "member_held",
                 "name",
--- a/server/src/main/java/wheatspread/fleet/FleetPlan.java
+++ b/server/src/main/java/wheatspread/fleet/FleetPlan.java
@@ -27,8 +27,8 @@
         int unhealthyThreshold,
         long unresponsiveTimeoutMicros,
         long startConfirmationMicros,
-        Rolling rollout,
-        Backoff backoff) {
+        RolloutPolicy rollout,
+        BackoffPolicy backoff) {
     /** Keeps a copy of the names. */
     public FleetPlan {
         instances = List.copyOf(instances);
@@ -46,7 +46,7 @@
      * @param maxFailedInstances so many failed instances end the rollout
      * @param automaticRollback whether the old build is put back then
      */
-    public record Rolling(
+    public record RolloutPolicy(
             double maxUnavailableShare,
             int maxUnavailableCount,
             int minServedRequests,
@@ -79,7 +79,7 @@
      * @param crashLoopExits so many exits within {@code crashLoopWindowMicros} are a crash loop
      * @param crashLoopHoldMicros how long an instance in a crash loop is not restarted; 0 until an operator starts it
      */
-    public record Backoff(
+    public record BackoffPolicy(
             long initialDelayMicros,
             double multiplier,
             long maxDelayMicros,
--- a/server/src/main/java/wheatspread/fleet/RestartBackoff.java
+++ b/server/src/main/java/wheatspread/fleet/RestartBackoff.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
-import wheatspread.fleet.FleetPlan.Backoff;
+import wheatspread.fleet.FleetPlan.BackoffPolicy;
 
 /**
  * When an instance that exited by itself may start again: exponential backoff with jitter, and a hold for crash
@@ -26,7 +26,7 @@
     /** An instance that is not held. */
     private static final long NOT_HELD = -1;
 
-    private final Backoff policy;
+    private final BackoffPolicy policy;
     private final SplittableRandom random;
     private final Map<String, ExitHistory> histories = new HashMap<>();
 
@@ -42,7 +42,7 @@
     }
 
     /** {@code seed} is that of the jitter. */
-    RestartBackoff(Backoff policy, long seed) {
+    RestartBackoff(BackoffPolicy policy, long seed) {
         this.policy = policy;
         random = new SplittableRandom(seed);
     }
--- a/server/src/main/java/wheatspread/fleet/Rollout.java
+++ b/server/src/main/java/wheatspread/fleet/Rollout.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import wheatspread.fleet.FleetInstance.State;
-import wheatspread.fleet.FleetPlan.Rolling;
+import wheatspread.fleet.FleetPlan.RolloutPolicy;
 
 /**
  * Replaces a build by another, instance by instance. It decides which instance is drained next and which build an
@@ -14,11 +14,12 @@
  *
  * <p>Rules:
  * <ul>
- * <li>At most {@link Rolling#maxUnavailable} instances are unavailable at a time, whatever made them so. An instance
+ * <li>At most {@link RolloutPolicy#maxUnavailable} instances are unavailable at a time, whatever made them so. An
+ * instance
  *     that is being replaced counts as unavailable until its new process is verified, so a rollout pauses by itself
  *     while other instances are down.
  * <li>A new instance has failed if it exits without SIGTERM, is not healthy in time, or fails too many requests.
- *     {@link Rolling#maxFailedInstances} failures end the rollout, with a rollback where the operator wants one.
+ *     {@link RolloutPolicy#maxFailedInstances} failures end the rollout, with a rollback where the operator wants one.
  * <li>A rollback keeps the same bound, and takes instances without a process first.
  * </ul>
  *
@@ -27,7 +28,7 @@
 public final class Rollout {
     private static final long MICROS_PER_MILLI = 1_000;
 
-    private final Rolling policy;
+    private final RolloutPolicy policy;
     private final RolloutVerification verification;
     private final String fromBuild;
     private final String toBuild;
@@ -41,7 +42,7 @@
     private boolean paused;
     private long endedAtMicros;
 
-    Rollout(Rolling policy, String fromBuild, String toBuild, List<String> names, long nowMicros) {
+    Rollout(RolloutPolicy policy, String fromBuild, String toBuild, List<String> names, long nowMicros) {
         this.policy = policy;
         verification = new RolloutVerification(policy);
         this.fromBuild = fromBuild;
@@ -51,7 +52,7 @@
     }
 
     /** Goes on with one that an earlier supervisor recorded. */
-    Rollout(Rolling policy, FleetState.RolloutRecord saved) {
+    Rollout(RolloutPolicy policy, FleetState.RolloutRecord saved) {
         this.policy = policy;
         verification = new RolloutVerification(policy);
         fromBuild = saved.fromBuild();
--- a/server/src/main/java/wheatspread/fleet/RolloutVerification.java
+++ b/server/src/main/java/wheatspread/fleet/RolloutVerification.java
@@ -1,7 +1,7 @@
 package wheatspread.fleet;
 
 import wheatspread.fleet.FleetInstance.State;
-import wheatspread.fleet.FleetPlan.Rolling;
+import wheatspread.fleet.FleetPlan.RolloutPolicy;
 
 /**
  * Whether an instance shows by its requests that its new build serves. Health checks alone say little: a build may
@@ -11,9 +11,9 @@
     /** With fewer answered requests than this the share of failed ones says nothing. */
     private static final int MIN_REQUESTS_FOR_SHARE = 10;
 
-    private final Rolling policy;
+    private final RolloutPolicy policy;
 
-    RolloutVerification(Rolling policy) {
+    RolloutVerification(RolloutPolicy policy) {
         this.policy = policy;
     }
 
--- a/server/src/main/java/wheatspread/jsonrpc/RpcConnection.java
+++ b/server/src/main/java/wheatspread/jsonrpc/RpcConnection.java
@@ -56,15 +56,15 @@
     // ---- the connection ----
 
     @Override
-    protected int open() {
+    protected int openRequests() {
         return openRequests;
     }
 
     @Override
-    protected void gone() {
+    protected void clientDisconnected() {
         for (OpenRequest request = newest; request != null; request = request.older) {
             requestEnded(request.burstAdmission, Answer.Kind.FAILED);
-            front.core().gone(request.ticket);
+            front.core().cancel(request.ticket);
         }
         newest = null;
         openRequests = 0;
@@ -77,32 +77,32 @@
      */
     @Override
     protected void clientInputEnded() {
-        lastCall();
-        front.clock().after(RpcFront.HALF_CLOSE_REMINDER_MICROS, () -> {
+        notifyDraining();
+        front.clock().schedule(RpcFront.HALF_CLOSE_REMINDER_MICROS, () -> {
             if (openRequests > 0) {
-                lastCall();
+                notifyDraining();
             }
         });
         for (OpenRequest request = newest; request != null; request = request.older) {
-            front.core().refuseUnlessBegun(request.ticket);
+            front.core().rejectUnlessStarted(request.ticket);
         }
     }
 
     @Override
-    public void lastCall() {
+    public void notifyDraining() {
         write("{\"jsonrpc\":\"2.0\",\"method\":\"" + RpcWireNames.CONNECTION_DRAINING + "\"}\n");
     }
 
     /** Takes whole lines; the beginning of a further one is left in {@code bytes}. */
     @Override
-    protected int read(ByteBuf bytes) {
+    protected int readMessages(ByteBuf bytes) {
         int lines = 0;
         while (!isDraining()) {
             int length = bytes.bytesBefore((byte) '\n');
             if ((length < 0 ? bytes.readableBytes() : length) > RpcFront.MAX_LINE_BYTES) {
                 String message = "line over " + RpcFront.MAX_LINE_BYTES + " bytes";
                 writeError(NO_ID, RpcWireNames.PARSE_ERROR, message, null);
-                leave(); // the rest of the line may be arbitrarily long
+                drain(); // the rest of the line may be arbitrarily long
                 return lines;
             }
             if (length < 0) {
@@ -205,7 +205,7 @@
         remove(request);
         requestEnded(request.burstAdmission, answer.kind());
         writeAnswer(request.id, answer);
-        answered();
+        answerWritten();
     }
 
     private void writeAnswer(String id, Answer answer) {
@@ -232,18 +232,18 @@
 
     private void handleHealthCheck(String id) {
         JSONObject result =
-                new JSONObject().put(RpcWireNames.HEALTHY, front.core().well());
-        addFeedback(result, front.core().feedback());
+                new JSONObject().put(RpcWireNames.HEALTHY, front.core().healthy());
+        addFeedback(result, front.core().loadFeedback());
         writeResult(id, result);
     }
 
     private void handleStats(String id) {
         JSONObject result = new JSONObject()
-                .put(RpcWireNames.HEALTHY, front.core().well())
+                .put(RpcWireNames.HEALTHY, front.core().healthy())
                 .put(RpcWireNames.LIFECYCLE_PHASE, front.lifecyclePhase())
-                .put(RpcWireNames.OPEN_REQUESTS, front.core().open())
-                .put(RpcWireNames.WARM_IN_MS, front.core().warmIn() / MICROS_PER_MILLI);
-        EventLog.map(front.core().counts().fields()).forEach(result::put);
+                .put(RpcWireNames.OPEN_REQUESTS, front.core().unansweredCount())
+                .put(RpcWireNames.WARM_IN_MS, front.core().warmUpRemainingMicros() / MICROS_PER_MILLI);
+        EventLog.map(front.core().counters().logFields()).forEach(result::put);
         writeResult(id, result);
     }
 
@@ -263,7 +263,7 @@
         if (canceled != null) {
             remove(canceled);
             requestEnded(canceled.burstAdmission, Answer.Kind.FAILED);
-            front.core().gone(canceled.ticket);
+            front.core().cancel(canceled.ticket);
         }
     }
 
--- a/server/src/main/java/wheatspread/jsonrpc/RpcFront.java
+++ b/server/src/main/java/wheatspread/jsonrpc/RpcFront.java
@@ -32,7 +32,7 @@
     public RpcFront(Core core, Clock clock) {
         this.core = core;
         this.clock = clock;
-        requestReader = new RequestReader(core.site());
+        requestReader = new RequestReader(core.settings());
     }
 
     Core core() {
@@ -59,17 +59,17 @@
      * Switches on the method {@code stats}, by which a fleet's supervisor sees whether a server has proven
      * itself. The platform knows no such method, so it is off by default.
      */
-    public void tellStats(Supplier<String> phaseOfProcess) {
+    public void enableStats(Supplier<String> phaseOfProcess) {
         lifecyclePhase = phaseOfProcess;
     }
 
     @Override
-    public ClientChannelHandler caller(Listener listener) {
+    public ClientChannelHandler newHandler(Listener listener) {
         return new RpcConnection(listener, this);
     }
 
     @Override
-    public byte[] refusal() {
+    public byte[] rejectionBytes() {
         return ("{\"jsonrpc\":\"2.0\",\"id\":null,\"error\":{\"code\":" + RpcWireNames.REJECTED
                         + ",\"message\":\"no room for this connection\",\"data\":{\""
                         + RpcWireNames.RETRY_AFTER_MS + "\":" + CONNECTION_REJECTED_RETRY_AFTER_MS + "}}}\n")
--- a/server/src/main/java/wheatspread/kernel/KernelLink.java
+++ b/server/src/main/java/wheatspread/kernel/KernelLink.java
@@ -129,7 +129,7 @@
     }
 
     @Override
-    public void pause(String job) {
+    public void suspend(String job) {
         command(KernelWireNames.SUSPEND, job, new JSONObject());
     }
 
@@ -139,17 +139,17 @@
     }
 
     @Override
-    public void callDone(String job, byte[] reply) {
+    public void completeDependencyCall(String job, byte[] reply) {
         command(KernelWireNames.CALL_REPLY, job, new JSONObject().put(KernelWireNames.BODY, encode(reply)));
     }
 
     @Override
-    public void skipCall(String job, long notice) {
+    public void skipDependencyCall(String job, long notice) {
         command(KernelWireNames.SKIP_CALL, job, new JSONObject().put(KernelWireNames.SEQUENCE_NUMBER, notice));
     }
 
     @Override
-    public void askGauges() {
+    public void requestGauges() {
         if (current != null && booted && ++unansweredRequests > MAX_UNANSWERED_REQUESTS) {
             // a connection that stays open but carries nothing would hide the ends of runs
             log.warn("kernel_silent", "unheard", unansweredRequests);
--- a/server/src/main/java/wheatspread/kernel/KernelWireNames.java
+++ b/server/src/main/java/wheatspread/kernel/KernelWireNames.java
@@ -75,7 +75,7 @@
             case "OK" -> Kernel.End.OK;
             case "ERROR" -> Kernel.End.ERROR;
             case "STOPPED" -> Kernel.End.STOPPED;
-            case "MOOT" -> Kernel.End.MOOT;
+            case "MOOT" -> Kernel.End.IGNORED;
             default -> throw new IllegalArgumentException("unknown end of a run: " + state);
         };
     }
--- a/server/src/main/java/wheatspread/kernel/NoticeReader.java
+++ b/server/src/main/java/wheatspread/kernel/NoticeReader.java
@@ -85,7 +85,7 @@
         boolean cold = notice.getString(KernelWireNames.STATE).equals(KernelWireNames.COLD_START);
         long ageMicros = durationMicros(notice);
         progress.booted();
-        listener.booted(cold, ageMicros);
+        listener.onBooted(cold, ageMicros);
     }
 
     private void readGauges(JSONObject notice) {
@@ -100,7 +100,7 @@
         for (int i = 0; i < gauges.length; i++) {
             gauges[i] = values.optDouble(i, Double.NaN);
         }
-        listener.gauges(gauges);
+        listener.onGauges(gauges);
     }
 
     private void readCommandRejected(JSONObject notice) {
@@ -109,7 +109,7 @@
         log.warn("kernel_refused", "command", command, "job", job);
         unconfirmed.confirmRejected(job, command);
         if (command.equals(KernelWireNames.START) || command.equals(KernelWireNames.RESUME)) {
-            listener.notStarted(job);
+            listener.onRunNotStarted(job);
         }
     }
 
@@ -121,12 +121,12 @@
             byte[] result = end == Kernel.End.OK ? body(notice) : null;
             lastSequenceNumber = sequenceNumber;
             unconfirmed.confirmEnded(job);
-            listener.ended(job, end, durationMicros(notice), result);
+            listener.onRunEnded(job, end, durationMicros(notice), result);
         } else if (type.equals(KernelWireNames.CALL_REQUEST)) {
             byte[] call = body(notice);
             lastSequenceNumber = sequenceNumber;
             unconfirmed.confirmWaitingForCall(job);
-            listener.blocked(job, sequenceNumber, call);
+            listener.onDependencyCallRequested(job, sequenceNumber, call);
         } else {
             lastSequenceNumber = sequenceNumber;
         }
--- a/server/src/main/java/wheatspread/lifecycle/Lifecycle.java
+++ b/server/src/main/java/wheatspread/lifecycle/Lifecycle.java
@@ -29,7 +29,8 @@
  * <tr><td>{@code STOPPED}</td><td>may exit</td><td>-</td></tr>
  * </table>
  *
- * <p>The drain signals are {@code NOTICE} (SIGTERM, or a first SIGINT) and {@code HURRY} (a second SIGINT). They and
+ * <p>The drain signals are {@code DRAIN} (SIGTERM, or a first SIGINT) and {@code DRAIN_IMMEDIATELY} (a second
+ * SIGINT). They and
  * {@code RELOAD} (SIGHUP) are allowed in every phase; where the table names no successor, the phase stays as it is.
  *
  * <p>It does no I/O and reads no clock. One thread calls {@link #handle}; any thread may read the phase.
@@ -69,9 +70,9 @@
         /** The kernel was not ready in the time that the operator allows. */
         KERNEL_TIMED_OUT("KERNEL_GIVEN_UP"),
         /** SIGTERM, or a first SIGINT: the process is to drain. */
-        NOTICE("NOTICE"),
+        DRAIN("NOTICE"),
         /** A second SIGINT: the drain is not to wait for further requests. */
-        HURRY("HURRY"),
+        DRAIN_IMMEDIATELY("HURRY"),
         /** SIGHUP: the configuration is to be read again. */
         RELOAD("RELOAD"),
         /** The drain has ended since every request is answered. */
@@ -135,8 +136,8 @@
         // a start that was stopped while the warm-up still ran
         table.get(Phase.STOPPED).put(Event.WARMED_UP, Phase.STOPPED);
         for (Phase phase : Phase.values()) {
-            table.get(phase).put(Event.NOTICE, afterDrainSignal(phase));
-            table.get(phase).put(Event.HURRY, afterDrainSignal(phase));
+            table.get(phase).put(Event.DRAIN, afterDrainSignal(phase));
+            table.get(phase).put(Event.DRAIN_IMMEDIATELY, afterDrainSignal(phase));
             table.get(phase).put(Event.RELOAD, phase);
         }
         // the link to the kernel opens with BINDING, and may become ready in any later phase
--- a/server/src/main/java/wheatspread/logging/LogSetup.java
+++ b/server/src/main/java/wheatspread/logging/LogSetup.java
@@ -22,7 +22,7 @@
     /** How long {@link #flush} waits for queued lines. */
     private static final int FLUSH_TIMEOUT_MS = 500;
 
-    /** Called by Logback at its start; the configuration holds until the first call of {@link #use}. */
+    /** Called by Logback at its start; the configuration holds until the first call of {@link #configureOutput}. */
     @Override
     public ExecutionStatus configure(LoggerContext context) {
         configure(context, false, "info", null);
@@ -32,7 +32,7 @@
     /**
      * Configures the format, the lowest level, and the server's name in every line; null for no name.
      */
-    public static void use(boolean json, String level, String server) {
+    public static void configureOutput(boolean json, String level, String server) {
         configure((LoggerContext) LoggerFactory.getILoggerFactory(), json, level, server);
     }
 
--- a/server/src/main/java/wheatspread/membership/Departure.java
+++ b/server/src/main/java/wheatspread/membership/Departure.java
@@ -7,13 +7,13 @@
  *
  * @param witnesses names of the observers that reported it down; none where that is not the cause
  */
-public record Departure(MemberId who, Cause cause, List<String> witnesses) {
+public record Departure(MemberId member, Cause cause, List<String> witnesses) {
     /** Why a member departed. */
     public enum Cause {
         /** It announced that it leaves. */
         LEFT("LEFT"),
         /** Its observers reported it down. */
-        MISSED("MISSED"),
+        REPORTED_DOWN("MISSED"),
         /** A later incarnation of it joined. */
         RESTARTED("RESTARTED"),
         /** The view was learnt from another member, which may know the cause. */
--- a/server/src/main/java/wheatspread/membership/DetectorSettings.java
+++ b/server/src/main/java/wheatspread/membership/DetectorSettings.java
@@ -24,7 +24,7 @@
         int maxHealthScore,
         long lateTurnMicros) {
     /** What the server uses: a member that crashes is reported by all its observers after some 2 to 3 s. */
-    public static final DetectorSettings USUAL =
+    public static final DetectorSettings DEFAULT =
             new DetectorSettings(1_000_000, 300_000, 700_000, 3, 1_000_000, 3_000_000, 3, 8, 200_000);
 
     /** Checks that the timeouts are in order. */
@@ -43,13 +43,13 @@
     }
 
     /** SWIM without suspicions: the first probe that fails is reported. */
-    public DetectorSettings plain() {
+    public DetectorSettings withoutSuspicion() {
         return new DetectorSettings(
                 probePeriodMicros, directTimeoutMicros, probeTimeoutMicros, helpers, 0, 0, 0, 0, Long.MAX_VALUE);
     }
 
     /** SWIM with suspicions of one timeout, and without local health. */
-    public DetectorSettings suspicious() {
+    public DetectorSettings withFixedSuspicion() {
         return new DetectorSettings(
                 probePeriodMicros,
                 directTimeoutMicros,
--- a/server/src/main/java/wheatspread/membership/Membership.java
+++ b/server/src/main/java/wheatspread/membership/Membership.java
@@ -11,7 +11,7 @@
  */
 public final class Membership {
     /** Entries that a list of seeds may have. */
-    public static final int MOST_SEEDS = ClusterBootstrap.MAX_SEEDS;
+    public static final int MAX_SEEDS = ClusterBootstrap.MAX_SEEDS;
 
     private static final long NO_TURN_EXPECTED = Long.MAX_VALUE;
 
@@ -45,14 +45,14 @@
          * @param before null for the first
          * @param gone the members of {@code before} that are not in it, with the causes
          */
-        void changed(View before, View now, List<Departure> gone);
+        void onViewInstalled(View before, View now, List<Departure> gone);
 
         /** The time by the calendar, from which epochs are numbered. */
         long unixMillis();
     }
 
     /**
-     * A member without a view; {@link #start} or {@link #begin} come next.
+     * A member without a view; {@link #start} or {@link #startWithView} come next.
      *
      * @param self this member, as others will know it
      * @param seeds addresses of servers that are asked for a view; in the same order on all servers
@@ -107,22 +107,22 @@
     }
 
     /** Whether this member is in the view in force here. */
-    public boolean isIn() {
+    public boolean isMember() {
         return state.isMember();
     }
 
     /** The local health multiplier: how many times as long as usual this member waits; 1 in good health. */
-    public int distrust() {
+    public int localHealthMultiplier() {
         return health.multiplier();
     }
 
     /** Whether this member is in its view and a quorum of it seems reachable. */
-    public boolean stands(long nowMicros) {
+    public boolean isQuorumReachable(long nowMicros) {
         return state.isQuorumReachable(nowMicros);
     }
 
     /** Why no quorum seems reachable, for operators; empty where one does. */
-    public String whyNot(long nowMicros) {
+    public String quorumUnreachableReason(long nowMicros) {
         String reason = state.unreachableReason(nowMicros);
         return reason == null ? "" : reason;
     }
@@ -135,7 +135,7 @@
     }
 
     /** Starts with a view that was agreed elsewhere. */
-    public void begin(View first, long nowMicros) {
+    public void startWithView(View first, long nowMicros) {
         lastCallMicros = nowMicros;
         installer.install(first, nowMicros);
     }
@@ -146,7 +146,7 @@
      *
      * @return why the order is refused, or null
      */
-    public String found(long nowMicros) {
+    public String orderBootstrap(long nowMicros) {
         return bootstrapProtocol.orderByOperator(nowMicros);
     }
 
@@ -159,7 +159,7 @@
     }
 
     /** The next time at which {@link #turn} has something to do. */
-    public long nextTurn() {
+    public long nextTurnMicros() {
         long next = Math.min(nextProtocolStepMicros(), probes.nextStepMicros());
         if (!state.isLeaving()) {
             next = Math.min(next, bootstrapProtocol.nextStepMicros());
@@ -204,7 +204,7 @@
     }
 
     /** Takes a message in; {@code address} is where answers go. */
-    public void received(String address, Message message, long nowMicros) {
+    public void receive(String address, Message message, long nowMicros) {
         lastCallMicros = nowMicros;
         dispatcher.dispatch(address, message, nowMicros);
         advanceViewChange(nowMicros);
@@ -218,17 +218,17 @@
     }
 
     /** The names of the observers that report a member down; only while this member is in the view. */
-    public List<String> reportedBy(int member) {
+    public List<String> reportingObservers(int member) {
         return reports.reporting(member);
     }
 
     /** The names of the observers that suspect a member; only while this member is in the view. */
-    public List<String> suspectedBy(int member) {
+    public List<String> suspectingObservers(int member) {
         return reports.suspecting(member);
     }
 
     /** For how long this member has suspected another, in microseconds; 0 where it does not. */
-    public long suspectedFor(MemberId other, long nowMicros) {
+    public long suspectedForMicros(MemberId other, long nowMicros) {
         MonitoredSubject subject = subjects.get(other);
         if (subject == null || !subject.detector().isSuspectOrDown()) {
             return 0;
--- a/server/src/main/java/wheatspread/membership/Message.java
+++ b/server/src/main/java/wheatspread/membership/Message.java
@@ -33,7 +33,7 @@
 
             R visitViewRequest(ViewRequest body);
 
-            R visitViewIs(ViewIs body);
+            R visitViewResponse(ViewResponse body);
 
             R visitJoinRequest(JoinRequest body);
 
@@ -91,10 +91,10 @@
         }
 
         /** The sender's complete view. */
-        record ViewIs(View view) implements Body {
+        record ViewResponse(View view) implements Body {
             @Override
             public <R> R accept(Visitor<R> visitor) {
-                return visitor.visitViewIs(this);
+                return visitor.visitViewResponse(this);
             }
         }
 
--- a/server/src/main/java/wheatspread/membership/MessageDispatcher.java
+++ b/server/src/main/java/wheatspread/membership/MessageDispatcher.java
@@ -119,7 +119,7 @@
         }
 
         @Override
-        public Void visitViewIs(Body.ViewIs body) {
+        public Void visitViewResponse(Body.ViewResponse body) {
             boolean sendersView = body.view().id().equals(message.view());
             if (viewExchange.takesPrecedence(message, nowMicros) && sendersView) {
                 installer.install(body.view(), nowMicros);
@@ -133,7 +133,7 @@
             if (!state.isMember()) {
                 bootstrap.onJoinRequest(joiner, nowMicros);
             } else if (state.view().indexOf(joiner.id()) >= 0) {
-                sender.sendWithoutGossip(address, new Body.ViewIs(state.view()), nowMicros);
+                sender.sendWithoutGossip(address, new Body.ViewResponse(state.view()), nowMicros);
             } else {
                 receiveGossip(new GossipUpdate.Joining(joiner), nowMicros);
                 // shows the joiner that there is a cluster, so that it does not form another
--- a/server/src/main/java/wheatspread/membership/ViewExchange.java
+++ b/server/src/main/java/wheatspread/membership/ViewExchange.java
@@ -29,18 +29,18 @@
     /** A message came from a member that holds another view. */
     void onOtherView(String address, Message message, long nowMicros) {
         if (takesPrecedence(message, nowMicros)) {
-            boolean carriesView = message.body() instanceof Body.ViewIs;
+            boolean carriesView = message.body() instanceof Body.ViewResponse;
             if (!carriesView && rateLimit.tryAcquire(message.from(), nowMicros)) {
                 sender.send(address, new Body.ViewRequest(), nowMicros);
             }
         } else if (state.isMember() && rateLimit.tryAcquire(message.from(), nowMicros)) {
-            sender.sendWithoutGossip(address, new Body.ViewIs(state.view()), nowMicros);
+            sender.sendWithoutGossip(address, new Body.ViewResponse(state.view()), nowMicros);
         }
     }
 
     void onViewRequest(String address, long nowMicros) {
         if (state.isMember()) {
-            sender.send(address, new Body.ViewIs(state.view()), nowMicros);
+            sender.send(address, new Body.ViewResponse(state.view()), nowMicros);
         }
     }
 
--- a/server/src/main/java/wheatspread/membership/ViewInstaller.java
+++ b/server/src/main/java/wheatspread/membership/ViewInstaller.java
@@ -52,7 +52,7 @@
 
     /** Installs the view that a change decided here leads to. */
     void installDecided(ViewChange change, long nowMicros) {
-        install(state.view().withChange(change), Departure.Cause.MISSED, nowMicros);
+        install(state.view().withChange(change), Departure.Cause.REPORTED_DOWN, nowMicros);
     }
 
     private void install(View next, Departure.Cause unannounced, long nowMicros) {
@@ -73,7 +73,7 @@
             bootstrap.onLeftView(nowMicros);
         }
         probes.onViewInstalled(nowMicros);
-        actions.changed(previous, next, departures);
+        actions.onViewInstalled(previous, next, departures);
     }
 
     /**
--- a/server/src/main/java/wheatspread/nginx/Importer.java
+++ b/server/src/main/java/wheatspread/nginx/Importer.java
@@ -283,15 +283,16 @@
     private void param(Directive param, JSONObject route) {
         String name = param.arg(0);
         String value = param.arg(1);
-        Vars vars = Vars.USUAL;
-        Map<String, String> words = Map.of(vars.kind(), "class", vars.tenant(), "tenant");
-        Map<String, String> numbers = Map.of(vars.limit(), "limit_ms", vars.hint(), "cpu_ms", vars.ram(), "ram_kb");
+        Vars vars = Vars.DEFAULT;
+        Map<String, String> words = Map.of(vars.requestClass(), "class", vars.tenant(), "tenant");
+        Map<String, String> numbers =
+                Map.of(vars.timeout(), "limit_ms", vars.expectedWork(), "cpu_ms", vars.memory(), "ram_kb");
         boolean fixed = !value.contains("$");
         if (fixed && words.containsKey(name)) {
             route.put(words.get(name), value);
         } else if (fixed && numbers.containsKey(name)) {
             if (value.matches("\\d{1,9}(\\.\\d{1,9})?")) {
-                boolean whole = name.equals(vars.limit());
+                boolean whole = name.equals(vars.timeout());
                 double number = Double.parseDouble(value);
                 route.put(numbers.get(name), whole ? (Object) Math.round(number) : (Object) number);
             } else {
@@ -299,13 +300,13 @@
             }
         } else if (!STANDARD.contains(name)
                 && !Set.of(
-                                vars.kind(),
+                                vars.requestClass(),
                                 vars.tenant(),
-                                vars.limit(),
-                                vars.hint(),
-                                vars.ram(),
-                                vars.unique(),
-                                vars.item())
+                                vars.timeout(),
+                                vars.expectedWork(),
+                                vars.memory(),
+                                vars.idempotencyKey(),
+                                vars.cacheKey())
                         .contains(name)) {
             once(param, name + " means nothing to the recipe server");
         }
--- a/server/src/main/java/wheatspread/peers/BodyCodec.java
+++ b/server/src/main/java/wheatspread/peers/BodyCodec.java
@@ -18,7 +18,7 @@
             case AROUND -> decodeIndirectPing(envelope.getAround());
             case NACK -> new Body.Nack(envelope.getNack());
             case WHICH_VIEW -> new Body.ViewRequest();
-            case VIEW_IS -> new Body.ViewIs(FieldCodec.decodeView(envelope.getViewIs()));
+            case VIEW_IS -> new Body.ViewResponse(FieldCodec.decodeView(envelope.getViewIs()));
             case KNOCK -> new Body.JoinRequest(FieldCodec.decodeMember(envelope.getKnock()));
             case FOUND -> decodeBootstrapRequest(envelope.getFound());
             case CONSENT -> decodeBootstrapConsent(envelope.getConsent());
@@ -89,7 +89,7 @@
         }
 
         @Override
-        public Format.Envelope.Builder visitViewIs(Body.ViewIs body) {
+        public Format.Envelope.Builder visitViewResponse(Body.ViewResponse body) {
             return envelope.setViewIs(FieldCodec.encodeView(body.view()));
         }
 
--- a/server/src/main/java/wheatspread/peers/FieldCodec.java
+++ b/server/src/main/java/wheatspread/peers/FieldCodec.java
@@ -119,7 +119,7 @@
 
     /** Only IPv4 addresses are valid: resolving a name would block the event loop. */
     static String decodeAddress(String field) throws MalformedMessageException {
-        if (!PeerAddress.isOne(field)) {
+        if (!PeerAddress.isValid(field)) {
             throw MalformedMessageException.invalid("address", field);
         }
         return field;
--- a/server/src/main/java/wheatspread/peers/PeerAddress.java
+++ b/server/src/main/java/wheatspread/peers/PeerAddress.java
@@ -19,7 +19,7 @@
     private PeerAddress() {}
 
     /** Whether a text is such an address. */
-    public static boolean isOne(String text) {
+    public static boolean isValid(String text) {
         return parse(text) != null;
     }
 
@@ -74,7 +74,7 @@
     }
 
     /** The text form of an address, which {@link #parse} reads. */
-    public static String text(InetSocketAddress address) {
+    public static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 }
--- a/server/src/main/java/wheatspread/peers/PeerCounters.java
+++ b/server/src/main/java/wheatspread/peers/PeerCounters.java
@@ -55,7 +55,7 @@
     }
 
     /** How many messages came faster than {@link InboundRateLimit} lets them be read. */
-    public long overRateCount() {
+    public long overRate() {
         return overRate;
     }
 
--- a/server/src/main/java/wheatspread/peers/PeerStreams.java
+++ b/server/src/main/java/wheatspread/peers/PeerStreams.java
@@ -101,7 +101,7 @@
 
     /** Closes a counted stream when its time is over, and takes it from the count once it is closed. */
     private void limitLifetime(Channel channel) {
-        Clock.Timer timeout = clock.after(STREAM_TIMEOUT_MICROS, channel::close);
+        Clock.Timer timeout = clock.schedule(STREAM_TIMEOUT_MICROS, channel::close);
         channel.closeFuture().addListener(done -> {
             timeout.cancel();
             openStreams--;
--- a/server/src/main/java/wheatspread/peers/PeerTransport.java
+++ b/server/src/main/java/wheatspread/peers/PeerTransport.java
@@ -61,11 +61,11 @@
         codec = new MessageCodec(cluster, self.address());
         datagrams = new PeerDatagrams(transport, loop, counters, log, this::receive);
         streams = new PeerStreams(transport, loop, clock, counters, this::receive);
-        membership = new Membership(self, seeds, DetectorSettings.USUAL, random, new MembershipActions());
+        membership = new Membership(self, seeds, DetectorSettings.DEFAULT, random, new MembershipActions());
     }
 
     /** Messages pass this filter from now on; on the loop's thread, or before {@link #open}. */
-    public void filter(LinkFilter filter) {
+    public void setLinkFilter(LinkFilter filter) {
         linkFilter = filter;
     }
 
@@ -101,7 +101,7 @@
             return;
         }
         started = true;
-        membership.start(EventLoopScheduler.micros());
+        membership.start(EventLoopScheduler.monotonicMicros());
         scheduleTurn();
     }
 
@@ -110,8 +110,8 @@
      *
      * @return why it is refused, or null
      */
-    public String found() {
-        String refusal = membership.found(EventLoopScheduler.micros());
+    public String orderBootstrap() {
+        String refusal = membership.orderBootstrap(EventLoopScheduler.monotonicMicros());
         scheduleTurn();
         return refusal;
     }
@@ -138,12 +138,12 @@
     }
 
     /** Counts of messages since the start; on the loop's thread. */
-    public PeerCounters counts() {
+    public PeerCounters counters() {
         return counters;
     }
 
     private void scheduleTurn() {
-        long nextMicros = closed || !started ? NO_TURN : membership.nextTurn();
+        long nextMicros = closed || !started ? NO_TURN : membership.nextTurnMicros();
         if (nextMicros == turnMicros) {
             return;
         }
@@ -153,7 +153,7 @@
         }
         turnMicros = nextMicros;
         if (nextMicros != NO_TURN) {
-            turnTimer = clock.after(Math.max(0, nextMicros - EventLoopScheduler.micros()), this::turn);
+            turnTimer = clock.schedule(Math.max(0, nextMicros - EventLoopScheduler.monotonicMicros()), this::turn);
         }
     }
 
@@ -161,14 +161,14 @@
         turnTimer = null;
         turnMicros = NO_TURN;
         if (!closed) {
-            membership.turn(EventLoopScheduler.micros());
+            membership.turn(EventLoopScheduler.monotonicMicros());
             scheduleTurn();
         }
     }
 
     private void receive(ByteBuf bytes) {
         counters.recordReceived(bytes.readableBytes());
-        if (closed || !rateLimit.tryAcquire(EventLoopScheduler.micros())) {
+        if (closed || !rateLimit.tryAcquire(EventLoopScheduler.monotonicMicros())) {
             counters.recordOverRate();
             return;
         }
@@ -177,7 +177,7 @@
             if (!linkFilter.receives(received.address())) {
                 return;
             }
-            membership.received(received.address(), received.message(), EventLoopScheduler.micros());
+            membership.receive(received.address(), received.message(), EventLoopScheduler.monotonicMicros());
             scheduleTurn();
         } catch (MalformedMessageException e) {
             counters.recordMalformed(e.reason());
@@ -206,13 +206,14 @@
         }
 
         @Override
-        public void changed(View before, View now, List<Departure> gone) {
+        public void onViewInstalled(View before, View now, List<Departure> gone) {
             List<String> joined = now.members().stream()
                     .filter(member -> before == null || before.indexOf(member.id()) < 0)
                     .map(member -> member.id().toString())
                     .toList();
             List<String> departed = gone.stream()
-                    .map(departure -> departure.who() + " " + departure.cause().logName() + " " + departure.witnesses())
+                    .map(departure ->
+                            departure.member() + " " + departure.cause().logName() + " " + departure.witnesses())
                     .toList();
             // a hash that is equal on all servers with this view; the list itself is too long for a line
             String membersHash = Integer.toHexString(now.members().toString().hashCode());
--- a/server/src/main/java/wheatspread/records/PendingCall.java
+++ b/server/src/main/java/wheatspread/records/PendingCall.java
@@ -12,7 +12,7 @@
         RecordsConnection connection, String job, byte[] body, long timeoutMs, RecordsService.Listener listener)
         implements RecordsService.Call {
     @Override
-    public void giveUp() {
+    public void cancel() {
         connection.cancel(this);
     }
 }
--- a/server/src/main/java/wheatspread/records/RecordsClient.java
+++ b/server/src/main/java/wheatspread/records/RecordsClient.java
@@ -59,7 +59,7 @@
     }
 
     private Call refusedCall(Listener listener) {
-        Clock.Timer refusal = clock.after(0, () -> listener.ended(Outcome.CONNECT_ERROR, null));
+        Clock.Timer refusal = clock.schedule(0, () -> listener.onCallEnded(Outcome.CONNECT_ERROR, null));
         return refusal::cancel;
     }
 
@@ -97,7 +97,7 @@
         pool.markUsed(best);
         if (!idleCheckScheduled) {
             idleCheckScheduled = true;
-            clock.after(IDLE_CHECK_INTERVAL_MICROS, this::closeIdle);
+            clock.schedule(IDLE_CHECK_INTERVAL_MICROS, this::closeIdle);
         }
         return best;
     }
@@ -108,7 +108,7 @@
                 .forEach(RecordsConnection::close);
         idleCheckScheduled = pool.hasAvailable();
         if (idleCheckScheduled) {
-            clock.after(IDLE_CHECK_INTERVAL_MICROS, this::closeIdle);
+            clock.schedule(IDLE_CHECK_INTERVAL_MICROS, this::closeIdle);
         }
     }
 
--- a/server/src/main/java/wheatspread/records/RecordsConnection.java
+++ b/server/src/main/java/wheatspread/records/RecordsConnection.java
@@ -165,7 +165,7 @@
         usedAtMicros = clock.nowMicros();
         PendingCall call = pending.remove(reply.job());
         if (call != null) {
-            call.listener().ended(reply.outcome(), reply.body());
+            call.listener().onCallEnded(reply.outcome(), reply.body());
             closeIfDrained();
         }
     }
@@ -185,6 +185,6 @@
         pool.remove(this);
         List<PendingCall> failed = new ArrayList<>(pending.values());
         pending.clear();
-        failed.forEach(call -> call.listener().ended(outcome, null));
+        failed.forEach(call -> call.listener().onCallEnded(outcome, null));
     }
 }
--- a/server/src/main/java/wheatspread/scheduling/IterationBudget.java
+++ b/server/src/main/java/wheatspread/scheduling/IterationBudget.java
@@ -6,7 +6,7 @@
  * @param maxBytes bytes read from callers
  * @param maxRequests whole requests read
  * @param maxReadMicros time spent on reading
- * @param lately a connection that was used within this many microseconds does not count as idle
+ * @param recentUseMicros a connection that was used within this many microseconds does not count as idle
  * @param readsPerIdleRead one idle connection is read after this many others, so that a busy server reads
  *     idle connections too
  * @param burstThreshold how many idle connections that wait to be read at once make a reconnect burst, see
@@ -17,10 +17,10 @@
         int maxBytes,
         int maxRequests,
         int maxReadMicros,
-        long lately,
+        long recentUseMicros,
         int readsPerIdleRead,
         int burstThreshold,
         int maxExpirations) {
     /** What holds unless the operator's file says otherwise. */
-    public static final IterationBudget USUAL = new IterationBudget(256 * 1024, 128, 4_000, 5_000_000, 8, 64, 16);
+    public static final IterationBudget DEFAULT = new IterationBudget(256 * 1024, 128, 4_000, 5_000_000, 8, 64, 16);
 }
--- a/server/src/main/java/wheatspread/scheduling/ReadScheduler.java
+++ b/server/src/main/java/wheatspread/scheduling/ReadScheduler.java
@@ -51,7 +51,7 @@
         if (ready.hasOpenRequests()) {
             return WITH_OPEN_REQUESTS;
         }
-        return ready.lastUsedMicros() > nowMicros - budget.lately() ? RECENTLY_USED : IDLE;
+        return ready.lastUsedMicros() > nowMicros - budget.recentUseMicros() ? RECENTLY_USED : IDLE;
     }
 
     /** Starts an iteration with its whole budget. */
@@ -131,12 +131,12 @@
     }
 
     /** How many iterations spent their budget before everything was read. */
-    public long exhausted() {
+    public long exhaustedIterations() {
         return exhaustedIterations;
     }
 
     /** How many times an idle connection was queued. */
-    public long sleepers() {
+    public long idleReads() {
         return idleReads;
     }
 }
--- a/server/src/main/java/wheatspread/sim/BenchLink.java
+++ b/server/src/main/java/wheatspread/sim/BenchLink.java
@@ -22,10 +22,10 @@
     private final OutputStream out;
 
     /** What was read cannot be understood; the message names the line. */
-    public static final class BadInput extends RuntimeException {
+    public static final class InvalidInputException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        BadInput(String message) {
+        InvalidInputException(String message) {
             super(message);
         }
     }
@@ -57,9 +57,9 @@
             reply.disable(JsonGenerator.Feature.FLUSH_PASSED_TO_STREAM);
             fleet.process(parser.parseObject(line), reply);
         } catch (JsonProcessingException e) {
-            throw new BadInput("line " + lineNumber + ": not JSON: " + e.getOriginalMessage());
-        } catch (BadInput | IllegalArgumentException e) {
-            throw new BadInput("line " + lineNumber + ": " + e.getMessage());
+            throw new InvalidInputException("line " + lineNumber + ": not JSON: " + e.getOriginalMessage());
+        } catch (InvalidInputException | IllegalArgumentException e) {
+            throw new InvalidInputException("line " + lineNumber + ": " + e.getMessage());
         }
     }
 }
--- a/server/src/main/java/wheatspread/sim/EventDecoder.java
+++ b/server/src/main/java/wheatspread/sim/EventDecoder.java
@@ -18,18 +18,18 @@
             case WireNames.COMPLETION ->
                 controller.onCompletion(
                         event.id(WireNames.REQUEST_ID),
-                        event.word(WireNames.OUTCOME, WireNames.OUTCOMES),
-                        event.time(WireNames.ELAPSED));
+                        event.oneOf(WireNames.OUTCOME, WireNames.OUTCOMES),
+                        event.millisAsMicros(WireNames.ELAPSED));
             case WireNames.BLOCKED -> controller.onBlocked(event.id(WireNames.REQUEST_ID));
             case WireNames.CALL_COMPLETED ->
                 controller.onCallCompleted(
                         event.id(WireNames.REQUEST_ID),
-                        event.word(WireNames.OUTCOME, WireNames.OUTCOMES),
-                        event.time(WireNames.ELAPSED));
+                        event.oneOf(WireNames.OUTCOME, WireNames.OUTCOMES),
+                        event.millisAsMicros(WireNames.ELAPSED));
             case WireNames.CANCELLATION -> controller.onCancellation(event.id(WireNames.REQUEST_ID));
-            case WireNames.DRAIN -> controller.onDrain(event.time(WireNames.TIME_LEFT));
+            case WireNames.DRAIN -> controller.onDrain(event.millisAsMicros(WireNames.TIME_LEFT));
             case WireNames.TIMER -> controller.onTimer(gauges(instance.gaugeNames(), event));
-            default -> throw new BenchLink.BadInput("unknown event " + kind);
+            default -> throw new BenchLink.InvalidInputException("unknown event " + kind);
         }
     }
 
@@ -38,19 +38,19 @@
                 event.id(WireNames.REQUEST_ID),
                 (int) event.number(WireNames.TENANT, 0),
                 (int) event.integer(WireNames.REQUEST_CLASS),
-                event.time(WireNames.AGE, 0),
-                event.time(WireNames.TIME_LEFT, 0),
+                event.millisAsMicros(WireNames.AGE, 0),
+                event.millisAsMicros(WireNames.TIME_LEFT, 0),
                 (long) event.number(WireNames.DUPLICATE_OF, 0),
                 event.flag(WireNames.RETRY),
                 event.has(WireNames.CACHE_KEY),
                 event.flag(WireNames.WRITE),
                 event.number(WireNames.HELD_KB),
-                event.time(WireNames.EXPECTED_WORK, 0));
+                event.millisAsMicros(WireNames.EXPECTED_WORK, 0));
     }
 
     private static LoadGauges gauges(List<String> gaugeNames, JsonFields event) {
         List<Object> readings = event.list(WireNames.GAUGES);
-        return DeploymentSettings.reading(
+        return DeploymentSettings.gaugesFrom(
                 gaugeNames,
                 index -> index < readings.size() && readings.get(index) instanceof Number number
                         ? number.doubleValue()
--- a/server/src/main/java/wheatspread/sim/JsonTreeParser.java
+++ b/server/src/main/java/wheatspread/sim/JsonTreeParser.java
@@ -23,7 +23,7 @@
             parser.nextToken();
             Object value = value(parser);
             if (parser.nextToken() != null) {
-                throw new BenchLink.BadInput("more than one value");
+                throw new BenchLink.InvalidInputException("more than one value");
             }
             return JsonFields.of(value, "message");
         }
--- a/server/src/main/java/wheatspread/sim/SimulatedFleet.java
+++ b/server/src/main/java/wheatspread/sim/SimulatedFleet.java
@@ -18,7 +18,7 @@
     }
 
     void process(JsonFields batch, JsonGenerator reply) throws IOException {
-        long nowMicros = batch.time(WireNames.BATCH_TIME);
+        long nowMicros = batch.millisAsMicros(WireNames.BATCH_TIME);
         reply.writeStartObject();
         reply.writeArrayFieldStart(WireNames.PARTS);
         for (Object part : batch.list(WireNames.PARTS)) {
@@ -41,7 +41,7 @@
                 instance.controller().beginBatch(nowMicros);
                 batchBegun = true;
             } else if (instance == null) {
-                throw new BenchLink.BadInput(kind + " for unknown instance " + id);
+                throw new BenchLink.InvalidInputException(kind + " for unknown instance " + id);
             } else if (kind.equals(WireNames.INSTANCE_ENDED)) {
                 instances.remove(id);
                 batchBegun = false;
--- a/server/src/main/java/wheatspread/supervisor/CommandSpool.java
+++ b/server/src/main/java/wheatspread/supervisor/CommandSpool.java
@@ -34,7 +34,7 @@
     record Command(Path file, JSONObject arguments) {}
 
     /** Gives a command and waits for its answer; null if none came in time. Blocks the calling thread. */
-    public JSONObject ask(JSONObject command, long timeoutMillis) throws IOException, InterruptedException {
+    public JSONObject submit(JSONObject command, long timeoutMillis) throws IOException, InterruptedException {
         if (pendingFiles().size() >= MAX_PENDING_COMMANDS) {
             throw new IOException(MAX_PENDING_COMMANDS + " commands wait; nobody reads them");
         }
