--- a/server/src/main/java/wheatspread/supervisor/FleetRunner.java
+++ b/server/src/main/java/wheatspread/supervisor/FleetRunner.java
@@ -20,7 +20,8 @@
  * {@link CommandSpool} and the status in the {@link StatusFile}. The instances outlive it; the next supervisor adopts
  * them.
  *
- * <p>{@link #run} makes all calls on the thread that calls it; {@link #goDown} and {@link #reload} are for the threads
+ * <p>{@link #run} makes all calls on the thread that calls it; {@link #requestShutDown} and {@link #requestReload}
+ * are for the threads
  * of signals and only set a flag, which the next turn reads.
  */
 public final class FleetRunner {
@@ -40,37 +41,37 @@
     private LocalHost host;
 
     /** Another supervisor runs for this fleet. */
-    public static final class Busy extends Exception {
+    public static final class SupervisorRunningException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Busy(String message) {
+        SupervisorRunningException(String message) {
             super(message);
         }
     }
 
-    /** {@code config} is that of the start; {@link #reload} reads its file again. */
+    /** {@code config} is that of the start; {@link #requestReload} reads its file again. */
     public FleetRunner(FleetConfig config, EventLog log) {
         this.config = config;
         this.log = log;
     }
 
     /** SIGTERM or SIGINT: shuts the fleet down. Any thread may call. */
-    public void goDown() {
+    public void requestShutDown() {
         shutDownRequested.set(true);
     }
 
     /** SIGHUP: reads the fleet's file again. Any thread may call. */
-    public void reload() {
+    public void requestReload() {
         reloadRequested.set(true);
     }
 
     /** Runs until the fleet is shut down, or an operator detaches the supervisor and leaves the instances running. */
-    public void run() throws IOException, InterruptedException, Busy {
-        Files.createDirectories(config.dir());
+    public void run() throws IOException, InterruptedException, SupervisorRunningException {
+        Files.createDirectories(config.directory());
         try (FileChannel lock = FileChannel.open(
-                config.dir().resolve("supervisor.lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
+                config.directory().resolve("supervisor.lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
             if (lock.tryLock() == null) {
-                throw new Busy("a supervisor runs already for " + config.dir());
+                throw new SupervisorRunningException("a supervisor runs already for " + config.directory());
             }
             host = new LocalHost(config);
             startSupervisor();
@@ -84,19 +85,19 @@
 
     private void startSupervisor() throws IOException {
         fleet = new FleetController(config.plan(), System.nanoTime(), log);
-        supervisor = new Supervisor(fleet, host, config.checkEvery(), log);
+        supervisor = new Supervisor(fleet, host, config.checkIntervalMicros(), log);
         supervisor.recover(EventLoopClock.unixMicros());
         log.info(
                 "supervisor_began",
                 "dir",
-                config.dir(),
+                config.directory(),
                 "members",
                 config.members().size());
     }
 
     private void runTurns() throws IOException, InterruptedException {
-        StatusFile statusFile = new StatusFile(config.dir());
-        CommandSpool commands = new CommandSpool(config.dir());
+        StatusFile statusFile = new StatusFile(config.directory());
+        CommandSpool commands = new CommandSpool(config.directory());
         long nextStatusMicros = 0;
         boolean shutDown = false;
         while (!shutDown && !detachRequested) {
@@ -160,7 +161,7 @@
     private void reloadConfig() throws IOException {
         try {
             FleetConfig next = FleetConfig.readFile(config.file());
-            if (!next.dir().equals(config.dir())) {
+            if (!next.directory().equals(config.directory())) {
                 throw new JsonFields.InvalidValueException("dir cannot change while the fleet runs");
             }
             config = next;
--- a/server/src/main/java/wheatspread/supervisor/LocalHost.java
+++ b/server/src/main/java/wheatspread/supervisor/LocalHost.java
@@ -43,9 +43,9 @@
 
     LocalHost(FleetConfig config) throws IOException {
         this.config = config;
-        Files.createDirectories(config.dir());
-        stateFile = new StateFile(config.dir().resolve("state.json"));
-        checks = new HealthChecks(config.checkTimeout() / MICROS_PER_MILLI);
+        Files.createDirectories(config.directory());
+        stateFile = new StateFile(config.directory().resolve("state.json"));
+        checks = new HealthChecks(config.checkTimeoutMicros() / MICROS_PER_MILLI);
     }
 
     /** Takes over the fleet's file that was read again. */
@@ -54,7 +54,7 @@
     }
 
     private Path instanceFile(String instance, String kind) {
-        return config.dir().resolve(instance + "." + kind);
+        return config.directory().resolve(instance + "." + kind);
     }
 
     /** Null if the fleet's file has no such instance. */
--- a/server/src/main/java/wheatspread/supervisor/StatusFile.java
+++ b/server/src/main/java/wheatspread/supervisor/StatusFile.java
@@ -19,7 +19,7 @@
  */
 public final class StatusFile {
     /** A status older than this was written by a supervisor that has ended or hangs; milliseconds. */
-    public static final long STALE_MS = 3_000;
+    public static final long STALE_AFTER_MILLIS = 3_000;
 
     private static final long MICROS_PER_MILLI = 1_000;
     /** Stands for an instance that has not answered a health check. */
--- a/server/src/main/java/wheatspread/timers/TimerWheel.java
+++ b/server/src/main/java/wheatspread/timers/TimerWheel.java
@@ -37,7 +37,7 @@
         private int slot = UNSET;
 
         /** Called by {@link #expire} when its deadline has passed; it is not set any more. */
-        protected abstract void ring();
+        protected abstract void onExpiry();
 
         /** Whether it is set and has not been called since. */
         public boolean isSet() {
@@ -48,7 +48,7 @@
     /** The head of a list. */
     private static final class Sentinel extends Timer {
         @Override
-        protected void ring() {
+        protected void onExpiry() {
             throw new IllegalStateException("a sentinel never expires");
         }
     }
@@ -183,13 +183,13 @@
             Timer timer = expired.next;
             cancel(timer);
             called++;
-            timer.ring();
+            timer.onExpiry();
         }
         return called;
     }
 
     /** Whether the last {@link #expire} left expired timers over. */
-    public boolean overdue() {
+    public boolean hasExpiredTimers() {
         return expired.next != expired;
     }
 
@@ -242,8 +242,8 @@
      * When {@link #expire} must next be called, in microseconds: at once if a timer has expired, and
      * {@link Long#MAX_VALUE} if none is set. It may be before the first timer expires, never after.
      */
-    public long nextLook() {
-        if (overdue()) {
+    public long nextAdvanceMicros() {
+        if (hasExpiredTimers()) {
             return currentTick << TICK_BITS;
         }
         long earliestMicros = Long.MAX_VALUE;
--- a/server/src/main/java/wheatspread/transport/ClientChannel.java
+++ b/server/src/main/java/wheatspread/transport/ClientChannel.java
@@ -86,7 +86,7 @@
     final void pauseReads() {
         if (!readsPaused && registration.isValid() && wanted != null) {
             readsPaused = true;
-            registration.submit(mute(wanted));
+            registration.submit(withoutReadInterest(wanted));
         }
     }
 
@@ -97,14 +97,14 @@
     protected abstract IoEvent withoutReading(IoEvent ready);
 
     /** What the channel wants from the selector, without input. */
-    protected abstract IoOps mute(IoOps ops);
+    protected abstract IoOps withoutReadInterest(IoOps ops);
 
     // ---- the registration, as the channel sees it ----
 
     @Override
     public final long submit(IoOps ops) {
         wanted = ops;
-        return registration.submit(readsPaused ? mute(ops) : ops);
+        return registration.submit(readsPaused ? withoutReadInterest(ops) : ops);
     }
 
     @Override
@@ -165,7 +165,7 @@
         }
 
         @Override
-        protected IoOps mute(IoOps ops) {
+        protected IoOps withoutReadInterest(IoOps ops) {
             return ((NioIoOps) ops).without(NioIoOps.READ);
         }
     }
--- a/server/src/main/java/wheatspread/transport/ClientChannelHandler.java
+++ b/server/src/main/java/wheatspread/transport/ClientChannelHandler.java
@@ -67,13 +67,13 @@
      * Reads the whole messages and returns their number. Bytes that it leaves are buffered and come again in
      * front of the next ones.
      */
-    protected abstract int read(ByteBuf bytes);
+    protected abstract int readMessages(ByteBuf bytes);
 
     /** How many requests wait for their answers. */
-    protected abstract int open();
+    protected abstract int openRequests();
 
     /** The caller has disconnected, so nobody is left to receive an answer. */
-    protected abstract void gone();
+    protected abstract void clientDisconnected();
 
     /** About how many bytes of a partial message the protocol itself buffers. */
     protected int extraBufferedBytes() {
@@ -90,7 +90,7 @@
      * protocol whose callers cancel requests explicitly still answers them.
      */
     protected void clientInputEnded() {
-        gone();
+        clientDisconnected();
     }
 
     // ---- the channel ----
@@ -109,7 +109,7 @@
     public final void channelInactive(ChannelHandlerContext context) {
         releaseBuffer();
         listener.closed(this);
-        gone();
+        clientDisconnected();
     }
 
     @Override
@@ -131,10 +131,10 @@
         if (phase == Phase.LINGERING) {
             closeIfDone();
         } else {
-            if (open() > 0) {
+            if (openRequests() > 0) {
                 clientInputEnded();
             }
-            leave();
+            drain();
         }
     }
 
@@ -148,7 +148,7 @@
         if (buffered != null) {
             all = buffered.writeBytes(bytes);
         }
-        int messages = read(all);
+        int messages = readMessages(all);
         listener.recordRead(size, messages);
         if (phase != Phase.OPEN || !all.isReadable()) {
             releaseBuffer();
@@ -180,7 +180,7 @@
     }
 
     /** Whether a part of a message has been received. */
-    protected final boolean midway() {
+    protected final boolean hasPartialMessage() {
         return partialBytes() > 0;
     }
 
@@ -201,7 +201,7 @@
                 connection.setUnread(!reading && phase == Phase.OPEN);
             }
         }
-        if (phase == Phase.DRAINING && open() == 0) {
+        if (phase == Phase.DRAINING && openRequests() == 0) {
             linger();
         }
     }
@@ -242,12 +242,12 @@
     }
 
     @Override
-    public final boolean advances() {
-        return lingering.madeProgress(pendingBytes());
+    public final boolean madeWriteProgress() {
+        return lingering.madeProgress(pendingWriteBytes());
     }
 
     @Override
-    public final long pendingBytes() {
+    public final long pendingWriteBytes() {
         ChannelOutboundBuffer out = ctx.channel().unsafe().outboundBuffer();
         return out == null ? 0 : out.totalPendingWriteBytes();
     }
@@ -260,14 +260,14 @@
         if (cause instanceof IOException || phase != Phase.OPEN) {
             context.close();
         } else {
-            leave(); // a fault in one message must not lose the answers to others
+            drain(); // a fault in one message must not lose the answers to others
         }
     }
 
     // ---- decisions of the connection table ----
 
     @Override
-    public final void leave() {
+    public final void drain() {
         if (phase == Phase.OPEN) {
             phase = Phase.DRAINING;
             releaseBuffer();
@@ -281,7 +281,7 @@
     }
 
     @Override
-    public final long waitingBytes() {
+    public final long bytesUntilWritable() {
         return ctx.channel().bytesBeforeWritable();
     }
 
@@ -300,7 +300,7 @@
             return false;
         }
         connection.setCountsAsIdle(true);
-        core.turnAway(requestClass, reply, scheduler.gate().retryAfterMicros(core.mostStayAway()));
+        core.reject(requestClass, reply, scheduler.burstLimiter().retryAfterMicros(core.maxRetryAfterMicros()));
         return true;
     }
 
@@ -312,7 +312,7 @@
     /** A request that the burst limiter did not reject has ended. */
     protected final void requestEnded(boolean burstAdmission, Answer.Kind kind) {
         if (burstAdmission) {
-            listener.scheduler().gate().completed(kind == Answer.Kind.SERVED);
+            listener.scheduler().burstLimiter().completed(kind == Answer.Kind.SERVED);
         }
         if (kind == Answer.Kind.REJECTED) {
             listener.requestRejected();
@@ -325,7 +325,7 @@
     }
 
     /** An answer was written, so fewer requests are open. */
-    protected final void answered() {
+    protected final void answerWritten() {
         listener.answered(this);
         updateReading();
     }
--- a/server/src/main/java/wheatspread/transport/EpollTransport.java
+++ b/server/src/main/java/wheatspread/transport/EpollTransport.java
@@ -41,12 +41,12 @@
     }
 
     @Override
-    public IoHandlerFactory handlers() {
+    public IoHandlerFactory ioHandlers() {
         return EpollIoHandler.newFactory();
     }
 
     @Override
-    public long shortestWait() {
+    public long minWaitNanos() {
         return 1;
     }
 
@@ -80,7 +80,7 @@
     }
 
     @Override
-    public ClientChannel defer(IoHandle handle, EventLoopScheduler scheduler) {
+    public ClientChannel deferReads(IoHandle handle, EventLoopScheduler scheduler) {
         return new Deferring(handle, scheduler);
     }
 
@@ -106,7 +106,7 @@
         }
 
         @Override
-        protected IoOps mute(IoOps ops) {
+        protected IoOps withoutReadInterest(IoOps ops) {
             // epoll reports errors in any case; with no event at all Netty would remove the descriptor
             return ((EpollIoOps) ops)
                     .without(EpollIoOps.EPOLLIN)
--- a/server/src/main/java/wheatspread/transport/EventLoopScheduler.java
+++ b/server/src/main/java/wheatspread/transport/EventLoopScheduler.java
@@ -40,7 +40,7 @@
     private final IterationBudget budget;
     private final EventLog log;
     private final ReadScheduler readScheduler;
-    private final TimerWheel timerWheel = new TimerWheel(micros());
+    private final TimerWheel timerWheel = new TimerWheel(monotonicMicros());
     private final Deque<Runnable> tasks = new ArrayDeque<>();
     private final Deque<Runnable> endTasks = new ArrayDeque<>();
     /** Channels that wait to be read while the selector may still watch them for input. */
@@ -65,7 +65,7 @@
     }
 
     /** Sets the clock by which connections record their last use, in microseconds. */
-    public void usedBy(LongSupplier clock) {
+    public void setConnectionClock(LongSupplier clock) {
         connectionClock = clock;
     }
 
@@ -73,11 +73,11 @@
         return transport;
     }
 
-    public IterationBudget limits() {
+    public IterationBudget budget() {
         return budget;
     }
 
-    public ReadScheduler order() {
+    public ReadScheduler readScheduler() {
         return readScheduler;
     }
 
@@ -85,18 +85,18 @@
         return times;
     }
 
-    /** The timers of the loop, whose clock is {@link #micros}. */
-    public TimerWheel wheel() {
+    /** The timers of the loop, whose clock is {@link #monotonicMicros}. */
+    public TimerWheel timerWheel() {
         return timerWheel;
     }
 
     /** The monotonic time of the timers, in microseconds. */
-    public static long micros() {
+    public static long monotonicMicros() {
         return System.nanoTime() / NANOS_PER_MICRO;
     }
 
     /** Runs a task after what is being read, in the same iteration. */
-    public void soon(Runnable task) {
+    public void runInIteration(Runnable task) {
         tasks.add(task);
     }
 
@@ -136,7 +136,7 @@
         return !readingIdle || burstLimiter.tryAdmit(readScheduler.idleWaiting());
     }
 
-    public ReconnectBurstLimiter gate() {
+    public ReconnectBurstLimiter burstLimiter() {
         return burstLimiter;
     }
 
@@ -147,27 +147,27 @@
 
     @Override
     public IoHandler newHandler(ThreadAwareExecutor executor) {
-        return new IterationHandler(transport.handlers().newHandler(executor));
+        return new IterationHandler(transport.ioHandlers().newHandler(executor));
     }
 
     private boolean hasNoWork() {
-        return tasks.isEmpty() && endTasks.isEmpty() && readScheduler.isEmpty() && !timerWheel.overdue();
+        return tasks.isEmpty() && endTasks.isEmpty() && readScheduler.isEmpty() && !timerWheel.hasExpiredTimers();
     }
 
     private void runTasks() {
         for (int i = 0; i < MAX_TASKS_PER_PHASE && !tasks.isEmpty(); i++) {
-            run(tasks.poll());
+            runSafely(tasks.poll());
         }
     }
 
     private void runEndTasks() {
         for (int remaining = endTasks.size(); remaining > 0; remaining--) {
-            run(endTasks.poll());
+            runSafely(endTasks.poll());
         }
     }
 
     /** Runs a task and logs what it throws, since a fault in one task must not end the loop. */
-    public void run(Runnable task) {
+    public void runSafely(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
@@ -176,10 +176,12 @@
     }
 
     private void readCallers() {
-        readScheduler.beginIteration(micros());
-        for (PendingRead ready = readScheduler.take(micros()); ready != null; ready = readScheduler.take(micros())) {
+        readScheduler.beginIteration(monotonicMicros());
+        for (PendingRead ready = readScheduler.take(monotonicMicros());
+                ready != null;
+                ready = readScheduler.take(monotonicMicros())) {
             ClientChannel channel = (ClientChannel) ready;
-            run(channel::read);
+            runSafely(channel::read);
         }
         readingIdle = false;
         pauseWaitingReads();
@@ -232,7 +234,7 @@
             if (registering == null) {
                 return selector.register(handle);
             }
-            ClientChannel caller = transport.defer(handle, EventLoopScheduler.this);
+            ClientChannel caller = transport.deferReads(handle, EventLoopScheduler.this);
             return caller.registered(selector.register((IoHandle) caller));
         }
 
@@ -283,18 +285,18 @@
 
         @Override
         public long delayNanos(long nanoTime) {
-            long timerMicros = timerWheel.nextLook();
+            long timerMicros = timerWheel.nextAdvanceMicros();
             long delayNanos = context.delayNanos(nanoTime);
             if (timerMicros != Long.MAX_VALUE) {
                 delayNanos = Math.min(delayNanos, Math.max(0, timerMicros * NANOS_PER_MICRO - nanoTime));
             }
             // a selector that waits in milliseconds would spin through the last one before every timer
-            return delayNanos > 0 ? Math.max(delayNanos, transport.shortestWait()) : delayNanos;
+            return delayNanos > 0 ? Math.max(delayNanos, transport.minWaitNanos()) : delayNanos;
         }
 
         @Override
         public long deadlineNanos() {
-            long timerMicros = timerWheel.nextLook();
+            long timerMicros = timerWheel.nextAdvanceMicros();
             long deadlineNanos = context.deadlineNanos();
             if (timerMicros == Long.MAX_VALUE) {
                 return deadlineNanos;
--- a/server/src/main/java/wheatspread/transport/Front.java
+++ b/server/src/main/java/wheatspread/transport/Front.java
@@ -3,8 +3,8 @@
 /** A protocol on the sockets that a {@link Listener} accepts. */
 public interface Front {
     /** Creates the handler of a new connection. */
-    ClientChannelHandler caller(Listener listener);
+    ClientChannelHandler newHandler(Listener listener);
 
     /** The bytes that a rejected connection gets, where the limits say that it gets an answer. */
-    byte[] refusal();
+    byte[] rejectionBytes();
 }
--- a/server/src/main/java/wheatspread/transport/Listener.java
+++ b/server/src/main/java/wheatspread/transport/Listener.java
@@ -25,7 +25,7 @@
 import wheatspread.connections.Connection;
 import wheatspread.connections.ConnectionActions;
 import wheatspread.connections.ConnectionLimits;
-import wheatspread.connections.ConnectionLimits.Refusal;
+import wheatspread.connections.ConnectionLimits.Rejection;
 import wheatspread.connections.ConnectionTable;
 import wheatspread.core.Clock;
 import wheatspread.logging.EventLog;
@@ -35,8 +35,8 @@
  * admitted, evicted or past a time limit; this class carries that out on the sockets. It also bounds the
  * memory of unread answers, and notifies callers when the server drains.
  *
- * <p>Except for {@link #listen}, all methods run on the event loop. {@link #close} drains the connections and
- * {@link #cut} closes those that are left.
+ * <p>Except for {@link #listen}, all methods run on the event loop. {@link #drainAll} drains the connections and
+ * {@link #closeAll} closes those that are left.
  */
 public final class Listener {
     private static final int WRITE_LOW_WATERMARK_BYTES = 64 * 1024;
@@ -122,7 +122,7 @@
      * {@link #acceptHeld}. Processes with the same socket share one accept queue, so one accepts what the
      * other leaves there. Returns the address.
      */
-    public InetSocketAddress hold(int fd) {
+    public InetSocketAddress holdListeningSocket(int fd) {
         try {
             ServerChannel channel = scheduler.transport().adoptListeningSocket(fd);
             channel.pipeline().addLast(new Acceptor());
@@ -166,14 +166,14 @@
         private void pauseAccepting(long pauseMicros) {
             if (listening != null && listening.config().isAutoRead()) {
                 listening.config().setAutoRead(false);
-                clock.after(pauseMicros, () -> listening.config().setAutoRead(!stopped));
+                clock.schedule(pauseMicros, () -> listening.config().setAutoRead(!stopped));
             }
         }
     }
 
     /** Admits or rejects a channel that was accepted, here or by something else on the same event loop. */
     public void accept(Channel channel) {
-        ClientChannelHandler caller = front.caller(this);
+        ClientChannelHandler caller = front.newHandler(this);
         Connection connection = table.admit(caller, sourceOf(channel.remoteAddress()), clock.nowMicros());
         if (connection == null) {
             reject(channel);
@@ -196,19 +196,19 @@
     }
 
     private void reject(Channel channel) {
-        Refusal refusal = table.limits().refusal();
-        if (refusal == Refusal.ANSWER) {
+        Rejection refusal = table.limits().rejection();
+        if (refusal == Rejection.ANSWER) {
             channel.pipeline().addLast(new ChannelInboundHandlerAdapter() {
                 @Override
                 public void channelActive(ChannelHandlerContext context) {
-                    context.writeAndFlush(Unpooled.wrappedBuffer(front.refusal()))
+                    context.writeAndFlush(Unpooled.wrappedBuffer(front.rejectionBytes()))
                             .addListener(ChannelFutureListener.CLOSE);
                 }
             });
             loop.register(channel);
             return;
         }
-        if (refusal == Refusal.RESET) {
+        if (refusal == Rejection.RESET) {
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
         }
         channel.unsafe().closeForcibly();
@@ -225,8 +225,8 @@
     }
 
     /** Creates the handler of a connection on a channel that the caller opens: for warm-up and tests. */
-    public ClientChannelHandler callerOf(long sourceAddress) {
-        ClientChannelHandler caller = front.caller(this);
+    public ClientChannelHandler newEmbeddedHandler(long sourceAddress) {
+        ClientChannelHandler caller = front.newHandler(this);
         caller.attach(table.admit(caller, sourceAddress, clock.nowMicros()));
         return caller;
     }
@@ -235,7 +235,7 @@
 
     void opened(ClientChannelHandler caller) {
         if (draining) {
-            caller.lastCall();
+            caller.notifyDraining();
         }
     }
 
@@ -245,15 +245,15 @@
     }
 
     void recordRead(int bytes, int requests) {
-        scheduler.order().recordRead(bytes, requests);
+        scheduler.readScheduler().recordRead(bytes, requests);
     }
 
     void read(ClientChannelHandler caller, boolean wholeMessages, int partialBytes) {
-        table.read(caller.connection(), clock.nowMicros(), wholeMessages, caller.open(), partialBytes);
+        table.read(caller.connection(), clock.nowMicros(), wholeMessages, caller.openRequests(), partialBytes);
     }
 
     void answered(ClientChannelHandler caller) {
-        table.answered(caller.connection(), clock.nowMicros(), caller.open());
+        table.answered(caller.connection(), clock.nowMicros(), caller.openRequests());
     }
 
     void draining(ClientChannelHandler caller) {
@@ -265,7 +265,7 @@
     }
 
     void requestRejected() {
-        scheduler.gate().rejected(clock.nowMicros());
+        scheduler.burstLimiter().rejected(clock.nowMicros());
     }
 
     EventLog log() {
@@ -281,13 +281,13 @@
 
     /** Starts the one timer for all connections, which expires when the first limit ends. */
     private void startExpiryTimer() {
-        long nextExpiryMicros = table == null ? Long.MAX_VALUE : table.soonest();
+        long nextExpiryMicros = table == null ? Long.MAX_VALUE : table.nextExpiryMicros();
         if (nextExpiryMicros < expiryTimerMicros) {
             expiryTimerMicros = nextExpiryMicros;
             if (expiryTimer != null) {
                 expiryTimer.cancel();
             }
-            expiryTimer = clock.after(Math.max(0, nextExpiryMicros - clock.nowMicros()), () -> {
+            expiryTimer = clock.schedule(Math.max(0, nextExpiryMicros - clock.nowMicros()), () -> {
                 expiryTimer = null;
                 expire();
             });
@@ -300,8 +300,8 @@
             expiryTimer = null;
         }
         expiryTimerMicros = Long.MAX_VALUE;
-        int max = scheduler.limits().maxExpirations();
-        if (table.expire(clock.nowMicros(), max) >= max && table.soonest() <= clock.nowMicros()) {
+        int max = scheduler.budget().maxExpirations();
+        if (table.expire(clock.nowMicros(), max) >= max && table.nextExpiryMicros() <= clock.nowMicros()) {
             expiryTimerMicros = 0; // the rest follows in the next iteration, after what callers wait for
             scheduler.runAtEnd(this::expire);
         } else {
@@ -316,34 +316,35 @@
             stalled.remove(caller);
         } else if (stalled.add(caller) && !stalledCheckScheduled) {
             stalledCheckScheduled = true;
-            clock.after(STALLED_CHECK_INTERVAL_MICROS, this::closeStalled);
+            clock.schedule(STALLED_CHECK_INTERVAL_MICROS, this::closeStalled);
         }
     }
 
     /** Bounds the memory of unread answers by closing the callers with most of them. */
     private void closeStalled() {
-        long unreadBytes =
-                stalled.stream().mapToLong(ConnectionActions::waitingBytes).sum();
-        while (unreadBytes > table.limits().mostWaiting()) {
+        long unreadBytes = stalled.stream()
+                .mapToLong(ConnectionActions::bytesUntilWritable)
+                .sum();
+        while (unreadBytes > table.limits().maxPendingWriteBytes()) {
             ClientChannelHandler worst = stalled.stream()
-                    .max(Comparator.comparingLong(ConnectionActions::waitingBytes))
+                    .max(Comparator.comparingLong(ConnectionActions::bytesUntilWritable))
                     .orElseThrow();
-            unreadBytes -= worst.waitingBytes();
+            unreadBytes -= worst.bytesUntilWritable();
             stalled.remove(worst);
             table.closeStalled(worst.connection());
         }
         stalledCheckScheduled = !stalled.isEmpty();
         if (stalledCheckScheduled) {
-            clock.after(STALLED_CHECK_INTERVAL_MICROS, this::closeStalled);
+            clock.schedule(STALLED_CHECK_INTERVAL_MICROS, this::closeStalled);
         }
     }
 
     // ---- shutdown ----
 
     /** Notifies every caller, now or when it connects, that its connection is draining. */
-    public void lastCall() {
+    public void notifyDraining() {
         draining = true;
-        table.forEach(ConnectionActions::lastCall);
+        table.forEach(ConnectionActions::notifyDraining);
     }
 
     /**
@@ -370,9 +371,9 @@
     }
 
     /** Stops accepting and drains every connection; {@link #isEmpty} shows when that is done. */
-    public void close() {
+    public void drainAll() {
         stopListening();
-        table.forEach(ConnectionActions::leave);
+        table.forEach(ConnectionActions::drain);
     }
 
     /** Whether no connection is left. */
@@ -381,14 +382,14 @@
     }
 
     /** The bytes that wait to be written, over all connections. */
-    public long pendingBytes() {
+    public long pendingWriteBytes() {
         long[] totalBytes = {0};
-        table.forEach(caller -> totalBytes[0] += caller.pendingBytes());
+        table.forEach(caller -> totalBytes[0] += caller.pendingWriteBytes());
         return totalBytes[0];
     }
 
     /** Closes every connection that is left at once. */
-    public void cut() {
+    public void closeAll() {
         table.forEach(ConnectionActions::close);
     }
 }
--- a/server/src/main/java/wheatspread/transport/Transport.java
+++ b/server/src/main/java/wheatspread/transport/Transport.java
@@ -15,7 +15,7 @@
 public interface Transport {
     String name();
 
-    IoHandlerFactory handlers();
+    IoHandlerFactory ioHandlers();
 
     Class<? extends ServerChannel> serverChannel();
 
@@ -36,7 +36,7 @@
     }
 
     /** The shortest time it can wait, in nanoseconds; for anything shorter it does not wait at all. */
-    long shortestWait();
+    long minWaitNanos();
 
     Class<? extends Channel> clientChannel();
 
@@ -46,7 +46,7 @@
     }
 
     /** Wraps the handle of a caller's channel so that reads wait for the read scheduler. */
-    ClientChannel defer(IoHandle handle, EventLoopScheduler scheduler);
+    ClientChannel deferReads(IoHandle handle, EventLoopScheduler scheduler);
 
     /** The transport with a name: {@code nio}, {@code epoll}, or {@code auto} for epoll where it works. */
     static Transport named(String name) {
@@ -68,12 +68,12 @@
         }
 
         @Override
-        public IoHandlerFactory handlers() {
+        public IoHandlerFactory ioHandlers() {
             return NioIoHandler.newFactory();
         }
 
         @Override
-        public long shortestWait() {
+        public long minWaitNanos() {
             return 1_000_000;
         }
 
@@ -107,7 +107,7 @@
         }
 
         @Override
-        public ClientChannel defer(IoHandle handle, EventLoopScheduler scheduler) {
+        public ClientChannel deferReads(IoHandle handle, EventLoopScheduler scheduler) {
             return new ClientChannel.Nio(handle, scheduler);
         }
     }
--- a/server/src/main/java/wheatspread/uwsgi/UwsgiConnection.java
+++ b/server/src/main/java/wheatspread/uwsgi/UwsgiConnection.java
@@ -50,7 +50,7 @@
     // ---- the connection ----
 
     @Override
-    protected int open() {
+    protected int openRequests() {
         return openRequests;
     }
 
@@ -60,7 +60,7 @@
     }
 
     @Override
-    protected void gone() {
+    protected void clientDisconnected() {
         PendingResponse pending = first;
         first = null;
         last = null;
@@ -70,27 +70,27 @@
                 pending.bytes.release();
             } else {
                 requestEnded(pending.burstAdmission, Answer.Kind.FAILED);
-                front.core().gone(pending.ticket);
+                front.core().cancel(pending.ticket);
             }
         }
     }
 
     @Override
-    public void lastCall() {
+    public void notifyDraining() {
         serverDraining = true;
         drainIfDone();
     }
 
     /** uwsgi cannot announce draining, so a caller that connects meanwhile still gets its first response. */
     private void drainIfDone() {
-        if (serverDraining && hasResponded && openRequests == 0 && !midway()) {
-            leave();
+        if (serverDraining && hasResponded && openRequests == 0 && !hasPartialMessage()) {
+            drain();
         }
     }
 
     /** Stops at the limit of open requests; what the caller has sent beyond it stays buffered. */
     @Override
-    protected int read(ByteBuf bytes) {
+    protected int readMessages(ByteBuf bytes) {
         int requests = 0;
         while (bytes.isReadable() && openRequests < MAX_OPEN_REQUESTS && !isDraining()) {
             if (decoder == null) {
@@ -106,7 +106,7 @@
             if (message instanceof UwsgiDecoder.Malformed malformed) {
                 bytes.skipBytes(bytes.readableBytes());
                 String status = malformed.tooLarge() ? "413 Content Too Large" : "400 Bad Request";
-                leave();
+                drain();
                 respond(pending, status, text(malformed.problem()), "");
             } else {
                 handleRequest(pending, (UwsgiDecoder.Request) message);
@@ -143,12 +143,12 @@
         if (request.packet().modifier1() == UwsgiPacket.PING_MODIFIER) {
             ByteBuf pong = ctx.alloc().buffer(UwsgiPacket.HEADER_BYTES);
             UwsgiEncoder.write(
-                    new UwsgiPacket(UwsgiPacket.PING_MODIFIER, front.core().well() ? 1 : 0, Map.of()), pong);
+                    new UwsgiPacket(UwsgiPacket.PING_MODIFIER, front.core().healthy() ? 1 : 0, Map.of()), pong);
             pending.bytes = pong;
             writeReady();
         } else if (!front.config().healthPath().isEmpty()
                 && front.config().healthPath().equals(VarsReader.path(vars))) {
-            boolean well = front.core().well();
+            boolean well = front.core().healthy();
             respond(pending, well ? "200 OK" : "503 Service Unavailable", text(well ? "well" : "ill"), "");
         } else {
             try {
@@ -220,11 +220,11 @@
             hasResponded = true;
         }
         ctx.flush();
-        answered();
+        answerWritten();
         drainIfDone();
         if (stoppedReading && openRequests < MAX_OPEN_REQUESTS) {
             stoppedReading = false;
-            front.clock().soon(this::readBuffered);
+            front.clock().runAfterTurn(this::readBuffered);
         }
     }
 }
--- a/server/src/main/java/wheatspread/uwsgi/UwsgiDecoder.java
+++ b/server/src/main/java/wheatspread/uwsgi/UwsgiDecoder.java
@@ -67,7 +67,7 @@
         int modifier1 = in.readUnsignedByte();
         in.skipBytes(2);
         int modifier2 = in.readUnsignedByte();
-        if (modifier1 != UwsgiPacket.REQUEST && modifier1 != UwsgiPacket.PING_MODIFIER) {
+        if (modifier1 != UwsgiPacket.REQUEST_MODIFIER && modifier1 != UwsgiPacket.PING_MODIFIER) {
             return new Malformed("unknown modifier " + modifier1, false);
         }
         Map<String, String> vars = readVars(in.readSlice(size));
--- a/server/src/main/java/wheatspread/uwsgi/UwsgiFront.java
+++ b/server/src/main/java/wheatspread/uwsgi/UwsgiFront.java
@@ -27,7 +27,7 @@
         this.clock = clock;
         this.config = config;
         lastJobId = new SplittableRandom(seed).nextLong();
-        varsReader = newVarsReader(core.site());
+        varsReader = newVarsReader(core.settings());
     }
 
     Core core() {
@@ -47,12 +47,12 @@
     }
 
     @Override
-    public ClientChannelHandler caller(Listener listener) {
+    public ClientChannelHandler newHandler(Listener listener) {
         return new UwsgiConnection(listener, this);
     }
 
     @Override
-    public byte[] refusal() {
+    public byte[] rejectionBytes() {
         return ("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 1\r\n"
                         + "Connection: close\r\n\r\n")
                 .getBytes(StandardCharsets.ISO_8859_1);
--- a/server/src/main/java/wheatspread/uwsgi/VarsReader.java
+++ b/server/src/main/java/wheatspread/uwsgi/VarsReader.java
@@ -41,28 +41,28 @@
     InboundRequest read(Map<String, String> vars, byte[] body, long nowMicros) {
         Defaults defaults = routes.find(path(vars));
         UwsgiConfig.Vars names = config.vars();
-        int classIndex = index(vars, names.kind(), settings.classes(), defaults.requestClass());
+        int classIndex = index(vars, names.requestClass(), settings.classes(), defaults.requestClass());
         int tenant =
                 settings.tenants().isEmpty() ? 0 : index(vars, names.tenant(), settings.tenants(), defaults.tenant());
         RequestClass requestClass = settings.settings().classes().get(classIndex);
-        long timeoutMicros = micros(vars, names.limit(), defaults.limit());
+        long timeoutMicros = micros(vars, names.timeout(), defaults.timeoutMicros());
         boolean hasClientTimeout = timeoutMicros > 0;
         if (!hasClientTimeout) {
             timeoutMicros = requestClass.deadlineMicros();
         }
-        double memoryKb = number(vars, names.ram(), defaults.memoryKb());
+        double memoryKb = number(vars, names.memory(), defaults.memoryKb());
         if (memoryKb > MAX_MEMORY_KB) {
-            throw new InvalidVarException(names.ram(), "is over " + MAX_MEMORY_KB);
+            throw new InvalidVarException(names.memory(), "is over " + MAX_MEMORY_KB);
         }
         String idempotencyKey = null;
         String cacheKey = null;
         if (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
-            idempotencyKey = text(vars, names.unique());
+            idempotencyKey = text(vars, names.idempotencyKey());
             if (idempotencyKey == null) {
-                throw new InvalidVarException(names.unique(), "is missing, and this class needs it");
+                throw new InvalidVarException(names.idempotencyKey(), "is missing, and this class needs it");
             }
         } else {
-            cacheKey = text(vars, names.item());
+            cacheKey = text(vars, names.cacheKey());
         }
         return new InboundRequest(
                 jobIds.get(),
@@ -73,7 +73,7 @@
                 hasClientTimeout,
                 false,
                 memoryKb,
-                micros(vars, names.hint(), defaults.expectedWorkMicros()),
+                micros(vars, names.expectedWork(), defaults.expectedWorkMicros()),
                 idempotencyKey,
                 cacheKey,
                 body);
--- a/server/src/test/java/wheatspread/commands/CommandsTest.java
+++ b/server/src/test/java/wheatspread/commands/CommandsTest.java
@@ -180,7 +180,7 @@
         Files.writeString(dir.resolve("run/status.json"), status.put("at", 1).toString());
         assertThat(run("fleet", "status", fleet.toString())).isEqualTo(ExitCodes.UNAVAILABLE);
         assertThat(out).contains("what follows is old");
-        assertThat(new CommandSpool(dir.resolve("run")).ask(new JSONObject().put("do", "down"), 0))
+        assertThat(new CommandSpool(dir.resolve("run")).submit(new JSONObject().put("do", "down"), 0))
                 .isNull();
         assertThat(dir.resolve("run/commands")).isDirectoryContaining("glob:**.json");
     }
--- a/server/src/test/java/wheatspread/config/ConfigProblemTest.java
+++ b/server/src/test/java/wheatspread/config/ConfigProblemTest.java
@@ -12,11 +12,11 @@
     @Test
     void faultsOfAFileAreTyped() {
         JsonFields fields = JsonFile.read("a.json", "{\n\"count\": 9,\n\"mode\": \"odd\",\n\"other\": 1}");
-        fields.only(Set.of("count", "mode"));
+        fields.requireKnownKeys(Set.of("count", "mode"));
         fields.integer("count", 1, 1, 5);
-        fields.word("mode", Map.of("on", true, "off", false));
+        fields.oneOf("mode", Map.of("on", true, "off", false));
         JsonFields.InvalidValueException invalid =
-                catchThrowableOfType(JsonFields.InvalidValueException.class, fields::settle);
+                catchThrowableOfType(JsonFields.InvalidValueException.class, fields::throwIfInvalid);
         assertThat(invalid.problems())
                 .containsExactly(
                         new ConfigProblem(
@@ -34,7 +34,7 @@
                                 "odd",
                                 "[off, on]",
                                 "a.json:3: mode is an unknown word: odd; allowed are [off, on]"));
-        assertThat(invalid.faults()).hasSize(3).first().asString().startsWith("a.json:4: other");
+        assertThat(invalid.messages()).hasSize(3).first().asString().startsWith("a.json:4: other");
     }
 
     @Test
--- a/server/src/test/java/wheatspread/config/ConfigTest.java
+++ b/server/src/test/java/wheatspread/config/ConfigTest.java
@@ -67,7 +67,7 @@
                 .put("ClassCalls", List.of(false, false));
         assertThat(ServerConfig.read(JsonFields.of(fields.toMap(), "")).records())
                 .isNull();
-        assertThatThrownBy(() -> calling.requireWhatItHad(config))
+        assertThatThrownBy(() -> calling.requireNoServiceRemoved(config))
                 .isInstanceOf(JsonFields.InvalidValueException.class)
                 .hasMessageContaining("records is missing, and this server has used");
     }
@@ -140,7 +140,7 @@
     @Test
     void membershipIsOffWithoutItsKeyAndHasNoDefaultAddress() throws Exception {
         ServerConfig config = ServerConfig.read(JsonFields.of(new JSONObject(Files.readString(PLATFORM)).toMap(), ""));
-        assertThat(OperatorConfig.NONE.membership()).isNull();
+        assertThat(OperatorConfig.DEFAULT.membership()).isNull();
         assertThat(readOperator("{}", config).membership()).isNull();
         String whole = "'cluster': 'k', 'listen': '127.0.0.1:7400', 'seeds': ['127.0.0.1:7400']";
         assertThat(readOperator("{'membership': {" + whole + "}}", config).membership())
--- a/server/src/test/java/wheatspread/config/SettingsAtSizeTest.java
+++ b/server/src/test/java/wheatspread/config/SettingsAtSizeTest.java
@@ -60,7 +60,7 @@
             load(config, null);
             return List.of();
         } catch (JsonFields.InvalidValueException e) {
-            return e.faults();
+            return e.messages();
         }
     }
 
@@ -153,7 +153,7 @@
         Path config = config(tenants(TENANTS).map(one -> one.replace("QuotaPerS\": ", "QuotaPerS\": -1")));
         assertThatThrownBy(() -> load(config, null))
                 .isInstanceOfSatisfying(JsonFields.InvalidValueException.class, e -> {
-                    assertThat(e.faults()).hasSize(ConfigProblems.MAX_KEPT);
+                    assertThat(e.messages()).hasSize(ConfigProblems.MAX_KEPT);
                     assertThat(e.count()).isEqualTo(TENANTS);
                 })
                 .hasMessageEndingWith("(and 99999 more; 'check' names the first 100)");
--- a/server/src/test/java/wheatspread/connections/ConnectionTableFixture.java
+++ b/server/src/test/java/wheatspread/connections/ConnectionTableFixture.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Set;
 import wheatspread.connections.Connection.State;
-import wheatspread.connections.ConnectionLimits.Refusal;
+import wheatspread.connections.ConnectionLimits.Rejection;
 
 /** A connection table with a clock and callers under the control of a test. */
 abstract class ConnectionTableFixture {
@@ -35,7 +35,7 @@
                         SECOND / 5,
                         1_000,
                         1_000,
-                        Refusal.CLOSE),
+                        Rejection.CLOSE),
                 now,
                 () -> changes++);
     }
@@ -48,12 +48,12 @@
         }
 
         @Override
-        public void lastCall() {
+        public void notifyDraining() {
             events.add(name + " last call");
         }
 
         @Override
-        public void leave() {
+        public void drain() {
             events.add(name + " leaves");
         }
 
@@ -63,17 +63,17 @@
         }
 
         @Override
-        public long waitingBytes() {
+        public long bytesUntilWritable() {
             return 0;
         }
 
         @Override
-        public boolean advances() {
+        public boolean madeWriteProgress() {
             return advancing.contains(name);
         }
 
         @Override
-        public long pendingBytes() {
+        public long pendingWriteBytes() {
             return 0;
         }
     }
@@ -86,7 +86,7 @@
         Connection connection = open(name, source);
         table.read(connection, now, true, 1, 0);
         table.answered(connection, now, 0);
-        assertThat(connection.state()).isEqualTo(State.RESTING);
+        assertThat(connection.state()).isEqualTo(State.IDLE);
         return connection;
     }
 
--- a/server/src/test/java/wheatspread/connections/ConnectionTableModelTest.java
+++ b/server/src/test/java/wheatspread/connections/ConnectionTableModelTest.java
@@ -54,9 +54,9 @@
                 }
                 default -> {
                     assertThat(model.values()).noneMatch(one -> one.state() == State.CLOSED);
-                    long first = table.soonest();
+                    long first = table.nextExpiryMicros();
                     assertThat(table.expire(now, 100) > 0).isEqualTo(first <= now);
-                    assertThat(table.soonest()).isGreaterThan(now);
+                    assertThat(table.nextExpiryMicros()).isGreaterThan(now);
                 }
             }
             model.values().removeIf(one -> one.state() == State.CLOSED);
@@ -125,7 +125,7 @@
         }
         Map<Long, Integer> idleCounts = new HashMap<>();
         model.values().stream()
-                .filter(candidate -> candidate.state() == State.RESTING)
+                .filter(candidate -> candidate.state() == State.IDLE)
                 .forEach(candidate -> idleCounts.merge(candidate.source().address(), 1, Integer::sum));
         int maxIdleCount = idleCounts.values().stream().mapToInt(i -> i).max().orElse(0);
         Connection chosen = table.nextIdleToEvict();
@@ -135,8 +135,7 @@
         }
         assertThat(idleCounts.get(chosen.source().address())).isEqualTo(maxIdleCount);
         return model.entrySet().stream()
-                .filter(e ->
-                        e.getValue().state() == State.RESTING && e.getValue().source() == chosen.source())
+                .filter(e -> e.getValue().state() == State.IDLE && e.getValue().source() == chosen.source())
                 .min(longest)
                 .orElseThrow()
                 .getKey();
--- a/server/src/test/java/wheatspread/connections/ConnectionTableTest.java
+++ b/server/src/test/java/wheatspread/connections/ConnectionTableTest.java
@@ -22,7 +22,7 @@
         table.answered(connection, now, 1);
         table.read(connection, now, true, 2, 0);
         table.answered(connection, now, 0);
-        assertThat(connection.state()).isEqualTo(State.RESTING);
+        assertThat(connection.state()).isEqualTo(State.IDLE);
         assertThat(table.partialBytes()).isZero();
         table.read(connection, now, true, 1, 0);
         table.drain(connection, now);
@@ -45,7 +45,7 @@
         Connection asking = open("asks", 1);
         table.read(asking, now, true, 1, 0);
         table.read(partial, now, false, 0, 5);
-        assertThat(table.soonest()).isEqualTo(now + 2 * SECOND);
+        assertThat(table.nextExpiryMicros()).isEqualTo(now + 2 * SECOND);
         assertThat(expire(2 * SECOND)).containsExactly("silent leaves");
         table.read(partial, now, false, 0, 6);
         table.read(used, now, true, 0, 0);
@@ -56,7 +56,9 @@
         assertThat(expire(6 * SECOND)).containsExactly("rests leaves");
         assertThat(expire(2 * SECOND)).containsExactly("used leaves", "rests closed");
         assertThat(expire(SECOND)).containsExactly("used closed");
-        assertThat(table.soonest()).as("awaiting an answer has no limit here").isEqualTo(Long.MAX_VALUE);
+        assertThat(table.nextExpiryMicros())
+                .as("awaiting an answer has no limit here")
+                .isEqualTo(Long.MAX_VALUE);
         assertThat(Arrays.toString(table.counters().fields()))
                 .contains("closed_silent, 1", "closed_half, 1", "closed_idle, 2", "closed_lingering, 4");
     }
@@ -148,7 +150,7 @@
         idle("a", 1);
         assertThat(expire(60 * SECOND)).isEmpty();
         table.closeIdle(SECOND);
-        assertThat(table.soonest()).isLessThan(now);
+        assertThat(table.nextExpiryMicros()).isLessThan(now);
         assertThat(expire(0)).containsExactly("a leaves");
         assertThat(expire(SECOND)).containsExactly("a closed");
         table.closeIdle(0);
@@ -165,19 +167,19 @@
         }
         now += SECOND;
         for (int iteration = 1; iteration <= 190; iteration++) {
-            assertThat(table.soonest()).isLessThanOrEqualTo(now);
+            assertThat(table.nextExpiryMicros()).isLessThanOrEqualTo(now);
             assertThat(table.expire(now, 100)).isEqualTo(100);
-            assertThat(table.sizeOf(State.RESTING)).isEqualTo(19_000 - 100 * iteration);
+            assertThat(table.count(State.IDLE)).isEqualTo(19_000 - 100 * iteration);
         }
         assertThat(events).hasSize(19_000).containsOnly("c leaves");
-        assertThat(table.soonest()).isEqualTo(now + SECOND);
+        assertThat(table.nextExpiryMicros()).isEqualTo(now + SECOND);
         now += SECOND;
         for (int iteration = 1; iteration <= 190; iteration++) {
-            assertThat(table.soonest()).isLessThanOrEqualTo(now);
+            assertThat(table.nextExpiryMicros()).isLessThanOrEqualTo(now);
             assertThat(table.expire(now, 100)).isEqualTo(100);
             assertThat(table.size()).isEqualTo(19_000 - 100 * iteration);
         }
-        assertThat(table.soonest()).isEqualTo(Long.MAX_VALUE);
+        assertThat(table.nextExpiryMicros()).isEqualTo(Long.MAX_VALUE);
     }
 
     @Test
--- a/server/src/test/java/wheatspread/core/CoreDrainTest.java
+++ b/server/src/test/java/wheatspread/core/CoreDrainTest.java
@@ -18,10 +18,10 @@
         harness.settle();
         harness.submit("b", "m");
         harness.settle();
-        assertThat(core.inHand()).isEqualTo(new Core.InHand(1, 1, 0, 0, 0));
+        assertThat(core.inFlight()).isEqualTo(new Core.InFlightCounts(1, 1, 0, 0, 0));
         core.answerAll();
         assertThat(harness.answers).containsExactly("a FAILED", "b REJECTED");
-        assertThat(core.open()).isZero();
+        assertThat(core.unansweredCount()).isZero();
     }
 
     @Test
--- a/server/src/test/java/wheatspread/core/CoreHarness.java
+++ b/server/src/test/java/wheatspread/core/CoreHarness.java
@@ -55,8 +55,8 @@
                 (job, body, timeoutMicros, listener) -> () -> {},
                 accepting -> {},
                 EventLog.lines(logLines::add));
-        core.attach(new RecordingKernel());
-        core.booted(false, 0);
+        core.attachKernel(new RecordingKernel());
+        core.onBooted(false, 0);
         settle();
     }
 
@@ -123,7 +123,7 @@
         }
 
         @Override
-        public void pause(String job) {
+        public void suspend(String job) {
             kernelCommands.add("pause " + job);
         }
 
@@ -133,17 +133,17 @@
         }
 
         @Override
-        public void callDone(String job, byte[] reply) {
+        public void completeDependencyCall(String job, byte[] reply) {
             kernelCommands.add("callDone " + job);
         }
 
         @Override
-        public void skipCall(String job, long noticeNumber) {
+        public void skipDependencyCall(String job, long noticeNumber) {
             kernelCommands.add("skipCall " + job);
         }
 
         @Override
-        public void askGauges() {
+        public void requestGauges() {
             kernelCommands.add("gauges");
         }
     }
--- a/server/src/test/java/wheatspread/core/CoreIdempotencyTest.java
+++ b/server/src/test/java/wheatspread/core/CoreIdempotencyTest.java
@@ -21,10 +21,10 @@
         harness.decide(actions -> actions.run(1));
         harness.submit("a", "k");
         harness.settle();
-        core.ended("a", Kernel.End.STOPPED, 5, null);
+        core.onRunEnded("a", Kernel.End.STOPPED, 5, null);
         harness.decide(actions -> actions.run(1));
         harness.settle();
-        core.ended("a", Kernel.End.MOOT, 0, null);
+        core.onRunEnded("a", Kernel.End.IGNORED, 0, null);
         harness.settle();
         harness.decide(actions -> actions.run(2));
         harness.submit("b", "k");
@@ -66,7 +66,7 @@
         harness.settle();
         assertThat(harness.kernelCommands).containsExactly("run b");
         assertThat(harness.answers).containsExactly("a REJECTED");
-        core.ended("b", Kernel.End.OK, 20, new byte[0]);
+        core.onRunEnded("b", Kernel.End.OK, 20, new byte[0]);
         harness.settle();
         Long retry = harness.submit("d", "k");
         harness.decide(actions -> actions.run(retry));
@@ -94,7 +94,7 @@
         harness.submit("c", "k2");
         harness.settle();
         assertThat(harness.answers).as("no rejection after a run").containsExactly("a FAILED");
-        core.ended("a", Kernel.End.OK, 20, new byte[0]);
+        core.onRunEnded("a", Kernel.End.OK, 20, new byte[0]);
         harness.settle();
         assertThat(harness.kernelCommands).containsExactly("run a");
         assertThat(harness.answers).containsExactly("a FAILED", "b SERVED");
@@ -104,7 +104,7 @@
     @Test
     void rejectsAKeyThatTheOtherProcessRan() {
         List<String> claimed = new ArrayList<>();
-        core.shareKeysWith((key, arrivalMicros, windowMicros) -> {
+        core.shareIdempotencyClaims((key, arrivalMicros, windowMicros) -> {
             claimed.add(key + " " + windowMicros);
             return !key.endsWith(" k");
         });
@@ -125,7 +125,7 @@
         harness.decide(actions -> actions.run(1));
         harness.submit("a", "k");
         harness.settle();
-        core.ended("a", Kernel.End.OK, 20, new byte[0]);
+        core.onRunEnded("a", Kernel.End.OK, 20, new byte[0]);
         long arrivalMicros = harness.clock.nowMicros();
         for (long offsetMicros : new long[] {-1, 0, 1, 50_000}) {
             harness.advance(arrivalMicros + 20 * SECOND + offsetMicros - harness.clock.nowMicros());
@@ -150,9 +150,9 @@
         Long owner = harness.submit("a", "k");
         harness.submit("b", "k");
         harness.settle();
-        harness.clock.skip(2_000);
-        core.refuseUnlessBegun(owner);
-        harness.clock.skip(500);
+        harness.clock.advanceWithoutFiring(2_000);
+        core.rejectUnlessStarted(owner);
+        harness.clock.advanceWithoutFiring(500);
         harness.settle();
         assertThat(harness.answers).containsExactly("a REJECTED", "b REJECTED");
         assertThat(harness.controllerEvents).containsExactly("completed 2 FAILED 2500");
--- a/server/src/test/java/wheatspread/core/CoreTest.java
+++ b/server/src/test/java/wheatspread/core/CoreTest.java
@@ -62,12 +62,12 @@
         });
         harness.submit("b", "k2");
         harness.settle();
-        core.ended("a", Kernel.End.STOPPED, 10, null);
+        core.onRunEnded("a", Kernel.End.STOPPED, 10, null);
         harness.decide(actions -> actions.run(1));
         harness.settle();
         assertThat(harness.kernelCommands).containsExactly("run a", "pause a", "resume a");
-        core.ended("a", Kernel.End.OK, 20, new byte[0]);
-        core.ended("a", Kernel.End.OK, 20, new byte[0]);
+        core.onRunEnded("a", Kernel.End.OK, 20, new byte[0]);
+        core.onRunEnded("a", Kernel.End.OK, 20, new byte[0]);
         assertThat(harness.answers).containsExactly("a SERVED");
     }
 
@@ -78,11 +78,11 @@
         Long running = harness.submit("a", null);
         Long queued = harness.submit("b", null);
         harness.settle();
-        core.refuseUnlessBegun(running);
-        core.refuseUnlessBegun(queued);
-        core.refuseUnlessBegun(queued);
+        core.rejectUnlessStarted(running);
+        core.rejectUnlessStarted(queued);
+        core.rejectUnlessStarted(queued);
         harness.settle();
-        core.ended("a", Kernel.End.OK, 20, new byte[0]);
+        core.onRunEnded("a", Kernel.End.OK, 20, new byte[0]);
         assertThat(harness.answers).containsExactly("b REJECTED", "a SERVED");
     }
 }
--- a/server/src/test/java/wheatspread/core/DeploymentSettingsTest.java
+++ b/server/src/test/java/wheatspread/core/DeploymentSettingsTest.java
@@ -44,12 +44,12 @@
                 settings(List.of("save", "plan"), List.of(idempotent(20 * SECOND), idempotent(5 * SECOND)));
         DeploymentSettings next =
                 settings(List.of("plan-r2", "plan"), List.of(idempotent(7 * SECOND), idempotent(1 * SECOND)));
-        DeploymentSettings merged = old.retunedTo(next);
+        DeploymentSettings merged = old.reloadedWith(next);
         assertThat(merged.classes()).containsExactly("save", "plan", "plan-r2");
         assertThat(merged.settings().classes())
                 .extracting(RequestClass::idempotencyWindowMicros)
                 .containsExactly(20 * SECOND, 5 * SECOND, 7 * SECOND);
-        assertThat(merged.retunedTo(next).classes())
+        assertThat(merged.reloadedWith(next).classes())
                 .as("the same reload again adds nothing")
                 .containsExactly("save", "plan", "plan-r2");
     }
--- a/server/src/test/java/wheatspread/core/FakeClock.java
+++ b/server/src/test/java/wheatspread/core/FakeClock.java
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public Timer after(long delayMicros, Runnable task) {
+    public Timer schedule(long delayMicros, Runnable task) {
         long deadlineMicros = nowMicros + delayMicros;
         int number = ++lastNumber;
         tasksByDeadline
@@ -50,12 +50,12 @@
     }
 
     @Override
-    public void soon(Runnable task) {
+    public void runAfterTurn(Runnable task) {
         afterTurn.execute(task);
     }
 
     /** How many timers are set. */
-    public int pending() {
+    public int pendingCount() {
         return tasksByDeadline.values().stream().mapToInt(Map::size).sum();
     }
 
@@ -89,7 +89,7 @@
     }
 
     /** Advances without running any timer. */
-    public void skip(long micros) {
+    public void advanceWithoutFiring(long micros) {
         nowMicros += micros;
     }
 
--- a/server/src/test/java/wheatspread/core/RequestCountersTest.java
+++ b/server/src/test/java/wheatspread/core/RequestCountersTest.java
@@ -30,11 +30,11 @@
             "read", 9L, "served", 1L, "refused", 2L, "failed", 3L, "overdue", 1L, "gone", 1L, "runs", 1L, "joins", 1L,
             "calls", 1L, "skips", 1L, "resumed", 1L
         };
-        assertThat(counters.fields()).containsExactly(expected);
-        assertThat(counters.since(start)).containsExactly(expected);
-        assertThat(counters.since(counters.copy())).doesNotContain(1L, 2L, 3L, 9L);
-        assertThat(counters.byClass().get(0)).containsExactly(1, 0, 0);
-        assertThat(counters.byClass().get(1)).containsExactly(0, 2, 3);
+        assertThat(counters.logFields()).containsExactly(expected);
+        assertThat(counters.logFieldsSince(start)).containsExactly(expected);
+        assertThat(counters.logFieldsSince(counters.copy())).doesNotContain(1L, 2L, 3L, 9L);
+        assertThat(counters.answersByClass().get(0)).containsExactly(1, 0, 0);
+        assertThat(counters.answersByClass().get(1)).containsExactly(0, 2, 3);
         assertThat(counters)
                 .hasToString("read 9, served 1, refused 2, failed 3 (overdue 1), gone 1, runs 1, joins 1, calls 1,"
                         + " skips 1");
--- a/server/src/test/java/wheatspread/daemon/BothFrontsTest.java
+++ b/server/src/test/java/wheatspread/daemon/BothFrontsTest.java
@@ -85,7 +85,7 @@
     void serverExitsWithItsOwnCodeWhenTheEventLoopDies() throws Exception {
         try (ServerFixture fixture = new ServerFixture()) {
             fixture.server.kill();
-            assertThat(fixture.server.awaitStopped()).isEqualTo(Server.LOOP_ENDED);
+            assertThat(fixture.server.awaitStopped()).isEqualTo(Server.EXIT_EVENT_LOOP_ENDED);
         }
     }
 
--- a/server/src/test/java/wheatspread/daemon/GracefulShutdownTest.java
+++ b/server/src/test/java/wheatspread/daemon/GracefulShutdownTest.java
@@ -43,7 +43,7 @@
                 core,
                 List.of(),
                 clock,
-                new ProcessMarkerFiles(LifeConfig.USUAL, log),
+                new ProcessMarkerFiles(LifeConfig.DEFAULT, log),
                 log,
                 () -> unreadInput,
                 events::add);
--- a/server/src/test/java/wheatspread/daemon/ManualClock.java
+++ b/server/src/test/java/wheatspread/daemon/ManualClock.java
@@ -27,13 +27,13 @@
     }
 
     @Override
-    public Timer after(long micros, Runnable task) {
-        return clock.after(micros, task);
+    public Timer schedule(long micros, Runnable task) {
+        return clock.schedule(micros, task);
     }
 
     @Override
-    public void soon(Runnable task) {
-        clock.soon(task);
+    public void runAfterTurn(Runnable task) {
+        clock.runAfterTurn(task);
     }
 
     /** Moves on; what a timer brings about is through before the next timer. */
--- a/server/src/test/java/wheatspread/daemon/SceneTest.java
+++ b/server/src/test/java/wheatspread/daemon/SceneTest.java
@@ -95,7 +95,7 @@
                 }
                 case "hurry" -> {
                     barrier();
-                    fixture.server.notice(Lifecycle.Event.HURRY);
+                    fixture.server.signal(Lifecycle.Event.DRAIN_IMMEDIATELY);
                 }
                 case "reload" -> reload(argument);
                 case "logged" -> {
@@ -232,7 +232,7 @@
                 vars.putIfAbsent("CONTENT_LENGTH", Integer.toString(body.length()));
             }
             ByteBuf out = Unpooled.buffer();
-            UwsgiEncoder.write(new UwsgiPacket(UwsgiPacket.REQUEST, 0, vars), out);
+            UwsgiEncoder.write(new UwsgiPacket(UwsgiPacket.REQUEST_MODIFIER, 0, vars), out);
             return ByteBufUtil.getBytes(out.writeBytes(body.getBytes(StandardCharsets.ISO_8859_1)));
         }
 
--- a/server/src/test/java/wheatspread/daemon/ServerFixture.java
+++ b/server/src/test/java/wheatspread/daemon/ServerFixture.java
@@ -60,8 +60,8 @@
         server = new Server(
                 config, operator, (loop, turns) -> clock = new ManualClock(loop), EventLog.lines(logged::add));
         server.start();
-        uwsgi = server.bound().get(0);
-        jsonrpc = server.bound().get(1);
+        uwsgi = server.boundAddresses().get(0);
+        jsonrpc = server.boundAddresses().get(1);
         healthCheckConnection = TestConnection.to(jsonrpc);
         clock.settleWith(this::roundTrip);
     }
--- a/server/src/test/java/wheatspread/daemon/StandInProxy.java
+++ b/server/src/test/java/wheatspread/daemon/StandInProxy.java
@@ -61,7 +61,7 @@
             vars.put("RECIPE_UNIQUE", unique);
         }
         ByteBuf packet = Unpooled.buffer();
-        UwsgiEncoder.write(new UwsgiPacket(UwsgiPacket.REQUEST, 0, vars), packet);
+        UwsgiEncoder.write(new UwsgiPacket(UwsgiPacket.REQUEST_MODIFIER, 0, vars), packet);
         packet.writeBytes(body.getBytes(StandardCharsets.UTF_8));
         uwsgi.write(ByteBufUtil.getBytes(packet));
         jsonrpc.line(new JSONObject()
--- a/server/src/test/java/wheatspread/daemon/StartTest.java
+++ b/server/src/test/java/wheatspread/daemon/StartTest.java
@@ -39,7 +39,7 @@
                 new JSONObject(Files.readString(Path.of("src/test/resources/config.json"))).put("listen", listen);
         return new Server(
                 ServerConfig.read(JsonFields.of(json.toMap(), "")),
-                OperatorConfig.NONE.with(life, true),
+                OperatorConfig.DEFAULT.with(life, true),
                 (loop, turns) -> new EventLoopClock(turns),
                 EventLog.lines(logged::add));
     }
@@ -56,7 +56,7 @@
     void addressInUseEndsTheStartAndIsNamed() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             String address = "127.0.0.1:" + taken.getLocalPort();
-            Server server = server(address, LifeConfig.USUAL);
+            Server server = server(address, LifeConfig.DEFAULT);
             assertThatThrownBy(server::start)
                     .isInstanceOf(IllegalStateException.class)
                     .hasMessageContaining("cannot listen on")
@@ -67,17 +67,17 @@
 
     @Test
     void drainSignalBeforeTheListenersAreBoundEndsTheStart() throws Exception {
-        Server server = server("127.0.0.1:0", LifeConfig.USUAL);
-        server.notice(Event.RELOAD);
-        server.notice(Event.NOTICE);
+        Server server = server("127.0.0.1:0", LifeConfig.DEFAULT);
+        server.signal(Event.RELOAD);
+        server.signal(Event.DRAIN);
         await(() -> server.phase() == Phase.STOPPED);
         server.warmUp();
         assertThat(server.start()).isFalse();
         assertThat(server.awaitStopped()).isZero();
-        Server other = server("127.0.0.1:0", LifeConfig.USUAL);
+        Server other = server("127.0.0.1:0", LifeConfig.DEFAULT);
         Thread notice = new Thread(() -> {
             await(() -> other.phase() == Phase.WARMING_UP);
-            other.notice(Event.NOTICE);
+            other.signal(Event.DRAIN);
         });
         notice.start();
         other.warmUp();
@@ -99,7 +99,7 @@
             JSONObject json = new JSONObject(Files.readString(Path.of("src/test/resources/config.json")))
                     .put("listen", "127.0.0.1:0")
                     .put("kernel", "127.0.0.1:" + moved.getLocalPort());
-            Server server = server("127.0.0.1:0", LifeConfig.USUAL);
+            Server server = server("127.0.0.1:0", LifeConfig.DEFAULT);
             Thread kernel = new Thread(() -> bootEveryLink(moved), "kernel");
             kernel.setDaemon(true);
             kernel.start();
@@ -153,12 +153,12 @@
             assertThat(new JSONObject(Files.readString(report)).getInt("unanswered"))
                     .isZero();
         }
-        Server first = server("127.0.0.1:0", LifeConfig.USUAL.with(null, lock, null));
+        Server first = server("127.0.0.1:0", LifeConfig.DEFAULT.with(null, lock, null));
         first.lock("7");
         assertThat(new JSONObject(Files.readString(lock)).getString("mark")).isEqualTo("7");
-        Server second = server("127.0.0.1:0", LifeConfig.USUAL.with(null, lock, null));
+        Server second = server("127.0.0.1:0", LifeConfig.DEFAULT.with(null, lock, null));
         assertThatThrownBy(() -> second.lock("8"))
-                .isInstanceOf(ProcessMarkerFiles.Taken.class)
+                .isInstanceOf(ProcessMarkerFiles.LockTakenException.class)
                 .hasMessageContaining("runs already");
         assertThat(new JSONObject(Files.readString(lock)).getString("mark")).isEqualTo("7");
         first.kill();
--- a/server/src/test/java/wheatspread/kernel/KernelLinkTest.java
+++ b/server/src/test/java/wheatspread/kernel/KernelLinkTest.java
@@ -65,21 +65,21 @@
     /** A listener that only counts down when the kernel is up. */
     private record BootListener(CountDownLatch latch) implements Kernel.Listener {
         @Override
-        public void booted(boolean cold, long age) {
+        public void onBooted(boolean cold, long age) {
             latch.countDown();
         }
 
         @Override
-        public void ended(String job, Kernel.End end, long took, byte[] result) {}
+        public void onRunEnded(String job, Kernel.End end, long took, byte[] result) {}
 
         @Override
-        public void blocked(String job, long notice, byte[] call) {}
+        public void onDependencyCallRequested(String job, long notice, byte[] call) {}
 
         @Override
-        public void gauges(double[] row) {}
+        public void onGauges(double[] row) {}
 
         @Override
-        public void notStarted(String job) {}
+        public void onRunNotStarted(String job) {}
     }
 
     @Test
--- a/server/src/test/java/wheatspread/kernel/KernelWireNamesTest.java
+++ b/server/src/test/java/wheatspread/kernel/KernelWireNamesTest.java
@@ -53,7 +53,7 @@
                 "OK", Kernel.End.OK,
                 "ERROR", Kernel.End.ERROR,
                 "STOPPED", Kernel.End.STOPPED,
-                "MOOT", Kernel.End.MOOT);
+                "MOOT", Kernel.End.IGNORED);
         assertThat(ends.values()).containsExactlyInAnyOrder(Kernel.End.values());
         ends.forEach((word, end) -> assertThat(KernelWireNames.runEnd(word)).isEqualTo(end));
         assertThatThrownBy(() -> KernelWireNames.runEnd("ok")).isInstanceOf(IllegalArgumentException.class);
--- a/server/src/test/java/wheatspread/lifecycle/LifecycleTest.java
+++ b/server/src/test/java/wheatspread/lifecycle/LifecycleTest.java
@@ -55,7 +55,7 @@
     @Test
     void signalsAreAllowedInEveryPhaseAndNoEventLeadsBack() {
         for (Phase phase : Phase.values()) {
-            for (Event signal : Set.of(Event.NOTICE, Event.HURRY, Event.RELOAD)) {
+            for (Event signal : Set.of(Event.DRAIN, Event.DRAIN_IMMEDIATELY, Event.RELOAD)) {
                 Phase next = Lifecycle.next(phase, signal);
                 assertThat(next).as("%s in %s", signal, phase).isNotNull().isGreaterThanOrEqualTo(phase);
                 assertThat(signal == Event.RELOAD && next != phase).isFalse();
@@ -83,7 +83,7 @@
             onward.put(phase, reached);
         }
         for (Phase phase : Phase.values()) {
-            Set<Phase> seen = EnumSet.of(Lifecycle.next(phase, Event.NOTICE));
+            Set<Phase> seen = EnumSet.of(Lifecycle.next(phase, Event.DRAIN));
             for (int i = 0; i < Phase.values().length; i++) {
                 for (Phase one : EnumSet.copyOf(seen)) {
                     seen.addAll(onward.get(one));
@@ -103,8 +103,8 @@
         }
         assertThat(lifecycle.phase()).isEqualTo(Phase.SERVING);
         assertThat(lifecycle.isStopping()).isFalse();
-        assertThat(lifecycle.handle(Event.NOTICE)).isTrue();
-        assertThat(lifecycle.handle(Event.NOTICE)).isFalse();
+        assertThat(lifecycle.handle(Event.DRAIN)).isTrue();
+        assertThat(lifecycle.handle(Event.DRAIN)).isFalse();
         lifecycle.handle(Event.ALL_ANSWERED);
         lifecycle.handle(Event.CLOSED);
         assertThat(enteredPhases).containsExactly("REHEARSING", "BINDING", "SERVING", "DRAINING", "CLOSING", "STOPPED");
@@ -118,7 +118,7 @@
     void failedBindAndKernelTimeoutExitAsUnavailable() {
         lifecycle.handle(Event.START);
         lifecycle.handle(Event.WARMED_UP);
-        lifecycle.handle(Event.NOTICE);
+        lifecycle.handle(Event.DRAIN);
         assertThat(lifecycle.phase()).isEqualTo(Phase.CANCELLING_START);
         lifecycle.handle(Event.BIND_FAILED);
         assertThat(lifecycle.exitCode()).isEqualTo(Lifecycle.EXIT_UNAVAILABLE);
--- a/server/src/test/java/wheatspread/membership/ClusterBootstrapTest.java
+++ b/server/src/test/java/wheatspread/membership/ClusterBootstrapTest.java
@@ -126,26 +126,26 @@
         for (int seed = 0; seed < 10; seed++) {
             Net net = formed(seed, 12, 0);
             View old = net.agreed(12);
-            assertThat(net.members.get("m001").found(net.nowMicros)).contains("stands");
+            assertThat(net.members.get("m001").orderBootstrap(net.nowMicros)).contains("stands");
             for (int i = 5; i < 12; i++) {
                 net.crash(Net.name(i));
             }
             net.run(12 * SECOND);
             for (int i = 0; i < 5; i++) {
-                assertThat(net.members.get(Net.name(i)).stands(net.nowMicros))
+                assertThat(net.members.get(Net.name(i)).isQuorumReachable(net.nowMicros))
                         .as("seed %d", seed)
                         .isFalse();
                 assertThat(net.members.get(Net.name(i)).view())
                         .as("seed %d", seed)
                         .isEqualTo(old);
             }
-            assertThat(net.members.get("m004").found(net.nowMicros)).contains("only a seed");
-            assertThat(net.members.get("m001").found(net.nowMicros)).isNull();
+            assertThat(net.members.get("m004").orderBootstrap(net.nowMicros)).contains("only a seed");
+            assertThat(net.members.get("m001").orderBootstrap(net.nowMicros)).isNull();
             net.scheduleTurn("m001");
             net.run(5 * SECOND);
             View formedAnew = net.agreed(5);
             assertThat(formedAnew.id().epoch()).isGreaterThan(old.id().epoch());
-            assertThat(net.members.get("m003").stands(net.nowMicros)).isTrue();
+            assertThat(net.members.get("m003").isQuorumReachable(net.nowMicros)).isTrue();
             start(net, 5, 12, 2, SECOND);
             net.run(15 * SECOND);
             assertThat(net.agreed(12).id().epoch())
@@ -167,7 +167,7 @@
                     for (Map.Entry<String, Membership> one : net.members.entrySet()) {
                         boolean largerSide = one.getKey().compareTo(border) >= 0;
                         if (largerSide || second >= 9) {
-                            assertThat(one.getValue().stands(net.nowMicros))
+                            assertThat(one.getValue().isQuorumReachable(net.nowMicros))
                                     .as(
                                             "%s of %d and %d, seed %d, at %d s",
                                             one.getKey(), sides[0], sides[1], seed, second)
--- a/server/src/test/java/wheatspread/membership/FailureDetectorTest.java
+++ b/server/src/test/java/wheatspread/membership/FailureDetectorTest.java
@@ -8,7 +8,7 @@
 
 /** What an observer concludes about a subject that answers, does not, or answers late; and about its own health. */
 class FailureDetectorTest {
-    private static final DetectorSettings USUAL = DetectorSettings.USUAL;
+    private static final DetectorSettings USUAL = DetectorSettings.DEFAULT;
     private final LocalHealth health = new LocalHealth(USUAL);
     private final FailureDetector detector = new FailureDetector(USUAL, health, 0);
 
@@ -67,7 +67,8 @@
         assertThat(run(detector, 5_100_000, 5_100_000)).isEmpty();
         assertThat(detector.state()).isEqualTo(FailureDetector.State.PROBING);
         // without that it would: the probe in progress counts as failed at once
-        FailureDetector naive = new FailureDetector(USUAL.suspicious(), new LocalHealth(USUAL.suspicious()), 0);
+        FailureDetector naive =
+                new FailureDetector(USUAL.withFixedSuspicion(), new LocalHealth(USUAL.withFixedSuspicion()), 0);
         run(naive, 0, 100_000);
         assertThat(run(naive, 5_100_000, 5_100_000)).contains("SUSPECT@5100");
     }
@@ -90,7 +91,8 @@
 
     @Test
     void plainSwimReportsAfterTheFirstFailedProbe() {
-        FailureDetector plain = new FailureDetector(USUAL.plain(), new LocalHealth(USUAL.plain()), 0);
+        FailureDetector plain =
+                new FailureDetector(USUAL.withoutSuspicion(), new LocalHealth(USUAL.withoutSuspicion()), 0);
         assertThat(run(plain, 0, 700_000)).contains("REPORT@700");
     }
 }
--- a/server/src/test/java/wheatspread/membership/MembershipTest.java
+++ b/server/src/test/java/wheatspread/membership/MembershipTest.java
@@ -124,9 +124,10 @@
         net.agreed(17);
         assertThat(net.views.size()).isLessThanOrEqualTo(5);
         net.run(10 * SECOND);
-        net.members.forEach((name, one) -> assertThat(net.crashed.contains(name) || one.stands(net.nowMicros))
-                .as("%s keeps observing after others joined", name)
-                .isTrue());
+        net.members.forEach(
+                (name, one) -> assertThat(net.crashed.contains(name) || one.isQuorumReachable(net.nowMicros))
+                        .as("%s keeps observing after others joined", name)
+                        .isTrue());
         net.crash("m002");
         net.run(5 * SECOND);
         net.agreed(16);
--- a/server/src/test/java/wheatspread/membership/Net.java
+++ b/server/src/test/java/wheatspread/membership/Net.java
@@ -48,7 +48,7 @@
     void add(Member member, List<String> seeds, View first) {
         String name = member.id().name();
         Membership one =
-                new Membership(member, seeds, DetectorSettings.USUAL, random.split(), new Membership.Actions() {
+                new Membership(member, seeds, DetectorSettings.DEFAULT, random.split(), new Membership.Actions() {
                     @Override
                     public void send(String address, Message message) {
                         messages++;
@@ -56,7 +56,7 @@
                             at(nowMicros + 200 + random.nextLong(3_000), address, () -> {
                                 Membership to = members.get(address);
                                 if (to != null) {
-                                    to.received(name, message, nowMicros);
+                                    to.receive(name, message, nowMicros);
                                     scheduleTurn(address);
                                 }
                             });
@@ -64,7 +64,7 @@
                     }
 
                     @Override
-                    public void changed(View before, View next, List<Departure> gone) {
+                    public void onViewInstalled(View before, View next, List<Departure> gone) {
                         View known = views.putIfAbsent(next.id(), next);
                         assertThat(known == null || known.equals(next))
                                 .as("two views %s", next.id())
@@ -80,7 +80,7 @@
         crashed.remove(name);
         members.put(name, one);
         if (first != null) {
-            one.begin(first, nowMicros);
+            one.startWithView(first, nowMicros);
         } else {
             one.start(nowMicros);
         }
@@ -94,8 +94,8 @@
     /** Schedules its next turn; one that is scheduled twice does nothing the second time. */
     void scheduleTurn(String name) {
         Membership one = members.get(name);
-        at(Math.max(nowMicros, one.nextTurn()), name, () -> {
-            if (members.get(name) == one && nowMicros >= one.nextTurn()) {
+        at(Math.max(nowMicros, one.nextTurnMicros()), name, () -> {
+            if (members.get(name) == one && nowMicros >= one.nextTurnMicros()) {
                 one.turn(nowMicros);
                 scheduleTurn(name);
             }
@@ -143,7 +143,7 @@
         members.forEach((name, one) -> {
             if (!crashed.contains(name)) {
                 views.add(one.view());
-                assertThat(one.isIn()).as(name).isTrue();
+                assertThat(one.isMember()).as(name).isTrue();
             }
         });
         assertThat(views).hasSize(1);
--- a/server/src/test/java/wheatspread/nginx/ImporterTest.java
+++ b/server/src/test/java/wheatspread/nginx/ImporterTest.java
@@ -39,10 +39,10 @@
         DeploymentSettings site =
                 new DeploymentSettings(null, List.of("search", "save-plan"), List.of("school-feeding"), List.of());
         UwsgiConfig config = OperatorConfig.readFile(written, site).uwsgi();
-        assertThat(config.mostConnections()).isEqualTo(120);
+        assertThat(config.maxConnections()).isEqualTo(120);
         assertThat(config.routes()).hasSize(7);
         assertThat(config.routes().get(3).routes()).hasSize(1);
-        assertThat(config.routes().get(1).defaults().limit()).isEqualTo(14_000_000);
+        assertThat(config.routes().get(1).defaults().timeoutMicros()).isEqualTo(14_000_000);
     }
 
     @Test
--- a/server/src/test/java/wheatspread/peers/MessageCodecTest.java
+++ b/server/src/test/java/wheatspread/peers/MessageCodecTest.java
@@ -72,7 +72,7 @@
     @Test
     void onlyIpv4AddressesWithPortsAreValid() {
         for (String good : List.of("10.0.0.7:7400", "255.255.255.255:65535", "0.0.0.0:1")) {
-            assertThat(PeerAddress.text(PeerAddress.parse(good))).isEqualTo(good);
+            assertThat(PeerAddress.format(PeerAddress.parse(good))).isEqualTo(good);
         }
         for (String bad : List.of(
                 "",
@@ -89,7 +89,7 @@
                 "::1:7",
                 "10.0.0.7:7x",
                 " 10.0.0.7:7")) {
-            assertThat(PeerAddress.isOne(bad)).as(bad).isFalse();
+            assertThat(PeerAddress.isValid(bad)).as(bad).isFalse();
         }
     }
 
@@ -106,7 +106,7 @@
         Membership self = new Membership(
                 SampleMessages.member(2),
                 List.of(SampleMessages.member(0).address()),
-                DetectorSettings.USUAL,
+                DetectorSettings.DEFAULT,
                 new SplittableRandom(1),
                 new Membership.Actions() {
                     @Override
@@ -115,7 +115,7 @@
                     }
 
                     @Override
-                    public void changed(View before, View now, List<Departure> gone) {
+                    public void onViewInstalled(View before, View now, List<Departure> gone) {
                         views.add(now);
                     }
 
@@ -124,7 +124,7 @@
                         return 1_700_000_000_000L;
                     }
                 });
-        self.begin(view, 0);
+        self.startWithView(view, 0);
         List<byte[]> encoded = messages().stream().map(CODEC::encode).toList();
         List<byte[]> envelopes =
                 messages().stream().map(MessageCodecTest::envelope).toList();
@@ -140,7 +140,7 @@
                 MessageCodec.Received received = CODEC.decode(corrupted);
                 read++;
                 if (!checksumValid || !received.message().view().equals(view.id())) { // else it may be a valid change
-                    self.received(received.address(), received.message(), i);
+                    self.receive(received.address(), received.message(), i);
                 }
             } catch (MalformedMessageException e) {
                 rejected.merge(e.reason(), 1, Integer::sum);
--- a/server/src/test/java/wheatspread/peers/PeerSocketsTest.java
+++ b/server/src/test/java/wheatspread/peers/PeerSocketsTest.java
@@ -25,7 +25,7 @@
     private static final int WAIT_SECONDS = 20;
 
     private final Transport transport = Transport.named("nio");
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, transport.handlers());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, transport.ioHandlers());
     private final EventLoop loop = group.next();
     private final PeerCounters counters = new PeerCounters();
     private final LinkedBlockingQueue<byte[]> received = new LinkedBlockingQueue<>();
@@ -117,13 +117,13 @@
         }
 
         @Override
-        public Timer after(long micros, Runnable task) {
+        public Timer schedule(long micros, Runnable task) {
             Future<?> scheduled = loop.schedule(task, micros, TimeUnit.MICROSECONDS);
             return () -> scheduled.cancel(false);
         }
 
         @Override
-        public void soon(Runnable task) {
+        public void runAfterTurn(Runnable task) {
             loop.execute(task);
         }
     }
--- a/server/src/test/java/wheatspread/peers/SampleMessages.java
+++ b/server/src/test/java/wheatspread/peers/SampleMessages.java
@@ -66,7 +66,7 @@
         bodies.put("body-nack", new Body.Nack(8));
         bodies.put("body-gossip", new Body.Gossip());
         bodies.put("body-view-request", new Body.ViewRequest());
-        bodies.put("body-view", new Body.ViewIs(view(12)));
+        bodies.put("body-view", new Body.ViewResponse(view(12)));
         bodies.put("body-join-request", new Body.JoinRequest(member(30)));
         bodies.put("body-bootstrap-request", new Body.BootstrapRequest(54_400_000_161_761L, true));
         bodies.put("body-bootstrap-consent", new Body.BootstrapConsent(54_400_000_161_761L, member(3)));
--- a/server/src/test/java/wheatspread/scheduling/ReadSchedulerTest.java
+++ b/server/src/test/java/wheatspread/scheduling/ReadSchedulerTest.java
@@ -85,7 +85,7 @@
         assertThat(runIteration(1, 10, 1)).as("requests").hasSize(2);
         assertThat(runIteration(1, 1, 1_000)).as("time").hasSize(4);
         assertThat(runIteration(1, 0, 10_000)).as("at least one").hasSize(1);
-        assertThat(scheduler.exhausted()).isEqualTo(4);
+        assertThat(scheduler.exhaustedIterations()).isEqualTo(4);
         assertThat(scheduler.size()).isEqualTo(90);
         assertThat(runIteration(1, 1, 1)).startsWith("10").hasSize(20);
     }
--- a/server/src/test/java/wheatspread/supervisor/StateFileTest.java
+++ b/server/src/test/java/wheatspread/supervisor/StateFileTest.java
@@ -74,7 +74,7 @@
     @Test
     void commandWaitsForASupervisorAndIsAnsweredOnce() throws Exception {
         CommandSpool spool = new CommandSpool(dir);
-        assertThat(spool.ask(new JSONObject().put("do", "down"), 0)).isNull(); // nobody reads yet
+        assertThat(spool.submit(new JSONObject().put("do", "down"), 0)).isNull(); // nobody reads yet
         Files.writeString(dir.resolve("commands/0.json"), "no JSON");
         CommandSpool.Command command = spool.next();
         assertThat(command.arguments().getString("do")).isEqualTo("down");
--- a/server/src/test/java/wheatspread/supervisor/SupervisorFilesCompatibilityTest.java
+++ b/server/src/test/java/wheatspread/supervisor/SupervisorFilesCompatibilityTest.java
@@ -110,8 +110,8 @@
                 3,
                 15_000_000,
                 2_000_000,
-                new FleetPlan.Rolling(0.34, 0, 5, 1_000_000, 8_000_000, 0.5, 1, true),
-                new FleetPlan.Backoff(200_000, 2, 5_000_000, 0.2, 60_000_000, 3, 60_000_000, 0));
+                new FleetPlan.RolloutPolicy(0.34, 0, 5, 1_000_000, 8_000_000, 0.5, 1, true),
+                new FleetPlan.BackoffPolicy(200_000, 2, 5_000_000, 0.2, 60_000_000, 3, 60_000_000, 0));
         FleetController fleet = new FleetController(plan, 7, EventLog.NONE);
         FleetState state = stateOf(kind);
         Map<String, FleetState.RunningProcess> alive = new LinkedHashMap<>();
--- a/server/src/test/java/wheatspread/supervisor/SupervisorTest.java
+++ b/server/src/test/java/wheatspread/supervisor/SupervisorTest.java
@@ -23,7 +23,7 @@
 class SupervisorTest {
     private static final long MICROS_PER_MILLI = SimulatedHost.MICROS_PER_MILLI;
     private static final long TURN_MICROS = 50 * MICROS_PER_MILLI;
-    private static final FleetPlan.Backoff BACKOFF = new FleetPlan.Backoff(
+    private static final FleetPlan.BackoffPolicy BACKOFF = new FleetPlan.BackoffPolicy(
             200 * MICROS_PER_MILLI,
             2,
             5_000 * MICROS_PER_MILLI,
@@ -57,7 +57,8 @@
                 3,
                 15_000 * MICROS_PER_MILLI,
                 2_000 * MICROS_PER_MILLI,
-                new FleetPlan.Rolling(outShare, 0, 5, 1_000 * MICROS_PER_MILLI, 8_000 * MICROS_PER_MILLI, 0.5, 1, true),
+                new FleetPlan.RolloutPolicy(
+                        outShare, 0, 5, 1_000 * MICROS_PER_MILLI, 8_000 * MICROS_PER_MILLI, 0.5, 1, true),
                 BACKOFF);
     }
 
--- a/server/src/test/java/wheatspread/timers/TimerWheelTest.java
+++ b/server/src/test/java/wheatspread/timers/TimerWheelTest.java
@@ -23,7 +23,7 @@
         private long deadlineMicros;
 
         @Override
-        protected void ring() {
+        protected void onExpiry() {
             expired.add(this);
         }
     }
@@ -71,7 +71,7 @@
                             .min()
                             .orElse(Long.MAX_VALUE);
                     boolean none = earliestMicros == Long.MAX_VALUE;
-                    assertThat(wheel.nextLook())
+                    assertThat(wheel.nextAdvanceMicros())
                             .as("not later than the first timer expires")
                             .isLessThanOrEqualTo(none ? earliestMicros : earliestMicros + TICK_MICROS);
                     nowMicros += random.nextLong(maxDelayMicros);
@@ -98,11 +98,11 @@
         }
         nowMicros += 3_000_000;
         assertThat(wheel.expire(nowMicros, 300)).isEqualTo(300);
-        assertThat(wheel.overdue()).isTrue();
-        assertThat(wheel.nextLook()).isLessThanOrEqualTo(nowMicros);
+        assertThat(wheel.hasExpiredTimers()).isTrue();
+        assertThat(wheel.nextAdvanceMicros()).isLessThanOrEqualTo(nowMicros);
         assertThat(wheel.expire(nowMicros, 300)).isEqualTo(300);
         assertThat(wheel.expire(nowMicros, 1_000)).isEqualTo(400);
-        assertThat(wheel.overdue()).isFalse();
+        assertThat(wheel.hasExpiredTimers()).isFalse();
         assertThat(expired).isEqualTo(all);
     }
 
@@ -110,14 +110,14 @@
     @Test
     void placesAnExtendedTimerAgainOnlyAtItsOldDeadline() {
         TestTimer timer = set(10_000);
-        long oldLookMicros = wheel.nextLook();
+        long oldLookMicros = wheel.nextAdvanceMicros();
         for (int i = 0; i < 100; i++) {
             nowMicros += 9_000;
             move(timer, nowMicros + 10_000_000);
         }
-        assertThat(wheel.nextLook()).as("it is still in its old slot").isEqualTo(oldLookMicros);
+        assertThat(wheel.nextAdvanceMicros()).as("it is still in its old slot").isEqualTo(oldLookMicros);
         assertThat(wheel.expire(nowMicros, 10)).isZero();
-        assertThat(wheel.nextLook()).isGreaterThan(nowMicros);
+        assertThat(wheel.nextAdvanceMicros()).isGreaterThan(nowMicros);
         nowMicros += 10_000_000 + TICK_MICROS;
         assertThat(wheel.expire(nowMicros, 10)).isOne();
     }
@@ -126,8 +126,8 @@
     void callsNoMoreThanTheLimitIfATimerSetsItselfAgain() {
         TestTimer endless = new TestTimer() {
             @Override
-            protected void ring() {
-                super.ring();
+            protected void onExpiry() {
+                super.onExpiry();
                 wheel.set(this, nowMicros);
             }
         };
--- a/server/src/test/java/wheatspread/transport/ListenerTest.java
+++ b/server/src/test/java/wheatspread/transport/ListenerTest.java
@@ -22,19 +22,19 @@
     private final FakeClock clock = new FakeClock(100_000_000, Runnable::run);
     private final List<String> events = new ArrayList<>();
     private final EventLoopScheduler scheduler =
-            new EventLoopScheduler(Transport.named("nio"), IterationBudget.USUAL, 1, EventLog.lines(events::add));
+            new EventLoopScheduler(Transport.named("nio"), IterationBudget.DEFAULT, 1, EventLog.lines(events::add));
     private final Listener listener = new Listener(
-            null, scheduler, clock, new ThreeByteFront(), ConnectionLimits.usual(100), EventLog.lines(events::add));
+            null, scheduler, clock, new ThreeByteFront(), ConnectionLimits.defaults(100), EventLog.lines(events::add));
 
     /** A protocol whose messages are three bytes; each has to be answered by hand. */
     private final class ThreeByteFront implements Front {
         @Override
-        public ClientChannelHandler caller(Listener owner) {
+        public ClientChannelHandler newHandler(Listener owner) {
             return new ThreeByteHandler(owner);
         }
 
         @Override
-        public byte[] refusal() {
+        public byte[] rejectionBytes() {
             return new byte[0];
         }
     }
@@ -47,7 +47,7 @@
         }
 
         @Override
-        protected int read(ByteBuf bytes) {
+        protected int readMessages(ByteBuf bytes) {
             int messages = 0;
             if (bytes.getByte(bytes.readerIndex()) == '!') {
                 throw new IllegalStateException("a fault of the front");
@@ -60,28 +60,28 @@
         }
 
         @Override
-        protected int open() {
+        protected int openRequests() {
             return openRequests;
         }
 
         @Override
-        protected void gone() {
+        protected void clientDisconnected() {
             events.add("gone with " + openRequests);
         }
 
         @Override
-        public void lastCall() {
+        public void notifyDraining() {
             events.add("last call");
         }
 
         private void answerOne() {
             openRequests--;
-            answered();
+            answerWritten();
         }
     }
 
     private EmbeddedChannel open() {
-        return new EmbeddedChannel(listener.callerOf(1));
+        return new EmbeddedChannel(listener.newEmbeddedHandler(1));
     }
 
     private static void receive(EmbeddedChannel channel, String text) {
@@ -105,7 +105,7 @@
         EmbeddedChannel channel = open();
         ThreeByteHandler caller = channel.pipeline().get(ThreeByteHandler.class);
         receive(channel, "abcd");
-        caller.leave();
+        caller.drain();
         assertThat(channel.config().isAutoRead()).isFalse();
         assertThat(listener.table().partialBytes()).isZero();
         receive(channel, "efghi");
@@ -150,7 +150,7 @@
     @Test
     void connectionOpenedWhileDrainingIsNotifiedToo() {
         open();
-        listener.lastCall();
+        listener.notifyDraining();
         assertThat(events).containsExactly("last call");
         open();
         assertThat(events).hasSize(2);
@@ -161,9 +161,9 @@
     void connectionsShareOneTimer() {
         for (int i = 0; i < 100; i++) {
             receive(open(), "abc");
-            clock.skip(1_000);
+            clock.advanceWithoutFiring(1_000);
         }
-        assertThat(clock.pending()).isLessThanOrEqualTo(1);
+        assertThat(clock.pendingCount()).isLessThanOrEqualTo(1);
     }
 
     @Test
