--- a/server/src/main/java/wheatspread/daemon/ServerFactory.java
+++ b/server/src/main/java/wheatspread/daemon/ServerFactory.java
@@ -43,8 +43,8 @@
     private final Clock clock;
 
     /**
-     * {@code newClock} makes the clock of the loop; {@code events} hears, on the loop's thread, that the kernel is
-     * ready, that a drain has ended, and of a reload.
+     * {@code newClock} makes the clock of the loop; {@code events} is given, on the loop's thread, the events
+     * {@code KERNEL_READY} and {@code RELOAD} and those that end a drain.
      */
     ServerFactory(
             ServerConfig config,
--- a/server/src/main/java/wheatspread/daemon/WarmUp.java
+++ b/server/src/main/java/wheatspread/daemon/WarmUp.java
@@ -38,7 +38,7 @@
  */
 final class WarmUp implements Clock, Kernel, RecordsService {
     private static final int MAX_REQUESTS = 400;
-    /** It ends early on a slow processor, since a server that starts late serves nobody. */
+    /** It ends early on a slow processor, since a server that starts late serves no requests meanwhile. */
     static final long MAX_DURATION_NANOS = 1_500_000_000L;
 
     /** How long a run, a call and its reply take each, and the time between two requests. */
--- a/server/src/main/java/wheatspread/fleet/FleetController.java
+++ b/server/src/main/java/wheatspread/fleet/FleetController.java
@@ -244,7 +244,7 @@
     }
 
     /**
-     * The start was not carried out, or its process was gone at once. Neither counts as an exit or as a fault of the
+     * The start was not carried out, or its process exited at once. Neither counts as an exit or as a fault of the
      * build; the next generation will show one.
      */
     private void giveUpUnconfirmedStart(FleetInstance instance, long nowMicros) {
--- a/server/src/main/java/wheatspread/fleet/FleetPlan.java
+++ b/server/src/main/java/wheatspread/fleet/FleetPlan.java
@@ -9,11 +9,11 @@
  * @param instances the names, in the order in which they are started and replaced
  * @param build the label of the build that instances start with
  * @param maxConcurrentStarts how many may be starting together when the fleet comes up
- * @param startTimeoutMicros an instance that is not healthy so long after its start is killed
- * @param stopTimeoutMicros an instance that has not exited so long after SIGTERM is killed
+ * @param startTimeoutMicros an instance that is not healthy this long after its start is killed
+ * @param stopTimeoutMicros an instance that has not exited this long after SIGTERM is killed
  * @param staleAfterMicros an instance whose last answered health check is older than this is stale
- * @param unhealthyThreshold so many failed health checks in a row make an instance unhealthy
- * @param unresponsiveTimeoutMicros an instance that answers no health check for so long is killed; 0 for never
+ * @param unhealthyThreshold an instance is unhealthy after this many failed health checks in a row
+ * @param unresponsiveTimeoutMicros an instance that answers no health check for this long is killed; 0 for never
  * @param startConfirmationMicros how long a recorded start, of which an earlier supervisor did not record whether it
  *     was carried out, may take to show itself by its lock
  */
@@ -39,11 +39,11 @@
      *
      * @param maxUnavailableShare the share of the fleet that may be unavailable at a time, for whatever reason
      * @param maxUnavailableCount how many instances may be unavailable at a time; 0 for no such bound
-     * @param minServedRequests so many served requests verify a new instance
-     * @param minHealthyMicros it must have been healthy for so long before it counts as verified
-     * @param idleVerificationMicros healthy for so long verifies it too, where no requests come
+     * @param minServedRequests how many served requests verify a new instance
+     * @param minHealthyMicros how long it must have been healthy before it counts as verified
+     * @param idleVerificationMicros being healthy for this long verifies it too, where no requests come
      * @param maxFailedShare a new instance that fails a larger share of its requests counts as failed
-     * @param maxFailedInstances so many failed instances end the rollout
+     * @param maxFailedInstances the rollout ends after this many failed instances
      * @param automaticRollback whether the old build is put back then
      */
     public record Rolling(
@@ -75,8 +75,8 @@
      * @param multiplier by which the delay grows with each further exit
      * @param maxDelayMicros the longest delay, before jitter
      * @param jitterShare delays are spread by up to this share in both directions
-     * @param resetAfterMicros an instance that ran for so long starts from the initial delay again
-     * @param crashLoopExits so many exits within {@code crashLoopWindowMicros} are a crash loop
+     * @param resetAfterMicros an instance that ran for this long starts from the initial delay again
+     * @param crashLoopExits this many exits within {@code crashLoopWindowMicros} are a crash loop
      * @param crashLoopHoldMicros how long an instance in a crash loop is not restarted; 0 until an operator starts it
      */
     public record Backoff(
--- a/server/src/main/java/wheatspread/fleet/FleetState.java
+++ b/server/src/main/java/wheatspread/fleet/FleetState.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * What a supervisor saves before it acts, so that the next one can go on. Times are Unix microseconds.
+ * What a supervisor saves before it acts, so that the next one can continue. Times are Unix microseconds.
  *
  * @param rollout the last rollout; null if there was none
  * @param shuttingDown whether the whole fleet is to stop
--- a/server/src/main/java/wheatspread/fleet/InstanceTimeouts.java
+++ b/server/src/main/java/wheatspread/fleet/InstanceTimeouts.java
@@ -8,7 +8,7 @@
         this.plan = plan;
     }
 
-    /** Whether a recorded start, of which nobody knows whether it was carried out, has not shown itself in time. */
+    /** Whether the process of a start that may not have been carried out has not taken its lock in time. */
     static boolean startUnconfirmed(FleetInstance instance, long nowMicros) {
         return instance.startUnconfirmedUntilMicros > 0 && nowMicros >= instance.startUnconfirmedUntilMicros;
     }
--- a/server/src/main/java/wheatspread/fleet/RolloutVerification.java
+++ b/server/src/main/java/wheatspread/fleet/RolloutVerification.java
@@ -33,7 +33,7 @@
                 || healthyMicros >= policy.idleVerificationMicros();
     }
 
-    /** Rule: it failed a larger share of its requests than {@code maxFailedShare}, of enough requests to tell. */
+    /** Rule: it failed a larger share of its requests than {@code maxFailedShare}, of enough requests for a verdict. */
     boolean failsTooManyRequests(FleetInstance instance) {
         if (instance.health == null) {
             return false;
--- a/server/src/main/java/wheatspread/supervisor/StateFile.java
+++ b/server/src/main/java/wheatspread/supervisor/StateFile.java
@@ -17,7 +17,7 @@
 import wheatspread.fleet.RolloutStep;
 
 /**
- * The fleet's state as a JSON file, from which the next supervisor goes on. This class maps the keys of the file,
+ * The fleet's state as a JSON file, from which the next supervisor continues. This class maps the keys of the file,
  * which never change, to the names of the program.
  */
 final class StateFile {
