--- a/server/src/main/java/wheatspread/membership/CutDetector.java
+++ b/server/src/main/java/wheatspread/membership/CutDetector.java
@@ -151,7 +151,7 @@
         return countSet(suspicionCounters[member]) - own;
     }
 
-    /** The members that announced that they leave, by index. */
+    /** The members that announced that they leave, by index; not to be modified. */
     BitSet leavingMembers() {
         return leavingMembers;
     }
--- a/server/src/main/java/wheatspread/membership/Departure.java
+++ b/server/src/main/java/wheatspread/membership/Departure.java
@@ -5,7 +5,7 @@
 /**
  * A member of one view that is not in the next, with the cause as far as it is known on this server.
  *
- * @param witnesses names of the observers that reported it down; none where that is not the cause
+ * @param witnesses names of the observers that reported it down, if any
  */
 public record Departure(MemberId who, Cause cause, List<String> witnesses) {
     /** Why a member departed. */
--- a/server/src/main/java/wheatspread/membership/MonitoredSubjects.java
+++ b/server/src/main/java/wheatspread/membership/MonitoredSubjects.java
@@ -1,6 +1,7 @@
 package wheatspread.membership;
 
 import java.util.Collection;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -31,7 +32,7 @@
     }
 
     Collection<MonitoredSubject> all() {
-        return subjects.values();
+        return Collections.unmodifiableCollection(subjects.values());
     }
 
     /** A copy to iterate over while subjects may come and go. */
--- a/server/src/main/java/wheatspread/membership/ViewAgreement.java
+++ b/server/src/main/java/wheatspread/membership/ViewAgreement.java
@@ -1,6 +1,7 @@
 package wheatspread.membership;
 
 import java.util.BitSet;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -270,22 +271,27 @@
         return preferred != null || !fastVotes.isEmpty();
     }
 
+    /** The votes of the fast round by change, as indexes of members. */
     Map<ViewChange, BitSet> fastVotes() {
-        return fastVotes;
+        return Collections.unmodifiableMap(fastVotes);
     }
 
+    /** The highest ballot heard of. */
     long ballot() {
         return ballot;
     }
 
+    /** The promises of the current classic round, by index of the member. */
     Map<Integer, Promise> promises() {
-        return promises;
+        return Collections.unmodifiableMap(promises);
     }
 
+    /** The coordinator's proposal in the current classic round; null before. */
     ViewChange proposal() {
         return proposal;
     }
 
+    /** Who accepted that proposal, by index; not to be modified. */
     BitSet acceptors() {
         return acceptors;
     }
