--- a/server/src/main/java/wheatspread/admission/sfq/Flow.java
+++ b/server/src/main/java/wheatspread/admission/sfq/Flow.java
@@ -78,7 +78,7 @@
     }
 
     /** The request that this flow loses when it has to lose one: the newest of those with the least weight. */
-    TrackedRequest leastWeight() {
+    TrackedRequest lowestWeightRequest() {
         return queue.stream()
                 .reduce((older, newer) -> newer.totalWeight() <= older.totalWeight() ? newer : older)
                 .orElseThrow();
--- a/server/src/main/java/wheatspread/daemon/WarmUp.java
+++ b/server/src/main/java/wheatspread/daemon/WarmUp.java
@@ -215,7 +215,7 @@
     // ---- the records service ----
 
     @Override
-    public Call call(String job, byte[] body, long patience, RecordsService.Listener listener) {
+    public Call call(String job, byte[] body, long timeoutMicros, RecordsService.Listener listener) {
         Timer reply = schedule(STEP_MICROS, () -> listener.onCallEnded(Outcome.OK, body));
         return reply::cancel;
     }
--- a/server/src/main/java/wheatspread/membership/ViewAgreement.java
+++ b/server/src/main/java/wheatspread/membership/ViewAgreement.java
@@ -237,18 +237,18 @@
         }
         // a change decided in the fast round has at least so many votes among any members that promised
         int possiblyDecided = Math.max(1, promises.size() + fastQuorum - view.size());
-        ViewChange mostVoted = preferred;
-        int mostVotes = 0;
+        ViewChange leadingChange = preferred;
+        int maxVotes = 0;
         for (Map.Entry<ViewChange, Integer> entry : fastVoteCounts.entrySet()) {
             if (entry.getValue() >= possiblyDecided) {
                 return entry.getKey();
             }
-            if (preferred == null && entry.getValue() > mostVotes) {
-                mostVotes = entry.getValue();
-                mostVoted = entry.getKey();
+            if (preferred == null && entry.getValue() > maxVotes) {
+                maxVotes = entry.getValue();
+                leadingChange = entry.getKey();
             }
         }
-        return mostVoted;
+        return leadingChange;
     }
 
     /** The index of the member that coordinates the current classic round. */
