--- a/server/src/main/java/wheatspread/store/AuxiliaryFiles.java
+++ b/server/src/main/java/wheatspread/store/AuxiliaryFiles.java
@@ -45,11 +45,11 @@
 
     /** A segment that has been rewritten is to be deleted, or set aside if it is damaged. */
     void retire(Segment rewritten) {
-        String name = rewritten.name.toString();
-        (rewritten.damaged ? toSetAside : toDelete).add(name);
-        add(name, rewritten.bytes);
-        if (rewritten.damaged) {
-            log.warn("store_set_aside", "file", name + SegmentName.ASIDE);
+        String name = rewritten.name().toString();
+        (rewritten.isDamaged() ? toSetAside : toDelete).add(name);
+        add(name, rewritten.validBytes());
+        if (rewritten.isDamaged()) {
+            log.warn("store_set_aside", "file", name + SegmentName.DAMAGED_SUFFIX);
         }
     }
 
@@ -74,7 +74,7 @@
         }
         for (String name : deletion.aside()) {
             try {
-                measure(name + SegmentName.ASIDE);
+                measure(name + SegmentName.DAMAGED_SUFFIX);
             } catch (IOException e) {
                 log.warn("store_file_lost", "file", name);
             }
--- a/server/src/main/java/wheatspread/store/BackgroundLoop.java
+++ b/server/src/main/java/wheatspread/store/BackgroundLoop.java
@@ -36,7 +36,7 @@
     /** Runs a job to its end; false if the store closes before. */
     private boolean runSteps(MaintenanceJob job, RateLimiter rateLimiter) throws IOException {
         while (job.step()) {
-            LockSupport.parkNanos(rateLimiter.delayAfter(job.bytesMoved, time.nanos()));
+            LockSupport.parkNanos(rateLimiter.delayNanosAfter(job.bytesMoved(), time.nanos()));
             if (queue.isClosing()) {
                 return false;
             }
--- a/server/src/main/java/wheatspread/store/CheckpointJob.java
+++ b/server/src/main/java/wheatspread/store/CheckpointJob.java
@@ -12,53 +12,54 @@
  * it right.
  */
 final class CheckpointJob extends MaintenanceJob {
-    private static final int CHUNK = 4_096;
+    private static final int MAX_FRAME_ENTRIES = 4_096;
 
     private final Disk disk;
     private final SegmentCatalog catalog;
     private final String name;
     private final int segment;
     private final int offset;
-    private final long nowMs;
-    private final boolean waits;
+    private final long nowMillis;
+    private final boolean requiresWriterSync;
     private final Format.CheckpointEnd.Builder end = Format.CheckpointEnd.newBuilder();
     private DiskFile out;
     private int table = -1;
     private long entries;
-    private long written;
+    private long writtenBytes;
     private boolean done;
 
     /**
      * Begins.
      *
      * @param segment all of the log before this number and offset is in the index
-     * @param waits whether the writer has to sync, and then {@link #publish}
+     * @param requiresWriterSync whether the writer has to sync, and then {@link #publish}
      */
-    CheckpointJob(Disk disk, SegmentCatalog catalog, long number, int segment, int offset, long nowMs, boolean waits) {
+    CheckpointJob(
+            Disk disk, SegmentCatalog catalog, long number, int segment, int offset, long nowMillis, boolean waits) {
         this.disk = disk;
         this.catalog = catalog;
-        this.name = Layout.checkpoint(number);
+        this.name = Layout.checkpointName(number);
         this.segment = segment;
         this.offset = offset;
-        this.nowMs = nowMs;
-        this.waits = waits;
-        catalog.doubts.save(end);
+        this.nowMillis = nowMillis;
+        this.requiresWriterSync = waits;
+        catalog.suspectedLosses().save(end);
     }
 
     @Override
     boolean step() throws IOException {
-        bytesMoved = 0;
+        resetBytesMoved();
         if (table < 0) {
-            disk.delete(name + SegmentName.NEW);
-            out = disk.create(name + SegmentName.NEW);
+            disk.delete(name + SegmentName.TEMPORARY_SUFFIX);
+            out = disk.create(name + SegmentName.TEMPORARY_SUFFIX);
             write(Checkpoints.preamble());
             write(Checkpoints.frame(
                     Format.CheckpointFrame.newBuilder()
                             .setHead(Format.CheckpointHead.newBuilder()
-                                    .setSeed(catalog.seed)
+                                    .setSeed(catalog.seed())
                                     .setSegment(segment)
                                     .setOffset(offset)
-                                    .setCreatedMs(nowMs))
+                                    .setCreatedMs(nowMillis))
                             .build(),
                     false));
         } else if (table < Index.TABLES) {
@@ -74,13 +75,13 @@
     private void table(int which) throws IOException {
         Format.CheckpointEntries.Builder[] chunk = {Format.CheckpointEntries.newBuilder()};
         IOException[] failed = new IOException[1];
-        catalog.index.copy(which, (hash, at, length, expiry) -> {
+        catalog.index().copy(which, (hash, at, length, expiry) -> {
             chunk[0].addHashes(hash)
                     .addFiles(Index.file(at))
                     .addOffsets(Index.offset(at))
                     .addLengths(length)
                     .addExpiries(expiry);
-            if (chunk[0].getHashesCount() == CHUNK && failed[0] == null) {
+            if (chunk[0].getHashesCount() == MAX_FRAME_ENTRIES && failed[0] == null) {
                 try {
                     flush(chunk[0]);
                 } catch (IOException e) {
@@ -106,12 +107,12 @@
     private void finish() throws IOException {
         for (Segment one : catalog.snapshot()) {
             Format.CheckpointEnd.File.Builder file = Format.CheckpointEnd.File.newBuilder()
-                    .setId(one.id)
-                    .setName(one.name.toString())
-                    .setLatestExpiryMs(one.latestExpiryMs)
-                    .setRecords(one.records);
-            if (one.cut != SegmentScan.UNCUT) {
-                file.setCut(one.cut);
+                    .setId(one.id())
+                    .setName(one.name().toString())
+                    .setLatestExpiryMs(one.latestExpiryMillis())
+                    .setRecords(one.recordCount());
+            if (one.cutOffset() != SegmentScan.NO_CUT) {
+                file.setCut(one.cutOffset());
             }
             end.addFiles(file);
         }
@@ -123,7 +124,7 @@
         out.sync();
         out.close();
         done = true;
-        if (!waits) {
+        if (!requiresWriterSync) {
             publish();
         }
     }
@@ -134,19 +135,19 @@
      * writer.
      */
     void publish() throws IOException {
-        disk.rename(name + SegmentName.NEW, name);
+        disk.rename(name + SegmentName.TEMPORARY_SUFFIX, name);
         disk.syncNames();
     }
 
-    boolean waits() {
-        return waits;
+    boolean requiresWriterSync() {
+        return requiresWriterSync;
     }
 
     private void write(ByteBuffer bytes) throws IOException {
         int size = bytes.remaining();
         out.append(bytes);
-        written += size;
-        bytesMoved += size;
+        writtenBytes += size;
+        addBytesMoved(size);
     }
 
     String name() {
@@ -167,7 +168,7 @@
         } catch (IOException e) {
             // what it held is deleted next
         }
-        return List.of(name + SegmentName.NEW, name);
+        return List.of(name + SegmentName.TEMPORARY_SUFFIX, name);
     }
 
     @Override
@@ -176,7 +177,7 @@
     }
 
     @Override
-    long ownBytes() {
-        return written;
+    long outputBytes() {
+        return writtenBytes;
     }
 }
--- a/server/src/main/java/wheatspread/store/CheckpointProgress.java
+++ b/server/src/main/java/wheatspread/store/CheckpointProgress.java
@@ -19,7 +19,7 @@
     }
 
     /** Begins a checkpoint, and returns its number. */
-    long begin() {
+    long start() {
         loggedBytes = 0;
         changed = false;
         return ++number;
--- a/server/src/main/java/wheatspread/store/Checkpoints.java
+++ b/server/src/main/java/wheatspread/store/Checkpoints.java
@@ -20,13 +20,13 @@
 final class Checkpoints {
     static final int VERSION = 1;
     private static final byte[] MAGIC = "wheatchk".getBytes(StandardCharsets.US_ASCII);
-    private static final int PREAMBLE = 16;
-    private static final int STALE = 1 << 30;
+    private static final int PREAMBLE_BYTES = 16;
+    private static final int STALE_ID_BASE = 1 << 30;
 
     private Checkpoints() {}
 
     static ByteBuffer preamble() {
-        return ByteBuffer.allocate(PREAMBLE)
+        return ByteBuffer.allocate(PREAMBLE_BYTES)
                 .put(MAGIC)
                 .putInt(VERSION)
                 .putInt(0)
@@ -35,7 +35,7 @@
 
     /** One frame of a checkpoint; behind the last one stands its size in 4 bytes. */
     static ByteBuffer frame(Format.CheckpointFrame frame, boolean last) {
-        ByteBuffer bytes = ByteBuffer.allocate(RecordFraming.sizeOf(frame.getSerializedSize()) + (last ? 4 : 0));
+        ByteBuffer bytes = ByteBuffer.allocate(RecordFraming.frameBytes(frame.getSerializedSize()) + (last ? 4 : 0));
         RecordFraming.write(ByteBuffer.wrap(frame.toByteArray()), bytes);
         if (last) {
             bytes.putInt(bytes.position());
@@ -44,30 +44,33 @@
     }
 
     /** What is known of a file that is not read again. */
-    record Known(long latestExpiryMs, long records, int cut) {}
+    record KnownSegment(long latestExpiryMs, long records, int cut) {}
 
     /** The seed of a checkpoint, for a store none of whose segments tells it. */
     static long seedOf(Disk disk, String name, LongSupplier otherwise) throws IOException {
         try (DiskFile file = disk.open(name)) {
             ReadWindow window = new ReadWindow(file, file.size());
-            Format.CheckpointFrame head = isOurs(window) ? read(window, PREAMBLE) : null;
+            Format.CheckpointFrame head = hasPreamble(window) ? read(window, PREAMBLE_BYTES) : null;
             return head != null && head.hasHead() ? head.getHead().getSeed() : otherwise.getAsLong();
         }
     }
 
-    private static boolean isOurs(ReadWindow window) throws IOException {
-        return window.at(0, PREAMBLE).remaining() >= PREAMBLE
-                && window.at(0, PREAMBLE).slice(0, PREAMBLE).equals(preamble());
+    private static boolean hasPreamble(ReadWindow window) throws IOException {
+        return window.bytesAt(0, PREAMBLE_BYTES).remaining() >= PREAMBLE_BYTES
+                && window.bytesAt(0, PREAMBLE_BYTES).slice(0, PREAMBLE_BYTES).equals(preamble());
     }
 
     /** The frame at a place, or null. */
     private static Format.CheckpointFrame read(ReadWindow window, long at) throws IOException {
-        ByteBuffer head = window.at(at, RecordFraming.HEAD);
-        if (head.remaining() < RecordFraming.HEAD || head.getInt(0) < 0 || head.getInt(0) > RecordFraming.LONGEST) {
+        ByteBuffer head = window.bytesAt(at, RecordFraming.HEADER_BYTES);
+        if (head.remaining() < RecordFraming.HEADER_BYTES
+                || head.getInt(0) < 0
+                || head.getInt(0) > RecordFraming.MAX_BODY_BYTES) {
             return null;
         }
         ByteBuffer[] body = new ByteBuffer[1];
-        if (RecordFraming.read(window.at(at, RecordFraming.HEAD + head.getInt(0)), body) != RecordFraming.Found.WHOLE) {
+        if (RecordFraming.read(window.bytesAt(at, RecordFraming.HEADER_BYTES + head.getInt(0)), body)
+                != RecordFraming.Found.COMPLETE) {
             return null;
         }
         try {
@@ -84,17 +87,17 @@
             ByteBuffer tail = ByteBuffer.allocate(4);
             file.read(tail, Math.max(0, size - 4));
             ReadWindow window = new ReadWindow(file, size - 4);
-            if (size < PREAMBLE + 4 || !isOurs(window)) {
+            if (size < PREAMBLE_BYTES + 4 || !hasPreamble(window)) {
                 return null;
             }
             long endAt = size - 4 - Integer.toUnsignedLong(tail.getInt(0));
-            Format.CheckpointFrame end = endAt >= PREAMBLE ? read(window, endAt) : null;
-            Format.CheckpointFrame head = read(window, PREAMBLE);
+            Format.CheckpointFrame end = endAt >= PREAMBLE_BYTES ? read(window, endAt) : null;
+            Format.CheckpointFrame head = read(window, PREAMBLE_BYTES);
             if (end == null
                     || !end.hasEnd()
                     || head == null
                     || !head.hasHead()
-                    || head.getHead().getSeed() != into.seed) {
+                    || head.getHead().getSeed() != into.seed()) {
                 return null;
             }
             Loaded loaded = new Loaded(head.getHead(), into);
@@ -102,21 +105,21 @@
                 return null;
             }
             // an entry takes 28 bytes here, so that no wrong number asks for more than the file has
-            into.index.reserve((int) Math.min(end.getEnd().getEntries(), size / 28));
+            into.index().reserve((int) Math.min(end.getEnd().getEntries(), size / 28));
             long entries = 0;
-            long at = PREAMBLE + RecordFraming.sizeOf(head.getSerializedSize());
+            long at = PREAMBLE_BYTES + RecordFraming.frameBytes(head.getSerializedSize());
             while (at < endAt) {
                 Format.CheckpointFrame some = read(window, at);
                 if (some == null || !some.hasEntries()) {
                     return null;
                 }
                 entries += some.getEntries().getHashesCount();
-                if (!loaded.entries(some.getEntries(), into.index)) {
+                if (!loaded.entries(some.getEntries(), into.index())) {
                     return null;
                 }
-                at += RecordFraming.sizeOf(some.getSerializedSize());
+                at += RecordFraming.frameBytes(some.getSerializedSize());
             }
-            into.doubts.load(end.getEnd());
+            into.suspectedLosses().load(end.getEnd());
             return at == endAt && entries == end.getEnd().getEntries() ? loaded : null;
         }
     }
@@ -126,7 +129,7 @@
         private final int segment;
         private final int offset;
         private final SegmentCatalog catalog;
-        private final Map<SegmentName, Known> known = new HashMap<>();
+        private final Map<SegmentName, KnownSegment> known = new HashMap<>();
         private final Map<Integer, SegmentName> names = new HashMap<>();
         private final Map<Integer, Integer> ids = new HashMap<>();
         private final Set<Integer> stale = new HashSet<>();
@@ -143,7 +146,7 @@
                 SegmentName name = SegmentName.parse(file.getName());
                 Segment now = null;
                 for (Segment one : catalog.chain()) {
-                    if (one.name.equals(name) || name != null && one.name.replaces(name)) {
+                    if (one.name().equals(name) || name != null && one.name().replaces(name)) {
                         now = one;
                     }
                 }
@@ -151,20 +154,20 @@
                     return false;
                 }
                 names.put(file.getId(), name);
-                if (now.name.equals(name)) {
-                    ids.put(file.getId(), now.id);
+                if (now.name().equals(name)) {
+                    ids.put(file.getId(), now.id());
                     known.put(
                             name,
-                            new Known(
+                            new KnownSegment(
                                     file.getLatestExpiryMs(),
                                     file.getRecords(),
-                                    file.hasCut() ? file.getCut() : SegmentScan.UNCUT));
-                    if (name.first() == segment && now.bytes < offset) {
+                                    file.hasCut() ? file.getCut() : SegmentScan.NO_CUT));
+                    if (name.first() == segment && now.validBytes() < offset) {
                         return false;
                     }
                 } else {
-                    ids.put(file.getId(), STALE + now.id);
-                    stale.add(now.id);
+                    ids.put(file.getId(), STALE_ID_BASE + now.id());
+                    stale.add(now.id());
                 }
             }
             return true;
@@ -199,7 +202,7 @@
             return offset;
         }
 
-        Known known(SegmentName name) {
+        KnownSegment known(SegmentName name) {
             return known.get(name);
         }
 
@@ -209,13 +212,13 @@
         }
 
         /** Whether all that a rewritten file holds stood before the checkpoint's place. */
-        boolean wasWhole(SegmentName name) {
+        boolean precedesCheckpoint(SegmentName name) {
             return name.last() < segment;
         }
 
         /** Whether entries point to files that this one was written in place of. */
         boolean isStale(Segment one) {
-            return stale.contains(one.id);
+            return stale.contains(one.id());
         }
 
         /**
@@ -224,19 +227,19 @@
          */
         boolean repoint(Index index, Segment now, long hash, long to, int length, int expiry) {
             long[] from = new long[1];
-            index.find(hash, (h, at, l, e) -> from[0] = Index.file(at) == STALE + now.id ? at : from[0]);
+            index.find(hash, (h, at, l, e) -> from[0] = Index.file(at) == STALE_ID_BASE + now.id() ? at : from[0]);
             return from[0] != 0 && index.move(hash, from[0], to, length, expiry);
         }
 
         /** Takes away what still points to a file that is gone: compaction found it dead. */
-        void dropStale(Index index) {
+        void removeStaleEntries(Index index) {
             if (stale.isEmpty()) {
                 return;
             }
             for (int table = 0; table < Index.TABLES; table++) {
                 LongArrayList gone = new LongArrayList();
                 index.copy(table, (hash, at, length, expiry) -> {
-                    if (Index.file(at) >= STALE) {
+                    if (Index.file(at) >= STALE_ID_BASE) {
                         gone.addLong(hash);
                         gone.addLong(at);
                     }
--- a/server/src/main/java/wheatspread/store/CompactionJob.java
+++ b/server/src/main/java/wheatspread/store/CompactionJob.java
@@ -17,18 +17,23 @@
  * moment leaves the old files, or the new one with or without them, and each of these says the same.
  */
 final class CompactionJob extends MaintenanceJob {
-    private static final int GROUP = 64 << 10;
-    private static final int PIECE = 128 << 10;
-    private static final int SYNC_EVERY = 1 << 20;
-    private static final int INSTALL = 2_000;
-    private static final int MOST_RECORDS = 4_096;
+    private static final int GROUP_BYTES = 64 << 10;
+    private static final int STEP_BYTES = 128 << 10;
+    private static final int SYNC_INTERVAL_BYTES = 1 << 20;
+    private static final int MAX_MOVES_PER_INSTALL = 2_000;
+    private static final int MAX_GROUP_RECORDS = 4_096;
 
     /** What a job has to know beside its run. */
     record Parameters(
-            SegmentName name, long mark, boolean clear, Set<Integer> cutsNeeded, long nowMs, long lossUntil) {}
+            SegmentName name,
+            long mark,
+            boolean canDropTombstones,
+            Set<Integer> cutsNeeded,
+            long nowMillis,
+            long lossUntilMillis) {}
 
     /** A record that has been copied into the group at {@code place}. */
-    private record Copy(long hash, long from, int place, int length, int expiry) {}
+    private record CopiedRecord(long hash, long from, int place, int length, int expiry) {}
 
     /** Keys that damage has taken from a place of an old file; the doubt stands at {@code place}. */
     private record Loss(LongArrayList hashes, boolean all, int place, long from) {}
@@ -38,67 +43,67 @@
     private final List<Segment> run;
     private final Parameters parameters;
     private final GroupEncoder group = new GroupEncoder();
-    private final List<Copy> pending = new ArrayList<>();
+    private final List<CopiedRecord> pending = new ArrayList<>();
     private final List<Loss> pendingLosses = new ArrayList<>();
     private final LongArrayList moves = new LongArrayList();
     private final List<Loss> losses = new ArrayList<>();
     private final LongArrayList expired = new LongArrayList();
     private DiskFile out;
-    private long written;
-    private long synced;
+    private long writtenBytes;
+    private long syncedBytes;
     private int input = -1;
     private SegmentScan scan;
     private long records;
-    private long latestExpiry;
+    private long latestExpiryMillis;
     private Segment result;
     private int installed;
-    private boolean named;
-    private boolean begun;
-    private boolean dropsDoubts;
+    private boolean mayHaveFinalName;
+    private boolean started;
+    private boolean dropsSuspectedLosses;
 
     CompactionJob(Disk disk, SegmentCatalog catalog, List<Segment> run, Parameters parameters) {
         this.disk = disk;
         this.catalog = catalog;
         this.run = List.copyOf(run);
         this.parameters = parameters;
-        run.forEach(Segment::hold);
+        run.forEach(Segment::acquire);
     }
 
     /** Leaves out what says that something was lost. */
-    void dropDoubts(boolean drop) {
-        dropsDoubts = drop;
+    void dropSuspectedLosses(boolean drop) {
+        dropsSuspectedLosses = drop;
     }
 
     private String newName() {
-        return parameters.name() + SegmentName.NEW;
+        return parameters.name() + SegmentName.TEMPORARY_SUFFIX;
     }
 
     @Override
     boolean step() throws IOException {
-        bytesMoved = 0;
-        if (!begun) {
-            begun = true;
+        resetBytesMoved();
+        if (!started) {
+            started = true;
             disk.delete(newName());
             out = disk.create(newName());
-            write(FileHeader.write(parameters.name(), catalog.seed, parameters.mark(), parameters.nowMs()));
-            group.begin(MOST_RECORDS);
+            write(FileHeader.write(parameters.name(), catalog.seed(), parameters.mark(), parameters.nowMillis()));
+            group.startGroup(MAX_GROUP_RECORDS);
             return true;
         }
-        while (bytesMoved < PIECE) {
+        while (bytesMoved() < STEP_BYTES) {
             if (scan == null && !nextInput()) {
                 finish();
                 return false;
             }
-            long before = scan.read();
-            SegmentScan.Step step = scan.next();
-            bytesMoved += scan.read() - before;
+            long before = scan.bytesRead();
+            SegmentScan.Step step = scan.nextOffset();
+            addBytesMoved(scan.bytesRead() - before);
             switch (step) {
                 case RECORD -> record(scan);
                 case DAMAGE -> damage();
                 case END -> scan = null;
                 default -> {}
             }
-            if (group.size() >= GROUP || group.records() == MOST_RECORDS) {
+            if (group.size() >= GROUP_BYTES || group.records() == MAX_GROUP_RECORDS) {
                 flush();
             }
         }
@@ -111,28 +116,29 @@
             return false;
         }
         Segment one = run.get(input);
-        scan = new SegmentScan(one.file, one.name, 0, one.cut, false);
+        scan = new SegmentScan(one.file(), one.name(), 0, one.cutOffset(), false);
         return true;
     }
 
     private void record(SegmentScan at) {
-        Format.Record record = at.record;
+        Format.Record record = at.record();
         switch (record.getKind()) {
             case PUT -> {
                 long hash = catalog.hash(at);
-                long from = Index.at(run.get(input).id, (int) at.at);
+                long from = Index.at(run.get(input).id(), (int) at.offset());
                 long expires = record.getExpiresMs();
-                if (SegmentCatalog.isOver(expires, parameters.nowMs())) {
+                if (SegmentCatalog.hasExpired(expires, parameters.nowMillis())) {
                     // an older value must not come back, whether or not this one has been counted out
                     expired.addLong(hash);
                     expired.addLong(from);
                     delete(at);
-                } else if (catalog.index.has(hash, from)) {
+                } else if (catalog.index().has(hash, from)) {
                     int place = group.add(hash, record);
-                    pending.add(
-                            new Copy(hash, from, place, group.length(place), SegmentCatalog.expirySeconds(expires)));
+                    pending.add(new CopiedRecord(
+                            hash, from, place, group.length(place), SegmentCatalog.expirySeconds(expires)));
                     records++;
-                    latestExpiry = Math.max(latestExpiry, expires == 0 ? Segment.NEVER : expires);
+                    latestExpiryMillis =
+                            Math.max(latestExpiryMillis, expires == 0 ? Segment.NEVER_EXPIRES_MILLIS : expires);
                 }
             }
             case DELETE -> delete(at);
@@ -146,7 +152,8 @@
                 }
             }
             case DOUBT -> {
-                if (!dropsDoubts && !SegmentCatalog.isOver(record.getDoubt().getUntilMs(), parameters.nowMs())) {
+                if (!dropsSuspectedLosses
+                        && !SegmentCatalog.hasExpired(record.getDoubt().getUntilMs(), parameters.nowMillis())) {
                     group.add(0, record);
                 }
             }
@@ -156,25 +163,25 @@
 
     /** What says that a key is gone is needed while an older file may still hold it. */
     private void delete(SegmentScan at) {
-        if (!parameters.clear()) {
-            group.add(catalog.hash(at), at.record.getKey().toByteArray(), null, 0);
+        if (!parameters.canDropTombstones()) {
+            group.add(catalog.hash(at), at.record().getKey().toByteArray(), null, 0);
         }
     }
 
     private void damage() {
         Segment segment = run.get(input);
-        segment.damaged = true;
+        segment.markDamaged();
         LongArrayList lost = new LongArrayList();
-        scan.lost.forEachOrderedLong(lost::addLong);
-        int place = group.add(0, GroupEncoder.doubt(lost, scan.lostAll, parameters.lossUntil()));
-        pendingLosses.add(new Loss(lost, scan.lostAll, place, Index.at(segment.id, (int) scan.at)));
+        scan.lostHashes().forEachOrderedLong(lost::addLong);
+        int place = group.add(0, GroupEncoder.suspectedLoss(lost, scan.lostAll(), parameters.lossUntilMillis()));
+        pendingLosses.add(new Loss(lost, scan.lostAll(), place, Index.at(segment.id(), (int) scan.offset())));
     }
 
     private void flush() throws IOException {
         if (group.records() > 0) {
-            ByteBuffer bytes = group.end(parameters.mark(), (int) written, (int) written);
-            int base = (int) written + group.headSize();
-            for (Copy one : pending) {
+            ByteBuffer bytes = group.end(parameters.mark(), (int) writtenBytes, (int) writtenBytes);
+            int base = (int) writtenBytes + group.groupFrameBytes();
+            for (CopiedRecord one : pending) {
                 moves.addLong(one.hash());
                 moves.addLong(one.from());
                 moves.addLong(base + one.place());
@@ -186,26 +193,26 @@
             pending.clear();
             pendingLosses.clear();
             write(bytes);
-            if (written - synced >= SYNC_EVERY) {
+            if (writtenBytes - syncedBytes >= SYNC_INTERVAL_BYTES) {
                 out.sync();
-                synced = written;
+                syncedBytes = writtenBytes;
             }
         }
-        group.begin(MOST_RECORDS);
+        group.startGroup(MAX_GROUP_RECORDS);
     }
 
     private void write(ByteBuffer bytes) throws IOException {
         int size = bytes.remaining();
         out.append(bytes);
-        written += size;
-        bytesMoved += size;
+        writtenBytes += size;
+        addBytesMoved(size);
     }
 
     private void finish() throws IOException {
         flush();
-        write(GroupEncoder.seal(parameters.mark(), (int) written));
+        write(GroupEncoder.seal(parameters.mark(), (int) writtenBytes));
         out.sync();
-        named = true; // from here on the file may have its name, whatever a failure says
+        mayHaveFinalName = true; // from here on the file may have its name, whatever a failure says
         disk.rename(newName(), parameters.name().toString());
         disk.syncNames();
     }
@@ -213,31 +220,30 @@
     @Override
     boolean install() {
         if (result == null) {
-            result = new Segment(catalog.newId(), parameters.name(), out, written);
-            result.records = records;
-            result.latestExpiryMs = latestExpiry;
+            result = new Segment(catalog.newId(), parameters.name(), out, writtenBytes);
+            result.setRecords(records, latestExpiryMillis);
             catalog.register(result);
-            synchronized (catalog.index) {
-                losses.forEach(one -> catalog.markLost(
+            synchronized (catalog.index()) {
+                losses.forEach(one -> catalog.recordLoss(
                         one.hashes(),
                         one.all(),
-                        parameters.lossUntil(),
+                        parameters.lossUntilMillis(),
                         one.from(),
                         parameters.name().first(),
                         one.place()));
             }
             for (int i = 0; i < expired.size(); i += 2) {
-                catalog.index.remove(expired.getLong(i), expired.getLong(i + 1));
+                catalog.index().remove(expired.getLong(i), expired.getLong(i + 1));
             }
         }
-        synchronized (catalog.index) {
-            for (int left = INSTALL; left > 0 && installed < moves.size(); left--, installed += 4) {
+        synchronized (catalog.index()) {
+            for (int left = MAX_MOVES_PER_INSTALL; left > 0 && installed < moves.size(); left--, installed += 4) {
                 long packed = moves.getLong(installed + 3);
-                long to = Index.at(result.id, (int) moves.getLong(installed + 2));
-                if (catalog.index.move(
-                        moves.getLong(installed), moves.getLong(installed + 1), to, (int) (packed >>> 32), (int)
+                long to = Index.at(result.id(), (int) moves.getLong(installed + 2));
+                if (catalog.index()
+                        .move(moves.getLong(installed), moves.getLong(installed + 1), to, (int) (packed >>> 32), (int)
                                 packed)) {
-                    result.liveBytes += SegmentCatalog.weight(packed >>> 32);
+                    result.addLiveBytes(SegmentCatalog.liveBytesOf(packed >>> 32));
                 }
             }
         }
@@ -267,7 +273,7 @@
             // what it held is deleted next
         }
         releaseRun();
-        return named ? List.of(newName(), parameters.name().toString()) : List.of(newName());
+        return mayHaveFinalName ? List.of(newName(), parameters.name().toString()) : List.of(newName());
     }
 
     /** Lets the old files be closed. */
@@ -287,7 +293,7 @@
     }
 
     @Override
-    long ownBytes() {
-        return written;
+    long outputBytes() {
+        return writtenBytes;
     }
 }
--- a/server/src/main/java/wheatspread/store/CompactionPlanner.java
+++ b/server/src/main/java/wheatspread/store/CompactionPlanner.java
@@ -38,15 +38,16 @@
     }
 
     /** The compaction that is worth most now; null if none is worth it. */
-    CompactionJob choose(long nowMs, long usedBytes) {
-        boolean pressed = policy.isPressed(usedBytes);
+    CompactionJob choose(long nowMillis, long usedBytes) {
+        boolean pressed = policy.isUnderPressure(usedBytes);
         for (List<Segment> part : sealedRuns()) {
             List<CompactionPolicy.Candidate> candidates = part.stream()
-                    .map(one -> new CompactionPolicy.Candidate(one.bytes, one.liveBytes, one.latestExpiryMs))
+                    .map(one ->
+                            new CompactionPolicy.Candidate(one.validBytes(), one.liveBytes(), one.latestExpiryMillis()))
                     .toList();
-            CompactionPolicy.Run run = policy.choose(candidates, nowMs, pressed);
+            CompactionPolicy.Run run = policy.choose(candidates, nowMillis, pressed);
             if (run != null) {
-                return compaction(part.subList(run.from(), run.to() + 1), nowMs);
+                return compaction(part.subList(run.from(), run.to() + 1), nowMillis);
             }
         }
         return null;
@@ -57,7 +58,7 @@
         List<List<Segment>> runs = new ArrayList<>();
         List<Segment> run = new ArrayList<>();
         for (Segment one : catalog.chain()) {
-            if (gaps.contains(one.name.first()) && !run.isEmpty()) {
+            if (gaps.contains(one.name().first()) && !run.isEmpty()) {
                 runs.add(run);
                 run = new ArrayList<>();
             }
@@ -75,8 +76,8 @@
             List<Segment> run = new ArrayList<>();
             long live = 0;
             for (Segment one : part) {
-                if (one.name.first() >= from) {
-                    live += one.liveBytes;
+                if (one.name().first() >= from) {
+                    live += one.liveBytes();
                     if (!run.isEmpty() && live > settings.segmentBytes()) {
                         return run;
                     }
@@ -91,11 +92,11 @@
     }
 
     /** A job that rewrites a run of neighbours as one segment. */
-    CompactionJob compaction(List<Segment> run, long nowMs) {
-        int first = run.get(0).name.first();
-        int last = run.get(run.size() - 1).name.last();
+    CompactionJob compaction(List<Segment> run, long nowMillis) {
+        int first = run.get(0).name().first();
+        int last = run.get(run.size() - 1).name().last();
         int generation =
-                run.stream().mapToInt(one -> one.name.generation()).max().orElse(0) + 1;
+                run.stream().mapToInt(one -> one.name().generation()).max().orElse(0) + 1;
         return new CompactionJob(
                 disk,
                 catalog,
@@ -103,18 +104,18 @@
                 new CompactionJob.Parameters(
                         new SegmentName(first, last, generation),
                         FileHeader.newMark(random),
-                        catalog.isExpiredBefore(first, nowMs),
+                        catalog.isExpiredBefore(first, nowMillis),
                         originalsBefore(first),
-                        nowMs,
-                        settings.lossUntil(nowMs)));
+                        nowMillis,
+                        settings.lossUntilMillis(nowMillis)));
     }
 
     /** The segments before a number whose cuts are still needed: a rewritten one has a seal. */
     private Set<Integer> originalsBefore(int first) {
         Set<Integer> numbers = new HashSet<>();
         for (Segment one : catalog.chain()) {
-            if (one.name.isOriginal() && one.name.first() < first) {
-                numbers.add(one.name.first());
+            if (one.name().isOriginal() && one.name().first() < first) {
+                numbers.add(one.name().first());
             }
         }
         return numbers;
--- a/server/src/main/java/wheatspread/store/CompactionPolicy.java
+++ b/server/src/main/java/wheatspread/store/CompactionPolicy.java
@@ -11,17 +11,17 @@
  */
 final class CompactionPolicy {
     /** Segments in one run at most. */
-    static final int LONGEST_RUN = 16;
+    static final int MAX_RUN_SEGMENTS = 16;
     /** This many small neighbours are put together even if nothing in them is dead. */
-    static final int SMALL_RUN = 8;
+    static final int MIN_SMALL_RUN_SEGMENTS = 8;
     /** When the bound on space is near, less is enough. */
-    static final double LEAST_UNDER_PRESSURE = 0.05;
+    static final double MIN_DEAD_SHARE_UNDER_PRESSURE = 0.05;
 
     /** What any file takes that holds one group: its header, the group's frame and the seal. */
-    private static final long FIXED = FileHeader.SIZE + 96;
+    private static final long FIXED_SEGMENT_BYTES = FileHeader.HEADER_BYTES + 96;
 
-    /** What is known of one sealed segment; {@code latestExpiryMs} is that of its last living record. */
-    record Candidate(long bytes, long liveBytes, long latestExpiryMs) {}
+    /** What is known of one sealed segment; {@code latestExpiryMillis} is that of its last living record. */
+    record Candidate(long bytes, long liveBytes, long latestExpiryMillis) {}
 
     /** Candidates {@code from} to {@code to}, both included; null stands for none. */
     record Run(int from, int to) {}
@@ -33,30 +33,30 @@
     }
 
     /** Whether so much space is in use that even little dead matter is worth a rewrite. */
-    boolean isPressed(long usedBytes) {
-        return usedBytes + settings.reserve() > settings.maxBytes() * 0.75;
+    boolean isUnderPressure(long usedBytes) {
+        return usedBytes + settings.reserveBytes() > settings.maxBytes() * 0.75;
     }
 
     /** The run to rewrite next, or null; {@code sealed} are neighbours in the log's order. */
-    Run choose(List<Candidate> sealed, long nowMs, boolean pressed) {
+    Run choose(List<Candidate> sealed, long nowMillis, boolean pressed) {
         Run best = null;
         double bestScore = 0;
-        double least = pressed ? LEAST_UNDER_PRESSURE : settings.compactDeadShare();
+        double least = pressed ? MIN_DEAD_SHARE_UNDER_PRESSURE : settings.compactDeadShare();
         for (int from = 0; from < sealed.size(); from++) {
             long bytes = 0;
             long live = 0;
-            for (int to = from; to < sealed.size() && to - from < LONGEST_RUN; to++) {
+            for (int to = from; to < sealed.size() && to - from < MAX_RUN_SEGMENTS; to++) {
                 Candidate one = sealed.get(to);
-                if (!pressed && isSoonDead(one, nowMs)) {
+                if (!pressed && expiresSoon(one, nowMillis)) {
                     break;
                 }
                 bytes += one.bytes();
-                live += one.latestExpiryMs() <= nowMs ? 0 : one.liveBytes();
+                live += one.latestExpiryMillis() <= nowMillis ? 0 : one.liveBytes();
                 if (live > settings.segmentBytes()) {
                     break;
                 }
-                long dead = bytes - live - FIXED;
-                boolean small = to - from + 1 >= SMALL_RUN && bytes <= settings.segmentBytes() / 2;
+                long dead = bytes - live - FIXED_SEGMENT_BYTES;
+                boolean small = to - from + 1 >= MIN_SMALL_RUN_SEGMENTS && bytes <= settings.segmentBytes() / 2;
                 double score = (double) Math.max(dead, 0) / (bytes + live);
                 if ((dead >= least * bytes || small) && (best == null || score > bestScore)) {
                     best = new Run(from, to);
@@ -68,7 +68,7 @@
     }
 
     /** One that will be free for nothing if it is left alone for a while. */
-    private boolean isSoonDead(Candidate one, long nowMs) {
-        return one.latestExpiryMs() > nowMs && one.latestExpiryMs() - nowMs <= settings.compactWaitMs();
+    private boolean expiresSoon(Candidate one, long nowMillis) {
+        return one.latestExpiryMillis() > nowMillis && one.latestExpiryMillis() - nowMillis <= settings.compactWaitMs();
     }
 }
--- a/server/src/main/java/wheatspread/store/DeleteJob.java
+++ b/server/src/main/java/wheatspread/store/DeleteJob.java
@@ -31,7 +31,7 @@
         if (!aside.contains(name)) {
             disk.delete(name);
         } else if (disk.list().contains(name)) {
-            disk.rename(name, name + SegmentName.ASIDE);
+            disk.rename(name, name + SegmentName.DAMAGED_SUFFIX);
         }
         left.poll();
         return true;
@@ -62,7 +62,7 @@
     }
 
     @Override
-    long ownBytes() {
+    long outputBytes() {
         return 0;
     }
 }
--- a/server/src/main/java/wheatspread/store/DiskSpace.java
+++ b/server/src/main/java/wheatspread/store/DiskSpace.java
@@ -6,7 +6,7 @@
 
 /** The room that a store takes and has left: no more is written near its bound, or where the disk is full. */
 final class DiskSpace {
-    private static final long CHECK_DISK_EVERY_MS = 1_000;
+    private static final long DISK_CHECK_INTERVAL_MILLIS = 1_000;
 
     private final Disk disk;
     private final StoreSettings settings;
@@ -15,7 +15,7 @@
     private final AuxiliaryFiles files;
     private final MaintenanceJobs jobs;
     private final WriteState state;
-    private long checkedDiskAt = Long.MIN_VALUE / 2;
+    private long lastDiskCheckMillis = Long.MIN_VALUE / 2;
     private boolean diskHasRoom = true;
 
     DiskSpace(StoreContext context, AuxiliaryFiles files, MaintenanceJobs jobs, WriteState state) {
@@ -30,23 +30,23 @@
 
     /** All files, with what is being written beside them. */
     long usedBytes() {
-        return catalog.usedBytes() + jobs.ownBytes() + files.bytes();
+        return catalog.usedBytes() + jobs.outputBytes() + files.bytes();
     }
 
     /** Whether this many bytes may be taken in all, beside the reserve. */
     boolean hasRoomFor(long bytes) {
-        return bytes + settings.reserve() <= settings.maxBytes();
+        return bytes + settings.reserveBytes() <= settings.maxBytes();
     }
 
     /** Has the next {@link #check} ask the disk. */
-    void checkDiskNext(long nowMs) {
-        checkedDiskAt = nowMs - CHECK_DISK_EVERY_MS;
+    void checkDiskNext(long nowMillis) {
+        lastDiskCheckMillis = nowMillis - DISK_CHECK_INTERVAL_MILLIS;
     }
 
     /** Looks whether there is room, and tells the log when that changes. */
-    void check(long nowMs) {
-        if (nowMs - checkedDiskAt >= CHECK_DISK_EVERY_MS) {
-            checkedDiskAt = nowMs;
+    void check(long nowMillis) {
+        if (nowMillis - lastDiskCheckMillis >= DISK_CHECK_INTERVAL_MILLIS) {
+            lastDiskCheckMillis = nowMillis;
             checkDisk();
         }
         boolean wasFull = state.mode() == WriteState.Mode.FULL;
--- a/server/src/main/java/wheatspread/store/ExpirySweep.java
+++ b/server/src/main/java/wheatspread/store/ExpirySweep.java
@@ -5,12 +5,12 @@
  * about as long as a group takes.
  */
 final class ExpirySweep {
-    private static final int CELLS_AT_ONCE = 8_192;
-    private static final long EVERY_MS = 10;
+    private static final int CELLS_PER_SWEEP = 8_192;
+    private static final long INTERVAL_MILLIS = 10;
 
     private final SegmentCatalog catalog;
     private final StoreStats.Counters counters;
-    private long sweptAt = Long.MIN_VALUE / 2;
+    private long lastSweepMillis = Long.MIN_VALUE / 2;
     private int table;
     private int cell;
 
@@ -20,21 +20,21 @@
     }
 
     /** Sweeps the next part, if it is time to. */
-    void run(long nowMs) {
-        if (nowMs - sweptAt < EVERY_MS && nowMs >= sweptAt) {
+    void run(long nowMillis) {
+        if (nowMillis - lastSweepMillis < INTERVAL_MILLIS && nowMillis >= lastSweepMillis) {
             return;
         }
-        sweptAt = nowMs;
-        int nowS = (int) Math.min(0xFFFF_FFFFL, nowMs / 1000);
-        synchronized (catalog.index) {
-            cell = catalog.index.sweep(table, cell, CELLS_AT_ONCE, nowS, (hash, at, length, expiry) -> {
-                catalog.subtractLive(at, length);
+        lastSweepMillis = nowMillis;
+        int nowS = (int) Math.min(0xFFFF_FFFFL, nowMillis / 1000);
+        synchronized (catalog.index()) {
+            cell = catalog.index().sweep(table, cell, CELLS_PER_SWEEP, nowS, (hash, at, length, expiry) -> {
+                catalog.subtractLiveBytes(at, length);
                 counters.expired++;
             });
             if (cell == 0) {
                 table = (table + 1) % Index.TABLES;
             }
-            catalog.doubts.age(nowMs);
+            catalog.suspectedLosses().removeExpired(nowMillis);
         }
     }
 }
--- a/server/src/main/java/wheatspread/store/FileHeader.java
+++ b/server/src/main/java/wheatspread/store/FileHeader.java
@@ -11,11 +11,11 @@
 /** The begin of a file: twice the same block, so that one damaged place leaves the other. No state. */
 final class FileHeader {
     /** Bytes before the first group. */
-    static final int SIZE = 256;
+    static final int HEADER_BYTES = 256;
 
     static final int VERSION = 1;
     private static final byte[] MAGIC = "wheatlog".getBytes(StandardCharsets.US_ASCII);
-    private static final int BLOCK = SIZE / 2;
+    private static final int BLOCK_BYTES = HEADER_BYTES / 2;
 
     private FileHeader() {}
 
@@ -34,8 +34,8 @@
                 .setMark(mark)
                 .setCreatedMs(createdMs)
                 .build();
-        ByteBuffer all = ByteBuffer.allocate(SIZE);
-        for (int at = 0; at < SIZE; at += BLOCK) {
+        ByteBuffer all = ByteBuffer.allocate(HEADER_BYTES);
+        for (int at = 0; at < HEADER_BYTES; at += BLOCK_BYTES) {
             all.position(at).put(MAGIC).putInt(VERSION);
             RecordFraming.write(ByteBuffer.wrap(header.toByteArray()), all);
         }
@@ -49,17 +49,17 @@
      *     name
      */
     static Format.SegmentHeader read(DiskFile file, SegmentName name) throws IOException {
-        ByteBuffer all = ByteBuffer.allocate(SIZE);
+        ByteBuffer all = ByteBuffer.allocate(HEADER_BYTES);
         file.read(all, 0);
         all.flip();
         int[] versions = new int[2];
-        for (int i = 0; i < 2 && all.limit() >= (i + 1) * BLOCK; i++) {
-            ByteBuffer block = all.slice(i * BLOCK, BLOCK);
+        for (int i = 0; i < 2 && all.limit() >= (i + 1) * BLOCK_BYTES; i++) {
+            ByteBuffer block = all.slice(i * BLOCK_BYTES, BLOCK_BYTES);
             byte[] magic = new byte[MAGIC.length];
             block.get(magic);
             versions[i] = Arrays.equals(magic, MAGIC) ? block.getInt() : 0;
             ByteBuffer[] body = new ByteBuffer[1];
-            if (versions[i] == VERSION && RecordFraming.read(block, body) == RecordFraming.Found.WHOLE) {
+            if (versions[i] == VERSION && RecordFraming.read(block, body) == RecordFraming.Found.COMPLETE) {
                 return checked(parse(body[0]), name);
             }
         }
--- a/server/src/main/java/wheatspread/store/GroupCommit.java
+++ b/server/src/main/java/wheatspread/store/GroupCommit.java
@@ -31,7 +31,7 @@
     }
 
     /** Writes a group, and tells each of its writes how it ended. */
-    void commit(List<Write> writes, long nowMs) {
+    void commit(List<Write> writes, long nowMillis) {
         List<Write> admitted = admit(writes);
         if (admitted.isEmpty()) {
             return;
@@ -40,15 +40,15 @@
             index.prepare(admitted);
             writer.reserve(admitted.stream().mapToLong(Write::maxFrameBytes).sum());
         } catch (IOException e) {
-            failed("open", e, nowMs);
+            failed("open", e, nowMillis);
             endAll(admitted, Store.Outcome.REFUSED, e);
             return;
         }
         long base;
         try {
-            base = writer.append(admitted, nowMs);
+            base = writer.append(admitted, nowMillis);
         } catch (IOException e) {
-            failed("write", e, nowMs);
+            failed("write", e, nowMillis);
             endAll(admitted, Store.Outcome.IN_DOUBT, e);
             return;
         }
@@ -67,10 +67,10 @@
         for (Write write : writes) {
             WriteState.Mode mode = state.mode();
             long size = write.maxFrameBytes();
-            if (state.mustRecover() || mode == WriteState.Mode.FULL && write.value != null) {
+            if (state.mustRecover() || mode == WriteState.Mode.FULL && !write.isDeletion()) {
                 write.complete(
                         Store.Outcome.REFUSED, mode == WriteState.Mode.FULL ? "the disk is full" : "the disk fails");
-            } else if (write.value != null && !space.hasRoomFor(used + size)) {
+            } else if (!write.isDeletion() && !space.hasRoomFor(used + size)) {
                 state.setHasRoom(false);
                 write.complete(Store.Outcome.REFUSED, "the store is full");
             } else {
@@ -83,12 +83,12 @@
     }
 
     /** Syncs what was written where the settings ask for a sync at intervals and one is due. */
-    void syncIfDue(long nowMs) {
-        if (syncsAtIntervals() && nowMs - writer.syncedAt() >= settings.syncMs()) {
+    void syncIfDue(long nowMillis) {
+        if (syncsAtIntervals() && nowMillis - writer.lastSyncMillis() >= settings.syncMs()) {
             try {
-                writer.sync(nowMs);
+                writer.sync(nowMillis);
             } catch (IOException e) {
-                failed("sync", e, nowMs);
+                failed("sync", e, nowMillis);
             }
         }
     }
@@ -98,41 +98,48 @@
     }
 
     /** After a failure: a new segment, if another attempt is due. */
-    void recoverIfDue(long nowMs) {
-        if (!state.mayRetry(nowMs)) {
+    void recoverIfDue(long nowMillis) {
+        if (!state.mayRetry(nowMillis)) {
             return;
         }
         try {
-            writer.resume(nowMs);
+            writer.resume(nowMillis);
             state.recovered();
-            space.checkDiskNext(nowMs);
+            space.checkDiskNext(nowMillis);
             log.info("store_writes_again", "failures", state.failures());
         } catch (IOException e) {
-            failed("recover", e, nowMs);
+            failed("recover", e, nowMillis);
         }
     }
 
     /** When a sync or another attempt to recover is due; {@link Long#MAX_VALUE} if neither will be. */
-    long dueMs(long nowMs) {
-        long syncDue = syncsAtIntervals() ? writer.syncedAt() + settings.syncMs() : Long.MAX_VALUE;
-        return Math.min(syncDue, Math.max(nowMs, state.retryAt()));
+    long nextDueMillis(long nowMillis) {
+        long syncDue = syncsAtIntervals() ? writer.lastSyncMillis() + settings.syncMs() : Long.MAX_VALUE;
+        return Math.min(syncDue, Math.max(nowMillis, state.retryAtMillis()));
     }
 
     /** Seals what is written; false if the disk failed. */
-    boolean seal(long nowMs) {
+    boolean seal(long nowMillis) {
         try {
             writer.seal();
             return true;
         } catch (IOException e) {
-            failed("seal", e, nowMs);
+            failed("seal", e, nowMillis);
             return false;
         }
     }
 
-    private void failed(String doing, IOException e, long nowMs) {
-        state.failed(nowMs, e instanceof Disk.NoSpaceException);
+    private void failed(String doing, IOException e, long nowMillis) {
+        state.failed(nowMillis, e instanceof Disk.NoSpaceException);
         counters.failures++;
-        log.error("store_write_failed", "doing", doing, "reason", e.toString(), "retry_ms", state.retryAt() - nowMs);
+        log.error(
+                "store_write_failed",
+                "doing",
+                doing,
+                "reason",
+                e.toString(),
+                "retry_ms",
+                state.retryAtMillis() - nowMillis);
         writer.abandon();
     }
 }
--- a/server/src/main/java/wheatspread/store/GroupEncoder.java
+++ b/server/src/main/java/wheatspread/store/GroupEncoder.java
@@ -16,24 +16,24 @@
  */
 final class GroupEncoder {
     /** More than a group's own frame takes without its hashes. */
-    private static final int HEAD_ROOM = 64;
+    private static final int GROUP_FRAME_RESERVE_BYTES = 64;
 
-    private static final int KEPT = 4 << 20;
+    private static final int MAX_RETAINED_BUFFER_BYTES = 4 << 20;
 
     private final LongArrayList hashes = new LongArrayList();
     private final CRC32C checksum = new CRC32C();
     private byte[] bytes = new byte[16 << 10];
     private int start;
     private int end;
-    private int headSize;
+    private int groupFrameBytes;
 
     /** Begins a group of at most {@code most} records. */
-    void begin(int most) {
+    void startGroup(int most) {
         hashes.clear();
-        if (bytes.length > KEPT) {
+        if (bytes.length > MAX_RETAINED_BUFFER_BYTES) {
             bytes = new byte[16 << 10];
         }
-        start = HEAD_ROOM + Long.BYTES * most;
+        start = GROUP_FRAME_RESERVE_BYTES + Long.BYTES * most;
         end = start;
     }
 
@@ -54,8 +54,8 @@
         return record.build();
     }
 
-    static Format.Record doubt(LongArrayList hashes, boolean all, long untilMs) {
-        Format.Doubt.Builder doubt = Format.Doubt.newBuilder().setAll(all).setUntilMs(untilMs);
+    static Format.Record suspectedLoss(LongArrayList hashes, boolean all, long untilMillis) {
+        Format.Doubt.Builder doubt = Format.Doubt.newBuilder().setAll(all).setUntilMs(untilMillis);
         hashes.forEachOrderedLong(doubt::addHashes);
         return Format.Record.newBuilder()
                 .setKind(Format.Record.Kind.DOUBT)
@@ -99,7 +99,7 @@
 
     /** The length of the frame that {@link #add} wrote at this place. */
     int length(int at) {
-        return RecordFraming.sizeOf(ByteBuffer.wrap(bytes).getInt(start + at));
+        return RecordFraming.frameBytes(ByteBuffer.wrap(bytes).getInt(start + at));
     }
 
     /**
@@ -124,8 +124,8 @@
                 + CodedOutputStream.computeTagSize(Format.Record.GROUP_FIELD_NUMBER)
                 + CodedOutputStream.computeUInt32SizeNoTag(groupSize)
                 + groupSize;
-        headSize = RecordFraming.sizeOf(size);
-        frameAt(start - headSize, size, to -> {
+        groupFrameBytes = RecordFraming.frameBytes(size);
+        frameAt(start - groupFrameBytes, size, to -> {
             to.writeEnum(Format.Record.KIND_FIELD_NUMBER, Format.Record.Kind.GROUP_VALUE);
             to.writeTag(Format.Record.GROUP_FIELD_NUMBER, WireFormat.WIRETYPE_LENGTH_DELIMITED);
             to.writeUInt32NoTag(groupSize);
@@ -147,12 +147,12 @@
                 }
             }
         });
-        return ByteBuffer.wrap(bytes, start - headSize, headSize + size());
+        return ByteBuffer.wrap(bytes, start - groupFrameBytes, groupFrameBytes + size());
     }
 
     /** Bytes of the group's own frame, once it has ended. */
-    int headSize() {
-        return headSize;
+    int groupFrameBytes() {
+        return groupFrameBytes;
     }
 
     /** The last frame of a file. */
@@ -161,7 +161,7 @@
                 .setKind(Format.Record.Kind.SEAL)
                 .setSeal(Format.Seal.newBuilder().setMark(mark).setAt(at))
                 .build();
-        ByteBuffer frame = ByteBuffer.allocate(RecordFraming.sizeOf(record.getSerializedSize()));
+        ByteBuffer frame = ByteBuffer.allocate(RecordFraming.frameBytes(record.getSerializedSize()));
         RecordFraming.write(ByteBuffer.wrap(record.toByteArray()), frame);
         return frame.flip();
     }
@@ -175,7 +175,7 @@
     private int frame(long hash, int size, Body body) {
         hashes.addLong(hash);
         int at = end;
-        end += RecordFraming.sizeOf(size);
+        end += RecordFraming.frameBytes(size);
         if (end > bytes.length) {
             bytes = Arrays.copyOf(bytes, Math.max(end, bytes.length * 2));
         }
@@ -185,7 +185,7 @@
 
     private void frameAt(int at, int size, Body body) {
         try {
-            CodedOutputStream to = CodedOutputStream.newInstance(bytes, at + RecordFraming.HEAD, size);
+            CodedOutputStream to = CodedOutputStream.newInstance(bytes, at + RecordFraming.HEADER_BYTES, size);
             body.to(to);
             to.checkNoSpaceLeft();
         } catch (IOException e) {
--- a/server/src/main/java/wheatspread/store/Index.java
+++ b/server/src/main/java/wheatspread/store/Index.java
@@ -18,12 +18,12 @@
     /** Tables; what {@link #copy} and {@link #sweep} go by. */
     public static final int TABLES = 64;
 
-    private static final int BITS = 6;
-    private static final int LONGS = 3;
-    private static final int FEWEST = 16;
-    private static final double FULLEST = 0.8;
-    private static final double GROWTH = 1.25;
-    private static final double EMPTIEST = 0.3;
+    private static final int TABLE_BITS = 6;
+    private static final int LONGS_PER_ENTRY = 3;
+    private static final int MIN_CAPACITY = 16;
+    private static final double MAX_LOAD_FACTOR = 0.8;
+    private static final double GROWTH_FACTOR = 1.25;
+    private static final double MIN_LOAD_FACTOR = 0.3;
 
     private final Table[] tables = new Table[TABLES];
     private int size;
@@ -77,10 +77,10 @@
      */
     public synchronized void reserve(int entries) {
         double mean = entries / (double) TABLES;
-        int each = (int) Math.ceil((mean + 4 * Math.sqrt(mean)) / FULLEST);
+        int each = (int) Math.ceil((mean + 4 * Math.sqrt(mean)) / MAX_LOAD_FACTOR);
         for (Table table : tables) {
             if (each > table.capacity) {
-                table.allot(each);
+                table.allocate(each);
             }
         }
     }
@@ -124,7 +124,7 @@
     public synchronized int find(long hash, Each to) {
         Table table = table(hash);
         int found = 0;
-        for (int cell = table.first(hash); table.holds(cell, hash); cell += LONGS) {
+        for (int cell = table.first(hash); table.hasHashAt(cell, hash); cell += LONGS_PER_ENTRY) {
             to.entry(hash, table.cells[cell + 1], length(table.cells[cell + 2]), expiry(table.cells[cell + 2]));
             found++;
         }
@@ -137,7 +137,7 @@
         synchronized (this) {
             cells = tables[table].cells.clone();
         }
-        for (int cell = 0; cell < cells.length; cell += LONGS) {
+        for (int cell = 0; cell < cells.length; cell += LONGS_PER_ENTRY) {
             if (cells[cell + 1] != 0) {
                 to.entry(cells[cell], cells[cell + 1], length(cells[cell + 2]), expiry(cells[cell + 2]));
             }
@@ -165,14 +165,14 @@
                     return 0;
                 }
             } else {
-                cell += LONGS;
+                cell += LONGS_PER_ENTRY;
             }
         }
         return cell < all.cells.length ? cell : 0;
     }
 
     private Table table(long hash) {
-        return tables[(int) (hash >>> 64 - BITS)];
+        return tables[(int) (hash >>> 64 - TABLE_BITS)];
     }
 
     private static long pack(int length, int expiry) {
@@ -194,34 +194,34 @@
         private long[] cells;
 
         Table() {
-            allot(FEWEST);
+            allocate(MIN_CAPACITY);
         }
 
-        private void allot(int wanted) {
+        private void allocate(int wanted) {
             capacity = wanted;
-            cells = new long[LONGS * (wanted + 16 + wanted / 64)]; // the last ones run over the end
+            cells = new long[LONGS_PER_ENTRY * (wanted + 16 + wanted / 64)]; // the last ones run over the end
         }
 
         /** The cell that a hash asks for; it grows with the hash. */
-        private int asked(long hash) {
-            return (int) ((hash << BITS >>> 32) * capacity >>> 32) * LONGS;
+        private int homeCell(long hash) {
+            return (int) ((hash << TABLE_BITS >>> 32) * capacity >>> 32) * LONGS_PER_ENTRY;
         }
 
-        private boolean holds(int cell, long hash) {
+        private boolean hasHashAt(int cell, long hash) {
             return cell < cells.length && cells[cell + 1] != 0 && cells[cell] == hash;
         }
 
         /** The first cell that is free or whose hash is not less. */
         int first(long hash) {
-            int cell = asked(hash);
+            int cell = homeCell(hash);
             while (cell < cells.length && cells[cell + 1] != 0 && Long.compareUnsigned(cells[cell], hash) < 0) {
-                cell += LONGS;
+                cell += LONGS_PER_ENTRY;
             }
             return cell;
         }
 
         int find(long hash, long at) {
-            for (int cell = first(hash); holds(cell, hash); cell += LONGS) {
+            for (int cell = first(hash); hasHashAt(cell, hash); cell += LONGS_PER_ENTRY) {
                 if (cells[cell + 1] == at) {
                     return cell;
                 }
@@ -230,11 +230,11 @@
         }
 
         void add(long hash, long at, long packed) {
-            if (used + 1 > capacity * FULLEST) {
-                resize((int) Math.ceil(capacity * GROWTH));
+            if (used + 1 > capacity * MAX_LOAD_FACTOR) {
+                resize((int) Math.ceil(capacity * GROWTH_FACTOR));
             }
             while (!insert(hash, at, packed)) {
-                resize((int) Math.ceil(capacity * GROWTH));
+                resize((int) Math.ceil(capacity * GROWTH_FACTOR));
             }
             used++;
         }
@@ -243,12 +243,12 @@
             int cell = first(hash);
             int free = cell;
             while (free < cells.length && cells[free + 1] != 0) {
-                free += LONGS;
+                free += LONGS_PER_ENTRY;
             }
             if (free >= cells.length) {
                 return false;
             }
-            System.arraycopy(cells, cell, cells, cell + LONGS, free - cell);
+            System.arraycopy(cells, cell, cells, cell + LONGS_PER_ENTRY, free - cell);
             cells[cell] = hash;
             cells[cell + 1] = at;
             cells[cell + 2] = packed;
@@ -256,23 +256,23 @@
         }
 
         void remove(int cell) {
-            int end = cell + LONGS;
+            int end = cell + LONGS_PER_ENTRY;
             // whoever stands behind its own place moves up by one
-            while (end < cells.length && cells[end + 1] != 0 && asked(cells[end]) < end) {
-                end += LONGS;
+            while (end < cells.length && cells[end + 1] != 0 && homeCell(cells[end]) < end) {
+                end += LONGS_PER_ENTRY;
             }
-            System.arraycopy(cells, cell + LONGS, cells, cell, end - cell - LONGS);
-            Arrays.fill(cells, end - LONGS, end, 0);
+            System.arraycopy(cells, cell + LONGS_PER_ENTRY, cells, cell, end - cell - LONGS_PER_ENTRY);
+            Arrays.fill(cells, end - LONGS_PER_ENTRY, end, 0);
             used--;
-            if (capacity > FEWEST && used < capacity * EMPTIEST) {
-                resize(Math.max(FEWEST, (int) Math.ceil(used / FULLEST * GROWTH)));
+            if (capacity > MIN_CAPACITY && used < capacity * MIN_LOAD_FACTOR) {
+                resize(Math.max(MIN_CAPACITY, (int) Math.ceil(used / MAX_LOAD_FACTOR * GROWTH_FACTOR)));
             }
         }
 
         private void resize(int wanted) {
             long[] old = cells;
-            for (int next = wanted; ; next = (int) Math.ceil(next * GROWTH)) {
-                allot(next);
+            for (int next = wanted; ; next = (int) Math.ceil(next * GROWTH_FACTOR)) {
+                allocate(next);
                 if (refill(old)) {
                     return;
                 }
@@ -282,14 +282,14 @@
         /** The old cells are sorted: each new one stands behind the one before. */
         private boolean refill(long[] old) {
             int end = 0;
-            for (int cell = 0; cell < old.length; cell += LONGS) {
+            for (int cell = 0; cell < old.length; cell += LONGS_PER_ENTRY) {
                 if (old[cell + 1] != 0) {
-                    end = Math.max(end, asked(old[cell]));
+                    end = Math.max(end, homeCell(old[cell]));
                     if (end >= cells.length) {
                         return false;
                     }
-                    System.arraycopy(old, cell, cells, end, LONGS);
-                    end += LONGS;
+                    System.arraycopy(old, cell, cells, end, LONGS_PER_ENTRY);
+                    end += LONGS_PER_ENTRY;
                 }
             }
             return true;
--- a/server/src/main/java/wheatspread/store/Layout.java
+++ b/server/src/main/java/wheatspread/store/Layout.java
@@ -14,17 +14,17 @@
  * @param checkpoints their names, the newest first
  * @param leftovers what is to be deleted: files that others were written in place of, and those not
  *     finished
- * @param aside damaged files that are kept for the operator
+ * @param damagedFiles damaged files that are kept for the operator
  */
 record Layout(
         List<SegmentName> chain,
         List<Integer> gaps,
         List<String> checkpoints,
         List<String> leftovers,
-        List<String> aside) {
+        List<String> damagedFiles) {
     private static final String CHECKPOINT = "\\d{1,19}\\.checkpoint";
 
-    static String checkpoint(long number) {
+    static String checkpointName(long number) {
         return String.format("%010d.checkpoint", number);
     }
 
@@ -44,9 +44,9 @@
                 segments.add(segment);
             } else if (name.matches(CHECKPOINT)) {
                 checkpoints.put(checkpointNumber(name), name);
-            } else if (name.endsWith(SegmentName.NEW)) {
+            } else if (name.endsWith(SegmentName.TEMPORARY_SUFFIX)) {
                 leftovers.add(name);
-            } else if (name.endsWith(SegmentName.ASIDE)) {
+            } else if (name.endsWith(SegmentName.DAMAGED_SUFFIX)) {
                 aside.add(name);
             }
         }
@@ -58,7 +58,7 @@
                 chain.add(one);
             }
         }
-        chain.sort(SegmentName.IN_ORDER);
+        chain.sort(SegmentName.LOG_ORDER);
         List<Integer> gaps = new ArrayList<>();
         int next = 1;
         for (int i = 0; i < chain.size(); i++) {
@@ -81,7 +81,7 @@
     }
 
     /** The number that the next segment gets. */
-    int next() {
+    int nextNumber() {
         return chain.isEmpty() ? 1 : chain.get(chain.size() - 1).last() + 1;
     }
 }
--- a/server/src/main/java/wheatspread/store/Log.java
+++ b/server/src/main/java/wheatspread/store/LogStructuredStore.java
@@ -13,8 +13,8 @@
  * {@link GroupCommit} writes, {@link RecordReader} reads, and {@link MaintenanceJobs} rewrites what has grown
  * old.
  */
-final class Log implements Closeable {
-    private static final long TICK_EVERY_MS = 50;
+final class LogStructuredStore implements Closeable {
+    private static final long TICK_INTERVAL_MILLIS = 50;
 
     private final Closeable lock;
     private final SegmentCatalog catalog;
@@ -30,7 +30,7 @@
     private final RecordReader reader;
     private final ExpirySweep expirySweep;
 
-    private Log(
+    private LogStructuredStore(
             Disk disk, StoreSettings settings, EventLog log, LongSupplier random, Closeable lock, Recovery recovery) {
         this.lock = lock;
         catalog = recovery.catalog();
@@ -55,17 +55,22 @@
      * @throws Disk.TakenException if another process has it
      * @throws StoreException if it holds what this program must not work on
      */
-    static Log open(
-            Disk disk, StoreSettings settings, EventLog log, LongSupplier random, long nowMs, Recovery.Purpose purpose)
+    static LogStructuredStore open(
+            Disk disk,
+            StoreSettings settings,
+            EventLog log,
+            LongSupplier random,
+            long nowMillis,
+            Recovery.Purpose purpose)
             throws IOException {
         Closeable lock = disk.lock();
         try {
-            Recovery recovery = new Recovery(disk, settings, log, nowMs, purpose);
+            Recovery recovery = new Recovery(disk, settings, log, nowMillis, purpose);
             recovery.run(random);
-            Log opened = new Log(disk, settings, log, random, lock, recovery);
+            LogStructuredStore opened = new LogStructuredStore(disk, settings, log, random, lock, recovery);
             opened.registerFiles(recovery.layout());
-            if (purpose == Recovery.Purpose.WORK) {
-                opened.salvage(recovery.damaged(), nowMs);
+            if (purpose == Recovery.Purpose.READ_WRITE) {
+                opened.salvage(recovery.damaged(), nowMillis);
             }
             return opened;
         } catch (IOException | RuntimeException e) {
@@ -76,7 +81,7 @@
 
     /** Counts the files beside the log that were found, and has old checkpoints deleted. */
     private void registerFiles(Layout layout) throws IOException {
-        for (String name : layout.aside()) {
+        for (String name : layout.damagedFiles()) {
             files.measure(name);
         }
         List<String> found = layout.checkpoints(); // the newest first
@@ -88,10 +93,10 @@
     }
 
     /** Rewrites what is left of damaged files at once. */
-    private void salvage(List<Segment> damaged, long nowMs) {
+    private void salvage(List<Segment> damaged, long nowMillis) {
         for (Segment one : damaged) {
             try {
-                jobs.salvage(one, nowMs);
+                jobs.salvage(one, nowMillis);
             } catch (IOException e) {
                 continue; // it is told, and nothing is lost: the next start finds what this one did
             }
@@ -101,26 +106,26 @@
     // ---- writing and reading
 
     /** Writes a group, and tells each of its writes how it ended. */
-    void commit(List<Write> writes, long nowMs) {
-        commits.commit(writes, nowMs);
+    void commit(List<Write> writes, long nowMillis) {
+        commits.commit(writes, nowMillis);
     }
 
     /** What the store holds for a key. */
-    Store.Got get(byte[] key, long nowMs) throws IOException {
-        return reader.get(key, nowMs);
+    Store.Got get(byte[] key, long nowMillis) throws IOException {
+        return reader.get(key, nowMillis);
     }
 
     // ---- upkeep
 
     /** What is due, in pieces that hold up the next group for about as long as a group takes. */
-    void tick(long nowMs) {
-        commits.recoverIfDue(nowMs);
-        commits.syncIfDue(nowMs);
+    void tick(long nowMillis) {
+        commits.recoverIfDue(nowMillis);
+        commits.syncIfDue(nowMillis);
         if (jobs.isInstalling()) {
             jobs.install();
         }
-        expirySweep.run(nowMs);
-        space.check(nowMs);
+        expirySweep.run(nowMillis);
+        space.check(nowMillis);
     }
 
     /** Whether there is work that {@link #tick} should be called for without delay. */
@@ -129,13 +134,13 @@
     }
 
     /** When to call {@link #tick} next, at the latest. */
-    long dueMs(long nowMs) {
-        return Math.min(nowMs + TICK_EVERY_MS, commits.dueMs(nowMs));
+    long nextTickMillis(long nowMillis) {
+        return Math.min(nowMillis + TICK_INTERVAL_MILLIS, commits.nextDueMillis(nowMillis));
     }
 
     /** What should be done beside the writing now, or null. One job at a time. */
-    MaintenanceJob nextJob(long nowMs) {
-        return jobs.next(nowMs, space::usedBytes, !state.mustRecover());
+    MaintenanceJob nextJob(long nowMillis) {
+        return jobs.next(nowMillis, space::usedBytes, !state.mustRecover());
     }
 
     /** The job has come to its end on its thread; the writer's part of it follows. */
@@ -149,19 +154,19 @@
     }
 
     /** The job could not be done. What it may have left is taken away before any other. */
-    void jobFailed(IOException e, long nowMs) {
-        jobs.failed(e, nowMs);
+    void jobFailed(IOException e, long nowMillis) {
+        jobs.failed(e, nowMillis);
     }
 
     /** Rewrites everything now, in runs that make a segment each; the caller waits. */
-    void compactNow(long nowMs, boolean acceptLoss) throws IOException {
-        jobs.compactNow(nowMs, acceptLoss);
+    void compactNow(long nowMillis, boolean acceptLoss) throws IOException {
+        jobs.compactNow(nowMillis, acceptLoss);
     }
 
     /** Forgets what is in doubt: who calls it takes the loss. */
     void acceptLoss() {
-        synchronized (catalog.index) {
-            catalog.doubts.clear();
+        synchronized (catalog.index()) {
+            catalog.suspectedLosses().clear();
         }
     }
 
@@ -180,15 +185,15 @@
     }
 
     StoreStats stats() {
-        synchronized (catalog.index) {
+        synchronized (catalog.index()) {
             return new StoreStats(
-                    catalog.index.size(),
-                    catalog.index.bytes(),
+                    catalog.index().size(),
+                    catalog.index().bytes(),
                     catalog.chain().size(),
                     space.usedBytes(),
                     catalog.liveBytes(),
-                    catalog.doubts.size(),
-                    catalog.doubts.all(),
+                    catalog.suspectedLosses().size(),
+                    catalog.suspectedLosses().suspectsAllKeys(),
                     state.mode(),
                     counters.copy());
         }
@@ -197,13 +202,13 @@
     // ---- the end
 
     /** Seals what is written and leaves a checkpoint, so that the next start has nothing to read. */
-    void finish(long nowMs) {
-        jobs.cancel("the store is closed", nowMs);
-        if (state.mustRecover() || !checkpoints.hasChanges() || !commits.seal(nowMs)) {
+    void finish(long nowMillis) {
+        jobs.cancel("the store is closed", nowMillis);
+        if (state.mustRecover() || !checkpoints.hasChanges() || !commits.seal(nowMillis)) {
             return;
         }
         try {
-            jobs.checkpointNow(nowMs);
+            jobs.checkpointNow(nowMillis);
         } catch (IOException e) {
             return; // it is told, and nothing is lost: the next start finds what this one did
         }
@@ -219,12 +224,12 @@
                 writer.seal();
             }
         } finally {
-            shut();
+            closeFiles();
         }
     }
 
     /** Closes every file as it is. */
-    void shut() throws IOException {
+    void closeFiles() throws IOException {
         for (Segment one : List.copyOf(catalog.chain())) {
             one.retire();
         }
--- a/server/src/main/java/wheatspread/store/MaintenanceJob.java
+++ b/server/src/main/java/wheatspread/store/MaintenanceJob.java
@@ -5,7 +5,20 @@
 /** Work beside the writer's, done piece by piece on another thread, and ended on the writer's. */
 abstract class MaintenanceJob {
     /** Bytes read and written by the last piece. */
-    long bytesMoved;
+    private long bytesMoved;
+
+    /** Bytes read and written by the last {@link #step}. */
+    final long bytesMoved() {
+        return bytesMoved;
+    }
+
+    final void resetBytesMoved() {
+        bytesMoved = 0;
+    }
+
+    final void addBytesMoved(long bytes) {
+        bytesMoved += bytes;
+    }
 
     /** Does a piece; false when all is done. */
     abstract boolean step() throws IOException;
@@ -19,5 +32,5 @@
     abstract String kind();
 
     /** Bytes that it takes on the disk beside the files of the log. */
-    abstract long ownBytes();
+    abstract long outputBytes();
 }
--- a/server/src/main/java/wheatspread/store/MaintenanceJobs.java
+++ b/server/src/main/java/wheatspread/store/MaintenanceJobs.java
@@ -13,8 +13,8 @@
  * one may have left is deleted before any other begins.
  */
 final class MaintenanceJobs {
-    private static final long FIRST_PAUSE_MS = 500;
-    private static final long LONGEST_PAUSE_MS = 60_000;
+    private static final long MIN_RETRY_DELAY_MILLIS = 500;
+    private static final long MAX_RETRY_DELAY_MILLIS = 60_000;
 
     private final Disk disk;
     private final StoreSettings settings;
@@ -26,12 +26,12 @@
     private final AuxiliaryFiles files;
     private final StoreStats.Counters counters;
     /** The job in hand; null if there is none. */
-    private MaintenanceJob job;
+    private MaintenanceJob currentJob;
     /** The steps of the job are done, and what it made is being installed. */
     private boolean installing;
 
-    private long retryAt;
-    private long pause;
+    private long retryAtMillis;
+    private long retryDelayMillis;
 
     MaintenanceJobs(
             StoreContext context,
@@ -53,25 +53,26 @@
     // ---- what is to be done ----
 
     /** Begins the job that should be done now, if there is one and none is in hand; null otherwise. */
-    MaintenanceJob next(long nowMs, LongSupplier usedBytes, boolean mayCheckpoint) {
-        if (job != null || nowMs < retryAt) {
+    MaintenanceJob next(long nowMillis, LongSupplier usedBytes, boolean mayCheckpoint) {
+        if (currentJob != null || nowMillis < retryAtMillis) {
             return null;
         }
         if (files.hasPending()) {
-            job = files.deletion();
+            currentJob = files.deletion();
         } else if (checkpoints.isDue(settings) && mayCheckpoint) {
-            job = checkpoint(nowMs);
+            currentJob = checkpoint(nowMillis);
         } else {
-            job = compactions.choose(nowMs, usedBytes.getAsLong());
+            currentJob = compactions.choose(nowMillis, usedBytes.getAsLong());
         }
-        return job;
+        return currentJob;
     }
 
     /** A checkpoint of all that has been acknowledged so far. */
-    private CheckpointJob checkpoint(long nowMs) {
+    private CheckpointJob checkpoint(long nowMillis) {
         boolean waits = settings.sync() != StoreSettings.Sync.GROUP;
-        long number = checkpoints.begin();
-        return new CheckpointJob(disk, catalog, number, writer.currentNumber(), writer.currentOffset(), nowMs, waits);
+        long number = checkpoints.start();
+        return new CheckpointJob(
+                disk, catalog, number, writer.currentNumber(), writer.currentOffset(), nowMillis, waits);
     }
 
     /** Whether what a job made is being installed. */
@@ -80,45 +81,45 @@
     }
 
     /** Bytes that the job in hand takes on the disk beside the files that are counted. */
-    long ownBytes() {
-        return job == null ? 0 : job.ownBytes();
+    long outputBytes() {
+        return currentJob == null ? 0 : currentJob.outputBytes();
     }
 
     // ---- at once, on the caller's thread ----
 
     /** Writes a checkpoint; the caller waits. */
-    void checkpointNow(long nowMs) throws IOException {
-        job = checkpoint(nowMs);
-        runNow(nowMs);
+    void checkpointNow(long nowMillis) throws IOException {
+        currentJob = checkpoint(nowMillis);
+        runNow(nowMillis);
     }
 
     /** Rewrites what is left of a damaged file, with the doubt in the place of what is lost. */
-    void salvage(Segment damaged, long nowMs) throws IOException {
-        job = compactions.compaction(List.of(damaged), nowMs);
-        runNow(nowMs);
+    void salvage(Segment damaged, long nowMillis) throws IOException {
+        currentJob = compactions.compaction(List.of(damaged), nowMillis);
+        runNow(nowMillis);
     }
 
     /** Rewrites everything, in runs that make a segment each; the caller waits. */
-    void compactNow(long nowMs, boolean acceptLoss) throws IOException {
+    void compactNow(long nowMillis, boolean acceptLoss) throws IOException {
         if (acceptLoss) {
             compactions.acceptGaps();
         }
         int from = 0;
         List<Segment> run = compactions.nextRun(from);
         while (!run.isEmpty()) {
-            from = run.get(run.size() - 1).name.last() + 1;
-            CompactionJob compaction = compactions.compaction(run, nowMs);
-            compaction.dropDoubts(acceptLoss);
-            job = compaction;
-            runNow(nowMs);
+            from = run.get(run.size() - 1).name().last() + 1;
+            CompactionJob compaction = compactions.compaction(run, nowMillis);
+            compaction.dropSuspectedLosses(acceptLoss);
+            currentJob = compaction;
+            runNow(nowMillis);
             run = compactions.nextRun(from);
         }
     }
 
     /** Does the job on this thread, and clears up behind it; a job that failed has been given up. */
-    private void runNow(long nowMs) throws IOException {
+    private void runNow(long nowMillis) throws IOException {
         try {
-            runSteps(job);
+            runSteps(currentJob);
             stepsDone();
             while (installing) {
                 install();
@@ -127,8 +128,8 @@
             runSteps(deletion);
             files.completed(deletion);
         } catch (IOException e) {
-            if (job != null) {
-                failed(e, nowMs);
+            if (currentJob != null) {
+                failed(e, nowMillis);
             }
             throw e;
         }
@@ -144,9 +145,9 @@
 
     /** The steps of the job are done; the writer's part of it follows. */
     void stepsDone() throws IOException {
-        if (job instanceof CheckpointJob checkpoint && checkpoint.waits()) {
+        if (currentJob instanceof CheckpointJob checkpoint && checkpoint.requiresWriterSync()) {
             if (writer.active() != null && writer.isDirty()) {
-                writer.sync(writer.syncedAt());
+                writer.sync(writer.lastSyncMillis());
             }
             checkpoint.publish();
         }
@@ -155,19 +156,19 @@
 
     /** Goes on with the writer's part of a job. */
     void install() {
-        if (job.install()) {
+        if (currentJob.install()) {
             return;
         }
         installing = false;
-        pause = 0;
-        if (job instanceof CompactionJob compaction) {
+        retryDelayMillis = 0;
+        if (currentJob instanceof CompactionJob compaction) {
             completed(compaction);
-        } else if (job instanceof CheckpointJob checkpoint) {
+        } else if (currentJob instanceof CheckpointJob checkpoint) {
             completed(checkpoint);
         } else {
-            files.completed((DeleteJob) job);
+            files.completed((DeleteJob) currentJob);
         }
-        job = null;
+        currentJob = null;
     }
 
     private void completed(CheckpointJob checkpoint) {
@@ -175,64 +176,71 @@
             files.delete(List.of(checkpoints.newest()));
         }
         checkpoints.completed(checkpoint.name());
-        files.add(checkpoint.name(), checkpoint.ownBytes());
+        files.add(checkpoint.name(), checkpoint.outputBytes());
         counters.checkpoints++;
         log.info(
                 "store_checkpoint",
                 "file",
                 checkpoint.name(),
                 "keys",
-                catalog.index.size(),
+                catalog.index().size(),
                 "bytes",
-                checkpoint.ownBytes());
+                checkpoint.outputBytes());
     }
 
     private void completed(CompactionJob compaction) {
         long before = 0;
         for (Segment one : compaction.run()) {
-            before += one.bytes;
+            before += one.validBytes();
             files.retire(one);
-            writer.forgetCut(one.name);
+            writer.forgetCut(one.name());
             try {
                 one.retire();
             } catch (IOException e) {
-                log.warn("store_close_failed", "file", one.name, "reason", e.toString());
+                log.warn("store_close_failed", "file", one.name(), "reason", e.toString());
             }
         }
         compaction.releaseRun();
-        checkpoints.logged(compaction.ownBytes());
+        checkpoints.logged(compaction.outputBytes());
         counters.compactions++;
         counters.compactedBytes += before;
         log.info(
                 "store_compacted",
                 "file",
-                compaction.result().name,
+                compaction.result().name(),
                 "from_bytes",
                 before,
                 "to_bytes",
-                compaction.ownBytes());
+                compaction.outputBytes());
     }
 
     /** Gives up the job in hand, if there is one. */
-    void cancel(String why, long nowMs) {
-        if (job != null) {
-            failed(new IOException(why), nowMs);
+    void cancel(String why, long nowMillis) {
+        if (currentJob != null) {
+            failed(new IOException(why), nowMillis);
         }
     }
 
     /** The job could not be done. What it may have left is taken away before any other. */
-    void failed(IOException reason, long nowMs) {
+    void failed(IOException reason, long nowMillis) {
         counters.failures++;
-        pause = Math.min(LONGEST_PAUSE_MS, Math.max(FIRST_PAUSE_MS, pause * 2));
-        retryAt = nowMs + pause;
-        log.error("store_job_failed", "job", job.kind(), "reason", reason.toString(), "retry_ms", pause);
-        if (!(job instanceof DeleteJob)) {
-            files.delete(job.abort());
+        retryDelayMillis = Math.min(MAX_RETRY_DELAY_MILLIS, Math.max(MIN_RETRY_DELAY_MILLIS, retryDelayMillis * 2));
+        retryAtMillis = nowMillis + retryDelayMillis;
+        log.error(
+                "store_job_failed",
+                "job",
+                currentJob.kind(),
+                "reason",
+                reason.toString(),
+                "retry_ms",
+                retryDelayMillis);
+        if (!(currentJob instanceof DeleteJob)) {
+            files.delete(currentJob.abort());
         }
-        if (job instanceof CheckpointJob) {
+        if (currentJob instanceof CheckpointJob) {
             checkpoints.failed(settings);
         }
         installing = false;
-        job = null;
+        currentJob = null;
     }
 }
--- a/server/src/main/java/wheatspread/store/OfflineTools.java
+++ b/server/src/main/java/wheatspread/store/OfflineTools.java
@@ -29,23 +29,28 @@
     public record Entry(byte[] key, byte[] value, long expiresMs) {}
 
     /** What the newest checkpoint and the log behind it say. Changes nothing. */
-    public static Look stat(Disk disk, long nowMs) throws IOException {
-        return look(disk, nowMs, Recovery.Purpose.LOOK);
+    public static Look stat(Disk disk, long nowMillis) throws IOException {
+        return look(disk, nowMillis, Recovery.Purpose.READ_ONLY);
     }
 
     /** Reads every frame of every file. Changes nothing. */
-    public static Look check(Disk disk, long nowMs) throws IOException {
-        return look(disk, nowMs, Recovery.Purpose.CHECK);
+    public static Look check(Disk disk, long nowMillis) throws IOException {
+        return look(disk, nowMillis, Recovery.Purpose.VERIFY);
     }
 
-    private static Look look(Disk disk, long nowMs, Recovery.Purpose purpose) throws IOException {
+    private static Look look(Disk disk, long nowMillis, Recovery.Purpose purpose) throws IOException {
         List<String> findings = new ArrayList<>();
-        Log log =
-                Log.open(disk, StoreSettings.DEFAULT, EventLog.lines(findings::add), RANDOM::nextLong, nowMs, purpose);
+        LogStructuredStore log = LogStructuredStore.open(
+                disk, StoreSettings.DEFAULT, EventLog.lines(findings::add), RANDOM::nextLong, nowMillis, purpose);
         try {
             List<FileLook> files = log.catalog().chain().stream()
                     .map(one -> new FileLook(
-                            one.name.toString(), one.bytes, one.liveBytes, one.records, one.latestExpiryMs, one.cut))
+                            one.name().toString(),
+                            one.validBytes(),
+                            one.liveBytes(),
+                            one.recordCount(),
+                            one.latestExpiryMillis(),
+                            one.cutOffset()))
                     .toList();
             return new Look(
                     files,
@@ -54,24 +59,25 @@
                     log.recovered().damages(),
                     log.recovered().cutBytes());
         } finally {
-            log.shut();
+            log.closeFiles();
         }
     }
 
     /** Gives every entry that lives, in no order, and returns how many could not be read. Changes nothing. */
-    public static long dump(Disk disk, long nowMs, Consumer<Entry> to) throws IOException {
-        Log log = Log.open(disk, StoreSettings.DEFAULT, EventLog.NONE, RANDOM::nextLong, nowMs, Recovery.Purpose.LOOK);
+    public static long dump(Disk disk, long nowMillis, Consumer<Entry> to) throws IOException {
+        LogStructuredStore log = LogStructuredStore.open(
+                disk, StoreSettings.DEFAULT, EventLog.NONE, RANDOM::nextLong, nowMillis, Recovery.Purpose.READ_ONLY);
         try {
             long[] unread = new long[1];
             for (int table = 0; table < Index.TABLES; table++) {
                 List<long[]> places = new ArrayList<>();
-                log.catalog().index.copy(table, (hash, at, length, expiry) -> places.add(new long[] {at, length}));
+                log.catalog().index().copy(table, (hash, at, length, expiry) -> places.add(new long[] {at, length}));
                 for (long[] place : places) {
                     Format.Record record = SegmentCatalog.read(
                             log.catalog().byId(Index.file(place[0])), Index.offset(place[0]), (int) place[1]);
                     if (record == null) {
                         unread[0]++;
-                    } else if (!SegmentCatalog.isOver(record.getExpiresMs(), nowMs)) {
+                    } else if (!SegmentCatalog.hasExpired(record.getExpiresMs(), nowMillis)) {
                         to.accept(new Entry(
                                 record.getKey().toByteArray(), record.getValue().toByteArray(), record.getExpiresMs()));
                     }
@@ -79,7 +85,7 @@
             }
             return unread[0];
         } finally {
-            log.shut();
+            log.closeFiles();
         }
     }
 
@@ -89,24 +95,25 @@
      * @param acceptLoss forgets what is in doubt: a key that damage took is then absent, and an older value
      *     of it counts again
      */
-    public static Look compact(Disk disk, StoreSettings settings, long nowMs, boolean acceptLoss, EventLog events)
+    public static Look compact(Disk disk, StoreSettings settings, long nowMillis, boolean acceptLoss, EventLog events)
             throws IOException {
-        Log log = Log.open(disk, settings, events, RANDOM::nextLong, nowMs, Recovery.Purpose.WORK);
+        LogStructuredStore log = LogStructuredStore.open(
+                disk, settings, events, RANDOM::nextLong, nowMillis, Recovery.Purpose.READ_WRITE);
         boolean done = false;
         try {
             if (acceptLoss) {
                 log.acceptLoss();
             }
-            log.compactNow(nowMs, acceptLoss);
-            log.finish(nowMs);
+            log.compactNow(nowMillis, acceptLoss);
+            log.finish(nowMillis);
             done = true;
         } finally {
             if (done) {
                 log.close();
             } else {
-                log.shut();
+                log.closeFiles();
             }
         }
-        return stat(disk, nowMs);
+        return stat(disk, nowMillis);
     }
 }
--- a/server/src/main/java/wheatspread/store/ReadWindow.java
+++ b/server/src/main/java/wheatspread/store/ReadWindow.java
@@ -6,39 +6,39 @@
 
 /** A file read from its begin to its end through one buffer, which grows with the longest frame. */
 final class ReadWindow {
-    private static final int USUAL = 256 << 10;
+    private static final int DEFAULT_BUFFER_BYTES = 256 << 10;
 
     private final DiskFile file;
-    private final long end;
-    private ByteBuffer bytes = ByteBuffer.allocate(0);
-    private long from;
-    private long read;
+    private final long endOffset;
+    private ByteBuffer buffer = ByteBuffer.allocate(0);
+    private long bufferOffset;
+    private long bytesRead;
 
-    /** @param end what is behind it is taken as not there */
+    /** @param endOffset what is behind it is taken as not there */
     ReadWindow(DiskFile file, long end) {
         this.file = file;
-        this.end = end;
+        this.endOffset = end;
     }
 
-    long end() {
-        return end;
+    long endOffset() {
+        return endOffset;
     }
 
     /** Bytes read from the file so far. */
-    long read() {
-        return read;
+    long bytesRead() {
+        return bytesRead;
     }
 
     /** What stands from a place on: at least {@code least} bytes, or all up to the end. */
-    ByteBuffer at(long at, int least) throws IOException {
-        long wanted = Math.max(0, Math.min(least, end - at));
-        if (at < from || at + wanted > from + bytes.limit()) {
-            int size = (int) Math.max(wanted, Math.min(USUAL, Math.max(0, end - at)));
-            bytes = bytes.capacity() >= size ? bytes.clear().limit(size) : ByteBuffer.allocate(size);
-            read += file.read(bytes, at);
-            bytes.flip();
-            from = at;
+    ByteBuffer bytesAt(long at, int least) throws IOException {
+        long wanted = Math.max(0, Math.min(least, endOffset - at));
+        if (at < bufferOffset || at + wanted > bufferOffset + buffer.limit()) {
+            int size = (int) Math.max(wanted, Math.min(DEFAULT_BUFFER_BYTES, Math.max(0, endOffset - at)));
+            buffer = buffer.capacity() >= size ? buffer.clear().limit(size) : ByteBuffer.allocate(size);
+            bytesRead += file.read(buffer, at);
+            buffer.flip();
+            bufferOffset = at;
         }
-        return bytes.slice((int) (at - from), bytes.limit() - (int) (at - from));
+        return buffer.slice((int) (at - bufferOffset), buffer.limit() - (int) (at - bufferOffset));
     }
 }
--- a/server/src/main/java/wheatspread/store/ReaderLoop.java
+++ b/server/src/main/java/wheatspread/store/ReaderLoop.java
@@ -11,12 +11,12 @@
 
 /** The reader's thread, and the bounded queue of the reads that wait for it. */
 final class ReaderLoop implements Runnable {
-    private static final int MOST_AT_ONCE = 256;
-    private static final long LONGEST_WAIT_MS = 1_000;
+    private static final int MAX_READS_PER_BATCH = 256;
+    private static final long MAX_WAIT_MILLIS = 1_000;
 
-    private record Read(byte[] key, Consumer<Store.Got> to) {}
+    private record PendingRead(byte[] key, Consumer<Store.Got> to) {}
 
-    private final Log files;
+    private final LogStructuredStore files;
     private final StoreSettings settings;
     private final Store.Time time;
     private final Executor callbacks;
@@ -24,10 +24,10 @@
     /** Guards what follows. */
     private final Object lock = new Object();
 
-    private final Deque<Read> reads = new ArrayDeque<>();
+    private final Deque<PendingRead> reads = new ArrayDeque<>();
     private boolean stopped;
 
-    ReaderLoop(Log files, StoreSettings settings, Store.Time time, Executor callbacks, EventLog log) {
+    ReaderLoop(LogStructuredStore files, StoreSettings settings, Store.Time time, Executor callbacks, EventLog log) {
         this.files = files;
         this.settings = settings;
         this.time = time;
@@ -44,7 +44,7 @@
             if (reads.size() >= settings.queueRecords()) {
                 return Store.Refusal.QUEUE_FULL;
             }
-            reads.add(new Read(key, to));
+            reads.add(new PendingRead(key, to));
             lock.notifyAll();
         }
         return null;
@@ -75,9 +75,9 @@
 
     @Override
     public void run() {
-        for (List<Read> some = take(); !some.isEmpty(); some = take()) {
+        for (List<PendingRead> some = take(); !some.isEmpty(); some = take()) {
             List<Runnable> told = new ArrayList<>(some.size());
-            for (Read read : some) {
+            for (PendingRead read : some) {
                 Store.Got got = got(read.key());
                 told.add(() -> read.to().accept(got));
             }
@@ -86,13 +86,13 @@
     }
 
     /** Waits for reads and takes some; none at the end. */
-    private List<Read> take() {
-        List<Read> some = new ArrayList<>();
+    private List<PendingRead> take() {
+        List<PendingRead> some = new ArrayList<>();
         synchronized (lock) {
             while (reads.isEmpty() && !stopped) {
-                WriterQueue.await(lock, LONGEST_WAIT_MS);
+                WriterQueue.await(lock, MAX_WAIT_MILLIS);
             }
-            while (!reads.isEmpty() && some.size() < MOST_AT_ONCE) {
+            while (!reads.isEmpty() && some.size() < MAX_READS_PER_BATCH) {
                 some.add(reads.poll());
             }
         }
--- a/server/src/main/java/wheatspread/store/RecordFraming.java
+++ b/server/src/main/java/wheatspread/store/RecordFraming.java
@@ -10,13 +10,13 @@
  */
 public final class RecordFraming {
     /** Bytes before a body. */
-    public static final int HEAD = 8;
+    public static final int HEADER_BYTES = 8;
     /** The longest body; a length beyond it can only be damage. */
-    public static final int LONGEST = 16 << 20;
+    public static final int MAX_BODY_BYTES = 16 << 20;
 
     /** What stands at a place. */
     public enum Found {
-        WHOLE,
+        COMPLETE,
         END,
         TORN,
         DAMAGED
@@ -25,25 +25,25 @@
     private RecordFraming() {}
 
     /** How many bytes a body of this length takes. */
-    public static int sizeOf(int body) {
-        return HEAD + body;
+    public static int frameBytes(int body) {
+        return HEADER_BYTES + body;
     }
 
     /** Writes a frame round the bytes from {@code body}'s position to its limit, which are read. */
     public static void write(ByteBuffer body, ByteBuffer to) {
         int length = body.remaining();
-        if (length > LONGEST) {
-            throw new IllegalArgumentException("a record of " + length + " bytes is over " + LONGEST);
+        if (length > MAX_BODY_BYTES) {
+            throw new IllegalArgumentException("a record of " + length + " bytes is over " + MAX_BODY_BYTES);
         }
         to.putInt(length).putInt(checksum(length, body.duplicate())).put(body);
     }
 
     /** Makes a frame of a body that stands already behind room for the head; the checksum is scratch. */
     static void close(byte[] bytes, int at, int length, CRC32C scratch) {
-        ByteBuffer head = ByteBuffer.wrap(bytes, at, HEAD).putInt(length);
+        ByteBuffer head = ByteBuffer.wrap(bytes, at, HEADER_BYTES).putInt(length);
         scratch.reset();
         scratch.update(bytes, at, Integer.BYTES);
-        scratch.update(bytes, at + HEAD, length);
+        scratch.update(bytes, at + HEADER_BYTES, length);
         head.putInt((int) scratch.getValue());
     }
 
@@ -55,24 +55,24 @@
         if (!from.hasRemaining()) {
             return Found.END;
         }
-        if (from.remaining() < HEAD) {
+        if (from.remaining() < HEADER_BYTES) {
             return Found.TORN;
         }
         int at = from.position();
         int length = from.getInt(at);
-        if (length < 0 || length > LONGEST) {
+        if (length < 0 || length > MAX_BODY_BYTES) {
             return Found.DAMAGED;
         }
-        if (from.remaining() - HEAD < length) {
+        if (from.remaining() - HEADER_BYTES < length) {
             return Found.TORN;
         }
-        ByteBuffer view = from.slice(at + HEAD, length);
+        ByteBuffer view = from.slice(at + HEADER_BYTES, length);
         if (checksum(length, view.duplicate()) != from.getInt(at + 4)) {
             return Found.DAMAGED;
         }
-        from.position(at + HEAD + length);
+        from.position(at + HEADER_BYTES + length);
         body[0] = view;
-        return Found.WHOLE;
+        return Found.COMPLETE;
     }
 
     /**
--- a/server/src/main/java/wheatspread/store/RecordReader.java
+++ b/server/src/main/java/wheatspread/store/RecordReader.java
@@ -22,19 +22,19 @@
     private record Place(Segment segment, int offset, int length, boolean inDoubt) {}
 
     /** What the store holds for a key. */
-    Store.Got get(byte[] key, long nowMs) throws IOException {
+    Store.Got get(byte[] key, long nowMillis) throws IOException {
         long hash = catalog.hash(key);
         List<Place> found = new ArrayList<>(1);
         boolean absentInDoubt;
-        synchronized (catalog.index) {
-            catalog.index.find(hash, (h, at, length, expiry) -> found.add(hold(at, length, nowMs)));
-            absentInDoubt = catalog.doubts.aboutAbsent(hash, nowMs);
+        synchronized (catalog.index()) {
+            catalog.index().find(hash, (h, at, length, expiry) -> found.add(hold(at, length, nowMillis)));
+            absentInDoubt = catalog.suspectedLosses().suspectsAbsentKey(hash, nowMillis);
         }
         Store.Got got = null;
         for (Place place : found) {
             try {
                 if (got == null) {
-                    got = read(key, place, nowMs);
+                    got = read(key, place, nowMillis);
                 }
             } finally {
                 place.segment().release();
@@ -43,25 +43,25 @@
         return got != null ? got : absentInDoubt ? Store.Got.DOUBTFUL : Store.Got.ABSENT;
     }
 
-    private Place hold(long at, int length, long nowMs) {
+    private Place hold(long at, int length, long nowMillis) {
         Segment segment = catalog.byId(Index.file(at));
-        segment.hold();
+        segment.acquire();
         int offset = Index.offset(at);
-        boolean inDoubt = catalog.doubts.aboutEntry(segment.name.first(), offset, nowMs);
+        boolean inDoubt = catalog.suspectedLosses().suspectsEntry(segment.name().first(), offset, nowMillis);
         return new Place(segment, offset, length, inDoubt);
     }
 
     /** What the record at a place says of a key; null if it is another key's. */
-    private Store.Got read(byte[] key, Place place, long nowMs) throws IOException {
+    private Store.Got read(byte[] key, Place place, long nowMillis) throws IOException {
         Format.Record there = SegmentCatalog.read(place.segment(), place.offset(), place.length());
         if (there == null) {
-            log.error("store_damage", "file", place.segment().name, "at", place.offset(), "keys", 1);
+            log.error("store_damage", "file", place.segment().name(), "at", place.offset(), "keys", 1);
             return Store.Got.DOUBTFUL;
         }
         if (!SegmentCatalog.isKey(there, key)) {
             return null;
         }
-        if (SegmentCatalog.isOver(there.getExpiresMs(), nowMs)) {
+        if (SegmentCatalog.hasExpired(there.getExpiresMs(), nowMillis)) {
             return place.inDoubt() ? Store.Got.DOUBTFUL : Store.Got.ABSENT;
         }
         return new Store.Got(
--- a/server/src/main/java/wheatspread/store/Recovery.java
+++ b/server/src/main/java/wheatspread/store/Recovery.java
@@ -20,7 +20,7 @@
     private final Disk disk;
     private final StoreSettings settings;
     private final EventLog log;
-    private final long now;
+    private final long nowMillis;
     private final Purpose purpose;
 
     private SegmentCatalog catalog;
@@ -29,7 +29,7 @@
     private Layout layout;
     private Checkpoints.Loaded checkpoint;
     private Segment newest;
-    private int voids;
+    private int emptySegments;
     private long readBytes;
     private long cutBytes;
     private long damages;
@@ -37,25 +37,25 @@
 
     /** What the store is opened for. */
     enum Purpose {
-        WORK,
+        READ_WRITE,
         /** To look at it: every file stays as it is. */
-        LOOK,
+        READ_ONLY,
         /** As LOOK, and the whole log is read whatever a checkpoint says. */
-        CHECK
+        VERIFY
     }
 
-    Recovery(Disk disk, StoreSettings settings, EventLog log, long nowMs, Purpose purpose) {
+    Recovery(Disk disk, StoreSettings settings, EventLog log, long nowMillis, Purpose purpose) {
         this.disk = disk;
         this.settings = settings;
         this.log = log;
-        this.now = nowMs;
+        this.nowMillis = nowMillis;
         this.purpose = purpose;
     }
 
     /** @throws StoreException if the folder holds what this program must not work on */
     void run(LongSupplier random) throws IOException {
         layout = Layout.of(disk.list());
-        if (purpose == Purpose.WORK) {
+        if (purpose == Purpose.READ_WRITE) {
             disk.syncNames(); // what a file was written in place of goes only when its own name lasts
             for (String name : layout.leftovers()) {
                 disk.delete(name);
@@ -88,7 +88,7 @@
             checkpoint = Checkpoints.load(disk, name, fresh);
             if (checkpoint == null) {
                 log.warn("store_checkpoint_unusable", "file", name);
-            } else if (purpose == Purpose.CHECK) {
+            } else if (purpose == Purpose.VERIFY) {
                 checkpoint = null;
             } else {
                 catalog = fresh;
@@ -99,9 +99,9 @@
             catalog = catalog(seed != null ? seed : random.getAsLong(), files);
         }
         replay();
-        count();
-        if (newest != null && purpose == Purpose.WORK) {
-            newest.file.sync(); // a reader may see it from now on, and its seal is trusted
+        countLiveBytes();
+        if (newest != null && purpose == Purpose.READ_WRITE) {
+            newest.file().sync(); // a reader may see it from now on, and its seal is trusted
         }
     }
 
@@ -120,66 +120,66 @@
     private void replay() throws IOException {
         List<Segment> chain = catalog.chain();
         int last = chain.size() - 1;
-        while (last >= 0 && isUnbegun(chain.get(last))) {
+        while (last >= 0 && hasNoAcknowledgedGroup(chain.get(last))) {
             Segment one = chain.get(last--);
-            if (one.bytes > FileHeader.SIZE) {
+            if (one.validBytes() > FileHeader.HEADER_BYTES) {
                 log.warn(
                         "store_torn_tail",
                         "file",
-                        one.name,
+                        one.name(),
                         "at",
-                        FileHeader.SIZE,
+                        FileHeader.HEADER_BYTES,
                         "bytes",
-                        one.bytes - FileHeader.SIZE);
-                cutBytes += one.bytes - FileHeader.SIZE;
+                        one.validBytes() - FileHeader.HEADER_BYTES);
+                cutBytes += one.validBytes() - FileHeader.HEADER_BYTES;
             }
-            one.cut = 0;
-            one.bytes = 0;
-            pendingCuts.put(one.name.first(), 0);
-            voids++;
+            one.setCutOffset(0);
+            one.setValidBytes(0);
+            pendingCuts.put(one.name().first(), 0);
+            emptySegments++;
         }
-        gatherCuts(last);
+        collectCuts(last);
         for (int gap : layout.gaps()) {
             log.error("store_file_lost", "before", gap);
             damages++;
-            catalog.doubts.addAll(settings.lossUntil(now), gap, 0);
+            catalog.suspectedLosses().addAll(settings.lossUntilMillis(nowMillis), gap, 0);
         }
         for (int i = 0; i <= last; i++) {
             replay(chain.get(i), i == last);
         }
         if (checkpoint != null) {
-            checkpoint.dropStale(catalog.index);
+            checkpoint.removeStaleEntries(catalog.index());
         }
     }
 
     /** Whether nothing in it was ever acknowledged: the file is there, and its first group is not. */
-    private boolean isUnbegun(Segment segment) throws IOException {
-        if (!segment.name.isOriginal() || checkpoint != null && checkpoint.covers(segment.name)) {
+    private boolean hasNoAcknowledgedGroup(Segment segment) throws IOException {
+        if (!segment.name().isOriginal() || checkpoint != null && checkpoint.covers(segment.name())) {
             return false;
         }
-        SegmentScan scan = new SegmentScan(segment.file, segment.name, 0, SegmentScan.UNCUT, true);
-        SegmentScan.Step step = scan.next();
+        SegmentScan scan = new SegmentScan(segment.file(), segment.name(), 0, SegmentScan.NO_CUT, true);
+        SegmentScan.Step step = scan.nextOffset();
         while (step == SegmentScan.Step.GROUP) {
-            step = scan.next();
+            step = scan.nextOffset();
         }
         return step == SegmentScan.Step.END && !scan.sealed();
     }
 
     /** Where a file ends that has no seal stands in the first group behind it. */
-    private void gatherCuts(int last) throws IOException {
+    private void collectCuts(int last) throws IOException {
         for (int i = 0; i <= last; i++) {
             Segment segment = catalog.chain().get(i);
-            if (checkpoint != null && checkpoint.covers(segment.name)) {
+            if (checkpoint != null && checkpoint.covers(segment.name())) {
                 continue;
             }
-            SegmentScan scan = new SegmentScan(segment.file, segment.name, 0, SegmentScan.UNCUT, true);
-            SegmentScan.Step step = scan.next();
+            SegmentScan scan = new SegmentScan(segment.file(), segment.name(), 0, SegmentScan.NO_CUT, true);
+            SegmentScan.Step step = scan.nextOffset();
             while (step == SegmentScan.Step.GROUP
-                    || step == SegmentScan.Step.RECORD && scan.record.getKind() == Format.Record.Kind.CUT) {
+                    || step == SegmentScan.Step.RECORD && scan.record().getKind() == Format.Record.Kind.CUT) {
                 if (step == SegmentScan.Step.RECORD) {
-                    scan.record.getCutsList().forEach(cut -> cuts.put(cut.getSegment(), cut.getLength()));
+                    scan.record().getCutsList().forEach(cut -> cuts.put(cut.getSegment(), cut.getLength()));
                 }
-                step = scan.next();
+                step = scan.nextOffset();
             }
         }
     }
@@ -188,25 +188,25 @@
         long from = 0;
         boolean again = false;
         if (checkpoint != null) {
-            Checkpoints.Known known = checkpoint.known(segment.name);
+            Checkpoints.KnownSegment known = checkpoint.known(segment.name());
             again = checkpoint.isStale(segment);
             if (known != null) {
-                segment.latestExpiryMs = known.latestExpiryMs();
-                segment.records = known.records();
-                segment.cut = known.cut();
+                segment.setRecords(known.records(), known.latestExpiryMs());
+                segment.setCutOffset(known.cut());
             }
-            if (checkpoint.covers(segment.name)) {
-                segment.bytes = segment.cut == SegmentScan.UNCUT ? segment.bytes : segment.cut;
+            if (checkpoint.covers(segment.name())) {
+                segment.setValidBytes(
+                        segment.cutOffset() == SegmentScan.NO_CUT ? segment.validBytes() : segment.cutOffset());
                 return;
             }
             from = known != null && !again ? checkpoint.offset() : 0;
         }
-        Integer cut = segment.name.isOriginal() ? cuts.get(segment.name.first()) : null;
+        Integer cut = segment.name().isOriginal() ? cuts.get(segment.name().first()) : null;
         if (cut != null && !isNewest) {
-            segment.cut = cut;
+            segment.setCutOffset(cut);
         }
-        SegmentScan scan = new SegmentScan(segment.file, segment.name, from, segment.cut, isNewest);
-        for (SegmentScan.Step step = scan.next(); step != SegmentScan.Step.END; step = scan.next()) {
+        SegmentScan scan = new SegmentScan(segment.file(), segment.name(), from, segment.cutOffset(), isNewest);
+        for (SegmentScan.Step step = scan.nextOffset(); step != SegmentScan.Step.END; step = scan.nextOffset()) {
             if (step == SegmentScan.Step.RECORD) {
                 replayed++;
                 apply(segment, scan, again);
@@ -214,67 +214,79 @@
                 damage(segment, scan);
             }
         }
-        readBytes += scan.read();
-        long size = segment.bytes;
-        if (scan.end == SegmentScan.End.TORN || scan.end == SegmentScan.End.CUT) {
-            segment.bytes = Math.min(size, scan.at);
-            cutBytes += size - segment.bytes;
+        readBytes += scan.bytesRead();
+        long size = segment.validBytes();
+        if (scan.end() == SegmentScan.End.TORN || scan.end() == SegmentScan.End.CUT) {
+            segment.setValidBytes(Math.min(size, scan.offset()));
+            cutBytes += size - segment.validBytes();
         }
         newest = isNewest ? segment : newest;
-        if (isNewest && scan.end != SegmentScan.End.SEALED) {
-            segment.cut = (int) segment.bytes;
-            pendingCuts.put(segment.name.first(), segment.cut);
-            if (size > segment.bytes) {
-                log.warn("store_torn_tail", "file", segment.name, "at", segment.bytes, "bytes", size - segment.bytes);
+        if (isNewest && scan.end() != SegmentScan.End.SEALED) {
+            segment.setCutOffset((int) segment.validBytes());
+            pendingCuts.put(segment.name().first(), segment.cutOffset());
+            if (size > segment.validBytes()) {
+                log.warn(
+                        "store_torn_tail",
+                        "file",
+                        segment.name(),
+                        "at",
+                        segment.validBytes(),
+                        "bytes",
+                        size - segment.validBytes());
             }
         }
     }
 
     private void damage(Segment segment, SegmentScan scan) {
         damages++;
-        segment.damaged = true;
+        segment.markDamaged();
         log.error(
                 "store_damage",
                 "file",
-                segment.name,
+                segment.name(),
                 "at",
-                scan.at,
+                scan.offset(),
                 "keys",
-                scan.lostAll ? "unknown" : scan.lost.size());
-        int offset = (int) scan.at;
-        catalog.markLost(
-                scan.lost,
-                scan.lostAll,
-                settings.lossUntil(now),
-                Index.at(segment.id, offset),
-                segment.name.first(),
+                scan.lostAll() ? "unknown" : scan.lostHashes().size());
+        int offset = (int) scan.offset();
+        catalog.recordLoss(
+                scan.lostHashes(),
+                scan.lostAll(),
+                settings.lossUntilMillis(nowMillis),
+                Index.at(segment.id(), offset),
+                segment.name().first(),
                 offset);
     }
 
     private void apply(Segment segment, SegmentScan scan, boolean again) throws IOException {
-        Format.Record record = scan.record;
-        long at = Index.at(segment.id, (int) scan.at);
+        Format.Record record = scan.record();
+        long at = Index.at(segment.id(), (int) scan.offset());
         switch (record.getKind()) {
             case PUT -> {
                 segment.countRecord(record.getExpiresMs());
                 long hash = catalog.hash(scan);
-                boolean living = !SegmentCatalog.isOver(record.getExpiresMs(), now);
+                boolean living = !SegmentCatalog.hasExpired(record.getExpiresMs(), nowMillis);
                 int expiry = SegmentCatalog.expirySeconds(record.getExpiresMs());
-                if (again && checkpoint.repoint(catalog.index, segment, hash, at, scan.length, expiry)) {
+                if (again && checkpoint.repoint(catalog.index(), segment, hash, at, scan.frameBytes(), expiry)) {
                     return;
                 }
-                if (!(again && checkpoint.wasWhole(segment.name))) {
-                    put(hash, record.getKey().toByteArray(), at, scan.length, expiry, living);
+                if (!(again && checkpoint.precedesCheckpoint(segment.name()))) {
+                    put(hash, record.getKey().toByteArray(), at, scan.frameBytes(), expiry, living);
                 }
             }
             case DELETE -> put(catalog.hash(scan), record.getKey().toByteArray(), at, 0, 0, false);
             case DOUBT -> {
                 Format.Doubt doubt = record.getDoubt();
-                if (!SegmentCatalog.isOver(doubt.getUntilMs(), now)) {
+                if (!SegmentCatalog.hasExpired(doubt.getUntilMs(), nowMillis)) {
                     LongArrayList hashes = new LongArrayList();
                     doubt.getHashesList().forEach(hashes::addLong);
-                    catalog.markLost(
-                            hashes, doubt.getAll(), doubt.getUntilMs(), at, segment.name.first(), (int) scan.at);
+                    catalog.recordLoss(
+                            hashes,
+                            doubt.getAll(),
+                            doubt.getUntilMs(),
+                            at,
+                            segment.name().first(),
+                            (int) scan.offset());
                 }
             }
             default -> {}
@@ -285,7 +297,7 @@
     private void put(long hash, byte[] key, long at, int length, int expiry, boolean living) throws IOException {
         long there = 0;
         List<long[]> found = new ArrayList<>(1);
-        catalog.index.find(hash, (h, place, size, e) -> found.add(new long[] {place, size}));
+        catalog.index().find(hash, (h, place, size, e) -> found.add(new long[] {place, size}));
         for (long[] one : found) {
             if (catalog.byId(Index.file(one[0])) != null && catalog.hasKey(one[0], (int) one[1], key)) {
                 if (!catalog.isBefore(one[0], at)) {
@@ -295,17 +307,17 @@
             }
         }
         if (there != 0 && living) {
-            catalog.index.move(hash, there, at, length, expiry);
+            catalog.index().move(hash, there, at, length, expiry);
         } else if (there != 0) {
-            catalog.index.remove(hash, there);
+            catalog.index().remove(hash, there);
         } else if (living) {
-            catalog.index.add(hash, at, length, expiry);
+            catalog.index().add(hash, at, length, expiry);
         }
     }
 
-    private void count() {
+    private void countLiveBytes() {
         for (int table = 0; table < Index.TABLES; table++) {
-            catalog.index.copy(table, (hash, at, length, expiry) -> catalog.addLive(at, length));
+            catalog.index().copy(table, (hash, at, length, expiry) -> catalog.addLiveBytes(at, length));
         }
     }
 
@@ -324,19 +336,19 @@
 
     /** Files in which something is lost. */
     List<Segment> damaged() {
-        return catalog.chain().stream().filter(one -> one.damaged).toList();
+        return catalog.chain().stream().filter(one -> one.isDamaged()).toList();
     }
 
     /** What was done, for the log and the tools. */
     Report report() {
         return new Report(
                 catalog.chain().size(),
-                catalog.index.size(),
+                catalog.index().size(),
                 replayed,
                 readBytes,
                 cutBytes,
                 damages,
-                voids,
+                emptySegments,
                 checkpoint != null);
     }
 
@@ -345,7 +357,7 @@
      * @param replayedRecords of the log, behind the checkpoint
      * @param cutBytes that were never acknowledged
      * @param damages places where something was lost
-     * @param voids files that were made and not begun
+     * @param emptySegments files that were made and not begun
      */
     record Report(
             int segments,
@@ -354,6 +366,6 @@
             long readBytes,
             long cutBytes,
             long damages,
-            int voids,
+            int emptySegments,
             boolean fromCheckpoint) {}
 }
--- a/server/src/main/java/wheatspread/store/SegmentCatalog.java
+++ b/server/src/main/java/wheatspread/store/SegmentCatalog.java
@@ -16,19 +16,34 @@
  * others may read is guarded by the lock of the index.
  */
 final class SegmentCatalog {
-    final Index index = new Index();
-    final SuspectedLosses doubts = new SuspectedLosses();
-    final long seed;
+    private final Index index = new Index();
+    private final SuspectedLosses suspectedLosses = new SuspectedLosses();
+    private final long seed;
     private final Hasher64 hasher;
     private final List<Segment> chain = new ArrayList<>();
     private final Map<Integer, Segment> byId = new HashMap<>();
-    private int ids;
+    private int lastId;
 
     SegmentCatalog(long seed) {
         this.seed = seed;
         hasher = Hashing.polymurHash2_0(seed, seed ^ 0x9E3779B97F4A7C15L);
     }
 
+    /** The index; its lock also guards the chain and the suspected losses. */
+    Index index() {
+        return index;
+    }
+
+    /** For threads that hold the lock of {@link #index()}. */
+    SuspectedLosses suspectedLosses() {
+        return suspectedLosses;
+    }
+
+    /** The seed of the key hash, the same in all files of a store. */
+    long seed() {
+        return seed;
+    }
+
     /** Never 0, which stands for none. */
     long hash(byte[] key) {
         long hash = hasher.hashBytesToLong(key);
@@ -37,11 +52,11 @@
 
     /** That of a scanned record: as its group tells it, or worked out where the group's frame is lost. */
     long hash(SegmentScan scan) {
-        return scan.hash != 0 ? scan.hash : hash(scan.record.getKey().toByteArray());
+        return scan.hash() != 0 ? scan.hash() : hash(scan.record().getKey().toByteArray());
     }
 
     int newId() {
-        return ++ids;
+        return ++lastId;
     }
 
     /** The files in the log's order; for the one thread that changes them. */
@@ -64,14 +79,14 @@
     void append(Segment segment) {
         synchronized (index) {
             chain.add(segment);
-            byId.put(segment.id, segment);
+            byId.put(segment.id(), segment);
         }
     }
 
     /** Makes a file known that entries may point to, before it has its place in the chain. */
     void register(Segment segment) {
         synchronized (index) {
-            byId.put(segment.id, segment);
+            byId.put(segment.id(), segment);
         }
     }
 
@@ -81,21 +96,21 @@
             int place = chain.indexOf(run.get(0));
             chain.subList(place, place + run.size()).clear();
             chain.add(place, by);
-            run.forEach(one -> byId.remove(one.id));
+            run.forEach(one -> byId.remove(one.id()));
         }
     }
 
     void remove(Segment segment) {
         synchronized (index) {
             chain.remove(segment);
-            byId.remove(segment.id);
+            byId.remove(segment.id());
         }
     }
 
     long usedBytes() {
         long used = 0;
         for (Segment one : chain) {
-            used += one.bytes;
+            used += one.validBytes();
         }
         return used;
     }
@@ -103,38 +118,38 @@
     long liveBytes() {
         long live = 0;
         for (Segment one : chain) {
-            live += one.liveBytes;
+            live += one.liveBytes();
         }
         return live;
     }
 
     /** An entry came to stand in a file. */
-    void addLive(long at, long length) {
+    void addLiveBytes(long at, long length) {
         Segment segment = byId.get(Index.file(at));
         if (segment != null) {
-            segment.liveBytes += weight(length);
+            segment.addLiveBytes(liveBytesOf(length));
         }
     }
 
     /** An entry is gone from a file. */
-    void subtractLive(long at, long length) {
+    void subtractLiveBytes(long at, long length) {
         Segment segment = byId.get(Index.file(at));
         if (segment != null) {
-            segment.liveBytes -= weight(length);
+            segment.addLiveBytes(-liveBytesOf(length));
         }
     }
 
     /** What a record takes with its hash in the group's frame. */
-    static long weight(long length) {
+    static long liveBytesOf(long length) {
         return length + Long.BYTES;
     }
 
     /** Whether one place of the log is before another; both in files that are known. */
     boolean isBefore(long at, long other) {
         return SuspectedLosses.compare(
-                        byId.get(Index.file(at)).name.first(),
+                        byId.get(Index.file(at)).name().first(),
                         Index.offset(at),
-                        byId.get(Index.file(other)).name.first(),
+                        byId.get(Index.file(other)).name().first(),
                         Index.offset(other))
                 < 0;
     }
@@ -145,36 +160,36 @@
      * @param at up to there entries of the known keys go
      * @param segment where the doubt stands, with {@code offset}
      */
-    void markLost(LongArrayList hashes, boolean all, long untilMs, long at, int segment, int offset) {
+    void recordLoss(LongArrayList hashes, boolean all, long untilMillis, long at, int segment, int offset) {
         for (int i = 0; i < hashes.size(); i++) {
-            dropUpTo(hashes.getLong(i), at);
+            removeEntriesUpTo(hashes.getLong(i), at);
         }
-        doubts.take(hashes, all, untilMs, segment, offset);
+        suspectedLosses.addLosses(hashes, all, untilMillis, segment, offset);
     }
 
     /** Takes away the entries of a hash that are older than a place of the log, or stand right there. */
-    private void dropUpTo(long hash, long at) {
+    private void removeEntriesUpTo(long hash, long at) {
         LongArrayList older = new LongArrayList(2, 0);
         index.find(hash, (h, place, length, expiry) -> {
             if (byId(Index.file(place)) == null || isBefore(place, at) || place == at) {
                 older.addLong(place);
-                subtractLive(place, length);
+                subtractLiveBytes(place, length);
             }
         });
         older.forEachOrderedLong(place -> index.remove(hash, place));
     }
 
     /** Whether nothing that stands before this number can come back to life. */
-    boolean isExpiredBefore(int number, long nowMs) {
-        return chain.stream().allMatch(one -> one.name.first() >= number || one.isExpired(nowMs));
+    boolean isExpiredBefore(int number, long nowMillis) {
+        return chain.stream().allMatch(one -> one.name().first() >= number || one.isExpired(nowMillis));
     }
 
     /** The record at a place, or null if it is damaged. */
     static Format.Record read(Segment segment, int offset, int length) throws IOException {
         ByteBuffer bytes = ByteBuffer.allocate(length);
-        segment.file.read(bytes, Integer.toUnsignedLong(offset));
+        segment.file().read(bytes, Integer.toUnsignedLong(offset));
         ByteBuffer[] body = new ByteBuffer[1];
-        if (RecordFraming.read(bytes.flip(), body) != RecordFraming.Found.WHOLE || bytes.hasRemaining()) {
+        if (RecordFraming.read(bytes.flip(), body) != RecordFraming.Found.COMPLETE || bytes.hasRemaining()) {
             return null;
         }
         try {
@@ -199,8 +214,8 @@
     }
 
     /** Whether a time has come; 0 never does. */
-    static boolean isOver(long untilMs, long nowMs) {
-        return untilMs != 0 && untilMs <= nowMs;
+    static boolean hasExpired(long untilMillis, long nowMillis) {
+        return untilMillis != 0 && untilMillis <= nowMillis;
     }
 
     /** Seconds since 1970 when something has expired for sure; 0 for never. */
--- a/server/src/main/java/wheatspread/store/SegmentName.java
+++ b/server/src/main/java/wheatspread/store/SegmentName.java
@@ -9,15 +9,15 @@
  * rewritten. A file as first written holds one number in generation 0.
  */
 record SegmentName(int first, int last, int generation) {
-    static final Comparator<SegmentName> IN_ORDER = Comparator.comparingInt(SegmentName::first)
+    static final Comparator<SegmentName> LOG_ORDER = Comparator.comparingInt(SegmentName::first)
             .thenComparingInt(SegmentName::last)
             .thenComparingInt(SegmentName::generation);
     /** Behind the name of what isn't whole yet. */
-    static final String NEW = ".new";
+    static final String TEMPORARY_SUFFIX = ".new";
     /** Behind the name of what was damaged and set aside. */
-    static final String ASIDE = ".damaged";
+    static final String DAMAGED_SUFFIX = ".damaged";
 
-    private static final Pattern FORM = Pattern.compile("(\\d{8,10})-(\\d{8,10})\\.(\\d{1,9})\\.log");
+    private static final Pattern PATTERN = Pattern.compile("(\\d{8,10})-(\\d{8,10})\\.(\\d{1,9})\\.log");
 
     static SegmentName original(int number) {
         return new SegmentName(number, number, 0);
@@ -25,7 +25,7 @@
 
     /** Null for the name of something else. */
     static SegmentName parse(String text) {
-        Matcher form = FORM.matcher(text);
+        Matcher form = PATTERN.matcher(text);
         if (!form.matches()) {
             return null;
         }
--- a/server/src/main/java/wheatspread/store/SegmentScan.java
+++ b/server/src/main/java/wheatspread/store/SegmentScan.java
@@ -15,13 +15,13 @@
 final class SegmentScan {
     /** What the next step found; the fields are set accordingly. */
     enum Step {
-        /** A group begins at {@link #at}. */
+        /** A group begins at {@link #offset()}. */
         GROUP,
-        /** {@link #record} with {@link #hash} stands at {@link #at}, a frame of {@link #length} bytes. */
+        /** {@link #record()} with {@link #hash()} stands at {@link #offset()}, a frame of {@link #frameBytes()} bytes. */
         RECORD,
-        /** Records with {@link #lost} hashes, or any if {@link #lostAll}, stood from {@link #at} on. */
+        /** Records with {@link #lostHashes()} hashes, or any if {@link #lostAll()}, stood from {@link #offset()} on. */
         DAMAGE,
-        /** Nothing follows; {@link #end} says how it ends. */
+        /** Nothing follows; {@link #endOffset} says how it ends. */
         END
     }
 
@@ -32,21 +32,21 @@
         /** Where a later segment says that it is cut. */
         CUT,
         /** Behind a whole group, without a seal. */
-        OPEN,
-        /** Within a write that was never acknowledged, from {@link SegmentScan#at} on. */
+        UNSEALED,
+        /** Within a write that was never acknowledged, from {@link SegmentScan#bytesAt} on. */
         TORN,
         /** It was never begun: its header is not whole, and nothing is behind it. */
-        VOID
+        EMPTY
     }
 
     /** Nothing says where the segment is cut. */
-    static final int UNCUT = -1;
+    static final int NO_CUT = -1;
 
-    private static final int SEAL_SIZE = GroupEncoder.seal(1, 1).remaining();
+    private static final int SEAL_BYTES = GroupEncoder.seal(1, 1).remaining();
     /** A seal holds nothing that could be lost: with so many wrong bits it can still be nothing else. */
-    private static final int SEAL_TOLERANCE = 8;
+    private static final int MAX_WRONG_SEAL_BITS = 8;
     /** Bytes between the begin of a group's frame and its mark: head, kind, tag and length, tag. */
-    private static final int SMALLEST_GROUP = RecordFraming.HEAD + 25;
+    private static final int MIN_GROUP_FRAME_BYTES = RecordFraming.HEADER_BYTES + 25;
 
     private final DiskFile file;
     private final ReadWindow window;
@@ -54,56 +54,56 @@
     private final boolean sealed;
     private final boolean cut;
     private final long mark;
-    private long next;
+    private long nextOffset;
     private long groupEnd;
     private LongArrayList hashes = new LongArrayList();
-    private int index;
+    private int recordIndex;
     private boolean hashesKnown;
     private long syncedTo = -1;
     private boolean ended;
     private boolean tailLost;
 
-    long at;
-    int length;
-    long hash;
-    Format.Record record;
-    final LongArrayList lost = new LongArrayList();
-    boolean lostAll;
-    End end;
+    private long offset;
+    private int frameBytes;
+    private long hash;
+    private Format.Record record;
+    private final LongArrayList lostHashes = new LongArrayList();
+    private boolean lostAll;
+    private End end;
 
     /**
      * Begins.
      *
      * @param from the begin of a group, or 0
-     * @param cut where the segment ends by the word of a later one, or {@link #UNCUT}
+     * @param cut where the segment ends by the word of a later one, or {@link #NO_CUT}
      * @param newest whether no segment is behind this one: only then can its end be torn
      * @throws StoreException if the file's version is unknown or its name is another file's
      */
     SegmentScan(DiskFile file, SegmentName name, long from, int cut, boolean newest) throws IOException {
         this.file = file;
         long size = file.size();
-        this.cut = cut != UNCUT;
+        this.cut = cut != NO_CUT;
         Format.SegmentHeader header = cut == 0 ? null : FileHeader.read(file, name);
         mark = header == null ? 0 : header.getMark();
         sealed = header != null && !this.cut && isSealed(size);
-        long limit = sealed ? size - SEAL_SIZE : this.cut ? Math.min(cut, size) : size;
+        long limit = sealed ? size - SEAL_BYTES : this.cut ? Math.min(cut, size) : size;
         window = new ReadWindow(file, limit);
         // a rewritten file is synced before it has its name
         durable = sealed || this.cut || !newest || !name.isOriginal();
-        next = Math.max(from, FileHeader.SIZE);
-        groupEnd = next;
+        nextOffset = Math.max(from, FileHeader.HEADER_BYTES);
+        groupEnd = nextOffset;
         tailLost = this.cut && size < cut; // acknowledged once, and not there
         if (header == null && cut != 0) {
             ended = true;
-            end = End.VOID;
-            at = 0;
-            tailLost = size > FileHeader.SIZE || cut > FileHeader.SIZE || !newest && !this.cut;
+            end = End.EMPTY;
+            offset = 0;
+            tailLost = size > FileHeader.HEADER_BYTES || cut > FileHeader.HEADER_BYTES || !newest && !this.cut;
         }
     }
 
     /** Bytes read so far. */
-    long read() {
-        return window.read();
+    long bytesRead() {
+        return window.bytesRead();
     }
 
     boolean sealed() {
@@ -111,65 +111,100 @@
     }
 
     private boolean isSealed(long size) throws IOException {
-        long from = size - SEAL_SIZE;
-        if (from < FileHeader.SIZE) {
+        long from = size - SEAL_BYTES;
+        if (from < FileHeader.HEADER_BYTES) {
             return false;
         }
-        ByteBuffer bytes = ByteBuffer.allocate(SEAL_SIZE);
+        ByteBuffer bytes = ByteBuffer.allocate(SEAL_BYTES);
         file.read(bytes, from);
         ByteBuffer whole = GroupEncoder.seal(mark, (int) from);
         int wrong = 0;
-        for (int i = 0; i < SEAL_SIZE; i++) {
+        for (int i = 0; i < SEAL_BYTES; i++) {
             wrong += Integer.bitCount((bytes.get(i) ^ whole.get(i)) & 0xFF);
         }
-        return wrong <= SEAL_TOLERANCE;
+        return wrong <= MAX_WRONG_SEAL_BITS;
     }
 
     /** Goes on to the next thing; behind END it stays there. */
-    Step next() throws IOException {
+    Step nextOffset() throws IOException {
         if (ended) {
             return endOrLoss();
         }
-        if (next >= window.end()) {
+        if (nextOffset >= window.endOffset()) {
             return atEnd();
         }
-        Format.Record found = frame(next);
-        if (next < groupEnd) {
+        Format.Record found = readFrame(nextOffset);
+        if (nextOffset < groupEnd) {
             return found != null
                             && (found.getKind() != Format.Record.Kind.GROUP)
-                            && next + length <= groupEnd
-                            && (!hashesKnown || index < hashes.size())
-                    ? one(found)
+                            && nextOffset + frameBytes <= groupEnd
+                            && (!hashesKnown || recordIndex < hashes.size())
+                    ? recordStep(found)
                     : badRecord();
         }
-        return found != null && isGroup(found, next) ? group(found) : badGroup();
+        return found != null && isGroup(found, nextOffset) ? groupStep(found) : badGroup();
     }
 
-    private Step one(Format.Record found) {
-        at = next;
+    /** Where the thing that the last step found stands in the file. */
+    long offset() {
+        return offset;
+    }
+
+    /** The length of the frame that the last step found. */
+    int frameBytes() {
+        return frameBytes;
+    }
+
+    /** The hash of the found record's key; 0 if its group's list of hashes is lost or it has no key. */
+    long hash() {
+        return hash;
+    }
+
+    /** The record that the last step found. */
+    Format.Record record() {
+        return record;
+    }
+
+    /** The hashes of the lost records' keys; changed by the next step. */
+    LongArrayList lostHashes() {
+        return lostHashes;
+    }
+
+    /** Whether records of keys that are not known were lost. */
+    boolean lostAll() {
+        return lostAll;
+    }
+
+    /** How the segment ends; null before {@link Step#END}. */
+    End end() {
+        return end;
+    }
+
+    private Step recordStep(Format.Record found) {
+        offset = nextOffset;
         record = found;
-        hash = hashesKnown ? hashes.getLong(index) : 0;
-        index++;
-        next += length;
+        hash = hashesKnown ? hashes.getLong(recordIndex) : 0;
+        recordIndex++;
+        nextOffset += frameBytes;
         return Step.RECORD;
     }
 
-    private Step group(Format.Record found) {
-        at = next;
+    private Step groupStep(Format.Record found) {
+        offset = nextOffset;
         hashes = new LongArrayList();
         found.getGroup().getHashesList().forEach(hashes::addLong);
         hashesKnown = true;
-        index = 0;
-        next += length;
-        groupEnd = next + found.getGroup().getLength();
+        recordIndex = 0;
+        nextOffset += frameBytes;
+        groupEnd = nextOffset + found.getGroup().getLength();
         return Step.GROUP;
     }
 
     private Step atEnd() {
         ended = true;
-        at = window.end();
-        boolean within = next < groupEnd && !cut;
-        end = sealed ? End.SEALED : cut ? End.CUT : within && !durable ? End.TORN : End.OPEN;
+        offset = window.endOffset();
+        boolean within = nextOffset < groupEnd && !cut;
+        end = sealed ? End.SEALED : cut ? End.CUT : within && !durable ? End.TORN : End.UNSEALED;
         if (!cut && durable && (within || !sealed)) {
             tailLost = true; // the rest of the file is gone
         }
@@ -177,7 +212,7 @@
     }
 
     private Step endOrLoss() {
-        lost.clear();
+        lostHashes.clear();
         lostAll = tailLost;
         tailLost = false;
         return lostAll ? Step.DAMAGE : Step.END;
@@ -185,52 +220,53 @@
 
     /** A bad frame within a group: what follows may be whole. */
     private Step badRecord() throws IOException {
-        if (!wasDurable(next)) {
+        if (!wasDurable(nextOffset)) {
             return torn();
         }
-        lost.clear();
+        lostHashes.clear();
         lostAll = !hashesKnown;
-        at = next;
-        ByteBuffer head = window.at(next, RecordFraming.HEAD);
-        int told = head.remaining() < RecordFraming.HEAD ? -1 : head.getInt(0);
-        long behind = next + RecordFraming.HEAD + told;
+        offset = nextOffset;
+        ByteBuffer head = window.bytesAt(nextOffset, RecordFraming.HEADER_BYTES);
+        int told = head.remaining() < RecordFraming.HEADER_BYTES ? -1 : head.getInt(0);
+        long behind = nextOffset + RecordFraming.HEADER_BYTES + told;
         boolean lengthHolds = told >= 0
-                && told <= RecordFraming.LONGEST
+                && told <= RecordFraming.MAX_BODY_BYTES
                 && behind <= groupEnd
-                && (behind == groupEnd && index == hashes.size() - 1 || behind < groupEnd && frame(behind) != null);
-        if (hashesKnown && lengthHolds && index < hashes.size()) {
-            lost.addLong(hashes.getLong(index));
-            index++;
-            next = behind;
+                && (behind == groupEnd && recordIndex == hashes.size() - 1
+                        || behind < groupEnd && readFrame(behind) != null);
+        if (hashesKnown && lengthHolds && recordIndex < hashes.size()) {
+            lostHashes.addLong(hashes.getLong(recordIndex));
+            recordIndex++;
+            nextOffset = behind;
             return Step.DAMAGE;
         }
-        for (; hashesKnown && index < hashes.size(); index++) {
-            lost.addLong(hashes.getLong(index));
+        for (; hashesKnown && recordIndex < hashes.size(); recordIndex++) {
+            lostHashes.addLong(hashes.getLong(recordIndex));
         }
-        next = Math.min(groupEnd, window.end());
-        groupEnd = next;
+        nextOffset = Math.min(groupEnd, window.endOffset());
+        groupEnd = nextOffset;
         return Step.DAMAGE;
     }
 
     /** The frame that begins a group is bad: its records may be whole, though nobody says which they were. */
     private Step badGroup() throws IOException {
-        if (!wasDurable(next)) {
+        if (!wasDurable(nextOffset)) {
             return torn();
         }
-        at = next;
-        lost.clear();
-        ByteBuffer head = window.at(next, RecordFraming.HEAD);
-        int told = head.remaining() < RecordFraming.HEAD ? -1 : head.getInt(0);
-        long until = nextGroup(next + 1);
-        long first = next + RecordFraming.HEAD + told;
-        if (told >= 0 && told <= RecordFraming.LONGEST && first < until && chain(first, until)) {
-            next = first;
+        offset = nextOffset;
+        lostHashes.clear();
+        ByteBuffer head = window.bytesAt(nextOffset, RecordFraming.HEADER_BYTES);
+        int told = head.remaining() < RecordFraming.HEADER_BYTES ? -1 : head.getInt(0);
+        long until = findNextGroup(nextOffset + 1);
+        long first = nextOffset + RecordFraming.HEADER_BYTES + told;
+        if (told >= 0 && told <= RecordFraming.MAX_BODY_BYTES && first < until && isFrameSequence(first, until)) {
+            nextOffset = first;
             groupEnd = until;
             hashesKnown = false;
-            return next();
+            return nextOffset();
         }
         lostAll = true;
-        next = until;
+        nextOffset = until;
         groupEnd = until;
         return Step.DAMAGE;
     }
@@ -238,19 +274,19 @@
     private Step torn() {
         ended = true;
         end = End.TORN;
-        at = next;
+        offset = nextOffset;
         return Step.END;
     }
 
     /** Whether whole frames without a group among them lead from one place exactly to another. */
-    private boolean chain(long from, long to) throws IOException {
+    private boolean isFrameSequence(long from, long to) throws IOException {
         long place = from;
         while (place < to) {
-            Format.Record found = frame(place);
+            Format.Record found = readFrame(place);
             if (found == null || found.getKind() == Format.Record.Kind.GROUP) {
                 return false;
             }
-            place += length;
+            place += frameBytes;
         }
         return place == to;
     }
@@ -262,29 +298,29 @@
         }
         if (syncedTo < 0) {
             syncedTo = 0;
-            for (long group = nextGroup(place + 1); group < window.end(); group = nextGroup(group + 1)) {
-                syncedTo = Math.max(syncedTo, frame(group).getGroup().getSynced());
+            for (long group = findNextGroup(place + 1); group < window.endOffset(); group = findNextGroup(group + 1)) {
+                syncedTo = Math.max(syncedTo, readFrame(group).getGroup().getSynced());
             }
         }
         return place < syncedTo;
     }
 
     /** Where the next whole frame of a group stands, or the end. */
-    private long nextGroup(long from) throws IOException {
-        for (long place = from; place + SMALLEST_GROUP <= window.end(); place++) {
-            ByteBuffer head = window.at(place, SMALLEST_GROUP);
+    private long findNextGroup(long from) throws IOException {
+        for (long place = from; place + MIN_GROUP_FRAME_BYTES <= window.endOffset(); place++) {
+            ByteBuffer head = window.bytesAt(place, MIN_GROUP_FRAME_BYTES);
             int told = head.getInt(0);
-            if (told >= SMALLEST_GROUP - RecordFraming.HEAD
-                    && told <= RecordFraming.LONGEST
-                    && head.get(RecordFraming.HEAD) == 8
-                    && head.get(RecordFraming.HEAD + 1) == Format.Record.Kind.GROUP_VALUE) {
-                Format.Record found = frame(place);
+            if (told >= MIN_GROUP_FRAME_BYTES - RecordFraming.HEADER_BYTES
+                    && told <= RecordFraming.MAX_BODY_BYTES
+                    && head.get(RecordFraming.HEADER_BYTES) == 8
+                    && head.get(RecordFraming.HEADER_BYTES + 1) == Format.Record.Kind.GROUP_VALUE) {
+                Format.Record found = readFrame(place);
                 if (found != null && isGroup(found, place)) {
                     return place;
                 }
             }
         }
-        return window.end();
+        return window.endOffset();
     }
 
     private boolean isGroup(Format.Record found, long place) {
@@ -293,21 +329,24 @@
                 && Integer.toUnsignedLong(found.getGroup().getAt()) == place;
     }
 
-    /** The record whose frame stands whole at a place, with {@link #length} set; null if none does. */
-    private Format.Record frame(long place) throws IOException {
-        ByteBuffer head = window.at(place, RecordFraming.HEAD);
-        if (head.remaining() < RecordFraming.HEAD) {
+    /** The record whose frame stands whole at a place, with {@link #frameBytes()} set; null if none does. */
+    private Format.Record readFrame(long place) throws IOException {
+        ByteBuffer head = window.bytesAt(place, RecordFraming.HEADER_BYTES);
+        if (head.remaining() < RecordFraming.HEADER_BYTES) {
             return null;
         }
         int told = head.getInt(0);
-        if (told < 0 || told > RecordFraming.LONGEST || place + RecordFraming.HEAD + told > window.end()) {
+        if (told < 0
+                || told > RecordFraming.MAX_BODY_BYTES
+                || place + RecordFraming.HEADER_BYTES + told > window.endOffset()) {
             return null;
         }
         ByteBuffer[] body = new ByteBuffer[1];
-        if (RecordFraming.read(window.at(place, RecordFraming.HEAD + told), body) != RecordFraming.Found.WHOLE) {
+        if (RecordFraming.read(window.bytesAt(place, RecordFraming.HEADER_BYTES + told), body)
+                != RecordFraming.Found.COMPLETE) {
             return null;
         }
-        length = RecordFraming.sizeOf(told);
+        frameBytes = RecordFraming.frameBytes(told);
         return parse(body[0]);
     }
 
--- a/server/src/main/java/wheatspread/store/SegmentWriter.java
+++ b/server/src/main/java/wheatspread/store/SegmentWriter.java
@@ -34,8 +34,8 @@
     /** Something was appended since the last sync. */
     private boolean dirty;
 
-    private int syncedTo;
-    private long syncedAt;
+    private int syncedOffset;
+    private long lastSyncMillis;
 
     SegmentWriter(StoreContext context, Recovery recovery, CheckpointProgress checkpoints) {
         disk = context.disk();
@@ -46,7 +46,7 @@
         counters = context.counters();
         this.checkpoints = checkpoints;
         pendingCuts = recovery.pendingCuts();
-        nextNumber = recovery.layout().next();
+        nextNumber = recovery.layout().nextNumber();
     }
 
     /** The segment that is written to; null if there is none now. */
@@ -56,12 +56,12 @@
 
     /** The number of the segment that the next group goes to, as far as is known now. */
     int currentNumber() {
-        return active != null ? active.name.first() : nextNumber;
+        return active != null ? active.name().first() : nextNumber;
     }
 
     /** Where in {@link #currentNumber} the next group goes to. */
     int currentOffset() {
-        return active != null ? (int) active.bytes : 0;
+        return active != null ? (int) active.validBytes() : 0;
     }
 
     /** Whether something was appended since the last sync. */
@@ -70,13 +70,15 @@
     }
 
     /** When the last sync was; milliseconds. */
-    long syncedAt() {
-        return syncedAt;
+    long lastSyncMillis() {
+        return lastSyncMillis;
     }
 
     /** Sees that there is a segment with room for this many bytes. */
     void reserve(long size) throws IOException {
-        if (active != null && active.bytes > FileHeader.SIZE && active.bytes + size > settings.segmentBytes()) {
+        if (active != null
+                && active.validBytes() > FileHeader.HEADER_BYTES
+                && active.validBytes() + size > settings.segmentBytes()) {
             seal();
         }
         if (active == null) {
@@ -89,10 +91,10 @@
         if (active == null) {
             return;
         }
-        ByteBuffer seal = GroupEncoder.seal(mark, (int) active.bytes);
-        active.file.append(seal);
-        active.file.sync();
-        active.bytes += seal.capacity();
+        ByteBuffer seal = GroupEncoder.seal(mark, (int) active.validBytes());
+        active.file().append(seal);
+        active.file().sync();
+        active.setValidBytes(active.validBytes() + seal.capacity());
         active = null;
         dirty = false;
     }
@@ -101,14 +103,14 @@
         SegmentName name = SegmentName.original(nextNumber);
         disk.delete(name.toString()); // left by a creation that failed half-way
         DiskFile file = disk.create(name.toString());
-        active = new Segment(catalog.newId(), name, file, FileHeader.SIZE);
+        active = new Segment(catalog.newId(), name, file, FileHeader.HEADER_BYTES);
         catalog.append(active);
         nextNumber++;
         mark = FileHeader.newMark(random);
-        file.append(FileHeader.write(name, catalog.seed, mark, 0));
+        file.append(FileHeader.write(name, catalog.seed(), mark, 0));
         file.sync();
         disk.syncNames();
-        syncedTo = FileHeader.SIZE;
+        syncedOffset = FileHeader.HEADER_BYTES;
         dirty = false;
     }
 
@@ -118,55 +120,55 @@
      *
      * @return the offset in the active segment that the places in the group count from
      */
-    long append(List<Write> writes, long nowMs) throws IOException {
+    long append(List<Write> writes, long nowMillis) throws IOException {
         encode(writes);
-        int start = (int) active.bytes;
-        ByteBuffer bytes = group.end(mark, start, syncedTo);
+        int start = (int) active.validBytes();
+        ByteBuffer bytes = group.end(mark, start, syncedOffset);
         int size = bytes.remaining();
-        active.file.append(bytes);
+        active.file().append(bytes);
         dirty = true;
         if (settings.sync() == StoreSettings.Sync.GROUP || !pendingCuts.isEmpty()) {
-            sync(start + size, nowMs);
+            sync(start + size, nowMillis);
         }
-        active.bytes = start + size;
+        active.setValidBytes(start + size);
         checkpoints.logged(size);
         counters.groups++;
         counters.writtenBytes += size;
         pendingCuts.clear();
-        return active.bytes - group.size();
+        return active.validBytes() - group.size();
     }
 
     private void encode(List<Write> writes) {
-        group.begin(writes.size() + 1);
+        group.startGroup(writes.size() + 1);
         if (!pendingCuts.isEmpty()) {
             group.add(0, GroupEncoder.cuts(pendingCuts));
         }
         for (Write write : writes) {
-            write.at = group.add(write.hash, write.key, write.value, write.expiresMs);
-            write.length = group.length(write.at);
+            int groupOffset = group.add(write.hash(), write.key(), write.value(), write.expiresMillis());
+            write.setLocation(groupOffset, group.length(groupOffset));
         }
     }
 
     /** Syncs all that was appended. */
-    void sync(long nowMs) throws IOException {
-        sync((int) active.bytes, nowMs);
+    void sync(long nowMillis) throws IOException {
+        sync((int) active.validBytes(), nowMillis);
     }
 
-    private void sync(int upTo, long nowMs) throws IOException {
-        active.file.sync();
+    private void sync(int upTo, long nowMillis) throws IOException {
+        active.file().sync();
         counters.syncs++;
         dirty = false;
-        syncedTo = upTo;
-        syncedAt = nowMs;
+        syncedOffset = upTo;
+        lastSyncMillis = nowMillis;
     }
 
     /** After {@link #abandon}: a new segment that says where the failed one ends. */
-    void resume(long nowMs) throws IOException {
+    void resume(long nowMillis) throws IOException {
         if (active == null) {
             create();
         }
         if (!pendingCuts.isEmpty()) {
-            append(List.of(), nowMs);
+            append(List.of(), nowMillis);
         }
     }
 
@@ -178,28 +180,28 @@
         Segment failed = active;
         active = null;
         dirty = false;
-        if (failed.bytes <= FileHeader.SIZE) {
+        if (failed.validBytes() <= FileHeader.HEADER_BYTES) {
             discard(failed);
         } else {
-            failed.cut = (int) failed.bytes;
-            pendingCuts.put(failed.name.first(), failed.cut);
+            failed.setCutOffset((int) failed.validBytes());
+            pendingCuts.put(failed.name().first(), failed.cutOffset());
         }
     }
 
     /** Deletes a segment that holds nothing acknowledged, so that its number can be used again. */
     private void discard(Segment failed) {
-        int number = failed.name.first();
-        failed.bytes = 0;
-        failed.cut = 0;
+        int number = failed.name().first();
+        failed.setValidBytes(0);
+        failed.setCutOffset(0);
         pendingCuts.put(number, 0);
         try {
-            disk.delete(failed.name.toString());
+            disk.delete(failed.name().toString());
             catalog.remove(failed);
             pendingCuts.remove(number);
             nextNumber = number;
             failed.retire();
         } catch (IOException e) {
-            log.warn("store_delete_failed", "file", failed.name, "reason", e.toString());
+            log.warn("store_delete_failed", "file", failed.name(), "reason", e.toString());
         }
     }
 
--- a/server/src/main/java/wheatspread/store/Store.java
+++ b/server/src/main/java/wheatspread/store/Store.java
@@ -94,7 +94,7 @@
     private final StoreSettings settings;
     private final Time time;
     private final EventLog log;
-    private final Log files;
+    private final LogStructuredStore files;
     private final WriterQueue queue;
     private final WriterLoop writer;
     private final ReaderLoop reader;
@@ -102,7 +102,7 @@
     private final Thread readerThread;
     private final Thread backgroundThread;
 
-    private Store(Log files, StoreSettings settings, Time time, Executor callbacks, EventLog log) {
+    private Store(LogStructuredStore files, StoreSettings settings, Time time, Executor callbacks, EventLog log) {
         this.files = files;
         this.settings = settings;
         this.time = time;
@@ -133,7 +133,8 @@
             throws IOException {
         SecureRandom random = new SecureRandom();
         long begun = time.nanos();
-        Log files = Log.open(disk, settings, log, random::nextLong, time.nowMs(), Recovery.Purpose.WORK);
+        LogStructuredStore files = LogStructuredStore.open(
+                disk, settings, log, random::nextLong, time.nowMs(), Recovery.Purpose.READ_WRITE);
         Recovery.Report report = files.recovered();
         log.info(
                 "store_opened",
@@ -278,7 +279,7 @@
         join(backgroundThread);
         join(readerThread);
         try {
-            files.shut();
+            files.closeFiles();
         } catch (IOException e) {
             log.warn("store_close_failed", "reason", e.toString());
         }
--- a/server/src/main/java/wheatspread/store/StoreSettings.java
+++ b/server/src/main/java/wheatspread/store/StoreSettings.java
@@ -67,39 +67,39 @@
 
     /** @throws IllegalArgumentException naming the value and what is allowed */
     public StoreSettings {
-        within("sync_ms", syncMs, 1, 60_000);
-        within("segment_bytes", segmentBytes, 1 << 10, 1 << 30);
-        within("max_bytes", maxBytes, 4L * segmentBytes, 1L << 50);
-        within("min_free_bytes", minFreeBytes, 0, 1L << 50);
-        within("record_bytes", recordBytes, 16, Math.min(segmentBytes / 4, RecordFraming.LONGEST / 2));
-        within("queue_records", queueRecords, 1, 10_000_000);
-        within("queue_bytes", queueBytes, recordBytes, 1L << 32);
-        within("group_records", groupRecords, 1, 100_000);
-        within("group_bytes", groupBytes, recordBytes, segmentBytes);
-        within("compact_bytes_per_s", compactBytesPerS, 1 << 10, 1L << 40);
+        requireInRange("sync_ms", syncMs, 1, 60_000);
+        requireInRange("segment_bytes", segmentBytes, 1 << 10, 1 << 30);
+        requireInRange("max_bytes", maxBytes, 4L * segmentBytes, 1L << 50);
+        requireInRange("min_free_bytes", minFreeBytes, 0, 1L << 50);
+        requireInRange("record_bytes", recordBytes, 16, Math.min(segmentBytes / 4, RecordFraming.MAX_BODY_BYTES / 2));
+        requireInRange("queue_records", queueRecords, 1, 10_000_000);
+        requireInRange("queue_bytes", queueBytes, recordBytes, 1L << 32);
+        requireInRange("group_records", groupRecords, 1, 100_000);
+        requireInRange("group_bytes", groupBytes, recordBytes, segmentBytes);
+        requireInRange("compact_bytes_per_s", compactBytesPerS, 1 << 10, 1L << 40);
         if (!(compactDeadShare > 0 && compactDeadShare < 1)) {
             throw new IllegalArgumentException(
                     "compact_dead_share is " + compactDeadShare + "; allowed is between 0 and 1");
         }
-        within("compact_wait_ms", compactWaitMs, 0, 86_400_000);
-        within("checkpoint_bytes", checkpointBytes, 1 << 10, 1L << 40);
-        within("longest_life_ms", longestLifeMs, 0, Long.MAX_VALUE / 4);
+        requireInRange("compact_wait_ms", compactWaitMs, 0, 86_400_000);
+        requireInRange("checkpoint_bytes", checkpointBytes, 1 << 10, 1L << 40);
+        requireInRange("longest_life_ms", longestLifeMs, 0, Long.MAX_VALUE / 4);
     }
 
-    private static void within(String name, long value, long least, long most) {
+    private static void requireInRange(String name, long value, long least, long most) {
         if (value < least || value > most) {
             throw new IllegalArgumentException(name + " is " + value + "; allowed is " + least + " to " + most);
         }
     }
 
     /** What is kept free under the bound, so that compaction and a checkpoint find room at any time. */
-    long reserve() {
+    long reserveBytes() {
         return segmentBytes + segmentBytes / 2;
     }
 
     /** When all has expired that could be lost now; 0 is never. */
-    long lossUntil(long nowMs) {
-        return longestLifeMs == 0 ? 0 : nowMs + longestLifeMs;
+    long lossUntilMillis(long nowMillis) {
+        return longestLifeMs == 0 ? 0 : nowMillis + longestLifeMs;
     }
 
     public StoreSettings withSync(Sync other, long everyMs) {
--- a/server/src/main/java/wheatspread/store/SuspectedLosses.java
+++ b/server/src/main/java/wheatspread/store/SuspectedLosses.java
@@ -11,62 +11,62 @@
  */
 final class SuspectedLosses {
     /** Beyond so many keys, all are in doubt. */
-    static final int MOST = 100_000;
+    static final int MAX_KEYS = 100_000;
 
-    private static final long NEVER = Long.MAX_VALUE;
+    private static final long NEVER_ENDS_MILLIS = Long.MAX_VALUE;
 
     private final Long2LongHashMap keys = new Long2LongHashMap(0);
-    private int segment;
-    private int offset;
-    private long allUntil;
-
-    /** A key whose newest write may be lost; 0 for {@code untilMs} is for good. */
-    void add(long hash, long untilMs, int atSegment, int atOffset) {
-        if (keys.size() >= MOST && !keys.containsKey(hash)) {
-            addAll(untilMs, atSegment, atOffset);
+    private int lossSegment;
+    private int lossOffset;
+    private long allUntilMillis;
+
+    /** A key whose newest write may be lost; 0 for {@code untilMillis} is for good. */
+    void add(long hash, long untilMillis, int atSegment, int atOffset) {
+        if (keys.size() >= MAX_KEYS && !keys.containsKey(hash)) {
+            addAll(untilMillis, atSegment, atOffset);
         } else {
-            keys.merge(hash, untilMs == 0 ? NEVER : untilMs, Math::max);
+            keys.merge(hash, untilMillis == 0 ? NEVER_ENDS_MILLIS : untilMillis, Math::max);
         }
     }
 
     /** Any key's newest write may be lost that stood at this place of the log. */
-    void addAll(long untilMs, int atSegment, int atOffset) {
-        if (compare(atSegment, atOffset, segment, offset) > 0 || allUntil == 0) {
-            segment = atSegment;
-            offset = atOffset;
+    void addAll(long untilMillis, int atSegment, int atOffset) {
+        if (compare(atSegment, atOffset, lossSegment, lossOffset) > 0 || allUntilMillis == 0) {
+            lossSegment = atSegment;
+            lossOffset = atOffset;
         }
-        allUntil = Math.max(allUntil, untilMs == 0 ? NEVER : untilMs);
+        allUntilMillis = Math.max(allUntilMillis, untilMillis == 0 ? NEVER_ENDS_MILLIS : untilMillis);
     }
 
     /** Whether a key that is not there may have been. */
-    boolean aboutAbsent(long hash, long nowMs) {
-        return allUntil > nowMs || keys.get(hash) > nowMs;
+    boolean suspectsAbsentKey(long hash, long nowMillis) {
+        return allUntilMillis > nowMillis || keys.get(hash) > nowMillis;
     }
 
     /** Whether a key whose entry stands there may have been written again. */
-    boolean aboutEntry(int atSegment, int atOffset, long nowMs) {
-        return allUntil > nowMs && compare(atSegment, atOffset, segment, offset) < 0;
+    boolean suspectsEntry(int atSegment, int atOffset, long nowMillis) {
+        return allUntilMillis > nowMillis && compare(atSegment, atOffset, lossSegment, lossOffset) < 0;
     }
 
     /** Forgets what has ended. */
-    void age(long nowMs) {
-        keys.values().removeIf(until -> until <= nowMs);
-        if (allUntil <= nowMs) {
-            allUntil = 0;
+    void removeExpired(long nowMillis) {
+        keys.values().removeIf(until -> until <= nowMillis);
+        if (allUntilMillis <= nowMillis) {
+            allUntilMillis = 0;
         }
     }
 
     void clear() {
         keys.clear();
-        allUntil = 0;
+        allUntilMillis = 0;
     }
 
     int size() {
         return keys.size();
     }
 
-    boolean all() {
-        return allUntil != 0;
+    boolean suspectsAllKeys() {
+        return allUntilMillis != 0;
     }
 
     /** Writes them into a checkpoint. */
@@ -74,12 +74,14 @@
         for (Map.Entry<Long, Long> one : keys.entrySet()) {
             to.addDoubts(Format.Doubt.newBuilder()
                     .addHashes(one.getKey())
-                    .setUntilMs(one.getValue() == NEVER ? 0 : one.getValue()));
+                    .setUntilMs(one.getValue() == NEVER_ENDS_MILLIS ? 0 : one.getValue()));
         }
-        if (allUntil != 0) {
-            to.addDoubts(Format.Doubt.newBuilder().setAll(true).setUntilMs(allUntil == NEVER ? 0 : allUntil));
-            to.addDoubtSegments(segment);
-            to.addDoubtOffsets(offset);
+        if (allUntilMillis != 0) {
+            to.addDoubts(Format.Doubt.newBuilder()
+                    .setAll(true)
+                    .setUntilMs(allUntilMillis == NEVER_ENDS_MILLIS ? 0 : allUntilMillis));
+            to.addDoubtSegments(lossSegment);
+            to.addDoubtOffsets(lossOffset);
         }
     }
 
@@ -97,14 +99,14 @@
     }
 
     /** The lost keys of one place. */
-    void take(LongArrayList lost, boolean all, long untilMs, int atSegment, int atOffset) {
+    void addLosses(LongArrayList lost, boolean all, long untilMillis, int atSegment, int atOffset) {
         for (int i = 0; i < lost.size(); i++) {
             if (lost.getLong(i) != 0) {
-                add(lost.getLong(i), untilMs, atSegment, atOffset);
+                add(lost.getLong(i), untilMillis, atSegment, atOffset);
             }
         }
         if (all) {
-            addAll(untilMs, atSegment, atOffset);
+            addAll(untilMillis, atSegment, atOffset);
         }
     }
 
--- a/server/src/main/java/wheatspread/store/WriteState.java
+++ b/server/src/main/java/wheatspread/store/WriteState.java
@@ -5,8 +5,8 @@
  * where the failed one ends; attempts at that are spaced out. No I/O, no clock; times are milliseconds.
  */
 public final class WriteState {
-    static final long FIRST_PAUSE = 50;
-    static final long LONGEST_PAUSE = 5_000;
+    static final long MIN_RETRY_DELAY_MILLIS = 50;
+    static final long MAX_RETRY_DELAY_MILLIS = 5_000;
 
     /** What a writer may do now. */
     public enum Mode {
@@ -18,14 +18,14 @@
     }
 
     private boolean failed;
-    private boolean noSpace;
+    private boolean diskFull;
     private boolean full;
-    private long pause;
-    private long retryAt;
+    private long retryDelayMillis;
+    private long retryAtMillis;
     private long failures;
 
     Mode mode() {
-        return failed && !noSpace ? Mode.FAILED : failed || full ? Mode.FULL : Mode.OPEN;
+        return failed && !diskFull ? Mode.FAILED : failed || full ? Mode.FULL : Mode.OPEN;
     }
 
     /** Whether the failed segment has still to be ended. */
@@ -40,24 +40,25 @@
     void failed(long now, boolean spaceIsMissing) {
         failures++;
         failed = true;
-        noSpace = spaceIsMissing;
-        pause = pause == 0 ? FIRST_PAUSE : Math.min(LONGEST_PAUSE, pause * 2);
-        retryAt = now + pause;
+        diskFull = spaceIsMissing;
+        retryDelayMillis =
+                retryDelayMillis == 0 ? MIN_RETRY_DELAY_MILLIS : Math.min(MAX_RETRY_DELAY_MILLIS, retryDelayMillis * 2);
+        retryAtMillis = now + retryDelayMillis;
     }
 
     boolean mayRetry(long now) {
-        return failed && now >= retryAt;
+        return failed && now >= retryAtMillis;
     }
 
     /** When to try again, or a time that never comes. */
-    long retryAt() {
-        return failed ? retryAt : Long.MAX_VALUE;
+    long retryAtMillis() {
+        return failed ? retryAtMillis : Long.MAX_VALUE;
     }
 
     void recovered() {
         failed = false;
-        noSpace = false;
-        pause = 0;
+        diskFull = false;
+        retryDelayMillis = 0;
     }
 
     /** Whether there is room, as last looked at. */
--- a/server/src/main/java/wheatspread/store/WriterLoop.java
+++ b/server/src/main/java/wheatspread/store/WriterLoop.java
@@ -8,14 +8,14 @@
 
 /** The writer's thread: commits groups of writes, and begins and ends the jobs of the background thread. */
 final class WriterLoop implements Runnable {
-    private final Log files;
+    private final LogStructuredStore files;
     private final WriterQueue queue;
     private final Store.Time time;
     private final Executor callbacks;
     private final EventLog log;
     private volatile WriteState.Mode mode = WriteState.Mode.OPEN;
 
-    WriterLoop(Log files, WriterQueue queue, Store.Time time, Executor callbacks, EventLog log) {
+    WriterLoop(LogStructuredStore files, WriterQueue queue, Store.Time time, Executor callbacks, EventLog log) {
         this.files = files;
         this.queue = queue;
         this.time = time;
@@ -33,13 +33,13 @@
         List<Write> group = new ArrayList<>();
         boolean last = false;
         while (!last) {
-            last = queue.takeGroup(group, files.isBusy() ? 0 : files.dueMs(time.nowMs()));
+            last = queue.takeGroup(group, files.isBusy() ? 0 : files.nextTickMillis(time.nowMs()));
             try {
                 turn(group);
             } catch (RuntimeException e) {
                 log.error("store_fault", "reason", e.toString());
                 group.stream()
-                        .filter(write -> write.outcome == null)
+                        .filter(write -> write.outcome() == null)
                         .forEach(write -> write.complete(Store.Outcome.IN_DOUBT, "a fault in the program: " + e));
             }
             tell(group);
@@ -60,12 +60,12 @@
     private void tell(List<Write> group) {
         if (!group.isEmpty()) {
             List<Write> told = List.copyOf(group);
-            callbacks.execute(() -> told.forEach(write -> write.done.ended(write.outcome, write.reason)));
+            callbacks.execute(() -> told.forEach(write -> write.notifyCaller()));
         }
     }
 
     private void offerJob() {
-        if (queue.takesJob()) {
+        if (queue.acceptsJob()) {
             MaintenanceJob next = files.nextJob(time.nowMs());
             if (next != null) {
                 queue.offerJob(next);
--- a/server/src/main/java/wheatspread/store/WriterQueue.java
+++ b/server/src/main/java/wheatspread/store/WriterQueue.java
@@ -11,7 +11,7 @@
  * writer waits for either. Nobody holds it over I/O.
  */
 final class WriterQueue {
-    private static final long LONGEST_WAIT_MS = 1_000;
+    private static final long MAX_WAIT_MILLIS = 1_000;
 
     /**
      * A job whose steps are over.
@@ -24,7 +24,7 @@
     private final Store.Time time;
     private final Deque<Write> writes = new ArrayDeque<>();
     private long waitingBytes;
-    private int refusedFull;
+    private int rejectedWrites;
     private boolean closing;
     private MaintenanceJob offered;
     private FinishedJob finished;
@@ -42,7 +42,7 @@
             return Store.Refusal.CLOSED;
         }
         if (writes.size() + batch.size() > settings.queueRecords() || waitingBytes + bytes > settings.queueBytes()) {
-            refusedFull += batch.size();
+            rejectedWrites += batch.size();
             return Store.Refusal.QUEUE_FULL;
         }
         waitingBytes += bytes;
@@ -55,12 +55,12 @@
     }
 
     /**
-     * Waits until there is a write, a finished job, an end, or the time {@code dueMs}, and takes what makes a
+     * Waits until there is a write, a finished job, an end, or the time {@code dueMillis}, and takes what makes a
      * group; true when it was the last.
      */
-    synchronized boolean takeGroup(List<Write> group, long dueMs) {
-        while (writes.isEmpty() && !closing && finished == null && time.nowMs() < dueMs) {
-            await(this, Math.max(1, dueMs - time.nowMs()));
+    synchronized boolean takeGroup(List<Write> group, long dueMillis) {
+        while (writes.isEmpty() && !closing && finished == null && time.nowMs() < dueMillis) {
+            await(this, Math.max(1, dueMillis - time.nowMs()));
         }
         long bytes = 0;
         while (!writes.isEmpty()
@@ -76,13 +76,13 @@
 
     /** What waits here, beside so many reads that wait elsewhere. */
     synchronized Store.Waiting waiting(int reads) {
-        return new Store.Waiting(writes.size(), waitingBytes, reads, refusedFull);
+        return new Store.Waiting(writes.size(), waitingBytes, reads, rejectedWrites);
     }
 
     // ---- the job in hand ----
 
     /** Whether a job may be offered now: one at a time, and none at the end. */
-    synchronized boolean takesJob() {
+    synchronized boolean acceptsJob() {
         return !closing && offered == null && finished == null;
     }
 
@@ -95,7 +95,7 @@
     /** Waits for a job and returns it; null when the store closes. */
     synchronized MaintenanceJob awaitJob() {
         while (offered == null && !closing) {
-            await(this, LONGEST_WAIT_MS);
+            await(this, MAX_WAIT_MILLIS);
         }
         return closing ? null : offered;
     }
--- a/server/src/test/java/wheatspread/store/CrashTest.java
+++ b/server/src/test/java/wheatspread/store/CrashTest.java
@@ -14,10 +14,10 @@
     private static final int TURNS = 130;
     private static final long HISTORY = 11;
 
-    private static Bench whole() throws IOException {
-        Bench bench = new Bench(Bench.small(), 1);
-        bench.history(new Random(HISTORY), TURNS);
-        return bench;
+    private static StoreHarness whole() throws IOException {
+        StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 1);
+        harness.runHistory(new Random(HISTORY), TURNS);
+        return harness;
     }
 
     @FunctionalInterface
@@ -37,109 +37,109 @@
         };
     }
 
-    private static Bench recovered(Bench at, FaultyDisk.Unsynced how, long seed) throws IOException {
-        Bench other = at.crashedHere(how, seed);
+    private static StoreHarness recovered(StoreHarness at, FaultyDisk.Unsynced how, long seed) throws IOException {
+        StoreHarness other = at.afterCrash(how, seed);
         other.open();
-        other.check(true);
+        other.assertExpectedValues(true);
         return other;
     }
 
     /** What was found goes on to be a store: it takes writes, and holds them after another crash. */
-    private static void goesOn(Bench bench, long seed) throws IOException {
-        recovered(bench, FaultyDisk.Unsynced.REORDERED, seed); // what was read is there for good
-        bench.turns(new Random(seed), 12);
-        bench.check(false);
-        bench.restart(FaultyDisk.Unsynced.LOST, seed);
-        bench.check(true);
-        assertThat(bench.events)
+    private static void goesOn(StoreHarness harness, long seed) throws IOException {
+        recovered(harness, FaultyDisk.Unsynced.REORDERED, seed); // what was read is there for good
+        harness.runTurns(new Random(seed), 12);
+        harness.assertExpectedValues(false);
+        harness.restart(FaultyDisk.Unsynced.LOST, seed);
+        harness.assertExpectedValues(true);
+        assertThat(harness.events)
                 .noneMatch(line -> line.startsWith("store_damage") || line.startsWith("store_file_lost"));
     }
 
     @Test
     void theHistoryHasItAll() throws IOException {
-        Bench bench = whole();
-        bench.check(false);
-        assertThat(bench.refused + bench.inDoubt).isZero();
-        assertThat(bench.events)
+        StoreHarness harness = whole();
+        harness.assertExpectedValues(false);
+        assertThat(harness.refusedWrites + harness.uncertainWrites).isZero();
+        assertThat(harness.events)
                 .anyMatch(line -> line.startsWith("store_compacted"))
                 .anyMatch(line -> line.startsWith("store_checkpoint"));
-        assertThat(bench.log.stats().counters().expired()).isPositive();
+        assertThat(harness.log.stats().counters().expired()).isPositive();
     }
 
     @Test
     void aCutAtEveryByteLeavesWhatWasAcknowledged() throws IOException {
-        Bench bench = new Bench(Bench.small(), 1);
-        bench.disk.atByte = each(place -> {
-            recovered(bench, FaultyDisk.Unsynced.KEPT, place);
-            recovered(bench, FaultyDisk.Unsynced.REORDERED, place);
+        StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 1);
+        harness.disk.atByte = each(place -> {
+            recovered(harness, FaultyDisk.Unsynced.KEPT, place);
+            recovered(harness, FaultyDisk.Unsynced.REORDERED, place);
         });
-        bench.history(new Random(HISTORY), TURNS);
-        assertThat(bench.disk.appended).isGreaterThan(8_000);
+        harness.runHistory(new Random(HISTORY), TURNS);
+        assertThat(harness.disk.appended).isGreaterThan(8_000);
     }
 
     @ParameterizedTest
     @EnumSource
     void aCrashAtEveryStepLeavesWhatWasAcknowledged(FaultyDisk.Unsynced how) throws IOException {
-        Bench bench = new Bench(Bench.small(), 1);
+        StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 1);
         int seeds = how == FaultyDisk.Unsynced.REORDERED || how == FaultyDisk.Unsynced.PROCESS ? 4 : 1;
-        bench.disk.atStep = each(place -> {
+        harness.disk.atStep = each(place -> {
             for (int seed = 0; seed < seeds; seed++) {
-                goesOn(recovered(bench, how, seed), place);
+                goesOn(recovered(harness, how, seed), place);
             }
         });
-        bench.history(new Random(HISTORY), TURNS);
-        assertThat(bench.disk.steps).isGreaterThan(200);
+        harness.runHistory(new Random(HISTORY), TURNS);
+        assertThat(harness.disk.steps).isGreaterThan(200);
     }
 
     @Test
     void aCrashInTheRestartItselfChangesNothing() throws IOException {
-        Bench bench = new Bench(Bench.small(), 1);
-        bench.disk.atStep = each(place -> {
-            Bench again = bench.crashedHere(
+        StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 1);
+        harness.disk.atStep = each(place -> {
+            StoreHarness again = harness.afterCrash(
                     place % 2 == 0 ? FaultyDisk.Unsynced.PROCESS : FaultyDisk.Unsynced.REORDERED, place);
             again.disk.atStep = each(second -> goesOn(recovered(again, FaultyDisk.Unsynced.REORDERED, second), place));
             again.open();
-            again.commit("key 1", "after the first crash", 0);
-            again.commit("key 2", null, 0);
-            again.pass(10);
+            again.commitGroup("key 1", "after the first crash", 0);
+            again.commitGroup("key 2", null, 0);
+            again.advance(10);
         });
-        bench.history(new Random(HISTORY), TURNS / 2);
+        harness.runHistory(new Random(HISTORY), TURNS / 2);
     }
 
     private static void failing(int at, boolean on, boolean space) throws IOException {
-        Bench bench = new Bench(Bench.small(), at);
-        bench.open();
-        bench.disk.failAt = at;
-        bench.disk.failsOn = on;
+        StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), at);
+        harness.open();
+        harness.disk.failAtStep = at;
+        harness.disk.keepsFailing = on;
         if (space) {
-            bench.disk.failure = () -> new Disk.NoSpaceException("planned", null);
+            harness.disk.failure = () -> new Disk.NoSpaceException("planned", null);
         }
-        bench.log.shut();
+        harness.log.closeFiles();
         try {
-            bench.history(new Random(HISTORY), TURNS);
+            harness.runHistory(new Random(HISTORY), TURNS);
         } catch (IOException e) {
             assertThat(e).hasMessage("planned"); // a start or an end that could not be: the next one can
-            bench.disk = bench.disk.restarted(FaultyDisk.Unsynced.KEPT, at);
-            bench.open();
-            bench.check(true);
+            harness.disk = harness.disk.restarted(FaultyDisk.Unsynced.KEPT, at);
+            harness.open();
+            harness.assertExpectedValues(true);
             return;
         }
-        bench.check(false);
+        harness.assertExpectedValues(false);
         if (on) {
-            bench.commit("key 1", "in doubt", 0);
-            bench.commit("key 1", "refused", 0);
-            assertThat(bench.refused).isPositive();
+            harness.commitGroup("key 1", "in doubt", 0);
+            harness.commitGroup("key 1", "refused", 0);
+            assertThat(harness.refusedWrites).isPositive();
         }
-        bench.disk.failAt = 0;
-        bench.pass(10_000);
-        bench.pass(70_000);
-        assertThat(bench.log.mode()).isEqualTo(WriteState.Mode.OPEN);
-        int before = bench.held;
-        bench.commit("key 1", "it works again", 0);
-        assertThat(bench.held).isEqualTo(before + 1);
-        bench.check(false);
-        bench.restart(FaultyDisk.Unsynced.REORDERED, at);
-        bench.check(true);
+        harness.disk.failAtStep = 0;
+        harness.advance(10_000);
+        harness.advance(70_000);
+        assertThat(harness.log.mode()).isEqualTo(WriteState.Mode.OPEN);
+        int before = harness.heldWrites;
+        harness.commitGroup("key 1", "it works again", 0);
+        assertThat(harness.heldWrites).isEqualTo(before + 1);
+        harness.assertExpectedValues(false);
+        harness.restart(FaultyDisk.Unsynced.REORDERED, at);
+        harness.assertExpectedValues(true);
     }
 
     @Test
--- a/server/src/test/java/wheatspread/store/FaultyDisk.java
+++ b/server/src/test/java/wheatspread/store/FaultyDisk.java
@@ -58,14 +58,14 @@
     int steps;
     long appended;
     /** The step that fails, and how; 0 is none. */
-    int failAt;
+    int failAtStep;
 
     Supplier<IOException> failure = () -> new IOException("planned");
-    /** From {@link #failAt} on every step fails. */
-    boolean failsOn;
+    /** From {@link #failAtStep} on every step fails. */
+    boolean keepsFailing;
 
-    int crashAt;
-    long room = Long.MAX_VALUE;
+    int crashAtStep;
+    long capacityBytes = Long.MAX_VALUE;
     /** Runs before each step, and between any two bytes that are appended, with the disk as it is then. */
     Runnable atStep = NOTHING;
 
@@ -135,19 +135,19 @@
     }
 
     private void step() throws IOException {
-        living();
+        requireNotCrashed();
         steps++;
         atStep.run();
-        if (steps == crashAt) {
+        if (steps == crashAtStep) {
             crashed = true;
             throw new Crash();
         }
-        if (failAt > 0 && (steps == failAt || failsOn && steps > failAt)) {
+        if (failAtStep > 0 && (steps == failAtStep || keepsFailing && steps > failAtStep)) {
             throw failure.get();
         }
     }
 
-    private void living() {
+    private void requireNotCrashed() {
         if (crashed) {
             throw new Crash();
         }
@@ -160,7 +160,7 @@
 
     @Override
     public synchronized List<String> list() {
-        living();
+        requireNotCrashed();
         return List.copyOf(names.keySet());
     }
 
@@ -177,7 +177,7 @@
 
     @Override
     public synchronized DiskFile open(String name) throws IOException {
-        living();
+        requireNotCrashed();
         if (!names.containsKey(name)) {
             throw new IOException(name + " is not there");
         }
@@ -197,7 +197,7 @@
     @Override
     public synchronized void delete(String name) throws IOException {
         if (!names.containsKey(name)) {
-            living();
+            requireNotCrashed();
             return;
         }
         step();
@@ -213,7 +213,7 @@
 
     @Override
     public synchronized long free() {
-        return room == Long.MAX_VALUE ? room : room - used();
+        return capacityBytes == Long.MAX_VALUE ? capacityBytes : capacityBytes - used();
     }
 
     private long used() {
@@ -248,8 +248,8 @@
                     write(bytes, random.nextInt(size + 1));
                     throw e;
                 }
-                if (size > room - used()) {
-                    write(bytes, (int) Math.max(0, room - used()));
+                if (size > capacityBytes - used()) {
+                    write(bytes, (int) Math.max(0, capacityBytes - used()));
                     throw new NoSpaceException("planned", null);
                 }
                 byte[] before = node.bytes;
@@ -298,7 +298,7 @@
         }
 
         private void open() throws IOException {
-            living();
+            requireNotCrashed();
             if (closed) {
                 throw new IOException("closed");
             }
--- a/server/src/test/java/wheatspread/store/GroupEncoderTest.java
+++ b/server/src/test/java/wheatspread/store/GroupEncoderTest.java
@@ -15,7 +15,7 @@
             @ForAll byte[] key, @ForAll byte[] value, @ForAll @LongRange(min = 0) long expires, @ForAll long mark)
             throws Exception {
         GroupEncoder group = new GroupEncoder();
-        group.begin(2);
+        group.startGroup(2);
         group.add(7, key, value, expires);
         group.add(-9, key, null, 0);
         ByteBuffer bytes = group.end(mark == 0 ? 1 : mark, 256, 256);
@@ -29,7 +29,8 @@
                 .setKind(Format.Record.Kind.DELETE)
                 .setKey(ByteString.copyFrom(key))
                 .build();
-        int length = RecordFraming.sizeOf(put.getSerializedSize()) + RecordFraming.sizeOf(delete.getSerializedSize());
+        int length = RecordFraming.frameBytes(put.getSerializedSize())
+                + RecordFraming.frameBytes(delete.getSerializedSize());
         Format.Record head = Format.Record.newBuilder()
                 .setKind(Format.Record.Kind.GROUP)
                 .setGroup(Format.Group.newBuilder()
@@ -41,7 +42,7 @@
                 .build();
         for (Format.Record one : List.of(head, put, delete)) {
             ByteBuffer[] body = new ByteBuffer[1];
-            assertThat(RecordFraming.read(bytes, body)).isEqualTo(RecordFraming.Found.WHOLE);
+            assertThat(RecordFraming.read(bytes, body)).isEqualTo(RecordFraming.Found.COMPLETE);
             byte[] there = new byte[body[0].remaining()];
             body[0].get(there);
             assertThat(there).isEqualTo(one.toByteArray());
--- a/server/src/test/java/wheatspread/store/RecordFramingTest.java
+++ b/server/src/test/java/wheatspread/store/RecordFramingTest.java
@@ -22,7 +22,7 @@
     private static Found readAll(ByteBuffer file, List<String> read) {
         ByteBuffer[] body = new ByteBuffer[1];
         Found found = RecordFraming.read(file, body);
-        while (found == Found.WHOLE) {
+        while (found == Found.COMPLETE) {
             read.add(StandardCharsets.UTF_8.decode(body[0]).toString());
             found = RecordFraming.read(file, body);
         }
@@ -33,7 +33,7 @@
     void cutAtEveryByteWhatIsWholeIsReadAndTheRestIsTorn() {
         ByteBuffer file = file();
         List<Integer> ends = new ArrayList<>(List.of(0));
-        BODIES.forEach(body -> ends.add(ends.get(ends.size() - 1) + RecordFraming.sizeOf(body.length())));
+        BODIES.forEach(body -> ends.add(ends.get(ends.size() - 1) + RecordFraming.frameBytes(body.length())));
         for (int cut = 0; cut <= file.limit(); cut++) {
             List<String> read = new ArrayList<>();
             Found found = readAll(file.slice(0, cut), read);
@@ -60,8 +60,8 @@
 
     @Test
     void aRecordThatIsTooLongIsRefused() {
-        assertThatThrownBy(() ->
-                        RecordFraming.write(ByteBuffer.allocate(RecordFraming.LONGEST + 1), ByteBuffer.allocate(8)))
-                .hasMessageContaining("is over " + RecordFraming.LONGEST);
+        assertThatThrownBy(() -> RecordFraming.write(
+                        ByteBuffer.allocate(RecordFraming.MAX_BODY_BYTES + 1), ByteBuffer.allocate(8)))
+                .hasMessageContaining("is over " + RecordFraming.MAX_BODY_BYTES);
     }
 }
--- a/server/src/test/java/wheatspread/store/Bench.java
+++ b/server/src/test/java/wheatspread/store/StoreHarness.java
@@ -15,39 +15,40 @@
  * A store without threads on a faulty disk, beside a map that says what it must hold: for each key the
  * value that is certain, and those that a crash may bring.
  */
-final class Bench {
+final class StoreHarness {
     /** No value. */
-    private static final Held NOTHING = new Held(null, 0);
+    private static final StoredValue NOTHING = new StoredValue(null, 0);
 
-    private record Held(String value, long expiresMs) {
-        Held at(long now) {
+    private record StoredValue(String value, long expiresMs) {
+        StoredValue at(long now) {
             return value == null || expiresMs != 0 && expiresMs <= now ? NOTHING : this;
         }
     }
 
     final StoreSettings settings;
     FaultyDisk disk;
-    Log log;
-    long now = 1_000_000;
+    LogStructuredStore log;
+    long nowMillis = 1_000_000;
     final List<String> events = new ArrayList<>();
-    private final Map<String, Held> certain = new TreeMap<>();
-    private final Map<String, List<Held>> possible = new TreeMap<>();
+    private final Map<String, StoredValue> certain = new TreeMap<>();
+    private final Map<String, List<StoredValue>> possible = new TreeMap<>();
     private final Random random = new Random(5);
-    int held;
-    int refused;
-    int inDoubt;
+    int heldWrites;
+    int refusedWrites;
+    int uncertainWrites;
 
-    Bench(StoreSettings settings, long seed) {
+    StoreHarness(StoreSettings settings, long seed) {
         this.settings = settings;
         disk = new FaultyDisk(seed);
     }
 
-    static StoreSettings small() {
+    static StoreSettings smallSettings() {
         return StoreSettings.DEFAULT.withSizes(1_024, 64 << 10, 2_048).withCompaction(1 << 20, 0.3, 0);
     }
 
     void open() throws IOException {
-        log = Log.open(disk, settings, EventLog.lines(events::add), random::nextLong, now, Recovery.Purpose.WORK);
+        log = LogStructuredStore.open(
+                disk, settings, EventLog.lines(events::add), random::nextLong, nowMillis, Recovery.Purpose.READ_WRITE);
     }
 
     private Write write(String key, String value, long expires) {
@@ -59,47 +60,47 @@
     }
 
     /** Commits key, value and expiry in turns as one group; a null value deletes. */
-    void commit(Object... turns) {
+    void commitGroup(Object... turns) {
         List<Write> group = new ArrayList<>();
         for (int i = 0; i < turns.length; i += 3) {
-            long expires = (int) turns[i + 2] == 0 ? 0 : now + (int) turns[i + 2];
+            long expires = (int) turns[i + 2] == 0 ? 0 : nowMillis + (int) turns[i + 2];
             group.add(write((String) turns[i], (String) turns[i + 1], expires));
             possible.computeIfAbsent((String) turns[i], k -> new ArrayList<>())
-                    .add(new Held((String) turns[i + 1], expires));
+                    .add(new StoredValue((String) turns[i + 1], expires));
         }
-        log.commit(group, now); // a crash leaves all of them possible
+        log.commit(group, nowMillis); // a crash leaves all of them possible
         for (int i = 0; i < turns.length; i += 3) {
             Write write = group.get(i / 3);
             String key = (String) turns[i];
-            Held what = new Held((String) turns[i + 1], write.expiresMs);
-            switch (write.outcome) {
+            StoredValue what = new StoredValue((String) turns[i + 1], write.expiresMillis());
+            switch (write.outcome()) {
                 case HELD -> {
-                    held++;
+                    heldWrites++;
                     certain.put(key, what);
                     possible.remove(key); // a failed one before it is void
                 }
                 case REFUSED -> {
-                    refused++;
+                    refusedWrites++;
                     possible.get(key).remove(what);
                 }
-                default -> inDoubt++;
+                default -> uncertainWrites++;
             }
         }
     }
 
     /** Lets time pass, with the upkeep and the jobs that are due. */
-    void pass(int ms) {
-        now += ms;
+    void advance(int ms) {
+        nowMillis += ms;
         for (int i = 0; i < 70; i++) {
-            log.tick(now);
-            now += 10;
+            log.tick(nowMillis);
+            nowMillis += 10;
         }
-        jobs();
+        runJobs();
     }
 
-    void jobs() {
+    void runJobs() {
         for (int i = 0; i < 20; i++) {
-            MaintenanceJob job = log.nextJob(now);
+            MaintenanceJob job = log.nextJob(nowMillis);
             if (job == null) {
                 return;
             }
@@ -117,15 +118,15 @@
                 log.install();
             }
         } catch (IOException e) {
-            log.jobFailed(e, now);
+            log.jobFailed(e, nowMillis);
         }
     }
 
-    /** Another bench that finds what a crash would leave right now. */
-    Bench crashedHere(FaultyDisk.Unsynced how, long seed) {
-        Bench other = new Bench(settings, seed);
+    /** Another harness that finds what a crash would leave right now. */
+    StoreHarness afterCrash(FaultyDisk.Unsynced how, long seed) {
+        StoreHarness other = new StoreHarness(settings, seed);
         other.disk = disk.restarted(how, seed);
-        other.now = now;
+        other.nowMillis = nowMillis;
         other.certain.putAll(certain);
         possible.forEach((key, values) -> other.possible.put(key, new ArrayList<>(values)));
         return other;
@@ -138,17 +139,17 @@
     }
 
     /** Looks up every key: what is certain must be there, or what a crash may have left in its place. */
-    void check(boolean afterCrash) throws IOException {
+    void assertExpectedValues(boolean afterCrash) throws IOException {
         for (String key : keys()) {
-            Store.Got got = log.get(bytes(key), now);
+            Store.Got got = log.get(bytes(key), nowMillis);
             assertThat(got.kind()).as(key).isIn(Store.Got.Kind.VALUE, Store.Got.Kind.ABSENT);
-            Held there = got.value() == null
+            StoredValue there = got.value() == null
                     ? NOTHING
-                    : new Held(new String(got.value(), StandardCharsets.UTF_8), got.expiresMs());
-            List<Held> allowed =
-                    new ArrayList<>(List.of(certain.getOrDefault(key, NOTHING).at(now)));
+                    : new StoredValue(new String(got.value(), StandardCharsets.UTF_8), got.expiresMs());
+            List<StoredValue> allowed =
+                    new ArrayList<>(List.of(certain.getOrDefault(key, NOTHING).at(nowMillis)));
             if (afterCrash) {
-                possible.getOrDefault(key, List.of()).forEach(one -> allowed.add(one.at(now)));
+                possible.getOrDefault(key, List.of()).forEach(one -> allowed.add(one.at(nowMillis)));
             }
             assertThat(there).as(key).isIn(allowed);
             if (afterCrash) {
@@ -161,10 +162,10 @@
     }
 
     /** Looks up every key of a damaged store: the newest value or a doubt, but never another value. */
-    void checkDamaged(boolean lossAllowed) throws IOException {
+    void assertNoWrongValues(boolean lossAllowed) throws IOException {
         for (String key : keys()) {
-            Store.Got got = log.get(bytes(key), now);
-            Held must = certain.getOrDefault(key, NOTHING).at(now);
+            Store.Got got = log.get(bytes(key), nowMillis);
+            StoredValue must = certain.getOrDefault(key, NOTHING).at(nowMillis);
             if (got.kind() == Store.Got.Kind.VALUE) {
                 if (!lossAllowed) {
                     assertThat(new String(got.value(), StandardCharsets.UTF_8))
@@ -185,19 +186,19 @@
     }
 
     /** A recorded history: writes, overwrites, deletions, expiries, checkpoints, compactions, restarts. */
-    void history(Random choices, int turns) throws IOException {
+    void runHistory(Random choices, int turns) throws IOException {
         open();
-        turns(choices, turns);
+        runTurns(choices, turns);
     }
 
     /** The same on a store that is open. */
-    void turns(Random choices, int turns) throws IOException {
+    void runTurns(Random choices, int turns) throws IOException {
         for (int i = 0; i < turns; i++) {
             switch (choices.nextInt(8)) {
-                case 0, 1 -> commit(key(choices), value(choices, i), 0);
-                case 2 -> commit(key(choices), value(choices, i), 1 + choices.nextInt(4_000));
+                case 0, 1 -> commitGroup(key(choices), value(choices, i), 0);
+                case 2 -> commitGroup(key(choices), value(choices, i), 1 + choices.nextInt(4_000));
                 case 3 ->
-                    commit(
+                    commitGroup(
                             key(choices),
                             value(choices, i),
                             0,
@@ -207,12 +208,12 @@
                             key(choices),
                             null,
                             0);
-                case 4 -> commit(key(choices), null, 0);
-                case 5 -> pass(choices.nextInt(1_500));
-                case 6 -> jobs();
+                case 4 -> commitGroup(key(choices), null, 0);
+                case 5 -> advance(choices.nextInt(1_500));
+                case 6 -> runJobs();
                 default -> {
                     if (choices.nextInt(6) == 0) {
-                        log.finish(now);
+                        log.finish(nowMillis);
                         log.close();
                         open();
                     }
