--- a/server/src/test/java/wheatspread/store/StoreModelTest.java
+++ b/server/src/test/java/wheatspread/store/StoreModelTest.java
@@ -14,54 +14,57 @@
 /** Any sequence of what may happen to a store, beside the map of what it must hold. */
 class StoreModelTest {
     /** One thing that happens. */
-    private interface Happening extends Action<Bench> {
-        void to(Bench bench) throws IOException;
+    private interface Happening extends Action<StoreHarness> {
+        void to(StoreHarness harness) throws IOException;
 
         @Override
-        default Bench run(Bench bench) {
+        default StoreHarness run(StoreHarness harness) {
             try {
-                to(bench);
-                bench.check(false);
+                to(harness);
+                harness.assertExpectedValues(false);
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
-            return bench;
+            return harness;
         }
     }
 
     @Provide
-    Arbitrary<ActionSequence<Bench>> happenings() {
+    Arbitrary<ActionSequence<StoreHarness>> happenings() {
         Arbitrary<String> keys = Arbitraries.integers().between(0, 9).map(n -> "key " + n);
         Arbitrary<String> values = Arbitraries.strings().alpha().ofMaxLength(200);
         Arbitrary<Integer> lives = Arbitraries.integers().between(0, 4_000);
-        Arbitrary<Action<Bench>> put = Combinators.combine(keys, values, lives)
-                .as((key, value, life) -> (Happening) bench -> bench.commit(key, value, life));
-        Arbitrary<Action<Bench>> several = Combinators.combine(keys, keys, values, lives)
-                .as((one, other, value, life) -> (Happening)
-                        bench -> bench.commit(one, value, life, other, "b", 0, one, null, 0, other, value, life));
-        Arbitrary<Action<Bench>> delete = keys.map(key -> (Happening) bench -> bench.commit(key, null, 0));
-        Arbitrary<Action<Bench>> time =
-                Arbitraries.integers().between(0, 3_000).map(ms -> (Happening) bench -> bench.pass(ms));
-        Arbitrary<Action<Bench>> checkpoint = Arbitraries.just((Happening) bench -> {
-            bench.log.finish(bench.now);
-            bench.pass(1_000);
+        Arbitrary<Action<StoreHarness>> put = Combinators.combine(keys, values, lives)
+                .as((key, value, life) -> (Happening) harness -> harness.commitGroup(key, value, life));
+        Arbitrary<Action<StoreHarness>> several = Combinators.combine(keys, keys, values, lives)
+                .as((one, other, value, life) -> (Happening) harness ->
+                        harness.commitGroup(one, value, life, other, "b", 0, one, null, 0, other, value, life));
+        Arbitrary<Action<StoreHarness>> delete =
+                keys.map(key -> (Happening) harness -> harness.commitGroup(key, null, 0));
+        Arbitrary<Action<StoreHarness>> time =
+                Arbitraries.integers().between(0, 3_000).map(ms -> (Happening) harness -> harness.advance(ms));
+        Arbitrary<Action<StoreHarness>> checkpoint = Arbitraries.just((Happening) harness -> {
+            harness.log.finish(harness.nowMillis);
+            harness.advance(1_000);
         });
-        Arbitrary<Action<Bench>> compaction = Arbitraries.just((Happening) bench -> {
-            bench.jobs();
+        Arbitrary<Action<StoreHarness>> compaction = Arbitraries.just((Happening) harness -> {
+            harness.runJobs();
             try {
-                bench.log.compactNow(bench.now, false);
+                harness.log.compactNow(harness.nowMillis, false);
             } catch (IOException planned) {
-                bench.pass(1_000);
+                harness.advance(1_000);
             }
         });
-        Arbitrary<Action<Bench>> failure = Arbitraries.integers().between(1, 6).map(in -> (Happening) bench -> {
-            bench.disk.failAt = bench.disk.steps + in;
-        });
-        Arbitrary<Action<Bench>> crash = Combinators.combine(
+        Arbitrary<Action<StoreHarness>> failure = Arbitraries.integers()
+                .between(1, 6)
+                .map(in -> (Happening) harness -> {
+                    harness.disk.failAtStep = harness.disk.steps + in;
+                });
+        Arbitrary<Action<StoreHarness>> crash = Combinators.combine(
                         Arbitraries.of(FaultyDisk.Unsynced.class), Arbitraries.longs())
-                .as((how, seed) -> (Happening) bench -> {
-                    bench.restart(how, seed);
-                    bench.check(true);
+                .as((how, seed) -> (Happening) harness -> {
+                    harness.restart(how, seed);
+                    harness.assertExpectedValues(true);
                 });
         return Arbitraries.sequences(Arbitraries.frequencyOf(
                 Tuple.of(8, put),
@@ -75,9 +78,9 @@
     }
 
     @Property(tries = 300, seed = "20261201")
-    void holdsWhatTheMapHolds(@ForAll("happenings") ActionSequence<Bench> happenings) throws IOException {
-        Bench bench = new Bench(Bench.small(), 7);
-        bench.open();
-        happenings.run(bench);
+    void holdsWhatTheMapHolds(@ForAll("happenings") ActionSequence<StoreHarness> happenings) throws IOException {
+        StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 7);
+        harness.open();
+        happenings.run(harness);
     }
 }
--- a/server/src/test/java/wheatspread/store/StoreTest.java
+++ b/server/src/test/java/wheatspread/store/StoreTest.java
@@ -41,39 +41,43 @@
 
     private CompletableFuture<Store.Outcome> put(String key, String value) {
         CompletableFuture<Store.Outcome> ended = new CompletableFuture<>();
-        assertThat(store.put(Bench.bytes(key), Bench.bytes(value), 0, (outcome, reason) -> ended.complete(outcome)))
+        assertThat(store.put(
+                        StoreHarness.bytes(key),
+                        StoreHarness.bytes(value),
+                        0,
+                        (outcome, reason) -> ended.complete(outcome)))
                 .isNull();
         return ended;
     }
 
     private Store.Got get(String key) {
         CompletableFuture<Store.Got> got = new CompletableFuture<>();
-        assertThat(store.get(Bench.bytes(key), got::complete)).isNull();
+        assertThat(store.get(StoreHarness.bytes(key), got::complete)).isNull();
         return got.join();
     }
 
     @Test
     void keepsInAFolderWhatItAcknowledged(@TempDir Path folder) throws IOException {
-        open(FolderDisk.make(folder), Bench.small());
+        open(FolderDisk.make(folder), StoreHarness.smallSettings());
         for (int i = 0; i < 200; i++) {
             put("key " + i % 20, "value " + i);
         }
         assertThat(put("last", "one").join()).isEqualTo(Store.Outcome.HELD);
-        assertThatThrownBy(
-                        () -> Store.open(FolderDisk.of(folder), Bench.small(), Store.Time.SYSTEM, loop, EventLog.NONE))
+        assertThatThrownBy(() -> Store.open(
+                        FolderDisk.of(folder), StoreHarness.smallSettings(), Store.Time.SYSTEM, loop, EventLog.NONE))
                 .isInstanceOf(Disk.TakenException.class)
                 .hasMessageContaining(
                         "is in use by process " + ProcessHandle.current().pid());
         store.close();
-        open(FolderDisk.of(folder), Bench.small());
-        assertThat(get("last").value()).isEqualTo(Bench.bytes("one"));
-        assertThat(get("key 7").value()).isEqualTo(Bench.bytes("value 187"));
+        open(FolderDisk.of(folder), StoreHarness.smallSettings());
+        assertThat(get("last").value()).isEqualTo(StoreHarness.bytes("one"));
+        assertThat(get("key 7").value()).isEqualTo(StoreHarness.bytes("value 187"));
         assertThat(get("no key").kind()).isEqualTo(Store.Got.Kind.ABSENT);
     }
 
     @Test
     void aDiskThatStallsHoldsUpNoCallerAndNoRead() throws Exception {
-        open(disk, Bench.small().withQueue(100, 1 << 20, 100));
+        open(disk, StoreHarness.smallSettings().withQueue(100, 1 << 20, 100));
         put("read", "meanwhile").join();
         CountDownLatch stalled = new CountDownLatch(1);
         CountDownLatch goOn = new CountDownLatch(1);
@@ -92,11 +96,11 @@
         for (int i = 0; i < 100; i++) {
             waiting.add(put("key " + i, "x"));
         }
-        assertThat(store.put(Bench.bytes("k"), Bench.bytes("v"), 0, (outcome, reason) -> {}))
+        assertThat(store.put(StoreHarness.bytes("k"), StoreHarness.bytes("v"), 0, (outcome, reason) -> {}))
                 .isEqualTo(Store.Refusal.QUEUE_FULL);
         assertThat(store.waiting())
                 .isEqualTo(new Store.Waiting(100, store.waiting().bytes(), 0, 1));
-        assertThat(get("read").value()).isEqualTo(Bench.bytes("meanwhile"));
+        assertThat(get("read").value()).isEqualTo(StoreHarness.bytes("meanwhile"));
         assertThat(get("one").kind()).isEqualTo(Store.Got.Kind.ABSENT);
         assertThat(first).isNotDone();
         goOn.countDown();
@@ -107,7 +111,7 @@
 
     @Test
     void refusesAtOnceWhatItCannotTake() throws IOException {
-        open(disk, Bench.small().withLongestLife(10_000));
+        open(disk, StoreHarness.smallSettings().withLongestLife(10_000));
         Store.Done none = (outcome, reason) -> {};
         long now = System.currentTimeMillis();
         assertThat(store.put(new byte[1], new byte[300], now + 5_000, none)).isEqualTo(Store.Refusal.TOO_LONG);
@@ -121,17 +125,17 @@
 
     @Test
     void aFailureIsToldAndTheStoreComesBackByItself() throws Exception {
-        open(disk, Bench.small());
+        open(disk, StoreHarness.smallSettings());
         put("key", "old").join();
         synchronized (disk) {
-            disk.failAt = disk.steps + 2;
+            disk.failAtStep = disk.steps + 2;
         }
         assertThat(put("key", "new").join()).isEqualTo(Store.Outcome.IN_DOUBT);
-        assertThat(get("key").value()).isEqualTo(Bench.bytes("old"));
+        assertThat(get("key").value()).isEqualTo(StoreHarness.bytes("old"));
         Store.Refusal refusal;
         CompletableFuture<Store.Outcome> again = new CompletableFuture<>();
         do {
-            refusal = store.put(Bench.bytes("key"), Bench.bytes("again"), 0, (o, r) -> again.complete(o));
+            refusal = store.put(StoreHarness.bytes("key"), StoreHarness.bytes("again"), 0, (o, r) -> again.complete(o));
             assertThat(refusal).isIn(null, Store.Refusal.FAILED);
             Thread.onSpinWait();
         } while (refusal != null);
@@ -140,7 +144,7 @@
 
     @Test
     void closingEndsWhatWasTaken() throws IOException {
-        open(disk, Bench.small());
+        open(disk, StoreHarness.smallSettings());
         List<CompletableFuture<Store.Outcome>> taken = new ArrayList<>();
         for (int i = 0; i < 500; i++) {
             taken.add(put("key " + i, "x"));
--- a/server/src/test/java/wheatspread/store/StoredFormatCompatibilityTest.java
+++ b/server/src/test/java/wheatspread/store/StoredFormatCompatibilityTest.java
@@ -134,10 +134,11 @@
         assertThat(look.files())
                 .extracting(OfflineTools.FileLook::name)
                 .containsExactlyElementsOf(STORED_NAMES.subList(1, STORED_NAMES.size()));
-        Log log = Log.open(FolderDisk.of(folder), SETTINGS, EventLog.NONE, () -> 5, NOW_MILLIS, Recovery.Purpose.WORK);
+        LogStructuredStore log = LogStructuredStore.open(
+                FolderDisk.of(folder), SETTINGS, EventLog.NONE, () -> 5, NOW_MILLIS, Recovery.Purpose.READ_WRITE);
         assertThat(log.recovered().fromCheckpoint()).isTrue();
         assertThat(log.recovered().replayedRecords()).isEqualTo(4);
-        log.shut();
+        log.closeFiles();
     }
 
     @Test
@@ -159,9 +160,9 @@
         assertThat(FolderDisk.LOCK).isEqualTo("lock");
         assertThat(SegmentName.original(3)).hasToString(STORED_NAMES.get(2));
         assertThat(new SegmentName(1, 2, 2)).hasToString(STORED_NAMES.get(1));
-        assertThat(SegmentName.NEW).isEqualTo(".new");
-        assertThat(SegmentName.ASIDE).isEqualTo(".damaged");
-        assertThat(Layout.checkpoint(1)).isEqualTo(STORED_NAMES.get(0));
+        assertThat(SegmentName.TEMPORARY_SUFFIX).isEqualTo(".new");
+        assertThat(SegmentName.DAMAGED_SUFFIX).isEqualTo(".damaged");
+        assertThat(Layout.checkpointName(1)).isEqualTo(STORED_NAMES.get(0));
         try (Store store = open()) {
             assertThat(names()).containsAll(STORED_NAMES).contains("lock");
             assertThat(store.stats().segments()).isEqualTo(4);
@@ -192,7 +193,7 @@
 
     @Test
     void segmentHeaderIsWrittenByteForByteAsStored() throws IOException {
-        byte[] stored = start(Files.readAllBytes(STORED.resolve(STORED_NAMES.get(4))), FileHeader.SIZE);
+        byte[] stored = start(Files.readAllBytes(STORED.resolve(STORED_NAMES.get(4))), FileHeader.HEADER_BYTES);
         Format.SegmentHeader header;
         try (DiskFile file = FolderDisk.of(folder).open(STORED_NAMES.get(4))) {
             header = FileHeader.read(file, SegmentName.original(5));
