--- a/server/src/main/java/wheatspread/disk/Disk.java
+++ b/server/src/main/java/wheatspread/disk/Disk.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * One folder of a disk, and all that is done to it: a test stands in for it and fails any step. What was
- * written lasts only behind {@link DiskFile#sync}, and a name that was made, changed or deleted only behind
+ * One folder of a file system. A test implementation can fail any step. Written bytes are durable only after {@link
+ * DiskFile#sync}, and the creation, renaming or deletion of a file only after
  * {@link #syncNames}; until then a crash of the machine may keep it, lose it or keep a later one alone.
  * Everything may block. Methods may be called from any thread.
  */
@@ -23,16 +23,16 @@
     /** Gives a file another name, at once; a file of that name is replaced. */
     void rename(String from, String to) throws IOException;
 
-    /** Takes a name away; who has the file open may read on. Does nothing if there is none. */
+    /** Deletes a file; whoever has it open may go on reading. Does nothing if there is none. */
     void delete(String name) throws IOException;
 
     void syncNames() throws IOException;
 
-    /** Bytes that may still be written, as far as the system tells. */
+    /** Bytes that may still be written, as reported by the operating system. */
     long free() throws IOException;
 
     /**
-     * Keeps the folder for this process until it is closed or the process ends.
+     * Locks the folder for this process until the result is closed or the process ends.
      *
      * @throws TakenException if another has it
      */
--- a/server/src/main/java/wheatspread/disk/FolderDisk.java
+++ b/server/src/main/java/wheatspread/disk/FolderDisk.java
@@ -122,8 +122,8 @@
                     end += channel.write(bytes, end);
                 }
             } catch (IOException e) {
-                String told = String.valueOf(e.getMessage());
-                if (told.contains("No space left") || told.contains("quota exceeded")) {
+                String message = String.valueOf(e.getMessage());
+                if (message.contains("No space left") || message.contains("quota exceeded")) {
                     throw new NoSpaceException("the disk is full", e);
                 }
                 throw e;
--- a/server/src/main/java/wheatspread/store/AuxiliaryFiles.java
+++ b/server/src/main/java/wheatspread/store/AuxiliaryFiles.java
@@ -11,8 +11,8 @@
 import wheatspread.logging.EventLog;
 
 /**
- * The files of the folder that are not part of the log: the checkpoint, what is to be deleted or set aside,
- * and what was set aside. They take room as well, so their sizes are kept.
+ * The files of the folder that are not part of the log: checkpoints, files to be deleted, and damaged files
+ * that are kept for an operator. Their sizes count as used space. For the writer's thread alone.
  */
 final class AuxiliaryFiles {
     private final Disk disk;
@@ -68,11 +68,11 @@
     /** A job of {@link #deletion} has come to its end. */
     void completed(DeleteJob deletion) {
         toDelete.removeAll(deletion.names());
-        toSetAside.removeAll(deletion.aside());
+        toSetAside.removeAll(deletion.damagedFiles());
         for (String name : deletion.names()) {
             sizes.remove(name);
         }
-        for (String name : deletion.aside()) {
+        for (String name : deletion.damagedFiles()) {
             try {
                 measure(name + SegmentName.DAMAGED_SUFFIX);
             } catch (IOException e) {
--- a/server/src/main/java/wheatspread/store/BackgroundLoop.java
+++ b/server/src/main/java/wheatspread/store/BackgroundLoop.java
@@ -3,7 +3,10 @@
 import java.io.IOException;
 import java.util.concurrent.locks.LockSupport;
 
-/** The background thread: runs the steps of one job at a time, no faster than its rate allows. */
+/**
+ * The background thread: runs the steps of one maintenance job at a time, within the rate of {@link
+ * StoreSettings#compactBytesPerS}. It ends when {@link WriterQueue} is closed.
+ */
 final class BackgroundLoop implements Runnable {
     private final WriterQueue queue;
     private final StoreSettings settings;
--- a/server/src/main/java/wheatspread/store/CheckpointJob.java
+++ b/server/src/main/java/wheatspread/store/CheckpointJob.java
@@ -7,9 +7,9 @@
 import wheatspread.disk.DiskFile;
 
 /**
- * Writes the index down, one of its tables at a time while the writer goes on: an entry may be older or
- * newer than the place of the log that the checkpoint names, and what the log says behind that place puts
- * it right.
+ * Writes a checkpoint of the index, one of its tables at a time while writes go on (a fuzzy checkpoint): an
+ * entry may be older or newer than the place of the log that the checkpoint names, and replaying the log from
+ * that place corrects it. The background thread calls {@link #step}, the writer's thread the rest.
  */
 final class CheckpointJob extends MaintenanceJob {
     private static final int MAX_FRAME_ENTRIES = 4_096;
@@ -130,9 +130,9 @@
     }
 
     /**
-     * Gives the file its name. Entries may tell of writes that were acknowledged without a sync: then the
-     * writer syncs them first. Nobody else may, or a failure that the system tells once would miss the
-     * writer.
+     * Gives the file its name. Entries may belong to writes that were acknowledged without a sync: then the writer
+     * syncs them first. No other thread may, because the operating system reports a failed write-back once per open
+     * file, and the writer has to see it.
      */
     void publish() throws IOException {
         disk.rename(name + SegmentName.TEMPORARY_SUFFIX, name);
--- a/server/src/main/java/wheatspread/store/CheckpointProgress.java
+++ b/server/src/main/java/wheatspread/store/CheckpointProgress.java
@@ -1,6 +1,9 @@
 package wheatspread.store;
 
-/** The newest checkpoint, and how far the log has grown since the last one was begun. */
+/**
+ * The newest checkpoint, and how far the log has grown since the last checkpoint was started. For the writer's
+ * thread alone.
+ */
 final class CheckpointProgress {
     private long loggedBytes;
     private boolean changed;
@@ -34,7 +37,7 @@
         return loggedBytes >= settings.checkpointBytes();
     }
 
-    /** Whether anything is in the log that no checkpoint was begun for. */
+    /** Whether the log holds anything newer than the start of the last checkpoint. */
     boolean hasChanges() {
         return changed;
     }
--- a/server/src/main/java/wheatspread/store/Checkpoints.java
+++ b/server/src/main/java/wheatspread/store/Checkpoints.java
@@ -14,8 +14,8 @@
 import wheatspread.disk.DiskFile;
 
 /**
- * Files with the index as it stood at a place of the log. One that cannot be read whole is as if it were
- * not there: the log has everything.
+ * Reads and frames checkpoint files, which hold the index as of one place of the log. A checkpoint that is
+ * incomplete or damaged is ignored, since the log contains everything. Stateless.
  */
 final class Checkpoints {
     static final int VERSION = 1;
@@ -46,7 +46,7 @@
     /** What is known of a file that is not read again. */
     record KnownSegment(long latestExpiryMs, long records, int cut) {}
 
-    /** The seed of a checkpoint, for a store none of whose segments tells it. */
+    /** The seed of a checkpoint, for a store in which no segment has a readable header. */
     static long seedOf(Disk disk, String name, LongSupplier otherwise) throws IOException {
         try (DiskFile file = disk.open(name)) {
             ReadWindow window = new ReadWindow(file, file.size());
--- a/server/src/main/java/wheatspread/store/CompactionJob.java
+++ b/server/src/main/java/wheatspread/store/CompactionJob.java
@@ -12,9 +12,13 @@
 import wheatspread.disk.DiskFile;
 
 /**
- * Writes what lives in a run of segments into one file in their place. The file has its name only when all
- * of it is on the disk; until then, and until every entry points to it, the old ones stand. A crash at any
- * moment leaves the old files, or the new one with or without them, and each of these says the same.
+ * Compacts a run of segments: copies their live records into one new segment that replaces them. The new file
+ * gets its name only once all of it is synced, and the old files stay until every index entry points to the new
+ * one. After a crash at any point the folder holds the old files, the new file, or both, and each of these has
+ * the same content.
+ *
+ * <p>The background thread calls {@link #step}, the writer's thread the rest. The job holds the old segments
+ * open from its creation until {@link #releaseRun}, or {@link #abort} after a failure.
  */
 final class CompactionJob extends MaintenanceJob {
     private static final int GROUP_BYTES = 64 << 10;
@@ -35,7 +39,7 @@
     /** A record that has been copied into the group at {@code place}. */
     private record CopiedRecord(long hash, long from, int place, int length, int expiry) {}
 
-    /** Keys that damage has taken from a place of an old file; the doubt stands at {@code place}. */
+    /** Keys lost to damage at a place of an old file; the record of the loss stands at {@code place}. */
     private record Loss(LongArrayList hashes, boolean all, int place, long from) {}
 
     private final Disk disk;
@@ -254,7 +258,7 @@
         return false;
     }
 
-    /** The files it was made of: to be deleted, or kept aside where they were damaged. */
+    /** The files it was made of: to be deleted, or renamed if they are damaged. */
     List<Segment> run() {
         return run;
     }
--- a/server/src/main/java/wheatspread/store/CompactionPlanner.java
+++ b/server/src/main/java/wheatspread/store/CompactionPlanner.java
@@ -9,8 +9,9 @@
 import wheatspread.disk.Disk;
 
 /**
- * Chooses the runs of neighbouring sealed segments that are rewritten as one, and makes the jobs that do so.
- * A run never spans a gap: the new segment would claim the numbers of a file that was lost.
+ * Chooses runs of neighbouring sealed segments with {@link CompactionPolicy} and creates the jobs that compact
+ * them. A run never spans a gap, because the new segment would claim the numbers of a lost file. For the
+ * writer's thread alone.
  */
 final class CompactionPlanner {
     private final Disk disk;
@@ -32,12 +33,12 @@
         this.gaps = new HashSet<>(gaps);
     }
 
-    /** Runs may span gaps from now on: who asks for it takes the loss. */
+    /** Runs may span gaps from now on: the caller accepts the loss. */
     void acceptGaps() {
         gaps.clear();
     }
 
-    /** The compaction that is worth most now; null if none is worth it. */
+    /** The compaction with the best ratio of benefit to cost; null if none is due. */
     CompactionJob choose(long nowMillis, long usedBytes) {
         boolean pressed = policy.isUnderPressure(usedBytes);
         for (List<Segment> part : sealedRuns()) {
--- a/server/src/main/java/wheatspread/store/CompactionPolicy.java
+++ b/server/src/main/java/wheatspread/store/CompactionPolicy.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * Which segments are worth rewriting. A run of neighbours is rewritten into one file; what that frees is
- * set against what it costs, which is reading all of the run and writing what lives (the benefit and cost
- * of M. Rosenblum and J. Ousterhout, "The Design and Implementation of a Log-Structured File System", ACM
- * TOCS 10, 1992, without its weight for age: a record here has an expiry, which tells more). No I/O, no
- * clock.
+ * Chooses which segments to compact. A run of neighbouring segments is rewritten into one; the bytes that this
+ * frees are weighed against its cost, which is reading all of the run and writing its live records (the
+ * benefit-to-cost ratio of M. Rosenblum, J. Ousterhout, "The Design and Implementation of a Log-Structured File
+ * System", ACM TOCS 10, 1992, without the weight for age, since a record here states its expiry). Stateless; no
+ * I/O, no clock.
  */
 final class CompactionPolicy {
     /** Segments in one run at most. */
@@ -32,7 +32,7 @@
         this.settings = settings;
     }
 
-    /** Whether so much space is in use that even little dead matter is worth a rewrite. */
+    /** Whether so much space is used that a small dead share justifies a compaction. */
     boolean isUnderPressure(long usedBytes) {
         return usedBytes + settings.reserveBytes() > settings.maxBytes() * 0.75;
     }
--- a/server/src/main/java/wheatspread/store/DeleteJob.java
+++ b/server/src/main/java/wheatspread/store/DeleteJob.java
@@ -7,18 +7,21 @@
 import java.util.List;
 import wheatspread.disk.Disk;
 
-/** Takes away files that nothing needs, and sets damaged ones aside. */
+/**
+ * Deletes files that are no longer needed, and renames damaged ones so that an operator can look at them. The
+ * background thread calls {@link #step}, the writer's thread the rest.
+ */
 final class DeleteJob extends MaintenanceJob {
     private final Disk disk;
     private final Deque<String> left;
     private final List<String> names;
-    private final Collection<String> aside;
+    private final Collection<String> damagedFiles;
 
-    DeleteJob(Disk disk, Collection<String> names, Collection<String> aside) {
+    DeleteJob(Disk disk, Collection<String> names, Collection<String> damagedFiles) {
         this.disk = disk;
         this.names = List.copyOf(names);
         this.left = new ArrayDeque<>(names);
-        this.aside = List.copyOf(aside);
+        this.damagedFiles = List.copyOf(damagedFiles);
     }
 
     @Override
@@ -28,7 +31,7 @@
             return false;
         }
         String name = left.peek();
-        if (!aside.contains(name)) {
+        if (!damagedFiles.contains(name)) {
             disk.delete(name);
         } else if (disk.list().contains(name)) {
             disk.rename(name, name + SegmentName.DAMAGED_SUFFIX);
@@ -41,8 +44,8 @@
         return names;
     }
 
-    Collection<String> aside() {
-        return aside;
+    Collection<String> damagedFiles() {
+        return damagedFiles;
     }
 
     @Override
--- a/server/src/main/java/wheatspread/store/DiskSpace.java
+++ b/server/src/main/java/wheatspread/store/DiskSpace.java
@@ -4,7 +4,10 @@
 import wheatspread.disk.Disk;
 import wheatspread.logging.EventLog;
 
-/** The room that a store takes and has left: no more is written near its bound, or where the disk is full. */
+/**
+ * The space that a store uses and may still use: rejects writes near its limit ({@link StoreSettings#maxBytes})
+ * and while the disk is nearly full. For the writer's thread.
+ */
 final class DiskSpace {
     private static final long DISK_CHECK_INTERVAL_MILLIS = 1_000;
 
@@ -43,7 +46,7 @@
         lastDiskCheckMillis = nowMillis - DISK_CHECK_INTERVAL_MILLIS;
     }
 
-    /** Looks whether there is room, and tells the log when that changes. */
+    /** Checks whether there is space, and logs a change. */
     void check(long nowMillis) {
         if (nowMillis - lastDiskCheckMillis >= DISK_CHECK_INTERVAL_MILLIS) {
             lastDiskCheckMillis = nowMillis;
@@ -68,7 +71,7 @@
         try {
             diskHasRoom = disk.free() >= settings.minFreeBytes();
         } catch (IOException e) {
-            diskHasRoom = true; // the next write tells
+            diskHasRoom = true; // the next write shows
         }
     }
 }
--- a/server/src/main/java/wheatspread/store/FileHeader.java
+++ b/server/src/main/java/wheatspread/store/FileHeader.java
@@ -8,7 +8,9 @@
 import java.util.function.LongSupplier;
 import wheatspread.disk.DiskFile;
 
-/** The begin of a file: twice the same block, so that one damaged place leaves the other. No state. */
+/**
+ * The header of a segment: the same block twice, so that a segment survives one damaged block. Stateless.
+ */
 final class FileHeader {
     /** Bytes before the first group. */
     static final int HEADER_BYTES = 256;
@@ -19,20 +21,20 @@
 
     private FileHeader() {}
 
-    /** A mark for a new file, which begins every group of it; 0 stands for none. */
+    /** A random mark for a new file, with which each of its groups starts; 0 stands for none. */
     static long newMark(LongSupplier random) {
         long drawn = random.getAsLong();
         return drawn == 0 ? 1 : drawn;
     }
 
-    static ByteBuffer write(SegmentName name, long seed, long mark, long createdMs) {
+    static ByteBuffer write(SegmentName name, long seed, long mark, long createdMillis) {
         Format.SegmentHeader header = Format.SegmentHeader.newBuilder()
                 .setFirst(name.first())
                 .setLast(name.last())
                 .setGeneration(name.generation())
                 .setSeed(seed)
                 .setMark(mark)
-                .setCreatedMs(createdMs)
+                .setCreatedMs(createdMillis)
                 .build();
         ByteBuffer all = ByteBuffer.allocate(HEADER_BYTES);
         for (int at = 0; at < HEADER_BYTES; at += BLOCK_BYTES) {
@@ -43,7 +45,7 @@
     }
 
     /**
-     * The header, or null if neither block is whole.
+     * The header, or null if neither block is complete.
      *
      * @throws StoreException if the file is of a version that this program does not know, or of another
      *     name
@@ -60,28 +62,27 @@
             versions[i] = Arrays.equals(magic, MAGIC) ? block.getInt() : 0;
             ByteBuffer[] body = new ByteBuffer[1];
             if (versions[i] == VERSION && RecordFraming.read(block, body) == RecordFraming.Found.COMPLETE) {
-                return checked(parse(body[0]), name);
+                return checked(parse(body[0], name), name);
             }
         }
         if (versions[0] != 0 && versions[0] == versions[1] && versions[0] != VERSION) {
-            throw new StoreException(
-                    "file " + name + " is of version " + versions[0] + "; this program reads version " + VERSION);
+            throw new UnsupportedVersionException(name, versions[0], VERSION);
         }
         return null;
     }
 
-    private static Format.SegmentHeader parse(ByteBuffer body) throws StoreException {
+    private static Format.SegmentHeader parse(ByteBuffer body, SegmentName name) throws StoreException {
         try {
             return Format.SegmentHeader.parseFrom(body);
         } catch (InvalidProtocolBufferException e) {
-            throw new StoreException("a header is whole, but not one of version " + VERSION + ": " + e.getMessage());
+            throw new InvalidHeaderException(name, VERSION, e);
         }
     }
 
     private static Format.SegmentHeader checked(Format.SegmentHeader header, SegmentName name) throws StoreException {
         SegmentName own = new SegmentName(header.getFirst(), header.getLast(), header.getGeneration());
         if (!own.equals(name)) {
-            throw new StoreException("file " + name + " says of itself that it is " + own);
+            throw MisplacedSegmentException.renamed(name, own);
         }
         return header;
     }
--- a/server/src/main/java/wheatspread/store/GroupCommit.java
+++ b/server/src/main/java/wheatspread/store/GroupCommit.java
@@ -7,9 +7,11 @@
 import wheatspread.logging.EventLog;
 
 /**
- * Commits writes in groups that share a sync. After a failed step on the disk the segment is abandoned, and
- * nothing is taken until a new one stands that says where the failed one ends; attempts at that are spaced
- * out by {@link WriteState}. For the writer's thread alone.
+ * Group commit: many writes share one sync (D. DeWitt et al., "Implementation Techniques for Main Memory
+ * Database Systems", SIGMOD 1984). After a failed disk operation the segment is abandoned, since a later sync
+ * of the same file proves nothing (A. Rebello et al., "Can Applications Recover from fsync Failures?", USENIX
+ * ATC 2020), and writes are rejected until a new segment exists that records where the failed one ends; {@link
+ * WriteState} spaces out the attempts. For the writer's thread alone.
  */
 final class GroupCommit {
     private final StoreSettings settings;
@@ -30,7 +32,7 @@
         index = new IndexUpdate(context.catalog());
     }
 
-    /** Writes a group, and tells each of its writes how it ended. */
+    /** Writes a group, and sets the outcome of each of its writes. */
     void commit(List<Write> writes, long nowMillis) {
         List<Write> admitted = admit(writes);
         if (admitted.isEmpty()) {
--- a/server/src/main/java/wheatspread/store/GroupEncoder.java
+++ b/server/src/main/java/wheatspread/store/GroupEncoder.java
@@ -11,8 +11,8 @@
 import org.agrona.collections.LongArrayList;
 
 /**
- * Builds the bytes of one group: a frame that says what belongs to it, and the frames of its records. One
- * buffer serves one group after another.
+ * Encodes one group: a frame that describes the group, and the frames of its records. One buffer is used for
+ * one group after another. For one thread.
  */
 final class GroupEncoder {
     /** More than a group's own frame takes without its hashes. */
@@ -55,11 +55,11 @@
     }
 
     static Format.Record suspectedLoss(LongArrayList hashes, boolean all, long untilMillis) {
-        Format.Doubt.Builder doubt = Format.Doubt.newBuilder().setAll(all).setUntilMs(untilMillis);
-        hashes.forEachOrderedLong(doubt::addHashes);
+        Format.Doubt.Builder loss = Format.Doubt.newBuilder().setAll(all).setUntilMs(untilMillis);
+        hashes.forEachOrderedLong(loss::addHashes);
         return Format.Record.newBuilder()
                 .setKind(Format.Record.Kind.DOUBT)
-                .setDoubt(doubt)
+                .setDoubt(loss)
                 .build();
     }
 
@@ -166,7 +166,7 @@
         return frame.flip();
     }
 
-    /** Writes a body of a size that was told before. */
+    /** Writes a body whose size is already known. */
     @FunctionalInterface
     private interface Body {
         void to(CodedOutputStream to) throws IOException;
--- a/server/src/main/java/wheatspread/store/Index.java
+++ b/server/src/main/java/wheatspread/store/Index.java
@@ -28,6 +28,7 @@
     private final Table[] tables = new Table[TABLES];
     private int size;
 
+    /** An empty index. */
     public Index() {
         for (int i = 0; i < TABLES; i++) {
             tables[i] = new Table();
@@ -145,9 +146,9 @@
     }
 
     /**
-     * Takes away what has expired among some cells of one table, and gives it.
+     * Removes the expired entries among some cells of one table and passes them to {@code gone}.
      *
-     * @param from the cell to begin with, as the last call returned it; 0 at first
+     * @param from the cell to start at, as the last call returned it; 0 at first
      * @param now seconds since 1970
      * @return the cell to go on with, or 0 when the table has been gone through
      */
--- a/server/src/main/java/wheatspread/store/IndexUpdate.java
+++ b/server/src/main/java/wheatspread/store/IndexUpdate.java
@@ -6,8 +6,9 @@
 import org.agrona.collections.LongArrayList;
 
 /**
- * What a group of writes changes in the index. Before the group is appended each write learns which entry it
- * replaces, for which records may have to be read; once the group is held, the entries change under one lock.
+ * Applies a group of writes to the index. Before the group is appended, {@link #prepare} finds the entry that
+ * each write replaces, which may have to read records; once the group is durable, {@link #apply} changes the
+ * entries under one lock. For the writer's thread alone.
  */
 final class IndexUpdate {
     private final SegmentCatalog catalog;
@@ -24,7 +25,10 @@
         }
     }
 
-    /** The place of a key's entry; 0 if it has none. Equal hashes are told apart by the keys in the log. */
+    /**
+     * The place of a key's entry; 0 if it has none. Keys with equal hashes are distinguished by reading their
+     * records.
+     */
     private long entryOf(long hash, byte[] key) throws IOException {
         LongArrayList found = new LongArrayList(2, 0);
         catalog.index().find(hash, (h, at, length, expiry) -> {
--- a/server/src/main/java/wheatspread/store/Layout.java
+++ b/server/src/main/java/wheatspread/store/Layout.java
@@ -37,7 +37,7 @@
         List<SegmentName> segments = new ArrayList<>();
         TreeMap<Long, String> checkpoints = new TreeMap<>();
         List<String> leftovers = new ArrayList<>();
-        List<String> aside = new ArrayList<>();
+        List<String> damagedFiles = new ArrayList<>();
         for (String name : names) {
             SegmentName segment = SegmentName.parse(name);
             if (segment != null) {
@@ -47,7 +47,7 @@
             } else if (name.endsWith(SegmentName.TEMPORARY_SUFFIX)) {
                 leftovers.add(name);
             } else if (name.endsWith(SegmentName.DAMAGED_SUFFIX)) {
-                aside.add(name);
+                damagedFiles.add(name);
             }
         }
         List<SegmentName> chain = new ArrayList<>();
@@ -64,8 +64,7 @@
         for (int i = 0; i < chain.size(); i++) {
             SegmentName one = chain.get(i);
             if (i > 0 && one.overlaps(chain.get(i - 1))) {
-                throw new StoreException("files " + chain.get(i - 1) + " and " + one
-                        + " hold the same part of the log, and neither replaces the other");
+                throw new OverlappingSegmentsException(chain.get(i - 1), one);
             }
             if (one.first() != next) {
                 gaps.add(one.first());
@@ -77,7 +76,7 @@
                 List.copyOf(gaps),
                 List.copyOf(checkpoints.descendingMap().values()),
                 List.copyOf(leftovers),
-                List.copyOf(aside));
+                List.copyOf(damagedFiles));
     }
 
     /** The number that the next segment gets. */
--- a/server/src/main/java/wheatspread/store/LogStructuredStore.java
+++ b/server/src/main/java/wheatspread/store/LogStructuredStore.java
@@ -8,10 +8,14 @@
 import wheatspread.logging.EventLog;
 
 /**
- * The store without its threads: one thread calls {@link #commit}, {@link #tick} and what ends a job,
- * another one runs the job that {@link #nextJob} gave, and any may {@link #get}. Its time is told to it.
- * {@link GroupCommit} writes, {@link RecordReader} reads, and {@link MaintenanceJobs} rewrites what has grown
- * old.
+ * The store without its threads: segments, index, recovery and maintenance (J. Sheehy, D. Smith, "Bitcask: A
+ * Log-Structured Hash Table for Fast Key/Value Data", 2010). {@link GroupCommit} writes, {@link RecordReader}
+ * reads, {@link MaintenanceJobs} runs checkpoints, compactions and deletions.
+ *
+ * <p>Threads: the writer's thread calls {@link #commit}, {@link #tick} and the methods that end a job; another
+ * thread runs the steps of the job that {@link #nextJob} returned; any thread may call {@link #get} and {@link
+ * #stats}. It reads no clock: the caller passes the time. Whoever opens it calls {@link #close}, or {@link
+ * #closeFiles} to leave the files as they are.
  */
 final class LogStructuredStore implements Closeable {
     private static final long TICK_INTERVAL_MILLIS = 50;
@@ -98,14 +102,14 @@
             try {
                 jobs.salvage(one, nowMillis);
             } catch (IOException e) {
-                continue; // it is told, and nothing is lost: the next start finds what this one did
+                continue; // it is logged, and nothing is lost: the next start finds what this one did
             }
         }
     }
 
     // ---- writing and reading
 
-    /** Writes a group, and tells each of its writes how it ended. */
+    /** Writes a group, and sets the outcome of each of its writes. */
     void commit(List<Write> writes, long nowMillis) {
         commits.commit(writes, nowMillis);
     }
@@ -163,7 +167,7 @@
         jobs.compactNow(nowMillis, acceptLoss);
     }
 
-    /** Forgets what is in doubt: who calls it takes the loss. */
+    /** Drops the suspected losses: the caller accepts the loss. */
     void acceptLoss() {
         synchronized (catalog.index()) {
             catalog.suspectedLosses().clear();
@@ -210,7 +214,7 @@
         try {
             jobs.checkpointNow(nowMillis);
         } catch (IOException e) {
-            return; // it is told, and nothing is lost: the next start finds what this one did
+            return; // it is logged, and nothing is lost: the next start finds what this one did
         }
     }
 
--- a/server/src/main/java/wheatspread/store/MaintenanceJob.java
+++ b/server/src/main/java/wheatspread/store/MaintenanceJob.java
@@ -2,7 +2,10 @@
 
 import java.io.IOException;
 
-/** Work beside the writer's, done piece by piece on another thread, and ended on the writer's. */
+/**
+ * Maintenance work that one thread does step by step ({@link #step}) and the writer's thread completes ({@link
+ * #install}). At any time only one thread uses a job; {@link WriterQueue} hands it over.
+ */
 abstract class MaintenanceJob {
     /** Bytes read and written by the last piece. */
     private long bytesMoved;
--- a/server/src/main/java/wheatspread/store/MaintenanceJobs.java
+++ b/server/src/main/java/wheatspread/store/MaintenanceJobs.java
@@ -7,10 +7,10 @@
 import wheatspread.logging.EventLog;
 
 /**
- * The jobs beside the writing, one at a time: deletions first, then a checkpoint if one is due, then
- * compactions. Another thread runs the steps of a job; all calls here are for the writer's thread, which
- * begins a job and installs what it made. After a failure no job is begun for a while, and what the failed
- * one may have left is deleted before any other begins.
+ * Schedules maintenance jobs, one at a time: deletions first, then a checkpoint if one is due, then
+ * compactions. For the writer's thread alone, which starts a job and installs its result; another thread runs
+ * the steps. After a failure it waits with exponential backoff, and files that the failed job may have left are
+ * deleted before another job starts.
  */
 final class MaintenanceJobs {
     private static final long MIN_RETRY_DELAY_MILLIS = 500;
@@ -25,7 +25,7 @@
     private final CheckpointProgress checkpoints;
     private final AuxiliaryFiles files;
     private final StoreStats.Counters counters;
-    /** The job in hand; null if there is none. */
+    /** The current job; null if there is none. */
     private MaintenanceJob currentJob;
     /** The steps of the job are done, and what it made is being installed. */
     private boolean installing;
@@ -52,7 +52,7 @@
 
     // ---- what is to be done ----
 
-    /** Begins the job that should be done now, if there is one and none is in hand; null otherwise. */
+    /** Starts the job that is due, if there is one and none is running; null otherwise. */
     MaintenanceJob next(long nowMillis, LongSupplier usedBytes, boolean mayCheckpoint) {
         if (currentJob != null || nowMillis < retryAtMillis) {
             return null;
@@ -80,7 +80,7 @@
         return installing;
     }
 
-    /** Bytes that the job in hand takes on the disk beside the files that are counted. */
+    /** Bytes that the current job has written to files that are not counted yet. */
     long outputBytes() {
         return currentJob == null ? 0 : currentJob.outputBytes();
     }
@@ -93,7 +93,7 @@
         runNow(nowMillis);
     }
 
-    /** Rewrites what is left of a damaged file, with the doubt in the place of what is lost. */
+    /** Compacts a damaged segment, with a record of the suspected losses in place of what is lost. */
     void salvage(Segment damaged, long nowMillis) throws IOException {
         currentJob = compactions.compaction(List.of(damaged), nowMillis);
         runNow(nowMillis);
@@ -214,7 +214,7 @@
                 compaction.outputBytes());
     }
 
-    /** Gives up the job in hand, if there is one. */
+    /** Aborts the current job, if there is one. */
     void cancel(String why, long nowMillis) {
         if (currentJob != null) {
             failed(new IOException(why), nowMillis);
--- a/server/src/main/java/wheatspread/store/OfflineTools.java
+++ b/server/src/main/java/wheatspread/store/OfflineTools.java
@@ -92,7 +92,7 @@
     /**
      * Rewrites the log without what is dead, and the index with it.
      *
-     * @param acceptLoss forgets what is in doubt: a key that damage took is then absent, and an older value
+     * @param acceptLoss drops the suspected losses: a key that was lost to damage is then absent, and an older value
      *     of it counts again
      */
     public static Look compact(Disk disk, StoreSettings settings, long nowMillis, boolean acceptLoss, EventLog events)
--- /dev/null
+++ b/server/src/main/java/wheatspread/store/OverlappingSegmentsException.java
@@ -0,0 +1,21 @@
+package wheatspread.store;
+
+/** Two segments hold the same part of the log, and neither was written in place of the other. */
+public final class OverlappingSegmentsException extends StoreException {
+    private static final long serialVersionUID = 1L;
+
+    private final String earlierFile;
+
+    OverlappingSegmentsException(SegmentName earlier, SegmentName later) {
+        super(
+                later.toString(),
+                "files " + earlier + " and " + later + " hold the same part of the log, and neither replaces the other",
+                null);
+        earlierFile = earlier.toString();
+    }
+
+    /** The name of the other file, which comes first in the log. */
+    public String earlierFile() {
+        return earlierFile;
+    }
+}
--- a/server/src/main/java/wheatspread/store/RateLimiter.java
+++ b/server/src/main/java/wheatspread/store/RateLimiter.java
@@ -1,6 +1,9 @@
 package wheatspread.store;
 
-/** A rate for work that is done in pieces: how long to wait behind each. No clock; times are nanoseconds. */
+/**
+ * Limits the rate of work that is done in steps: computes how long to wait after each. For one thread. No
+ * clock: the caller passes the time.
+ */
 final class RateLimiter {
     private static final long MAX_DELAY_NANOS = 1_000_000_000;
 
--- a/server/src/main/java/wheatspread/store/ReadWindow.java
+++ b/server/src/main/java/wheatspread/store/ReadWindow.java
@@ -4,7 +4,10 @@
 import java.nio.ByteBuffer;
 import wheatspread.disk.DiskFile;
 
-/** A file read from its begin to its end through one buffer, which grows with the longest frame. */
+/**
+ * Reads a file from its start to its end through one buffer, which grows with the longest frame. For one
+ * thread; does not close the file.
+ */
 final class ReadWindow {
     private static final int DEFAULT_BUFFER_BYTES = 256 << 10;
 
--- a/server/src/main/java/wheatspread/store/ReaderLoop.java
+++ b/server/src/main/java/wheatspread/store/ReaderLoop.java
@@ -9,7 +9,10 @@
 import java.util.function.Consumer;
 import wheatspread.logging.EventLog;
 
-/** The reader's thread, and the bounded queue of the reads that wait for it. */
+/**
+ * The reader's thread and the bounded queue of reads that wait for it. {@link #add}, {@link #stop} and {@link
+ * #abandon} may be called from any thread; the object's lock is never held over I/O.
+ */
 final class ReaderLoop implements Runnable {
     private static final int MAX_READS_PER_BATCH = 256;
     private static final long MAX_WAIT_MILLIS = 1_000;
@@ -76,12 +79,12 @@
     @Override
     public void run() {
         for (List<PendingRead> some = take(); !some.isEmpty(); some = take()) {
-            List<Runnable> told = new ArrayList<>(some.size());
+            List<Runnable> notifications = new ArrayList<>(some.size());
             for (PendingRead read : some) {
                 Store.Got got = got(read.key());
-                told.add(() -> read.to().accept(got));
+                notifications.add(() -> read.to().accept(got));
             }
-            callbacks.execute(() -> told.forEach(Runnable::run));
+            callbacks.execute(() -> notifications.forEach(Runnable::run));
         }
     }
 
--- a/server/src/main/java/wheatspread/store/RecordFraming.java
+++ b/server/src/main/java/wheatspread/store/RecordFraming.java
@@ -4,9 +4,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * How a record stands in a file of the store: its length (4 bytes, big endian), the CRC32C (RFC 3720,
- * Castagnoli) of length and body (4 bytes), and the body. A frame is whole or it is not there: what a crash
- * leaves of the last one is told apart from damage by whether the file ends within it. No I/O.
+ * The frame around a record: length of the body (4 bytes, big endian), CRC32C (Castagnoli polynomial, RFC 3720)
+ * of length and body (4 bytes), body. A frame is complete or it does not count; a file that ends within its
+ * last frame is torn, any other mismatch is damage. Stateless, no I/O.
  */
 public final class RecordFraming {
     /** Bytes before a body. */
--- a/server/src/main/java/wheatspread/store/Recovery.java
+++ b/server/src/main/java/wheatspread/store/Recovery.java
@@ -13,8 +13,9 @@
 import wheatspread.logging.EventLog;
 
 /**
- * Brings the index back from the files: the newest checkpoint that holds, and the log behind it. What is
- * beyond doubt stays, what was never acknowledged is cut, and what is damaged is put in doubt.
+ * Rebuilds the index from the files when a store is opened: the newest usable checkpoint, and the log behind
+ * it. Acknowledged writes are kept, torn writes that were never acknowledged are cut off, and keys of damaged
+ * records become suspected losses. For the thread that opens the store.
  */
 final class Recovery {
     private final Disk disk;
@@ -40,7 +41,7 @@
         READ_WRITE,
         /** To look at it: every file stays as it is. */
         READ_ONLY,
-        /** As LOOK, and the whole log is read whatever a checkpoint says. */
+        /** As READ_ONLY, and the log is read completely, without a checkpoint. */
         VERIFY
     }
 
@@ -79,7 +80,7 @@
             files.add(file);
             Format.SegmentHeader header = FileHeader.read(file, name);
             if (header != null && seed != null && header.getSeed() != seed) {
-                throw new StoreException("file " + name + " belongs to another store");
+                throw MisplacedSegmentException.ofAnotherStore(name);
             }
             seed = header != null ? Long.valueOf(header.getSeed()) : seed;
         }
@@ -276,14 +277,14 @@
             }
             case DELETE -> put(catalog.hash(scan), record.getKey().toByteArray(), at, 0, 0, false);
             case DOUBT -> {
-                Format.Doubt doubt = record.getDoubt();
-                if (!SegmentCatalog.hasExpired(doubt.getUntilMs(), nowMillis)) {
+                Format.Doubt loss = record.getDoubt();
+                if (!SegmentCatalog.hasExpired(loss.getUntilMs(), nowMillis)) {
                     LongArrayList hashes = new LongArrayList();
-                    doubt.getHashesList().forEach(hashes::addLong);
+                    loss.getHashesList().forEach(hashes::addLong);
                     catalog.recordLoss(
                             hashes,
-                            doubt.getAll(),
-                            doubt.getUntilMs(),
+                            loss.getAll(),
+                            loss.getUntilMs(),
                             at,
                             segment.name().first(),
                             (int) scan.offset());
@@ -293,7 +294,7 @@
         }
     }
 
-    /** A write of a key: it takes the place of an older one, and yields to a newer one. */
+    /** A write of a key: replaces an older entry, and is ignored if there is a newer one. */
     private void put(long hash, byte[] key, long at, int length, int expiry, boolean living) throws IOException {
         long there = 0;
         List<long[]> found = new ArrayList<>(1);
@@ -357,7 +358,7 @@
      * @param replayedRecords of the log, behind the checkpoint
      * @param cutBytes that were never acknowledged
      * @param damages places where something was lost
-     * @param emptySegments files that were made and not begun
+     * @param emptySegments segments that were created and hold no acknowledged group
      */
     record Report(
             int segments,
--- a/server/src/main/java/wheatspread/store/Segment.java
+++ b/server/src/main/java/wheatspread/store/Segment.java
@@ -6,9 +6,12 @@
 /**
  * A file of the log and what is known of it.
  *
- * <p>Owner: the writer's thread (while the folder is opened: the thread that opens it), which alone calls the methods that change
- * the counters. Any thread may {@link #acquire} and {@link #release} the file; those and {@link #retire} hold the object's lock.
- * Closing: the owner retires a segment, and the file is closed with the last reader's release. Invariant: a file that is acquired
+ * <p>Owner: the writer's thread (while the folder is opened: the thread that opens it), which alone calls the
+ * methods that change
+ * the counters. Any thread may {@link #acquire} and {@link #release} the file; those and {@link #retire} hold the
+ * object's lock.
+ * Closing: the owner retires a segment, and the file is closed with the last reader's release. Invariant: a file
+ * that is acquired
  * is open.
  */
 final class Segment {
@@ -82,7 +85,10 @@
         return recordCount;
     }
 
-    /** When the last of all its records expires, in milliseconds since 1970, replaced ones included; 0 if it has none. */
+    /**
+     * When the last of all its records expires, in milliseconds since 1970, replaced ones included; 0 if it has
+     * none.
+     */
     long latestExpiryMillis() {
         return latestExpiryMillis;
     }
--- a/server/src/main/java/wheatspread/store/SegmentCatalog.java
+++ b/server/src/main/java/wheatspread/store/SegmentCatalog.java
@@ -12,8 +12,9 @@
 import org.agrona.collections.LongArrayList;
 
 /**
- * The files of the log in its order, the index over them, and what is in doubt. One thread changes it; what
- * others may read is guarded by the lock of the index.
+ * The segments of the log in their order, the index over them, and the suspected losses. The writer's thread
+ * changes it; what other threads read is guarded by the lock of {@link #index()}. The owner of the store closes
+ * the segments. Invariant: the segments of the chain are disjoint and in the order of their numbers.
  */
 final class SegmentCatalog {
     private final Index index = new Index();
@@ -50,7 +51,7 @@
         return hash == 0 ? 1 : hash;
     }
 
-    /** That of a scanned record: as its group tells it, or worked out where the group's frame is lost. */
+    /** The hash of a scanned record's key: from its group's frame, or computed if that frame is lost. */
     long hash(SegmentScan scan) {
         return scan.hash() != 0 ? scan.hash() : hash(scan.record().getKey().toByteArray());
     }
@@ -158,7 +159,7 @@
      * Takes it that newer writes of some keys, or of any key, stood at a place of the log.
      *
      * @param at up to there entries of the known keys go
-     * @param segment where the doubt stands, with {@code offset}
+     * @param segment where the loss is, with {@code offset}
      */
     void recordLoss(LongArrayList hashes, boolean all, long untilMillis, long at, int segment, int offset) {
         for (int i = 0; i < hashes.size(); i++) {
--- a/server/src/main/java/wheatspread/store/SegmentName.java
+++ b/server/src/main/java/wheatspread/store/SegmentName.java
@@ -12,9 +12,9 @@
     static final Comparator<SegmentName> LOG_ORDER = Comparator.comparingInt(SegmentName::first)
             .thenComparingInt(SegmentName::last)
             .thenComparingInt(SegmentName::generation);
-    /** Behind the name of what isn't whole yet. */
+    /** Suffix of a file that is being written. */
     static final String TEMPORARY_SUFFIX = ".new";
-    /** Behind the name of what was damaged and set aside. */
+    /** Suffix of a damaged file that is kept for the operator. */
     static final String DAMAGED_SUFFIX = ".damaged";
 
     private static final Pattern PATTERN = Pattern.compile("(\\d{8,10})-(\\d{8,10})\\.(\\d{1,9})\\.log");
--- a/server/src/main/java/wheatspread/store/SegmentScan.java
+++ b/server/src/main/java/wheatspread/store/SegmentScan.java
@@ -7,17 +7,21 @@
 import wheatspread.disk.DiskFile;
 
 /**
- * Reads one segment from a place to its end, step by step, and tells what a crash left from what was
- * damaged. A group is written only when all before it is on the disk (or says up to where): a bad place
- * before that was written once, and so is damage; a bad place behind it is a torn write that was never
- * acknowledged.
+ * Reads one segment from an offset to its end, step by step, and distinguishes a torn write from damage. Each
+ * group states up to which offset the file was synced when the group was written: a bad frame before that
+ * offset is damage to an acknowledged write; a bad frame behind it is a torn write that was never acknowledged.
+ *
+ * <p>For one thread. It does not own the file and does not close it.
  */
 final class SegmentScan {
     /** What the next step found; the fields are set accordingly. */
     enum Step {
-        /** A group begins at {@link #offset()}. */
+        /** A group starts at {@link #offset()}. */
         GROUP,
-        /** {@link #record()} with {@link #hash()} stands at {@link #offset()}, a frame of {@link #frameBytes()} bytes. */
+        /**
+         * {@link #record()} with {@link #hash()} stands at {@link #offset()}, a frame of {@link #frameBytes()}
+         * bytes.
+         */
         RECORD,
         /** Records with {@link #lostHashes()} hashes, or any if {@link #lostAll()}, stood from {@link #offset()} on. */
         DAMAGE,
@@ -29,13 +33,13 @@
     enum End {
         /** With its seal: it is complete. */
         SEALED,
-        /** Where a later segment says that it is cut. */
+        /** At the offset that a later segment states. */
         CUT,
-        /** Behind a whole group, without a seal. */
+        /** After a complete group, without a seal. */
         UNSEALED,
         /** Within a write that was never acknowledged, from {@link SegmentScan#bytesAt} on. */
         TORN,
-        /** It was never begun: its header is not whole, and nothing is behind it. */
+        /** It was never used: its header is incomplete, and nothing follows it. */
         EMPTY
     }
 
@@ -45,7 +49,7 @@
     private static final int SEAL_BYTES = GroupEncoder.seal(1, 1).remaining();
     /** A seal holds nothing that could be lost: with so many wrong bits it can still be nothing else. */
     private static final int MAX_WRONG_SEAL_BITS = 8;
-    /** Bytes between the begin of a group's frame and its mark: head, kind, tag and length, tag. */
+    /** Bytes between the start of a group's frame and its mark: head, kind, tag and length, tag. */
     private static final int MIN_GROUP_FRAME_BYTES = RecordFraming.HEADER_BYTES + 25;
 
     private final DiskFile file;
@@ -74,8 +78,8 @@
     /**
      * Begins.
      *
-     * @param from the begin of a group, or 0
-     * @param cut where the segment ends by the word of a later one, or {@link #NO_CUT}
+     * @param from the start of a group, or 0
+     * @param cut where the segment ends according to a later one, or {@link #NO_CUT}
      * @param newest whether no segment is behind this one: only then can its end be torn
      * @throws StoreException if the file's version is unknown or its name is another file's
      */
@@ -117,10 +121,10 @@
         }
         ByteBuffer bytes = ByteBuffer.allocate(SEAL_BYTES);
         file.read(bytes, from);
-        ByteBuffer whole = GroupEncoder.seal(mark, (int) from);
+        ByteBuffer expected = GroupEncoder.seal(mark, (int) from);
         int wrong = 0;
         for (int i = 0; i < SEAL_BYTES; i++) {
-            wrong += Integer.bitCount((bytes.get(i) ^ whole.get(i)) & 0xFF);
+            wrong += Integer.bitCount((bytes.get(i) ^ expected.get(i)) & 0xFF);
         }
         return wrong <= MAX_WRONG_SEAL_BITS;
     }
@@ -218,7 +222,7 @@
         return lostAll ? Step.DAMAGE : Step.END;
     }
 
-    /** A bad frame within a group: what follows may be whole. */
+    /** A bad frame within a group: what follows may be complete. */
     private Step badRecord() throws IOException {
         if (!wasDurable(nextOffset)) {
             return torn();
@@ -227,10 +231,10 @@
         lostAll = !hashesKnown;
         offset = nextOffset;
         ByteBuffer head = window.bytesAt(nextOffset, RecordFraming.HEADER_BYTES);
-        int told = head.remaining() < RecordFraming.HEADER_BYTES ? -1 : head.getInt(0);
-        long behind = nextOffset + RecordFraming.HEADER_BYTES + told;
-        boolean lengthHolds = told >= 0
-                && told <= RecordFraming.MAX_BODY_BYTES
+        int bodyLength = head.remaining() < RecordFraming.HEADER_BYTES ? -1 : head.getInt(0);
+        long behind = nextOffset + RecordFraming.HEADER_BYTES + bodyLength;
+        boolean lengthHolds = bodyLength >= 0
+                && bodyLength <= RecordFraming.MAX_BODY_BYTES
                 && behind <= groupEnd
                 && (behind == groupEnd && recordIndex == hashes.size() - 1
                         || behind < groupEnd && readFrame(behind) != null);
@@ -248,7 +252,10 @@
         return Step.DAMAGE;
     }
 
-    /** The frame that begins a group is bad: its records may be whole, though nobody says which they were. */
+    /**
+     * The frame that describes a group is bad: its records may be complete, but their number and hashes are
+     * unknown.
+     */
     private Step badGroup() throws IOException {
         if (!wasDurable(nextOffset)) {
             return torn();
@@ -256,10 +263,13 @@
         offset = nextOffset;
         lostHashes.clear();
         ByteBuffer head = window.bytesAt(nextOffset, RecordFraming.HEADER_BYTES);
-        int told = head.remaining() < RecordFraming.HEADER_BYTES ? -1 : head.getInt(0);
+        int bodyLength = head.remaining() < RecordFraming.HEADER_BYTES ? -1 : head.getInt(0);
         long until = findNextGroup(nextOffset + 1);
-        long first = nextOffset + RecordFraming.HEADER_BYTES + told;
-        if (told >= 0 && told <= RecordFraming.MAX_BODY_BYTES && first < until && isFrameSequence(first, until)) {
+        long first = nextOffset + RecordFraming.HEADER_BYTES + bodyLength;
+        if (bodyLength >= 0
+                && bodyLength <= RecordFraming.MAX_BODY_BYTES
+                && first < until
+                && isFrameSequence(first, until)) {
             nextOffset = first;
             groupEnd = until;
             hashesKnown = false;
@@ -278,7 +288,7 @@
         return Step.END;
     }
 
-    /** Whether whole frames without a group among them lead from one place exactly to another. */
+    /** Whether complete frames, none of them a group's, fill the space between two offsets exactly. */
     private boolean isFrameSequence(long from, long to) throws IOException {
         long place = from;
         while (place < to) {
@@ -305,13 +315,13 @@
         return place < syncedTo;
     }
 
-    /** Where the next whole frame of a group stands, or the end. */
+    /** The offset of the next complete frame of a group, or the end. */
     private long findNextGroup(long from) throws IOException {
         for (long place = from; place + MIN_GROUP_FRAME_BYTES <= window.endOffset(); place++) {
             ByteBuffer head = window.bytesAt(place, MIN_GROUP_FRAME_BYTES);
-            int told = head.getInt(0);
-            if (told >= MIN_GROUP_FRAME_BYTES - RecordFraming.HEADER_BYTES
-                    && told <= RecordFraming.MAX_BODY_BYTES
+            int bodyLength = head.getInt(0);
+            if (bodyLength >= MIN_GROUP_FRAME_BYTES - RecordFraming.HEADER_BYTES
+                    && bodyLength <= RecordFraming.MAX_BODY_BYTES
                     && head.get(RecordFraming.HEADER_BYTES) == 8
                     && head.get(RecordFraming.HEADER_BYTES + 1) == Format.Record.Kind.GROUP_VALUE) {
                 Format.Record found = readFrame(place);
@@ -329,24 +339,24 @@
                 && Integer.toUnsignedLong(found.getGroup().getAt()) == place;
     }
 
-    /** The record whose frame stands whole at a place, with {@link #frameBytes()} set; null if none does. */
+    /** The record whose frame is complete at an offset, with {@link #frameBytes()} set; null if none does. */
     private Format.Record readFrame(long place) throws IOException {
         ByteBuffer head = window.bytesAt(place, RecordFraming.HEADER_BYTES);
         if (head.remaining() < RecordFraming.HEADER_BYTES) {
             return null;
         }
-        int told = head.getInt(0);
-        if (told < 0
-                || told > RecordFraming.MAX_BODY_BYTES
-                || place + RecordFraming.HEADER_BYTES + told > window.endOffset()) {
+        int bodyLength = head.getInt(0);
+        if (bodyLength < 0
+                || bodyLength > RecordFraming.MAX_BODY_BYTES
+                || place + RecordFraming.HEADER_BYTES + bodyLength > window.endOffset()) {
             return null;
         }
         ByteBuffer[] body = new ByteBuffer[1];
-        if (RecordFraming.read(window.bytesAt(place, RecordFraming.HEADER_BYTES + told), body)
+        if (RecordFraming.read(window.bytesAt(place, RecordFraming.HEADER_BYTES + bodyLength), body)
                 != RecordFraming.Found.COMPLETE) {
             return null;
         }
-        frameBytes = RecordFraming.frameBytes(told);
+        frameBytes = RecordFraming.frameBytes(bodyLength);
         return parse(body[0]);
     }
 
--- a/server/src/main/java/wheatspread/store/SegmentWriter.java
+++ b/server/src/main/java/wheatspread/store/SegmentWriter.java
@@ -23,7 +23,7 @@
     private final CheckpointProgress checkpoints;
     private final StoreStats.Counters counters;
     private final GroupEncoder group = new GroupEncoder();
-    /** Where segments without a seal end, to be said in the next group: number, length. */
+    /** Where segments without a seal end, to be recorded in the next group: number, length in bytes. */
     private final TreeMap<Integer, Integer> pendingCuts;
 
     private Segment active;
@@ -115,7 +115,7 @@
     }
 
     /**
-     * Appends the writes as one group, behind the cuts that have to be said first, and notes in each write
+     * Appends the writes as one group, after the cuts that have to be recorded first, and notes in each write
      * its place in the group.
      *
      * @return the offset in the active segment that the places in the group count from
@@ -162,7 +162,7 @@
         lastSyncMillis = nowMillis;
     }
 
-    /** After {@link #abandon}: a new segment that says where the failed one ends. */
+    /** After {@link #abandon}: creates a segment that records where the failed one ends. */
     void resume(long nowMillis) throws IOException {
         if (active == null) {
             create();
@@ -205,7 +205,7 @@
         }
     }
 
-    /** The segment has been rewritten, so nobody needs to be told any more where it ends. */
+    /** The segment has been compacted, so the place where it ended need not be recorded any more. */
     void forgetCut(SegmentName rewritten) {
         pendingCuts.remove(rewritten.isOriginal() ? rewritten.first() : -1);
     }
--- a/server/src/main/java/wheatspread/store/Store.java
+++ b/server/src/main/java/wheatspread/store/Store.java
@@ -11,10 +11,15 @@
 import wheatspread.logging.EventLog;
 
 /**
- * Keys and values of bytes with an expiry, kept in the files of one folder. Callers never wait: a write or
- * a read is taken or refused at once, and how it ended is told later, through the executor that was given.
- * Three threads do the work: {@link WriterLoop}, {@link ReaderLoop}, and {@link BackgroundLoop}, which
- * rewrites old files and the index.
+ * An embedded key-value store: keys and values are byte arrays with an expiry, kept in the files of one folder.
+ * Callers never block: a write or a read is accepted or rejected at once, and its outcome is reported later
+ * through the executor that was given to {@link #open}.
+ *
+ * <p>Threads: the methods may be called from any thread. Three threads do the work: {@link WriterLoop} owns the
+ * log, {@link ReaderLoop} looks up keys, {@link BackgroundLoop} runs checkpoints, compactions and deletions.
+ * Whoever opens a store closes it; {@link #close} ends the threads and releases the folder. Invariant: a write
+ * that was reported as {@link Outcome#HELD} is found by every later read, also after a crash, as far as {@link
+ * StoreSettings#sync} promises.
  */
 public final class Store implements Closeable {
     /** How a write ended. */
@@ -42,7 +47,7 @@
         CLOSED
     }
 
-    /** Is told how a write ended; {@code reason} is null unless it failed. */
+    /** Receives the outcome of a write; {@code reason} is null unless it failed. */
     @FunctionalInterface
     public interface Done {
         void ended(Outcome outcome, String reason);
@@ -115,8 +120,10 @@
         backgroundThread = start(new BackgroundLoop(queue, settings, time), "store-background");
     }
 
-    private static Thread start(Runnable loop, String name) {
+    private Thread start(Runnable loop, String name) {
         Thread thread = new Thread(loop, name);
+        thread.setUncaughtExceptionHandler(
+                (failed, e) -> log.error("store_fault", "thread", failed.getName(), "reason", e.toString()));
         thread.setDaemon(true);
         thread.start();
         return thread;
@@ -125,14 +132,14 @@
     /**
      * Opens a folder; this reads the newest checkpoint and the log behind it, and may take seconds.
      *
-     * @param callbacks runs what is told to callers, several at a time; the event loop, for one
+     * @param callbacks runs the callbacks, several in one task; an event loop, for example
      * @throws Disk.TakenException if another process has the folder
      * @throws StoreException if it holds what this program must not work on
      */
     public static Store open(Disk disk, StoreSettings settings, Time time, Executor callbacks, EventLog log)
             throws IOException {
         SecureRandom random = new SecureRandom();
-        long begun = time.nanos();
+        long startNanos = time.nanos();
         LogStructuredStore files = LogStructuredStore.open(
                 disk, settings, log, random::nextLong, time.nowMs(), Recovery.Purpose.READ_WRITE);
         Recovery.Report report = files.recovered();
@@ -153,7 +160,7 @@
                 "checkpoint",
                 report.fromCheckpoint(),
                 "ms",
-                (time.nanos() - begun) / 1_000_000);
+                (time.nanos() - startNanos) / 1_000_000);
         return new Store(files, settings, time, callbacks, log);
     }
 
@@ -161,7 +168,7 @@
      * Writes a key.
      *
      * @param expiresMs since 1970; 0 for never
-     * @param done is told once, unless this returns a refusal
+     * @param done is called once, unless this returns a refusal
      * @return null if it is taken
      */
     public Refusal put(byte[] key, byte[] value, long expiresMs, Done done) {
@@ -179,8 +186,8 @@
     }
 
     /**
-     * Writes that are taken or refused together, and that share a sync as far as a group reaches: what one
-     * turn of an event loop has to write. Each of them is held or not by itself.
+     * Writes that are taken or refused together, and that share a sync as far as a group reaches: for example all
+     * writes of one event-loop iteration. Each has its own outcome.
      */
     public final class Batch {
         private final List<Write> all = new ArrayList<>(1);
@@ -217,7 +224,7 @@
             return this;
         }
 
-        /** Hands them over; unless it returns null, none was taken and nobody is told anything. */
+        /** Submits the writes; unless it returns null, none was accepted and no callback is called. */
         public Refusal send() {
             if (wrong != null) {
                 return wrong;
@@ -230,7 +237,7 @@
         }
     }
 
-    /** Reads a key; null if it is taken, and then {@code to} is told once. */
+    /** Reads a key; returns null if the read is accepted, and then {@code to} is called once. */
     public Refusal get(byte[] key, Consumer<Got> to) {
         return reader.add(key, to);
     }
@@ -240,7 +247,7 @@
         return files.stats();
     }
 
-    /** Writes and reads that wait, and writes that were turned away because too many did. */
+    /** Writes and reads that wait, and writes that were rejected because the queue was full. */
     public Waiting waiting() {
         return queue.waiting(reader.waiting());
     }
@@ -271,7 +278,7 @@
         }
     }
 
-    /** Ends the threads and lets go of the folder as a crash would: what waits is told nothing. */
+    /** Ends the threads and releases the folder as a crash would: waiting writes and reads get no callback. */
     public void abandon() {
         queue.abandon();
         reader.abandon();
--- a/server/src/main/java/wheatspread/store/StoreSettings.java
+++ b/server/src/main/java/wheatspread/store/StoreSettings.java
@@ -17,10 +17,9 @@
  * @param groupRecords what is written and synced together at most, and {@code groupBytes} for the sizes
  * @param compactBytesPerS what compaction reads and writes a second at most
  * @param compactDeadShare a run of segments is rewritten when this share of it is dead
- * @param compactWaitMs one that will have expired whole within this time is left alone until then
+ * @param compactWaitMs a segment whose records will all have expired within this time is not compacted
  * @param checkpointBytes the index is written after so many bytes of log: what a start has to read at most
- * @param longestLifeMs writes must expire within it; 0 is no bound. It tells when damage has lost its
- *     meaning
+ * @param longestLifeMs writes must expire within it; 0 is no bound. It bounds how long a suspected loss lasts
  */
 public record StoreSettings(
         Sync sync,
@@ -102,6 +101,7 @@
         return longestLifeMs == 0 ? 0 : nowMillis + longestLifeMs;
     }
 
+    /** A copy with another way to acknowledge writes; {@code everyMs} is for {@link Sync#INTERVAL}. */
     public StoreSettings withSync(Sync other, long everyMs) {
         return with(draft -> {
             draft.sync = other;
@@ -121,6 +121,7 @@
         });
     }
 
+    /** A copy with another rate, dead share and waiting time of compaction. */
     public StoreSettings withCompaction(long bytesPerS, double deadShare, long waitMs) {
         return with(draft -> {
             draft.compactBytesPerS = bytesPerS;
@@ -129,6 +130,7 @@
         });
     }
 
+    /** A copy with other bounds of the queue, and of the records in a group. */
     public StoreSettings withQueue(int records, long bytes, int perGroup) {
         return with(draft -> {
             draft.queueRecords = records;
@@ -137,6 +139,7 @@
         });
     }
 
+    /** A copy with another bound on expiry times; 0 is no bound. */
     public StoreSettings withLongestLife(long ms) {
         return with(draft -> draft.longestLifeMs = ms);
     }
--- a/server/src/main/java/wheatspread/store/SuspectedLosses.java
+++ b/server/src/main/java/wheatspread/store/SuspectedLosses.java
@@ -5,12 +5,15 @@
 import org.agrona.collections.LongArrayList;
 
 /**
- * What damage has taken: keys, by their hash, of which a newer write than any that is left may have stood
- * there. Where the keys are not known, every key is in doubt whose entry is older than the damage. A doubt
- * ends when all that could have been lost has expired. No I/O, no clock; not for several threads.
+ * Keys whose newest write may have been lost to damage, by the hash of the key. Where the hashes are lost as
+ * well, every key is suspected whose entry is older than the damage. A suspicion ends when everything that
+ * could have been lost has expired.
+ *
+ * <p>Guarded by the lock of {@link SegmentCatalog#index()}. No I/O, no clock. Bounded by {@link #MAX_KEYS}:
+ * beyond it, every older key is suspected.
  */
 final class SuspectedLosses {
-    /** Beyond so many keys, all are in doubt. */
+    /** With more keys than this, every older key is suspected. */
     static final int MAX_KEYS = 100_000;
 
     private static final long NEVER_ENDS_MILLIS = Long.MAX_VALUE;
@@ -48,7 +51,7 @@
         return allUntilMillis > nowMillis && compare(atSegment, atOffset, lossSegment, lossOffset) < 0;
     }
 
-    /** Forgets what has ended. */
+    /** Removes suspicions that have ended. */
     void removeExpired(long nowMillis) {
         keys.values().removeIf(until -> until <= nowMillis);
         if (allUntilMillis <= nowMillis) {
--- a/server/src/main/java/wheatspread/store/Write.java
+++ b/server/src/main/java/wheatspread/store/Write.java
@@ -3,7 +3,8 @@
 /**
  * A put or a deletion of one key on its way through the writer.
  *
- * <p>Handed over from the caller's thread to the writer's by {@link WriterQueue}, and from there to the callback's; one thread at
+ * <p>Handed over from the caller's thread to the writer's by {@link WriterQueue}, and from there to the callback's;
+ * one thread at
  * a time uses it. Filled in that order: {@link #resolve}, {@link #setLocation}, {@link #complete}.
  */
 final class Write {
--- a/server/src/main/java/wheatspread/store/WriteState.java
+++ b/server/src/main/java/wheatspread/store/WriteState.java
@@ -1,8 +1,9 @@
 package wheatspread.store;
 
 /**
- * Whether the store takes writes. After a failure nothing is written until a new segment stands that says
- * where the failed one ends; attempts at that are spaced out. No I/O, no clock; times are milliseconds.
+ * Whether the store accepts writes. After a failure nothing is written until a new segment records where the
+ * failed one ends; attempts at that are spaced out with exponential backoff. For the writer's thread. No I/O,
+ * no clock; times are milliseconds.
  */
 public final class WriteState {
     static final long MIN_RETRY_DELAY_MILLIS = 50;
--- a/server/src/main/java/wheatspread/store/WriterLoop.java
+++ b/server/src/main/java/wheatspread/store/WriterLoop.java
@@ -6,7 +6,11 @@
 import java.util.concurrent.Executor;
 import wheatspread.logging.EventLog;
 
-/** The writer's thread: commits groups of writes, and begins and ends the jobs of the background thread. */
+/**
+ * The writer's thread: commits groups of writes, starts maintenance jobs and installs their results. It is the
+ * only thread that appends to or syncs the active segment. It ends when {@link WriterQueue} is closed and
+ * empty.
+ */
 final class WriterLoop implements Runnable {
     private final LogStructuredStore files;
     private final WriterQueue queue;
@@ -23,7 +27,7 @@
         this.log = log;
     }
 
-    /** Whether writes are taken, as of the last turn. Any thread. */
+    /** Whether writes are accepted, as of the last iteration. Any thread. */
     WriteState.Mode mode() {
         return mode;
     }
@@ -35,19 +39,19 @@
         while (!last) {
             last = queue.takeGroup(group, files.isBusy() ? 0 : files.nextTickMillis(time.nowMs()));
             try {
-                turn(group);
+                runOnce(group);
             } catch (RuntimeException e) {
                 log.error("store_fault", "reason", e.toString());
                 group.stream()
                         .filter(write -> write.outcome() == null)
                         .forEach(write -> write.complete(Store.Outcome.IN_DOUBT, "a fault in the program: " + e));
             }
-            tell(group);
+            notifyCallers(group);
             group.clear();
         }
     }
 
-    private void turn(List<Write> group) {
+    private void runOnce(List<Write> group) {
         if (!group.isEmpty()) {
             files.commit(group, time.nowMs());
         }
@@ -57,10 +61,10 @@
         offerJob();
     }
 
-    private void tell(List<Write> group) {
+    private void notifyCallers(List<Write> group) {
         if (!group.isEmpty()) {
-            List<Write> told = List.copyOf(group);
-            callbacks.execute(() -> told.forEach(write -> write.notifyCaller()));
+            List<Write> completed = List.copyOf(group);
+            callbacks.execute(() -> completed.forEach(write -> write.notifyCaller()));
         }
     }
 
--- a/server/src/main/java/wheatspread/store/WriterQueue.java
+++ b/server/src/main/java/wheatspread/store/WriterQueue.java
@@ -6,9 +6,10 @@
 import java.util.List;
 
 /**
- * What passes between the threads of a store: writes that wait for the writer, and the job that the writer
- * offers to the background thread and gets back when its steps are done. One lock guards both, since the
- * writer waits for either. Nobody holds it over I/O.
+ * The queue between the threads of a store: writes that wait for the writer, and the maintenance job that the
+ * writer offers to the background thread and gets back when its steps are done. One lock, the object's, guards
+ * both, since the writer waits for either; it is never held over I/O. Any thread may call {@link #add}. Bounds:
+ * {@link StoreSettings#queueRecords} and {@link StoreSettings#queueBytes}.
  */
 final class WriterQueue {
     private static final long MAX_WAIT_MILLIS = 1_000;
@@ -79,7 +80,7 @@
         return new Store.Waiting(writes.size(), waitingBytes, reads, rejectedWrites);
     }
 
-    // ---- the job in hand ----
+    // ---- the current job ----
 
     /** Whether a job may be offered now: one at a time, and none at the end. */
     synchronized boolean acceptsJob() {
--- a/server/src/test/java/wheatspread/store/CrashTest.java
+++ b/server/src/test/java/wheatspread/store/CrashTest.java
@@ -11,12 +11,12 @@
 
 /** A crash or a failure at every place of a recorded history. */
 class CrashTest {
-    private static final int TURNS = 130;
-    private static final long HISTORY = 11;
+    private static final int HISTORY_ACTIONS = 130;
+    private static final long HISTORY_SEED = 11;
 
-    private static StoreHarness whole() throws IOException {
+    private static StoreHarness healthy() throws IOException {
         StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 1);
-        harness.runHistory(new Random(HISTORY), TURNS);
+        harness.runHistory(new Random(HISTORY_SEED), HISTORY_ACTIONS);
         return harness;
     }
 
@@ -45,7 +45,7 @@
     }
 
     /** What was found goes on to be a store: it takes writes, and holds them after another crash. */
-    private static void goesOn(StoreHarness harness, long seed) throws IOException {
+    private static void assertStillUsable(StoreHarness harness, long seed) throws IOException {
         recovered(harness, FaultyDisk.Unsynced.REORDERED, seed); // what was read is there for good
         harness.runTurns(new Random(seed), 12);
         harness.assertExpectedValues(false);
@@ -56,8 +56,8 @@
     }
 
     @Test
-    void theHistoryHasItAll() throws IOException {
-        StoreHarness harness = whole();
+    void historyCoversCompactionCheckpointAndExpiry() throws IOException {
+        StoreHarness harness = healthy();
         harness.assertExpectedValues(false);
         assertThat(harness.refusedWrites + harness.uncertainWrites).isZero();
         assertThat(harness.events)
@@ -67,46 +67,47 @@
     }
 
     @Test
-    void aCutAtEveryByteLeavesWhatWasAcknowledged() throws IOException {
+    void crashAtEveryAppendedByteKeepsAcknowledgedWrites() throws IOException {
         StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 1);
         harness.disk.atByte = each(place -> {
             recovered(harness, FaultyDisk.Unsynced.KEPT, place);
             recovered(harness, FaultyDisk.Unsynced.REORDERED, place);
         });
-        harness.runHistory(new Random(HISTORY), TURNS);
+        harness.runHistory(new Random(HISTORY_SEED), HISTORY_ACTIONS);
         assertThat(harness.disk.appended).isGreaterThan(8_000);
     }
 
     @ParameterizedTest
     @EnumSource
-    void aCrashAtEveryStepLeavesWhatWasAcknowledged(FaultyDisk.Unsynced how) throws IOException {
+    void crashAtEveryDiskOperationKeepsAcknowledgedWrites(FaultyDisk.Unsynced how) throws IOException {
         StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 1);
         int seeds = how == FaultyDisk.Unsynced.REORDERED || how == FaultyDisk.Unsynced.PROCESS ? 4 : 1;
         harness.disk.atStep = each(place -> {
             for (int seed = 0; seed < seeds; seed++) {
-                goesOn(recovered(harness, how, seed), place);
+                assertStillUsable(recovered(harness, how, seed), place);
             }
         });
-        harness.runHistory(new Random(HISTORY), TURNS);
+        harness.runHistory(new Random(HISTORY_SEED), HISTORY_ACTIONS);
         assertThat(harness.disk.steps).isGreaterThan(200);
     }
 
     @Test
-    void aCrashInTheRestartItselfChangesNothing() throws IOException {
+    void crashDuringRecoveryLosesNothing() throws IOException {
         StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 1);
         harness.disk.atStep = each(place -> {
             StoreHarness again = harness.afterCrash(
                     place % 2 == 0 ? FaultyDisk.Unsynced.PROCESS : FaultyDisk.Unsynced.REORDERED, place);
-            again.disk.atStep = each(second -> goesOn(recovered(again, FaultyDisk.Unsynced.REORDERED, second), place));
+            again.disk.atStep =
+                    each(second -> assertStillUsable(recovered(again, FaultyDisk.Unsynced.REORDERED, second), place));
             again.open();
             again.commitGroup("key 1", "after the first crash", 0);
             again.commitGroup("key 2", null, 0);
             again.advance(10);
         });
-        harness.runHistory(new Random(HISTORY), TURNS / 2);
+        harness.runHistory(new Random(HISTORY_SEED), HISTORY_ACTIONS / 2);
     }
 
-    private static void failing(int at, boolean on, boolean space) throws IOException {
+    private static void assertRecoversFromFailure(int at, boolean on, boolean space) throws IOException {
         StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), at);
         harness.open();
         harness.disk.failAtStep = at;
@@ -116,7 +117,7 @@
         }
         harness.log.closeFiles();
         try {
-            harness.runHistory(new Random(HISTORY), TURNS);
+            harness.runHistory(new Random(HISTORY_SEED), HISTORY_ACTIONS);
         } catch (IOException e) {
             assertThat(e).hasMessage("planned"); // a start or an end that could not be: the next one can
             harness.disk = harness.disk.restarted(FaultyDisk.Unsynced.KEPT, at);
@@ -143,11 +144,11 @@
     }
 
     @Test
-    void aFailureAtEveryStepLosesNothingAndIsTold() throws IOException {
-        int steps = whole().disk.steps;
+    void failureOfEveryDiskOperationLosesNothingAndIsReported() throws IOException {
+        int steps = healthy().disk.steps;
         for (int at = 1; at <= steps; at++) {
-            failing(at, false, false);
-            failing(at, true, at % 2 == 0);
+            assertRecoversFromFailure(at, false, false);
+            assertRecoversFromFailure(at, true, at % 2 == 0);
         }
     }
 }
--- a/server/src/test/java/wheatspread/store/DamageTest.java
+++ b/server/src/test/java/wheatspread/store/DamageTest.java
@@ -24,14 +24,14 @@
         return harness;
     }
 
-    private static StoreHarness with(StoreHarness whole, String name, byte[] bytes) throws IOException {
-        StoreHarness harness = whole.afterCrash(FaultyDisk.Unsynced.KEPT, 1);
+    private static StoreHarness with(StoreHarness healthy, String name, byte[] bytes) throws IOException {
+        StoreHarness harness = healthy.afterCrash(FaultyDisk.Unsynced.KEPT, 1);
         harness.disk.replace(name, bytes);
         harness.open();
         return harness;
     }
 
-    private static boolean isTold(StoreHarness harness) {
+    private static boolean isReported(StoreHarness harness) {
         return harness.events.stream()
                 .anyMatch(line ->
                         line.matches("(store_damage|store_torn_tail|store_checkpoint_unusable|store_file_lost) .*"));
@@ -39,20 +39,20 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aFlippedBitIsFoundOrHarmless(boolean ended) throws IOException {
-        StoreHarness whole = store(ended);
+    void flippedBitIsDetectedOrHarmless(boolean ended) throws IOException {
+        StoreHarness healthy = store(ended);
         int found = 0;
         int flipped = 0;
-        for (String name : whole.disk.list()) {
-            byte[] bytes = whole.disk.bytes(name);
+        for (String name : healthy.disk.list()) {
+            byte[] bytes = healthy.disk.bytes(name);
             for (int at = 0; at < bytes.length; at++) {
                 byte[] wrong = bytes.clone();
                 wrong[at] ^= (byte) (1 << at % 8);
-                StoreHarness harness = with(whole, name, wrong);
+                StoreHarness harness = with(healthy, name, wrong);
                 // the last group before a crash cannot be told from one that was never acknowledged
-                harness.assertNoWrongValues(isTold(harness)
+                harness.assertNoWrongValues(isReported(harness)
                         && harness.events.stream().anyMatch(line -> line.startsWith("store_torn_tail")));
-                found += isTold(harness) ? 1 : 0;
+                found += isReported(harness) ? 1 : 0;
                 flipped++;
             }
         }
@@ -62,34 +62,34 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aFileThatEndsTooSoonNeverGivesAnotherValue(boolean ended) throws IOException {
-        StoreHarness whole = store(ended);
-        for (String name : whole.disk.list()) {
-            byte[] bytes = whole.disk.bytes(name);
+    void truncatedFileNeverYieldsAWrongValue(boolean ended) throws IOException {
+        StoreHarness healthy = store(ended);
+        for (String name : healthy.disk.list()) {
+            byte[] bytes = healthy.disk.bytes(name);
             for (int length = 0; length < bytes.length; length++) {
-                StoreHarness harness = with(whole, name, Arrays.copyOf(bytes, length));
+                StoreHarness harness = with(healthy, name, Arrays.copyOf(bytes, length));
                 SegmentName segment = SegmentName.parse(name);
                 boolean newest = !ended
                         && segment != null
                         && segment.isOriginal()
-                        && segment.last() == Layout.of(whole.disk.list()).nextNumber() - 1;
+                        && segment.last() == Layout.of(healthy.disk.list()).nextNumber() - 1;
                 harness.assertNoWrongValues(newest);
             }
         }
     }
 
     @Test
-    void aDamagedKeyIsInDoubtUntilItIsWrittenAgainAndOthersAreServed() throws IOException {
-        StoreHarness whole = new StoreHarness(StoreHarness.smallSettings().withLongestLife(60_000), 1);
-        whole.open();
-        whole.commitGroup("a", "old", 50_000);
-        whole.commitGroup("a", "newer", 50_000, "b", "other", 50_000);
-        whole.commitGroup("c", "behind it", 50_000);
+    void damagedKeyIsDoubtfulUntilItIsRewrittenAndOtherKeysAreServed() throws IOException {
+        StoreHarness healthy = new StoreHarness(StoreHarness.smallSettings().withLongestLife(60_000), 1);
+        healthy.open();
+        healthy.commitGroup("a", "old", 50_000);
+        healthy.commitGroup("a", "newer", 50_000, "b", "other", 50_000);
+        healthy.commitGroup("c", "behind it", 50_000);
         String name = SegmentName.original(1).toString();
-        byte[] bytes = whole.disk.bytes(name).clone();
+        byte[] bytes = healthy.disk.bytes(name).clone();
         int at = new String(bytes, java.nio.charset.StandardCharsets.ISO_8859_1).indexOf("newer");
         bytes[at] ^= 1;
-        StoreHarness harness = with(whole, name, bytes);
+        StoreHarness harness = with(healthy, name, bytes);
         assertThat(harness.log.get(StoreHarness.bytes("a"), harness.nowMillis).kind())
                 .isEqualTo(Store.Got.Kind.DOUBTFUL);
         assertThat(harness.log.get(StoreHarness.bytes("b"), harness.nowMillis).kind())
@@ -112,13 +112,13 @@
     }
 
     @Test
-    void aLostFilePutsAllOlderKeysInDoubtAndNoNewerOne() throws IOException {
-        StoreHarness whole = new StoreHarness(StoreHarness.smallSettings(), 1);
-        whole.open();
+    void lostSegmentMakesAllOlderKeysDoubtfulAndNoNewerOne() throws IOException {
+        StoreHarness healthy = new StoreHarness(StoreHarness.smallSettings(), 1);
+        healthy.open();
         for (int i = 0; i < 60; i++) {
-            whole.commitGroup("key " + i, "x".repeat(60), 0);
+            healthy.commitGroup("key " + i, "x".repeat(60), 0);
         }
-        StoreHarness harness = whole.afterCrash(FaultyDisk.Unsynced.KEPT, 1);
+        StoreHarness harness = healthy.afterCrash(FaultyDisk.Unsynced.KEPT, 1);
         harness.disk.delete(SegmentName.original(3).toString());
         harness.open();
         assertThat(harness.log
@@ -141,31 +141,39 @@
     }
 
     @Test
-    void anUnknownVersionOrAnotherStoresFileIsRefused() throws IOException {
-        StoreHarness whole = store(false);
-        String name = whole.disk.list().stream()
+    void unsupportedVersionAndSegmentOfAnotherStoreAreRejected() throws IOException {
+        StoreHarness healthy = store(false);
+        String name = healthy.disk.list().stream()
                 .filter(one -> SegmentName.parse(one) != null)
                 .findFirst()
                 .orElseThrow();
-        byte[] bytes = whole.disk.bytes(name).clone();
+        byte[] bytes = healthy.disk.bytes(name).clone();
         bytes[11] = 2;
         bytes[FileHeader.HEADER_BYTES / 2 + 11] = 2;
-        assertThatThrownBy(() -> with(whole, name, bytes))
+        assertThatThrownBy(() -> with(healthy, name, bytes))
                 .isInstanceOf(StoreException.class)
-                .hasMessageContaining("is of version 2; this program reads version 1");
+                .hasMessageContaining("is of version 2; this program reads version 1")
+                .isInstanceOfSatisfying(UnsupportedVersionException.class, e -> {
+                    assertThat(e.file()).isEqualTo(name);
+                    assertThat(e.version()).isEqualTo(2);
+                    assertThat(e.supportedVersion()).isEqualTo(1);
+                });
         StoreHarness other = new StoreHarness(StoreHarness.smallSettings(), 1);
         other.open();
         other.log.closeFiles();
-        other.disk = whole.disk.restarted(FaultyDisk.Unsynced.KEPT, 1);
+        other.disk = healthy.disk.restarted(FaultyDisk.Unsynced.KEPT, 1);
         SegmentName next = SegmentName.original(Layout.of(other.disk.list()).nextNumber());
         other.disk.replace(next.toString(), FileHeader.write(next, 77, 5, 0).array());
         assertThatThrownBy(other::open)
                 .isInstanceOf(StoreException.class)
-                .hasMessageContaining("belongs to another store");
+                .hasMessageContaining("belongs to another store")
+                .isInstanceOfSatisfying(
+                        MisplacedSegmentException.class,
+                        e -> assertThat(e.file()).isEqualTo(next.toString()));
     }
 
     @Test
-    void oneProcessAtATime() throws IOException {
+    void secondProcessCannotOpenTheFolder() throws IOException {
         StoreHarness harness = store(false);
         assertThatThrownBy(harness::open).isInstanceOf(Disk.TakenException.class);
     }
--- a/server/src/test/java/wheatspread/store/GroupEncoderTest.java
+++ b/server/src/test/java/wheatspread/store/GroupEncoderTest.java
@@ -11,7 +11,7 @@
 
 class GroupEncoderTest {
     @Property(tries = 200)
-    void whatIsWrittenByHandIsWhatProtobufWrites(
+    void handWrittenEncodingEqualsThatOfProtobuf(
             @ForAll byte[] key, @ForAll byte[] value, @ForAll @LongRange(min = 0) long expires, @ForAll long mark)
             throws Exception {
         GroupEncoder group = new GroupEncoder();
--- a/server/src/test/java/wheatspread/store/IndexTest.java
+++ b/server/src/test/java/wheatspread/store/IndexTest.java
@@ -19,7 +19,7 @@
     }
 
     @Property(tries = 60)
-    void isAsAMapOfLists(@ForAll long seed, @ForAll @IntRange(min = 1, max = 4_000) int spread) {
+    void indexBehavesLikeAMapOfLists(@ForAll long seed, @ForAll @IntRange(min = 1, max = 4_000) int spread) {
         Random random = new Random(seed);
         Index index = new Index();
         TreeMap<Long, List<Long>> model = new TreeMap<>();
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void takesFortyBytesAKeyAtAnySizeAndGivesThemBack() {
+    void indexTakesLessThanFortyBytesAKeyAtAnySizeAndShrinks() {
         Index index = new Index();
         Random random = new Random(3);
         long[] hashes = new long[300_000];
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void sweepsWhatHasExpiredAndNothingElse() {
+    void sweepRemovesOnlyExpiredEntries() {
         Index index = new Index();
         Random random = new Random(3);
         for (int i = 0; i < 10_000; i++) {
--- a/server/src/test/java/wheatspread/store/MaintenanceTest.java
+++ b/server/src/test/java/wheatspread/store/MaintenanceTest.java
@@ -12,7 +12,7 @@
     private static final String TEXT = "x".repeat(100);
 
     @Test
-    void theBoundOnSpaceHoldsUnderOverwritesAndExpiry() throws IOException {
+    void usedSpaceStaysWithinItsLimitUnderOverwritesAndExpiry() throws IOException {
         StoreHarness harness = new StoreHarness(StoreHarness.smallSettings().withSizes(1_024, 8_192, 2_048), 1);
         harness.open();
         for (int i = 0; i < 2_000; i++) {
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aFullStoreRefusesWritesServesReadsAndTakesWritesAgain() throws IOException {
+    void fullStoreRejectsWritesServesReadsAndAcceptsWritesAgain() throws IOException {
         StoreHarness harness = new StoreHarness(StoreHarness.smallSettings().withSizes(1_024, 8_192, 2_048), 1);
         harness.open();
         for (int i = 0; i < 100; i++) {
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aDiskWithoutSpaceIsARefusalUntilItHasSome() throws IOException {
+    void fullDiskRejectsWritesUntilSpaceIsFreed() throws IOException {
         StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 1);
         harness.open();
         harness.commitGroup("key", TEXT, 0);
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void anExpiredOverwriteNeverBringsTheOlderValueBack() throws IOException {
+    void expiredOverwriteNeverBringsTheOlderValueBack() throws IOException {
         StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 1);
         harness.open();
         harness.commitGroup("key", "old, and never expires", 0);
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void anIntervalOfSyncsLosesNoMoreThanItsTime() throws IOException {
+    void intervalSyncLosesAtMostOneInterval() throws IOException {
         StoreHarness harness =
                 new StoreHarness(StoreHarness.smallSettings().withSync(StoreSettings.Sync.INTERVAL, 100), 1);
         harness.open();
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void aCheckpointSparesReadingTheLog() throws IOException {
+    void checkpointSavesReplayingTheLog() throws IOException {
         StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 1);
         harness.open();
         for (int i = 0; i < 200; i++) {
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void equalHashesAreDifferentKeys() throws IOException {
+    void keysWithEqualHashesAreKeptApart() throws IOException {
         // two keys of the same hash, made so by the index itself: entries are told apart by their keys
         StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 1);
         harness.open();
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void thePolicyTakesTheRunThatFreesMostForItsCost() {
+    void compactionPolicyChoosesTheRunWithTheBestBenefitToCostRatio() {
         CompactionPolicy policy = new CompactionPolicy(
                 StoreSettings.DEFAULT.withSizes(100_000, 1 << 20, 1_024).withCompaction(1 << 20, 0.5, 1_000));
         long never = Segment.NEVER_EXPIRES_MILLIS;
@@ -181,7 +181,7 @@
     }
 
     @Test
-    void pausesBetweenAttemptsGrowAndEnd() {
+    void retryDelayGrowsUpToItsMaximumAndIsResetByRecovery() {
         WriteState state = new WriteState();
         state.failed(0, false);
         assertThat(state.mode()).isEqualTo(WriteState.Mode.FAILED);
@@ -200,7 +200,7 @@
     }
 
     @Test
-    void aFailedSyncIsNeverTriedAgainOnTheSameFile() throws IOException {
+    void failedSyncIsNeverRetriedOnTheSameFile() throws IOException {
         StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 1);
         harness.open();
         harness.commitGroup("key", "one", 0);
--- a/server/src/test/java/wheatspread/store/RecordFramingTest.java
+++ b/server/src/test/java/wheatspread/store/RecordFramingTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void cutAtEveryByteWhatIsWholeIsReadAndTheRestIsTorn() {
+    void truncationAtEveryByteKeepsCompleteFramesAndReportsATornOne() {
         ByteBuffer file = file();
         List<Integer> ends = new ArrayList<>(List.of(0));
         BODIES.forEach(body -> ends.add(ends.get(ends.size() - 1) + RecordFraming.frameBytes(body.length())));
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void aBitFlippedAnywhereIsNeverReadAsAnotherRecord() {
+    void flippedBitIsNeverReadAsAnotherRecord() {
         int bits = file().limit() * 8;
         for (int bit = 0; bit < bits; bit++) {
             ByteBuffer file = file();
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void aRecordThatIsTooLongIsRefused() {
+    void tooLongBodyIsRejected() {
         assertThatThrownBy(() -> RecordFraming.write(
                         ByteBuffer.allocate(RecordFraming.MAX_BODY_BYTES + 1), ByteBuffer.allocate(8)))
                 .hasMessageContaining("is over " + RecordFraming.MAX_BODY_BYTES);
--- a/server/src/test/java/wheatspread/store/StoreModelTest.java
+++ b/server/src/test/java/wheatspread/store/StoreModelTest.java
@@ -14,7 +14,7 @@
 /** Any sequence of what may happen to a store, beside the map of what it must hold. */
 class StoreModelTest {
     /** One thing that happens. */
-    private interface Happening extends Action<StoreHarness> {
+    private interface StoreAction extends Action<StoreHarness> {
         void to(StoreHarness harness) throws IOException;
 
         @Override
@@ -30,24 +30,24 @@
     }
 
     @Provide
-    Arbitrary<ActionSequence<StoreHarness>> happenings() {
+    Arbitrary<ActionSequence<StoreHarness>> actions() {
         Arbitrary<String> keys = Arbitraries.integers().between(0, 9).map(n -> "key " + n);
         Arbitrary<String> values = Arbitraries.strings().alpha().ofMaxLength(200);
         Arbitrary<Integer> lives = Arbitraries.integers().between(0, 4_000);
         Arbitrary<Action<StoreHarness>> put = Combinators.combine(keys, values, lives)
-                .as((key, value, life) -> (Happening) harness -> harness.commitGroup(key, value, life));
+                .as((key, value, life) -> (StoreAction) harness -> harness.commitGroup(key, value, life));
         Arbitrary<Action<StoreHarness>> several = Combinators.combine(keys, keys, values, lives)
-                .as((one, other, value, life) -> (Happening) harness ->
+                .as((one, other, value, life) -> (StoreAction) harness ->
                         harness.commitGroup(one, value, life, other, "b", 0, one, null, 0, other, value, life));
         Arbitrary<Action<StoreHarness>> delete =
-                keys.map(key -> (Happening) harness -> harness.commitGroup(key, null, 0));
+                keys.map(key -> (StoreAction) harness -> harness.commitGroup(key, null, 0));
         Arbitrary<Action<StoreHarness>> time =
-                Arbitraries.integers().between(0, 3_000).map(ms -> (Happening) harness -> harness.advance(ms));
-        Arbitrary<Action<StoreHarness>> checkpoint = Arbitraries.just((Happening) harness -> {
+                Arbitraries.integers().between(0, 3_000).map(ms -> (StoreAction) harness -> harness.advance(ms));
+        Arbitrary<Action<StoreHarness>> checkpoint = Arbitraries.just((StoreAction) harness -> {
             harness.log.finish(harness.nowMillis);
             harness.advance(1_000);
         });
-        Arbitrary<Action<StoreHarness>> compaction = Arbitraries.just((Happening) harness -> {
+        Arbitrary<Action<StoreHarness>> compaction = Arbitraries.just((StoreAction) harness -> {
             harness.runJobs();
             try {
                 harness.log.compactNow(harness.nowMillis, false);
@@ -57,12 +57,12 @@
         });
         Arbitrary<Action<StoreHarness>> failure = Arbitraries.integers()
                 .between(1, 6)
-                .map(in -> (Happening) harness -> {
+                .map(in -> (StoreAction) harness -> {
                     harness.disk.failAtStep = harness.disk.steps + in;
                 });
         Arbitrary<Action<StoreHarness>> crash = Combinators.combine(
                         Arbitraries.of(FaultyDisk.Unsynced.class), Arbitraries.longs())
-                .as((how, seed) -> (Happening) harness -> {
+                .as((how, seed) -> (StoreAction) harness -> {
                     harness.restart(how, seed);
                     harness.assertExpectedValues(true);
                 });
@@ -78,9 +78,9 @@
     }
 
     @Property(tries = 300, seed = "20261201")
-    void holdsWhatTheMapHolds(@ForAll("happenings") ActionSequence<StoreHarness> happenings) throws IOException {
+    void storeBehavesLikeAMap(@ForAll("actions") ActionSequence<StoreHarness> actions) throws IOException {
         StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 7);
         harness.open();
-        happenings.run(harness);
+        actions.run(harness);
     }
 }
--- a/server/src/test/java/wheatspread/store/StoreTest.java
+++ b/server/src/test/java/wheatspread/store/StoreTest.java
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void keepsInAFolderWhatItAcknowledged(@TempDir Path folder) throws IOException {
+    void acknowledgedWritesAreReadAfterReopeningTheFolder(@TempDir Path folder) throws IOException {
         open(FolderDisk.make(folder), StoreHarness.smallSettings());
         for (int i = 0; i < 200; i++) {
             put("key " + i % 20, "value " + i);
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void aDiskThatStallsHoldsUpNoCallerAndNoRead() throws Exception {
+    void stalledDiskBlocksNeitherCallersNorReads() throws Exception {
         open(disk, StoreHarness.smallSettings().withQueue(100, 1 << 20, 100));
         put("read", "meanwhile").join();
         CountDownLatch stalled = new CountDownLatch(1);
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void refusesAtOnceWhatItCannotTake() throws IOException {
+    void invalidWritesAndCallsAfterCloseAreRejectedImmediately() throws IOException {
         open(disk, StoreHarness.smallSettings().withLongestLife(10_000));
         Store.Done none = (outcome, reason) -> {};
         long now = System.currentTimeMillis();
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void aFailureIsToldAndTheStoreComesBackByItself() throws Exception {
+    void failedWriteIsReportedAndTheStoreRecoversByItself() throws Exception {
         open(disk, StoreHarness.smallSettings());
         put("key", "old").join();
         synchronized (disk) {
@@ -143,7 +143,7 @@
     }
 
     @Test
-    void closingEndsWhatWasTaken() throws IOException {
+    void closeCompletesAcceptedWritesAndLeavesACheckpoint() throws IOException {
         open(disk, StoreHarness.smallSettings());
         List<CompletableFuture<Store.Outcome>> taken = new ArrayList<>();
         for (int i = 0; i < 500; i++) {
