--- a/server/src/main/java/wheatspread/store/AuxiliaryFiles.java
+++ b/server/src/main/java/wheatspread/store/AuxiliaryFiles.java
@@ -11,8 +11,8 @@
 import wheatspread.logging.EventLog;
 
 /**
- * The files of the folder that are not part of the log: the checkpoint, what is to be deleted or set aside,
- * and what was set aside. They take room as well, so their sizes are kept.
+ * The files of the folder that are not part of the log: checkpoints, files to be deleted, and damaged files
+ * that are kept for an operator. Their sizes count as used space. For the writer's thread alone.
  */
 final class AuxiliaryFiles {
     private final Disk disk;
@@ -45,11 +45,11 @@
 
     /** A segment that has been rewritten is to be deleted, or set aside if it is damaged. */
     void retire(Segment rewritten) {
-        String name = rewritten.name.toString();
-        (rewritten.damaged ? toSetAside : toDelete).add(name);
-        add(name, rewritten.bytes);
-        if (rewritten.damaged) {
-            log.warn("store_set_aside", "file", name + SegmentName.ASIDE);
+        String name = rewritten.name().toString();
+        (rewritten.isDamaged() ? toSetAside : toDelete).add(name);
+        add(name, rewritten.validBytes());
+        if (rewritten.isDamaged()) {
+            log.warn("store_set_aside", "file", name + SegmentName.DAMAGED_SUFFIX);
         }
     }
 
@@ -68,13 +68,13 @@
     /** A job of {@link #deletion} has come to its end. */
     void completed(DeleteJob deletion) {
         toDelete.removeAll(deletion.names());
-        toSetAside.removeAll(deletion.aside());
+        toSetAside.removeAll(deletion.damagedFiles());
         for (String name : deletion.names()) {
             sizes.remove(name);
         }
-        for (String name : deletion.aside()) {
+        for (String name : deletion.damagedFiles()) {
             try {
-                measure(name + SegmentName.ASIDE);
+                measure(name + SegmentName.DAMAGED_SUFFIX);
             } catch (IOException e) {
                 log.warn("store_file_lost", "file", name);
             }
--- a/server/src/main/java/wheatspread/store/Layout.java
+++ b/server/src/main/java/wheatspread/store/Layout.java
@@ -14,17 +14,17 @@
  * @param checkpoints their names, the newest first
  * @param leftovers what is to be deleted: files that others were written in place of, and those not
  *     finished
- * @param aside damaged files that are kept for the operator
+ * @param damagedFiles damaged files that are kept for the operator
  */
 record Layout(
         List<SegmentName> chain,
         List<Integer> gaps,
         List<String> checkpoints,
         List<String> leftovers,
-        List<String> aside) {
+        List<String> damagedFiles) {
     private static final String CHECKPOINT = "\\d{1,19}\\.checkpoint";
 
-    static String checkpoint(long number) {
+    static String checkpointName(long number) {
         return String.format("%010d.checkpoint", number);
     }
 
@@ -37,17 +37,17 @@
         List<SegmentName> segments = new ArrayList<>();
         TreeMap<Long, String> checkpoints = new TreeMap<>();
         List<String> leftovers = new ArrayList<>();
-        List<String> aside = new ArrayList<>();
+        List<String> damagedFiles = new ArrayList<>();
         for (String name : names) {
             SegmentName segment = SegmentName.parse(name);
             if (segment != null) {
                 segments.add(segment);
             } else if (name.matches(CHECKPOINT)) {
                 checkpoints.put(checkpointNumber(name), name);
-            } else if (name.endsWith(SegmentName.NEW)) {
+            } else if (name.endsWith(SegmentName.TEMPORARY_SUFFIX)) {
                 leftovers.add(name);
-            } else if (name.endsWith(SegmentName.ASIDE)) {
-                aside.add(name);
+            } else if (name.endsWith(SegmentName.DAMAGED_SUFFIX)) {
+                damagedFiles.add(name);
             }
         }
         List<SegmentName> chain = new ArrayList<>();
@@ -58,14 +58,13 @@
                 chain.add(one);
             }
         }
-        chain.sort(SegmentName.IN_ORDER);
+        chain.sort(SegmentName.LOG_ORDER);
         List<Integer> gaps = new ArrayList<>();
         int next = 1;
         for (int i = 0; i < chain.size(); i++) {
             SegmentName one = chain.get(i);
             if (i > 0 && one.overlaps(chain.get(i - 1))) {
-                throw new StoreException("files " + chain.get(i - 1) + " and " + one
-                        + " hold the same part of the log, and neither replaces the other");
+                throw new OverlappingSegmentsException(chain.get(i - 1), one);
             }
             if (one.first() != next) {
                 gaps.add(one.first());
@@ -77,11 +76,11 @@
                 List.copyOf(gaps),
                 List.copyOf(checkpoints.descendingMap().values()),
                 List.copyOf(leftovers),
-                List.copyOf(aside));
+                List.copyOf(damagedFiles));
     }
 
     /** The number that the next segment gets. */
-    int next() {
+    int nextNumber() {
         return chain.isEmpty() ? 1 : chain.get(chain.size() - 1).last() + 1;
     }
 }
--- a/server/src/main/java/wheatspread/store/WriterLoop.java
+++ b/server/src/main/java/wheatspread/store/WriterLoop.java
@@ -6,16 +6,20 @@
 import java.util.concurrent.Executor;
 import wheatspread.logging.EventLog;
 
-/** The writer's thread: commits groups of writes, and begins and ends the jobs of the background thread. */
+/**
+ * The writer's thread: commits groups of writes, starts maintenance jobs and installs their results. It is the
+ * only thread that appends to or syncs the active segment. It ends when {@link WriterQueue} is closed and
+ * empty.
+ */
 final class WriterLoop implements Runnable {
-    private final Log files;
+    private final LogStructuredStore files;
     private final WriterQueue queue;
     private final Store.Time time;
     private final Executor callbacks;
     private final EventLog log;
     private volatile WriteState.Mode mode = WriteState.Mode.OPEN;
 
-    WriterLoop(Log files, WriterQueue queue, Store.Time time, Executor callbacks, EventLog log) {
+    WriterLoop(LogStructuredStore files, WriterQueue queue, Store.Time time, Executor callbacks, EventLog log) {
         this.files = files;
         this.queue = queue;
         this.time = time;
@@ -23,7 +27,7 @@
         this.log = log;
     }
 
-    /** Whether writes are taken, as of the last turn. Any thread. */
+    /** Whether writes are accepted, as of the last iteration. Any thread. */
     WriteState.Mode mode() {
         return mode;
     }
@@ -33,21 +37,21 @@
         List<Write> group = new ArrayList<>();
         boolean last = false;
         while (!last) {
-            last = queue.takeGroup(group, files.isBusy() ? 0 : files.dueMs(time.nowMs()));
+            last = queue.takeGroup(group, files.isBusy() ? 0 : files.nextTickMillis(time.nowMs()));
             try {
-                turn(group);
+                runOnce(group);
             } catch (RuntimeException e) {
                 log.error("store_fault", "reason", e.toString());
                 group.stream()
-                        .filter(write -> write.outcome == null)
+                        .filter(write -> write.outcome() == null)
                         .forEach(write -> write.complete(Store.Outcome.IN_DOUBT, "a fault in the program: " + e));
             }
-            tell(group);
+            notifyCallers(group);
             group.clear();
         }
     }
 
-    private void turn(List<Write> group) {
+    private void runOnce(List<Write> group) {
         if (!group.isEmpty()) {
             files.commit(group, time.nowMs());
         }
@@ -57,15 +61,15 @@
         offerJob();
     }
 
-    private void tell(List<Write> group) {
+    private void notifyCallers(List<Write> group) {
         if (!group.isEmpty()) {
-            List<Write> told = List.copyOf(group);
-            callbacks.execute(() -> told.forEach(write -> write.done.ended(write.outcome, write.reason)));
+            List<Write> completed = List.copyOf(group);
+            callbacks.execute(() -> completed.forEach(write -> write.notifyCaller()));
         }
     }
 
     private void offerJob() {
-        if (queue.takesJob()) {
+        if (queue.acceptsJob()) {
             MaintenanceJob next = files.nextJob(time.nowMs());
             if (next != null) {
                 queue.offerJob(next);
