--- a/server/src/main/java/wheatspread/commands/Wheatspread.java
+++ b/server/src/main/java/wheatspread/commands/Wheatspread.java
@@ -36,6 +36,7 @@
     @Spec
     private CommandSpec spec;
 
+    /** Runs the command that the first argument names, and exits with its code. */
     public static void main(String[] args) {
         // a server's start pays for no other command's options
         CommandLine line = args.length > 0 && args[0].equals("serve") ? prepared(new ServeCommand()) : commands();
