--- a/lab/src/main/java/wheatspread/lab/Sites.java
+++ b/lab/src/main/java/wheatspread/lab/Sites.java
@@ -75,6 +75,37 @@
 
     /** The same of one of a fleet, with the addresses of the parties round it. */
     public static JSONObject config(String kernel, String records, String announce, int sockets, int servers) {
+        JSONObject settings = new JSONObject()
+                .put("ReplicasOfMe", servers)
+                .put("Resolution", 4.0)
+                .put("Ceilings", new JSONObject().put("MaxRetryAfter", 4_000.0).put("RetryAfter", true))
+                .put("FamilyInfo", family())
+                .put("Lanes", lanes())
+                .put("Parties", tenants())
+                .put(
+                        "Rules",
+                        new JSONObject()
+                                .put("AnswerSlack", 60.0)
+                                .put("Cold", 16_000.0)
+                                .put("ColdFrom", 0.2)
+                                .put("DrainGrace", 2_500.0)
+                                .put("OverloadFor", 2_000.0)
+                                .put("TipMultiple", 6.0));
+        return new JSONObject()
+                .put("name", "lab")
+                .put("listen", "127.0.0.1:0")
+                .put("kernel", kernel)
+                .put("records", records)
+                .put("announce", announce)
+                .put("seed", "1ab")
+                .put("stop_ms", 4_000)
+                .put(
+                        "limits",
+                        new JSONObject().put("cores", 1.0).put("memory_mb", 512).put("sockets", sockets))
+                .put("settings", settings);
+    }
+
+    private static JSONArray lanes() {
         JSONArray lanes = new JSONArray();
         for (Kind kind : KINDS) {
             JSONObject lane = new JSONObject()
@@ -86,11 +117,19 @@
                     .put("Effect", kind.keyed ? "deduplicated" : "idempotent");
             lanes.put(kind.keyed ? lane.put("Window", 42_633.0) : lane);
         }
+        return lanes;
+    }
+
+    private static JSONArray tenants() {
         JSONArray tenants = new JSONArray();
         for (int i = 0; i < SHARES.length; i++) {
             tenants.put(new JSONObject().put("Name", TENANTS.get(i)).put("QuotaPerS", QUOTA * SHARES[i]));
         }
-        JSONObject family = new JSONObject()
+        return tenants;
+    }
+
+    private static JSONObject family() {
+        return new JSONObject()
                 .put("Callers", 5)
                 .put("CallsOut", 40.0)
                 .put("Cold", false)
@@ -109,36 +148,9 @@
                 .put("RegistryFollows", true)
                 .put("RunFactor", 8.0)
                 .put("Say", "window");
-        JSONObject settings = new JSONObject()
-                .put("ReplicasOfMe", servers)
-                .put("Resolution", 4.0)
-                .put("Ceilings", new JSONObject().put("MaxRetryAfter", 4_000.0).put("RetryAfter", true))
-                .put("FamilyInfo", family)
-                .put("Lanes", lanes)
-                .put("Parties", tenants)
-                .put(
-                        "Rules",
-                        new JSONObject()
-                                .put("AnswerSlack", 60.0)
-                                .put("Cold", 16_000.0)
-                                .put("ColdFrom", 0.2)
-                                .put("DrainGrace", 2_500.0)
-                                .put("OverloadFor", 2_000.0)
-                                .put("TipMultiple", 6.0));
-        return new JSONObject()
-                .put("name", "lab")
-                .put("listen", "127.0.0.1:0")
-                .put("kernel", kernel)
-                .put("records", records)
-                .put("announce", announce)
-                .put("seed", "1ab")
-                .put("stop_ms", 4_000)
-                .put(
-                        "limits",
-                        new JSONObject().put("cores", 1.0).put("memory_mb", 512).put("sockets", sockets))
-                .put("settings", settings);
     }
 
+    /** Draws a class of request by the shares of the classes. */
     public static Kind kind(Random random) {
         double left = random.nextDouble();
         for (Kind kind : KINDS) {
--- a/lab/src/main/java/wheatspread/lab/bench/ConnectionsBenchmark.java
+++ b/lab/src/main/java/wheatspread/lab/bench/ConnectionsBenchmark.java
@@ -115,6 +115,7 @@
         return at;
     }
 
+    /** A connection is read, answered and comes to rest again. */
     @Benchmark
     public long useWithLists() {
         Connection c = nodes[step()];
@@ -154,6 +155,7 @@
         return oldest;
     }
 
+    /** A full table evicts a connection, found by its lists. */
     @Benchmark
     public Object makeRoomWithLists() {
         now += 100;
@@ -162,6 +164,7 @@
         return c;
     }
 
+    /** A full table evicts a connection, found by a walk over all. */
     @Benchmark
     public Object makeRoomWithAScan() {
         now += 100;
--- a/lab/src/main/java/wheatspread/lab/bench/IndexBenchmark.java
+++ b/lab/src/main/java/wheatspread/lab/bench/IndexBenchmark.java
@@ -34,6 +34,7 @@
     private Map<Long, Place> map;
     private Long2ObjectHashMap<Place> agrona;
 
+    /** Fills all three structures with the same keys. */
     @Setup
     public void fill() {
         hashes = random.longs(size).toArray();
@@ -49,6 +50,7 @@
         }
     }
 
+    /** The index of the store. */
     @Benchmark
     public long index() {
         int one = random.nextInt(size);
@@ -64,6 +66,7 @@
         return found;
     }
 
+    /** The JDK's hash map of boxed keys. */
     @Benchmark
     public long hashMap() {
         int one = random.nextInt(size);
@@ -76,6 +79,7 @@
         return found;
     }
 
+    /** A hash map of primitive keys. */
     @Benchmark
     public long agrona() {
         int one = random.nextInt(size);
--- a/lab/src/main/java/wheatspread/lab/bench/TimersBenchmark.java
+++ b/lab/src/main/java/wheatspread/lab/bench/TimersBenchmark.java
@@ -85,6 +85,7 @@
         return at;
     }
 
+    /** The program's timer wheel. */
     @Benchmark
     public long ours() {
         int i = step();
@@ -95,6 +96,7 @@
         return wheel.nextAdvanceMicros();
     }
 
+    /** A library's timer wheel, with a map from its numbers to the tasks. */
     @Benchmark
     public long agronasWheelWithAMap() {
         int i = step();
--- a/lab/src/main/java/wheatspread/lab/deployments/Deployment.java
+++ b/lab/src/main/java/wheatspread/lab/deployments/Deployment.java
@@ -60,6 +60,7 @@
     final List<String> gauges;
     private final int[] chosen;
 
+    /** A deployment by the choice made for each field; the numbers are taken modulo the choices there are. */
     public Deployment(int[] chosen) {
         this.chosen = chosen.clone();
         cores = pick(0, 4, 1, 2, 16);
@@ -158,9 +159,38 @@
     }
 
     private JSONObject settings() {
+        JSONObject settings = new JSONObject()
+                .put("FamilyInfo", family())
+                .put("Lanes", lanes())
+                .put(
+                        "Rules",
+                        new JSONObject()
+                                .put("AnswerSlack", 60.0)
+                                .put("Cold", (double) coldFor)
+                                .put("ColdFrom", coldFrom)
+                                .put("DrainGrace", (double) grace)
+                                .put("OverloadFor", 2_000.0)
+                                .put("TipMultiple", tip));
+        if (!tenants.isEmpty()) {
+            JSONArray parties = new JSONArray();
+            tenants.forEach(
+                    name -> parties.put(new JSONObject().put("Name", name).putOpt("QuotaPerS", named ? 40.0 : null)));
+            settings.put("Parties", parties);
+        }
+        if (mostStayAway > 0) {
+            settings.put(
+                    "Ceilings", new JSONObject().put("RetryAfter", true).put("MaxRetryAfter", (double) mostStayAway));
+        }
+        if (named) {
+            settings.put("ReplicasOfMe", 3)
+                    .put("Resolution", 4.0)
+                    .put("Tariffs", new JSONObject().put("Handshake", 0.1).put("Connection", 0.1));
+        }
+        return settings;
+    }
+
+    private JSONArray lanes() {
         JSONArray lanes = new JSONArray();
-        JSONArray may = new JSONArray();
-        JSONArray skips = new JSONArray();
         for (Kind kind : kinds) {
             JSONObject lane = new JSONObject()
                     .put("Name", kind.name)
@@ -177,6 +207,14 @@
                 lane.put("Window", (double) kind.window);
             }
             lanes.put(lane);
+        }
+        return lanes;
+    }
+
+    private JSONObject family() {
+        JSONArray may = new JSONArray();
+        JSONArray skips = new JSONArray();
+        for (Kind kind : kinds) {
             may.put(kind.calls);
             skips.put(kind.skipWorth);
         }
@@ -206,34 +244,7 @@
             family.put("DependsOn", "silent").put("CallsOut", 0.0).put("ClassCalls", may);
         }
         MAY_BE_ABSENT.stream().filter(this::absent).forEach(family::remove);
-        JSONObject settings = new JSONObject()
-                .put("FamilyInfo", family)
-                .put("Lanes", lanes)
-                .put(
-                        "Rules",
-                        new JSONObject()
-                                .put("AnswerSlack", 60.0)
-                                .put("Cold", (double) coldFor)
-                                .put("ColdFrom", coldFrom)
-                                .put("DrainGrace", (double) grace)
-                                .put("OverloadFor", 2_000.0)
-                                .put("TipMultiple", tip));
-        if (!tenants.isEmpty()) {
-            JSONArray parties = new JSONArray();
-            tenants.forEach(
-                    name -> parties.put(new JSONObject().put("Name", name).putOpt("QuotaPerS", named ? 40.0 : null)));
-            settings.put("Parties", parties);
-        }
-        if (mostStayAway > 0) {
-            settings.put(
-                    "Ceilings", new JSONObject().put("RetryAfter", true).put("MaxRetryAfter", (double) mostStayAway));
-        }
-        if (named) {
-            settings.put("ReplicasOfMe", 3)
-                    .put("Resolution", 4.0)
-                    .put("Tariffs", new JSONObject().put("Handshake", 0.1).put("Connection", 0.1));
-        }
-        return settings;
+        return family;
     }
 
     /** Whether callers hear when to come back, and a free value. */
--- a/lab/src/main/java/wheatspread/lab/deployments/DeploymentRun.java
+++ b/lab/src/main/java/wheatspread/lab/deployments/DeploymentRun.java
@@ -70,6 +70,7 @@
         }
     }
 
+    /** A run of a deployment; {@code planted} is the fault that the run is to find, if any. */
     public DeploymentRun(Deployment deployment, long seed, Planted planted) {
         this.deployment = deployment;
         this.planted = planted;
--- a/lab/src/main/java/wheatspread/lab/load/Holder.java
+++ b/lab/src/main/java/wheatspread/lab/load/Holder.java
@@ -48,6 +48,7 @@
     private long lastClosed;
     private long lastAnswer;
 
+    /** Holds connections to a port of the loopback address, from source addresses that begin at {@code firstSource}. */
     public Holder(int port, boolean uwsgi, int firstSource) {
         to = new InetSocketAddress("127.0.0.1", port);
         this.uwsgi = uwsgi;
--- a/lab/src/main/java/wheatspread/lab/load/HolderProcess.java
+++ b/lab/src/main/java/wheatspread/lab/load/HolderProcess.java
@@ -16,6 +16,7 @@
     private final BufferedReader in;
     private final Writer out;
 
+    /** Starts the process and waits for nothing; connections come from addresses that begin at {@code firstSource}. */
     public HolderProcess(int port, int count, boolean uwsgi, int firstSource) throws IOException {
         Path java = Path.of(System.getProperty("java.home"), "bin", "java");
         process = new ProcessBuilder(List.of(
@@ -49,6 +50,7 @@
         out.flush();
     }
 
+    /** Reads the next report of the process; blocks until there is one. */
     public JSONObject hear() throws IOException {
         String line = in.readLine();
         if (line == null) {
--- a/lab/src/main/java/wheatspread/lab/model/ModelRun.java
+++ b/lab/src/main/java/wheatspread/lab/model/ModelRun.java
@@ -40,6 +40,7 @@
      */
     public record Outcome(JSONObject figures, List<String> faults, List<double[]> seconds, boolean finished) {}
 
+    /** A run that has not begun; all its random draws come from the seed. */
     public ModelRun(Scenario scenario, DetectorSettings settings, long seed) {
         this.scenario = scenario;
         this.seed = seed;
--- a/lab/src/main/java/wheatspread/lab/rig/HandoverRun.java
+++ b/lab/src/main/java/wheatspread/lab/rig/HandoverRun.java
@@ -42,6 +42,7 @@
     private final List<String> flags;
     private final double rate;
 
+    /** Runs of this jar with these JVM flags, at {@code rate} requests a second. */
     public HandoverRun(Path jar, List<String> flags, double rate) {
         this.jar = jar;
         this.flags = flags;
@@ -83,17 +84,11 @@
                         world.mayLose(NAME, 500);
                     }
                     signals.send(end == End.OLD_KILLED ? "KILL" : "TERM", old);
-                    Integer code = socket.awaitEnd(old, STOP_MS);
-                    if (code == null || end == End.OLD_LEAVES && code != 0) {
-                        faults.add("the old process ended with " + code + ": " + tail(dir, "old"));
-                    }
+                    faults.addAll(endFaults(end, socket.awaitEnd(old, STOP_MS), dir));
                 }
                 TimeUnit.MILLISECONDS.sleep(LOAD_MS);
                 world.ask(0);
-                long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LAST_ANSWERS_MS);
-                while (world.open() > 0 && System.nanoTime() < until) {
-                    TimeUnit.MILLISECONDS.sleep(20);
-                }
+                awaitAnswers(world);
                 ProcessHandle last = end == End.NEW_DIES_BEFORE_READY ? old : next;
                 if (!last.isAlive()) {
                     faults.add("the process that was to stay is gone: " + tail(dir, "new"));
@@ -115,6 +110,18 @@
         }
     }
 
+    private static List<String> endFaults(End end, Integer code, Path dir) throws IOException {
+        boolean wrong = code == null || end == End.OLD_LEAVES && code != 0;
+        return wrong ? List.of("the old process ended with " + code + ": " + tail(dir, "old")) : List.of();
+    }
+
+    private static void awaitAnswers(World world) throws InterruptedException {
+        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LAST_ANSWERS_MS);
+        while (world.open() > 0 && System.nanoTime() < until) {
+            TimeUnit.MILLISECONDS.sleep(20);
+        }
+    }
+
     private ProcessHandle start(
             Path dir, String which, HandedSocket socket, World world, StandInEndpoint kernel, InetSocketAddress door)
             throws IOException, InterruptedException {
--- a/lab/src/main/java/wheatspread/lab/standins/ProcessLog.java
+++ b/lab/src/main/java/wheatspread/lab/standins/ProcessLog.java
@@ -15,6 +15,7 @@
     private final List<String> lines = new ArrayList<>();
     private boolean ended;
 
+    /** Reads what the process prints, on a thread of its own with this name, until the process ends. */
     public ProcessLog(Process process, String name) {
         this.process = process;
         Thread reader = new Thread(this::read, "log of " + name);
