--- a/lab/src/main/java/wheatspread/lab/settings/ReloadMeasurement.java
+++ b/lab/src/main/java/wheatspread/lab/settings/ReloadMeasurement.java
@@ -24,7 +24,7 @@
     private static final int LOOKS_AT_DOOR = 50;
 
     private static final String RELOAD = " reload ";
-    private static final String RELOAD_REFUSED = " reload_refused ";
+    private static final String RELOAD_REFUSED = " reload_rejected ";
 
     private final MeasuredServer server;
     private final JSONObject configuration;
--- a/lab/src/test/java/wheatspread/lab/settings/ServerMeasurementTest.java
+++ b/lab/src/test/java/wheatspread/lab/settings/ServerMeasurementTest.java
@@ -33,7 +33,7 @@
         assertThat(figures.optQuery("/reload/burst/taken")).isEqualTo(2L);
         assertThat(figures.optQuery("/reload/wrong_file/refused")).isEqualTo(true);
         assertThat((String) figures.optQuery("/reload/wrong_file/message"))
-                .contains("reload_refused")
+                .contains("reload_rejected")
                 .doesNotContain(System.getProperty("java.io.tmpdir"));
         assertThat(((Number) figures.optQuery("/delay/served")).longValue()).isPositive();
         assertThat(((Number) figures.optQuery("/reload/peak_resident_bytes")).longValue())
--- a/server/src/main/java/wheatspread/announce/AnnounceConnection.java
+++ b/server/src/main/java/wheatspread/announce/AnnounceConnection.java
@@ -110,7 +110,7 @@
         awaitsAnswer = false;
         int status = response.status().code();
         if (status != HttpResponseStatus.NO_CONTENT.code()) {
-            log.warn("announce_refused", "status", status);
+            log.warn("load_report_rejected", "status", status);
         }
     }
 
--- a/server/src/main/java/wheatspread/core/ActionExecutor.java
+++ b/server/src/main/java/wheatspread/core/ActionExecutor.java
@@ -189,6 +189,6 @@
 
     @Override
     public void log(String text) {
-        log.info("module", "text", text);
+        log.info("admission", "text", text);
     }
 }
--- a/server/src/main/java/wheatspread/core/EventBatcher.java
+++ b/server/src/main/java/wheatspread/core/EventBatcher.java
@@ -100,7 +100,7 @@
             controller.decide(actions);
         } catch (RuntimeException e) {
             // a fault in one decision must not end the ticks, or every later request would be lost with it
-            log.error("module_failed", "error", e);
+            log.error("decision_failed", "error", e);
             scheduleWakeup(WAKEUP_AFTER_FAULT_MICROS);
         }
     }
--- a/server/src/main/java/wheatspread/daemon/ConfigReloader.java
+++ b/server/src/main/java/wheatspread/daemon/ConfigReloader.java
@@ -55,7 +55,8 @@
 
     private void reject(Throwable cause) {
         rejected.incrementAndGet(); // first, since the log may need memory that is not there
-        log.warn("reload_refused", "reason", cause instanceof RuntimeException ? cause.getMessage() : cause.toString());
+        log.warn(
+                "reload_rejected", "reason", cause instanceof RuntimeException ? cause.getMessage() : cause.toString());
     }
 
     long appliedCount() {
--- a/server/src/main/java/wheatspread/daemon/CounterReporter.java
+++ b/server/src/main/java/wheatspread/daemon/CounterReporter.java
@@ -61,7 +61,7 @@
 
     /** Logs the counters from the start of the process. */
     void logCounters() {
-        log.info("counts", core.counters().logFields());
+        log.info("request_counters", core.counters().logFields());
         listeners.forEach((listener, address) -> {
             ConnectionTable table = listener.table();
             log.info(
@@ -71,7 +71,7 @@
                             table.counters().fields()));
         });
         log.info(
-                "turns",
+                "event_loop",
                 concatenate(scheduler.times().fields(), scheduler.burstLimiter().fields(), new Object[] {
                     "exhausted",
                     scheduler.readScheduler().exhaustedIterations(),
--- a/server/src/main/java/wheatspread/daemon/MembershipService.java
+++ b/server/src/main/java/wheatspread/daemon/MembershipService.java
@@ -67,7 +67,7 @@
         if (upgrade) {
             opening.addListener(done -> {
                 if (!done.isSuccess()) {
-                    log.info("peers_wait", "error", done.cause().getMessage());
+                    log.info("peer_bind_delayed", "error", done.cause().getMessage());
                     clock.schedule(BIND_RETRY_MICROS, this::retryOpen);
                 }
             });
@@ -115,7 +115,7 @@
                 return new ControlFront.ControlResponse("405 Method Not Allowed", "only POST\n");
             }
             String refused = peers.orderBootstrap();
-            log.info("form_ordered", "refused", refused == null ? "no" : refused);
+            log.info("bootstrap_ordered", "refused", refused == null ? "no" : refused);
             return refused == null
                     ? new ControlFront.ControlResponse("200 OK", "forming\n")
                     : new ControlFront.ControlResponse("409 Conflict", refused + "\n");
--- a/server/src/main/java/wheatspread/daemon/ProcessMarkerFiles.java
+++ b/server/src/main/java/wheatspread/daemon/ProcessMarkerFiles.java
@@ -132,7 +132,7 @@
                 try {
                     Files.deleteIfExists(files.readyFile());
                 } catch (IOException e) {
-                    log.warn("mark_failed", "file", files.readyFile(), "error", e);
+                    log.warn("marker_file_failed", "file", files.readyFile(), "error", e);
                 }
             });
         }
@@ -152,7 +152,7 @@
                     try {
                         AtomicFile.write(file, content + "\n");
                     } catch (IOException e) {
-                        log.warn("mark_failed", "file", file, "error", e);
+                        log.warn("marker_file_failed", "file", file, "error", e);
                     }
                 },
                 writer);
--- a/server/src/main/java/wheatspread/daemon/ReloadApplier.java
+++ b/server/src/main/java/wheatspread/daemon/ReloadApplier.java
@@ -67,6 +67,6 @@
         if (uwsgi != null) {
             uwsgi.retune(deployment);
         }
-        log.info("retuned", "classes", deployment.classes());
+        log.info("classes_reloaded", "classes", deployment.classes());
     }
 }
--- a/server/src/main/java/wheatspread/daemon/Server.java
+++ b/server/src/main/java/wheatspread/daemon/Server.java
@@ -73,7 +73,7 @@
         if (!lifecycle.isStopping()) {
             long startNanos = System.nanoTime();
             int served = new WarmUp(config.site()).play(WarmUp.MAX_DURATION_NANOS, lifecycle::isStopping);
-            log.info("rehearsed", "requests", served, "took_ms", (System.nanoTime() - startNanos) / NANOS_PER_MILLI);
+            log.info("warm_up_done", "requests", served, "took_ms", (System.nanoTime() - startNanos) / NANOS_PER_MILLI);
         }
     }
 
@@ -187,7 +187,11 @@
         boolean drainSignal = event == Event.DRAIN || event == Event.DRAIN_IMMEDIATELY;
         if (!lifecycle.handle(event) && drainSignal) {
             log.info(
-                    "notice_again", "phase", lifecycle.phase().storedName(), "hurry", event == Event.DRAIN_IMMEDIATELY);
+                    "drain_signal_repeated",
+                    "phase",
+                    lifecycle.phase().storedName(),
+                    "hurry",
+                    event == Event.DRAIN_IMMEDIATELY);
         }
         if (event == Event.DRAIN_IMMEDIATELY) {
             shutdown.answerImmediately();
--- a/server/src/main/java/wheatspread/daemon/ServerFactory.java
+++ b/server/src/main/java/wheatspread/daemon/ServerFactory.java
@@ -118,7 +118,7 @@
                     ProcessHandle.current().pid(),
                     log));
         } catch (IOException e) {
-            log.warn("claims_failed", "folder", config.sharedDirectory(), "error", e.toString());
+            log.warn("idempotency_claims_failed", "folder", config.sharedDirectory(), "error", e.toString());
         }
     }
 
--- a/server/src/main/java/wheatspread/fleet/FleetLog.java
+++ b/server/src/main/java/wheatspread/fleet/FleetLog.java
@@ -34,7 +34,7 @@
     /** A health check changed the state of an instance. */
     void stateChanged(FleetInstance instance, long nowMicros) {
         log.info(
-                "member",
+                "instance",
                 "name",
                 instance.name,
                 "state",
@@ -48,27 +48,29 @@
     }
 
     void instanceStarted(FleetInstance instance) {
-        log.info("member_starts", "name", instance.name, "build", instance.build, "generation", instance.generation);
+        log.info(
+                "instance_starting", "name", instance.name, "build", instance.build, "generation", instance.generation);
     }
 
     /** A start that an earlier supervisor recorded did not show itself in time. */
     void startNotConfirmed(FleetInstance instance) {
-        log.info("start_unseen", "name", instance.name, "generation", instance.generation);
+        log.info("instance_start_lost", "name", instance.name, "generation", instance.generation);
     }
 
     void drainStarted(FleetInstance instance) {
-        log.info("member_leaves", "name", instance.name, "build", instance.build, "generation", instance.generation);
+        log.info(
+                "instance_draining", "name", instance.name, "build", instance.build, "generation", instance.generation);
     }
 
     void instanceKilled(FleetInstance instance, String reason) {
-        log.warn("member_killed", "name", instance.name, "generation", instance.generation, "why", reason);
+        log.warn("instance_killed", "name", instance.name, "generation", instance.generation, "why", reason);
     }
 
     /** A process exited; {@code expected} says whether it had been sent SIGTERM. */
     void processExited(FleetInstance instance, boolean expected, long nowMicros) {
         log.log(
                 expected ? Level.INFO : Level.WARN,
-                "member_ended",
+                "instance_ended",
                 "name",
                 instance.name,
                 "build",
@@ -86,7 +88,7 @@
     /** An instance is held for a crash loop. */
     void crashLoopDetected(FleetInstance instance, BackoffPolicy backoff) {
         log.error(
-                "member_held",
+                "instance_crash_loop",
                 "name",
                 instance.name,
                 "ends",
@@ -98,14 +100,14 @@
     // ---- rollouts ----
 
     void rolloutStarted(String fromBuild, String toBuild, int instances, int maxUnavailable) {
-        log.info("roll_began", "from", fromBuild, "to", toBuild, "members", instances, "most_out", maxUnavailable);
+        log.info("rollout_started", "from", fromBuild, "to", toBuild, "members", instances, "most_out", maxUnavailable);
     }
 
     /** The status of a rollout changed. */
     void rolloutStatusChanged(Rollout rollout) {
         log.log(
                 rollout.reason().isEmpty() ? Level.INFO : Level.ERROR,
-                "roll",
+                "rollout",
                 "to",
                 rollout.toBuild(),
                 "status",
@@ -116,6 +118,7 @@
 
     /** A rollout waits for unavailable instances, or goes on. */
     void rolloutPaused(Rollout rollout, int unavailable) {
-        log.warn(rollout.isPaused() ? "roll_paused" : "roll_goes_on", "to", rollout.toBuild(), "out", unavailable);
+        log.warn(
+                rollout.isPaused() ? "rollout_paused" : "rollout_resumed", "to", rollout.toBuild(), "out", unavailable);
     }
 }
--- a/server/src/main/java/wheatspread/handover/SharedIdempotencyClaims.java
+++ b/server/src/main/java/wheatspread/handover/SharedIdempotencyClaims.java
@@ -94,7 +94,7 @@
     private void logFailure(Exception failure) {
         if (!failureLogged) {
             failureLogged = true;
-            log.warn("claims_failed", "folder", folder, "error", failure.toString());
+            log.warn("idempotency_claims_failed", "folder", folder, "error", failure.toString());
         }
     }
 
--- a/server/src/main/java/wheatspread/kernel/NoticeReader.java
+++ b/server/src/main/java/wheatspread/kernel/NoticeReader.java
@@ -59,7 +59,7 @@
             read(new JSONObject(line));
             return true;
         } catch (JSONException | IllegalArgumentException e) {
-            log.warn("kernel_line_bad", "error", e.getMessage());
+            log.warn("kernel_message_malformed", "error", e.getMessage());
             boolean replay = replayRequestedAfter != lastSequenceNumber;
             replayRequestedAfter = lastSequenceNumber;
             return !replay;
@@ -106,7 +106,7 @@
     private void readCommandRejected(JSONObject notice) {
         String command = notice.optString(KernelWireNames.STATE);
         String job = notice.optString(KernelWireNames.JOB);
-        log.warn("kernel_refused", "command", command, "job", job);
+        log.warn("kernel_command_rejected", "command", command, "job", job);
         unconfirmed.confirmRejected(job, command);
         if (command.equals(KernelWireNames.START) || command.equals(KernelWireNames.RESUME)) {
             listener.onRunNotStarted(job);
--- a/server/src/main/java/wheatspread/supervisor/FleetRunner.java
+++ b/server/src/main/java/wheatspread/supervisor/FleetRunner.java
@@ -88,7 +88,7 @@
         supervisor = new Supervisor(fleet, host, config.checkIntervalMicros(), log);
         supervisor.recover(EventLoopClock.unixMicros());
         log.info(
-                "supervisor_began",
+                "supervisor_started",
                 "dir",
                 config.directory(),
                 "members",
@@ -168,7 +168,7 @@
             host.reconfigure(next);
             startSupervisor();
         } catch (JsonFields.InvalidValueException e) {
-            log.warn("reload_refused", "reason", e.getMessage());
+            log.warn("reload_rejected", "reason", e.getMessage());
         }
     }
 }
--- a/server/src/main/java/wheatspread/supervisor/Supervisor.java
+++ b/server/src/main/java/wheatspread/supervisor/Supervisor.java
@@ -141,7 +141,7 @@
             long pid = host.startProcess(name, start.build(), start.generation());
             fleet.processStarted(name, start.generation(), pid);
         } catch (IOException e) {
-            log.error("spawn_failed", "name", name, "build", start.build(), "error", e.getMessage());
+            log.error("instance_start_failed", "name", name, "build", start.build(), "error", e.getMessage());
             fleet.processExited(name, start.generation(), FleetInstance.UNKNOWN_EXIT_CODE, nowMicros);
         }
     }
@@ -150,6 +150,6 @@
     private void adoptLateProcess(InstanceAction.Start start, RunningProcess process) {
         host.watchProcess(start.instance(), process.pid());
         fleet.processStarted(start.instance(), start.generation(), process.pid());
-        log.warn("member_found", "name", start.instance(), "generation", process.generation());
+        log.warn("instance_found", "name", start.instance(), "generation", process.generation());
     }
 }
--- a/server/src/test/java/wheatspread/core/CoreTest.java
+++ b/server/src/test/java/wheatspread/core/CoreTest.java
@@ -44,7 +44,7 @@
         });
         harness.submit("a", "k");
         harness.settle();
-        assertThat(harness.logLines).containsExactly("module_failed error=\"java.lang.IllegalStateException: odd\"");
+        assertThat(harness.logLines).containsExactly("decision_failed error=\"java.lang.IllegalStateException: odd\"");
         harness.advance(60_000);
         assertThat(harness.controllerEvents).contains("timer");
         harness.advance(8 * SECOND);
--- a/server/src/test/java/wheatspread/daemon/ReloadAtSizeTest.java
+++ b/server/src/test/java/wheatspread/daemon/ReloadAtSizeTest.java
@@ -66,7 +66,7 @@
             fixture.server.reload(() -> {
                 throw new OutOfMemoryError("of the test");
             });
-            fixture.awaitLogged("reload_refused reason=\"java.lang.OutOfMemoryError: of the test\"");
+            fixture.awaitLogged("reload_rejected reason=\"java.lang.OutOfMemoryError: of the test\"");
             fixture.server.reload(() -> {
                 throw new NoClassDefFoundError("of the test");
             });
@@ -105,8 +105,8 @@
             assertReloadCounts(fixture, 0, 1);
             fixture.server.kill();
             fixture.server.reload(() -> config);
-            fixture.awaitLogged("reload_refused"); // the one before
-            fixture.awaitLogged("reload_refused reason=\"event executor terminated\"");
+            fixture.awaitLogged("reload_rejected"); // the one before
+            fixture.awaitLogged("reload_rejected reason=\"event executor terminated\"");
         }
     }
 
@@ -128,7 +128,7 @@
                     boolean bad = i % 5 == 4;
                     Files.writeString(file, bad ? whole.substring(0, whole.length() / 2) : whole);
                     signal("HUP", process);
-                    await(log, bad ? "reload_refused" : "retuned");
+                    await(log, bad ? "reload_rejected" : "classes_reloaded");
                 }
                 signal("TERM", process);
                 await(log, "to=STOPPED");
--- a/server/src/test/java/wheatspread/daemon/ReloadTest.java
+++ b/server/src/test/java/wheatspread/daemon/ReloadTest.java
@@ -21,15 +21,15 @@
                             .put("Name", "soup")
                             .put("Deadline", 5000.0)
                             .put("Effect", "idempotent")));
-            fixture.awaitLogged("retuned");
+            fixture.awaitLogged("classes_reloaded");
             assertServedOverBothProtocols(proxy, "stew", "ok-1");
 
             fixture.retune(
                     settings -> settings.getJSONArray("Lanes").getJSONObject(0).put("Deadline", 0));
-            fixture.awaitLogged("reload_refused");
+            fixture.awaitLogged("reload_rejected");
             fixture.retune(
                     settings -> settings.getJSONArray("Lanes").getJSONObject(0).remove("Deadline"));
-            fixture.awaitLogged("reload_refused");
+            fixture.awaitLogged("reload_rejected");
             assertServedOverBothProtocols(proxy, "soup", "ok-2");
             assertServedOverBothProtocols(proxy, "stew", "ok-3");
         }
@@ -44,7 +44,7 @@
             assertServedOverBothProtocols(proxy, "stew", "ok-1");
             for (int move = 0; move < 2; move++) {
                 fixture.reload("", "");
-                fixture.awaitLogged("retuned");
+                fixture.awaitLogged("classes_reloaded");
                 assertServedOverBothProtocols(proxy, "stew", "ok-after-" + move);
             }
             assertThat(kernel.runs).allMatch(body -> Collections.frequency(kernel.runs, body) == 2);
--- a/server/src/test/java/wheatspread/daemon/StartTest.java
+++ b/server/src/test/java/wheatspread/daemon/StartTest.java
@@ -110,7 +110,7 @@
             hangup.start();
             server.warmUp();
             hangup.join();
-            await(() -> logged.stream().anyMatch(line -> line.startsWith("retuned")));
+            await(() -> logged.stream().anyMatch(line -> line.startsWith("classes_reloaded")));
             assertThat(server.start()).isTrue();
             await(() -> server.phase() == Phase.SERVING);
             assertThat(logged).noneMatch(line -> line.startsWith("kernel_link_failed"));
