--- a/server/src/main/java/wheatspread/admission/AdmissionController.java
+++ b/server/src/main/java/wheatspread/admission/AdmissionController.java
@@ -77,7 +77,9 @@
         /**
          * Sets the answer to health checks.
          *
-         * @param stored whether checks are answered from this setting, without work of their own
+         * @param stored whether checks are answered from this setting, without work of their own; the server always
+         * does
+         *     so, the simulator can do either
          */
         void setHealth(boolean healthy, boolean stored);
 
--- a/server/src/main/java/wheatspread/admission/sfq/ArrivalPolicy.java
+++ b/server/src/main/java/wheatspread/admission/sfq/ArrivalPolicy.java
@@ -8,7 +8,7 @@
  */
 final class ArrivalPolicy {
     private final DecisionClock clock;
-    private final DrainState drain;
+    private final DrainWindow drain;
     private final DuplicatePolicy duplicates;
     private final KeyRetentionPolicy keyRetention;
     private final FairQueue fairQueue;
@@ -17,7 +17,7 @@
 
     ArrivalPolicy(
             DecisionClock clock,
-            DrainState drain,
+            DrainWindow drain,
             DuplicatePolicy duplicates,
             KeyRetentionPolicy keyRetention,
             FairQueue fairQueue,
--- a/server/src/main/java/wheatspread/admission/sfq/DependencyCallGate.java
+++ b/server/src/main/java/wheatspread/admission/sfq/DependencyCallGate.java
@@ -20,7 +20,7 @@
 
     private final ReloadableSettings settings;
     private final DecisionClock clock;
-    private final DrainState drain;
+    private final DrainWindow drain;
     private final InFlightRequests inFlight;
     private final DependencyCallLimit limit;
     private final RunTermination termination;
@@ -28,7 +28,7 @@
     DependencyCallGate(
             ReloadableSettings settings,
             DecisionClock clock,
-            DrainState drain,
+            DrainWindow drain,
             InFlightRequests inFlight,
             DependencyCallLimit limit,
             RunTermination termination) {
--- a/server/src/main/java/wheatspread/admission/sfq/DrainState.java
+++ b/server/src/main/java/wheatspread/admission/sfq/DrainWindow.java
@@ -6,17 +6,17 @@
  * Graceful shutdown: after the drain notice requests are accepted for a grace time, and all work ends a margin before
  * the process is stopped.
  */
-final class DrainState {
+final class DrainWindow {
     /** Runs and calls end this long before the process is stopped. */
-    private static final long STOP_MARGIN_MICROS = 300_000;
+    private static final long WORK_END_MARGIN_MICROS = 300_000;
     /** Requests are answered this long before the process is stopped. */
-    private static final long ANSWER_MARGIN_MICROS = STOP_MARGIN_MICROS / 2;
+    private static final long ANSWER_MARGIN_MICROS = WORK_END_MARGIN_MICROS / 2;
 
     private final long graceMicros;
     private long notifiedMicros = -1;
     private long stopMicros = Long.MAX_VALUE;
 
-    DrainState(ServerLimits limits) {
+    DrainWindow(ServerLimits limits) {
         graceMicros = limits.drainGraceMicros();
     }
 
@@ -41,7 +41,7 @@
 
     /** When runs and calls have to end. */
     long workEndMicros() {
-        return stopMicros - STOP_MARGIN_MICROS;
+        return stopMicros - WORK_END_MARGIN_MICROS;
     }
 
     /** When requests have to be answered. */
--- a/server/src/main/java/wheatspread/admission/sfq/HealthReporter.java
+++ b/server/src/main/java/wheatspread/admission/sfq/HealthReporter.java
@@ -16,7 +16,7 @@
     private static final long MICROS_PER_SECOND = 1_000_000;
 
     private final ReloadableSettings settings;
-    private final DrainState drain;
+    private final DrainWindow drain;
     private final OverloadDetector overload;
     private final ArrivalRate arrivalRate;
     private final double totalQuotaPerSecond;
@@ -24,7 +24,7 @@
 
     HealthReporter(
             ReloadableSettings settings,
-            DrainState drain,
+            DrainWindow drain,
             OverloadDetector overload,
             ArrivalRate arrivalRate,
             double totalQuotaPerSecond) {
--- a/server/src/main/java/wheatspread/admission/sfq/LoadPressure.java
+++ b/server/src/main/java/wheatspread/admission/sfq/LoadPressure.java
@@ -37,7 +37,7 @@
         return value() > 1;
     }
 
-    /** The pressure; 1 and above is high. */
+    /** The pressure; above 1 it is high. */
     double value() {
         double waiting = Math.max(
                 heldQueueBound.fill() / ELEVATED_FILL, overload.readDelay() / OverloadDetector.ELEVATED_READ_DELAY);
--- a/server/src/main/java/wheatspread/admission/sfq/ObjectiveForecast.java
+++ b/server/src/main/java/wheatspread/admission/sfq/ObjectiveForecast.java
@@ -11,14 +11,14 @@
 
     private final ReloadableSettings settings;
     private final DecisionClock clock;
-    private final DrainState drain;
+    private final DrainWindow drain;
     private final InFlightRequests inFlight;
     private final ServiceTimeEstimator serviceTimes;
 
     ObjectiveForecast(
             ReloadableSettings settings,
             DecisionClock clock,
-            DrainState drain,
+            DrainWindow drain,
             InFlightRequests inFlight,
             ServiceTimeEstimator serviceTimes) {
         this.settings = settings;
--- a/server/src/main/java/wheatspread/admission/sfq/ReloadableSettings.java
+++ b/server/src/main/java/wheatspread/admission/sfq/ReloadableSettings.java
@@ -5,7 +5,8 @@
 import wheatspread.admission.ServerLimits;
 
 /**
- * The settings in force. A reload replaces them, except the server's limits and the margin for late answers, which
+ * The settings in force. A reload adds request classes, and takes over what the host changed, except the server's
+ * limits and the margin for late answers, which
  * stay as they were at start.
  */
 final class ReloadableSettings {
--- a/server/src/main/java/wheatspread/admission/sfq/RequestExpiry.java
+++ b/server/src/main/java/wheatspread/admission/sfq/RequestExpiry.java
@@ -11,7 +11,7 @@
 final class RequestExpiry {
     private final ReloadableSettings settings;
     private final DecisionClock clock;
-    private final DrainState drain;
+    private final DrainWindow drain;
     private final InFlightRequests inFlight;
     private final LoadShedder shedder;
     private final RunTermination termination;
@@ -19,7 +19,7 @@
     RequestExpiry(
             ReloadableSettings settings,
             DecisionClock clock,
-            DrainState drain,
+            DrainWindow drain,
             InFlightRequests inFlight,
             LoadShedder shedder,
             RunTermination termination) {
--- a/server/src/main/java/wheatspread/admission/sfq/SfqAdmissionController.java
+++ b/server/src/main/java/wheatspread/admission/sfq/SfqAdmissionController.java
@@ -16,7 +16,7 @@
 public final class SfqAdmissionController implements AdmissionController {
     private final ReloadableSettings settings;
     private final DecisionClock clock = new DecisionClock();
-    private final DrainState drain;
+    private final DrainWindow drain;
     private final GaugeMonitor gauges = new GaugeMonitor();
     private final InFlightRequests inFlight;
     private final RetainedKeys keys;
@@ -47,7 +47,7 @@
      */
     public SfqAdmissionController(AdmissionSettings initial, long seed) {
         settings = new ReloadableSettings(initial);
-        drain = new DrainState(initial.limits());
+        drain = new DrainWindow(initial.limits());
         inFlight = new InFlightRequests(settings);
         keys = new RetainedKeys(settings, clock);
         memory = new MemoryBudget(settings, inFlight, keys);
--- a/server/src/main/java/wheatspread/admission/sfq/SuspendedRunPolicy.java
+++ b/server/src/main/java/wheatspread/admission/sfq/SuspendedRunPolicy.java
@@ -10,7 +10,7 @@
 final class SuspendedRunPolicy {
     private final ReloadableSettings settings;
     private final DecisionClock clock;
-    private final DrainState drain;
+    private final DrainWindow drain;
     private final InFlightRequests inFlight;
     private final DependencyCallGate calls;
     private final RunTermination termination;
@@ -18,7 +18,7 @@
     SuspendedRunPolicy(
             ReloadableSettings settings,
             DecisionClock clock,
-            DrainState drain,
+            DrainWindow drain,
             InFlightRequests inFlight,
             DependencyCallGate calls,
             RunTermination termination) {
--- a/server/src/main/java/wheatspread/core/ActionExecutor.java
+++ b/server/src/main/java/wheatspread/core/ActionExecutor.java
@@ -82,7 +82,10 @@
         }
     }
 
-    /** Prevents a run after the drain grace, and of a key that the other process of an upgrade ran. */
+    /**
+     * Prevents a run after the drain grace, and of a key that the other process of an upgrade ran. The attempt is then
+     * rejected, which promises only that this attempt never ran.
+     */
     private boolean mayRun(Attempt attempt) {
         return !attempt.receivedAfterGrace()
                 && !drain.isPastGrace(attempt.request().arrivalMicros())
--- a/server/src/main/java/wheatspread/core/ActiveSettings.java
+++ b/server/src/main/java/wheatspread/core/ActiveSettings.java
@@ -3,7 +3,10 @@
 import wheatspread.admission.AdmissionSettings;
 import wheatspread.admission.RequestClass;
 
-/** The deployment settings in force, which a reload replaces. Owned by the core's thread. */
+/**
+ * The deployment settings in force. A reload adds request classes to them; all else stays. Owned by the core's
+ * thread.
+ */
 final class ActiveSettings {
     private DeploymentSettings current;
     private boolean coldStart;
--- a/server/src/main/java/wheatspread/core/Core.java
+++ b/server/src/main/java/wheatspread/core/Core.java
@@ -17,7 +17,7 @@
  */
 public final class Core implements Kernel.Listener {
     /** Attempts that are still unanswered are failed this long before the process is stopped. */
-    private static final long STOP_MARGIN_MICROS = 200_000;
+    private static final long FAIL_UNANSWERED_MARGIN_MICROS = 200_000;
 
     private static final long SWEEP_INTERVAL_MICROS = 1_000_000;
 
@@ -212,7 +212,7 @@
         health.update(false);
         long remainingMicros = Math.max(0, noticeMicros + stopAfterMicros - clock.nowMicros());
         events.add(controller -> controller.onDrain(remainingMicros));
-        clock.schedule(Math.max(0, remainingMicros - STOP_MARGIN_MICROS), answers::failAllUnanswered);
+        clock.schedule(Math.max(0, remainingMicros - FAIL_UNANSWERED_MARGIN_MICROS), answers::failAllUnanswered);
     }
 
     // ---- the kernel's reports ----
--- a/server/src/main/java/wheatspread/core/DrainState.java
+++ b/server/src/main/java/wheatspread/core/DrainState.java
@@ -1,6 +1,10 @@
 package wheatspread.core;
 
-/** Whether this server is draining, and since when. It never stops draining. Owned by the core's thread. */
+/**
+ * Whether this server is draining, and since when. It never stops draining. The grace runs from the signal; the
+ * admission controller keeps its own window, which runs from the batch in which it learns of it.
+ * Owned by the core's thread.
+ */
 final class DrainState {
     private static final long NOT_DRAINING = Long.MAX_VALUE;
 
--- a/server/src/main/java/wheatspread/core/IdempotencyTable.java
+++ b/server/src/main/java/wheatspread/core/IdempotencyTable.java
@@ -18,7 +18,7 @@
      * Duplicates are found by their arrival time; one that arrived within the window may be read this much later.
      */
     private static final long LATE_READ_ALLOWANCE_MICROS = 5_000_000;
-    /** On sockets every time limit is longer by this (PROTOCOL, "The rules on sockets"). */
+    /** The platform adds this to every time limit where messages go over sockets. */
     private static final long SOCKET_SLACK_MICROS = 50_000;
 
     /** One key in the table. */
--- a/server/src/main/java/wheatspread/core/KernelEvents.java
+++ b/server/src/main/java/wheatspread/core/KernelEvents.java
@@ -66,7 +66,10 @@
         }
     }
 
-    /** The attempt never ran, and frees its key. */
+    /**
+     * The attempt never ran, and frees its key. It is failed and not rejected, since the kernel alone says so and the
+     * client must not rely on that; attempts that joined it were not sent to the kernel and are rejected.
+     */
     private void neverStarted(Attempt attempt) {
         attempt.runNotStarted();
         events.add(controller -> controller.onCompletion(attempt.id(), Outcome.IGNORED, 0));
--- a/server/src/main/java/wheatspread/core/RequestLifecycle.java
+++ b/server/src/main/java/wheatspread/core/RequestLifecycle.java
@@ -68,13 +68,13 @@
     /** Finds the attempt's idempotency key, and hands it to the controller unless it is answered already. */
     private void arrive(AdmissionController controller, Attempt attempt) {
         InboundRequest request = attempt.request();
-        boolean idempotent = request.idempotencyKey() != null;
+        boolean hasKey = request.idempotencyKey() != null;
         IdempotencyTable.Entry duplicated = idempotencyTable.find(request, events.nowMicros());
-        attempt.setKeyEntry(duplicated == null && idempotent ? idempotencyTable.put(attempt) : duplicated);
+        attempt.setKeyEntry(duplicated == null && hasKey ? idempotencyTable.put(attempt) : duplicated);
         if (attempt.answered()) {
             // its client disconnected, or its deadline passed, before the controller saw it
             answers.releaseKeyIfNeverRan(attempt);
-        } else if (idempotent && duplicated != null && !duplicated.hasSameBody(request)) {
+        } else if (hasKey && duplicated != null && !duplicated.hasSameBody(request)) {
             // the result for that key was made of another body, and is not for this client
             answers.finish(attempt, Answer.Kind.CONFLICT);
         } else {
--- a/server/src/main/java/wheatspread/daemon/GracefulShutdown.java
+++ b/server/src/main/java/wheatspread/daemon/GracefulShutdown.java
@@ -65,7 +65,10 @@
         poll();
     }
 
-    /** Ends the grace, and rejects what has not started. Before the drain it does nothing. */
+    /**
+     * Ends the grace, and has everything answered soon: rejected if it has not started, failed if it has. Before the
+     * drain it does nothing.
+     */
     void answerImmediately() {
         if (deadlines != null && !deadlines.isImmediate()) {
             deadlines.answerImmediately(clock.nowMicros());
@@ -85,7 +88,7 @@
         switch (step) {
             case CLOSE_ALL_ANSWERED -> drainEnded.accept(Event.ALL_ANSWERED);
             case CLOSE_TIMED_OUT -> drainEnded.accept(Event.DRAIN_TIMED_OUT);
-            case REJECT_NOT_STARTED -> {
+            case ANSWER_ALL -> {
                 core.answerAll();
                 clock.schedule(DRAIN_POLL_MICROS, this::poll);
             }
--- a/server/src/main/java/wheatspread/daemon/ReloadApplier.java
+++ b/server/src/main/java/wheatspread/daemon/ReloadApplier.java
@@ -11,8 +11,9 @@
 import wheatspread.uwsgi.UwsgiFront;
 
 /**
- * Applies a new configuration to a running server. A reload changes the request classes and tenants of the settings,
- * and the addresses of the kernel, the records service and announce; everything else holds from the next start on.
+ * Applies a new configuration to a running server. A reload adds request classes, which keep
+ * their figures once they are known, and moves the addresses of the kernel, the records service and the announce
+ * service. Everything else, tenants included, holds from the next start on.
  */
 final class ReloadApplier {
     private final ServerConfig startConfig;
--- a/server/src/main/java/wheatspread/lifecycle/DrainDeadlines.java
+++ b/server/src/main/java/wheatspread/lifecycle/DrainDeadlines.java
@@ -11,10 +11,10 @@
  *     what they send within the grace is served</td></tr>
  * <tr><td>{@code AWAIT_ANSWERS}</td><td>the end of the grace</td><td>what was accepted last had
  *     {@link #LAST_ACCEPTED_READ_MICROS} to be read, and every request is answered</td></tr>
- * <tr><td>{@code REJECT_NOT_STARTED}</td><td>the same, if the drain was made immediate</td>
+ * <tr><td>{@code ANSWER_ALL}</td><td>the same, if the drain was made immediate</td>
  *     <td>every request is answered</td></tr>
  * <tr><td>{@code CLOSE_ALL_ANSWERED}</td><td>every request is answered</td><td>-</td></tr>
- * <tr><td>{@code CLOSE_TIMED_OUT}</td><td>{@link #STOP_MARGIN_MICROS} before the stop, whatever is open</td>
+ * <tr><td>{@code CLOSE_TIMED_OUT}</td><td>{@link #CLOSE_MARGIN_MICROS} before the stop, whatever is open</td>
  *     <td>-</td></tr>
  * </table>
  *
@@ -22,7 +22,7 @@
  */
 public final class DrainDeadlines {
     /** The process closes its connections this long before it would be killed. */
-    public static final long STOP_MARGIN_MICROS = 120_000;
+    public static final long CLOSE_MARGIN_MICROS = 120_000;
     /** A connection that was accepted just before the listeners closed gets this long to be read. */
     public static final long LAST_ACCEPTED_READ_MICROS = 150_000;
     /** The last connections are aborted this long before the process would be killed. */
@@ -36,8 +36,8 @@
         ACCEPT,
         /** The listeners are closed; requests that were sent are answered. */
         AWAIT_ANSWERS,
-        /** Requests that have not started are rejected at once. */
-        REJECT_NOT_STARTED,
+        /** Every unanswered request is answered: rejected if it has not started, failed if it has. */
+        ANSWER_ALL,
         /** The drain ends, and nothing is open. */
         CLOSE_ALL_ANSWERED,
         /** The drain ends, whatever is open. */
@@ -61,7 +61,7 @@
      */
     public DrainDeadlines(long signalledAtMicros, long stopTimeoutMicros, long graceMicros, boolean listed) {
         this.signalledAtMicros = signalledAtMicros;
-        closeAtMicros = signalledAtMicros + Math.max(STOP_MARGIN_MICROS, stopTimeoutMicros - STOP_MARGIN_MICROS);
+        closeAtMicros = signalledAtMicros + Math.max(CLOSE_MARGIN_MICROS, stopTimeoutMicros - CLOSE_MARGIN_MICROS);
         abortConnectionsAtMicros =
                 Math.max(closeAtMicros, signalledAtMicros + stopTimeoutMicros - CONNECTION_ABORT_MARGIN_MICROS);
         acceptUntilMicros = listed ? endOfGrace(graceMicros) : signalledAtMicros;
@@ -69,11 +69,14 @@
 
     /** A short stop timeout shortens the grace, so that time to answer is left. */
     private long endOfGrace(long graceMicros) {
-        long latestMicros = closeAtMicros - 2 * STOP_MARGIN_MICROS;
+        long latestMicros = closeAtMicros - 2 * CLOSE_MARGIN_MICROS;
         return Math.max(signalledAtMicros, Math.min(signalledAtMicros + graceMicros, latestMicros));
     }
 
-    /** Ends the grace now, and rejects what has not started. Calls after the first change nothing. */
+    /**
+     * Ends the grace now; what is unanswered after the last accepted connections were read is answered. Calls after
+     * the first change nothing.
+     */
     public void answerImmediately(long nowMicros) {
         if (!immediate) {
             immediate = true;
@@ -99,7 +102,7 @@
         if (unanswered == 0) {
             return Step.CLOSE_ALL_ANSWERED;
         }
-        return immediate ? Step.REJECT_NOT_STARTED : Step.AWAIT_ANSWERS;
+        return immediate ? Step.ANSWER_ALL : Step.AWAIT_ANSWERS;
     }
 
     /**
--- a/server/src/main/java/wheatspread/membership/CutDetector.java
+++ b/server/src/main/java/wheatspread/membership/CutDetector.java
@@ -15,7 +15,8 @@
  * "reachable" for a joiner. The larger counter wins, so reports can be taken back and may arrive late, doubled or in
  * any order; members with equal counters find equal changes. A subject is removed, or a joiner admitted, from the high
  * watermark of reports on. One between the low and the high watermark is unstable, and the change waits for it, so
- * that crashes at about the same time become one change on all members. One observer alone never moves anything.
+ * that crashes at about the same time become one change on all members. With two observers or more, one report alone
+ * never removes or admits anybody.
  */
 final class CutDetector {
     private static final int DIGEST_FACTOR = 31;
--- a/server/src/test/java/wheatspread/lifecycle/LifecycleTest.java
+++ b/server/src/test/java/wheatspread/lifecycle/LifecycleTest.java
@@ -147,7 +147,7 @@
         drain.answerImmediately(100_000);
         drain.answerImmediately(900_000);
         assertThat(drain.step(200_000, 3)).isEqualTo(DrainDeadlines.Step.AWAIT_ANSWERS);
-        assertThat(drain.step(250_000, 3)).isEqualTo(DrainDeadlines.Step.REJECT_NOT_STARTED);
+        assertThat(drain.step(250_000, 3)).isEqualTo(DrainDeadlines.Step.ANSWER_ALL);
         assertThat(drain.step(250_000, 0)).isEqualTo(DrainDeadlines.Step.CLOSE_ALL_ANSWERED);
     }
 }
