--- a/server/src/main/java/wheatspread/store/AuxiliaryFiles.java
+++ b/server/src/main/java/wheatspread/store/AuxiliaryFiles.java
@@ -43,7 +43,7 @@
         toDelete.addAll(names);
     }
 
-    /** A segment that has been rewritten is to be deleted, or set aside if it is damaged. */
+    /** Schedules a compacted segment for deletion, or for renaming if it is damaged. */
     void retire(Segment rewritten) {
         String name = rewritten.name().toString();
         (rewritten.isDamaged() ? toSetAside : toDelete).add(name);
@@ -65,7 +65,7 @@
         return new DeleteJob(disk, all, toSetAside);
     }
 
-    /** A job of {@link #deletion} has come to its end. */
+    /** A job of {@link #deletion} is complete. */
     void completed(DeleteJob deletion) {
         toDelete.removeAll(deletion.names());
         toSetAside.removeAll(deletion.damagedFiles());
--- a/server/src/main/java/wheatspread/store/CheckpointProgress.java
+++ b/server/src/main/java/wheatspread/store/CheckpointProgress.java
@@ -47,7 +47,7 @@
         return newest;
     }
 
-    /** A checkpoint stands on the disk. */
+    /** A checkpoint is complete and durable. */
     void completed(String name) {
         newest = name;
     }
--- a/server/src/main/java/wheatspread/store/Checkpoints.java
+++ b/server/src/main/java/wheatspread/store/Checkpoints.java
@@ -33,7 +33,7 @@
                 .flip();
     }
 
-    /** One frame of a checkpoint; behind the last one stands its size in 4 bytes. */
+    /** One frame of a checkpoint; the last one is followed by its size in 4 bytes. */
     static ByteBuffer frame(Format.CheckpointFrame frame, boolean last) {
         ByteBuffer bytes = ByteBuffer.allocate(RecordFraming.frameBytes(frame.getSerializedSize()) + (last ? 4 : 0));
         RecordFraming.write(ByteBuffer.wrap(frame.toByteArray()), bytes);
@@ -186,7 +186,7 @@
                 if (name == null) {
                     return false;
                 }
-                // what came behind the place is read from the log, which may have lost it
+                // newer entries are replayed from the log, whose records may be damaged
                 if (SuspectedLosses.compare(name.first(), some.getOffsets(i), segment, offset) < 0) {
                     index.add(
                             some.getHashes(i),
--- a/server/src/main/java/wheatspread/store/CompactionJob.java
+++ b/server/src/main/java/wheatspread/store/CompactionJob.java
@@ -27,7 +27,7 @@
     private static final int MAX_MOVES_PER_INSTALL = 2_000;
     private static final int MAX_GROUP_RECORDS = 4_096;
 
-    /** What a job has to know beside its run. */
+    /** The parameters of a compaction beside its segments. */
     record Parameters(
             SegmentName name,
             long mark,
@@ -73,7 +73,7 @@
         run.forEach(Segment::acquire);
     }
 
-    /** Leaves out what says that something was lost. */
+    /** Leaves out the records of suspected losses. */
     void dropSuspectedLosses(boolean drop) {
         dropsSuspectedLosses = drop;
     }
@@ -165,7 +165,7 @@
         }
     }
 
-    /** What says that a key is gone is needed while an older file may still hold it. */
+    /** A tombstone is kept while an older segment may still hold the key. */
     private void delete(SegmentScan at) {
         if (!parameters.canDropTombstones()) {
             group.add(catalog.hash(at), at.record().getKey().toByteArray(), null, 0);
--- a/server/src/main/java/wheatspread/store/GroupCommit.java
+++ b/server/src/main/java/wheatspread/store/GroupCommit.java
@@ -62,7 +62,7 @@
         writes.forEach(write -> write.complete(outcome, "the disk fails: " + e.getMessage()));
     }
 
-    /** The writes that may be taken; the others are refused. */
+    /** The writes that are admitted; the others are rejected. */
     private List<Write> admit(List<Write> writes) {
         List<Write> admitted = new ArrayList<>(writes.size());
         long used = space.usedBytes();
--- a/server/src/main/java/wheatspread/store/GroupEncoder.java
+++ b/server/src/main/java/wheatspread/store/GroupEncoder.java
@@ -67,7 +67,7 @@
      * Adds a record.
      *
      * @param hash of its key, 0 if it has none
-     * @return where its frame stands behind the group's own
+     * @return the offset of its frame behind the group's own
      */
     int add(long hash, Format.Record record) {
         return frame(hash, record.getSerializedSize(), record::writeTo);
--- a/server/src/main/java/wheatspread/store/Index.java
+++ b/server/src/main/java/wheatspread/store/Index.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * Where each key stands in the log, by the hash of the key: several keys may have the same hash, and who
- * looks up compares the keys themselves in the log. An ordered table with open addressing (O. Amble and D.
+ * Maps the hash of a key to the location of its record. Several keys may have the same hash; the caller compares the
+ * keys in the log. An ordered table with open addressing (O. Amble and D.
  * E. Knuth, "Ordered hash tables", The Computer Journal 17, 1974): the place asked for grows with the hash,
  * so that the entries of a table stand sorted, a search ends at the first greater one, and a deletion
  * closes its gap. An entry is three longs in one array, and nothing else is kept for a key.
@@ -92,7 +92,7 @@
         size++;
     }
 
-    /** Moves the entry of this hash and place to another place; whether there was one. */
+    /** Moves the entry of this hash and location to another location; returns whether there was one. */
     public synchronized boolean move(long hash, long from, long to, int length, int expiry) {
         Table table = table(hash);
         int cell = table.find(hash, from);
@@ -104,7 +104,7 @@
         return true;
     }
 
-    /** Takes the entry of this hash and place away; whether there was one. */
+    /** Removes the entry of this hash and location; returns whether there was one. */
     public synchronized boolean remove(long hash, long at) {
         Table table = table(hash);
         int cell = table.find(hash, at);
@@ -258,7 +258,7 @@
 
         void remove(int cell) {
             int end = cell + LONGS_PER_ENTRY;
-            // whoever stands behind its own place moves up by one
+            // entries that are not in their home cell move up by one
             while (end < cells.length && cells[end + 1] != 0 && homeCell(cells[end]) < end) {
                 end += LONGS_PER_ENTRY;
             }
--- a/server/src/main/java/wheatspread/store/LogStructuredStore.java
+++ b/server/src/main/java/wheatspread/store/LogStructuredStore.java
@@ -83,7 +83,7 @@
         }
     }
 
-    /** Counts the files beside the log that were found, and has old checkpoints deleted. */
+    /** Counts the files that are not part of the log, and schedules the deletion of old checkpoints. */
     private void registerFiles(Layout layout) throws IOException {
         for (String name : layout.damagedFiles()) {
             files.measure(name);
@@ -121,7 +121,7 @@
 
     // ---- upkeep
 
-    /** What is due, in pieces that hold up the next group for about as long as a group takes. */
+    /** Does what is due, in steps that delay the next group about as long as a group takes. */
     void tick(long nowMillis) {
         commits.recoverIfDue(nowMillis);
         commits.syncIfDue(nowMillis);
@@ -157,7 +157,7 @@
         jobs.install();
     }
 
-    /** The job could not be done. What it may have left is taken away before any other. */
+    /** The job failed. Files that it may have left are deleted before another job starts. */
     void jobFailed(IOException e, long nowMillis) {
         jobs.failed(e, nowMillis);
     }
--- a/server/src/main/java/wheatspread/store/MaintenanceJobs.java
+++ b/server/src/main/java/wheatspread/store/MaintenanceJobs.java
@@ -116,7 +116,7 @@
         }
     }
 
-    /** Does the job on this thread, and clears up behind it; a job that failed has been given up. */
+    /** Runs the job on this thread, and the deletions that follow from it; a job that failed has been aborted. */
     private void runNow(long nowMillis) throws IOException {
         try {
             runSteps(currentJob);
@@ -221,7 +221,7 @@
         }
     }
 
-    /** The job could not be done. What it may have left is taken away before any other. */
+    /** The job failed. Files that it may have left are deleted before another job starts. */
     void failed(IOException reason, long nowMillis) {
         counters.failures++;
         retryDelayMillis = Math.min(MAX_RETRY_DELAY_MILLIS, Math.max(MIN_RETRY_DELAY_MILLIS, retryDelayMillis * 2));
--- a/server/src/main/java/wheatspread/store/OfflineTools.java
+++ b/server/src/main/java/wheatspread/store/OfflineTools.java
@@ -8,7 +8,10 @@
 import wheatspread.disk.Disk;
 import wheatspread.logging.EventLog;
 
-/** What may be done to a store that no process has open. Times are milliseconds since 1970. */
+/**
+ * Tools for a store that no process has open. Each call locks the folder, and closes it again. Times are
+ * milliseconds since 1970.
+ */
 public final class OfflineTools {
     private static final SecureRandom RANDOM = new SecureRandom();
 
@@ -28,12 +31,12 @@
     /** An entry that lives. */
     public record Entry(byte[] key, byte[] value, long expiresMs) {}
 
-    /** What the newest checkpoint and the log behind it say. Changes nothing. */
+    /** The content according to the newest checkpoint and the log behind it. Read-only. */
     public static Look stat(Disk disk, long nowMillis) throws IOException {
         return look(disk, nowMillis, Recovery.Purpose.READ_ONLY);
     }
 
-    /** Reads every frame of every file. Changes nothing. */
+    /** Reads and verifies every frame of every file. Read-only. */
     public static Look check(Disk disk, long nowMillis) throws IOException {
         return look(disk, nowMillis, Recovery.Purpose.VERIFY);
     }
--- a/server/src/main/java/wheatspread/store/RateLimiter.java
+++ b/server/src/main/java/wheatspread/store/RateLimiter.java
@@ -15,7 +15,7 @@
         freeAtNanos = now;
     }
 
-    /** Counts a piece that has been done, and returns for how long to rest. */
+    /** Counts a step that has been done, and returns how many nanoseconds to wait. */
     long delayNanosAfter(long bytes, long now) {
         freeAtNanos = Math.max(freeAtNanos, now - MAX_DELAY_NANOS / 10) + (long) (bytes * nanosPerByte);
         return Math.min(MAX_DELAY_NANOS, Math.max(0, freeAtNanos - now));
--- a/server/src/main/java/wheatspread/store/ReadWindow.java
+++ b/server/src/main/java/wheatspread/store/ReadWindow.java
@@ -17,7 +17,7 @@
     private long bufferOffset;
     private long bytesRead;
 
-    /** @param endOffset what is behind it is taken as not there */
+    /** @param end the offset at which reading stops, even if the file is longer */
     ReadWindow(DiskFile file, long end) {
         this.file = file;
         this.endOffset = end;
@@ -32,7 +32,7 @@
         return bytesRead;
     }
 
-    /** What stands from a place on: at least {@code least} bytes, or all up to the end. */
+    /** The bytes from an offset on: at least {@code least} of them, or all up to the end. */
     ByteBuffer bytesAt(long at, int least) throws IOException {
         long wanted = Math.max(0, Math.min(least, endOffset - at));
         if (at < bufferOffset || at + wanted > bufferOffset + buffer.limit()) {
--- a/server/src/main/java/wheatspread/store/ReaderLoop.java
+++ b/server/src/main/java/wheatspread/store/ReaderLoop.java
@@ -38,7 +38,7 @@
         this.log = log;
     }
 
-    /** Takes a read; null if it is taken. */
+    /** Accepts a read; returns null if it is accepted. */
     Store.Refusal add(byte[] key, Consumer<Store.Got> to) {
         synchronized (lock) {
             if (stopped) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Takes nothing more, and ends the thread once all that waits has been read. */
+    /** Rejects further reads, and ends the thread once all waiting ones are done. */
     void stop() {
         synchronized (lock) {
             stopped = true;
--- a/server/src/main/java/wheatspread/store/RecordFraming.java
+++ b/server/src/main/java/wheatspread/store/RecordFraming.java
@@ -14,7 +14,7 @@
     /** The longest body; a length beyond it can only be damage. */
     public static final int MAX_BODY_BYTES = 16 << 20;
 
-    /** What stands at a place. */
+    /** What was found at a position. */
     public enum Found {
         COMPLETE,
         END,
@@ -24,7 +24,7 @@
 
     private RecordFraming() {}
 
-    /** How many bytes a body of this length takes. */
+    /** The length in bytes of the frame around a body of this length. */
     public static int frameBytes(int body) {
         return HEADER_BYTES + body;
     }
@@ -38,7 +38,10 @@
         to.putInt(length).putInt(checksum(length, body.duplicate())).put(body);
     }
 
-    /** Makes a frame of a body that stands already behind room for the head; the checksum is scratch. */
+    /**
+     * Completes a frame in place: writes the header before a body that is already there. {@code scratch} is
+     * overwritten.
+     */
     static void close(byte[] bytes, int at, int length, CRC32C scratch) {
         ByteBuffer head = ByteBuffer.wrap(bytes, at, HEADER_BYTES).putInt(length);
         scratch.reset();
@@ -49,7 +52,7 @@
 
     /**
      * Looks at the position of {@code from}, which holds all that the file still has. Only where a frame is
-     * WHOLE is the position moved behind it, and {@code body} set to its body (a view, not a copy).
+     * COMPLETE is the position moved behind it, and {@code body} set to its body (a view, not a copy).
      */
     public static Found read(ByteBuffer from, ByteBuffer[] body) {
         if (!from.hasRemaining()) {
--- a/server/src/main/java/wheatspread/store/RecordReader.java
+++ b/server/src/main/java/wheatspread/store/RecordReader.java
@@ -18,7 +18,7 @@
         log = context.log();
     }
 
-    /** Where a record stands, and whether a newer one may have been lost. */
+    /** The location of a record, and whether a newer one may have been lost. */
     private record Place(Segment segment, int offset, int length, boolean inDoubt) {}
 
     /** What the store holds for a key. */
@@ -51,7 +51,7 @@
         return new Place(segment, offset, length, inDoubt);
     }
 
-    /** What the record at a place says of a key; null if it is another key's. */
+    /** The result for a key from the record at a location; null if the record has another key. */
     private Store.Got read(byte[] key, Place place, long nowMillis) throws IOException {
         Format.Record there = SegmentCatalog.read(place.segment(), place.offset(), place.length());
         if (there == null) {
--- a/server/src/main/java/wheatspread/store/Recovery.java
+++ b/server/src/main/java/wheatspread/store/Recovery.java
@@ -39,7 +39,7 @@
     /** What the store is opened for. */
     enum Purpose {
         READ_WRITE,
-        /** To look at it: every file stays as it is. */
+        /** For inspection: every file stays as it is. */
         READ_ONLY,
         /** As READ_ONLY, and the log is read completely, without a checkpoint. */
         VERIFY
@@ -57,7 +57,7 @@
     void run(LongSupplier random) throws IOException {
         layout = Layout.of(disk.list());
         if (purpose == Purpose.READ_WRITE) {
-            disk.syncNames(); // what a file was written in place of goes only when its own name lasts
+            disk.syncNames(); // a replaced file is deleted only once the name of its replacement is durable
             for (String name : layout.leftovers()) {
                 disk.delete(name);
             }
@@ -166,7 +166,7 @@
         return step == SegmentScan.Step.END && !scan.sealed();
     }
 
-    /** Where a file ends that has no seal stands in the first group behind it. */
+    /** The end of a segment without a seal is recorded in the first group of a later segment. */
     private void collectCuts(int last) throws IOException {
         for (int i = 0; i <= last; i++) {
             Segment segment = catalog.chain().get(i);
@@ -330,7 +330,7 @@
         return layout;
     }
 
-    /** What the first group to be written has to say. */
+    /** The cuts that the next group has to record. */
     TreeMap<Integer, Integer> pendingCuts() {
         return pendingCuts;
     }
--- a/server/src/main/java/wheatspread/store/SegmentCatalog.java
+++ b/server/src/main/java/wheatspread/store/SegmentCatalog.java
@@ -72,7 +72,7 @@
         }
     }
 
-    /** The file that an entry stands in; null for an id that nothing has. */
+    /** The segment with an id; null if there is none. */
     Segment byId(int id) {
         return byId.get(id);
     }
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Makes a file known that entries may point to, before it has its place in the chain. */
+    /** Registers a segment that entries may point to, before it is part of the chain. */
     void register(Segment segment) {
         synchronized (index) {
             byId.put(segment.id(), segment);
@@ -124,7 +124,7 @@
         return live;
     }
 
-    /** An entry came to stand in a file. */
+    /** Counts the bytes of an entry as live in its segment. */
     void addLiveBytes(long at, long length) {
         Segment segment = byId.get(Index.file(at));
         if (segment != null) {
@@ -140,7 +140,7 @@
         }
     }
 
-    /** What a record takes with its hash in the group's frame. */
+    /** The bytes of a record, with its hash in the group's frame. */
     static long liveBytesOf(long length) {
         return length + Long.BYTES;
     }
@@ -168,7 +168,7 @@
         suspectedLosses.addLosses(hashes, all, untilMillis, segment, offset);
     }
 
-    /** Takes away the entries of a hash that are older than a place of the log, or stand right there. */
+    /** Removes the entries of a hash that are at or before a location of the log. */
     private void removeEntriesUpTo(long hash, long at) {
         LongArrayList older = new LongArrayList(2, 0);
         index.find(hash, (h, place, length, expiry) -> {
@@ -214,7 +214,7 @@
                 && record.getKey().asReadOnlyByteBuffer().equals(ByteBuffer.wrap(key));
     }
 
-    /** Whether a time has come; 0 never does. */
+    /** Whether a time has passed; 0 is never. */
     static boolean hasExpired(long untilMillis, long nowMillis) {
         return untilMillis != 0 && untilMillis <= nowMillis;
     }
--- a/server/src/main/java/wheatspread/store/SegmentName.java
+++ b/server/src/main/java/wheatspread/store/SegmentName.java
@@ -5,8 +5,8 @@
 import java.util.regex.Pattern;
 
 /**
- * What the name of a segment's file says: which numbers of the log it holds, and how often they have been
- * rewritten. A file as first written holds one number in generation 0.
+ * The file name of a segment: which numbers of the log it holds, and how often they have been compacted. A file as
+ * first written holds one number in generation 0.
  */
 record SegmentName(int first, int last, int generation) {
     static final Comparator<SegmentName> LOG_ORDER = Comparator.comparingInt(SegmentName::first)
--- a/server/src/main/java/wheatspread/store/SegmentScan.java
+++ b/server/src/main/java/wheatspread/store/SegmentScan.java
@@ -25,7 +25,7 @@
         RECORD,
         /** Records with {@link #lostHashes()} hashes, or any if {@link #lostAll()}, stood from {@link #offset()} on. */
         DAMAGE,
-        /** Nothing follows; {@link #endOffset} says how it ends. */
+        /** Nothing follows; {@link #end()} states how it ends. */
         END
     }
 
@@ -37,13 +37,13 @@
         CUT,
         /** After a complete group, without a seal. */
         UNSEALED,
-        /** Within a write that was never acknowledged, from {@link SegmentScan#bytesAt} on. */
+        /** Within a write that was never acknowledged, from {@link SegmentScan#offset()} on. */
         TORN,
         /** It was never used: its header is incomplete, and nothing follows it. */
         EMPTY
     }
 
-    /** Nothing says where the segment is cut. */
+    /** No later segment states where this one ends. */
     static final int NO_CUT = -1;
 
     private static final int SEAL_BYTES = GroupEncoder.seal(1, 1).remaining();
@@ -129,7 +129,7 @@
         return wrong <= MAX_WRONG_SEAL_BITS;
     }
 
-    /** Goes on to the next thing; behind END it stays there. */
+    /** Advances to the next group, record, damage or end; after END it returns END again. */
     Step nextOffset() throws IOException {
         if (ended) {
             return endOrLoss();
@@ -149,7 +149,7 @@
         return found != null && isGroup(found, nextOffset) ? groupStep(found) : badGroup();
     }
 
-    /** Where the thing that the last step found stands in the file. */
+    /** The offset in the file of what the last step found. */
     long offset() {
         return offset;
     }
@@ -301,7 +301,7 @@
         return place == to;
     }
 
-    /** Whether what stands there was on the disk when something behind it was written. */
+    /** Whether the bytes at an offset were synced before something after them was written. */
     private boolean wasDurable(long place) throws IOException {
         if (durable) {
             return true;
--- a/server/src/main/java/wheatspread/store/SegmentWriter.java
+++ b/server/src/main/java/wheatspread/store/SegmentWriter.java
@@ -74,7 +74,7 @@
         return lastSyncMillis;
     }
 
-    /** Sees that there is a segment with room for this many bytes. */
+    /** Ensures that there is an active segment with space for this many bytes. */
     void reserve(long size) throws IOException {
         if (active != null
                 && active.validBytes() > FileHeader.HEADER_BYTES
--- a/server/src/main/java/wheatspread/store/Store.java
+++ b/server/src/main/java/wheatspread/store/Store.java
@@ -32,11 +32,11 @@
         IN_DOUBT
     }
 
-    /** Why something was not taken. */
+    /** Why a write or read was rejected. */
     public enum Refusal {
         /** As much as may wait waits already. */
         QUEUE_FULL,
-        /** No more is written until there is room. */
+        /** The store or its disk is full; deletions are still accepted. */
         FULL,
         /** The disk fails; the store tries to come back by itself. */
         FAILED,
@@ -68,14 +68,14 @@
         public enum Kind {
             VALUE,
             ABSENT,
-            /** Damage has taken what may have been the newest write of this key. */
+            /** A damaged record may have been the newest write of this key. */
             DOUBTFUL,
             /** The disk could not be read. */
             FAILED
         }
     }
 
-    /** Time that a store goes by. */
+    /** The clocks of a store; replaced in tests. */
     public interface Time {
         Time SYSTEM = new Time() {
             @Override
@@ -169,13 +169,13 @@
      *
      * @param expiresMs since 1970; 0 for never
      * @param done is called once, unless this returns a refusal
-     * @return null if it is taken
+     * @return null if it is accepted
      */
     public Refusal put(byte[] key, byte[] value, long expiresMs, Done done) {
         return batch().put(key, value, expiresMs, done).send();
     }
 
-    /** Takes a key away; as {@link #put}. What makes room is taken in a full store, too. */
+    /** Deletes a key; as {@link #put}. A full store accepts deletions, since they free space. */
     public Refusal delete(byte[] key, Done done) {
         return batch().delete(key, done).send();
     }
@@ -186,7 +186,7 @@
     }
 
     /**
-     * Writes that are taken or refused together, and that share a sync as far as a group reaches: for example all
+     * Writes that are accepted or rejected together, and that share a sync as far as a group reaches: for example all
      * writes of one event-loop iteration. Each has its own outcome.
      */
     public final class Batch {
@@ -256,8 +256,8 @@
     public record Waiting(int writes, long bytes, int reads, long refused) {}
 
     /**
-     * Writes and reads what was taken, leaves a checkpoint and closes the files. Blocks; not for the event
-     * loop. The callbacks of what was taken may come later than this returns.
+     * Completes all accepted writes and reads, writes a checkpoint and closes the files. Blocks, so it must not be
+     * called on an event loop. Callbacks may run after it returns.
      *
      * @throws IOException if the last file could not be ended well; what was acknowledged is there all the
      *     same
--- a/server/src/main/java/wheatspread/store/StoreSettings.java
+++ b/server/src/main/java/wheatspread/store/StoreSettings.java
@@ -9,8 +9,8 @@
  * @param syncMs for {@link Sync#INTERVAL}: how much of what was acknowledged a crash of the machine may
  *     take
  * @param segmentBytes a file of the log is sealed at this size
- * @param maxBytes all files together; beyond it writes are refused until room is made
- * @param minFreeBytes writes are refused while the disk has less to give
+ * @param maxBytes limit of all files together; writes that exceed it are rejected until space is freed
+ * @param minFreeBytes writes are rejected while the disk has less free space
  * @param recordBytes the longest key with its value
  * @param queueRecords writes that may wait, and {@code queueBytes} for their sizes; the same number of
  *     reads
@@ -37,13 +37,19 @@
         long compactWaitMs,
         long checkpointBytes,
         long longestLifeMs) {
-    /** When a write is acknowledged. */
+    /** When a write is acknowledged (its durability). */
     public enum Sync {
-        /** Behind the sync of its group: nothing that was acknowledged is lost. */
+        /** After the sync of its group: no acknowledged write is lost. */
         GROUP,
-        /** Once the system has it, which syncs every so often: survives this process, not the machine. */
+        /**
+         * After the write to the operating system, with a sync at intervals: survives a crash of the process, but a
+         * crash of the machine loses up to one interval.
+         */
         INTERVAL,
-        /** Once the system has it, which writes it back when it likes. */
+        /**
+         * After the write to the operating system, which writes it back at its own pace: survives a crash of the
+         * process.
+         */
         NONE
     }
 
@@ -91,12 +97,12 @@
         }
     }
 
-    /** What is kept free under the bound, so that compaction and a checkpoint find room at any time. */
+    /** Space kept free below the limit, so that a compaction and a checkpoint are possible at any time. */
     long reserveBytes() {
         return segmentBytes + segmentBytes / 2;
     }
 
-    /** When all has expired that could be lost now; 0 is never. */
+    /** When every record that could be lost now will have expired; 0 is never. */
     long lossUntilMillis(long nowMillis) {
         return longestLifeMs == 0 ? 0 : nowMillis + longestLifeMs;
     }
--- a/server/src/main/java/wheatspread/store/WriteState.java
+++ b/server/src/main/java/wheatspread/store/WriteState.java
@@ -12,7 +12,7 @@
     /** What a writer may do now. */
     public enum Mode {
         OPEN,
-        /** The bound on space is reached, or the disk has too little left. */
+        /** The limit on space is reached, or the disk has too little free space. */
         FULL,
         /** A write, a sync or a new file failed. */
         FAILED
@@ -29,7 +29,7 @@
         return failed && !diskFull ? Mode.FAILED : failed || full ? Mode.FULL : Mode.OPEN;
     }
 
-    /** Whether the failed segment has still to be ended. */
+    /** Whether the end of the failed segment has still to be recorded. */
     boolean mustRecover() {
         return failed;
     }
@@ -62,7 +62,7 @@
         retryDelayMillis = 0;
     }
 
-    /** Whether there is room, as last looked at. */
+    /** Sets whether there is space, as of the last check. */
     void setHasRoom(boolean hasRoom) {
         full = !hasRoom;
     }
--- a/server/src/main/java/wheatspread/store/WriterQueue.java
+++ b/server/src/main/java/wheatspread/store/WriterQueue.java
@@ -37,7 +37,7 @@
 
     // ---- writes ----
 
-    /** Takes all of these writes, or none; null if they are taken. */
+    /** Accepts all of these writes, or none; returns null if they are accepted. */
     synchronized Store.Refusal add(List<Write> batch, long bytes) {
         if (closing) {
             return Store.Refusal.CLOSED;
--- a/server/src/test/java/wheatspread/store/CrashTest.java
+++ b/server/src/test/java/wheatspread/store/CrashTest.java
@@ -47,7 +47,7 @@
     /** What was found goes on to be a store: it takes writes, and holds them after another crash. */
     private static void assertStillUsable(StoreHarness harness, long seed) throws IOException {
         recovered(harness, FaultyDisk.Unsynced.REORDERED, seed); // what was read is there for good
-        harness.runTurns(new Random(seed), 12);
+        harness.runActions(new Random(seed), 12);
         harness.assertExpectedValues(false);
         harness.restart(FaultyDisk.Unsynced.LOST, seed);
         harness.assertExpectedValues(true);
--- a/server/src/test/java/wheatspread/store/DamageTest.java
+++ b/server/src/test/java/wheatspread/store/DamageTest.java
@@ -49,7 +49,7 @@
                 byte[] wrong = bytes.clone();
                 wrong[at] ^= (byte) (1 << at % 8);
                 StoreHarness harness = with(healthy, name, wrong);
-                // the last group before a crash cannot be told from one that was never acknowledged
+                // the last group before a crash cannot be distinguished from one that was never acknowledged
                 harness.assertNoWrongValues(isReported(harness)
                         && harness.events.stream().anyMatch(line -> line.startsWith("store_torn_tail")));
                 found += isReported(harness) ? 1 : 0;
--- a/server/src/test/java/wheatspread/store/MaintenanceTest.java
+++ b/server/src/test/java/wheatspread/store/MaintenanceTest.java
@@ -135,7 +135,7 @@
 
     @Test
     void keysWithEqualHashesAreKeptApart() throws IOException {
-        // two keys of the same hash, made so by the index itself: entries are told apart by their keys
+        // two keys of the same hash, made so by the index itself: entries are distinguished by their keys
         StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 1);
         harness.open();
         harness.commitGroup("one", "first", 0);
--- a/server/src/test/java/wheatspread/store/StoreHarness.java
+++ b/server/src/test/java/wheatspread/store/StoreHarness.java
@@ -59,20 +59,23 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Commits key, value and expiry in turns as one group; a null value deletes. */
-    void commitGroup(Object... turns) {
+    /**
+     * Commits triples of key, value and expiry (milliseconds from now, 0 for never) as one group; a null value
+     * deletes.
+     */
+    void commitGroup(Object... triples) {
         List<Write> group = new ArrayList<>();
-        for (int i = 0; i < turns.length; i += 3) {
-            long expires = (int) turns[i + 2] == 0 ? 0 : nowMillis + (int) turns[i + 2];
-            group.add(write((String) turns[i], (String) turns[i + 1], expires));
-            possible.computeIfAbsent((String) turns[i], k -> new ArrayList<>())
-                    .add(new StoredValue((String) turns[i + 1], expires));
+        for (int i = 0; i < triples.length; i += 3) {
+            long expires = (int) triples[i + 2] == 0 ? 0 : nowMillis + (int) triples[i + 2];
+            group.add(write((String) triples[i], (String) triples[i + 1], expires));
+            possible.computeIfAbsent((String) triples[i], k -> new ArrayList<>())
+                    .add(new StoredValue((String) triples[i + 1], expires));
         }
         log.commit(group, nowMillis); // a crash leaves all of them possible
-        for (int i = 0; i < turns.length; i += 3) {
+        for (int i = 0; i < triples.length; i += 3) {
             Write write = group.get(i / 3);
-            String key = (String) turns[i];
-            StoredValue what = new StoredValue((String) turns[i + 1], write.expiresMillis());
+            String key = (String) triples[i];
+            StoredValue what = new StoredValue((String) triples[i + 1], write.expiresMillis());
             switch (write.outcome()) {
                 case HELD -> {
                     heldWrites++;
@@ -88,7 +91,7 @@
         }
     }
 
-    /** Lets time pass, with the upkeep and the jobs that are due. */
+    /** Advances the time, with the ticks and the jobs that are due. */
     void advance(int ms) {
         nowMillis += ms;
         for (int i = 0; i < 70; i++) {
@@ -122,7 +125,7 @@
         }
     }
 
-    /** Another harness that finds what a crash would leave right now. */
+    /** Another harness on the disk as a crash at this moment would leave it. */
     StoreHarness afterCrash(FaultyDisk.Unsynced how, long seed) {
         StoreHarness other = new StoreHarness(settings, seed);
         other.disk = disk.restarted(how, seed);
@@ -186,14 +189,14 @@
     }
 
     /** A recorded history: writes, overwrites, deletions, expiries, checkpoints, compactions, restarts. */
-    void runHistory(Random choices, int turns) throws IOException {
+    void runHistory(Random choices, int actions) throws IOException {
         open();
-        runTurns(choices, turns);
+        runActions(choices, actions);
     }
 
     /** The same on a store that is open. */
-    void runTurns(Random choices, int turns) throws IOException {
-        for (int i = 0; i < turns; i++) {
+    void runActions(Random choices, int actions) throws IOException {
+        for (int i = 0; i < actions; i++) {
             switch (choices.nextInt(8)) {
                 case 0, 1 -> commitGroup(key(choices), value(choices, i), 0);
                 case 2 -> commitGroup(key(choices), value(choices, i), 1 + choices.nextInt(4_000));
--- a/server/src/test/java/wheatspread/store/StoreModelTest.java
+++ b/server/src/test/java/wheatspread/store/StoreModelTest.java
@@ -11,9 +11,9 @@
 import net.jqwik.api.stateful.Action;
 import net.jqwik.api.stateful.ActionSequence;
 
-/** Any sequence of what may happen to a store, beside the map of what it must hold. */
+/** Random sequences of actions on a store, compared with a map of its expected content. */
 class StoreModelTest {
-    /** One thing that happens. */
+    /** One action on a store. */
     private interface StoreAction extends Action<StoreHarness> {
         void to(StoreHarness harness) throws IOException;
 
--- a/server/src/test/java/wheatspread/store/StoreTest.java
+++ b/server/src/test/java/wheatspread/store/StoreTest.java
@@ -11,6 +11,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
+import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -153,4 +154,23 @@
         taken.forEach(one -> assertThat(one.join()).isEqualTo(Store.Outcome.HELD));
         assertThat(disk.list()).anyMatch(name -> name.endsWith(".checkpoint"));
     }
+
+    @Test
+    void errorThatEndsAThreadIsLoggedWithItsName() throws IOException {
+        CompletableFuture<String> fault = new CompletableFuture<>();
+        store = Store.open(disk, StoreHarness.smallSettings(), Store.Time.SYSTEM, loop, EventLog.lines(line -> {
+            if (line.startsWith("store_fault")) {
+                fault.complete(line);
+            }
+        }));
+        put("key", "value").join();
+        synchronized (disk) {
+            disk.crashAtStep = disk.steps + 1;
+        }
+        put("key", "newer");
+        assertThat(fault.orTimeout(10, TimeUnit.SECONDS).join())
+                .contains("thread=store-writer")
+                .contains("Crash");
+        store.abandon();
+    }
 }
