--- a/server/src/main/java/wheatspread/store/ExpirySweep.java
+++ b/server/src/main/java/wheatspread/store/ExpirySweep.java
@@ -29,7 +29,7 @@
         synchronized (catalog.index()) {
             cell = catalog.index().sweep(table, cell, CELLS_PER_SWEEP, nowS, (hash, at, length, expiry) -> {
                 catalog.subtractLiveBytes(at, length);
-                counters.expired++;
+                counters.countExpired();
             });
             if (cell == 0) {
                 table = (table + 1) % Index.TABLES;
--- a/server/src/main/java/wheatspread/store/GroupCommit.java
+++ b/server/src/main/java/wheatspread/store/GroupCommit.java
@@ -55,7 +55,7 @@
             return;
         }
         index.apply(admitted, writer.active(), base);
-        counters.writes += admitted.size();
+        counters.countWrites(admitted.size());
     }
 
     private static void endAll(List<Write> writes, Store.Outcome outcome, IOException e) {
@@ -80,7 +80,7 @@
                 admitted.add(write);
             }
         }
-        counters.refused += writes.size() - admitted.size();
+        counters.countRejected(writes.size() - admitted.size());
         return admitted;
     }
 
@@ -133,7 +133,7 @@
 
     private void failed(String doing, IOException e, long nowMillis) {
         state.failed(nowMillis, e instanceof Disk.NoSpaceException);
-        counters.failures++;
+        counters.countFailure();
         log.error(
                 "store_write_failed",
                 "doing",
--- a/server/src/main/java/wheatspread/store/MaintenanceJobs.java
+++ b/server/src/main/java/wheatspread/store/MaintenanceJobs.java
@@ -177,7 +177,7 @@
         }
         checkpoints.completed(checkpoint.name());
         files.add(checkpoint.name(), checkpoint.outputBytes());
-        counters.checkpoints++;
+        counters.countCheckpoint();
         log.info(
                 "store_checkpoint",
                 "file",
@@ -202,8 +202,7 @@
         }
         compaction.releaseRun();
         checkpoints.logged(compaction.outputBytes());
-        counters.compactions++;
-        counters.compactedBytes += before;
+        counters.countCompaction(before);
         log.info(
                 "store_compacted",
                 "file",
@@ -223,7 +222,7 @@
 
     /** The job failed. Files that it may have left are deleted before another job starts. */
     void failed(IOException reason, long nowMillis) {
-        counters.failures++;
+        counters.countFailure();
         retryDelayMillis = Math.min(MAX_RETRY_DELAY_MILLIS, Math.max(MIN_RETRY_DELAY_MILLIS, retryDelayMillis * 2));
         retryAtMillis = nowMillis + retryDelayMillis;
         log.error(
--- a/server/src/main/java/wheatspread/store/SegmentWriter.java
+++ b/server/src/main/java/wheatspread/store/SegmentWriter.java
@@ -132,8 +132,7 @@
         }
         active.setValidBytes(start + size);
         checkpoints.logged(size);
-        counters.groups++;
-        counters.writtenBytes += size;
+        counters.countGroup(size);
         pendingCuts.clear();
         return active.validBytes() - group.size();
     }
@@ -156,7 +155,7 @@
 
     private void sync(int upTo, long nowMillis) throws IOException {
         active.file().sync();
-        counters.syncs++;
+        counters.countSync();
         dirty = false;
         syncedOffset = upTo;
         lastSyncMillis = nowMillis;
--- a/server/src/main/java/wheatspread/store/StoreStats.java
+++ b/server/src/main/java/wheatspread/store/StoreStats.java
@@ -19,18 +19,55 @@
         WriteState.Mode mode,
         Counters counters) {
 
-    /** Numbers that only grow. Sizes are bytes. */
+    /**
+     * Counters that only increase while the store is open. The writer's thread changes them; {@link #copy} is for
+     * others.
+     */
     public static final class Counters {
-        long writes;
-        long refused;
-        long groups;
-        long syncs;
-        long writtenBytes;
-        long expired;
-        long compactions;
-        long compactedBytes;
-        long checkpoints;
-        long failures;
+        private long writes;
+        private long refused;
+        private long groups;
+        private long syncs;
+        private long writtenBytes;
+        private long expired;
+        private long compactions;
+        private long compactedBytes;
+        private long checkpoints;
+        private long failures;
+
+        void countWrites(int count) {
+            writes += count;
+        }
+
+        void countRejected(int count) {
+            refused += count;
+        }
+
+        void countGroup(int bytes) {
+            groups++;
+            writtenBytes += bytes;
+        }
+
+        void countSync() {
+            syncs++;
+        }
+
+        void countExpired() {
+            expired++;
+        }
+
+        void countCompaction(long bytes) {
+            compactions++;
+            compactedBytes += bytes;
+        }
+
+        void countCheckpoint() {
+            checkpoints++;
+        }
+
+        void countFailure() {
+            failures++;
+        }
 
         Counters copy() {
             Counters copy = new Counters();
