--- a/server/src/main/java/wheatspread/store/CompactionPolicy.java
+++ b/server/src/main/java/wheatspread/store/CompactionPolicy.java
@@ -41,7 +41,7 @@
     Run choose(List<Candidate> sealed, long nowMillis, boolean pressed) {
         Run best = null;
         double bestScore = 0;
-        double least = pressed ? MIN_DEAD_SHARE_UNDER_PRESSURE : settings.compactDeadShare();
+        double minDeadShare = pressed ? MIN_DEAD_SHARE_UNDER_PRESSURE : settings.compactDeadShare();
         for (int from = 0; from < sealed.size(); from++) {
             long bytes = 0;
             long live = 0;
@@ -58,7 +58,7 @@
                 long dead = bytes - live - FIXED_SEGMENT_BYTES;
                 boolean small = to - from + 1 >= MIN_SMALL_RUN_SEGMENTS && bytes <= settings.segmentBytes() / 2;
                 double score = (double) Math.max(dead, 0) / (bytes + live);
-                if ((dead >= least * bytes || small) && (best == null || score > bestScore)) {
+                if ((dead >= minDeadShare * bytes || small) && (best == null || score > bestScore)) {
                     best = new Run(from, to);
                     bestScore = score;
                 }
--- a/server/src/main/java/wheatspread/store/GroupEncoder.java
+++ b/server/src/main/java/wheatspread/store/GroupEncoder.java
@@ -27,13 +27,13 @@
     private int end;
     private int groupFrameBytes;
 
-    /** Begins a group of at most {@code most} records. */
-    void startGroup(int most) {
+    /** Starts a group of at most {@code maxRecords} records. */
+    void startGroup(int maxRecords) {
         hashes.clear();
         if (bytes.length > MAX_RETAINED_BUFFER_BYTES) {
             bytes = new byte[16 << 10];
         }
-        start = GROUP_FRAME_RESERVE_BYTES + Long.BYTES * most;
+        start = GROUP_FRAME_RESERVE_BYTES + Long.BYTES * maxRecords;
         end = start;
     }
 
--- a/server/src/main/java/wheatspread/store/ReadWindow.java
+++ b/server/src/main/java/wheatspread/store/ReadWindow.java
@@ -32,9 +32,9 @@
         return bytesRead;
     }
 
-    /** The bytes from an offset on: at least {@code least} of them, or all up to the end. */
-    ByteBuffer bytesAt(long at, int least) throws IOException {
-        long wanted = Math.max(0, Math.min(least, endOffset - at));
+    /** The bytes from an offset on: at least {@code minBytes} of them, or all up to the end. */
+    ByteBuffer bytesAt(long at, int minBytes) throws IOException {
+        long wanted = Math.max(0, Math.min(minBytes, endOffset - at));
         if (at < bufferOffset || at + wanted > bufferOffset + buffer.limit()) {
             int size = (int) Math.max(wanted, Math.min(DEFAULT_BUFFER_BYTES, Math.max(0, endOffset - at)));
             buffer = buffer.capacity() >= size ? buffer.clear().limit(size) : ByteBuffer.allocate(size);
--- a/server/src/main/java/wheatspread/store/StoreSettings.java
+++ b/server/src/main/java/wheatspread/store/StoreSettings.java
@@ -91,9 +91,9 @@
         requireInRange("longest_life_ms", longestLifeMs, 0, Long.MAX_VALUE / 4);
     }
 
-    private static void requireInRange(String name, long value, long least, long most) {
-        if (value < least || value > most) {
-            throw new IllegalArgumentException(name + " is " + value + "; allowed is " + least + " to " + most);
+    private static void requireInRange(String name, long value, long min, long max) {
+        if (value < min || value > max) {
+            throw new IllegalArgumentException(name + " is " + value + "; allowed is " + min + " to " + max);
         }
     }
 
