--- a/server/src/main/java/wheatspread/store/GroupCommit.java
+++ b/server/src/main/java/wheatspread/store/GroupCommit.java
@@ -55,14 +55,14 @@
             return;
         }
         index.apply(admitted, writer.active(), base);
-        counters.writes += admitted.size();
+        counters.countWrites(admitted.size());
     }
 
     private static void endAll(List<Write> writes, Store.Outcome outcome, IOException e) {
         writes.forEach(write -> write.complete(outcome, "the disk fails: " + e.getMessage()));
     }
 
-    /** The writes that may be taken; the others are refused. */
+    /** The writes that are admitted; the others are rejected. */
     private List<Write> admit(List<Write> writes) {
         List<Write> admitted = new ArrayList<>(writes.size());
         long used = space.usedBytes();
@@ -80,7 +80,7 @@
                 admitted.add(write);
             }
         }
-        counters.refused += writes.size() - admitted.size();
+        counters.countRejected(writes.size() - admitted.size());
         return admitted;
     }
 
@@ -133,7 +133,7 @@
 
     private void failed(String doing, IOException e, long nowMillis) {
         state.failed(nowMillis, e instanceof Disk.NoSpaceException);
-        counters.failures++;
+        counters.countFailure();
         log.error(
                 "store_write_failed",
                 "doing",
--- a/server/src/main/java/wheatspread/store/MaintenanceJobs.java
+++ b/server/src/main/java/wheatspread/store/MaintenanceJobs.java
@@ -116,7 +116,7 @@
         }
     }
 
-    /** Does the job on this thread, and clears up behind it; a job that failed has been given up. */
+    /** Runs the job on this thread, and the deletions that follow from it; a job that failed has been aborted. */
     private void runNow(long nowMillis) throws IOException {
         try {
             runSteps(currentJob);
@@ -177,7 +177,7 @@
         }
         checkpoints.completed(checkpoint.name());
         files.add(checkpoint.name(), checkpoint.outputBytes());
-        counters.checkpoints++;
+        counters.countCheckpoint();
         log.info(
                 "store_checkpoint",
                 "file",
@@ -202,8 +202,7 @@
         }
         compaction.releaseRun();
         checkpoints.logged(compaction.outputBytes());
-        counters.compactions++;
-        counters.compactedBytes += before;
+        counters.countCompaction(before);
         log.info(
                 "store_compacted",
                 "file",
@@ -221,9 +220,9 @@
         }
     }
 
-    /** The job could not be done. What it may have left is taken away before any other. */
+    /** The job failed. Files that it may have left are deleted before another job starts. */
     void failed(IOException reason, long nowMillis) {
-        counters.failures++;
+        counters.countFailure();
         retryDelayMillis = Math.min(MAX_RETRY_DELAY_MILLIS, Math.max(MIN_RETRY_DELAY_MILLIS, retryDelayMillis * 2));
         retryAtMillis = nowMillis + retryDelayMillis;
         log.error(
