--- a/lab/src/main/java/wheatspread/lab/StoreMeasurementCommand.java
+++ b/lab/src/main/java/wheatspread/lab/StoreMeasurementCommand.java
@@ -120,7 +120,7 @@
         long before = heap();
         Index index = new Index();
         for (int i = 0; i < keys; i++) {
-            index.add(hashes[i], Index.at(1, i), 100, i);
+            index.add(hashes[i], Index.location(1, i), 100, i);
         }
         figures.put("index", (double) (heap() - before) / index.size());
         index = null;
@@ -177,7 +177,7 @@
         try (Store store = Store.open(
                 FolderDisk.make(folder),
                 LARGE.withSync(StoreSettings.Sync.NONE, 1_000),
-                Store.Time.SYSTEM,
+                Store.Clock.SYSTEM,
                 Runnable::run,
                 EventLog.NONE)) {
             byte[] value = new byte[100];
@@ -218,7 +218,7 @@
             store = Store.open(
                     FolderDisk.make(folder),
                     LARGE.withSizes(32 << 20, 8L << 30, 1L << 40),
-                    Store.Time.SYSTEM,
+                    Store.Clock.SYSTEM,
                     Runnable::run,
                     EventLog.NONE);
         }
@@ -255,7 +255,7 @@
         Random random = new Random(1);
         byte[] value = new byte[400];
         try (Store store =
-                Store.open(FolderDisk.make(folder), settings, Store.Time.SYSTEM, Runnable::run, EventLog.NONE)) {
+                Store.open(FolderDisk.make(folder), settings, Store.Clock.SYSTEM, Runnable::run, EventLog.NONE)) {
             long begun = System.nanoTime();
             long next = begun;
             while (next - begun < 4_000_000_000L * seconds) {
--- a/lab/src/main/java/wheatspread/lab/bench/IndexBenchmark.java
+++ b/lab/src/main/java/wheatspread/lab/bench/IndexBenchmark.java
@@ -43,7 +43,7 @@
         map = new HashMap<>();
         agrona = new Long2ObjectHashMap<>();
         for (int i = 0; i < size; i++) {
-            places[i] = Index.at(1, i);
+            places[i] = Index.location(1, i);
             index.add(hashes[i], places[i], 100, 0);
             map.put(hashes[i], new Place(places[i], 100, 0));
             agrona.put(hashes[i], new Place(places[i], 100, 0));
@@ -55,13 +55,13 @@
     public long index() {
         int one = random.nextInt(size);
         index.find(hashes[one], (hash, at, length, expiry) -> found = at);
-        long to = Index.at(2, serial++);
+        long to = Index.location(2, serial++);
         index.move(hashes[one], found, to, 100, 0);
         places[one] = to;
         int other = random.nextInt(size);
         index.remove(hashes[other], places[other]);
         hashes[other] = random.nextLong();
-        places[other] = Index.at(3, serial);
+        places[other] = Index.location(3, serial);
         index.add(hashes[other], places[other], 100, 0);
         return found;
     }
--- a/lab/src/main/java/wheatspread/lab/store/Writers.java
+++ b/lab/src/main/java/wheatspread/lab/store/Writers.java
@@ -26,7 +26,7 @@
 
     /** The program's store. */
     static Writers store(Path folder, StoreSettings settings) throws IOException {
-        Store store = Store.open(FolderDisk.make(folder), settings, Store.Time.SYSTEM, Runnable::run, EventLog.NONE);
+        Store store = Store.open(FolderDisk.make(folder), settings, Store.Clock.SYSTEM, Runnable::run, EventLog.NONE);
         return new Writers() {
             @Override
             public CountDownLatch begin(byte[][] keys, byte[] value) throws Exception {
@@ -39,7 +39,7 @@
                         }
                     });
                 }
-                Store.Refusal refusal = batch.send();
+                Store.Rejection refusal = batch.send();
                 if (refusal != null) {
                     throw new IOException("refused: " + refusal);
                 }
--- a/server/src/main/java/wheatspread/commands/StoreCommand.java
+++ b/server/src/main/java/wheatspread/commands/StoreCommand.java
@@ -72,7 +72,7 @@
             }
             try {
                 return on(disk, out);
-            } catch (Disk.TakenException e) {
+            } catch (Disk.FolderLockedException e) {
                 throw new ExitCodes.Failure(ExitCodes.TRY_LATER, e.getMessage());
             } catch (IOException e) {
                 throw new ExitCodes.Failure(ExitCodes.DATA, folder + ": " + e.getMessage());
@@ -99,7 +99,7 @@
 
         @Override
         int on(Disk disk, PrintWriter out) throws IOException {
-            OfflineTools.Look look = OfflineTools.check(disk, System.currentTimeMillis());
+            OfflineTools.Inspection look = OfflineTools.check(disk, System.currentTimeMillis());
             if (json) {
                 out.println(json(look).toString(1));
             } else {
@@ -118,7 +118,7 @@
 
         @Override
         int on(Disk disk, PrintWriter out) throws IOException {
-            OfflineTools.Look look = OfflineTools.stat(disk, System.currentTimeMillis());
+            OfflineTools.Inspection look = OfflineTools.stat(disk, System.currentTimeMillis());
             if (json) {
                 out.println(json(look).toString(1));
             } else {
@@ -155,7 +155,7 @@
                     if (!keysOnly) {
                         text(line, "value", entry.value());
                     }
-                    out.println(line.put("expires_ms", entry.expiresMs()));
+                    out.println(line.put("expires_ms", entry.expiresMillis()));
                 }
             });
             if (unread > 0) {
@@ -205,22 +205,22 @@
         }
     }
 
-    private static void print(OfflineTools.Look look, PrintWriter out) {
+    private static void print(OfflineTools.Inspection look, PrintWriter out) {
         out.printf("%-34s %12s %12s %10s%n", "file", "bytes", "live bytes", "records");
-        for (OfflineTools.FileLook file : look.files()) {
+        for (OfflineTools.SegmentInspection file : look.files()) {
             out.printf("%-34s %12d %12d %10d%n", file.name(), file.bytes(), file.liveBytes(), file.records());
         }
         out.println(look.stats().keys() + " keys, " + look.stats().usedBytes() + " bytes, "
                 + look.stats().liveBytes() + " of them live");
-        if (look.stats().allInDoubt() || look.stats().doubtfulKeys() > 0) {
+        if (look.stats().allKeysSuspected() || look.stats().suspectedKeys() > 0) {
             out.println(
-                    look.stats().allInDoubt()
+                    look.stats().allKeysSuspected()
                             ? "keys are in doubt; which, is not known"
-                            : look.stats().doubtfulKeys() + " keys are in doubt");
+                            : look.stats().suspectedKeys() + " keys are in doubt");
         }
     }
 
-    private static JSONObject json(OfflineTools.Look look) {
+    private static JSONObject json(OfflineTools.Inspection look) {
         JSONArray files = new JSONArray();
         look.files()
                 .forEach(file -> files.put(new JSONObject()
@@ -233,8 +233,8 @@
                 .put("keys", look.stats().keys())
                 .put("used_bytes", look.stats().usedBytes())
                 .put("live_bytes", look.stats().liveBytes())
-                .put("doubtful_keys", look.stats().doubtfulKeys())
-                .put("all_in_doubt", look.stats().allInDoubt())
+                .put("doubtful_keys", look.stats().suspectedKeys())
+                .put("all_in_doubt", look.stats().allKeysSuspected())
                 .put("mode", look.stats().mode() == WriteState.Mode.OPEN ? "open" : "full")
                 .put("damages", look.damages())
                 .put("cut_bytes", look.cutBytes())
--- a/server/src/main/java/wheatspread/disk/Disk.java
+++ b/server/src/main/java/wheatspread/disk/Disk.java
@@ -39,19 +39,19 @@
     Closeable lock() throws IOException;
 
     /** The folder is in use. */
-    final class TakenException extends IOException {
+    final class FolderLockedException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        public TakenException(String message) {
+        public FolderLockedException(String message) {
             super(message);
         }
     }
 
     /** The disk is full; what was being written may stand there in part. */
-    final class NoSpaceException extends IOException {
+    final class DiskFullException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        public NoSpaceException(String message, Throwable cause) {
+        public DiskFullException(String message, Throwable cause) {
             super(message, cause);
         }
     }
--- a/server/src/main/java/wheatspread/disk/FolderDisk.java
+++ b/server/src/main/java/wheatspread/disk/FolderDisk.java
@@ -98,7 +98,7 @@
         }
         if (lock == null) {
             file.close();
-            throw new TakenException(folder + " is in use by process "
+            throw new FolderLockedException(folder + " is in use by process "
                     + Files.readString(folder.resolve(LOCK)).strip());
         }
         file.truncate(0)
@@ -124,7 +124,7 @@
             } catch (IOException e) {
                 String message = String.valueOf(e.getMessage());
                 if (message.contains("No space left") || message.contains("quota exceeded")) {
-                    throw new NoSpaceException("the disk is full", e);
+                    throw new DiskFullException("the disk is full", e);
                 }
                 throw e;
             }
--- a/server/src/main/java/wheatspread/store/BackgroundLoop.java
+++ b/server/src/main/java/wheatspread/store/BackgroundLoop.java
@@ -10,9 +10,9 @@
 final class BackgroundLoop implements Runnable {
     private final WriterQueue queue;
     private final StoreSettings settings;
-    private final Store.Time time;
+    private final Store.Clock time;
 
-    BackgroundLoop(WriterQueue queue, StoreSettings settings, Store.Time time) {
+    BackgroundLoop(WriterQueue queue, StoreSettings settings, Store.Clock time) {
         this.queue = queue;
         this.settings = settings;
         this.time = time;
@@ -20,7 +20,7 @@
 
     @Override
     public void run() {
-        RateLimiter rateLimiter = new RateLimiter(settings.compactBytesPerS(), time.nanos());
+        RateLimiter rateLimiter = new RateLimiter(settings.compactionBytesPerSecond(), time.nanos());
         for (MaintenanceJob job = queue.awaitJob(); job != null; job = queue.awaitJob()) {
             IOException failure = null;
             try {
--- a/server/src/main/java/wheatspread/store/CheckpointProgress.java
+++ b/server/src/main/java/wheatspread/store/CheckpointProgress.java
@@ -30,11 +30,11 @@
 
     /** The checkpoint could not be written: the next one is due at once. */
     void failed(StoreSettings settings) {
-        loggedBytes = settings.checkpointBytes();
+        loggedBytes = settings.checkpointIntervalBytes();
     }
 
     boolean isDue(StoreSettings settings) {
-        return loggedBytes >= settings.checkpointBytes();
+        return loggedBytes >= settings.checkpointIntervalBytes();
     }
 
     /** Whether the log holds anything newer than the start of the last checkpoint. */
--- a/server/src/main/java/wheatspread/store/Checkpoints.java
+++ b/server/src/main/java/wheatspread/store/Checkpoints.java
@@ -190,7 +190,7 @@
                 if (SuspectedLosses.compare(name.first(), some.getOffsets(i), segment, offset) < 0) {
                     index.add(
                             some.getHashes(i),
-                            Index.at(ids.get(some.getFiles(i)), some.getOffsets(i)),
+                            Index.location(ids.get(some.getFiles(i)), some.getOffsets(i)),
                             some.getLengths(i),
                             some.getExpiries(i));
                 }
--- a/server/src/main/java/wheatspread/store/CompactionJob.java
+++ b/server/src/main/java/wheatspread/store/CompactionJob.java
@@ -129,7 +129,7 @@
         switch (record.getKind()) {
             case PUT -> {
                 long hash = catalog.hash(at);
-                long from = Index.at(run.get(input).id(), (int) at.offset());
+                long from = Index.location(run.get(input).id(), (int) at.offset());
                 long expires = record.getExpiresMs();
                 if (SegmentCatalog.hasExpired(expires, parameters.nowMillis())) {
                     // an older value must not come back, whether or not this one has been counted out
@@ -178,7 +178,7 @@
         LongArrayList lost = new LongArrayList();
         scan.lostHashes().forEachOrderedLong(lost::addLong);
         int place = group.add(0, GroupEncoder.suspectedLoss(lost, scan.lostAll(), parameters.lossUntilMillis()));
-        pendingLosses.add(new Loss(lost, scan.lostAll(), place, Index.at(segment.id(), (int) scan.offset())));
+        pendingLosses.add(new Loss(lost, scan.lostAll(), place, Index.location(segment.id(), (int) scan.offset())));
     }
 
     private void flush() throws IOException {
@@ -243,7 +243,7 @@
         synchronized (catalog.index()) {
             for (int left = MAX_MOVES_PER_INSTALL; left > 0 && installed < moves.size(); left--, installed += 4) {
                 long packed = moves.getLong(installed + 3);
-                long to = Index.at(result.id(), (int) moves.getLong(installed + 2));
+                long to = Index.location(result.id(), (int) moves.getLong(installed + 2));
                 if (catalog.index()
                         .move(moves.getLong(installed), moves.getLong(installed + 1), to, (int) (packed >>> 32), (int)
                                 packed)) {
--- a/server/src/main/java/wheatspread/store/CompactionPolicy.java
+++ b/server/src/main/java/wheatspread/store/CompactionPolicy.java
@@ -34,14 +34,14 @@
 
     /** Whether so much space is used that a small dead share justifies a compaction. */
     boolean isUnderPressure(long usedBytes) {
-        return usedBytes + settings.reserveBytes() > settings.maxBytes() * 0.75;
+        return usedBytes + settings.reserveBytes() > settings.maxStoreBytes() * 0.75;
     }
 
     /** The run to rewrite next, or null; {@code sealed} are neighbours in the log's order. */
     Run choose(List<Candidate> sealed, long nowMillis, boolean pressed) {
         Run best = null;
         double bestScore = 0;
-        double minDeadShare = pressed ? MIN_DEAD_SHARE_UNDER_PRESSURE : settings.compactDeadShare();
+        double minDeadShare = pressed ? MIN_DEAD_SHARE_UNDER_PRESSURE : settings.compactionMinDeadShare();
         for (int from = 0; from < sealed.size(); from++) {
             long bytes = 0;
             long live = 0;
@@ -69,6 +69,7 @@
 
     /** One that will be free for nothing if it is left alone for a while. */
     private boolean expiresSoon(Candidate one, long nowMillis) {
-        return one.latestExpiryMillis() > nowMillis && one.latestExpiryMillis() - nowMillis <= settings.compactWaitMs();
+        return one.latestExpiryMillis() > nowMillis
+                && one.latestExpiryMillis() - nowMillis <= settings.compactionMaxWaitMillis();
     }
 }
--- a/server/src/main/java/wheatspread/store/DiskSpace.java
+++ b/server/src/main/java/wheatspread/store/DiskSpace.java
@@ -5,7 +5,7 @@
 import wheatspread.logging.EventLog;
 
 /**
- * The space that a store uses and may still use: rejects writes near its limit ({@link StoreSettings#maxBytes})
+ * The space that a store uses and may still use: rejects writes near its limit ({@link StoreSettings#maxStoreBytes})
  * and while the disk is nearly full. For the writer's thread.
  */
 final class DiskSpace {
@@ -38,7 +38,7 @@
 
     /** Whether this many bytes may be taken in all, beside the reserve. */
     boolean hasRoomFor(long bytes) {
-        return bytes + settings.reserveBytes() <= settings.maxBytes();
+        return bytes + settings.reserveBytes() <= settings.maxStoreBytes();
     }
 
     /** Has the next {@link #check} ask the disk. */
@@ -63,7 +63,7 @@
                     "live",
                     catalog.liveBytes(),
                     "max",
-                    settings.maxBytes());
+                    settings.maxStoreBytes());
         }
     }
 
--- a/server/src/main/java/wheatspread/store/GroupCommit.java
+++ b/server/src/main/java/wheatspread/store/GroupCommit.java
@@ -86,7 +86,7 @@
 
     /** Syncs what was written where the settings ask for a sync at intervals and one is due. */
     void syncIfDue(long nowMillis) {
-        if (syncsAtIntervals() && nowMillis - writer.lastSyncMillis() >= settings.syncMs()) {
+        if (syncsAtIntervals() && nowMillis - writer.lastSyncMillis() >= settings.syncIntervalMillis()) {
             try {
                 writer.sync(nowMillis);
             } catch (IOException e) {
@@ -116,7 +116,7 @@
 
     /** When a sync or another attempt to recover is due; {@link Long#MAX_VALUE} if neither will be. */
     long nextDueMillis(long nowMillis) {
-        long syncDue = syncsAtIntervals() ? writer.lastSyncMillis() + settings.syncMs() : Long.MAX_VALUE;
+        long syncDue = syncsAtIntervals() ? writer.lastSyncMillis() + settings.syncIntervalMillis() : Long.MAX_VALUE;
         return Math.min(syncDue, Math.max(nowMillis, state.retryAtMillis()));
     }
 
@@ -132,7 +132,7 @@
     }
 
     private void failed(String doing, IOException e, long nowMillis) {
-        state.failed(nowMillis, e instanceof Disk.NoSpaceException);
+        state.failed(nowMillis, e instanceof Disk.DiskFullException);
         counters.countFailure();
         log.error(
                 "store_write_failed",
--- a/server/src/main/java/wheatspread/store/Index.java
+++ b/server/src/main/java/wheatspread/store/Index.java
@@ -37,9 +37,9 @@
 
     /** Takes entries one by one. */
     @FunctionalInterface
-    public interface Each {
+    public interface EntryConsumer {
         /**
-         * @param at the file's id in the upper 32 bits, the frame's offset in the lower ones
+         * @param location the file's id in the upper 32 bits, the frame's offset in the lower ones
          * @param length of the frame in bytes
          * @param expiry seconds since 1970, 0 for never
          */
@@ -47,7 +47,7 @@
     }
 
     /** The place of a frame in one long; the id of a file is 1 or more. */
-    public static long at(int file, int offset) {
+    public static long location(int file, int offset) {
         return (long) file << 32 | offset & 0xFFFF_FFFFL;
     }
 
@@ -122,7 +122,7 @@
     }
 
     /** Gives every entry of this hash, and returns how many there are. */
-    public synchronized int find(long hash, Each to) {
+    public synchronized int find(long hash, EntryConsumer to) {
         Table table = table(hash);
         int found = 0;
         for (int cell = table.first(hash); table.hasHashAt(cell, hash); cell += LONGS_PER_ENTRY) {
@@ -133,7 +133,7 @@
     }
 
     /** Gives every entry of one table, sorted by hash. */
-    public void copy(int table, Each to) {
+    public void copy(int table, EntryConsumer to) {
         long[] cells;
         synchronized (this) {
             cells = tables[table].cells.clone();
@@ -152,7 +152,7 @@
      * @param now seconds since 1970
      * @return the cell to go on with, or 0 when the table has been gone through
      */
-    public synchronized int sweep(int table, int from, int cells, int now, Each gone) {
+    public synchronized int sweep(int table, int from, int cells, int now, EntryConsumer gone) {
         Table all = tables[table];
         int cell = from;
         for (int left = cells; left > 0 && cell < all.cells.length; left--) {
--- a/server/src/main/java/wheatspread/store/IndexUpdate.java
+++ b/server/src/main/java/wheatspread/store/IndexUpdate.java
@@ -55,7 +55,7 @@
 
     private void apply(List<Write> writes, int place, Segment segment, long base) {
         Write write = writes.get(place);
-        long at = Index.at(segment.id(), (int) (base + write.groupOffset()));
+        long at = Index.location(segment.id(), (int) (base + write.groupOffset()));
         long[] old = new long[2];
         catalog.index().find(write.hash(), (hash, there, length, expiry) -> {
             boolean earlier = Index.file(there) == segment.id()
--- a/server/src/main/java/wheatspread/store/LogStructuredStore.java
+++ b/server/src/main/java/wheatspread/store/LogStructuredStore.java
@@ -115,7 +115,7 @@
     }
 
     /** What the store holds for a key. */
-    Store.Got get(byte[] key, long nowMillis) throws IOException {
+    Store.ReadResult get(byte[] key, long nowMillis) throws IOException {
         return reader.get(key, nowMillis);
     }
 
--- a/server/src/main/java/wheatspread/store/OfflineTools.java
+++ b/server/src/main/java/wheatspread/store/OfflineTools.java
@@ -18,7 +18,8 @@
     private OfflineTools() {}
 
     /** A file of the log. */
-    public record FileLook(String name, long bytes, long liveBytes, long records, long latestExpiryMs, int cut) {}
+    public record SegmentInspection(
+            String name, long bytes, long liveBytes, long records, long latestExpiryMillis, int cutOffset) {}
 
     /**
      * What a store holds.
@@ -26,28 +27,29 @@
      * @param findings what is not as it was written, one line each; empty if nothing is wrong
      * @param damages places where acknowledged writes are lost
      */
-    public record Look(List<FileLook> files, StoreStats stats, List<String> findings, long damages, long cutBytes) {}
+    public record Inspection(
+            List<SegmentInspection> files, StoreStats stats, List<String> findings, long damages, long cutBytes) {}
 
     /** An entry that lives. */
-    public record Entry(byte[] key, byte[] value, long expiresMs) {}
+    public record Entry(byte[] key, byte[] value, long expiresMillis) {}
 
     /** The content according to the newest checkpoint and the log behind it. Read-only. */
-    public static Look stat(Disk disk, long nowMillis) throws IOException {
+    public static Inspection stat(Disk disk, long nowMillis) throws IOException {
         return look(disk, nowMillis, Recovery.Purpose.READ_ONLY);
     }
 
     /** Reads and verifies every frame of every file. Read-only. */
-    public static Look check(Disk disk, long nowMillis) throws IOException {
+    public static Inspection check(Disk disk, long nowMillis) throws IOException {
         return look(disk, nowMillis, Recovery.Purpose.VERIFY);
     }
 
-    private static Look look(Disk disk, long nowMillis, Recovery.Purpose purpose) throws IOException {
+    private static Inspection look(Disk disk, long nowMillis, Recovery.Purpose purpose) throws IOException {
         List<String> findings = new ArrayList<>();
         LogStructuredStore log = LogStructuredStore.open(
                 disk, StoreSettings.DEFAULT, EventLog.lines(findings::add), RANDOM::nextLong, nowMillis, purpose);
         try {
-            List<FileLook> files = log.catalog().chain().stream()
-                    .map(one -> new FileLook(
+            List<SegmentInspection> files = log.catalog().chain().stream()
+                    .map(one -> new SegmentInspection(
                             one.name().toString(),
                             one.validBytes(),
                             one.liveBytes(),
@@ -55,7 +57,7 @@
                             one.latestExpiryMillis(),
                             one.cutOffset()))
                     .toList();
-            return new Look(
+            return new Inspection(
                     files,
                     log.stats(),
                     findings,
@@ -98,8 +100,8 @@
      * @param acceptLoss drops the suspected losses: a key that was lost to damage is then absent, and an older value
      *     of it counts again
      */
-    public static Look compact(Disk disk, StoreSettings settings, long nowMillis, boolean acceptLoss, EventLog events)
-            throws IOException {
+    public static Inspection compact(
+            Disk disk, StoreSettings settings, long nowMillis, boolean acceptLoss, EventLog events) throws IOException {
         LogStructuredStore log = LogStructuredStore.open(
                 disk, settings, events, RANDOM::nextLong, nowMillis, Recovery.Purpose.READ_WRITE);
         boolean done = false;
--- a/server/src/main/java/wheatspread/store/ReaderLoop.java
+++ b/server/src/main/java/wheatspread/store/ReaderLoop.java
@@ -17,11 +17,11 @@
     private static final int MAX_READS_PER_BATCH = 256;
     private static final long MAX_WAIT_MILLIS = 1_000;
 
-    private record PendingRead(byte[] key, Consumer<Store.Got> to) {}
+    private record PendingRead(byte[] key, Consumer<Store.ReadResult> to) {}
 
     private final LogStructuredStore files;
     private final StoreSettings settings;
-    private final Store.Time time;
+    private final Store.Clock time;
     private final Executor callbacks;
     private final EventLog log;
     /** Guards what follows. */
@@ -30,7 +30,7 @@
     private final Deque<PendingRead> reads = new ArrayDeque<>();
     private boolean stopped;
 
-    ReaderLoop(LogStructuredStore files, StoreSettings settings, Store.Time time, Executor callbacks, EventLog log) {
+    ReaderLoop(LogStructuredStore files, StoreSettings settings, Store.Clock time, Executor callbacks, EventLog log) {
         this.files = files;
         this.settings = settings;
         this.time = time;
@@ -39,13 +39,13 @@
     }
 
     /** Accepts a read; returns null if it is accepted. */
-    Store.Refusal add(byte[] key, Consumer<Store.Got> to) {
+    Store.Rejection add(byte[] key, Consumer<Store.ReadResult> to) {
         synchronized (lock) {
             if (stopped) {
-                return Store.Refusal.CLOSED;
+                return Store.Rejection.CLOSED;
             }
-            if (reads.size() >= settings.queueRecords()) {
-                return Store.Refusal.QUEUE_FULL;
+            if (reads.size() >= settings.maxQueuedRecords()) {
+                return Store.Rejection.QUEUE_FULL;
             }
             reads.add(new PendingRead(key, to));
             lock.notifyAll();
@@ -81,7 +81,7 @@
         for (List<PendingRead> some = take(); !some.isEmpty(); some = take()) {
             List<Runnable> notifications = new ArrayList<>(some.size());
             for (PendingRead read : some) {
-                Store.Got got = got(read.key());
+                Store.ReadResult got = got(read.key());
                 notifications.add(() -> read.to().accept(got));
             }
             callbacks.execute(() -> notifications.forEach(Runnable::run));
@@ -102,12 +102,12 @@
         return some;
     }
 
-    private Store.Got got(byte[] key) {
+    private Store.ReadResult got(byte[] key) {
         try {
-            return files.get(key, time.nowMs());
+            return files.get(key, time.nowMillis());
         } catch (IOException | RuntimeException e) {
             log.error("store_read_failed", "reason", e.toString());
-            return Store.Got.FAILED;
+            return Store.ReadResult.FAILED;
         }
     }
 }
--- a/server/src/main/java/wheatspread/store/RecordReader.java
+++ b/server/src/main/java/wheatspread/store/RecordReader.java
@@ -22,7 +22,7 @@
     private record Place(Segment segment, int offset, int length, boolean inDoubt) {}
 
     /** What the store holds for a key. */
-    Store.Got get(byte[] key, long nowMillis) throws IOException {
+    Store.ReadResult get(byte[] key, long nowMillis) throws IOException {
         long hash = catalog.hash(key);
         List<Place> found = new ArrayList<>(1);
         boolean absentInDoubt;
@@ -30,7 +30,7 @@
             catalog.index().find(hash, (h, at, length, expiry) -> found.add(hold(at, length, nowMillis)));
             absentInDoubt = catalog.suspectedLosses().suspectsAbsentKey(hash, nowMillis);
         }
-        Store.Got got = null;
+        Store.ReadResult got = null;
         for (Place place : found) {
             try {
                 if (got == null) {
@@ -40,7 +40,7 @@
                 place.segment().release();
             }
         }
-        return got != null ? got : absentInDoubt ? Store.Got.DOUBTFUL : Store.Got.ABSENT;
+        return got != null ? got : absentInDoubt ? Store.ReadResult.DOUBTFUL : Store.ReadResult.ABSENT;
     }
 
     private Place hold(long at, int length, long nowMillis) {
@@ -52,20 +52,20 @@
     }
 
     /** The result for a key from the record at a location; null if the record has another key. */
-    private Store.Got read(byte[] key, Place place, long nowMillis) throws IOException {
+    private Store.ReadResult read(byte[] key, Place place, long nowMillis) throws IOException {
         Format.Record there = SegmentCatalog.read(place.segment(), place.offset(), place.length());
         if (there == null) {
             log.error("store_damage", "file", place.segment().name(), "at", place.offset(), "keys", 1);
-            return Store.Got.DOUBTFUL;
+            return Store.ReadResult.DOUBTFUL;
         }
         if (!SegmentCatalog.isKey(there, key)) {
             return null;
         }
         if (SegmentCatalog.hasExpired(there.getExpiresMs(), nowMillis)) {
-            return place.inDoubt() ? Store.Got.DOUBTFUL : Store.Got.ABSENT;
+            return place.inDoubt() ? Store.ReadResult.DOUBTFUL : Store.ReadResult.ABSENT;
         }
-        return new Store.Got(
-                place.inDoubt() ? Store.Got.Kind.DOUBTFUL : Store.Got.Kind.VALUE,
+        return new Store.ReadResult(
+                place.inDoubt() ? Store.ReadResult.Kind.DOUBTFUL : Store.ReadResult.Kind.VALUE,
                 there.getValue().toByteArray(),
                 there.getExpiresMs());
     }
--- a/server/src/main/java/wheatspread/store/Recovery.java
+++ b/server/src/main/java/wheatspread/store/Recovery.java
@@ -254,14 +254,14 @@
                 scan.lostHashes(),
                 scan.lostAll(),
                 settings.lossUntilMillis(nowMillis),
-                Index.at(segment.id(), offset),
+                Index.location(segment.id(), offset),
                 segment.name().first(),
                 offset);
     }
 
     private void apply(Segment segment, SegmentScan scan, boolean again) throws IOException {
         Format.Record record = scan.record();
-        long at = Index.at(segment.id(), (int) scan.offset());
+        long at = Index.location(segment.id(), (int) scan.offset());
         switch (record.getKind()) {
             case PUT -> {
                 segment.countRecord(record.getExpiresMs());
--- a/server/src/main/java/wheatspread/store/Store.java
+++ b/server/src/main/java/wheatspread/store/Store.java
@@ -33,7 +33,7 @@
     }
 
     /** Why a write or read was rejected. */
-    public enum Refusal {
+    public enum Rejection {
         /** As much as may wait waits already. */
         QUEUE_FULL,
         /** The store or its disk is full; deletions are still accepted. */
@@ -49,7 +49,7 @@
 
     /** Receives the outcome of a write; {@code reason} is null unless it failed. */
     @FunctionalInterface
-    public interface Done {
+    public interface WriteCallback {
         void ended(Outcome outcome, String reason);
     }
 
@@ -57,12 +57,12 @@
      * What the store holds for a key.
      *
      * @param value null unless there is one; for DOUBTFUL the last one known, if any
-     * @param expiresMs since 1970; 0 is never
+     * @param expiresMillis since 1970; 0 is never
      */
-    public record Got(Kind kind, byte[] value, long expiresMs) {
-        static final Got ABSENT = new Got(Kind.ABSENT, null, 0);
-        static final Got DOUBTFUL = new Got(Kind.DOUBTFUL, null, 0);
-        static final Got FAILED = new Got(Kind.FAILED, null, 0);
+    public record ReadResult(Kind kind, byte[] value, long expiresMillis) {
+        static final ReadResult ABSENT = new ReadResult(Kind.ABSENT, null, 0);
+        static final ReadResult DOUBTFUL = new ReadResult(Kind.DOUBTFUL, null, 0);
+        static final ReadResult FAILED = new ReadResult(Kind.FAILED, null, 0);
 
         /** Whether there is a value. */
         public enum Kind {
@@ -76,10 +76,10 @@
     }
 
     /** The clocks of a store; replaced in tests. */
-    public interface Time {
-        Time SYSTEM = new Time() {
+    public interface Clock {
+        Clock SYSTEM = new Clock() {
             @Override
-            public long nowMs() {
+            public long nowMillis() {
                 return System.currentTimeMillis();
             }
 
@@ -90,14 +90,14 @@
         };
 
         /** Milliseconds since 1970, for what expires. */
-        long nowMs();
+        long nowMillis();
 
         /** Nanoseconds from anywhere, for pauses. */
         long nanos();
     }
 
     private final StoreSettings settings;
-    private final Time time;
+    private final Clock time;
     private final EventLog log;
     private final LogStructuredStore files;
     private final WriterQueue queue;
@@ -107,7 +107,7 @@
     private final Thread readerThread;
     private final Thread backgroundThread;
 
-    private Store(LogStructuredStore files, StoreSettings settings, Time time, Executor callbacks, EventLog log) {
+    private Store(LogStructuredStore files, StoreSettings settings, Clock time, Executor callbacks, EventLog log) {
         this.files = files;
         this.settings = settings;
         this.time = time;
@@ -136,12 +136,12 @@
      * @throws Disk.TakenException if another process has the folder
      * @throws StoreException if it holds what this program must not work on
      */
-    public static Store open(Disk disk, StoreSettings settings, Time time, Executor callbacks, EventLog log)
+    public static Store open(Disk disk, StoreSettings settings, Clock time, Executor callbacks, EventLog log)
             throws IOException {
         SecureRandom random = new SecureRandom();
         long startNanos = time.nanos();
         LogStructuredStore files = LogStructuredStore.open(
-                disk, settings, log, random::nextLong, time.nowMs(), Recovery.Purpose.READ_WRITE);
+                disk, settings, log, random::nextLong, time.nowMillis(), Recovery.Purpose.READ_WRITE);
         Recovery.Report report = files.recovered();
         log.info(
                 "store_opened",
@@ -167,16 +167,16 @@
     /**
      * Writes a key.
      *
-     * @param expiresMs since 1970; 0 for never
+     * @param expiresMillis since 1970; 0 for never
      * @param done is called once, unless this returns a refusal
      * @return null if it is accepted
      */
-    public Refusal put(byte[] key, byte[] value, long expiresMs, Done done) {
+    public Rejection put(byte[] key, byte[] value, long expiresMs, WriteCallback done) {
         return batch().put(key, value, expiresMs, done).send();
     }
 
     /** Deletes a key; as {@link #put}. A full store accepts deletions, since they free space. */
-    public Refusal delete(byte[] key, Done done) {
+    public Rejection delete(byte[] key, WriteCallback done) {
         return batch().delete(key, done).send();
     }
 
@@ -193,31 +193,31 @@
         private final List<Write> all = new ArrayList<>(1);
         private long bytes;
         private boolean puts;
-        private Refusal wrong;
+        private Rejection wrong;
 
         private Batch() {}
 
         /** As {@link Store#put}. */
-        public Batch put(byte[] key, byte[] value, long expiresMs, Done done) {
-            long life = settings.longestLifeMs();
-            long now = expiresMs == 0 && life == 0 ? 0 : time.nowMs();
+        public Batch put(byte[] key, byte[] value, long expiresMs, WriteCallback done) {
+            long life = settings.maxLifetimeMillis();
+            long now = expiresMs == 0 && life == 0 ? 0 : time.nowMillis();
             if (expiresMs < 0
                     || expiresMs > 0 && expiresMs <= now
                     || life > 0 && (expiresMs == 0 || expiresMs > now + life)) {
-                wrong = Refusal.BAD_EXPIRY;
+                wrong = Rejection.BAD_EXPIRY;
             }
             puts = true;
             return add(new Write(key, value, expiresMs, done));
         }
 
         /** As {@link Store#delete}. */
-        public Batch delete(byte[] key, Done done) {
+        public Batch delete(byte[] key, WriteCallback done) {
             return add(new Write(key, null, 0, done));
         }
 
         private Batch add(Write write) {
-            if (write.size() > settings.recordBytes()) {
-                wrong = Refusal.TOO_LONG;
+            if (write.size() > settings.maxRecordBytes()) {
+                wrong = Rejection.TOO_LONG;
             }
             bytes += write.size();
             all.add(write);
@@ -225,20 +225,20 @@
         }
 
         /** Submits the writes; unless it returns null, none was accepted and no callback is called. */
-        public Refusal send() {
+        public Rejection send() {
             if (wrong != null) {
                 return wrong;
             }
             WriteState.Mode mode = writer.mode();
             if (mode == WriteState.Mode.FAILED) {
-                return Refusal.FAILED;
+                return Rejection.FAILED;
             }
-            return puts && mode == WriteState.Mode.FULL ? Refusal.FULL : queue.add(all, bytes);
+            return puts && mode == WriteState.Mode.FULL ? Rejection.FULL : queue.add(all, bytes);
         }
     }
 
     /** Reads a key; returns null if the read is accepted, and then {@code to} is called once. */
-    public Refusal get(byte[] key, Consumer<Got> to) {
+    public Rejection get(byte[] key, Consumer<ReadResult> to) {
         return reader.add(key, to);
     }
 
@@ -272,7 +272,7 @@
         reader.stop();
         join(readerThread);
         try {
-            files.finish(time.nowMs());
+            files.finish(time.nowMillis());
         } finally {
             files.close();
         }
--- a/server/src/main/java/wheatspread/store/StoreSettings.java
+++ b/server/src/main/java/wheatspread/store/StoreSettings.java
@@ -6,37 +6,37 @@
  * How a store works. Sizes are bytes, times milliseconds.
  *
  * @param sync when what was written is made to last
- * @param syncMs for {@link Sync#INTERVAL}: how much of what was acknowledged a crash of the machine may
+ * @param syncIntervalMillis for {@link Sync#INTERVAL}: how much of what was acknowledged a crash of the machine may
  *     take
  * @param segmentBytes a file of the log is sealed at this size
- * @param maxBytes limit of all files together; writes that exceed it are rejected until space is freed
+ * @param maxStoreBytes limit of all files together; writes that exceed it are rejected until space is freed
  * @param minFreeBytes writes are rejected while the disk has less free space
- * @param recordBytes the longest key with its value
- * @param queueRecords writes that may wait, and {@code queueBytes} for their sizes; the same number of
+ * @param maxRecordBytes the longest key with its value
+ * @param maxQueuedRecords writes that may wait, and {@code maxQueuedBytes} for their sizes; the same number of
  *     reads
- * @param groupRecords what is written and synced together at most, and {@code groupBytes} for the sizes
- * @param compactBytesPerS what compaction reads and writes a second at most
- * @param compactDeadShare a run of segments is rewritten when this share of it is dead
- * @param compactWaitMs a segment whose records will all have expired within this time is not compacted
- * @param checkpointBytes the index is written after so many bytes of log: what a start has to read at most
- * @param longestLifeMs writes must expire within it; 0 is no bound. It bounds how long a suspected loss lasts
+ * @param maxGroupRecords what is written and synced together at most, and {@code maxGroupBytes} for the sizes
+ * @param compactionBytesPerSecond what compaction reads and writes a second at most
+ * @param compactionMinDeadShare a run of segments is rewritten when this share of it is dead
+ * @param compactionMaxWaitMillis a segment whose records will all have expired within this time is not compacted
+ * @param checkpointIntervalBytes the index is written after so many bytes of log: what a start has to read at most
+ * @param maxLifetimeMillis writes must expire within it; 0 is no bound. It bounds how long a suspected loss lasts
  */
 public record StoreSettings(
         Sync sync,
-        long syncMs,
+        long syncIntervalMillis,
         int segmentBytes,
-        long maxBytes,
+        long maxStoreBytes,
         long minFreeBytes,
-        int recordBytes,
-        int queueRecords,
-        long queueBytes,
-        int groupRecords,
-        int groupBytes,
-        long compactBytesPerS,
-        double compactDeadShare,
-        long compactWaitMs,
-        long checkpointBytes,
-        long longestLifeMs) {
+        int maxRecordBytes,
+        int maxQueuedRecords,
+        long maxQueuedBytes,
+        int maxGroupRecords,
+        int maxGroupBytes,
+        long compactionBytesPerSecond,
+        double compactionMinDeadShare,
+        long compactionMaxWaitMillis,
+        long checkpointIntervalBytes,
+        long maxLifetimeMillis) {
     /** When a write is acknowledged (its durability). */
     public enum Sync {
         /** After the sync of its group: no acknowledged write is lost. */
@@ -72,23 +72,24 @@
 
     /** @throws IllegalArgumentException naming the value and what is allowed */
     public StoreSettings {
-        requireInRange("sync_ms", syncMs, 1, 60_000);
+        requireInRange("sync_ms", syncIntervalMillis, 1, 60_000);
         requireInRange("segment_bytes", segmentBytes, 1 << 10, 1 << 30);
-        requireInRange("max_bytes", maxBytes, 4L * segmentBytes, 1L << 50);
+        requireInRange("max_bytes", maxStoreBytes, 4L * segmentBytes, 1L << 50);
         requireInRange("min_free_bytes", minFreeBytes, 0, 1L << 50);
-        requireInRange("record_bytes", recordBytes, 16, Math.min(segmentBytes / 4, RecordFraming.MAX_BODY_BYTES / 2));
-        requireInRange("queue_records", queueRecords, 1, 10_000_000);
-        requireInRange("queue_bytes", queueBytes, recordBytes, 1L << 32);
-        requireInRange("group_records", groupRecords, 1, 100_000);
-        requireInRange("group_bytes", groupBytes, recordBytes, segmentBytes);
-        requireInRange("compact_bytes_per_s", compactBytesPerS, 1 << 10, 1L << 40);
-        if (!(compactDeadShare > 0 && compactDeadShare < 1)) {
+        requireInRange(
+                "record_bytes", maxRecordBytes, 16, Math.min(segmentBytes / 4, RecordFraming.MAX_BODY_BYTES / 2));
+        requireInRange("queue_records", maxQueuedRecords, 1, 10_000_000);
+        requireInRange("queue_bytes", maxQueuedBytes, maxRecordBytes, 1L << 32);
+        requireInRange("group_records", maxGroupRecords, 1, 100_000);
+        requireInRange("group_bytes", maxGroupBytes, maxRecordBytes, segmentBytes);
+        requireInRange("compact_bytes_per_s", compactionBytesPerSecond, 1 << 10, 1L << 40);
+        if (!(compactionMinDeadShare > 0 && compactionMinDeadShare < 1)) {
             throw new IllegalArgumentException(
-                    "compact_dead_share is " + compactDeadShare + "; allowed is between 0 and 1");
+                    "compact_dead_share is " + compactionMinDeadShare + "; allowed is between 0 and 1");
         }
-        requireInRange("compact_wait_ms", compactWaitMs, 0, 86_400_000);
-        requireInRange("checkpoint_bytes", checkpointBytes, 1 << 10, 1L << 40);
-        requireInRange("longest_life_ms", longestLifeMs, 0, Long.MAX_VALUE / 4);
+        requireInRange("compact_wait_ms", compactionMaxWaitMillis, 0, 86_400_000);
+        requireInRange("checkpoint_bytes", checkpointIntervalBytes, 1 << 10, 1L << 40);
+        requireInRange("longest_life_ms", maxLifetimeMillis, 0, Long.MAX_VALUE / 4);
     }
 
     private static void requireInRange(String name, long value, long min, long max) {
@@ -104,7 +105,7 @@
 
     /** When every record that could be lost now will have expired; 0 is never. */
     long lossUntilMillis(long nowMillis) {
-        return longestLifeMs == 0 ? 0 : nowMillis + longestLifeMs;
+        return maxLifetimeMillis == 0 ? 0 : nowMillis + maxLifetimeMillis;
     }
 
     /** A copy with another way to acknowledge writes; {@code everyMs} is for {@link Sync#INTERVAL}. */
@@ -117,12 +118,12 @@
 
     /** Records and groups become smaller where they would not fit a segment. */
     public StoreSettings withSizes(int segment, long max, long checkpoint) {
-        int record = Math.min(recordBytes, segment / 4);
+        int record = Math.min(maxRecordBytes, segment / 4);
         return with(draft -> {
             draft.segmentBytes = segment;
             draft.maxBytes = max;
             draft.recordBytes = record;
-            draft.groupBytes = Math.max(record, Math.min(groupBytes, segment));
+            draft.groupBytes = Math.max(record, Math.min(maxGroupBytes, segment));
             draft.checkpointBytes = checkpoint;
         });
     }
@@ -146,7 +147,7 @@
     }
 
     /** A copy with another bound on expiry times; 0 is no bound. */
-    public StoreSettings withLongestLife(long ms) {
+    public StoreSettings withMaxLifetime(long ms) {
         return with(draft -> draft.longestLifeMs = ms);
     }
 
@@ -176,20 +177,20 @@
 
         Draft(StoreSettings from) {
             sync = from.sync;
-            syncMs = from.syncMs;
+            syncMs = from.syncIntervalMillis;
             segmentBytes = from.segmentBytes;
-            maxBytes = from.maxBytes;
+            maxBytes = from.maxStoreBytes;
             minFreeBytes = from.minFreeBytes;
-            recordBytes = from.recordBytes;
-            queueRecords = from.queueRecords;
-            queueBytes = from.queueBytes;
-            groupRecords = from.groupRecords;
-            groupBytes = from.groupBytes;
-            compactBytesPerS = from.compactBytesPerS;
-            compactDeadShare = from.compactDeadShare;
-            compactWaitMs = from.compactWaitMs;
-            checkpointBytes = from.checkpointBytes;
-            longestLifeMs = from.longestLifeMs;
+            recordBytes = from.maxRecordBytes;
+            queueRecords = from.maxQueuedRecords;
+            queueBytes = from.maxQueuedBytes;
+            groupRecords = from.maxGroupRecords;
+            groupBytes = from.maxGroupBytes;
+            compactBytesPerS = from.compactionBytesPerSecond;
+            compactDeadShare = from.compactionMinDeadShare;
+            compactWaitMs = from.compactionMaxWaitMillis;
+            checkpointBytes = from.checkpointIntervalBytes;
+            longestLifeMs = from.maxLifetimeMillis;
         }
 
         StoreSettings settings() {
--- a/server/src/main/java/wheatspread/store/StoreStats.java
+++ b/server/src/main/java/wheatspread/store/StoreStats.java
@@ -6,7 +6,7 @@
  * @param keys that are held, those not counted out yet that have expired just now
  * @param indexBytes of heap
  * @param usedBytes of all files, {@code liveBytes} of the records that count
- * @param doubtfulKeys whose newest write is lost to damage; {@code allInDoubt} if their names are, too
+ * @param suspectedKeys whose newest write is lost to damage; {@code allKeysSuspected} if their names are, too
  */
 public record StoreStats(
         int keys,
@@ -14,8 +14,8 @@
         int segments,
         long usedBytes,
         long liveBytes,
-        int doubtfulKeys,
-        boolean allInDoubt,
+        int suspectedKeys,
+        boolean allKeysSuspected,
         WriteState.Mode mode,
         Counters counters) {
 
@@ -25,7 +25,7 @@
      */
     public static final class Counters {
         private long writes;
-        private long refused;
+        private long rejectedWrites;
         private long groups;
         private long syncs;
         private long writtenBytes;
@@ -40,7 +40,7 @@
         }
 
         void countRejected(int count) {
-            refused += count;
+            rejectedWrites += count;
         }
 
         void countGroup(int bytes) {
@@ -72,7 +72,7 @@
         Counters copy() {
             Counters copy = new Counters();
             copy.writes = writes;
-            copy.refused = refused;
+            copy.rejectedWrites = rejectedWrites;
             copy.groups = groups;
             copy.syncs = syncs;
             copy.writtenBytes = writtenBytes;
@@ -88,8 +88,8 @@
             return writes;
         }
 
-        public long refused() {
-            return refused;
+        public long rejectedWrites() {
+            return rejectedWrites;
         }
 
         public long groups() {
--- a/server/src/main/java/wheatspread/store/Write.java
+++ b/server/src/main/java/wheatspread/store/Write.java
@@ -14,7 +14,7 @@
     private final byte[] key;
     private final byte[] value;
     private final long expiresMillis;
-    private final Store.Done callback;
+    private final Store.WriteCallback callback;
     private long hash;
     private long replacedLocation;
     private int groupOffset;
@@ -29,7 +29,7 @@
      * @param expiresMillis since 1970; 0 is never
      * @param callback is called with the outcome; may be null in a test
      */
-    Write(byte[] key, byte[] value, long expiresMillis, Store.Done callback) {
+    Write(byte[] key, byte[] value, long expiresMillis, Store.WriteCallback callback) {
         this.key = key;
         this.value = value;
         this.expiresMillis = expiresMillis;
--- a/server/src/main/java/wheatspread/store/WriterLoop.java
+++ b/server/src/main/java/wheatspread/store/WriterLoop.java
@@ -14,12 +14,12 @@
 final class WriterLoop implements Runnable {
     private final LogStructuredStore files;
     private final WriterQueue queue;
-    private final Store.Time time;
+    private final Store.Clock time;
     private final Executor callbacks;
     private final EventLog log;
     private volatile WriteState.Mode mode = WriteState.Mode.OPEN;
 
-    WriterLoop(LogStructuredStore files, WriterQueue queue, Store.Time time, Executor callbacks, EventLog log) {
+    WriterLoop(LogStructuredStore files, WriterQueue queue, Store.Clock time, Executor callbacks, EventLog log) {
         this.files = files;
         this.queue = queue;
         this.time = time;
@@ -37,7 +37,7 @@
         List<Write> group = new ArrayList<>();
         boolean last = false;
         while (!last) {
-            last = queue.takeGroup(group, files.isBusy() ? 0 : files.nextTickMillis(time.nowMs()));
+            last = queue.takeGroup(group, files.isBusy() ? 0 : files.nextTickMillis(time.nowMillis()));
             try {
                 runOnce(group);
             } catch (RuntimeException e) {
@@ -53,10 +53,10 @@
 
     private void runOnce(List<Write> group) {
         if (!group.isEmpty()) {
-            files.commit(group, time.nowMs());
+            files.commit(group, time.nowMillis());
         }
         endJob();
-        files.tick(time.nowMs());
+        files.tick(time.nowMillis());
         mode = files.mode();
         offerJob();
     }
@@ -70,7 +70,7 @@
 
     private void offerJob() {
         if (queue.acceptsJob()) {
-            MaintenanceJob next = files.nextJob(time.nowMs());
+            MaintenanceJob next = files.nextJob(time.nowMillis());
             if (next != null) {
                 queue.offerJob(next);
             }
@@ -88,7 +88,7 @@
             }
             files.jobDone();
         } catch (IOException e) {
-            files.jobFailed(e, time.nowMs());
+            files.jobFailed(e, time.nowMillis());
         }
     }
 }
--- a/server/src/main/java/wheatspread/store/WriterQueue.java
+++ b/server/src/main/java/wheatspread/store/WriterQueue.java
@@ -9,7 +9,7 @@
  * The queue between the threads of a store: writes that wait for the writer, and the maintenance job that the
  * writer offers to the background thread and gets back when its steps are done. One lock, the object's, guards
  * both, since the writer waits for either; it is never held over I/O. Any thread may call {@link #add}. Bounds:
- * {@link StoreSettings#queueRecords} and {@link StoreSettings#queueBytes}.
+ * {@link StoreSettings#maxQueuedRecords} and {@link StoreSettings#maxQueuedBytes}.
  */
 final class WriterQueue {
     private static final long MAX_WAIT_MILLIS = 1_000;
@@ -22,7 +22,7 @@
     record FinishedJob(MaintenanceJob job, IOException failure) {}
 
     private final StoreSettings settings;
-    private final Store.Time time;
+    private final Store.Clock time;
     private final Deque<Write> writes = new ArrayDeque<>();
     private long waitingBytes;
     private int rejectedWrites;
@@ -30,7 +30,7 @@
     private MaintenanceJob offered;
     private FinishedJob finished;
 
-    WriterQueue(StoreSettings settings, Store.Time time) {
+    WriterQueue(StoreSettings settings, Store.Clock time) {
         this.settings = settings;
         this.time = time;
     }
@@ -38,13 +38,14 @@
     // ---- writes ----
 
     /** Accepts all of these writes, or none; returns null if they are accepted. */
-    synchronized Store.Refusal add(List<Write> batch, long bytes) {
+    synchronized Store.Rejection add(List<Write> batch, long bytes) {
         if (closing) {
-            return Store.Refusal.CLOSED;
+            return Store.Rejection.CLOSED;
         }
-        if (writes.size() + batch.size() > settings.queueRecords() || waitingBytes + bytes > settings.queueBytes()) {
+        if (writes.size() + batch.size() > settings.maxQueuedRecords()
+                || waitingBytes + bytes > settings.maxQueuedBytes()) {
             rejectedWrites += batch.size();
-            return Store.Refusal.QUEUE_FULL;
+            return Store.Rejection.QUEUE_FULL;
         }
         waitingBytes += bytes;
         boolean idle = writes.isEmpty();
@@ -60,13 +61,13 @@
      * group; true when it was the last.
      */
     synchronized boolean takeGroup(List<Write> group, long dueMillis) {
-        while (writes.isEmpty() && !closing && finished == null && time.nowMs() < dueMillis) {
-            await(this, Math.max(1, dueMillis - time.nowMs()));
+        while (writes.isEmpty() && !closing && finished == null && time.nowMillis() < dueMillis) {
+            await(this, Math.max(1, dueMillis - time.nowMillis()));
         }
         long bytes = 0;
         while (!writes.isEmpty()
-                && group.size() < settings.groupRecords()
-                && (group.isEmpty() || bytes + writes.peek().size() <= settings.groupBytes())) {
+                && group.size() < settings.maxGroupRecords()
+                && (group.isEmpty() || bytes + writes.peek().size() <= settings.maxGroupBytes())) {
             Write next = writes.poll();
             bytes += next.size();
             group.add(next);
--- a/server/src/test/java/wheatspread/commands/StoreCommandTest.java
+++ b/server/src/test/java/wheatspread/commands/StoreCommandTest.java
@@ -32,7 +32,7 @@
     @BeforeEach
     void fill() throws IOException {
         StoreSettings settings = StoreSettings.DEFAULT.withSizes(4_096, 1 << 20, 4_096);
-        Store store = Store.open(FolderDisk.make(folder), settings, Store.Time.SYSTEM, Runnable::run, EventLog.NONE);
+        Store store = Store.open(FolderDisk.make(folder), settings, Store.Clock.SYSTEM, Runnable::run, EventLog.NONE);
         for (int i = 0; i < 300; i++) {
             store.put(
                     ("key " + i % 30).getBytes(StandardCharsets.UTF_8),
--- a/server/src/test/java/wheatspread/store/CrashTest.java
+++ b/server/src/test/java/wheatspread/store/CrashTest.java
@@ -113,7 +113,7 @@
         harness.disk.failAtStep = at;
         harness.disk.keepsFailing = on;
         if (space) {
-            harness.disk.failure = () -> new Disk.NoSpaceException("planned", null);
+            harness.disk.failure = () -> new Disk.DiskFullException("planned", null);
         }
         harness.log.closeFiles();
         try {
--- a/server/src/test/java/wheatspread/store/DamageTest.java
+++ b/server/src/test/java/wheatspread/store/DamageTest.java
@@ -80,7 +80,7 @@
 
     @Test
     void damagedKeyIsDoubtfulUntilItIsRewrittenAndOtherKeysAreServed() throws IOException {
-        StoreHarness healthy = new StoreHarness(StoreHarness.smallSettings().withLongestLife(60_000), 1);
+        StoreHarness healthy = new StoreHarness(StoreHarness.smallSettings().withMaxLifetime(60_000), 1);
         healthy.open();
         healthy.commitGroup("a", "old", 50_000);
         healthy.commitGroup("a", "newer", 50_000, "b", "other", 50_000);
@@ -91,24 +91,24 @@
         bytes[at] ^= 1;
         StoreHarness harness = with(healthy, name, bytes);
         assertThat(harness.log.get(StoreHarness.bytes("a"), harness.nowMillis).kind())
-                .isEqualTo(Store.Got.Kind.DOUBTFUL);
+                .isEqualTo(Store.ReadResult.Kind.DOUBTFUL);
         assertThat(harness.log.get(StoreHarness.bytes("b"), harness.nowMillis).kind())
-                .isEqualTo(Store.Got.Kind.VALUE);
+                .isEqualTo(Store.ReadResult.Kind.VALUE);
         assertThat(harness.log.get(StoreHarness.bytes("c"), harness.nowMillis).kind())
-                .isEqualTo(Store.Got.Kind.VALUE);
+                .isEqualTo(Store.ReadResult.Kind.VALUE);
         assertThat(harness.log.get(StoreHarness.bytes("d"), harness.nowMillis).kind())
-                .isEqualTo(Store.Got.Kind.ABSENT);
+                .isEqualTo(Store.ReadResult.Kind.ABSENT);
         assertThat(harness.disk.list()).contains(name + ".damaged");
         harness.restart(FaultyDisk.Unsynced.LOST, 1); // the doubt lasts
         assertThat(harness.log.get(StoreHarness.bytes("a"), harness.nowMillis).kind())
-                .isEqualTo(Store.Got.Kind.DOUBTFUL);
+                .isEqualTo(Store.ReadResult.Kind.DOUBTFUL);
         harness.commitGroup("a", "again", 50_000);
         assertThat(harness.log.get(StoreHarness.bytes("a"), harness.nowMillis).value())
                 .isEqualTo(StoreHarness.bytes("again"));
         harness.commitGroup("a", null, 0);
         harness.nowMillis += 60_001; // whatever was lost has expired
         assertThat(harness.log.get(StoreHarness.bytes("a"), harness.nowMillis).kind())
-                .isEqualTo(Store.Got.Kind.ABSENT);
+                .isEqualTo(Store.ReadResult.Kind.ABSENT);
     }
 
     @Test
@@ -124,7 +124,7 @@
         assertThat(harness.log
                         .get(StoreHarness.bytes("key 0"), harness.nowMillis)
                         .kind())
-                .isEqualTo(Store.Got.Kind.DOUBTFUL);
+                .isEqualTo(Store.ReadResult.Kind.DOUBTFUL);
         assertThat(harness.log
                         .get(StoreHarness.bytes("key 0"), harness.nowMillis)
                         .value())
@@ -132,11 +132,11 @@
         assertThat(harness.log
                         .get(StoreHarness.bytes("no key"), harness.nowMillis)
                         .kind())
-                .isEqualTo(Store.Got.Kind.DOUBTFUL);
+                .isEqualTo(Store.ReadResult.Kind.DOUBTFUL);
         assertThat(harness.log
                         .get(StoreHarness.bytes("key 59"), harness.nowMillis)
                         .kind())
-                .isEqualTo(Store.Got.Kind.VALUE);
+                .isEqualTo(Store.ReadResult.Kind.VALUE);
         assertThat(harness.events).anyMatch(line -> line.startsWith("store_file_lost before=4"));
     }
 
@@ -175,6 +175,6 @@
     @Test
     void secondProcessCannotOpenTheFolder() throws IOException {
         StoreHarness harness = store(false);
-        assertThatThrownBy(harness::open).isInstanceOf(Disk.TakenException.class);
+        assertThatThrownBy(harness::open).isInstanceOf(Disk.FolderLockedException.class);
     }
 }
--- a/server/src/test/java/wheatspread/store/FaultyDisk.java
+++ b/server/src/test/java/wheatspread/store/FaultyDisk.java
@@ -223,7 +223,7 @@
     @Override
     public synchronized Closeable lock() throws IOException {
         if (locked) {
-            throw new TakenException("in use");
+            throw new FolderLockedException("in use");
         }
         locked = true;
         return () -> locked = false;
@@ -250,7 +250,7 @@
                 }
                 if (size > capacityBytes - used()) {
                     write(bytes, (int) Math.max(0, capacityBytes - used()));
-                    throw new NoSpaceException("planned", null);
+                    throw new DiskFullException("planned", null);
                 }
                 byte[] before = node.bytes;
                 for (int part = 1; part < size && atByte != NOTHING; part++) {
--- a/server/src/test/java/wheatspread/store/IndexTest.java
+++ b/server/src/test/java/wheatspread/store/IndexTest.java
@@ -29,13 +29,13 @@
             List<Long> there = model.computeIfAbsent(hash, h -> new ArrayList<>());
             boolean growing = i < 1_200;
             if (there.isEmpty() || random.nextInt(10) < (growing ? 7 : 1)) {
-                index.add(hash, Index.at(i, i), i, i);
-                there.add(Index.at(i, i));
+                index.add(hash, Index.location(i, i), i, i);
+                there.add(Index.location(i, i));
                 size++;
             } else if (random.nextBoolean()) {
                 long from = there.remove(random.nextInt(there.size()));
-                assertThat(index.move(hash, from, Index.at(i, -i), i, i)).isTrue();
-                there.add(Index.at(i, -i));
+                assertThat(index.move(hash, from, Index.location(i, -i), i, i)).isTrue();
+                there.add(Index.location(i, -i));
             } else {
                 assertThat(index.remove(hash, there.remove(random.nextInt(there.size()))))
                         .isTrue();
@@ -67,13 +67,13 @@
         long[] hashes = new long[300_000];
         for (int i = 0; i < hashes.length; i++) {
             hashes[i] = random.nextLong();
-            index.add(hashes[i], Index.at(1, i), 100, 0);
+            index.add(hashes[i], Index.location(1, i), 100, 0);
             if (i > 20_000 && i % 5_000 == 0) {
                 assertThat(index.bytes()).isLessThan(40L * (i + 1));
             }
         }
         for (int i = 0; i < hashes.length; i++) {
-            assertThat(index.remove(hashes[i], Index.at(1, i))).isTrue();
+            assertThat(index.remove(hashes[i], Index.location(1, i))).isTrue();
         }
         assertThat(index.size()).isZero();
         assertThat(index.bytes()).isLessThan(100_000);
@@ -84,7 +84,7 @@
         Index index = new Index();
         Random random = new Random(3);
         for (int i = 0; i < 10_000; i++) {
-            index.add(random.nextLong(), Index.at(1, i), 100, i % 3 == 0 ? 0 : i);
+            index.add(random.nextLong(), Index.location(1, i), 100, i % 3 == 0 ? 0 : i);
         }
         List<Integer> gone = new ArrayList<>();
         for (int table = 0; table < Index.TABLES; table++) {
--- a/server/src/test/java/wheatspread/store/MaintenanceTest.java
+++ b/server/src/test/java/wheatspread/store/MaintenanceTest.java
@@ -92,7 +92,7 @@
             assertThat(harness.log
                             .get(StoreHarness.bytes("key"), harness.nowMillis)
                             .kind())
-                    .isEqualTo(Store.Got.Kind.ABSENT);
+                    .isEqualTo(Store.ReadResult.Kind.ABSENT);
         }
         assertThat(harness.events).anyMatch(line -> line.startsWith("store_compacted"));
     }
@@ -211,7 +211,7 @@
         harness.advance(100);
         harness.commitGroup("key", "three", 0);
         assertThat(harness.disk.list()).contains(SegmentName.original(2).toString());
-        assertThat(new Disk.NoSpaceException("x", null)).hasMessage("x");
+        assertThat(new Disk.DiskFullException("x", null)).hasMessage("x");
         harness.restart(FaultyDisk.Unsynced.LOST, 1);
         harness.assertExpectedValues(true);
     }
--- a/server/src/test/java/wheatspread/store/StoreHarness.java
+++ b/server/src/test/java/wheatspread/store/StoreHarness.java
@@ -144,11 +144,11 @@
     /** Looks up every key: what is certain must be there, or what a crash may have left in its place. */
     void assertExpectedValues(boolean afterCrash) throws IOException {
         for (String key : keys()) {
-            Store.Got got = log.get(bytes(key), nowMillis);
-            assertThat(got.kind()).as(key).isIn(Store.Got.Kind.VALUE, Store.Got.Kind.ABSENT);
+            Store.ReadResult got = log.get(bytes(key), nowMillis);
+            assertThat(got.kind()).as(key).isIn(Store.ReadResult.Kind.VALUE, Store.ReadResult.Kind.ABSENT);
             StoredValue there = got.value() == null
                     ? NOTHING
-                    : new StoredValue(new String(got.value(), StandardCharsets.UTF_8), got.expiresMs());
+                    : new StoredValue(new String(got.value(), StandardCharsets.UTF_8), got.expiresMillis());
             List<StoredValue> allowed =
                     new ArrayList<>(List.of(certain.getOrDefault(key, NOTHING).at(nowMillis)));
             if (afterCrash) {
@@ -167,15 +167,15 @@
     /** Looks up every key of a damaged store: the newest value or a doubt, but never another value. */
     void assertNoWrongValues(boolean lossAllowed) throws IOException {
         for (String key : keys()) {
-            Store.Got got = log.get(bytes(key), nowMillis);
+            Store.ReadResult got = log.get(bytes(key), nowMillis);
             StoredValue must = certain.getOrDefault(key, NOTHING).at(nowMillis);
-            if (got.kind() == Store.Got.Kind.VALUE) {
+            if (got.kind() == Store.ReadResult.Kind.VALUE) {
                 if (!lossAllowed) {
                     assertThat(new String(got.value(), StandardCharsets.UTF_8))
                             .as(key)
                             .isEqualTo(must.value());
                 }
-            } else if (got.kind() == Store.Got.Kind.ABSENT && !lossAllowed) {
+            } else if (got.kind() == Store.ReadResult.Kind.ABSENT && !lossAllowed) {
                 assertThat(must).as(key).isEqualTo(NOTHING);
             }
         }
--- a/server/src/test/java/wheatspread/store/StoreTest.java
+++ b/server/src/test/java/wheatspread/store/StoreTest.java
@@ -36,7 +36,7 @@
     }
 
     private Store open(Disk on, StoreSettings settings) throws IOException {
-        store = Store.open(on, settings, Store.Time.SYSTEM, loop, EventLog.NONE);
+        store = Store.open(on, settings, Store.Clock.SYSTEM, loop, EventLog.NONE);
         return store;
     }
 
@@ -51,8 +51,8 @@
         return ended;
     }
 
-    private Store.Got get(String key) {
-        CompletableFuture<Store.Got> got = new CompletableFuture<>();
+    private Store.ReadResult get(String key) {
+        CompletableFuture<Store.ReadResult> got = new CompletableFuture<>();
         assertThat(store.get(StoreHarness.bytes(key), got::complete)).isNull();
         return got.join();
     }
@@ -65,15 +65,15 @@
         }
         assertThat(put("last", "one").join()).isEqualTo(Store.Outcome.HELD);
         assertThatThrownBy(() -> Store.open(
-                        FolderDisk.of(folder), StoreHarness.smallSettings(), Store.Time.SYSTEM, loop, EventLog.NONE))
-                .isInstanceOf(Disk.TakenException.class)
+                        FolderDisk.of(folder), StoreHarness.smallSettings(), Store.Clock.SYSTEM, loop, EventLog.NONE))
+                .isInstanceOf(Disk.FolderLockedException.class)
                 .hasMessageContaining(
                         "is in use by process " + ProcessHandle.current().pid());
         store.close();
         open(FolderDisk.of(folder), StoreHarness.smallSettings());
         assertThat(get("last").value()).isEqualTo(StoreHarness.bytes("one"));
         assertThat(get("key 7").value()).isEqualTo(StoreHarness.bytes("value 187"));
-        assertThat(get("no key").kind()).isEqualTo(Store.Got.Kind.ABSENT);
+        assertThat(get("no key").kind()).isEqualTo(Store.ReadResult.Kind.ABSENT);
     }
 
     @Test
@@ -98,11 +98,11 @@
             waiting.add(put("key " + i, "x"));
         }
         assertThat(store.put(StoreHarness.bytes("k"), StoreHarness.bytes("v"), 0, (outcome, reason) -> {}))
-                .isEqualTo(Store.Refusal.QUEUE_FULL);
+                .isEqualTo(Store.Rejection.QUEUE_FULL);
         assertThat(store.waiting())
                 .isEqualTo(new Store.Waiting(100, store.waiting().bytes(), 0, 1));
         assertThat(get("read").value()).isEqualTo(StoreHarness.bytes("meanwhile"));
-        assertThat(get("one").kind()).isEqualTo(Store.Got.Kind.ABSENT);
+        assertThat(get("one").kind()).isEqualTo(Store.ReadResult.Kind.ABSENT);
         assertThat(first).isNotDone();
         goOn.countDown();
         first.join();
@@ -112,16 +112,16 @@
 
     @Test
     void invalidWritesAndCallsAfterCloseAreRejectedImmediately() throws IOException {
-        open(disk, StoreHarness.smallSettings().withLongestLife(10_000));
-        Store.Done none = (outcome, reason) -> {};
+        open(disk, StoreHarness.smallSettings().withMaxLifetime(10_000));
+        Store.WriteCallback none = (outcome, reason) -> {};
         long now = System.currentTimeMillis();
-        assertThat(store.put(new byte[1], new byte[300], now + 5_000, none)).isEqualTo(Store.Refusal.TOO_LONG);
-        assertThat(store.put(new byte[1], new byte[3], 0, none)).isEqualTo(Store.Refusal.BAD_EXPIRY);
-        assertThat(store.put(new byte[1], new byte[3], now + 99_000, none)).isEqualTo(Store.Refusal.BAD_EXPIRY);
-        assertThat(store.put(new byte[1], new byte[3], now - 1, none)).isEqualTo(Store.Refusal.BAD_EXPIRY);
+        assertThat(store.put(new byte[1], new byte[300], now + 5_000, none)).isEqualTo(Store.Rejection.TOO_LONG);
+        assertThat(store.put(new byte[1], new byte[3], 0, none)).isEqualTo(Store.Rejection.BAD_EXPIRY);
+        assertThat(store.put(new byte[1], new byte[3], now + 99_000, none)).isEqualTo(Store.Rejection.BAD_EXPIRY);
+        assertThat(store.put(new byte[1], new byte[3], now - 1, none)).isEqualTo(Store.Rejection.BAD_EXPIRY);
         store.close();
-        assertThat(store.delete(new byte[1], none)).isEqualTo(Store.Refusal.CLOSED);
-        assertThat(store.get(new byte[1], got -> {})).isEqualTo(Store.Refusal.CLOSED);
+        assertThat(store.delete(new byte[1], none)).isEqualTo(Store.Rejection.CLOSED);
+        assertThat(store.get(new byte[1], got -> {})).isEqualTo(Store.Rejection.CLOSED);
     }
 
     @Test
@@ -133,11 +133,11 @@
         }
         assertThat(put("key", "new").join()).isEqualTo(Store.Outcome.IN_DOUBT);
         assertThat(get("key").value()).isEqualTo(StoreHarness.bytes("old"));
-        Store.Refusal refusal;
+        Store.Rejection refusal;
         CompletableFuture<Store.Outcome> again = new CompletableFuture<>();
         do {
             refusal = store.put(StoreHarness.bytes("key"), StoreHarness.bytes("again"), 0, (o, r) -> again.complete(o));
-            assertThat(refusal).isIn(null, Store.Refusal.FAILED);
+            assertThat(refusal).isIn(null, Store.Rejection.FAILED);
             Thread.onSpinWait();
         } while (refusal != null);
         assertThat(again.join()).isIn(Store.Outcome.HELD, Store.Outcome.REFUSED);
@@ -158,7 +158,7 @@
     @Test
     void errorThatEndsAThreadIsLoggedWithItsName() throws IOException {
         CompletableFuture<String> fault = new CompletableFuture<>();
-        store = Store.open(disk, StoreHarness.smallSettings(), Store.Time.SYSTEM, loop, EventLog.lines(line -> {
+        store = Store.open(disk, StoreHarness.smallSettings(), Store.Clock.SYSTEM, loop, EventLog.lines(line -> {
             if (line.startsWith("store_fault")) {
                 fault.complete(line);
             }
--- a/server/src/test/java/wheatspread/store/StoredFormatCompatibilityTest.java
+++ b/server/src/test/java/wheatspread/store/StoredFormatCompatibilityTest.java
@@ -67,10 +67,10 @@
         return values;
     }
 
-    private static Store.Time fixedTime() {
-        return new Store.Time() {
+    private static Store.Clock fixedTime() {
+        return new Store.Clock() {
             @Override
-            public long nowMs() {
+            public long nowMillis() {
                 return NOW_MILLIS;
             }
 
@@ -85,21 +85,23 @@
         return Store.open(FolderDisk.of(folder), SETTINGS, fixedTime(), Runnable::run, EventLog.NONE);
     }
 
-    private static Store.Got get(Store store, String key) {
-        CompletableFuture<Store.Got> got = new CompletableFuture<>();
+    private static Store.ReadResult get(Store store, String key) {
+        CompletableFuture<Store.ReadResult> got = new CompletableFuture<>();
         assertThat(store.get(bytes(key), got::complete)).isNull();
         return got.join();
     }
 
     private static void assertHoldsExpectedValues(Store store) {
         expectedValues().forEach((key, value) -> {
-            Store.Got got = get(store, key);
-            assertThat(got.kind()).as(key).isEqualTo(Store.Got.Kind.VALUE);
+            Store.ReadResult got = get(store, key);
+            assertThat(got.kind()).as(key).isEqualTo(Store.ReadResult.Kind.VALUE);
             assertThat(got.value()).as(key).isEqualTo(bytes(value));
-            assertThat(got.expiresMs()).as(key).isEqualTo("expires late".equals(key) ? WRITTEN_MILLIS + 86_400_000 : 0);
+            assertThat(got.expiresMillis())
+                    .as(key)
+                    .isEqualTo("expires late".equals(key) ? WRITTEN_MILLIS + 86_400_000 : 0);
         });
         for (String key : List.of("key 3", "key 7", "expires soon", "key 12")) {
-            assertThat(get(store, key).kind()).as(key).isEqualTo(Store.Got.Kind.ABSENT);
+            assertThat(get(store, key).kind()).as(key).isEqualTo(Store.ReadResult.Kind.ABSENT);
         }
     }
 
@@ -128,11 +130,11 @@
 
     @Test
     void storedFolderIsCompleteAndUsesItsCheckpoint() throws IOException {
-        OfflineTools.Look look = OfflineTools.check(FolderDisk.of(folder), NOW_MILLIS);
+        OfflineTools.Inspection look = OfflineTools.check(FolderDisk.of(folder), NOW_MILLIS);
         assertThat(look.findings()).isEmpty();
         assertThat(look.damages()).isZero();
         assertThat(look.files())
-                .extracting(OfflineTools.FileLook::name)
+                .extracting(OfflineTools.SegmentInspection::name)
                 .containsExactlyElementsOf(STORED_NAMES.subList(1, STORED_NAMES.size()));
         LogStructuredStore log = LogStructuredStore.open(
                 FolderDisk.of(folder), SETTINGS, EventLog.NONE, () -> 5, NOW_MILLIS, Recovery.Purpose.READ_WRITE);
