--- a/server/src/main/java/wheatspread/core/ActionExecutor.java
+++ b/server/src/main/java/wheatspread/core/ActionExecutor.java
@@ -7,11 +7,12 @@
 import wheatspread.logging.EventLog;
 
 /**
- * Carries out the admission controller's actions. It ignores those on attempts that have ended, and guards the
- * rules that hold whatever the controller decides: one run for each idempotency key, none after the drain grace.
+ * Carries out the admission controller's actions. Ignores actions on attempts that have ended, and enforces two
+ * invariants whatever the controller decides: at most one run for each idempotency key within its window, and no
+ * run of a request that arrived after the drain grace.
  */
 final class ActionExecutor implements AdmissionController.Actions {
-    /** What the controller fails within this time before its deadline counts as failed by the deadline. */
+    /** An attempt that the controller fails within this time before its deadline counts as past its deadline. */
     private static final long NEAR_DEADLINE_MICROS = 100_000;
 
     private final EventLog log;
@@ -41,7 +42,7 @@
         this.health = health;
     }
 
-    /** Sets who closes connections that were idle for so many microseconds. */
+    /** Sets the function that closes the connections idle for at least the given number of microseconds. */
     void setIdleConnectionCloser(LongConsumer closer) {
         idleConnectionCloser = closer;
     }
@@ -70,7 +71,8 @@
 
     private void start(Attempt attempt) {
         if (idempotencyTable.isDuplicate(attempt, events.nowMicros())) {
-            joinResult(attempt.id()); // no second run, whatever the controller decides, and no rejection after a run
+            // the key has run or is running: the attempt must neither run a second time nor be rejected
+            joinResult(attempt.id());
         } else if (!mayRun(attempt)) {
             reportIgnored(attempt.id());
             answers.finish(attempt, Answer.Kind.REJECTED);
@@ -83,8 +85,8 @@
     }
 
     /**
-     * Prevents a run after the drain grace, and of a key that the other process of an upgrade ran. The attempt is then
-     * rejected, which promises only that this attempt never ran.
+     * Returns false for a request that arrived after the drain grace, and for an idempotency key that the other
+     * process of an upgrade ran. The attempt is then rejected, which promises only that this attempt never ran.
      */
     private boolean mayRun(Attempt attempt) {
         return !attempt.receivedAfterGrace()
@@ -110,7 +112,7 @@
         }
     }
 
-    /** Whether a request has missed its class's latency objective, or is close to its deadline. */
+    /** Returns whether a request has missed its class's latency objective, or is close to its deadline. */
     private boolean isLate(InboundRequest request) {
         RequestClass requestClass = settings.requestClass(request.requestClass());
         long nowMicros = events.nowMicros();
@@ -121,7 +123,7 @@
     @Override
     public void preempt(long id) {
         Attempt attempt = attempts.byId(id);
-        // the controller asks again at every tick until the stop is confirmed; the kernel is asked once
+        // the controller repeats the preemption at every tick until the stop is confirmed; the kernel gets it once
         if (attempt != null && attempt.requestSuspension()) {
             kernel.suspend(attempt.job());
         }
@@ -131,7 +133,7 @@
     public void callDependency(long id, long timeoutMicros) {
         Attempt attempt = attempts.byId(id);
         if (attempt == null || !attempt.dependencyCall().awaited() || attempt.answered()) {
-            return; // nobody waits for an answer: the kernel ends the run at its call, and reports that
+            return; // the attempt needs no answer any more: the kernel ends the run at its call and reports the end
         }
         dependencyCalls.start(attempt, timeoutMicros);
     }
@@ -171,8 +173,8 @@
     }
 
     @Override
-    public void setHealth(boolean good, boolean stored) {
-        health.update(good);
+    public void setHealth(boolean healthy, boolean stored) {
+        health.update(healthy);
     }
 
     @Override
--- a/server/src/main/java/wheatspread/core/ActiveSettings.java
+++ b/server/src/main/java/wheatspread/core/ActiveSettings.java
@@ -4,7 +4,7 @@
 import wheatspread.admission.RequestClass;
 
 /**
- * The deployment settings in force. A reload adds request classes to them; all else stays. Owned by the core's
+ * The deployment settings in force. A reload adds request classes and changes nothing else. Owned by the core's
  * thread.
  */
 final class ActiveSettings {
@@ -24,22 +24,20 @@
         current = current.reloadedWith(next);
     }
 
-    /** Notes whether the kernel started cold, as it said when it booted. */
+    /** Records whether the kernel started cold, as its boot notice reports. */
     void setColdStart(boolean cold) {
         coldStart = cold;
     }
 
-    /** The settings for the admission controller, which hold from the kernel's boot on. */
+    /** Returns the settings for the admission controller, valid once the kernel has booted. */
     AdmissionSettings forController() {
         return current.settings(coldStart);
     }
 
-    /** The class with this index. */
     RequestClass requestClass(int index) {
         return current.settings().classes().get(index);
     }
 
-    /** The name of the class with this index. */
     String className(int index) {
         return current.classes().get(index);
     }
@@ -52,7 +50,7 @@
         return current.settings().limits().warmUpMicros();
     }
 
-    /** The longest Retry-After advice that clients may be given; 0 where the settings allow none. */
+    /** Returns the longest Retry-After advice for clients, in microseconds; 0 if the settings allow none. */
     long maxRetryAfterMicros() {
         return current.settings().clients().maxRetryAfterMicros();
     }
--- a/server/src/main/java/wheatspread/core/Announcer.java
+++ b/server/src/main/java/wheatspread/core/Announcer.java
@@ -1,7 +1,7 @@
 package wheatspread.core;
 
-/** Publishes to callers whether this server accepts requests, and keeps the published state until it changes. */
+/** Publishes to clients whether this server accepts requests, and keeps the published state until it changes. */
 public interface Announcer {
-    /** Publishes the state; the same state may be given again. Called on the core's thread. */
+    /** Publishes the state; repeating the current state has no effect. Called on the core's thread. */
     void announce(boolean accepting);
 }
--- a/server/src/main/java/wheatspread/core/AttachedKernel.java
+++ b/server/src/main/java/wheatspread/core/AttachedKernel.java
@@ -1,8 +1,8 @@
 package wheatspread.core;
 
 /**
- * Passes commands to the kernel that is attached after the core was built: the link to the kernel needs the core
- * as its listener, so it cannot be built first.
+ * Forwards commands to a kernel that is attached after the core is constructed. The link to the kernel needs the
+ * core as its listener, so it cannot be constructed first.
  */
 final class AttachedKernel implements Kernel {
     private Kernel target;
--- a/server/src/main/java/wheatspread/core/Attempt.java
+++ b/server/src/main/java/wheatspread/core/Attempt.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * One attempt in flight, from the time it was read until both its answer is given and its run, if any, has ended.
- * Owned by the core's thread.
+ * One attempt in flight. An attempt is in flight after a front has read it until it is answered and its run, if
+ * any, has ended. Owned by the core's thread.
  */
 final class Attempt {
-    /** The state of its run in the kernel. */
+    /** The state of the attempt's run in the kernel. */
     private enum RunState {
         NOT_STARTED,
         RUNNING,
@@ -16,13 +16,13 @@
         ENDED
     }
 
-    /** How far an unanswered attempt has come. */
+    /** The progress of an unanswered attempt. */
     enum Phase {
         QUEUED,
         RUNNING,
         SUSPENDED,
         AWAITING_DEPENDENCY,
-        /** It waits for the result of another attempt's run. */
+        /** The attempt waits for the result of another attempt's run. */
         JOINED
     }
 
@@ -40,7 +40,7 @@
     private IdempotencyTable.Entry keyEntry;
     private long joinedAtMicros;
 
-    /** {@code receivedAfterGrace}: it was read after the drain grace, and must not run. */
+    /** Creates an attempt; one with {@code receivedAfterGrace} was read after the drain grace and must not run. */
     Attempt(long id, InboundRequest request, Reply reply, boolean receivedAfterGrace) {
         this.id = id;
         this.request = request;
@@ -48,7 +48,7 @@
         this.receivedAfterGrace = receivedAfterGrace;
     }
 
-    /** The id by which the admission controller knows it. */
+    /** Returns the id under which the admission controller knows the attempt. */
     long id() {
         return id;
     }
@@ -65,7 +65,7 @@
         return receivedAfterGrace;
     }
 
-    /** The dependency call that its run waits for, if any. */
+    /** Returns the state of the dependency call of the attempt's run; never null. */
     PendingDependencyCall dependencyCall() {
         return dependencyCall;
     }
@@ -76,19 +76,19 @@
         deadlineTimer = timer;
     }
 
-    /** Whether no answer is owed any more: it was given, or the client disconnected. */
+    /** Returns whether the attempt needs no answer any more: it was answered, or the client disconnected. */
     boolean answered() {
         return reply == null;
     }
 
-    /** Marks the attempt as answered. Returns where the answer goes, or null if it was answered before. */
+    /** Marks the attempt as answered. Returns the receiver of the answer, or null if it was answered before. */
     Reply takeReply() {
-        Reply taken = reply;
-        if (taken != null) {
+        Reply pendingReply = reply;
+        if (pendingReply != null) {
             reply = null;
             deadlineTimer.cancel();
         }
-        return taken;
+        return pendingReply;
     }
 
     // ---- the run ----
@@ -105,12 +105,12 @@
         return runState == RunState.SUSPENDED;
     }
 
-    /** Whether a run is in the kernel, running or suspended. */
+    /** Returns whether the kernel holds a run of the attempt, running or suspended. */
     boolean hasOpenRun() {
         return runState == RunState.RUNNING || runState == RunState.SUSPENDED;
     }
 
-    /** Whether its run was suspended at any time, and so has begun whatever the kernel reports later. */
+    /** Returns whether the run was ever suspended; it has then begun, whatever the kernel reports later. */
     boolean everSuspended() {
         return everSuspended;
     }
@@ -124,7 +124,7 @@
         suspensionRequested = false;
     }
 
-    /** Returns whether the kernel is to be asked now to suspend the run; it is asked once for each suspension. */
+    /** Returns whether to send the kernel a suspend command now; each suspension is requested only once. */
     boolean requestSuspension() {
         if (!running() || suspensionRequested) {
             return false;
@@ -133,17 +133,17 @@
         return true;
     }
 
-    /** The kernel stopped the run at the core's request. */
+    /** Records that the kernel stopped the run at the core's request. */
     void runStopped() {
         everSuspended = true;
     }
 
-    /** The stopped run may be resumed. */
+    /** Records that the stopped run may be resumed. */
     void runSuspended() {
         runState = RunState.SUSPENDED;
     }
 
-    /** The kernel did not start the run. */
+    /** Records that the kernel did not start the run. */
     void runNotStarted() {
         runState = RunState.NOT_STARTED;
     }
@@ -152,9 +152,9 @@
         runState = RunState.ENDED;
     }
 
-    // ---- its idempotency key, and shared results ----
+    // ---- the idempotency key, and shared results ----
 
-    /** The key's entry that it owns or duplicates; null where it has no key. */
+    /** Returns the entry of the attempt's key, which the attempt owns or duplicates; null if it has no key. */
     IdempotencyTable.Entry keyEntry() {
         return keyEntry;
     }
@@ -167,8 +167,8 @@
         return keyEntry != null && keyEntry.owner() == this;
     }
 
-    /** Notes that it waits for, or takes, the result of another attempt's run from this time on. */
-    void joinAt(long nowMicros) {
+    /** Records the time at which the attempt joined the run of another attempt to share its result. */
+    void markJoined(long nowMicros) {
         joinedAtMicros = nowMicros;
     }
 
@@ -176,7 +176,7 @@
         return joinedAtMicros > 0;
     }
 
-    /** When it asked for the result of another attempt, in Unix microseconds; 0 if it did not. */
+    /** Returns when the attempt joined the run of another attempt, in Unix microseconds; 0 if it did not. */
     long joinedAtMicros() {
         return joinedAtMicros;
     }
@@ -189,7 +189,7 @@
         joiners.remove(joiner);
     }
 
-    /** The attempts that wait for this one's result; a copy, since answering one removes it. */
+    /** Returns the attempts that wait for this attempt's result; a copy, since answering a joiner removes it. */
     List<Attempt> joiners() {
         return List.copyOf(joiners);
     }
@@ -198,7 +198,7 @@
         joiners.clear();
     }
 
-    /** How far it has come, as long as it is unanswered. */
+    /** Returns the progress of the attempt; throws {@link IllegalStateException} if its run has ended. */
     Phase phase() {
         if (joined()) {
             return Phase.JOINED;
@@ -210,7 +210,7 @@
             case NOT_STARTED -> Phase.QUEUED;
             case RUNNING -> Phase.RUNNING;
             case SUSPENDED -> Phase.SUSPENDED;
-            case ENDED -> throw new IllegalStateException("the end of a run answers its attempt");
+            case ENDED -> throw new IllegalStateException("attempt " + id + " has no phase: its run has ended");
         };
     }
 }
--- a/server/src/main/java/wheatspread/core/AttemptTable.java
+++ b/server/src/main/java/wheatspread/core/AttemptTable.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 
 /**
- * The attempts in flight, by the admission controller's id and by the job name that the kernel and the records
- * service know. Iterates in the order of arrival. Its bound is set by {@link RequestLifecycle}.
+ * The attempts in flight, indexed by the admission controller's id and by the job name that the kernel and the
+ * records service use. Iterates in the order of arrival. {@link RequestLifecycle} limits the number of entries.
  */
 final class AttemptTable {
     private final Map<Long, Attempt> byId = new LinkedHashMap<>();
     private final Map<String, Attempt> byJob = new HashMap<>();
     private long lastId;
 
-    /** Adds an attempt under the next id, which is never used again. */
+    /** Adds an attempt under the next id. Ids are never reused. */
     Attempt add(InboundRequest request, Reply reply, boolean receivedAfterGrace) {
         Attempt attempt = new Attempt(++lastId, request, reply, receivedAfterGrace);
         byId.put(attempt.id(), attempt);
@@ -23,12 +23,12 @@
         return attempt;
     }
 
-    /** The attempt with this id; null if it is not in flight. */
+    /** Returns the attempt with this id; null if it is not in flight. */
     Attempt byId(long id) {
         return byId.get(id);
     }
 
-    /** The attempt with this job name; null if none is in flight. */
+    /** Returns the attempt with this job name; null if none is in flight. */
     Attempt byJob(String job) {
         return byJob.get(job);
     }
@@ -43,7 +43,7 @@
         return byId.size();
     }
 
-    /** The attempts that still owe an answer; a copy, since answering removes attempts. */
+    /** Returns the attempts without an answer; a copy, since answering removes attempts. */
     List<Attempt> unanswered() {
         List<Attempt> unanswered = new ArrayList<>(byId.values());
         unanswered.removeIf(Attempt::answered);
--- a/server/src/main/java/wheatspread/core/Core.java
+++ b/server/src/main/java/wheatspread/core/Core.java
@@ -8,15 +8,16 @@
 import wheatspread.logging.EventLog;
 
 /**
- * Carries out what the admission controller decides on the requests of all fronts. It builds its collaborators and
- * passes calls on to them: {@link RequestLifecycle} for attempts, {@link KernelEvents} for runs,
- * {@link ActionExecutor} for the controller's actions, {@link FinalAnswers} for answers. It knows no wire.
+ * Carries out the admission controller's decisions on the requests of all fronts. The core constructs its
+ * collaborators and delegates to them: {@link RequestLifecycle} for attempts, {@link KernelEvents} for runs,
+ * {@link ActionExecutor} for the controller's actions, {@link FinalAnswers} for answers. It is independent of any
+ * wire protocol.
  *
- * <p>All calls come from one thread. Events are gathered and handed to the controller in batches, see
- * {@link EventBatcher}. Times are microseconds.
+ * <p>All calls must come from one thread. Events are collected and passed to the controller in batches, see
+ * {@link EventBatcher}. Times are in microseconds.
  */
 public final class Core implements Kernel.Listener {
-    /** Attempts that are still unanswered are failed this long before the process is stopped. */
+    /** The core fails all unanswered attempts this long before the process is stopped. */
     private static final long FAIL_UNANSWERED_MARGIN_MICROS = 200_000;
 
     private static final long SWEEP_INTERVAL_MICROS = 1_000_000;
@@ -40,10 +41,10 @@
     private Runnable firstBootHandler = () -> {};
 
     /**
-     * Builds a core that rejects all requests until the kernel has booted.
+     * Creates a core that rejects all requests until the kernel has booted.
      *
      * @param initial the settings until the first reload
-     * @param controllerFactory makes the admission controller, once, when the kernel has booted
+     * @param controllerFactory creates the admission controller; called once, when the kernel has booted
      */
     public Core(
             DeploymentSettings initial,
@@ -72,15 +73,15 @@
 
     // ---- settings and collaborators ----
 
-    /** The settings in force. */
+    /** Returns the settings in force. */
     public DeploymentSettings settings() {
         return settings.current();
     }
 
     /**
-     * Takes the classes of settings reloaded at SIGHUP, merges them into those in force (see
-     * {@link DeploymentSettings}), and returns the result. The controller learns of them before any request of a new
-     * class.
+     * Merges the request classes of settings reloaded at SIGHUP into the settings in force (see
+     * {@link DeploymentSettings}) and returns the result. The controller is notified before it receives any request
+     * of a new class.
      */
     public DeploymentSettings reload(DeploymentSettings next) {
         settings.reload(next);
@@ -97,17 +98,20 @@
         idempotencyTable.shareClaims(shared);
     }
 
-    /** Sets the kernel, which needs the core as its listener and so is built after it. */
+    /** Sets the kernel, which needs the core as its listener and is therefore constructed after the core. */
     public void attachKernel(Kernel link) {
         kernel.attach(link);
     }
 
-    /** Sets who closes connections that were idle for so many microseconds, when the controller asks for it. */
+    /**
+     * Sets the function that closes the connections idle for at least the given number of microseconds. It is called
+     * when the controller sets an idle timeout.
+     */
     public void setIdleConnectionCloser(Consumer<Long> closer) {
         actions.setIdleConnectionCloser(closer::accept);
     }
 
-    /** Sets what to do when the kernel is up for the first time. */
+    /** Sets the task to run once, when the kernel has booted for the first time. */
     public void setFirstBootHandler(Runnable task) {
         firstBootHandler = task;
     }
@@ -115,50 +119,51 @@
     // ---- attempts ----
 
     /**
-     * Takes in an attempt, whose reply gets exactly one answer unless the client disconnects first. Returns the
-     * ticket that identifies it in later calls, or null if it was answered at once.
+     * Accepts an attempt. Its reply gets exactly one answer unless the client disconnects first. Returns the ticket
+     * that identifies the attempt in later calls, or null if it was answered immediately.
      */
     public Long submit(InboundRequest request, Reply reply) {
         return lifecycle.submit(request, reply);
     }
 
     /**
-     * Rejects an attempt that is not taken in, because a limit of the front was reached. It never runs; the client
-     * is advised to retry after {@code retryAfterMicros}, as far as the settings allow that.
+     * Rejects an attempt that the front did not accept because one of its limits was reached. The attempt never runs.
+     * The client is advised to retry after {@code retryAfterMicros}, or after the longest advice that the settings
+     * allow if that is shorter.
      */
     public void reject(int requestClass, Reply reply, long retryAfterMicros) {
         lifecycle.rejectUnread(requestClass, reply, retryAfterMicros);
     }
 
-    /** The longest Retry-After advice that clients may be given, in microseconds; 0 where the settings allow none. */
+    /** Returns the longest Retry-After advice for clients, in microseconds; 0 if the settings allow none. */
     public long maxRetryAfterMicros() {
         return settings.maxRetryAfterMicros();
     }
 
-    /** The client of an attempt disconnected or cancelled it: no answer is owed any more. */
+    /** Cancels an attempt whose client disconnected or cancelled it; the attempt gets no answer. */
     public void cancel(Long ticket) {
         lifecycle.cancel(ticket);
     }
 
-    /** The client can send nothing more, but may still read: rejects its attempt if it never ran. */
+    /** Rejects an attempt that never ran, after its client closed its sending side but can still read. */
     public void rejectUnlessStarted(Long ticket) {
         lifecycle.rejectUnlessStarted(ticket);
     }
 
-    /** Answers all unanswered attempts now: those that never ran are rejected, the others fail. */
+    /** Answers all unanswered attempts immediately: those that never ran are rejected, the others fail. */
     public void answerAll() {
         lifecycle.answerAll();
     }
 
-    /** How many attempts are unanswered. */
+    /** Returns the number of unanswered attempts. */
     public int unansweredCount() {
         return attempts.unanswered().size();
     }
 
-    /** Unanswered attempts by how far they have come; {@code joined} ones wait for another one's result. */
+    /** The number of unanswered attempts in each phase; {@code joined} attempts wait for another attempt's result. */
     public record InFlightCounts(int queued, int running, int suspended, int awaitingDependency, int joined) {}
 
-    /** Counts the unanswered attempts; a suspended run counts as joined where its attempt joined another one. */
+    /** Counts the unanswered attempts; a suspended attempt that joined another attempt counts as joined. */
     public InFlightCounts inFlight() {
         List<Attempt.Phase> phases =
                 attempts.unanswered().stream().map(Attempt::phase).toList();
@@ -176,27 +181,27 @@
 
     // ---- state for operators and health checks ----
 
-    /** The live counters. */
+    /** Returns the live counters. */
     public RequestCounters counters() {
         return counters;
     }
 
-    /** A copy of the counters as they are now. */
+    /** Returns a copy of the counters, which later events do not change. */
     public RequestCounters countersSnapshot() {
         return counters.copy();
     }
 
-    /** Whether health checks succeed. */
+    /** Returns whether health checks succeed. */
     public boolean healthy() {
         return events.started() && health.healthy();
     }
 
-    /** The load feedback that goes with answers and health checks; NaN where none is set. */
+    /** Returns the load feedback value sent with answers and health checks; NaN if none is set. */
     public double loadFeedback() {
         return answers.loadFeedback();
     }
 
-    /** How long until this server is warm at the latest, in microseconds; 0 once it is. */
+    /** Returns the upper bound of the remaining warm-up time, in microseconds; 0 once the server is warm. */
     public long warmUpRemainingMicros() {
         return Math.max(0, warmAtMicros - clock.nowMicros());
     }
@@ -204,8 +209,9 @@
     // ---- drain ----
 
     /**
-     * Drains: the process is stopped {@code stopAfterMicros} after {@code noticeMicros}, the Unix time of the
-     * shutdown notice. Health checks fail from now on, and what is still unanswered shortly before the stop fails.
+     * Starts the drain. The process is stopped {@code stopAfterMicros} after {@code noticeMicros}, the Unix time of
+     * the shutdown notice. Health checks fail once the drain has started, and attempts that are still unanswered
+     * shortly before the stop fail.
      */
     public void drain(long noticeMicros, long stopAfterMicros) {
         drain.start(noticeMicros);
@@ -220,7 +226,7 @@
     @Override
     public void onBooted(boolean cold, long ageMicros) {
         if (events.started()) {
-            return; // the link came back; the controller goes on
+            return; // the link has reconnected; the controller keeps its state
         }
         settings.setColdStart(cold);
         long kernelStartMicros = clock.nowMicros() - ageMicros;
--- a/server/src/main/java/wheatspread/core/CoreContext.java
+++ b/server/src/main/java/wheatspread/core/CoreContext.java
@@ -2,7 +2,7 @@
 
 import wheatspread.logging.EventLog;
 
-/** What the collaborators of one {@link Core} share. Each takes what it needs when it is built. */
+/** The objects shared by the collaborators of a {@link Core}. Each collaborator copies the references it needs. */
 record CoreContext(
         Clock clock,
         EventLog log,
@@ -14,7 +14,7 @@
         AttachedKernel kernel,
         EventBatcher events) {
 
-    /** The shared objects of a new core with these settings. */
+    /** Creates the shared objects of a new core with these settings. */
     static CoreContext create(DeploymentSettings initial, Clock clock, EventLog log) {
         ActiveSettings settings = new ActiveSettings(initial);
         AttachedKernel kernel = new AttachedKernel();
--- a/server/src/main/java/wheatspread/core/DependencyCalls.java
+++ b/server/src/main/java/wheatspread/core/DependencyCalls.java
@@ -3,8 +3,8 @@
 import wheatspread.admission.Outcome;
 
 /**
- * Starts the dependency calls that runs wait for, cancels them at their timeout, skips them, and hands their
- * replies to the kernel. The state of each call is the attempt's {@link PendingDependencyCall}.
+ * Starts the dependency calls that runs wait for, cancels them at their timeout, skips them, and passes their
+ * replies to the kernel. Each attempt's {@link PendingDependencyCall} holds the state of its call.
  */
 final class DependencyCalls {
     private final Clock clock;
@@ -21,7 +21,7 @@
         this.records = records;
     }
 
-    /** Starts the call that a run waits for, in place of one in flight; cancels it after {@code timeoutMicros}. */
+    /** Starts the call that a run waits for, in place of any call in flight; cancels it after its timeout. */
     void start(Attempt attempt, long timeoutMicros) {
         PendingDependencyCall pending = attempt.dependencyCall();
         pending.cancel();
@@ -46,7 +46,7 @@
         events.add(controller -> controller.onCallCompleted(attempt.id(), outcome, elapsedMicros));
     }
 
-    /** Continues a run without the call that it waits for. */
+    /** Continues a run without the dependency call that the run waits for. */
     void skip(Attempt attempt) {
         PendingDependencyCall pending = attempt.dependencyCall();
         counters.dependencyCallSkipped();
--- a/server/src/main/java/wheatspread/core/DeploymentSettings.java
+++ b/server/src/main/java/wheatspread/core/DeploymentSettings.java
@@ -10,7 +10,7 @@
 import wheatspread.admission.RequestClass;
 
 /**
- * The admission settings with the names behind their indexes.
+ * The admission settings with the names of their classes, tenants and gauges, which the settings refer to by index.
  *
  * @param settings the settings of the admission controller
  * @param classes the name of each request class, by index
@@ -24,17 +24,17 @@
         gauges = List.copyOf(gauges);
     }
 
-    /** The same with the tenants' names in any list; they must be distinct. */
+    /** Creates settings from a list of tenant names, which must be distinct. */
     public DeploymentSettings(
             AdmissionSettings settings, List<String> classes, List<String> tenants, List<String> gauges) {
         this(settings, classes, NameTable.copyOf(tenants), gauges);
     }
 
     /**
-     * These settings with the classes of {@code next}. A class that they had keeps its index and its figures: its
-     * idempotency window holds for the attempts that ran before the reload. A class that {@code next} adds comes
-     * after all others. A class that {@code next} drops stays, so that requests in flight, and those that clients
-     * send until they have read the new settings, keep their class. All else stays as it is.
+     * Returns these settings merged with the classes of {@code next}. An existing class keeps its index and its
+     * values, because its idempotency window applies to attempts that ran before the reload. A new class of
+     * {@code next} is appended. A class that {@code next} lacks is kept, so that requests in flight, and requests that
+     * clients send before they have read the new settings, keep their class. Everything else is unchanged.
      */
     public DeploymentSettings reloadedWith(DeploymentSettings next) {
         List<String> names = new ArrayList<>(classes);
@@ -49,7 +49,7 @@
         return new DeploymentSettings(settingsWith(settings.cold(), requestClasses), names, tenants, gauges);
     }
 
-    /** The settings of a process whose kernel says whether it started cold. */
+    /** Returns the admission settings with {@code cold} set to whether the kernel started cold. */
     AdmissionSettings settings(boolean cold) {
         return settingsWith(cold, settings.classes());
     }
@@ -69,7 +69,10 @@
                 settings.tenants());
     }
 
-    /** The gauges with these names in this order, read by {@code valueAt}; NaN where one is missing. */
+    /**
+     * Returns the gauges whose values {@code valueAt} gives by index, in the order of {@code names}. A gauge that
+     * {@code names} lacks is NaN.
+     */
     public static LoadGauges gaugesFrom(List<String> names, IntToDoubleFunction valueAt) {
         Map<String, Double> values = new HashMap<>();
         for (int index = 0; index < names.size(); index++) {
--- a/server/src/main/java/wheatspread/core/DrainState.java
+++ b/server/src/main/java/wheatspread/core/DrainState.java
@@ -1,9 +1,9 @@
 package wheatspread.core;
 
 /**
- * Whether this server is draining, and since when. It never stops draining. The grace runs from the signal; the
- * admission controller keeps its own window, which runs from the batch in which it learns of it.
- * Owned by the core's thread.
+ * Whether this server is draining, and when the drain started. A drain never ends before the process does. The grace
+ * period starts at the signal. The admission controller keeps its own window, which starts at the batch that reports
+ * the drain to it. Owned by the core's thread.
  */
 final class DrainState {
     private static final long NOT_DRAINING = Long.MAX_VALUE;
@@ -15,7 +15,7 @@
         this.settings = settings;
     }
 
-    /** Starts draining; the drain grace runs from {@code startMicros}, in Unix microseconds. */
+    /** Starts draining; the drain grace starts at {@code startMicros}, in Unix microseconds. */
     void start(long startMicros) {
         startedAtMicros = startMicros;
     }
@@ -24,7 +24,7 @@
         return startedAtMicros != NOT_DRAINING;
     }
 
-    /** Whether a request written at this time was written after the drain grace, and must not run. */
+    /** Returns whether a request written at this Unix time was written after the drain grace and must not run. */
     boolean isPastGrace(long writtenAtMicros) {
         return draining() && writtenAtMicros > startedAtMicros + settings.drainGraceMicros();
     }
--- a/server/src/main/java/wheatspread/core/EventBatcher.java
+++ b/server/src/main/java/wheatspread/core/EventBatcher.java
@@ -9,17 +9,17 @@
 import wheatspread.logging.EventLog;
 
 /**
- * Hands events to the admission controller as the simulator does: all events of one event-loop turn in one batch,
- * preceded by the gauges where one of the controller's timers has expired, and followed by one decision. It owns
- * the controller, and the clock of its batches, which never goes back. Owned by the core's thread.
+ * Passes events to the admission controller as the simulator does: all events of one event-loop iteration form one
+ * batch, which starts with the gauges if one of the controller's timers has expired and ends with one decision. The
+ * batcher owns the controller and the batch time, which never decreases. Owned by the core's thread.
  */
 final class EventBatcher {
-    /** The gauges are asked for this long before the controller's timer expires. */
+    /** The gauges are requested this long before the controller's timer expires. */
     private static final long GAUGE_REQUEST_LEAD_MICROS = 10_000;
     /** Gauges older than this count as missing. */
     private static final long MAX_GAUGE_AGE_MICROS = 300_000;
-    /** The controller's timer expires this long after the controller threw an exception. */
-    private static final long WAKEUP_AFTER_FAULT_MICROS = 50_000;
+    /** Delay of the timer that is set for the controller after it threw an exception. */
+    private static final long WAKEUP_AFTER_EXCEPTION_MICROS = 50_000;
 
     private static final LoadGauges NO_GAUGES = new LoadGauges(Double.NaN, Double.NaN, Double.NaN, Double.NaN);
 
@@ -43,8 +43,8 @@
     }
 
     /**
-     * Starts handing events to a controller. It takes its first batch for the kernel's start at
-     * {@code kernelStartMicros} in Unix microseconds, from which a cold one warms up.
+     * Starts passing events to a controller. The time of its first batch is the start of the kernel,
+     * {@code kernelStartMicros} in Unix microseconds, because the warm-up of a cold kernel starts then.
      */
     void start(AdmissionController newController, AdmissionController.Actions executor, long kernelStartMicros) {
         controller = newController;
@@ -58,18 +58,18 @@
         return controller != null;
     }
 
-    /** The time of the batch under way, in Unix microseconds. */
+    /** Returns the time of the current or last batch, in Unix microseconds. */
     long nowMicros() {
         return batchMicros;
     }
 
-    /** Takes gauges that the kernel reported now. */
+    /** Stores gauges that the kernel has just reported. */
     void setGauges(LoadGauges reading) {
         gauges = reading;
         gaugesReadAtMicros = clock.nowMicros();
     }
 
-    /** Adds an event to the next batch; events before {@link #start} are dropped. */
+    /** Adds an event to the next batch. Events added before {@link #start} are dropped. */
     void add(Consumer<AdmissionController> event) {
         if (controller != null) {
             events.add(event);
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Hands over all events and has the controller decide; what its actions bring about is a later batch. */
+    /** Passes all events to the controller and lets it decide; events that its actions cause join a later batch. */
     private void flush() {
         flushScheduled = false;
         List<Consumer<AdmissionController>> batch = events;
@@ -92,16 +92,16 @@
         batchMicros = Math.max(batchMicros, clock.nowMicros());
         controller.beginBatch(batchMicros);
         if (removeExpiredWakeups()) {
-            // before all else, so that the controller's tick never runs without its gauges
+            // the gauges precede all other events, so that the controller's tick always has them
             controller.onTimer(gaugesAreFresh() ? gauges : NO_GAUGES);
         }
         try {
             batch.forEach(event -> event.accept(controller));
             controller.decide(actions);
         } catch (RuntimeException e) {
-            // a fault in one decision must not end the ticks, or every later request would be lost with it
+            // without a further wakeup the ticks would end, and every later request would be lost
             log.error("decision_failed", "error", e);
-            scheduleWakeup(WAKEUP_AFTER_FAULT_MICROS);
+            scheduleWakeup(WAKEUP_AFTER_EXCEPTION_MICROS);
         }
     }
 
@@ -118,7 +118,7 @@
         return batchMicros - gaugesReadAtMicros <= MAX_GAUGE_AGE_MICROS;
     }
 
-    /** Sets a timer of the controller, and asks for gauges just before it expires. */
+    /** Sets a timer of the controller, and requests the gauges shortly before it expires. */
     void scheduleWakeup(long delayMicros) {
         long wakeupMicros = batchMicros + delayMicros;
         wakeupTimesMicros.add(wakeupMicros);
@@ -128,7 +128,10 @@
         }
     }
 
-    /** Timers may run a little early by the Unix clock; a flush before the time would find no expired wakeup. */
+    /**
+     * Schedules a flush at a Unix time in microseconds. A timer may fire slightly early by the Unix clock and is then
+     * set again, since a flush before the wakeup time would find no expired wakeup.
+     */
     private void flushAt(long wakeupMicros) {
         long remainingMicros = wakeupMicros - clock.nowMicros();
         clock.schedule(Math.max(0, remainingMicros), () -> {
--- a/server/src/main/java/wheatspread/core/FinalAnswers.java
+++ b/server/src/main/java/wheatspread/core/FinalAnswers.java
@@ -4,8 +4,9 @@
 import wheatspread.admission.Outcome;
 
 /**
- * Ends attempts: gives each its one final answer, records how its run ended, hands the result to the attempts that
- * joined it, and removes it once neither answer nor run is open. Owned by the core's thread.
+ * Ends attempts: sends each attempt its single final answer, records how its run ended, passes the result to the
+ * attempts that joined it, and removes the attempt once it is answered and has no open run. Owned by the core's
+ * thread.
  */
 final class FinalAnswers {
     private final AttemptTable attempts;
@@ -23,7 +24,7 @@
         clock = context.clock();
     }
 
-    /** The load feedback that goes with answers and health checks; NaN where none is set. */
+    /** Returns the load feedback value sent with answers and health checks; NaN if none is set. */
     double loadFeedback() {
         return loadFeedback;
     }
@@ -34,29 +35,29 @@
 
     // ---- answers ----
 
-    /** An answer without a result or advice. */
+    /** Returns an answer without a result or retry advice. */
     Answer plainAnswer(Answer.Kind kind) {
         return new Answer(kind, null, 0, false, loadFeedback);
     }
 
-    /** An answer with advice on retries: how long to wait, and whether to retry at all. */
+    /** Returns an answer with retry advice: how long to wait, in microseconds, and whether to retry at all. */
     Answer answerWithAdvice(Answer.Kind kind, long retryAfterMicros, boolean doNotRetry) {
         return new Answer(kind, null, retryAfterMicros, doNotRetry, loadFeedback);
     }
 
-    /** Gives an attempt a final answer without a result, unless it has been answered. */
+    /** Sends an attempt a final answer without a result, unless it has been answered. */
     void finish(Attempt attempt, Answer.Kind kind) {
         finish(attempt, plainAnswer(kind));
     }
 
-    /** Gives an attempt its final answer, unless it has been answered, and lets it go. */
+    /** Sends an attempt its final answer, unless it has been answered, and releases its resources. */
     void finish(Attempt attempt, Answer answer) {
         Reply reply = attempt.takeReply();
         if (reply != null) {
             counters.answered(attempt.request().requestClass(), answer.kind());
             reply.answer(answer);
         }
-        letGo(attempt);
+        releaseResources(attempt);
     }
 
     private void finishWithResult(Attempt attempt, Kernel.End end, byte[] result) {
@@ -64,7 +65,7 @@
         finish(attempt, new Answer(kind, result, 0, false, loadFeedback));
     }
 
-    /** Fails an attempt at its deadline, or before the process stops, if it is still unanswered. */
+    /** Fails an unanswered attempt with {@code DEADLINE_EXCEEDED}, at its deadline or before the process stops. */
     void failAtDeadline(Attempt attempt) {
         if (!attempt.answered()) {
             counters.deadlineExceeded();
@@ -79,23 +80,23 @@
     }
 
     /**
-     * Frees what an attempt holds once it is answered: its dependency call is cancelled, and it leaves the table
-     * unless its run goes on.
+     * Releases the resources of an answered attempt: cancels its dependency call, and removes the attempt from the
+     * table unless its run continues.
      */
-    void letGo(Attempt attempt) {
+    void releaseResources(Attempt attempt) {
         attempt.dependencyCall().cancel();
         if (attempt.joined() && attempt.keyEntry() != null) {
             attempt.keyEntry().owner().removeJoiner(attempt);
         }
         if (attempt.suspended() && attempt.answered()) {
-            recordEnd(attempt, Kernel.End.STOPPED, null); // nothing will resume it
+            recordEnd(attempt, Kernel.End.STOPPED, null); // a suspended run of an answered attempt is never resumed
         } else if (!attempt.hasOpenRun()) {
             releaseKeyIfNeverRan(attempt);
             attempts.remove(attempt);
         }
     }
 
-    /** Frees the key of an attempt that ended without a run, and rejects those that joined it: none of them ran. */
+    /** Removes the key of an attempt that ended without a run, and rejects its joiners, none of which ran. */
     void releaseKeyIfNeverRan(Attempt attempt) {
         if (attempt.everRan() || !attempt.ownsKeyEntry()) {
             return;
@@ -104,7 +105,7 @@
         List<Attempt> joiners = attempt.joiners();
         attempt.clearJoiners();
         for (Attempt joiner : joiners) {
-            // the time is taken when the controller is given the event
+            // the elapsed time is read when the event is passed to the controller
             events.add(controller -> controller.onCompletion(joiner.id(), Outcome.FAILED, elapsedSinceJoin(joiner)));
             finish(joiner, Answer.Kind.REJECTED);
         }
@@ -112,7 +113,7 @@
 
     // ---- ends of runs ----
 
-    /** Reports the end of a run to the admission controller, and answers what waits for it. */
+    /** Reports the end of a run to the admission controller, and answers the attempt and its joiners. */
     void endRun(Attempt attempt, Kernel.End end, byte[] result, long elapsedMicros) {
         Outcome outcome = outcomeOf(end);
         events.add(controller -> controller.onCompletion(attempt.id(), outcome, elapsedMicros));
@@ -143,10 +144,10 @@
 
     // ---- shared results ----
 
-    /** Answers an attempt with the result of the owner of its key, at once or when the owner's run ends. */
+    /** Answers an attempt with the result of its key's owner, immediately or when the owner's run ends. */
     void join(Attempt attempt) {
         counters.joined();
-        attempt.joinAt(clock.nowMicros());
+        attempt.markJoined(clock.nowMicros());
         IdempotencyTable.Entry entry = attempt.keyEntry();
         if (entry.end() != null) {
             endJoin(attempt, entry.end(), entry.result());
--- a/server/src/main/java/wheatspread/core/HealthState.java
+++ b/server/src/main/java/wheatspread/core/HealthState.java
@@ -11,9 +11,9 @@
         this.drain = drain;
     }
 
-    /** Sets and announces the state. A draining server is unhealthy whatever is set. */
-    void update(boolean good) {
-        healthy = good && !drain.draining();
+    /** Sets and announces the state. A draining server is unhealthy whatever the controller reports. */
+    void update(boolean reportedHealthy) {
+        healthy = reportedHealthy && !drain.draining();
         announcer.announce(healthy);
     }
 
--- a/server/src/main/java/wheatspread/core/IdempotencyClaims.java
+++ b/server/src/main/java/wheatspread/core/IdempotencyClaims.java
@@ -5,13 +5,13 @@
  * address, and a request that ran in one of them must not run again in the other within its idempotency window.
  */
 public interface IdempotencyClaims {
-    /** For a server that is a single process: every claim is granted. */
+    /** Grants every claim, for a server that is a single process. */
     IdempotencyClaims NONE = (key, arrivalMicros, windowMicros) -> true;
 
     /**
      * Claims {@code key} for an attempt that arrived at {@code arrivalMicros} (Unix time). Returns false if
-     * another process claimed the key for an arrival at most {@code windowMicros} earlier; the attempt must not
-     * run then. If it returns true, the claim is recorded and the other processes see it from then on.
+     * another process claimed the key for an arrival at most {@code windowMicros} earlier; the attempt must then
+     * not run. If the method returns true, the claim is recorded and visible to the other processes.
      */
     boolean claim(String key, long arrivalMicros, long windowMicros);
 }
--- a/server/src/main/java/wheatspread/core/IdempotencyTable.java
+++ b/server/src/main/java/wheatspread/core/IdempotencyTable.java
@@ -7,21 +7,22 @@
 import wheatspread.admission.RequestClass;
 
 /**
- * Which attempt owns a key, and how its run ended. The entry of a request with an idempotency key exists from the
- * arrival of the first attempt, whether or not the admission controller retains it. Once the owner ran, the entry
- * stays for the class's idempotency window, so that no second attempt runs; if the owner ends without a run, the
- * entry is removed at once. Entries of cacheable reads live only as long as the controller retains them.
- * Owned by the core's thread.
+ * Maps each key to the attempt that owns it and to the end of that attempt's run. The entry of a request with an
+ * idempotency key is created when the first attempt arrives, whether or not the admission controller retains it.
+ * After the owner has run, the entry is kept for the class's idempotency window, so that no second attempt runs. If
+ * the owner ends without a run, the entry is removed immediately. Entries of cacheable reads are kept only while the
+ * controller retains them. Owned by the core's thread.
  */
 final class IdempotencyTable {
     /**
-     * Duplicates are found by their arrival time; one that arrived within the window may be read this much later.
+     * Duplicates are matched by their arrival time; a duplicate that arrived within the window may be read this much
+     * later.
      */
     private static final long LATE_READ_ALLOWANCE_MICROS = 5_000_000;
     /** The platform adds this to every time limit where messages go over sockets. */
     private static final long SOCKET_SLACK_MICROS = 50_000;
 
-    /** One key in the table. */
+    /** The entry of a key. */
     static final class Entry {
         private final String key;
         private final Attempt owner;
@@ -34,17 +35,17 @@
             this.owner = owner;
         }
 
-        /** The attempt whose run answers all attempts with this key. */
+        /** Returns the attempt whose run answers all attempts with this key. */
         Attempt owner() {
             return owner;
         }
 
-        /** How the owner's run ended; null while it has not. */
+        /** Returns how the owner's run ended; null before it has ended. */
         Kernel.End end() {
             return end;
         }
 
-        /** The result of the owner's run; null unless it ended {@link Kernel.End#OK}. */
+        /** Returns the result of the owner's run; null unless it ended {@link Kernel.End#OK}. */
         byte[] result() {
             return result;
         }
@@ -59,12 +60,15 @@
             retainedUntilMicros = untilMicros;
         }
 
-        /** Leaves the entry to the next sweep, which removes it once no second run can follow. */
+        /** Ends the retention; a later sweep removes the entry once a second run is impossible. */
         void release() {
             retainedUntilMicros = 0;
         }
 
-        /** All attempts of one request carry the same body; with another body the key belongs to another request. */
+        /**
+         * Returns whether a request has the body of the owner's request. All attempts of a request carry the same
+         * body, so a different body means that another request uses the key.
+         */
         boolean hasSameBody(InboundRequest other) {
             return Arrays.equals(owner.request().body(), other.body());
         }
@@ -78,7 +82,7 @@
         applySettings(settings);
     }
 
-    /** Takes the windows of new settings, in which the classes keep their index. */
+    /** Applies the idempotency windows of new settings, in which existing classes must keep their index. */
     void applySettings(DeploymentSettings settings) {
         windowMicrosByClass = settings.settings().classes().stream()
                 .mapToLong(IdempotencyTable::windowOf)
@@ -89,26 +93,26 @@
         return requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY ? requestClass.idempotencyWindowMicros() : 0;
     }
 
-    /** Shares the claims on keys with another process of this server. */
+    /** Sets the claims that this process shares with another process of this server. */
     void shareClaims(IdempotencyClaims shared) {
         claims = shared;
     }
 
-    /** How long after the arrival of an attempt of this class that ran no other may run, in microseconds. */
+    /** Returns how long after the arrival of an attempt that ran no other one may run, in microseconds. */
     private long windowMicros(int requestClass) {
         return windowMicrosByClass[requestClass] + SOCKET_SLACK_MICROS;
     }
 
-    /** The key of a request in the table; null if it has none. */
+    /** Returns the key of a request in the table; null if the request has no key. */
     static String keyOf(InboundRequest request) {
         if (request.idempotencyKey() != null) {
-            // without the class: after a reload, later attempts may come under a class of another name
+            // the key omits the class, since after a reload later attempts may use a class of another name
             return "u " + request.idempotencyKey();
         }
         return request.cacheKey() == null ? null : "i " + request.requestClass() + ' ' + request.cacheKey();
     }
 
-    /** The valid entry that a new attempt duplicates, or null. */
+    /** Returns the valid entry that a new attempt duplicates, or null. */
     Entry find(InboundRequest request, long nowMicros) {
         String key = keyOf(request);
         Entry entry = key == null ? null : entries.get(key);
@@ -142,14 +146,14 @@
         return entry;
     }
 
-    /** Removes an entry whose owner ended without a run. */
+    /** Removes an entry, whose owner must have ended without a run. */
     void remove(Entry entry) {
         entries.remove(entry.key, entry);
     }
 
     /**
-     * Gives an attempt a valid entry for its key: where the owner that it duplicated ended without a run, it
-     * becomes the owner itself, unless another duplicate has become so first.
+     * Ensures that an attempt has a valid entry for its key. If the owner that the attempt duplicated ended without
+     * a run, the attempt becomes the owner, unless another duplicate has become the owner before.
      */
     void ensureValidEntry(Attempt attempt, long nowMicros) {
         if (hasValidEntry(attempt)) {
@@ -169,7 +173,7 @@
                 || attempt.request().idempotencyKey() != null && entry.owner.everRan();
     }
 
-    /** Whether the run of another attempt answers this one, which has an idempotency key. */
+    /** Returns whether an attempt has an idempotency key that the run of another attempt answers. */
     boolean isDuplicate(Attempt attempt, long nowMicros) {
         if (attempt.request().idempotencyKey() == null) {
             return false;
@@ -178,14 +182,14 @@
         return !attempt.ownsKeyEntry();
     }
 
-    /** Whether no other process has run this attempt's idempotency key; if so, the key is claimed for this one. */
+    /** Claims an attempt's idempotency key for this process; returns false if another process has run the key. */
     boolean claim(Attempt attempt) {
         InboundRequest request = attempt.request();
         return request.idempotencyKey() == null
                 || claims.claim(attempt.keyEntry().key, request.arrivalMicros(), windowMicros(request.requestClass()));
     }
 
-    /** Removes the ended entries that are neither retained nor needed against a second run. */
+    /** Removes the entries of ended runs that are neither retained nor needed to prevent a second run. */
     void sweep(long nowMicros) {
         entries.values()
                 .removeIf(entry -> entry.end != null
--- a/server/src/main/java/wheatspread/core/Kernel.java
+++ b/server/src/main/java/wheatspread/core/Kernel.java
@@ -1,11 +1,11 @@
 package wheatspread.core;
 
 /**
- * The kernel, which does the work of requests. A job is the kernel's name for one attempt. Commands may be given
- * while the link is down; the link delivers them once it is up again.
+ * The kernel, which executes requests. A job is the kernel's name for one attempt. Commands issued while the link
+ * is down are delivered after the link has reconnected.
  */
 public interface Kernel {
-    /** How a run ended. The names of the constants are words of the kernel protocol. */
+    /** How a run ended. The constants correspond to the states that the kernel protocol reports. */
     enum End {
         /** The run returned a result. */
         OK,
@@ -20,24 +20,24 @@
     /** Starts a run of the class named {@code requestClass}. */
     void run(String job, String requestClass, byte[] body);
 
-    /** Suspends a run; the listener hears of its end with {@link End#STOPPED}. */
+    /** Suspends a run; the listener is notified of its end with {@link End#STOPPED}. */
     void suspend(String job);
 
     /** Resumes a suspended run. */
     void resume(String job);
 
-    /** Hands the reply of a dependency call to the run that waits for it. */
+    /** Passes the reply of a dependency call to the run that waits for it. */
     void completeDependencyCall(String job, byte[] reply);
 
-    /** Continues a run without the dependency call that the notice {@code noticeNumber} asked for. */
+    /** Continues a run without the dependency call that the notice {@code noticeNumber} requested. */
     void skipDependencyCall(String job, long noticeNumber);
 
-    /** Asks for the gauges, which the listener is given. */
+    /** Requests the gauges; the listener receives them. */
     void requestGauges();
 
-    /** Receives what the kernel reports, on the core's thread. */
+    /** Receives the kernel's reports, on the core's thread. */
     interface Listener {
-        /** The kernel is up, for the first time or again; it started {@code ageMicros} microseconds ago. */
+        /** The kernel is up, for the first time or after a reconnect; it started {@code ageMicros} us ago. */
         void onBooted(boolean cold, long ageMicros);
 
         /** A run ended after {@code elapsedMicros}; {@code result} is null unless it ended {@link End#OK}. */
@@ -46,7 +46,7 @@
         /** A run waits for a dependency call with the body {@code call}; the notice identifies the call. */
         void onDependencyCallRequested(String job, long noticeNumber, byte[] call);
 
-        /** The gauges, in the order that the deployment settings name them. */
+        /** The kernel reported its gauges, in the order in which the deployment settings name them. */
         void onGauges(double[] readings);
 
         /** A command to start or resume a run was not carried out. */
--- a/server/src/main/java/wheatspread/core/KernelEvents.java
+++ b/server/src/main/java/wheatspread/core/KernelEvents.java
@@ -4,8 +4,8 @@
 import wheatspread.logging.EventLog;
 
 /**
- * Applies what the kernel reports, see {@link Kernel.Listener}, to the attempts. Reports on attempts that are no
- * longer in flight are ignored. Owned by the core's thread.
+ * Applies the kernel's reports, see {@link Kernel.Listener}, to the attempts. Ignores reports on attempts that are
+ * no longer in flight. Owned by the core's thread.
  */
 final class KernelEvents {
     private final ActiveSettings settings;
@@ -22,7 +22,6 @@
         this.answers = answers;
     }
 
-    /** A run waits for a dependency call. */
     void dependencyCallRequested(String job, long noticeNumber, byte[] call) {
         Attempt attempt = attempts.byJob(job);
         if (attempt != null) {
@@ -31,7 +30,6 @@
         }
     }
 
-    /** A run ended. */
     void runEnded(String job, Kernel.End end, long elapsedMicros, byte[] result) {
         Attempt attempt = attempts.byJob(job);
         if (attempt == null) {
@@ -43,7 +41,7 @@
             case ERROR -> answers.endRun(attempt, end, null, elapsedMicros);
             case STOPPED -> stopped(attempt, elapsedMicros);
             case IGNORED -> ignored(attempt);
-            default -> throw new IllegalArgumentException(end.toString());
+            default -> throw new IllegalArgumentException("unknown end of a run: " + end);
         }
     }
 
@@ -52,23 +50,24 @@
         if (attempt.answered()) {
             answers.endRun(attempt, Kernel.End.STOPPED, null, elapsedMicros);
         } else {
-            attempt.runSuspended(); // it still owes an answer, and the controller decides which
+            attempt.runSuspended(); // the attempt still needs an answer, which the controller decides
             events.add(controller -> controller.onCompletion(attempt.id(), Outcome.CANCELED, elapsedMicros));
         }
     }
 
-    /** The kernel ignored a command to start or resume a run. */
+    /** Ends an attempt after the kernel ignored the command to start or resume its run. */
     private void ignored(Attempt attempt) {
         if (attempt.everSuspended()) {
-            answers.endRun(attempt, Kernel.End.STOPPED, null, 0); // it has run, so a second run stays forbidden
+            answers.endRun(attempt, Kernel.End.STOPPED, null, 0); // the attempt has run, so its key must not run again
         } else {
             neverStarted(attempt);
         }
     }
 
     /**
-     * The attempt never ran, and frees its key. It is failed and not rejected, since the kernel alone says so and the
-     * client must not rely on that; attempts that joined it were not sent to the kernel and are rejected.
+     * Fails an attempt that the kernel did not run, and releases its key. The attempt is failed and not rejected,
+     * because only the kernel's report shows that it never ran, and a rejection would be a promise to the client.
+     * Attempts that joined it were not sent to the kernel and are rejected.
      */
     private void neverStarted(Attempt attempt) {
         attempt.runNotStarted();
@@ -76,7 +75,7 @@
         answers.finish(attempt, Answer.Kind.FAILED);
     }
 
-    /** A command to start or resume a run was not carried out. */
+    /** Handles a command to start or resume a run that was not carried out. */
     void runNotStarted(String job) {
         Attempt attempt = attempts.byJob(job);
         if (attempt != null && attempt.running()) {
@@ -85,7 +84,7 @@
         }
     }
 
-    /** The kernel reported its gauges. */
+    /** Stores the gauges that the kernel reported; gauges without a reading become NaN. */
     void gaugesReported(double[] readings) {
         events.setGauges(DeploymentSettings.gaugesFrom(
                 settings.current().gauges(), index -> index < readings.length ? readings[index] : Double.NaN));
--- a/server/src/main/java/wheatspread/core/NameTable.java
+++ b/server/src/main/java/wheatspread/core/NameTable.java
@@ -8,32 +8,32 @@
 import org.agrona.collections.Int2IntHashMap;
 
 /**
- * An immutable list of distinct names that finds the index of a name by one hash lookup. All names are kept
- * as UTF-8 in one byte array, so that 100,000 of them cost no object each. {@link #get} makes a new string;
- * {@link #indexOf} makes none where the name is ASCII.
+ * An immutable list of distinct names that finds the index of a name by one hash lookup. All names are stored
+ * as UTF-8 in one byte array, so that 100,000 names do not cost an object each. {@link #get} allocates a string;
+ * {@link #indexOf} allocates nothing if the name is ASCII.
  */
 public final class NameTable extends AbstractList<String> implements RandomAccess {
     private static final int ABSENT = -1;
-    /** How many names may share one hash code; more, which do not occur by chance, would make look-ups slow. */
+    /** The most names that may share a hash code. More do not occur by chance and would make lookups slow. */
     static final int MAX_NAMES_PER_HASH = 256;
-    /** The step from a key that another name has taken to the next one; odd, so that all keys are reached. */
+    /** The distance from an occupied key to the next key to probe; odd, so that probing reaches all keys. */
     private static final int PROBE_STEP = 0x9E3779B9;
 
     private byte[] bytes = new byte[128];
-    /** The end of each name in {@link #bytes}, by index; a name begins where the one before it ends. */
+    /** The end offset of each name in {@link #bytes}, by index; a name starts at the end of the previous name. */
     private int[] ends = new int[8];
-    /** A name's index, by its hash code or a key that follows it in steps of {@link #PROBE_STEP}. */
+    /** The index of each name, by its hash code or, after collisions, by a multiple of {@link #PROBE_STEP} more. */
     private final Int2IntHashMap indexByKey = new Int2IntHashMap(ABSENT);
 
     private int size;
 
     private NameTable() {}
 
-    /** Collects names; one builder makes one table. */
+    /** Collects names for a table; a builder may be used for one table only. */
     public static final class Builder {
         private final NameTable table = new NameTable();
 
-        /** Returns the index of a name that was added, or -1. */
+        /** Returns the index of a name; -1 if the name was not added. */
         public int indexOf(String name) {
             return table.indexOf(name);
         }
@@ -46,7 +46,7 @@
             table.append(name);
         }
 
-        /** Returns the table of all names that were added; no more may be added. */
+        /** Returns the table of the names that were added. No names may be added after this call. */
         public NameTable build() {
             table.trim();
             return table;
@@ -71,7 +71,7 @@
     @Override
     public String get(int index) {
         if (index < 0 || index >= size) {
-            throw new IndexOutOfBoundsException(index + " of " + size + " names");
+            throw new IndexOutOfBoundsException("index " + index + " out of bounds for " + size + " names");
         }
         int start = start(index);
         return new String(bytes, start, ends[index] - start, StandardCharsets.UTF_8);
@@ -95,24 +95,24 @@
     private int find(String name) {
         int key = name.hashCode();
         int index = indexByKey.get(key);
-        while (index != ABSENT && !isAt(index, name)) {
+        while (index != ABSENT && !hasName(index, name)) {
             key += PROBE_STEP;
             index = indexByKey.get(key);
         }
         return index;
     }
 
-    /** Where the name of an index begins, or is to begin if it is the next one. */
+    /** Returns the start offset of the name with this index, which may be the index of the next name to add. */
     private int start(int index) {
         return index == 0 ? 0 : ends[index - 1];
     }
 
-    private boolean isAt(int index, String name) {
+    private boolean hasName(int index, String name) {
         int start = start(index);
         int length = ends[index] - start;
         for (int i = 0; i < name.length(); i++) {
             char c = name.charAt(i);
-            if (c >= 0x80) { // not ASCII: a character is not a byte
+            if (c >= 0x80) { // a character outside ASCII takes more than one byte
                 byte[] encoded = name.getBytes(StandardCharsets.UTF_8);
                 return Arrays.equals(bytes, start, ends[index], encoded, 0, encoded.length);
             }
--- a/server/src/main/java/wheatspread/core/PendingDependencyCall.java
+++ b/server/src/main/java/wheatspread/core/PendingDependencyCall.java
@@ -1,24 +1,25 @@
 package wheatspread.core;
 
 /**
- * The dependency call that one attempt's run waits for: from the kernel's notice until the reply is handed over,
- * the call is skipped, or the run ends. One object serves all calls of its attempt, one after another.
+ * The dependency call that an attempt's run waits for. A call is pending after the kernel's notice until its reply
+ * is passed to the kernel, the call is skipped, or the run ends. An attempt uses one object for all its calls, since
+ * they follow one after another.
  */
 final class PendingDependencyCall {
-    /** The kernel's notice that asked for the call; 0 while the run waits for none. */
+    /** The number of the kernel's notice that requested the call; 0 if the run does not wait for a call. */
     private long noticeNumber;
 
     private byte[] body;
     private RecordsService.Call call;
     private Clock.Timer timeout;
 
-    /** The run waits for a call. */
+    /** Records that the run waits for a call. */
     void await(long noticeNumber, byte[] body) {
         this.noticeNumber = noticeNumber;
         this.body = body;
     }
 
-    /** Whether the run waits for a call, whether or not one was started. */
+    /** Returns whether the run waits for a call, whether or not the call was started. */
     boolean awaited() {
         return noticeNumber != 0;
     }
@@ -31,7 +32,7 @@
         return body;
     }
 
-    /** The run goes on. */
+    /** Records that the run continues, with the reply or without the call. */
     void resolved() {
         noticeNumber = 0;
         body = null;
@@ -45,13 +46,13 @@
         call = started;
     }
 
-    /** The service has ended the call. */
+    /** Cancels the timeout of a call that the service has ended. */
     void ended() {
         timeout.cancel();
         call = null;
     }
 
-    /** Cancels the call in flight, if any; its listener is not called any more. */
+    /** Cancels the call in flight, if any; its listener is not called afterwards. */
     void cancel() {
         if (call != null) {
             call.cancel();
--- a/server/src/main/java/wheatspread/core/RecordsService.java
+++ b/server/src/main/java/wheatspread/core/RecordsService.java
@@ -2,14 +2,14 @@
 
 import wheatspread.admission.Outcome;
 
-/** The records service: the dependency that runs call. */
+/** The records service, the dependency that runs call. */
 public interface RecordsService {
     /** Starts a call, which the service may hold for up to {@code timeoutMicros} microseconds. */
     Call call(String job, byte[] body, long timeoutMicros, Listener listener);
 
     /** A call in flight. */
     interface Call {
-        /** Cancels the call; its listener is not called any more. */
+        /** Cancels the call; its listener is not called afterwards. */
         void cancel();
     }
 
--- a/server/src/main/java/wheatspread/core/RequestCounters.java
+++ b/server/src/main/java/wheatspread/core/RequestCounters.java
@@ -6,17 +6,17 @@
 import java.util.TreeMap;
 
 /**
- * Counts what became of the attempts of this process. The names of the counters are read by operators, in the log
- * and over JSON-RPC, and stay as they are. Owned by the core's thread.
+ * Counts the attempts of this process and how they ended. The log names of the counters are read by operators, in
+ * the log and over JSON-RPC, and must not change. Owned by the core's thread.
  */
 public final class RequestCounters {
-    /** What is counted, in the order of the log fields, with its name there. */
+    /** The counters in the order of the log fields, each with its log name. */
     private enum Counter {
         RECEIVED("read"),
         SERVED("served"),
         REJECTED("refused"),
         FAILED("failed"),
-        /** Failed by the core's own deadline timer; these are among {@link #FAILED} too. */
+        /** Attempts failed by the core's deadline timer; {@link #FAILED} includes them. */
         DEADLINE_EXCEEDED("overdue"),
         CANCELLED("gone"),
         RUNS("runs"),
@@ -32,7 +32,7 @@
         }
     }
 
-    /** The final answers of one request class. */
+    /** The counts of final answers of a request class. */
     private static final class ClassAnswers {
         private long served;
         private long rejected;
@@ -52,15 +52,15 @@
     }
 
     private final long[] values = new long[Counter.values().length];
-    /** By the class's index in the settings, so it holds no more entries than the settings have classes. */
+    /** Keyed by the class's index in the settings, which bounds the number of entries. */
     private final Map<Integer, ClassAnswers> answersByClass = new TreeMap<>();
 
-    /** An attempt was read by a front. */
+    /** Counts an attempt that a front read. */
     void received() {
         add(Counter.RECEIVED);
     }
 
-    /** A final answer was given to an attempt of the class with this index in the settings. */
+    /** Counts a final answer to an attempt of the class with this index in the settings. */
     void answered(int requestClass, Answer.Kind kind) {
         ClassAnswers answers = answersByClass.computeIfAbsent(requestClass, index -> new ClassAnswers());
         switch (kind) {
@@ -79,37 +79,37 @@
         }
     }
 
-    /** The client of an unanswered attempt disconnected or cancelled it. */
+    /** Counts an unanswered attempt whose client disconnected or cancelled it. */
     void cancelled() {
         add(Counter.CANCELLED);
     }
 
-    /** The core's deadline timer failed an attempt. */
+    /** Counts an attempt that the core's deadline timer failed. */
     void deadlineExceeded() {
         add(Counter.DEADLINE_EXCEEDED);
     }
 
-    /** A run was handed to the kernel. */
+    /** Counts a run that was passed to the kernel. */
     void runStarted() {
         add(Counter.RUNS);
     }
 
-    /** A suspended run was resumed. */
+    /** Counts a suspended run that was resumed. */
     void runResumed() {
         add(Counter.RESUMED);
     }
 
-    /** An attempt waits for, or takes, the result of another one. */
+    /** Counts an attempt that joined the run of another attempt to share its result. */
     void joined() {
         add(Counter.JOINS);
     }
 
-    /** A dependency call was started. */
+    /** Counts a dependency call that was started. */
     void dependencyCallStarted() {
         add(Counter.DEPENDENCY_CALLS);
     }
 
-    /** A run continued without its dependency call. */
+    /** Counts a run that continued without its dependency call. */
     void dependencyCallSkipped() {
         add(Counter.DEPENDENCY_SKIPS);
     }
@@ -122,19 +122,19 @@
         return values[counter.ordinal()];
     }
 
-    /** The final answers of each class that has had one, by its index: served, rejected and failed. */
+    /** Returns the numbers of served, rejected and failed attempts, by the index of each class with an answer. */
     public Map<Integer, long[]> answersByClass() {
         Map<Integer, long[]> copy = new TreeMap<>();
         answersByClass.forEach((index, answers) -> copy.put(index, answers.toArray()));
         return copy;
     }
 
-    /** Runs handed to the kernel since the start of the process. */
+    /** Returns the number of runs passed to the kernel since the start of the process. */
     public long runs() {
         return value(Counter.RUNS);
     }
 
-    /** A copy that does not change any more. */
+    /** Returns a copy, which later events do not change. */
     RequestCounters copy() {
         RequestCounters copy = new RequestCounters();
         System.arraycopy(values, 0, copy.values, 0, values.length);
@@ -142,7 +142,7 @@
         return copy;
     }
 
-    /** What was counted since the copy {@code earlier} was made, as log fields: names and values in turns. */
+    /** Returns the increments since the copy {@code earlier} was made, as alternating log field names and values. */
     public Object[] logFieldsSince(RequestCounters earlier) {
         List<Object> fields = new ArrayList<>();
         for (Counter counter : Counter.values()) {
@@ -152,7 +152,7 @@
         return fields.toArray();
     }
 
-    /** All counters as log fields: names and values in turns. */
+    /** Returns all counters as alternating log field names and values. */
     public Object[] logFields() {
         return logFieldsSince(new RequestCounters());
     }
--- a/server/src/main/java/wheatspread/core/RequestLifecycle.java
+++ b/server/src/main/java/wheatspread/core/RequestLifecycle.java
@@ -5,13 +5,13 @@
 import wheatspread.admission.Idempotency;
 
 /**
- * Takes attempts from the fronts, hands them to the admission controller, and ends those whose client disconnected
- * or whose front closes. Owned by the core's thread.
+ * Accepts attempts from the fronts, passes them to the admission controller, and ends those whose client
+ * disconnected or whose front closes. Owned by the core's thread.
  */
 final class RequestLifecycle {
     /** The core fails an unanswered attempt this long before its deadline, whatever the controller does. */
     private static final long DEADLINE_MARGIN_MICROS = 5_000;
-    /** With so many attempts in flight new ones are rejected: a bound on memory, far above usual load. */
+    /** New attempts are rejected at this number of attempts in flight. Bounds memory, far above the usual load. */
     private static final int MAX_IN_FLIGHT = 2_000;
 
     private final Clock clock;
@@ -34,48 +34,48 @@
         this.answers = answers;
     }
 
-    /** Takes in an attempt; see {@link Core#submit}. */
+    /** See {@link Core#submit}. */
     Long submit(InboundRequest request, Reply reply) {
         counters.received();
         long remainingMicros = request.deadlineMicros() - DEADLINE_MARGIN_MICROS - clock.nowMicros();
         if (!events.started() || remainingMicros <= 0 || attempts.size() >= MAX_IN_FLIGHT) {
-            answerAtOnce(request.requestClass(), reply, answers.plainAnswer(Answer.Kind.REJECTED));
+            answerImmediately(request.requestClass(), reply, answers.plainAnswer(Answer.Kind.REJECTED));
             return null;
         }
         if (attempts.byJob(request.job()) != null) {
-            answerAtOnce(request.requestClass(), reply, answers.plainAnswer(Answer.Kind.CONFLICT));
+            answerImmediately(request.requestClass(), reply, answers.plainAnswer(Answer.Kind.CONFLICT));
             return null;
         }
-        // its last byte came now, whenever its first one did
+        // the last byte of the request has just arrived, whenever the first one did
         Attempt attempt = attempts.add(request, reply, drain.isPastGrace(clock.nowMicros()));
         attempt.setDeadlineTimer(clock.schedule(remainingMicros, () -> answers.failAtDeadline(attempt)));
-        events.add(controller -> arrive(controller, attempt));
+        events.add(controller -> handleArrival(controller, attempt));
         return attempt.id();
     }
 
-    /** Rejects an attempt that is not taken in, because a limit of its front was reached. */
+    /** See {@link Core#reject}. */
     void rejectUnread(int requestClass, Reply reply, long retryAfterMicros) {
         counters.received();
         long adviceMicros = Math.min(retryAfterMicros, settings.maxRetryAfterMicros());
-        answerAtOnce(requestClass, reply, answers.answerWithAdvice(Answer.Kind.REJECTED, adviceMicros, false));
+        answerImmediately(requestClass, reply, answers.answerWithAdvice(Answer.Kind.REJECTED, adviceMicros, false));
     }
 
-    private void answerAtOnce(int requestClass, Reply reply, Answer answer) {
+    private void answerImmediately(int requestClass, Reply reply, Answer answer) {
         counters.answered(requestClass, answer.kind());
         reply.answer(answer);
     }
 
-    /** Finds the attempt's idempotency key, and hands it to the controller unless it is answered already. */
-    private void arrive(AdmissionController controller, Attempt attempt) {
+    /** Looks up the attempt's key, and passes the attempt to the controller unless it has been answered. */
+    private void handleArrival(AdmissionController controller, Attempt attempt) {
         InboundRequest request = attempt.request();
         boolean hasKey = request.idempotencyKey() != null;
         IdempotencyTable.Entry duplicated = idempotencyTable.find(request, events.nowMicros());
         attempt.setKeyEntry(duplicated == null && hasKey ? idempotencyTable.put(attempt) : duplicated);
         if (attempt.answered()) {
-            // its client disconnected, or its deadline passed, before the controller saw it
+            // the client disconnected, or the deadline passed, before the batch reached the controller
             answers.releaseKeyIfNeverRan(attempt);
         } else if (hasKey && duplicated != null && !duplicated.hasSameBody(request)) {
-            // the result for that key was made of another body, and is not for this client
+            // the key belongs to a request with another body, whose result must not go to this client
             answers.finish(attempt, Answer.Kind.CONFLICT);
         } else {
             controller.onArrival(admissionRequest(attempt, duplicated));
@@ -100,7 +100,7 @@
                 request.expectedWorkMicros());
     }
 
-    /** The client of an attempt disconnected or cancelled it. */
+    /** See {@link Core#cancel}. */
     void cancel(Long id) {
         Attempt attempt = unanswered(id);
         if (attempt == null) {
@@ -109,10 +109,10 @@
         counters.cancelled();
         attempt.takeReply();
         events.add(controller -> controller.onCancellation(attempt.id()));
-        answers.letGo(attempt);
+        answers.releaseResources(attempt);
     }
 
-    /** Rejects an attempt that never ran and joined no other, since its client can send nothing more. */
+    /** Rejects an attempt that never ran and joined no other attempt, after its client closed its sending side. */
     void rejectUnlessStarted(Long id) {
         Attempt attempt = unanswered(id);
         if (attempt != null && !attempt.everRan() && !attempt.joined()) {
@@ -126,7 +126,7 @@
         return attempt == null || attempt.answered() ? null : attempt;
     }
 
-    /** Answers all unanswered attempts now: those that never ran are rejected, the others fail. */
+    /** Answers all unanswered attempts: those that neither ran nor joined another attempt are rejected, others fail. */
     void answerAll() {
         for (Attempt attempt : attempts.unanswered()) {
             Answer.Kind kind = attempt.everRan() || attempt.joined() ? Answer.Kind.FAILED : Answer.Kind.REJECTED;
--- a/server/src/test/java/wheatspread/core/CoreDrainTest.java
+++ b/server/src/test/java/wheatspread/core/CoreDrainTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What the core answers and runs while the server drains. */
+/** Tests which attempts the core runs and how it answers them while the server drains. */
 class CoreDrainTest {
     private static final long SECOND = CoreHarness.SECOND;
 
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void runsNothingThatArrivedAfterTheGrace() {
+    void rejectsAttemptsThatArriveAfterTheGrace() {
         core.drain(harness.clock.nowMicros(), 10 * SECOND);
         harness.advance(5 * SECOND / 2 + 1);
         harness.decide(actions -> actions.run(1));
@@ -35,9 +35,9 @@
         assertThat(harness.answers).containsExactly("a REJECTED");
     }
 
-    /** Its first byte arrived within the grace: the last byte counts, whose arrival time is when it was read. */
+    /** The first byte arrived within the grace; the arrival of the last byte, when it is read, decides. */
     @Test
-    void runsNothingWhoseLastByteArrivedAfterTheGrace() {
+    void rejectsAttemptsWhoseLastByteArrivesAfterTheGrace() {
         core.drain(harness.clock.nowMicros(), 10 * SECOND);
         long arrivalMicros = harness.clock.nowMicros() + 5 * SECOND / 2 - 1;
         harness.advance(5 * SECOND / 2 + 1);
@@ -48,7 +48,7 @@
         assertThat(harness.answers).containsExactly("a REJECTED");
     }
 
-    /** The event loop may read the shutdown notice late; the grace runs from the notice. */
+    /** The event loop may read the shutdown notice late; the grace starts at the notice. */
     @Test
     void measuresTheGraceFromTheShutdownNotice() {
         long noticeMicros = harness.clock.nowMicros();
--- a/server/src/test/java/wheatspread/core/CoreHarness.java
+++ b/server/src/test/java/wheatspread/core/CoreHarness.java
@@ -22,8 +22,9 @@
 import wheatspread.logging.EventLog;
 
 /**
- * A booted core without any wire, whose kernel only records commands and whose admission controller does what a test
- * says. Its one class has idempotency keys, a window of 20 s and a drain grace of 2.5 s.
+ * A booted core without any network connection. Its kernel only records commands, and its admission controller
+ * executes the decisions that a test queues. The only request class has idempotency keys and a window of 20 s; the
+ * drain grace is 2.5 s.
  */
 final class CoreHarness {
     static final long SECOND = 1_000_000;
@@ -35,13 +36,13 @@
     final FakeClock clock = new FakeClock(1_700_000_000 * SECOND, pendingTasks::add);
     /** The lines of the event log. */
     final List<String> logLines = new ArrayList<>();
-    /** The commands that the kernel was given, as "command job". */
+    /** The commands that the kernel received, as "command job". */
     final List<String> kernelCommands = new ArrayList<>();
     /** The final answers, as "job KIND". */
     final List<String> answers = new ArrayList<>();
-    /** The completions and timers that the controller was given. */
+    /** The completions and timers that the controller received. */
     final List<String> controllerEvents = new ArrayList<>();
-    /** The arrivals that the controller was given. */
+    /** The arrivals that the controller received. */
     final List<AdmissionRequest> arrivals = new ArrayList<>();
 
     final Core core;
@@ -77,7 +78,7 @@
                 List.of());
     }
 
-    /** Queues what the controller decides in its next batch after the first arrival; one entry a batch. */
+    /** Queues a decision of the controller. After the first arrival each batch takes one decision from the queue. */
     void decide(Consumer<Actions> decision) {
         decisions.add(decision);
     }
@@ -87,7 +88,7 @@
         return submit(job, idempotencyKey, clock.nowMicros());
     }
 
-    /** Submits an attempt whose first byte arrived at that time and whose last one arrives now. */
+    /** Submits an attempt whose first byte arrived at {@code arrivalMicros} and whose last byte arrives now. */
     Long submit(String job, String idempotencyKey, long arrivalMicros) {
         InboundRequest request = new InboundRequest(
                 job,
@@ -105,7 +106,7 @@
         return core.submit(request, answer -> answers.add(job + " " + answer.kind()));
     }
 
-    /** Runs what is to run after the event-loop turn, until nothing is left. */
+    /** Runs the tasks scheduled for after the event-loop iteration, and those that they schedule. */
     void settle() {
         while (!pendingTasks.isEmpty()) {
             pendingTasks.poll().run();
@@ -148,7 +149,7 @@
         }
     }
 
-    /** Decides what the test has queued, and records its events. */
+    /** Executes the decisions that the test has queued, and records the events it receives. */
     private final class ScriptedController implements AdmissionController {
         private boolean arrived;
 
--- a/server/src/test/java/wheatspread/core/CoreIdempotencyTest.java
+++ b/server/src/test/java/wheatspread/core/CoreIdempotencyTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** One run for each idempotency key within its window, whatever the controller decides. */
+/** Tests that an idempotency key runs at most once within its window, whatever the controller decides. */
 class CoreIdempotencyTest {
     private static final long SECOND = CoreHarness.SECOND;
 
     private final CoreHarness harness = new CoreHarness();
     private final Core core = harness.core;
 
-    /** Guards against a second run of a key whose first one the kernel suspended and then did not resume. */
+    /** Guards against a second run of a key whose first run the kernel suspended and then did not resume. */
     @Test
     void keepsTheKeyOfASuspendedRunThatIsNotResumed() {
         harness.decide(actions -> actions.run(1));
@@ -47,7 +47,7 @@
         assertThat(harness.kernelCommands).containsExactly("run b");
     }
 
-    /** Two duplicates wait for an attempt that is rejected: one of them runs, the other gets its result. */
+    /** Two duplicates wait for an attempt that is rejected: the first duplicate runs, the second gets its result. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void sharesOneRunAmongDuplicatesWhoseFirstAttemptIsRejectedInTheSameBatch(boolean retained) {
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void neverRunsAKeyTwiceNorRejectsItsRetryAfterARun() {
+    void neitherRerunsNorRejectsARetryAfterItsKeyRan() {
         harness.decide(actions -> actions.run(1));
         harness.submit("a", "k");
         harness.settle();
@@ -100,7 +100,7 @@
         assertThat(harness.answers).containsExactly("a FAILED", "b SERVED");
     }
 
-    /** Two processes of one server during an upgrade. */
+    /** During an upgrade two processes of one server share their claims. */
     @Test
     void rejectsAKeyThatTheOtherProcessRan() {
         List<String> claimed = new ArrayList<>();
@@ -119,7 +119,7 @@
         assertThat(claimed).hasSize(2).allMatch(claim -> claim.endsWith(" 20050000"));
     }
 
-    /** On sockets a window is 50 ms longer; a retry in that time gets the first result, and is never rejected. */
+    /** The socket slack extends the window by 50 ms; a retry in that time gets the first result. */
     @Test
     void runsAKeyAgainOnlyAfterItsWindowAndTheSocketSlack() {
         harness.decide(actions -> actions.run(1));
@@ -143,9 +143,9 @@
         assertThat(harness.kernelCommands).containsExactly("run a", "run c");
     }
 
-    /** The controller is given the time up to the batch that reports it, not up to the owner's rejection. */
+    /** The reported time ends at the batch that reports it, not at the owner's rejection. */
     @Test
-    void reportsTheTimeThatAJoinerWaitedForAnOwnerThatNeverRan() {
+    void reportsTheWaitOfAJoinerWhoseOwnerNeverRan() {
         harness.decide(actions -> actions.joinResult(2));
         Long owner = harness.submit("a", "k");
         harness.submit("b", "k");
--- a/server/src/test/java/wheatspread/core/CoreTest.java
+++ b/server/src/test/java/wheatspread/core/CoreTest.java
@@ -5,14 +5,14 @@
 import org.junit.jupiter.api.Test;
 import wheatspread.admission.AdmissionRequest;
 
-/** Attempts and their runs in the core, with a controller that makes decisions which the real one never makes. */
+/** Tests attempts and their runs, with scripted decisions that the real controller never makes. */
 class CoreTest {
     private static final long SECOND = CoreHarness.SECOND;
 
     private final CoreHarness harness = new CoreHarness();
     private final Core core = harness.core;
 
-    /** Guards against a controller that plans with a timeout nobody set, or takes a retry for a first attempt. */
+    /** Guards against passing a timeout that the client did not set, or a retry as a first attempt. */
     @Test
     void passesTheClientsTimeoutAndRetryMarkToTheController() {
         harness.submit("a", "k");
@@ -40,11 +40,12 @@
     @Test
     void keepsTicksAndDeadlinesAfterAnExceptionInTheController() {
         harness.decide(actions -> {
-            throw new IllegalStateException("odd");
+            throw new IllegalStateException("test failure");
         });
         harness.submit("a", "k");
         harness.settle();
-        assertThat(harness.logLines).containsExactly("decision_failed error=\"java.lang.IllegalStateException: odd\"");
+        assertThat(harness.logLines)
+                .containsExactly("decision_failed error=\"java.lang.IllegalStateException: test failure\"");
         harness.advance(60_000);
         assertThat(harness.controllerEvents).contains("timer");
         harness.advance(8 * SECOND);
@@ -52,7 +53,7 @@
     }
 
     @Test
-    void resumesASuspendedRunAndStartsNoOther() {
+    void resumesASuspendedRunWithoutStartingANewOne() {
         harness.decide(actions -> actions.run(1));
         harness.submit("a", "k");
         harness.settle();
@@ -71,9 +72,9 @@
         assertThat(harness.answers).containsExactly("a SERVED");
     }
 
-    /** A client that can send nothing more gets an answer to each attempt; only those not started are rejected. */
+    /** A client that closed its sending side gets an answer to each attempt; only those not started are rejected. */
     @Test
-    void rejectsOnlyAttemptsNotStartedWhenTheirClientCanSendNothingMore() {
+    void rejectsOnlyAttemptsNotStartedAfterTheClientClosedItsSendingSide() {
         harness.decide(actions -> actions.run(1));
         Long running = harness.submit("a", null);
         Long queued = harness.submit("b", null);
--- a/server/src/test/java/wheatspread/core/DeploymentSettingsTest.java
+++ b/server/src/test/java/wheatspread/core/DeploymentSettingsTest.java
@@ -14,7 +14,7 @@
 import wheatspread.admission.RequestClass;
 import wheatspread.admission.ServerLimits;
 
-/** Settings reloaded at SIGHUP, and the keys of requests whose attempts change class with the reload. */
+/** Tests the reload of settings at SIGHUP, and the keys of requests whose attempts change class with a reload. */
 class DeploymentSettingsTest {
     private static final long SECOND = 1_000_000;
 
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void keepsIndexesAndFiguresOfClassesAndAppendsNewOnes() {
+    void reloadKeepsIndexesAndValuesOfClassesAndAppendsNewClasses() {
         DeploymentSettings old =
                 settings(List.of("save", "plan"), List.of(idempotent(20 * SECOND), idempotent(5 * SECOND)));
         DeploymentSettings next =
@@ -54,9 +54,9 @@
                 .containsExactly("save", "plan", "plan-r2");
     }
 
-    /** A request first sent as save-plan was retried as save-plan-r2 on the bench, and ran twice. */
+    /** Guards against a second run of a request that is sent as save-plan and, after a reload, as save-plan-r2. */
     @Test
-    void attemptsOfOneRequestShareTheirKeyWhateverTheirClass() {
+    void attemptsOfARequestShareTheirKeyWhateverTheirClass() {
         byte[] body = {1, 2};
         InboundRequest first = new InboundRequest("a", 3, 0, 0, 9 * SECOND, true, false, 20, 0, "5c0f", null, body);
         InboundRequest retry =
--- a/server/src/test/java/wheatspread/core/FakeClock.java
+++ b/server/src/test/java/wheatspread/core/FakeClock.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.Executor;
 
 /**
- * A clock that stands still until a test advances it. Its timers run on the thread that advances it, in the order of
- * their deadlines, and those with the same deadline in the order in which they were set.
+ * A clock whose time changes only when a test advances it. Its timers run on the thread that advances it, in the
+ * order of their deadlines; timers with the same deadline run in the order in which they were set.
  */
 public final class FakeClock implements Clock {
     private final Executor afterTurn;
@@ -17,10 +17,10 @@
     private int lastNumber;
 
     /**
-     * Makes a clock that stands at the given time.
+     * Creates a clock set to the given time.
      *
-     * @param nowMicros in Unix microseconds
-     * @param afterTurn takes the tasks that run after the event-loop turn
+     * @param nowMicros the initial time in Unix microseconds
+     * @param afterTurn executes the tasks that run after the event-loop iteration
      */
     public FakeClock(long nowMicros, Executor afterTurn) {
         this.nowMicros = nowMicros;
@@ -54,12 +54,12 @@
         afterTurn.execute(task);
     }
 
-    /** How many timers are set. */
+    /** Returns the number of timers that are set. */
     public int pendingCount() {
         return tasksByDeadline.values().stream().mapToInt(Map::size).sum();
     }
 
-    /** Advances and runs all timers that expire on the way; {@code between} runs after those of one deadline. */
+    /** Advances and runs all timers that expire; {@code between} runs after the timers of each deadline. */
     public void advance(long micros, Runnable between) {
         long untilMicros = nowMicros + micros;
         while (fireNext(untilMicros)) {
@@ -67,14 +67,14 @@
         }
     }
 
-    /** Advances and runs all timers that expire on the way. */
+    /** Advances and runs all timers that expire. */
     public void advance(long micros) {
         advance(micros, () -> {});
     }
 
     /**
-     * Advances to the first deadline up to {@code untilMicros} and runs its timers; returns false if there is none,
-     * and advances to {@code untilMicros} then.
+     * Advances to the first deadline up to {@code untilMicros} and runs its timers. If there is no such deadline,
+     * advances to {@code untilMicros} and returns false.
      */
     public boolean fireNext(long untilMicros) {
         Map.Entry<Long, Map<Integer, Runnable>> next = tasksByDeadline.firstEntry();
@@ -93,7 +93,7 @@
         nowMicros += micros;
     }
 
-    /** Runs every timer that is set, whatever its deadline; the clock does not advance. */
+    /** Runs every timer that is set, whatever its deadline, without advancing the clock. */
     public void fireAll() {
         List<Runnable> tasks = new ArrayList<>();
         tasksByDeadline.values().forEach(sameDeadline -> tasks.addAll(sameDeadline.values()));
--- a/server/src/test/java/wheatspread/core/NameTableTest.java
+++ b/server/src/test/java/wheatspread/core/NameTableTest.java
@@ -8,11 +8,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Lookups by name and by index, and the bound on names that share a hash code. */
+/** Tests lookups by name and by index, and the limit on names that share a hash code. */
 class NameTableTest {
-    /** Names are found by their text, and not by their hash code alone: "Aa" and "BB" share one. */
+    /** Guards against lookups by the hash code alone: "Aa" and "BB" have the same hash code. */
     @Test
-    void findsNamesOfOneHashCodeUpToTheBound() {
+    void findsNamesWithTheSameHashCodeUpToTheLimit() {
         NameTable.Builder builder = new NameTable.Builder();
         for (int i = 0; i < NameTable.MAX_NAMES_PER_HASH; i++) {
             builder.add(nameWithSharedHash(i));
@@ -36,7 +36,7 @@
 
     @Test
     @Timeout(value = 30, unit = TimeUnit.SECONDS)
-    void findsEachOfManyNamesWithACommonPrefixAndNoOther() {
+    void findsOnlyAddedNamesAmongManyWithACommonPrefix() {
         String prefix = "the/same/long/beginning/".repeat(8);
         NameTable.Builder builder = new NameTable.Builder();
         for (int i = 0; i < 300_000; i++) {
--- a/server/src/test/java/wheatspread/core/RequestCountersTest.java
+++ b/server/src/test/java/wheatspread/core/RequestCountersTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The names of the counters, which operators read in the log and over JSON-RPC. */
+/** Tests the names of the counters, which operators read in the log and over JSON-RPC. */
 class RequestCountersTest {
     @Test
-    void fieldsKeepTheirNamesAndOrder() {
+    void logFieldsKeepTheirNamesAndOrder() {
         RequestCounters counters = new RequestCounters();
         RequestCounters start = counters.copy();
         for (int i = 0; i < 9; i++) {
