--- a/server/src/main/java/wheatspread/lifecycle/DrainDeadlines.java
+++ b/server/src/main/java/wheatspread/lifecycle/DrainDeadlines.java
@@ -1,46 +1,46 @@
 package wheatspread.lifecycle;
 
 /**
- * What a drain does at which time after the signal. The process that sent the signal kills this one after
- * {@code stopTimeout}; all is over before that.
+ * Computes the current step of a drain from the time since the signal. The process that sent the signal kills this
+ * process after the stop timeout, so the drain ends before that.
  *
  * <table>
  * <caption>The steps of a drain</caption>
  * <tr><th>step</th><th>from</th><th>until</th></tr>
- * <tr><td>{@code ACCEPT}</td><td>the signal</td><td>the grace is over: callers learn late that the server drains, so
- *     what they send within the grace is served</td></tr>
- * <tr><td>{@code AWAIT_ANSWERS}</td><td>the end of the grace</td><td>what was accepted last had
- *     {@link #LAST_ACCEPTED_READ_MICROS} to be read, and every request is answered</td></tr>
- * <tr><td>{@code ANSWER_ALL}</td><td>the same, if the drain was made immediate</td>
- *     <td>every request is answered</td></tr>
+ * <tr><td>{@code ACCEPT}</td><td>the signal</td><td>the end of the grace: clients learn late that the server drains,
+ *     so requests that they send within the grace are served</td></tr>
+ * <tr><td>{@code AWAIT_ANSWERS}</td><td>the end of the grace</td><td>{@link #LAST_ACCEPTED_READ_MICROS} after the end
+ *     of the grace, and until every request is answered</td></tr>
+ * <tr><td>{@code ANSWER_ALL}</td><td>{@link #LAST_ACCEPTED_READ_MICROS} after the end of the grace, if the drain was
+ *     made immediate</td><td>every request is answered</td></tr>
  * <tr><td>{@code CLOSE_ALL_ANSWERED}</td><td>every request is answered</td><td>-</td></tr>
- * <tr><td>{@code CLOSE_TIMED_OUT}</td><td>{@link #CLOSE_MARGIN_MICROS} before the stop, whatever is open</td>
- *     <td>-</td></tr>
+ * <tr><td>{@code CLOSE_TIMED_OUT}</td><td>{@link #CLOSE_MARGIN_MICROS} before the stop, even with requests
+ *     unanswered</td><td>-</td></tr>
  * </table>
  *
- * <p>It reads no clock; times are Unix microseconds. One thread calls it.
+ * <p>The class reads no clock; times are Unix microseconds. Must be called from one thread.
  */
 public final class DrainDeadlines {
-    /** The process closes its connections this long before it would be killed. */
+    /** The process starts to close its connections this long before it would be killed. */
     public static final long CLOSE_MARGIN_MICROS = 120_000;
-    /** A connection that was accepted just before the listeners closed gets this long to be read. */
+    /** The time to read a connection that was accepted just before the listeners closed. */
     public static final long LAST_ACCEPTED_READ_MICROS = 150_000;
     /** The last connections are aborted this long before the process would be killed. */
     public static final long CONNECTION_ABORT_MARGIN_MICROS = 50_000;
-    /** A caller that has all its answers gets this long to close its side as well. */
+    /** The time for a client that has received all its answers to close its side of the connection. */
     public static final long LINGER_MICROS = 500_000;
 
-    /** What a drain does now; the table of the class says when. */
+    /** The steps of a drain; the table of the class gives their times. */
     public enum Step {
-        /** New connections and requests are taken. */
+        /** New connections and requests are accepted. */
         ACCEPT,
-        /** The listeners are closed; requests that were sent are answered. */
+        /** The listeners are closed; requests that clients have sent are answered. */
         AWAIT_ANSWERS,
         /** Every unanswered request is answered: rejected if it has not started, failed if it has. */
         ANSWER_ALL,
-        /** The drain ends, and nothing is open. */
+        /** The drain ends with every request answered. */
         CLOSE_ALL_ANSWERED,
-        /** The drain ends, whatever is open. */
+        /** The drain ends at its time limit, even with requests unanswered. */
         CLOSE_TIMED_OUT
     }
 
@@ -51,13 +51,13 @@
     private boolean immediate;
 
     /**
-     * The deadlines of a drain.
+     * Computes the deadlines of a drain.
      *
-     * @param signalledAtMicros when the signal came
+     * @param signalledAtMicros when the signal arrived
      * @param stopTimeoutMicros how long after the signal the process is killed
-     * @param graceMicros how long callers may send requests that are still served
-     * @param listed whether callers can know this server: one whose kernel was never ready is on no list, so it does
-     *     not wait for the grace
+     * @param graceMicros how long after the signal clients may send requests that are still served
+     * @param listed whether clients can know this server. A server whose kernel was never ready is on no list, so its
+     *     drain skips the grace.
      */
     public DrainDeadlines(long signalledAtMicros, long stopTimeoutMicros, long graceMicros, boolean listed) {
         this.signalledAtMicros = signalledAtMicros;
@@ -67,15 +67,15 @@
         acceptUntilMicros = listed ? endOfGrace(graceMicros) : signalledAtMicros;
     }
 
-    /** A short stop timeout shortens the grace, so that time to answer is left. */
+    /** Returns the end of the grace. A short stop timeout shortens the grace to leave time for the answers. */
     private long endOfGrace(long graceMicros) {
         long latestMicros = closeAtMicros - 2 * CLOSE_MARGIN_MICROS;
         return Math.max(signalledAtMicros, Math.min(signalledAtMicros + graceMicros, latestMicros));
     }
 
     /**
-     * Ends the grace now; what is unanswered after the last accepted connections were read is answered. Calls after
-     * the first change nothing.
+     * Ends the grace now. Requests that are still unanswered {@link #LAST_ACCEPTED_READ_MICROS} later are answered
+     * immediately. Further calls have no effect.
      */
     public void answerImmediately(long nowMicros) {
         if (!immediate) {
@@ -88,7 +88,7 @@
         return immediate;
     }
 
-    /** The step now, with so many requests that are not answered. */
+    /** Returns the step at a time, given the number of unanswered requests. */
     public Step step(long nowMicros, int unanswered) {
         if (nowMicros >= closeAtMicros) {
             return Step.CLOSE_TIMED_OUT;
@@ -106,15 +106,15 @@
     }
 
     /**
-     * Whether connections whose closing began at {@code closingAtMicros} may wait for their callers: for bytes that
-     * are not written until the abort deadline, for the caller's own close for {@link #LINGER_MICROS}.
+     * Returns whether connections that started to close at {@code closingAtMicros} may stay open. With unwritten bytes
+     * they may until the abort deadline, otherwise for {@link #LINGER_MICROS}, for the client to close its side.
      */
     public boolean mayLinger(long nowMicros, long closingAtMicros, long pendingBytes) {
         return nowMicros < abortConnectionsAtMicros
                 && (pendingBytes > 0 || nowMicros < closingAtMicros + LINGER_MICROS);
     }
 
-    /** The time since the signal. */
+    /** Returns the time since the signal. */
     public long elapsedMicros(long nowMicros) {
         return nowMicros - signalledAtMicros;
     }
--- a/server/src/main/java/wheatspread/lifecycle/Lifecycle.java
+++ b/server/src/main/java/wheatspread/lifecycle/Lifecycle.java
@@ -4,39 +4,40 @@
 import java.util.Map;
 
 /**
- * The states of a server process. Which event leads from which phase to which stands in one table; an event without
- * an entry for the current phase is a fault of the program, and thrown.
+ * The state machine of a server process. One table holds all transitions; an event without an entry for the current
+ * phase is a programming error and throws {@link IllegalStateException}.
  *
  * <table>
- * <caption>Phases, and the events by which a process leaves them</caption>
- * <tr><th>phase</th><th>what the process does</th><th>left by</th></tr>
- * <tr><td>{@code NEW}</td><td>exists</td>
+ * <caption>Phases, and the events that end them</caption>
+ * <tr><th>phase</th><th>activity of the process</th><th>transitions</th></tr>
+ * <tr><td>{@code NEW}</td><td>has not started</td>
  *     <td>{@code START} to {@code WARMING_UP}; a drain signal to {@code STOPPED}</td></tr>
- * <tr><td>{@code WARMING_UP}</td><td>warms up the JVM; nothing listens</td>
+ * <tr><td>{@code WARMING_UP}</td><td>warms up the JVM, with no listener open</td>
  *     <td>{@code WARMED_UP} to {@code BINDING}; a drain signal to {@code STOPPED}</td></tr>
  * <tr><td>{@code BINDING}</td><td>binds the listeners and connects to the kernel</td>
  *     <td>{@code BOUND} to {@code AWAITING_KERNEL}, or to {@code SERVING} if the kernel is ready already;
  *     {@code BIND_FAILED} to {@code STOPPED}; a drain signal to {@code CANCELLING_START}</td></tr>
- * <tr><td>{@code CANCELLING_START}</td><td>binds on, since a listener may have accepted connections already</td>
+ * <tr><td>{@code CANCELLING_START}</td><td>continues to bind, since a listener may have accepted connections</td>
  *     <td>{@code BOUND} to {@code DRAINING}; {@code BIND_FAILED} to {@code STOPPED}</td></tr>
- * <tr><td>{@code AWAITING_KERNEL}</td><td>listens, and rejects requests for want of a kernel</td>
+ * <tr><td>{@code AWAITING_KERNEL}</td><td>listens, and rejects requests because the kernel is not ready</td>
  *     <td>{@code KERNEL_READY} to {@code SERVING}; {@code KERNEL_TIMED_OUT} or a drain signal to
  *     {@code DRAINING}</td></tr>
- * <tr><td>{@code SERVING}</td><td>takes requests</td><td>a drain signal to {@code DRAINING}</td></tr>
- * <tr><td>{@code DRAINING}</td><td>answers what was sent to it</td>
+ * <tr><td>{@code SERVING}</td><td>serves requests</td><td>a drain signal to {@code DRAINING}</td></tr>
+ * <tr><td>{@code DRAINING}</td><td>answers the requests that clients have sent</td>
  *     <td>{@code ALL_ANSWERED} or {@code DRAIN_TIMED_OUT} to {@code CLOSING}</td></tr>
  * <tr><td>{@code CLOSING}</td><td>closes its connections</td><td>{@code CLOSED} to {@code STOPPED}</td></tr>
  * <tr><td>{@code STOPPED}</td><td>may exit</td><td>-</td></tr>
  * </table>
  *
  * <p>The drain signals are {@code DRAIN} (SIGTERM, or a first SIGINT) and {@code DRAIN_IMMEDIATELY} (a second
- * SIGINT). They and
- * {@code RELOAD} (SIGHUP) are allowed in every phase; where the table names no successor, the phase stays as it is.
+ * SIGINT). They and {@code RELOAD} (SIGHUP) are allowed in every phase; if the table names no successor, the phase
+ * does not change.
  *
- * <p>It does no I/O and reads no clock. One thread calls {@link #handle}; any thread may read the phase.
+ * <p>The class does no I/O and reads no clock. {@link #handle} must be called from one thread; any thread may read
+ * the phase.
  */
 public final class Lifecycle {
-    /** The phases, in the order in which they follow each other: no event leads back. */
+    /** The phases in order; no event leads to an earlier phase. */
     public enum Phase {
         NEW("NEW"),
         WARMING_UP("REHEARSING"),
@@ -54,32 +55,32 @@
             this.storedName = storedName;
         }
 
-        /** The name in the log and in the answer to {@code stats}. It stays when the constant is renamed. */
+        /** Returns the name in the log and in the answer to {@code stats}, which a rename must not change. */
         public String storedName() {
             return storedName;
         }
     }
 
-    /** What can happen to a process. */
+    /** The events that can occur in a process. */
     public enum Event {
         START("START"),
         WARMED_UP("REHEARSED"),
         BOUND("BOUND"),
         BIND_FAILED("BIND_FAILED"),
         KERNEL_READY("KERNEL_UP"),
-        /** The kernel was not ready in the time that the operator allows. */
+        /** The kernel was not ready within the time that the operator allows. */
         KERNEL_TIMED_OUT("KERNEL_GIVEN_UP"),
-        /** SIGTERM, or a first SIGINT: the process is to drain. */
+        /** SIGTERM or a first SIGINT starts the drain. */
         DRAIN("NOTICE"),
-        /** A second SIGINT: the drain is not to wait for further requests. */
+        /** A second SIGINT ends the wait of the drain for further requests. */
         DRAIN_IMMEDIATELY("HURRY"),
-        /** SIGHUP: the configuration is to be read again. */
+        /** SIGHUP requests a reload of the configuration. */
         RELOAD("RELOAD"),
-        /** The drain has ended since every request is answered. */
+        /** The drain has ended because every request is answered. */
         ALL_ANSWERED("EMPTY"),
-        /** The drain has ended since its time is over. */
+        /** The drain has ended because its time limit was reached. */
         DRAIN_TIMED_OUT("TIME_UP"),
-        /** The last connection is closed. */
+        /** The last connection has closed. */
         CLOSED("CLOSED");
 
         private final String storedName;
@@ -88,7 +89,7 @@
             this.storedName = storedName;
         }
 
-        /** The name in the log. It stays when the constant is renamed. */
+        /** Returns the name in the log, which a rename must not change. */
         public String storedName() {
             return storedName;
         }
@@ -96,13 +97,13 @@
 
     /** EX_OK of sysexits.h. */
     public static final int EXIT_OK = 0;
-    /** EX_UNAVAILABLE of sysexits.h: an address could not be bound, or the kernel was not ready in time. */
+    /** EX_UNAVAILABLE of sysexits.h: a listener could not be bound, or the kernel was not ready in time. */
     public static final int EXIT_UNAVAILABLE = 69;
 
-    /** Is called on every change of phase, by the thread that calls {@link #handle}. */
+    /** Receives every change of phase, on the thread that calls {@link #handle}. */
     public interface Listener {
-        /** The process has entered the phase {@code to}. */
-        void phaseEntered(Phase from, Phase to, Event by);
+        /** The process has entered the phase {@code to} because of the event {@code cause}. */
+        void phaseEntered(Phase from, Phase to, Event cause);
     }
 
     private static final Map<Phase, Map<Event, Phase>> TRANSITIONS = transitions();
@@ -112,7 +113,7 @@
     private volatile int exitCode = EXIT_OK;
     private boolean kernelWasReady;
 
-    /** A process in phase {@code NEW}. */
+    /** Creates the state of a process in phase {@code NEW}. */
     public Lifecycle(Listener listener) {
         this.listener = listener;
     }
@@ -133,7 +134,7 @@
         table.get(Phase.DRAINING).put(Event.ALL_ANSWERED, Phase.CLOSING);
         table.get(Phase.DRAINING).put(Event.DRAIN_TIMED_OUT, Phase.CLOSING);
         table.get(Phase.CLOSING).put(Event.CLOSED, Phase.STOPPED);
-        // a start that was stopped while the warm-up still ran
+        // a drain signal may stop the process while the warm-up is still running
         table.get(Phase.STOPPED).put(Event.WARMED_UP, Phase.STOPPED);
         for (Phase phase : Phase.values()) {
             table.get(phase).put(Event.DRAIN, afterDrainSignal(phase));
@@ -149,7 +150,7 @@
         return table;
     }
 
-    /** Before anything listens there is nothing to drain; a repeated signal changes nothing. */
+    /** Returns the phase after a drain signal. Without listeners no drain is needed; later signals change nothing. */
     private static Phase afterDrainSignal(Phase phase) {
         return switch (phase) {
             case NEW, WARMING_UP -> Phase.STOPPED;
@@ -159,32 +160,32 @@
         };
     }
 
-    /** The phase to which an event leads; null where it cannot happen. */
+    /** Returns the phase that follows an event; null if the event cannot occur in the phase {@code from}. */
     public static Phase next(Phase from, Event event) {
         return TRANSITIONS.get(from).get(event);
     }
 
-    /** Any thread may call. */
+    /** Returns the current phase. Thread-safe. */
     public Phase phase() {
         return phase;
     }
 
-    /** The exit code of the process once it has stopped. Any thread may call. */
+    /** Returns the exit code of the process, valid once it has stopped. Thread-safe. */
     public int exitCode() {
         return exitCode;
     }
 
-    /** Whether the process drains or is past that. Any thread may call. */
+    /** Returns whether the process cancels its start, drains, closes or has stopped. Thread-safe. */
     public boolean isStopping() {
         return phase == Phase.CANCELLING_START || phase.compareTo(Phase.DRAINING) >= 0;
     }
 
-    /** Whether the kernel was ready at any time; before that no request can have run. */
+    /** Returns whether the kernel was ever ready; before that no request can have run. */
     public boolean kernelWasReady() {
         return kernelWasReady;
     }
 
-    /** Takes the transition of an event, and returns whether the phase changed. One thread calls. */
+    /** Applies the transition of an event and returns whether the phase changed. Must be called from one thread. */
     public boolean handle(Event event) {
         Phase from = phase;
         Phase to = next(from, event);
--- a/server/src/main/java/wheatspread/lifecycle/package-info.java
+++ b/server/src/main/java/wheatspread/lifecycle/package-info.java
@@ -1,12 +1,11 @@
 /**
  * The phases of a server process, and the time limits of its drain.
  *
- * <p>Job: {@link wheatspread.lifecycle.Lifecycle} says which event leads from which phase to which, and
- * {@link wheatspread.lifecycle.DrainDeadlines} what a drain does at which time.
+ * <p>{@link wheatspread.lifecycle.Lifecycle} defines the transitions between phases, and
+ * {@link wheatspread.lifecycle.DrainDeadlines} the times of the steps of a drain. The package owns the current phase
+ * and the exit code.
  *
- * <p>Owns: the current phase and the exit code.
- *
- * <p>Must not know: clocks, sockets, signals, files, or anything else of the program. Every call gets the time;
- * {@code wheatspread.daemon} carries out what follows.
+ * <p>The package must not depend on clocks, sockets, signals, files or any other package of the server. Callers pass
+ * the time as an argument, and {@code wheatspread.daemon} acts on the phases and steps.
  */
 package wheatspread.lifecycle;
--- a/server/src/test/java/wheatspread/lifecycle/LifecycleTest.java
+++ b/server/src/test/java/wheatspread/lifecycle/LifecycleTest.java
@@ -18,7 +18,7 @@
     private final List<String> enteredPhases = new ArrayList<>();
     private final Lifecycle lifecycle = new Lifecycle((from, to, by) -> enteredPhases.add(to.storedName()));
 
-    /** The names in the log and in the answer of {@code stats}; they never change. */
+    /** The names appear in the log and in the answer to {@code stats}, and must not change. */
     @Test
     void phasesAndEventsKeepTheirStoredNames() {
         assertThat(Stream.of(Phase.values()).map(Phase::storedName))
@@ -48,12 +48,9 @@
                         "CLOSED");
     }
 
-    /**
-     * Every phase against every event: a signal may come in any of them, and leads nowhere but towards the
-     * end.
-     */
+    /** Guards against a signal that is not handled in some phase, and against an event that restarts a process. */
     @Test
-    void signalsAreAllowedInEveryPhaseAndNoEventLeadsBack() {
+    void signalsAreAllowedInEveryPhaseAndNoEventLeadsToAnEarlierPhase() {
         for (Phase phase : Phase.values()) {
             for (Event signal : Set.of(Event.DRAIN, Event.DRAIN_IMMEDIATELY, Event.RELOAD)) {
                 Phase next = Lifecycle.next(phase, signal);
@@ -69,10 +66,10 @@
         }
     }
 
-    /** From every phase that can be reached, a drain signal leads to the end by events that can happen there. */
+    /** Follows every event that can occur after a drain signal, starting in each phase. */
     @Test
     void fromEveryPhaseADrainSignalLeadsToStoppedAndNeverToServing() {
-        Map<Phase, Set<Phase>> onward = new EnumMap<>(Phase.class);
+        Map<Phase, Set<Phase>> successors = new EnumMap<>(Phase.class);
         for (Phase phase : Phase.values()) {
             Set<Phase> reached = EnumSet.noneOf(Phase.class);
             for (Event event : Event.values()) {
@@ -80,24 +77,24 @@
                     reached.add(Lifecycle.next(phase, event));
                 }
             }
-            onward.put(phase, reached);
+            successors.put(phase, reached);
         }
         for (Phase phase : Phase.values()) {
             Set<Phase> seen = EnumSet.of(Lifecycle.next(phase, Event.DRAIN));
             for (int i = 0; i < Phase.values().length; i++) {
-                for (Phase one : EnumSet.copyOf(seen)) {
-                    seen.addAll(onward.get(one));
+                for (Phase seenPhase : EnumSet.copyOf(seen)) {
+                    seen.addAll(successors.get(seenPhase));
                 }
             }
             assertThat(seen)
-                    .as("after the notice in %s", phase)
+                    .as("after a drain signal in %s", phase)
                     .contains(Phase.STOPPED)
                     .doesNotContain(Phase.SERVING);
         }
     }
 
     @Test
-    void kernelThatIsReadyBeforeTheListenersSkipsTheWaitForIt() {
+    void servesOnceBoundIfTheKernelIsReadyBefore() {
         for (Event event : List.of(Event.START, Event.WARMED_UP, Event.KERNEL_READY, Event.BOUND, Event.RELOAD)) {
             lifecycle.handle(event);
         }
@@ -115,7 +112,7 @@
     }
 
     @Test
-    void failedBindAndKernelTimeoutExitAsUnavailable() {
+    void exitsAsUnavailableAfterFailedBindOrKernelTimeout() {
         lifecycle.handle(Event.START);
         lifecycle.handle(Event.WARMED_UP);
         lifecycle.handle(Event.DRAIN);
@@ -132,15 +129,15 @@
     }
 
     @Test
-    void drainAcceptsForTheGraceThenAwaitsAnswersAndClosesBeforeTheStop() {
+    void drainAcceptsDuringTheGraceThenAwaitsAnswersAndClosesBeforeTheStop() {
         DrainDeadlines drain = new DrainDeadlines(0, 4_000_000, 2_500_000, true);
         assertThat(drain.step(2_499_999, 0)).isEqualTo(DrainDeadlines.Step.ACCEPT);
-        assertThat(drain.step(2_500_000, 0)).isEqualTo(DrainDeadlines.Step.AWAIT_ANSWERS); // what was just accepted
+        assertThat(drain.step(2_500_000, 0)).isEqualTo(DrainDeadlines.Step.AWAIT_ANSWERS); // reads the last connections
         assertThat(drain.step(2_650_000, 1)).isEqualTo(DrainDeadlines.Step.AWAIT_ANSWERS);
         assertThat(drain.step(2_650_000, 0)).isEqualTo(DrainDeadlines.Step.CLOSE_ALL_ANSWERED);
         assertThat(drain.step(3_880_000, 1)).isEqualTo(DrainDeadlines.Step.CLOSE_TIMED_OUT);
         assertThat(new DrainDeadlines(0, 1_000_000, 2_500_000, true).step(640_000, 0))
-                .isEqualTo(DrainDeadlines.Step.AWAIT_ANSWERS); // a short stop leaves time to answer
+                .isEqualTo(DrainDeadlines.Step.AWAIT_ANSWERS); // a short stop timeout shortens the grace
         assertThat(new DrainDeadlines(0, 4_000_000, 2_500_000, false).step(150_000, 0))
                 .isEqualTo(DrainDeadlines.Step.CLOSE_ALL_ANSWERED);
         drain = new DrainDeadlines(0, 4_000_000, 2_500_000, true);
