--- a/server/src/main/java/wheatspread/handover/SharedIdempotencyClaims.java
+++ b/server/src/main/java/wheatspread/handover/SharedIdempotencyClaims.java
@@ -15,15 +15,15 @@
 import wheatspread.logging.EventLog;
 
 /**
- * Claims as files in a folder that the processes of one server share ({@code $TMPDIR} on the platform): one small
- * file for each key, made with create-new, which the file system grants to one process alone. Its name is a hash of
- * the key, its content one line with the id of the process and the arrival time of the attempt that ran, in Unix
- * microseconds. Processes of other releases read these files, so name and content stay as they are. A file is
- * deleted by the process that made it once the idempotency window is over.
+ * Stores claims as files in a folder that the processes of one server share ({@code $TMPDIR} on the platform). Each
+ * key has a small file, opened with {@code CREATE_NEW}, which succeeds for one process only. The name of the file is
+ * a hash of the key. Its content is one line with the id of the process and the arrival time of the attempt that ran,
+ * in Unix microseconds. Processes of other releases read these files, so their names and content must not change. The
+ * process that created a file deletes it once the idempotency window has ended.
  *
- * <p>The files are tiny and the folder is in memory, so the event loop's thread writes them itself; a claim takes
- * about 20 us. If the folder cannot be written, every claim is granted and that is logged once: the process then
- * serves as it would alone. Not safe for use by several threads.
+ * <p>The files are tiny and the folder is in memory, so the event loop's thread writes them; a claim takes about
+ * 20 us. If the folder cannot be written, every claim is granted, as for a server that is a single process, and the
+ * first failure is logged. Not thread-safe.
  */
 public final class SharedIdempotencyClaims implements IdempotencyClaims {
     private static final int FILE_NAME_HASH_BYTES = 16;
@@ -39,14 +39,14 @@
 
     private record OwnClaim(Path file, long windowEndMicros) {}
 
-    /** The content of a claim's file. */
+    /** The content of a claim file. */
     private record StoredClaim(String processId, String arrival) {
         long arrivalMicros() {
             return Long.parseLong(arrival);
         }
     }
 
-    /** Claims keys in {@code folder}, which is made if need be, under the id of this process. */
+    /** Creates claims of the process {@code processId} in {@code folder}, which is created if it does not exist. */
     public SharedIdempotencyClaims(Path folder, long processId, EventLog log) throws IOException {
         this.folder = Files.createDirectories(folder);
         this.processId = Long.toString(processId);
@@ -86,7 +86,7 @@
             if (heldByOther) {
                 return false;
             }
-            Files.write(file, content); // it has expired or is this process's own: the new arrival replaces it
+            Files.write(file, content); // the stored claim has expired or is this process's own
         }
         return true;
     }
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Reads a claim; null if the file was deleted, or holds no complete claim. */
+    /** Reads a claim. Returns null if the file was deleted or does not contain a complete claim. */
     private static StoredClaim read(Path file) throws IOException {
         try {
             String line = Files.readString(file, StandardCharsets.US_ASCII).strip();
@@ -112,7 +112,7 @@
 
     /**
      * Deletes the claims of this process whose window ended before {@code nowMicros}. A file that another process
-     * has claimed since is that process's own, and stays.
+     * has claimed in the meantime belongs to that process and is kept.
      */
     private void deleteExpired(long nowMicros) {
         while (!ownClaims.isEmpty() && ownClaims.peekFirst().windowEndMicros() < nowMicros) {
@@ -123,18 +123,18 @@
                     Files.deleteIfExists(file);
                 }
             } catch (IOException e) {
-                return; // the file stays; its window is over, so it forbids nothing
+                return; // the file remains, but its window has ended, so it prevents no claim
             }
         }
     }
 
-    /** The hash of a key that a client chose, so that no text of a client becomes a path. */
+    /** Returns a hash of the key, since clients choose keys and a client's text must not become a path. */
     private String fileNameOf(String key) {
         byte[] hash = digest.digest(key.getBytes(StandardCharsets.UTF_8));
         return HexFormat.of().formatHex(hash, 0, FILE_NAME_HASH_BYTES);
     }
 
-    /** How many claims of this process wait to be deleted. */
+    /** Returns the number of claims of this process that are not deleted yet. */
     public int size() {
         return ownClaims.size();
     }
--- a/server/src/main/java/wheatspread/handover/package-info.java
+++ b/server/src/main/java/wheatspread/handover/package-info.java
@@ -1,6 +1,7 @@
 /**
- * State that two processes of one server share while one takes over from the other during an upgrade: the claims on
- * idempotency keys. The package owns the files of the shared folder and their format, which processes of other
- * releases read. It must not know how a process is started or replaced, any wire, or when a claim is asked for.
+ * State that two processes of one server share during an upgrade, while the new process takes over from the old
+ * process: the claims on idempotency keys. The package owns the files of the shared folder and their format, which
+ * processes of other releases read. It must not depend on how processes are started or replaced, on a wire protocol,
+ * or on when keys are claimed.
  */
 package wheatspread.handover;
--- a/server/src/test/java/wheatspread/handover/SharedIdempotencyClaimsTest.java
+++ b/server/src/test/java/wheatspread/handover/SharedIdempotencyClaimsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import wheatspread.logging.EventLog;
 
-/** Two processes of one server, as during an upgrade: a key that one ran the other does not run again. */
+/** Guards against a second run of a key in the other process of a server during an upgrade. */
 class SharedIdempotencyClaimsTest {
     private static final long WINDOW_MICROS = 5_000_000;
 
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void deletesItsOwnClaimsOnceTheirWindowIsOver() throws IOException {
+    void deletesItsOwnClaimsAfterTheirWindow() throws IOException {
         SharedIdempotencyClaims claims = new SharedIdempotencyClaims(folder, 7, EventLog.lines(line -> {}));
         for (int i = 0; i < 100; i++) {
             assertThat(claims.claim("u 0 key-" + i, 1_000_000 + i, WINDOW_MICROS))
--- a/server/src/test/java/wheatspread/handover/StoredClaimsCompatibilityTest.java
+++ b/server/src/test/java/wheatspread/handover/StoredClaimsCompatibilityTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import wheatspread.logging.EventLog;
 
-/** Claims written by an earlier release; its README says how the files were made. */
+/** Tests claims written by an earlier release; the README of the test resources describes how to create them. */
 class StoredClaimsCompatibilityTest {
     private static final Path STORED = Path.of("src/test/resources/compatibility/handover/claims");
     private static final long FIRST_ARRIVAL_MICROS = 1_700_000_000_000_000L;
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void grantsKeysThatTheEarlierReleaseClaimedOnceTheirWindowIsOver() throws IOException {
+    void grantsKeysThatTheEarlierReleaseClaimedAfterTheirWindow() throws IOException {
         SharedIdempotencyClaims claims = claims(folder, OTHER_PROCESS_ID);
         long arrivalMicros = FIRST_ARRIVAL_MICROS + WINDOW_MICROS + 1;
         assertThat(claims.claim("u 5c0f", arrivalMicros, WINDOW_MICROS)).isTrue();
@@ -79,11 +79,11 @@
     }
 
     @Test
-    void writesTheFilesThatTheEarlierReleaseReads(@TempDir Path empty) throws IOException {
-        SharedIdempotencyClaims claims = claims(empty, STORED_PROCESS_ID);
+    void writesTheFilesThatTheEarlierReleaseReads(@TempDir Path emptyFolder) throws IOException {
+        SharedIdempotencyClaims claims = claims(emptyFolder, STORED_PROCESS_ID);
         claims.claim("u 5c0f", FIRST_ARRIVAL_MICROS, WINDOW_MICROS);
         claims.claim("u Žemaitija 小麦", SECOND_ARRIVAL_MICROS, WINDOW_MICROS);
         claims.claim("u renewed", RENEWED_ARRIVAL_MICROS, WINDOW_MICROS);
-        assertThat(contents(empty)).isEqualTo(contents(STORED)).hasSize(3);
+        assertThat(contents(emptyFolder)).isEqualTo(contents(STORED)).hasSize(3);
     }
 }
