--- a/server/src/main/java/wheatspread/timers/TimerWheel.java
+++ b/server/src/main/java/wheatspread/timers/TimerWheel.java
@@ -2,71 +2,71 @@
 
 /**
  * A hierarchical timing wheel (G. Varghese and A. Lauck, "Hashed and Hierarchical Timing Wheels", SOSP 1987,
- * scheme 7): setting, moving and cancelling a timer take constant time, however many there are. Times are
- * microseconds of a clock that never goes back; the wheel reads none itself. A timer expires at the end of its tick
- * of 1,024 us, so up to that much late and never early.
+ * scheme 7). Setting, moving and cancelling a timer take constant time, regardless of the number of timers. Times are
+ * in microseconds of a monotonic clock; the wheel does not read a clock. A timer expires at the end of its tick of
+ * 1,024 us, so it is late by less than a tick and never early.
  *
- * <p>Unlike a wheel that is polled at every tick, this one says when it must next be advanced, so that an idle
- * process sleeps. Timers belong to their owners and are linked into the wheel's lists while they are set, so that
- * setting one allocates nothing. Not safe for use by several threads.
+ * <p>The wheel need not be polled at every tick: it computes when it must next be advanced, so that an idle process
+ * can sleep. Timers belong to their owners and are linked into the wheel's lists while they are set, so that setting
+ * a timer does not allocate. Not thread-safe.
  */
 public final class TimerWheel {
-    /** A tick is 2 to this power of microseconds. */
+    /** The binary logarithm of the length of a tick in microseconds. */
     private static final int TICK_BITS = 10;
     /**
-     * Each level has 2 to this power of slots. A slot of the first level is one tick wide; a slot of any other level
-     * is as wide as the whole level below.
+     * The binary logarithm of the number of slots of each level. A slot of the first level is one tick wide; a slot of
+     * any other level is as wide as the whole level below.
      */
     private static final int[] SLOT_BITS = {8, 6, 6, 6};
 
-    /** A slot of each level is 2 to this power of ticks wide. */
+    /** The binary logarithm of the width in ticks of a slot of each level. */
     private static final int[] SLOT_WIDTH_BITS = {0, 8, 14, 20};
-    /** Timers further ahead, some 18 hours, wait in the farthest slot and are placed again from there. */
+    /** Timers further ahead, about 18 hours, are put in the farthest slot and placed again when it is emptied. */
     private static final long MAX_TICKS_AHEAD = (1L << 26) - 1;
 
-    /** The slot of a timer that has expired and is still to be called. */
+    /** The slot of a timer that has expired and whose {@link Timer#onExpiry} has not been called yet. */
     private static final int EXPIRED = -1;
     /** The slot of a timer that is not set. */
     private static final int UNSET = -2;
 
-    /** Expires once each time it is set. Its owner may cancel or move it, and set it again after it expired. */
+    /** A timer, which expires once each time it is set. Its owner may cancel or move it, and set it again later. */
     public abstract static class Timer {
         private Timer previous;
         private Timer next;
         private long deadlineMicros;
         private int slot = UNSET;
 
-        /** Called by {@link #expire} when its deadline has passed; it is not set any more. */
+        /** Called by {@link #expire} after the deadline has passed. The timer is then no longer set. */
         protected abstract void onExpiry();
 
-        /** Whether it is set and has not been called since. */
+        /** Returns whether the timer is set and {@link #onExpiry} has not been called since. */
         public boolean isSet() {
             return slot != UNSET;
         }
     }
 
-    /** The head of a list. */
+    /** The head of a circular list of timers. */
     private static final class Sentinel extends Timer {
         @Override
         protected void onExpiry() {
-            throw new IllegalStateException("a sentinel never expires");
+            throw new IllegalStateException("sentinel of a timer list called as a timer; its slot list is corrupt");
         }
     }
 
-    /** The timers of each slot, as circular lists with a sentinel; the levels stand one after another. */
+    /** The timers of each slot, level by level, as circular lists with a sentinel; null for a slot never used. */
     private final Timer[] slots;
     /** The index in {@link #slots} of each level's first slot. */
     private final int[] firstSlot = new int[SLOT_BITS.length];
-    /** For each level, a bit set of the slots that hold timers. */
+    /** A bit set of the non-empty slots of each level. */
     private final long[][] occupied = new long[SLOT_BITS.length][];
-    /** The timers that have expired and are still to be called. */
+    /** The timers that have expired and whose {@link Timer#onExpiry} has not been called yet. */
     private final Timer expired = sentinel();
-    /** The tick up to which timers were taken out of their slots. */
+    /** The tick up to which expired timers have been removed from their slots. */
     private long currentTick;
 
     private int size;
 
-    /** Starts at the time {@code nowMicros}. */
+    /** Creates an empty wheel whose time is {@code nowMicros}. */
     public TimerWheel(long nowMicros) {
         int count = 0;
         for (int level = 0; level < SLOT_BITS.length; level++) {
@@ -85,15 +85,14 @@
         return list;
     }
 
-    /** How many timers are set. */
+    /** Returns the number of timers that are set. */
     public int size() {
         return size;
     }
 
     /**
-     * Sets a timer, or moves one that is set, to expire at that time. One that moves to a later time stays
-     * in its slot and is placed again when its old time comes: a deadline that is extended on every use
-     * costs one store.
+     * Sets a timer to expire at {@code deadlineMicros}, or moves it there if it is set. A timer that moves to a later
+     * time stays in its slot and is placed again at its old deadline, so extending a deadline costs a single store.
      */
     public void set(Timer timer, long deadlineMicros) {
         if (timer.slot >= 0 && deadlineMicros >= timer.deadlineMicros) {
@@ -106,7 +105,7 @@
         place(timer);
     }
 
-    /** Cancels a timer; has no effect on one that is not set. */
+    /** Cancels a timer; has no effect if the timer is not set. */
     public void cancel(Timer timer) {
         if (timer.slot != UNSET) {
             unlink(timer);
@@ -115,7 +114,7 @@
         }
     }
 
-    /** The tick at whose end a timer expires: rounded up, so that none expires early. */
+    /** Returns the tick at which a timer expires, rounded up so that the timer does not expire early. */
     private static long tickOf(long deadlineMicros) {
         return deadlineMicros + (1 << TICK_BITS) - 1 >> TICK_BITS;
     }
@@ -173,8 +172,9 @@
     }
 
     /**
-     * Advances to {@code nowMicros} and calls the timers that have expired, at most {@code maxTimers} of them, in the
-     * order of their ticks. What is left is called next time. Returns how many were called.
+     * Advances to {@code nowMicros} and calls the expired timers in the order of their ticks, at most
+     * {@code maxTimers} of them. The next call continues with the remaining timers. Returns the number of timers
+     * called.
      */
     public int expire(long nowMicros, int maxTimers) {
         advance(nowMicros >> TICK_BITS);
@@ -188,14 +188,14 @@
         return called;
     }
 
-    /** Whether the last {@link #expire} left expired timers over. */
+    /** Returns whether expired timers remain after the last {@link #expire}. */
     public boolean hasExpiredTimers() {
         return expired.next != expired;
     }
 
     private void advance(long targetTick) {
         while (currentTick < targetTick) {
-            currentTick = Math.min(targetTick, nextStop());
+            currentTick = Math.min(targetTick, nextTickToProcess());
             int index = (int) currentTick & (1 << SLOT_BITS[0]) - 1;
             if (index == 0) {
                 cascade(1);
@@ -204,15 +204,15 @@
         }
     }
 
-    /** The next tick whose slot in the first level is occupied, or at which a slot of the next level is emptied. */
-    private long nextStop() {
+    /** Returns the next tick with timers in the first level, or at which a slot of the next level is emptied. */
+    private long nextTickToProcess() {
         int slotCount = 1 << SLOT_BITS[0];
         long wrap = (currentTick | slotCount - 1) + 1;
         int step = distance(0, (int) currentTick & slotCount - 1);
         return step == 0 ? wrap : Math.min(currentTick + step, wrap);
     }
 
-    /** Moves the timers of the current slot of a level to the levels below. */
+    /** Moves the timers of a level's current slot to the levels below, after doing so for the levels above. */
     private void cascade(int level) {
         int index = (int) (currentTick >> SLOT_WIDTH_BITS[level]) & (1 << SLOT_BITS[level]) - 1;
         if (index == 0 && level + 1 < SLOT_BITS.length) {
@@ -221,7 +221,7 @@
         emptySlot(level, index);
     }
 
-    /** Empties a slot: timers that have expired are queued for their call, the others are placed again. */
+    /** Empties a slot: expired timers are added to {@link #expired}, the others are placed again. */
     private void emptySlot(int level, int index) {
         Timer list = slots[firstSlot[level] + index];
         if ((occupied[level][index >> 6] & 1L << index) == 0) {
@@ -239,8 +239,8 @@
     }
 
     /**
-     * When {@link #expire} must next be called, in microseconds: at once if a timer has expired, and
-     * {@link Long#MAX_VALUE} if none is set. It may be before the first timer expires, never after.
+     * Returns when {@link #expire} must next be called, in microseconds: a time already reached if expired timers
+     * remain, and {@link Long#MAX_VALUE} if no timer is set. The time may precede the first expiry, but is never later.
      */
     public long nextAdvanceMicros() {
         if (hasExpiredTimers()) {
@@ -258,19 +258,19 @@
         return earliestMicros;
     }
 
-    /** How many slots after an index the next occupied one comes, 1 to a full turn; 0 if there is none. */
+    /** Returns the distance from an index to the next non-empty slot, 1 to the number of slots; 0 if all are empty. */
     private int distance(int level, int index) {
         long[] occupiedSlots = occupied[level];
         int count = 1 << SLOT_BITS[level];
         int step = 1;
         while (step <= count) {
-            int at = index + step & count - 1;
-            long word = occupiedSlots[at >> 6] >>> at;
+            int candidate = index + step & count - 1;
+            long word = occupiedSlots[candidate >> 6] >>> candidate;
             if (word != 0) {
                 step += Long.numberOfTrailingZeros(word);
                 return step <= count ? step : 0;
             }
-            step += 64 - (at & 63);
+            step += 64 - (candidate & 63);
         }
         return 0;
     }
--- a/server/src/test/java/wheatspread/timers/TimerWheelTest.java
+++ b/server/src/test/java/wheatspread/timers/TimerWheelTest.java
@@ -9,10 +9,10 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Order and times at which timers expire, against a list that is searched, and the limits on each call. */
+/** Tests the order and times of expiry against a linear search, and the limit on the timers called at once. */
 class TimerWheelTest {
     private static final long TICK_MICROS = 1_024;
-    /** Bounds of random delays: within a slot, over slots, over levels, and beyond the farthest slot. */
+    /** Upper bounds of random delays: within a slot, across slots, across levels, and beyond the farthest slot. */
     private static final long[] MAX_DELAYS_MICROS = {500, 30_000, 400_000, 20_000_000, 1_500_000_000, 200_000_000_000L};
 
     private final List<TestTimer> expired = new ArrayList<>();
@@ -39,12 +39,10 @@
         wheel.set(timer, deadlineMicros);
     }
 
-    /**
-     * The wheel against a list that is searched: no timer expires early, late, never or twice.
-     */
+    /** Guards against timers that expire early, late, twice or not at all. */
     @Property(tries = 200, seed = "7")
-    void agreesWithALinearSearch(@ForAll long seed) {
-        new TimerWheelTest().compareWithLinearSearch(new Random(seed)); // a wheel of its own for each seed
+    void expiresTheSameTimersAsALinearSearch(@ForAll long seed) {
+        new TimerWheelTest().compareWithLinearSearch(new Random(seed)); // a new wheel for each seed
     }
 
     private void compareWithLinearSearch(Random random) {
@@ -91,10 +89,10 @@
     }
 
     @Test
-    void callsTimersLeftOverInTheNextTurnInOrder() {
-        List<TestTimer> all = new ArrayList<>();
+    void callsTimersBeyondTheLimitInLaterCallsInOrder() {
+        List<TestTimer> timers = new ArrayList<>();
         for (int i = 0; i < 1_000; i++) {
-            all.add(set(2_000 + i * 2_000));
+            timers.add(set(2_000 + i * 2_000));
         }
         nowMicros += 3_000_000;
         assertThat(wheel.expire(nowMicros, 300)).isEqualTo(300);
@@ -103,19 +101,21 @@
         assertThat(wheel.expire(nowMicros, 300)).isEqualTo(300);
         assertThat(wheel.expire(nowMicros, 1_000)).isEqualTo(400);
         assertThat(wheel.hasExpiredTimers()).isFalse();
-        assertThat(expired).isEqualTo(all);
+        assertThat(expired).isEqualTo(timers);
     }
 
-    /** A connection's deadline is extended with every use; that must cost nothing until the old deadline. */
+    /** Guards against placing a timer again on every extension, as with a connection's idle deadline. */
     @Test
     void placesAnExtendedTimerAgainOnlyAtItsOldDeadline() {
         TestTimer timer = set(10_000);
-        long oldLookMicros = wheel.nextAdvanceMicros();
+        long oldAdvanceMicros = wheel.nextAdvanceMicros();
         for (int i = 0; i < 100; i++) {
             nowMicros += 9_000;
             move(timer, nowMicros + 10_000_000);
         }
-        assertThat(wheel.nextAdvanceMicros()).as("it is still in its old slot").isEqualTo(oldLookMicros);
+        assertThat(wheel.nextAdvanceMicros())
+                .as("the timer is still in its old slot")
+                .isEqualTo(oldAdvanceMicros);
         assertThat(wheel.expire(nowMicros, 10)).isZero();
         assertThat(wheel.nextAdvanceMicros()).isGreaterThan(nowMicros);
         nowMicros += 10_000_000 + TICK_MICROS;
@@ -123,15 +123,15 @@
     }
 
     @Test
-    void callsNoMoreThanTheLimitIfATimerSetsItselfAgain() {
-        TestTimer endless = new TestTimer() {
+    void callsAtMostTheLimitIfATimerSetsItselfAgain() {
+        TestTimer repeating = new TestTimer() {
             @Override
             protected void onExpiry() {
                 super.onExpiry();
                 wheel.set(this, nowMicros);
             }
         };
-        wheel.set(endless, nowMicros);
+        wheel.set(repeating, nowMicros);
         assertThat(wheel.expire(nowMicros + TICK_MICROS, 50)).isEqualTo(50);
     }
 }
