--- a/server/src/main/java/wheatspread/records/RecordsClient.java
+++ b/server/src/main/java/wheatspread/records/RecordsClient.java
@@ -13,13 +13,14 @@
 import wheatspread.logging.EventLog;
 
 /**
- * Calls the records service over a pool of connections. A corrupt or missing reply makes its connection
- * useless for every call on it, so each call has a connection to itself as long as there are enough of them.
+ * Calls the records service over a pool of connections. A corrupt or missing reply makes its connection useless for
+ * all calls on it, so each call gets a connection of its own until the pool has reached its maximum size.
  *
- * <p>All methods run on the event loop. {@link #close} ends the connections, and calls on them end as reset.
+ * <p>All methods must be called on the event loop. {@link #close} closes the connections, and the calls on them end
+ * with {@link Outcome#RESET}.
  */
 public final class RecordsClient implements RecordsService {
-    /** The service may close or forget a connection that is idle for longer, which would cost a call. */
+    /** The service may close or drop a connection that is idle for longer, and a call on it would be lost. */
     private static final long MAX_IDLE_MICROS = 1_000_000;
 
     private static final long IDLE_CHECK_INTERVAL_MICROS = 500_000;
@@ -35,8 +36,8 @@
     private boolean idleCheckScheduled;
 
     /**
-     * Past {@code maxConnections} calls share connections. {@code address} is null where the deployment has
-     * no records service; a call then ends as refused, since it reached nobody.
+     * Creates a client whose calls share connections once {@code maxConnections} are open. {@code address} is null if
+     * the deployment has no records service; calls then end with {@link Outcome#CONNECT_ERROR}.
      */
     public RecordsClient(Bootstrap clients, InetSocketAddress address, int maxConnections, Clock clock, EventLog log) {
         this.clients = clients;
@@ -63,7 +64,7 @@
         return refusal::cancel;
     }
 
-    /** Sends further calls to another address; pending calls may end at the old one. */
+    /** Sends further calls to another address; pending calls may end at the old address. */
     public void moveTo(InetSocketAddress next) {
         if (!Objects.equals(next, address)) {
             address = next;
@@ -71,14 +72,15 @@
         }
     }
 
-    /** Closes every connection. */
+    /** Closes all connections; the calls on them end with {@link Outcome#RESET}. */
     public void close() {
         pool.closeAll();
     }
 
     /**
-     * Selects the free connection used last, so that the others become idle and close; a new one if none is
-     * free; or the one with the fewest pending calls if no more may be opened.
+     * Selects the most recently used connection without pending calls, so that the others become idle and close. If
+     * every connection has a pending call, opens a new connection, or selects the connection with the fewest pending
+     * calls if the pool has reached its maximum size.
      */
     private RecordsConnection select(String job) {
         RecordsConnection best = null;
@@ -112,14 +114,14 @@
         }
     }
 
-    /** The connections that take calls, and those that drain. */
+    /** The connections that accept calls, and those that drain. */
     private static final class ConnectionPool implements RecordsConnection.Pool {
-        /** Connections to the present address, the one used last at the end. */
+        /** The connections to the current address, ordered from least to most recently used. */
         private final List<RecordsConnection> available = new ArrayList<>();
 
         private final Set<RecordsConnection> draining = new HashSet<>();
 
-        /** Returns a copy, so that its elements may be closed. */
+        /** Returns a copy, so that callers may close connections while they iterate. */
         List<RecordsConnection> available() {
             return new ArrayList<>(available);
         }
--- a/server/src/main/java/wheatspread/records/RecordsConnection.java
+++ b/server/src/main/java/wheatspread/records/RecordsConnection.java
@@ -20,22 +20,22 @@
 import wheatspread.logging.EventLog;
 
 /**
- * One connection to the records service with the calls on it. Calls given before it is connected are sent
- * once it is. It drains when it has carried enough calls, when one of them got no reply in time, or when the
- * {@link Pool} says so; a drained connection closes itself. Used on the event loop only.
+ * One connection to the records service, with the calls on it. Calls that are added before the connection is
+ * established are sent once it is. The connection drains after {@link #MAX_CALLS} calls, after a call without a reply
+ * in time, or when {@link #drain} is called; a drained connection closes itself. Confined to the event loop.
  */
 final class RecordsConnection extends SimpleChannelInboundHandler<ReplyDecoder.Reply> {
-    /** A connection that takes longer to open counts as refused: nothing was sent on it. */
+    /** A connection that takes longer to open counts as refused, since nothing has been sent on it. */
     private static final int CONNECT_TIMEOUT_MS = 1_000;
-    /** Calls after which a connection drains, since it remembers every one of them. */
+    /** The connection drains after this number of calls, which bounds the set of jobs that it stores. */
     private static final int MAX_CALLS = 64;
 
-    /** Keeps track of the connections that are open or being opened. */
+    /** Tracks the connections that are open or being opened. */
     interface Pool {
-        /** The connection takes no more calls and closes with the last one that is pending. */
+        /** The connection accepts no more calls, and closes when its last pending call ends. */
         void draining(RecordsConnection connection);
 
-        /** The connection is closed, or about to be. */
+        /** The connection has closed or is about to close. */
         void remove(RecordsConnection connection);
 
         boolean contains(RecordsConnection connection);
@@ -48,12 +48,12 @@
     private final EventLog log;
     private final Map<String, PendingCall> pending = new LinkedHashMap<>();
     /**
-     * The jobs that had a call here. None gets a second one: a late or duplicate reply to the first call
-     * would be taken for the reply to the second.
+     * The jobs that had a call on this connection. A job must not get a second call on it, since a late or duplicate
+     * reply to the first call would be taken for the reply to the second.
      */
     private final Set<String> seenJobs = new HashSet<>();
 
-    /** Null until it is connected. */
+    /** Null until the connection is established. */
     private Channel channel;
 
     private long usedAtMicros;
@@ -65,7 +65,7 @@
         usedAtMicros = clock.nowMicros();
     }
 
-    /** Starts to connect; calls on it end as refused if that fails. */
+    /** Starts to connect; if that fails, the calls on the connection end with {@link Outcome#CONNECT_ERROR}. */
     void connect(Bootstrap clients, InetSocketAddress address) {
         clients.clone()
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
@@ -83,12 +83,12 @@
                 });
     }
 
-    /** Returns how long it has been without calls; 0 while a call is pending. */
+    /** Returns the time since the connection was last used, in microseconds; 0 while a call is pending. */
     long idleMicros() {
         return pending.isEmpty() ? clock.nowMicros() - usedAtMicros : 0;
     }
 
-    /** Returns whether a call for this job may go over this connection. */
+    /** Returns whether the connection may carry a call of this job. */
     boolean accepts(String job) {
         return !seenJobs.contains(job);
     }
@@ -97,7 +97,7 @@
         return pending.size();
     }
 
-    /** Closes it at once; calls on it end as reset. */
+    /** Closes the connection immediately; the calls on it end with {@link Outcome#RESET}. */
     void close() {
         pool.remove(this);
         if (channel != null) {
@@ -105,7 +105,7 @@
         }
     }
 
-    /** Takes no more calls, and closes with the last one that is pending. */
+    /** Stops accepting calls, and closes the connection when its last pending call ends. */
     void drain() {
         pool.draining(this);
         closeIfDrained();
@@ -138,7 +138,7 @@
         channel.writeAndFlush(out, channel.voidPromise());
     }
 
-    /** Cancels a call without a reply in time. The connection drains: it may never bring another reply. */
+    /** Cancels a call without a reply in time. The connection then drains, since it may deliver no further replies. */
     void cancel(PendingCall call) {
         if (pending.remove(call.job(), call)) {
             if (channel != null) {
@@ -156,7 +156,7 @@
         if (pool.contains(this)) {
             pending.values().forEach(this::send);
         } else {
-            channel.close(); // every call that it was opened for has been cancelled
+            channel.close(); // all calls on the connection were cancelled before it was established
         }
     }
 
--- a/server/src/main/java/wheatspread/records/ReplyDecoder.java
+++ b/server/src/main/java/wheatspread/records/ReplyDecoder.java
@@ -9,19 +9,19 @@
 import wheatspread.admission.Outcome;
 
 /**
- * Decodes the replies of the records service: a line with the call's id and a status, and after the status of
- * success a length and a body of that length. After a malformed reply everything else on the connection is
- * discarded, since no reply boundary is known any more.
+ * Decodes the replies of the records service. A reply is a line with the call's id and a status; if the call
+ * succeeded, the line also has a length, and a body of that length follows. After a malformed reply all further input
+ * of the connection is discarded, since the boundaries of later replies are unknown.
  */
 final class ReplyDecoder extends ByteToMessageDecoder {
     private static final int MAX_LINE_BYTES = 1024;
     private static final int MAX_BODY_BYTES = 64 * 1024;
     private static final int LINE_END_BYTES = 2;
 
-    /** One reply; {@code body} is null unless the outcome is OK. */
+    /** A reply; {@code body} is null unless the outcome is OK. */
     record Reply(String job, Outcome outcome, byte[] body) {}
 
-    /** The call that the reply in progress belongs to; null between replies. */
+    /** The id of the call whose reply is being decoded; null between replies. */
     private String job;
 
     private Outcome outcome;
@@ -31,7 +31,7 @@
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
         if (corrupted) {
-            in.skipBytes(in.readableBytes()); // even if it reads like a reply
+            in.skipBytes(in.readableBytes()); // even input that resembles a reply may belong to a corrupt body
             return;
         }
         if (job == null && !readLine(in)) {
@@ -44,19 +44,19 @@
             byte[] body = new byte[bodyLength];
             in.readBytes(body);
             if (in.readByte() != '\r' || in.readByte() != '\n') {
-                throw corrupted("no line end after a reply's body");
+                throw corrupted("no CRLF after the body of " + bodyLength + " bytes of a reply");
             }
             out.add(new Reply(job, outcome, body));
             job = null;
         }
     }
 
-    /** Reads the line of a reply; returns false if it is not complete yet. */
+    /** Reads the line of a reply; returns false if the line is not complete yet. */
     private boolean readLine(ByteBuf in) {
         int end = in.indexOf(in.readerIndex(), in.writerIndex(), (byte) '\n');
         if (end < 0) {
             if (in.readableBytes() > MAX_LINE_BYTES) {
-                throw corrupted("a reply's line is too long");
+                throw corrupted("line of a reply longer than " + MAX_LINE_BYTES + " bytes");
             }
             return false;
         }
@@ -65,12 +65,12 @@
         String[] words = line.trim().split(" ");
         Outcome known = words.length < 2 ? null : RecordsWireNames.outcome(words[1]);
         if (known == null) {
-            throw corrupted("a reply without a known word");
+            throw corrupted("line of a reply without a known status");
         }
         if (known == Outcome.OK) {
             bodyLength = words.length == 3 && words[2].matches("\\d{1,6}") ? Integer.parseInt(words[2]) : -1;
             if (bodyLength < 0 || bodyLength > MAX_BODY_BYTES) {
-                throw corrupted("a reply's length is missing or too large");
+                throw corrupted("length of a reply's body missing or above " + MAX_BODY_BYTES + " bytes");
             }
         }
         job = words[0];
--- a/server/src/test/java/wheatspread/records/RecordsWireNamesTest.java
+++ b/server/src/test/java/wheatspread/records/RecordsWireNamesTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import wheatspread.admission.Outcome;
 
-/** The words on the wire are the protocol's, whatever the code calls them. */
+/** Guards against a rename in the code that changes a keyword on the wire. */
 class RecordsWireNamesTest {
     @ParameterizedTest
     @CsvSource({"DONE, OK", "WAIT, QUEUE_FULL", "EMPTY, CONNECT_ERROR", "PAST, TIMED_OUT", "ERROR, FAILED"})
@@ -16,13 +16,13 @@
     }
 
     @Test
-    void unknownStatusMapsToNothing() {
+    void unknownStatusMapsToNull() {
         assertThat(RecordsWireNames.outcome("done")).isNull();
         assertThat(RecordsWireNames.outcome("OP")).isNull();
     }
 
     @Test
-    void commandsHaveTheirWireWords() {
+    void commandsKeepTheirKeywords() {
         assertThat(RecordsWireNames.CALL).isEqualTo("OP");
         assertThat(RecordsWireNames.CANCEL).isEqualTo("UNOP");
         assertThat(RecordsWireNames.SUCCEEDED).isEqualTo("DONE");
