--- a/server/src/main/java/wheatspread/announce/AnnounceClient.java
+++ b/server/src/main/java/wheatspread/announce/AnnounceClient.java
@@ -9,17 +9,17 @@
 import wheatspread.logging.EventLog;
 
 /**
- * Reports to the announce service whether this server accepts work. Reports repeat as heartbeats, since an
- * entry expires 3 s after its last report. A report without an answer delays nothing: the next one, or a
- * change, goes over a new connection.
+ * Reports to the announce service whether this server accepts requests. Reports are repeated as heartbeats, because
+ * an entry of the service expires 3 s after its last report. A report without an answer does not delay the next
+ * report, which is sent over a new connection.
  *
- * <p>All methods run on the event loop. {@link #close} ends the reports.
+ * <p>All methods must be called on the event loop. {@link #close} ends the reports.
  */
 public final class AnnounceClient implements Announcer {
-    /** Four reports may be lost before an entry expires. */
+    /** Four reports in a row may be lost before the entry of this server expires. */
     private static final long REPORT_INTERVAL_MS = 600;
 
-    /** A change is reported again after this long, since the service may read an older report after it. */
+    /** A change is reported again after this delay, since the service may read an older report after the change. */
     private static final long REPEAT_CHANGE_DELAY_MS = 150;
 
     private final EventLoopGroup loop;
@@ -27,9 +27,9 @@
     private final String serverName;
     private final EventLog log;
     private final AnnounceConnection.Owner connectionOwner = new ConnectionOwner();
-    /** Null where the deployment has no announce service. */
+    /** Null if the deployment has no announce service. */
     private InetSocketAddress address;
-    /** Where the last report went, or is to go once it is connected. */
+    /** The connection of the last report, which may still be connecting; null if there is none. */
     private AnnounceConnection connection;
 
     /** Null before the first call of {@link #announce}. */
@@ -38,7 +38,7 @@
     private boolean started;
     private boolean closed;
 
-    /** {@code address} is null where the deployment has no announce service: then nothing is reported. */
+    /** Creates a client; {@code address} is null if the deployment has no announce service, and no reports are sent. */
     public AnnounceClient(Bootstrap clients, InetSocketAddress address, String serverName, EventLog log) {
         loop = clients.config().group();
         this.clients = clients;
@@ -48,9 +48,9 @@
     }
 
     @Override
-    public void announce(boolean value) {
-        boolean changed = accepting == null || accepting != value;
-        accepting = value;
+    public void announce(boolean nowAccepting) {
+        boolean changed = accepting == null || accepting != nowAccepting;
+        accepting = nowAccepting;
         if (!started) {
             started = true;
             loop.scheduleAtFixedRate(this::report, 0, REPORT_INTERVAL_MS, TimeUnit.MILLISECONDS);
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Reports to a service at another address from now on, the first time at once. */
+    /** Sends further reports to another address, starting with an immediate report. */
     public void moveTo(InetSocketAddress next) {
         if (!Objects.equals(next, address)) {
             address = next;
@@ -91,7 +91,7 @@
         if (connection != null && !connection.awaitsAnswer()) {
             connection.send();
         } else {
-            dropConnection(); // to wait for its answer would delay this report and the next ones
+            dropConnection(); // waiting for the answer would delay this report and later ones
             connection = new AnnounceConnection(connectionOwner, address, serverName, log);
             connection.connect(clients);
         }
--- a/server/src/main/java/wheatspread/announce/AnnounceConnection.java
+++ b/server/src/main/java/wheatspread/announce/AnnounceConnection.java
@@ -19,17 +19,17 @@
 import java.nio.charset.StandardCharsets;
 import wheatspread.logging.EventLog;
 
-/** One HTTP connection to the announce service, with at most one report without an answer. */
+/** An HTTP connection to the announce service, with at most one unanswered report. Confined to the event loop. */
 final class AnnounceConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
     private static final int CONNECT_TIMEOUT_MS = 500;
     private static final int MAX_RESPONSE_BYTES = 64 * 1024;
 
-    /** What the connection needs from the client that opened it. */
+    /** The callbacks to the client that opened the connection. */
     interface Owner {
-        /** Returns whether this server accepts work, as the next report states it. */
+        /** Returns whether this server accepts requests, for the next report. */
         boolean accepting();
 
-        /** The connection failed to open, or has closed. */
+        /** The connection could not be opened or has closed. */
         void ended(AnnounceConnection connection);
     }
 
@@ -37,7 +37,7 @@
     private final InetSocketAddress address;
     private final String serverName;
     private final EventLog log;
-    /** Null until it is connected. */
+    /** Null until the connection is established. */
     private Channel channel;
 
     private boolean awaitsAnswer = true;
@@ -50,7 +50,7 @@
         this.log = log;
     }
 
-    /** Connects and sends a report once connected. */
+    /** Starts to connect, and sends a report once the connection is established. */
     void connect(Bootstrap clients) {
         clients.clone()
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
@@ -72,7 +72,7 @@
                 });
     }
 
-    /** Returns whether it is still connecting or its last report has no answer yet. */
+    /** Returns whether the connection is still connecting or its last report is unanswered. */
     boolean awaitsAnswer() {
         return awaitsAnswer;
     }
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Sends a report; only while no answer is awaited. */
+    /** Sends a report. Must not be called while {@link #awaitsAnswer} returns true. */
     void send() {
         awaitsAnswer = true;
         byte[] body = ("{\"accepting\":\"" + owner.accepting() + "\"}").getBytes(StandardCharsets.US_ASCII);
--- a/server/src/main/java/wheatspread/announce/package-info.java
+++ b/server/src/main/java/wheatspread/announce/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The client of the announce service, through which callers learn which servers accept work. It owns the
- * connection and the schedule of reports. It does not know why the server accepts work or not.
+ * The client of the announce service, which tells clients which servers accept requests. The package owns the
+ * connection and the schedule of reports. It must not depend on the reasons why the server accepts requests or not.
  */
 package wheatspread.announce;
--- a/server/src/test/java/wheatspread/announce/AnnounceClientTest.java
+++ b/server/src/test/java/wheatspread/announce/AnnounceClientTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import wheatspread.logging.EventLog;
 
-/** A service that stops answering, answers in part, or is away for a while gets reports again by itself. */
+/** Guards against a client that stops reporting after the service was unavailable, silent or sent partial answers. */
 @Timeout(30)
 class AnnounceClientTest {
     private static final int TIMEOUT_MS = 5_000;
@@ -48,7 +48,7 @@
         loop.submit(() -> client.announce(true)).syncUninterruptibly();
     }
 
-    /** Reads one whole report; null where the connection has ended. */
+    /** Reads a complete report; returns null if the connection has ended. */
     private static String readReport(BufferedReader reader) throws IOException {
         String head = reader.readLine();
         if (head == null) {
@@ -76,13 +76,13 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** A connection with the first report that came over it. */
+    /** A connection and the first report received on it. */
     private record Reported(Socket socket, BufferedReader reader, String report) {}
 
     /**
-     * Accepts a connection that carries a report. A report that falls due while another connection is being opened
-     * replaces it, as the 600 ms heartbeat and the repeat 150 ms after a change may coincide; such a connection
-     * carries nothing.
+     * Accepts a connection that carries a report. If a report is due while a connection is being opened, the client
+     * replaces that connection, which then carries no report. This occurs because the 600 ms heartbeat may coincide
+     * with the repeated report 150 ms after a change.
      */
     private static Reported acceptReport(ServerSocket service) throws IOException {
         for (int attempt = 0; attempt < MAX_REPLACED_CONNECTIONS; attempt++) {
@@ -93,12 +93,12 @@
                 return new Reported(socket, reader, report);
             }
         }
-        throw new AssertionError("no connection carries a report");
+        throw new AssertionError("no report on any of " + MAX_REPLACED_CONNECTIONS + " connections");
     }
 
     /**
-     * Answers a report before the next one falls due, and reads that one from the same connection. An answer that a
-     * busy machine sends too late finds its connection replaced, and the next connection is answered instead.
+     * Answers a report before the next report is due, and reads the next report from the same connection. On a busy
+     * machine the answer may be late and its connection replaced; then the next connection is answered instead.
      */
     private static Reported acceptAndAnswerInTime(ServerSocket service) throws IOException {
         for (int attempt = 0; attempt < MAX_REPLACED_CONNECTIONS; attempt++) {
@@ -107,11 +107,11 @@
             send(reported.socket, ANSWER);
             String next = readReport(reported.reader);
             if (next != null) {
-                assertThat(next).as("one connection while it answers").startsWith("PUT");
+                assertThat(next).as("next report on the answered connection").startsWith("PUT");
                 return reported;
             }
         }
-        throw new AssertionError("no connection is used again after an answer in time");
+        throw new AssertionError("none of " + MAX_REPLACED_CONNECTIONS + " connections reused after an answer");
     }
 
     @AfterEach
@@ -120,18 +120,18 @@
         loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
     }
 
-    /** The report goes over a new connection, and the silent one is closed. */
+    /** The next report is sent over a new connection, and the connection without an answer is closed. */
     @ParameterizedTest
     @ValueSource(strings = {"", "HTTP/1.1 2"})
-    void serviceThatStopsAnsweringGetsReportsOverANewConnection(String partOfAnswer) throws Exception {
+    void reportsOverANewConnectionAfterAMissingOrPartialAnswer(String partialAnswer) throws Exception {
         try (ServerSocket service = listen(0)) {
             startReports(service);
             Reported first = acceptAndAnswerInTime(service);
-            send(first.socket, partOfAnswer); // and no more
+            send(first.socket, partialAnswer);
             Reported second = acceptReport(service);
             assertThat(second.report).endsWith("{\"accepting\":\"true\"}");
             assertThat(readReport(first.reader))
-                    .as("the silent connection is closed")
+                    .as("report on the connection without an answer, which is closed")
                     .isNull();
             send(second.socket, ANSWER);
             assertThat(readReport(second.reader)).startsWith("PUT");
@@ -139,14 +139,14 @@
     }
 
     @Test
-    void serviceThatWasAwayGetsReportsAgain() throws Exception {
+    void reportsAgainAfterTheServiceRestarts() throws Exception {
         ServerSocket service = listen(0);
         startReports(service);
         Socket first = service.accept();
         assertThat(readReport(reader(first))).startsWith("PUT");
         service.close();
         first.close();
-        loop.submit(() -> client.announce(false)).sync(); // nobody receives the change
+        loop.submit(() -> client.announce(false)).sync(); // no service receives this change
         try (ServerSocket restarted = listen(service.getLocalPort())) {
             assertThat(acceptReport(restarted).report).endsWith("{\"accepting\":\"false\"}");
         }
