--- a/server/src/main/java/wheatspread/kernel/KernelConnection.java
+++ b/server/src/main/java/wheatspread/kernel/KernelConnection.java
@@ -14,23 +14,23 @@
 import wheatspread.logging.EventLog;
 
 /**
- * One TCP connection to the kernel, which carries lines of text in both directions. It knows neither what
- * the lines mean nor whether another connection takes its place: its {@link Owner} decides that and closes
- * it. Used on the event loop only.
+ * A TCP connection to the kernel, which carries lines of text in both directions. It does not interpret the lines;
+ * its {@link Owner} does, and decides when to close the connection or replace it by another one. Confined to the
+ * event loop.
  */
 final class KernelConnection extends SimpleChannelInboundHandler<String> {
     private static final int MAX_LINE_BYTES = 256 * 1024;
     private static final int CONNECT_TIMEOUT_MS = 1_000;
 
-    /** What happens on a connection, for whoever opened it. */
+    /** The callbacks to the object that opened the connection. */
     interface Owner {
-        /** The attempt to connect failed; no other call follows. */
+        /** The connection could not be established; no further callback follows. */
         void connectFailed(KernelConnection connection);
 
         /** The connection is established and can send. */
         void connected(KernelConnection connection);
 
-        /** The established connection has closed, whichever side closed it. */
+        /** The established connection was closed, by this server or by the kernel. */
         void disconnected(KernelConnection connection);
 
         void lineReceived(KernelConnection connection, String line);
@@ -47,7 +47,7 @@
         this.log = log;
     }
 
-    /** Starts to connect; the result goes to the owner. */
+    /** Starts to connect, and notifies the owner of the result. */
     void connect(Bootstrap clients) {
         clients.clone()
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
@@ -74,12 +74,12 @@
         return address;
     }
 
-    /** Sends a line; only once it is connected. */
+    /** Sends a line. Must not be called before the connection is established. */
     void send(String line) {
         channel.writeAndFlush(line + "\n", channel.voidPromise());
     }
 
-    /** Closes the connection; only once it is connected. */
+    /** Closes the connection. Must not be called before the connection is established. */
     void close() {
         channel.close();
     }
--- a/server/src/main/java/wheatspread/kernel/KernelLink.java
+++ b/server/src/main/java/wheatspread/kernel/KernelLink.java
@@ -10,23 +10,26 @@
 import wheatspread.logging.EventLog;
 
 /**
- * The session with the kernel, which outlives its connections. A command is kept until the kernel has proven
- * that it read it: the kernel reads a connection in order, so the answer to a gauge request confirms every
- * command before that request, and a notice about a run confirms the commands for that run. What a lost
- * connection may have swallowed is sent again on the next one, but only after all missed notices have been
- * read, so that no run is started twice.
+ * The session with the kernel, which spans several connections. A command is stored until the kernel has confirmed
+ * that it was read. The kernel reads a connection in order, so the answer to a gauge request confirms every command
+ * sent before that request, and a notice about a run confirms the commands for that run. Commands that may have been
+ * lost with a connection are sent again on the next connection, but only after all missed notices have been read, so
+ * that no run is started twice.
  *
- * <p>All methods run on the event loop. {@link #close} ends the session and its connections.
+ * <p>All methods must be called on the event loop. {@link #close} ends the session and its connections.
  */
 public final class KernelLink implements Kernel {
     private static final long MIN_RETRY_DELAY_MS = 20;
     private static final long MAX_RETRY_DELAY_MS = 400;
-    /** How long to wait for missed notices from a kernel that does not answer the catch-up request. */
+    /** The longest wait for missed notices, if the kernel does not answer the catch-up request. */
     private static final long CATCH_UP_TIMEOUT_MS = 1_000;
 
-    /** How long the old connection may take to confirm its commands before a new one replaces it. */
+    /** The longest wait for the old connection to confirm its commands before a new connection replaces it. */
     private static final long CONFIRM_TIMEOUT_MS = 200;
-    /** Gauge requests, one per tick of the admission module, without any line before a connection is closed. */
+    /**
+     * A connection is closed if it receives no line during more than this number of gauge requests, of which there
+     * is one per tick of the admission controller.
+     */
     private static final int MAX_UNANSWERED_REQUESTS = 100;
 
     private final EventLoopGroup loop;
@@ -36,26 +39,26 @@
     private final NoticeReader notices;
     private final KernelConnection.Owner connectionEvents = new ConnectionEvents();
     private InetSocketAddress address;
-    /** The connection in use; lines from any other one are dropped. */
+    /** The connection in use; lines from other connections are ignored. */
     private KernelConnection current;
-    /** The connection that is being opened to replace it. */
+    /** The connection that is being established to replace {@link #current}. */
     private KernelConnection connecting;
-    /** The open connection that replaces it once the kernel has confirmed every command sent on it. */
+    /** The established connection that replaces {@link #current} once the kernel has confirmed all its commands. */
     private KernelConnection replacement;
-    /** Whether commands may be sent: the kernel is up and the missed notices have been read. */
+    /** Whether commands may be sent, since the kernel is up and the missed notices have been read. */
     private boolean ready;
 
-    /** Whether the kernel has been up on any connection. */
+    /** Whether the kernel has reported on any connection that it is up. */
     private boolean booted;
 
     private boolean closed;
-    /** Whether {@link #open} was called; before that a new address is only recorded. */
+    /** Whether {@link #open} was called; before that {@link #moveTo} only stores the new address. */
     private boolean opened;
 
     private int unansweredRequests;
     private long retryDelayMs = MIN_RETRY_DELAY_MS;
 
-    /** Creates a closed session; the listener gets every notice exactly once, on the event loop. */
+    /** Creates a session that is not open yet; the listener receives every notice exactly once, on the event loop. */
     public KernelLink(Bootstrap clients, InetSocketAddress address, Listener listener, EventLog log) {
         loop = clients.config().group();
         this.clients = clients;
@@ -64,7 +67,7 @@
         notices = new NoticeReader(new SessionProgress(), listener, unconfirmed, log);
     }
 
-    /** Connects to the kernel, and reconnects with backoff whenever the connection is lost. */
+    /** Connects to the kernel, and reconnects with exponential backoff whenever the connection is lost. */
     public void open() {
         opened = true;
         if (closed) {
@@ -75,8 +78,9 @@
     }
 
     /**
-     * Moves the session to a kernel at another address. The old connection serves until the new one is open;
-     * commands that it may have swallowed are sent again there, after the missed notices.
+     * Moves the session to a kernel at another address. The old connection is used until the new connection is
+     * established. Commands that may have been lost on the old connection are sent again on the new one, after the
+     * missed notices have been read.
      */
     public void moveTo(InetSocketAddress next) {
         if (!next.equals(address)) {
@@ -105,8 +109,8 @@
     private void retryLater() {
         loop.schedule(
                 () -> {
-                    // a connection to an old address still serves, but only until its kernel closes it; a
-                    // replacement that waits for confirmations must not be overtaken by another one
+                    // a connection to an old address is usable only until its kernel closes it, so it does not
+                    // prevent a retry; a replacement that waits for confirmations must not be replaced in turn
                     if (connecting == null
                             && replacement == null
                             && (current == null || !current.address().equals(address))) {
@@ -121,37 +125,40 @@
     // ---- commands ----
 
     @Override
-    public void run(String job, String kind, byte[] body) {
-        command(
+    public void run(String job, String requestClass, byte[] body) {
+        issueCommand(
                 KernelWireNames.START,
                 job,
-                new JSONObject().put(KernelWireNames.REQUEST_CLASS, kind).put(KernelWireNames.BODY, encode(body)));
+                new JSONObject()
+                        .put(KernelWireNames.REQUEST_CLASS, requestClass)
+                        .put(KernelWireNames.BODY, encode(body)));
     }
 
     @Override
     public void suspend(String job) {
-        command(KernelWireNames.SUSPEND, job, new JSONObject());
+        issueCommand(KernelWireNames.SUSPEND, job, new JSONObject());
     }
 
     @Override
     public void resume(String job) {
-        command(KernelWireNames.RESUME, job, new JSONObject());
+        issueCommand(KernelWireNames.RESUME, job, new JSONObject());
     }
 
     @Override
     public void completeDependencyCall(String job, byte[] reply) {
-        command(KernelWireNames.CALL_REPLY, job, new JSONObject().put(KernelWireNames.BODY, encode(reply)));
+        issueCommand(KernelWireNames.CALL_REPLY, job, new JSONObject().put(KernelWireNames.BODY, encode(reply)));
     }
 
     @Override
-    public void skipDependencyCall(String job, long notice) {
-        command(KernelWireNames.SKIP_CALL, job, new JSONObject().put(KernelWireNames.SEQUENCE_NUMBER, notice));
+    public void skipDependencyCall(String job, long noticeNumber) {
+        issueCommand(
+                KernelWireNames.SKIP_CALL, job, new JSONObject().put(KernelWireNames.SEQUENCE_NUMBER, noticeNumber));
     }
 
     @Override
     public void requestGauges() {
         if (current != null && booted && ++unansweredRequests > MAX_UNANSWERED_REQUESTS) {
-            // a connection that stays open but carries nothing would hide the ends of runs
+            // a connection that stays open without delivering lines would lose the notices of ended runs
             log.warn("kernel_silent", "unheard", unansweredRequests);
             current.close();
         } else if (ready) {
@@ -159,7 +166,7 @@
         }
     }
 
-    /** The answer repeats {@code reference} and confirms every command sent before the request. */
+    /** Requests the gauges. The answer repeats {@code reference} and confirms all commands sent before the request. */
     private void requestGauges(String reference) {
         send(new JSONObject()
                 .put(KernelWireNames.TYPE, KernelWireNames.REQUEST_GAUGES)
@@ -167,7 +174,7 @@
                 .toString());
     }
 
-    private void command(String type, String job, JSONObject fields) {
+    private void issueCommand(String type, String job, JSONObject fields) {
         String line = fields.put(KernelWireNames.TYPE, type)
                 .put(KernelWireNames.JOB, job)
                 .toString();
@@ -187,7 +194,7 @@
 
     // ---- the session ----
 
-    /** All missed notices are read: sends, or sends again, what the kernel may not have read. */
+    /** Starts to send commands after all missed notices have been read, beginning with the unconfirmed commands. */
     private void becomeReady() {
         if (!ready && replacement == null) {
             ready = true;
@@ -196,9 +203,9 @@
     }
 
     /**
-     * Replaces a connection that may still serve. The commands sent on the old one are confirmed first, and
-     * no more are sent there: a command that the kernel has read must not be sent again, since its run may
-     * end at that moment and would be started a second time.
+     * Replaces a connection that may still be usable. First the kernel has to confirm the commands sent on the old
+     * connection, on which no more commands are sent. A command that the kernel has read must not be sent again,
+     * since its run may end in the meantime and would be started a second time.
      */
     private void replaceWith(KernelConnection next) {
         if (current == null || !ready || unconfirmed.isEmpty()) {
@@ -234,7 +241,7 @@
                 .toString());
     }
 
-    /** What happens on the connections of the session. */
+    /** Handles the events of the session's connections. */
     private final class ConnectionEvents implements KernelConnection.Owner {
         @Override
         public void connectFailed(KernelConnection connection) {
@@ -247,7 +254,7 @@
         @Override
         public void connected(KernelConnection connection) {
             if (connecting != connection || closed) {
-                connection.close(); // the address changed while it was being opened
+                connection.close(); // the address changed, or the session was closed, during the connect
                 return;
             }
             connecting = null;
@@ -258,7 +265,7 @@
         public void disconnected(KernelConnection connection) {
             if (replacement == connection) {
                 replacement = null;
-                becomeReady(); // the old connection carries the commands that were held back
+                becomeReady(); // sends the commands that were held back on the old connection
                 retryLater();
                 return;
             }
@@ -268,7 +275,7 @@
                 return;
             }
             if (current != connection) {
-                return; // the late close of a replaced connection must not drop the new one
+                return; // a replaced connection that closes late must not affect the new connection
             }
             ready = false;
             current = null;
@@ -287,22 +294,22 @@
             }
             unansweredRequests = 0;
             if (!notices.read(line)) {
-                connection.close(); // the next connection requests what this line may have hidden
+                connection.close(); // the next connection requests the notice that the unreadable line may contain
             }
         }
     }
 
-    /** Follows how far the session has come on the connection in use. */
+    /** Tracks the progress of the session on the connection in use. */
     private final class SessionProgress implements NoticeReader.Progress {
         @Override
         public void booted() {
             booted = true;
             retryDelayMs = MIN_RETRY_DELAY_MS;
             requestGauges(NoticeReader.CATCH_UP_REFERENCE);
-            KernelConnection awaited = current;
+            KernelConnection bootedConnection = current;
             loop.schedule(
                     () -> {
-                        if (current == awaited) {
+                        if (current == bootedConnection) {
                             becomeReady();
                         }
                     },
--- a/server/src/main/java/wheatspread/kernel/KernelWireNames.java
+++ b/server/src/main/java/wheatspread/kernel/KernelWireNames.java
@@ -3,9 +3,9 @@
 import wheatspread.core.Kernel;
 
 /**
- * The words of the kernel's line protocol, each under the name that the code uses for what it means. Every
- * line is a JSON object; {@link #TYPE} says which message it is. The words are fixed by the protocol: rename
- * the constants, never their values.
+ * The keywords of the kernel's line protocol. Every line is a JSON object whose {@link #TYPE} field gives the type of
+ * the message. The names of the constants give the meaning of the keywords; their values are fixed by the protocol
+ * and must not change.
  */
 final class KernelWireNames {
     // ---- commands, from this server to the kernel ----
@@ -18,9 +18,9 @@
     static final String SUSPEND = "PREEMPT";
     /** Resumes a suspended run. */
     static final String RESUME = "RESCHED";
-    /** Hands a run the reply to its dependency call. */
+    /** Passes the reply to a dependency call to the run that waits for it. */
     static final String CALL_REPLY = "IODONE";
-    /** Lets a run continue without its dependency call. */
+    /** Continues a run without its dependency call. */
     static final String SKIP_CALL = "NOIO";
     /** Requests the gauges. */
     static final String REQUEST_GAUGES = "SYSINFO";
@@ -33,7 +33,7 @@
     static final String COMPLETION = "REAP";
     /** A run waits for the reply to a dependency call. */
     static final String CALL_REQUEST = "IOREQ";
-    /** The gauges, in answer to {@link #REQUEST_GAUGES}. */
+    /** The answer to {@link #REQUEST_GAUGES}. */
     static final String GAUGES = "INFO";
     /** A command was not carried out. */
     static final String COMMAND_REJECTED = "EINVAL";
@@ -44,9 +44,9 @@
     static final String TYPE = "type";
     /** The id of the run. */
     static final String JOB = "job";
-    /** The name of the request class that a run belongs to. */
+    /** The name of the run's request class. */
     static final String REQUEST_CLASS = "kind";
-    /** A body in base64: of the request, of the dependency call or of a reply. */
+    /** A body in base64, of a request, a dependency call or a reply. */
     static final String BODY = "data";
     /** The sequence number of a notice. */
     static final String SEQUENCE_NUMBER = "n";
@@ -55,21 +55,21 @@
     /** The array of gauge values. */
     static final String GAUGE_VALUES = "gauges";
     /**
-     * In {@link #READY} how the kernel started, in {@link #COMPLETION} how the run ended, in
-     * {@link #COMMAND_REJECTED} the type of the rejected command.
+     * The start of the kernel, cold or warm, in {@link #READY}; the end of the run in {@link #COMPLETION}; the type of
+     * the rejected command in {@link #COMMAND_REJECTED}.
      */
     static final String STATE = "state";
-    /** A duration in milliseconds: of the run, or since the kernel started. */
+    /** The duration of the run, or the time since the kernel started, in milliseconds. */
     static final String DURATION_MS = "took";
 
     // ---- values of STATE ----
 
-    /** In {@link #READY}: the kernel has lost all earlier runs. */
+    /** The kernel has lost all earlier runs; a value in {@link #READY}. */
     static final String COLD_START = "COLD";
 
     private KernelWireNames() {}
 
-    /** Returns how a run ended, from the state that {@link #COMPLETION} gives. */
+    /** Converts the state of a {@link #COMPLETION}; throws {@link IllegalArgumentException} if it is unknown. */
     static Kernel.End runEnd(String state) {
         return switch (state) {
             case "OK" -> Kernel.End.OK;
--- a/server/src/main/java/wheatspread/kernel/NoticeReader.java
+++ b/server/src/main/java/wheatspread/kernel/NoticeReader.java
@@ -8,19 +8,19 @@
 import wheatspread.logging.EventLog;
 
 /**
- * Parses the kernel's notices and notifies a listener of each one with a sequence number exactly once,
- * whichever connection brings it. The commands that a notice confirms leave {@link UnconfirmedCommands}.
+ * Parses the kernel's notices. Notifies a listener of each notice with a sequence number exactly once, regardless of
+ * the connection that delivers it. Removes the commands that a notice confirms from {@link UnconfirmedCommands}.
  */
 final class NoticeReader {
-    /** The reference of the gauge request whose answer follows all missed notices. */
+    /** The reference of the gauge request that is sent on a new connection; its answer follows all missed notices. */
     static final String CATCH_UP_REFERENCE = "sync";
 
     private static final int MICROS_PER_MILLI = 1_000;
-    private static final long NONE = -1;
+    private static final long NO_REPLAY = -1;
 
-    /** What the notices show about the connection that brings them. */
+    /** Receives the progress of the connection that delivers the notices. */
     interface Progress {
-        /** The kernel is up on this connection; the listener is notified next. */
+        /** The kernel is up on this connection. Called before the listener is notified. */
         void booted();
 
         /** All missed notices have been read. */
@@ -35,8 +35,8 @@
     private final UnconfirmedCommands unconfirmed;
     private final EventLog log;
     private long lastSequenceNumber;
-    /** The last notice before an unreadable line for which a replay was requested; NONE if there is none. */
-    private long replayRequestedAfter = NONE;
+    /** The last notice before the unreadable line for which a replay was requested; NO_REPLAY if there is none. */
+    private long replayRequestedAfter = NO_REPLAY;
 
     NoticeReader(Progress progress, Kernel.Listener listener, UnconfirmedCommands unconfirmed, EventLog log) {
         this.progress = progress;
@@ -51,8 +51,8 @@
     }
 
     /**
-     * Reads a line. Returns false if the line is unreadable and a new connection should replay it, since it
-     * may have hidden a notice. A replay is requested only once, since the kernel may have nothing better.
+     * Reads a line. Returns false if the line is unreadable and a new connection should replay it, since it may
+     * contain a notice. A replay is requested only once, because the kernel may send the same line again.
      */
     boolean read(String line) {
         try {
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Counts a notice as read only once all of it is parsed, or a new connection would not replay it. */
+    /** Reads a notice. Marks it as read only after parsing all of it, since a read notice is not replayed. */
     private void readNumbered(String type, long sequenceNumber, JSONObject notice) {
         String job = notice.optString(KernelWireNames.JOB);
         if (type.equals(KernelWireNames.COMPLETION)) {
--- a/server/src/main/java/wheatspread/kernel/UnconfirmedCommands.java
+++ b/server/src/main/java/wheatspread/kernel/UnconfirmedCommands.java
@@ -5,16 +5,16 @@
 import java.util.function.Consumer;
 
 /**
- * The commands that the kernel may not have read yet, in the order in which they were given. A command leaves
- * once something that the kernel sent proves that it was read; until then it may have to be sent again.
+ * The commands that the kernel may not have read yet, in the order in which they were issued. A command is removed
+ * once a message of the kernel confirms that it was read; until then it may have to be sent again.
  */
 final class UnconfirmedCommands {
-    /** A command with its sequence number and the line that carries it. */
+    /** A command with its sequence number and the line to send. */
     private record Command(long sequenceNumber, String type, String job, String line) {}
 
     private final Deque<Command> commands = new ArrayDeque<>();
     private long lastSequenceNumber;
-    /** The last command that was sent on the connection in use; 0 if none was. */
+    /** The sequence number of the last command sent on the connection in use; 0 if none was sent. */
     private long lastSent;
 
     void add(String type, String job, String line) {
@@ -25,7 +25,7 @@
         return commands.isEmpty();
     }
 
-    /** Returns the sequence number of the last command that was given. */
+    /** Returns the sequence number of the last command that was added; 0 if none was added. */
     long lastSequenceNumber() {
         return lastSequenceNumber;
     }
@@ -38,14 +38,14 @@
         lastSent = lastSequenceNumber;
     }
 
-    /** Another connection is in use, on which nothing has been sent. */
+    /** Marks all commands as unsent, for a new connection. */
     void markAllUnsent() {
         lastSent = 0;
     }
 
     /**
-     * The kernel has read every command up to this one. Returns whether that includes all that were sent on
-     * the connection in use.
+     * Removes all commands up to a sequence number, which the kernel has read. Returns whether these include every
+     * command sent on the connection in use.
      */
     boolean confirmUpTo(long sequenceNumber) {
         while (!commands.isEmpty() && commands.peek().sequenceNumber() <= sequenceNumber) {
@@ -54,21 +54,21 @@
         return sequenceNumber >= lastSent;
     }
 
-    /** A run has ended, so the kernel has read every command for it. */
+    /** Removes the commands of a run that has ended, since the kernel has read all of them. */
     void confirmEnded(String job) {
         commands.removeIf(command -> command.job().equals(job));
     }
 
     /**
-     * A run waits for a dependency call, so the kernel has read every command for it, except that a request
-     * to suspend it may have crossed this notice.
+     * Removes the commands of a run that waits for a dependency call, since the kernel has read them. A suspend
+     * command is kept, since the kernel may have sent its notice before it read that command.
      */
     void confirmWaitingForCall(String job) {
         commands.removeIf(
                 command -> command.job().equals(job) && !command.type().equals(KernelWireNames.SUSPEND));
     }
 
-    /** The kernel rejected a command, so it has read it. */
+    /** Removes a command that the kernel rejected and has therefore read. */
     void confirmRejected(String job, String type) {
         commands.removeIf(command -> command.job().equals(job) && command.type().equals(type));
     }
--- a/server/src/main/java/wheatspread/kernel/package-info.java
+++ b/server/src/main/java/wheatspread/kernel/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The client side of the kernel's line protocol. It owns the session with the kernel, the connections that
- * carry it, and the commands that are not confirmed yet. It does not know what is admitted or why, nor any
- * protocol that callers speak.
+ * The client side of the kernel's line protocol. The package owns the session with the kernel, its connections, and
+ * the commands that are not confirmed yet. It must not depend on admission decisions, nor on the protocols of the
+ * fronts.
  */
 package wheatspread.kernel;
--- a/server/src/test/java/wheatspread/kernel/KernelLinkTest.java
+++ b/server/src/test/java/wheatspread/kernel/KernelLinkTest.java
@@ -23,7 +23,7 @@
 import wheatspread.core.Kernel;
 import wheatspread.logging.EventLog;
 
-/** A session with a kernel that moves to another address, against plain sockets. */
+/** Tests a session with a kernel that moves to another address, with plain sockets as kernels. */
 class KernelLinkTest {
     private static final int TIMEOUT_MS = 5_000;
 
@@ -62,32 +62,33 @@
         return new JSONObject(reader.readLine()).getString("type");
     }
 
-    /** A listener that only counts down when the kernel is up. */
+    /** Counts down a latch when the kernel is up, and ignores all other reports. */
     private record BootListener(CountDownLatch latch) implements Kernel.Listener {
         @Override
-        public void onBooted(boolean cold, long age) {
+        public void onBooted(boolean cold, long ageMicros) {
             latch.countDown();
         }
 
         @Override
-        public void onRunEnded(String job, Kernel.End end, long took, byte[] result) {}
+        public void onRunEnded(String job, Kernel.End end, long elapsedMicros, byte[] result) {}
 
         @Override
-        public void onDependencyCallRequested(String job, long notice, byte[] call) {}
+        public void onDependencyCallRequested(String job, long noticeNumber, byte[] call) {}
 
         @Override
-        public void onGauges(double[] row) {}
+        public void onGauges(double[] readings) {}
 
         @Override
         public void onRunNotStarted(String job) {}
     }
 
+    /** Guards against a leaked connection when the address changes twice before the old connection has confirmed. */
     @Test
     @Timeout(30)
-    void secondMoveDuringConfirmationOpensOneConnectionOnly() throws Exception {
+    void opensOnlyOneConnectionOnSecondMoveDuringConfirmation() throws Exception {
         EventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (FakeKernel old = new FakeKernel();
-                FakeKernel between = new FakeKernel();
+                FakeKernel intermediate = new FakeKernel();
                 FakeKernel last = new FakeKernel()) {
             BootListener listener = new BootListener(new CountDownLatch(1));
             KernelLink link = new KernelLink(
@@ -106,11 +107,11 @@
             loop.submit(() -> link.run("1", "stew", new byte[1])).sync();
             assertThat(readType(firstReader)).isEqualTo("SCHED");
 
-            loop.submit(() -> link.moveTo(between.address())).sync();
-            between.accept();
-            assertThat(readType(firstReader)).isEqualTo("SYSINFO"); // the old connection has to confirm, and never does
+            loop.submit(() -> link.moveTo(intermediate.address())).sync();
+            intermediate.accept();
+            assertThat(readType(firstReader)).isEqualTo("SYSINFO"); // the old connection never confirms its commands
             loop.submit(() -> link.moveTo(last.address())).sync();
-            Socket moved = last.accept(); // a third connection would replace it and leave it open
+            Socket moved = last.accept(); // a third connection would replace this one and leave it open
             assertThat(readType(reader(moved))).isEqualTo("OPEN");
             loop.submit(link::close).sync();
         } finally {
--- a/server/src/test/java/wheatspread/kernel/KernelWireNamesTest.java
+++ b/server/src/test/java/wheatspread/kernel/KernelWireNamesTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 import wheatspread.core.Kernel;
 
-/** The words on the wire are the protocol's, whatever the code calls them. */
+/** Guards against a rename in the code that changes a keyword on the wire. */
 class KernelWireNamesTest {
-    private static final Map<String, String> WORDS = Map.ofEntries(
+    private static final Map<String, String> KEYWORDS_BY_CONSTANT = Map.ofEntries(
             Map.entry("RESUME_SESSION", "OPEN"),
             Map.entry("START", "SCHED"),
             Map.entry("SUSPEND", "PREEMPT"),
@@ -37,14 +37,14 @@
             Map.entry("COLD_START", "COLD"));
 
     @Test
-    void everyConstantHasItsWireWord() throws IllegalAccessException {
+    void everyConstantKeepsItsKeyword() throws IllegalAccessException {
         Map<String, Object> constants = new TreeMap<>();
         for (Field field : KernelWireNames.class.getDeclaredFields()) {
             if (!field.isSynthetic() && Modifier.isStatic(field.getModifiers())) {
                 constants.put(field.getName(), field.get(null));
             }
         }
-        assertThat(constants).isEqualTo(new TreeMap<String, Object>(WORDS));
+        assertThat(constants).isEqualTo(new TreeMap<String, Object>(KEYWORDS_BY_CONSTANT));
     }
 
     @Test
