--- a/server/src/main/java/wheatspread/announce/AnnounceClient.java
+++ b/server/src/main/java/wheatspread/announce/AnnounceClient.java
@@ -23,7 +23,7 @@
     private static final long REPEAT_CHANGE_DELAY_MS = 150;
 
     private final EventLoopGroup loop;
-    private final Bootstrap clients;
+    private final Bootstrap bootstrap;
     private final String serverName;
     private final EventLog log;
     private final AnnounceConnection.Owner connectionOwner = new ConnectionOwner();
@@ -39,9 +39,9 @@
     private boolean closed;
 
     /** Creates a client; {@code address} is null if the deployment has no announce service, and no reports are sent. */
-    public AnnounceClient(Bootstrap clients, InetSocketAddress address, String serverName, EventLog log) {
-        loop = clients.config().group();
-        this.clients = clients;
+    public AnnounceClient(Bootstrap bootstrap, InetSocketAddress address, String serverName, EventLog log) {
+        loop = bootstrap.config().group();
+        this.bootstrap = bootstrap;
         this.address = address;
         this.serverName = serverName;
         this.log = log;
@@ -93,7 +93,7 @@
         } else {
             dropConnection(); // waiting for the answer would delay this report and later ones
             connection = new AnnounceConnection(connectionOwner, address, serverName, log);
-            connection.connect(clients);
+            connection.connect(bootstrap);
         }
     }
 
--- a/server/src/main/java/wheatspread/announce/AnnounceConnection.java
+++ b/server/src/main/java/wheatspread/announce/AnnounceConnection.java
@@ -51,8 +51,9 @@
     }
 
     /** Starts to connect, and sends a report once the connection is established. */
-    void connect(Bootstrap clients) {
-        clients.clone()
+    void connect(Bootstrap bootstrap) {
+        bootstrap
+                .clone()
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
--- a/server/src/main/java/wheatspread/core/ActionExecutor.java
+++ b/server/src/main/java/wheatspread/core/ActionExecutor.java
@@ -133,7 +133,7 @@
     public void callDependency(long id, long timeoutMicros) {
         Attempt attempt = attempts.byId(id);
         if (attempt == null || !attempt.dependencyCall().awaited() || attempt.answered()) {
-            return; // the attempt needs no answer any more: the kernel ends the run at its call and reports the end
+            return; // the attempt no longer needs an answer: the kernel ends the run at its call and reports the end
         }
         dependencyCalls.start(attempt, timeoutMicros);
     }
--- a/server/src/main/java/wheatspread/core/Attempt.java
+++ b/server/src/main/java/wheatspread/core/Attempt.java
@@ -76,7 +76,7 @@
         deadlineTimer = timer;
     }
 
-    /** Returns whether the attempt needs no answer any more: it was answered, or the client disconnected. */
+    /** Returns whether the attempt no longer needs an answer: it was answered, or the client disconnected. */
     boolean answered() {
         return reply == null;
     }
--- a/server/src/main/java/wheatspread/core/IdempotencyTable.java
+++ b/server/src/main/java/wheatspread/core/IdempotencyTable.java
@@ -19,7 +19,7 @@
      * later.
      */
     private static final long LATE_READ_ALLOWANCE_MICROS = 5_000_000;
-    /** The platform adds this to every time limit where messages go over sockets. */
+    /** The platform adds this slack to every time limit if messages are sent over sockets. */
     private static final long SOCKET_SLACK_MICROS = 50_000;
 
     /** The entry of a key. */
--- a/server/src/main/java/wheatspread/handover/SharedIdempotencyClaims.java
+++ b/server/src/main/java/wheatspread/handover/SharedIdempotencyClaims.java
@@ -54,7 +54,7 @@
         try {
             digest = MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IOException(e);
+            throw new IOException("the JVM has no SHA-256 digest, which names the files of claims", e);
         }
     }
 
--- a/server/src/main/java/wheatspread/kernel/KernelConnection.java
+++ b/server/src/main/java/wheatspread/kernel/KernelConnection.java
@@ -48,8 +48,9 @@
     }
 
     /** Starts to connect, and notifies the owner of the result. */
-    void connect(Bootstrap clients) {
-        clients.clone()
+    void connect(Bootstrap bootstrap) {
+        bootstrap
+                .clone()
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
--- a/server/src/main/java/wheatspread/kernel/KernelLink.java
+++ b/server/src/main/java/wheatspread/kernel/KernelLink.java
@@ -33,7 +33,7 @@
     private static final int MAX_UNANSWERED_REQUESTS = 100;
 
     private final EventLoopGroup loop;
-    private final Bootstrap clients;
+    private final Bootstrap bootstrap;
     private final EventLog log;
     private final UnconfirmedCommands unconfirmed = new UnconfirmedCommands();
     private final NoticeReader notices;
@@ -59,9 +59,9 @@
     private long retryDelayMs = MIN_RETRY_DELAY_MS;
 
     /** Creates a session that is not open yet; the listener receives every notice exactly once, on the event loop. */
-    public KernelLink(Bootstrap clients, InetSocketAddress address, Listener listener, EventLog log) {
-        loop = clients.config().group();
-        this.clients = clients;
+    public KernelLink(Bootstrap bootstrap, InetSocketAddress address, Listener listener, EventLog log) {
+        loop = bootstrap.config().group();
+        this.bootstrap = bootstrap;
         this.address = address;
         this.log = log;
         notices = new NoticeReader(new SessionProgress(), listener, unconfirmed, log);
@@ -74,7 +74,7 @@
             return;
         }
         connecting = new KernelConnection(address, connectionEvents, log);
-        connecting.connect(clients);
+        connecting.connect(bootstrap);
     }
 
     /**
--- a/server/src/main/java/wheatspread/records/RecordsClient.java
+++ b/server/src/main/java/wheatspread/records/RecordsClient.java
@@ -14,7 +14,7 @@
 
 /**
  * Calls the records service over a pool of connections. A corrupt or missing reply makes its connection useless for
- * all calls on it, so each call gets a connection of its own until the pool has reached its maximum size.
+ * all calls on it, so calls do not share a connection until the pool has reached its maximum size.
  *
  * <p>All methods must be called on the event loop. {@link #close} closes the connections, and the calls on them end
  * with {@link Outcome#RESET}.
@@ -26,7 +26,7 @@
     private static final long IDLE_CHECK_INTERVAL_MICROS = 500_000;
     private static final long MICROS_PER_MILLI = 1_000;
 
-    private final Bootstrap clients;
+    private final Bootstrap bootstrap;
     private final Clock clock;
     private final int maxConnections;
     private final EventLog log;
@@ -39,8 +39,9 @@
      * Creates a client whose calls share connections once {@code maxConnections} are open. {@code address} is null if
      * the deployment has no records service; calls then end with {@link Outcome#CONNECT_ERROR}.
      */
-    public RecordsClient(Bootstrap clients, InetSocketAddress address, int maxConnections, Clock clock, EventLog log) {
-        this.clients = clients;
+    public RecordsClient(
+            Bootstrap bootstrap, InetSocketAddress address, int maxConnections, Clock clock, EventLog log) {
+        this.bootstrap = bootstrap;
         this.address = address;
         this.maxConnections = maxConnections;
         this.clock = clock;
@@ -94,7 +95,7 @@
         boolean full = pool.size() >= maxConnections;
         if (best == null || best.pendingCalls() > 0 && !full) {
             best = new RecordsConnection(pool, clock, log);
-            best.connect(clients, address);
+            best.connect(bootstrap, address);
         }
         pool.markUsed(best);
         if (!idleCheckScheduled) {
--- a/server/src/main/java/wheatspread/records/RecordsConnection.java
+++ b/server/src/main/java/wheatspread/records/RecordsConnection.java
@@ -66,8 +66,9 @@
     }
 
     /** Starts to connect; if that fails, the calls on the connection end with {@link Outcome#CONNECT_ERROR}. */
-    void connect(Bootstrap clients, InetSocketAddress address) {
-        clients.clone()
+    void connect(Bootstrap bootstrap, InetSocketAddress address) {
+        bootstrap
+                .clone()
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
--- a/server/src/test/java/wheatspread/core/CoreHarness.java
+++ b/server/src/test/java/wheatspread/core/CoreHarness.java
@@ -125,7 +125,7 @@
 
         @Override
         public void suspend(String job) {
-            kernelCommands.add("pause " + job);
+            kernelCommands.add("suspend " + job);
         }
 
         @Override
@@ -135,12 +135,12 @@
 
         @Override
         public void completeDependencyCall(String job, byte[] reply) {
-            kernelCommands.add("callDone " + job);
+            kernelCommands.add("completeDependencyCall " + job);
         }
 
         @Override
         public void skipDependencyCall(String job, long noticeNumber) {
-            kernelCommands.add("skipCall " + job);
+            kernelCommands.add("skipDependencyCall " + job);
         }
 
         @Override
--- a/server/src/test/java/wheatspread/core/CoreTest.java
+++ b/server/src/test/java/wheatspread/core/CoreTest.java
@@ -66,7 +66,7 @@
         core.onRunEnded("a", Kernel.End.STOPPED, 10, null);
         harness.decide(actions -> actions.run(1));
         harness.settle();
-        assertThat(harness.kernelCommands).containsExactly("run a", "pause a", "resume a");
+        assertThat(harness.kernelCommands).containsExactly("run a", "suspend a", "resume a");
         core.onRunEnded("a", Kernel.End.OK, 20, new byte[0]);
         core.onRunEnded("a", Kernel.End.OK, 20, new byte[0]);
         assertThat(harness.answers).containsExactly("a SERVED");
