--- a/server/src/main/java/wheatspread/fleet/FleetController.java
+++ b/server/src/main/java/wheatspread/fleet/FleetController.java
@@ -9,17 +9,17 @@
 import wheatspread.logging.EventLog;
 
 /**
- * All decisions of a supervisor: which instance is started, drained or killed, by {@link InstanceTable},
- * {@link RestartBackoff}, {@link InstanceTimeouts} and {@link Rollout}. It does no I/O and reads no clock; times are
- * Unix microseconds. One thread calls it.
+ * Decides which instances of a fleet are started, drained and killed, using {@link InstanceTable},
+ * {@link RestartBackoff}, {@link InstanceTimeouts} and {@link Rollout}. The class does no I/O and reads no clock; times
+ * are Unix microseconds. It is not thread-safe: one thread makes all calls.
  *
- * <p>In each turn the supervisor reports what it saw, calls {@link #decide}, saves {@link #state}, and then carries out
- * the {@link InstanceAction}s that {@code decide} returned.
+ * <p>In each turn the supervisor reports its observations, calls {@link #decide}, saves {@link #state}, and then
+ * carries out the {@link InstanceAction}s that {@code decide} returned.
  *
- * <p>The rule on which recovery rests: an instance is started only after its earlier process is known to have exited,
- * and each start is a generation of its own. A start that an earlier supervisor recorded, and may not have carried
- * out, gets time to show itself by its lock before the next generation is started; the lock lets only one process of a
- * name run.
+ * <p>Recovery relies on this invariant: an instance is started only after its previous process is known to have
+ * exited, and every start has a new generation number. If an earlier supervisor recorded a start but may not have
+ * carried it out, the process is given time to take its lock before the next generation is started. The lock ensures
+ * that at most one process of an instance runs.
  */
 public final class FleetController {
     private final FleetPlan plan;
@@ -27,14 +27,14 @@
     private final InstanceTable instances;
     private final RestartBackoff backoff;
     private final InstanceTimeouts timeouts;
-    /** Decided, and not returned by {@link #decide} yet. */
+    /** The actions that {@link #decide} has not returned yet. */
     private final List<InstanceAction> pendingActions = new ArrayList<>();
-    /** The last one; null if there was none. */
+    /** The last rollout; null if there has been none. */
     private Rollout rollout;
-    /** Whether the whole fleet is to stop. */
+    /** Whether the fleet is being shut down. */
     private boolean shuttingDown;
 
-    /** {@code seed} is that of the jitter of restart delays. */
+    /** Creates a controller; {@code seed} seeds the jitter of restart delays. */
     public FleetController(FleetPlan plan, long seed, EventLog log) {
         this.plan = plan;
         this.log = new FleetLog(log);
@@ -47,12 +47,12 @@
         return instances;
     }
 
-    /** The last rollout; null if there was none. */
+    /** Returns the last rollout; null if there has been none. */
     public Rollout rollout() {
         return rollout;
     }
 
-    /** Whether the fleet is to stop and every process has exited. */
+    /** Returns whether the fleet is being shut down and every process has exited. */
     public boolean isShutDown() {
         return shuttingDown && instances.all().stream().noneMatch(FleetInstance::hasProcess);
     }
@@ -61,20 +61,22 @@
         return shuttingDown;
     }
 
-    // ---- operators' commands; one that cannot be carried out is an IllegalArgumentException ----
+    // ---- operators' commands; a command that cannot be carried out throws IllegalArgumentException ----
 
     /**
-     * Begins a rollout to a build.
+     * Starts a rollout to a build.
      *
-     * @param names the instances to replace; empty for all that should run
-     * @param count how many of them to replace at most; 0 for no bound
+     * @param names the instances to replace; empty for all instances that should run
+     * @param count the maximum number of instances to replace; 0 for no limit
      */
     public void startRollout(String toBuild, List<String> names, int count, long nowMicros) {
         if (shuttingDown) {
-            throw new IllegalArgumentException("the fleet is going down");
+            throw new IllegalArgumentException(
+                    "cannot start a rollout to " + toBuild + ": the fleet is being shut down");
         }
         if (isRollingOut()) {
-            throw new IllegalArgumentException("a roll to " + rollout.toBuild() + " goes on");
+            throw new IllegalArgumentException("cannot start a rollout to " + toBuild + ": the rollout to "
+                    + rollout.toBuild() + " is still in progress");
         }
         names.forEach(this::requireInstance);
         List<String> chosen = instances.all().stream()
@@ -83,7 +85,7 @@
                 .map(instance -> instance.name)
                 .toList();
         if (chosen.isEmpty()) {
-            throw new IllegalArgumentException("there is nobody to roll");
+            throw new IllegalArgumentException("cannot start a rollout to " + toBuild + ": no instance should run");
         }
         String fromBuild = instances.get(chosen.get(0)).build;
         rollout = new Rollout(plan.rollout(), fromBuild, toBuild, chosen, nowMicros);
@@ -92,15 +94,15 @@
         log.rolloutStarted(fromBuild, toBuild, chosen.size(), maxUnavailable);
     }
 
-    /** Ends a rollout where it stands. */
+    /** Stops the rollout in progress; every instance keeps its current build. */
     public void stopRollout(long nowMicros) {
         if (!isRollingOut()) {
-            throw new IllegalArgumentException("no roll goes on");
+            throw new IllegalArgumentException("cannot stop the rollout: no rollout is in progress");
         }
         rollout.stop("stopped by an operator", nowMicros);
     }
 
-    /** Drains an instance; it is not restarted until {@link #enable}. */
+    /** Drains an instance, which is not restarted until {@link #enable} is called. */
     public void drain(String name, long nowMicros) {
         FleetInstance instance = requireInstance(name);
         instance.shouldRun = false;
@@ -108,7 +110,7 @@
         leaveCrashLoop(instance, nowMicros);
     }
 
-    /** Starts an instance that was drained, or is held for a crash loop. */
+    /** Starts an instance that was drained or that is held because of a crash loop. */
     public void enable(String name, long nowMicros) {
         FleetInstance instance = requireInstance(name);
         instance.shouldRun = true;
@@ -116,7 +118,7 @@
         leaveCrashLoop(instance, nowMicros);
     }
 
-    /** Drains the whole fleet; nothing is started any more. */
+    /** Drains all instances. No instance is started after this call. */
     public void shutDown(long nowMicros) {
         shuttingDown = true;
         if (isRollingOut()) {
@@ -132,7 +134,7 @@
     private FleetInstance requireInstance(String name) {
         FleetInstance instance = instances.get(name);
         if (instance == null) {
-            throw new IllegalArgumentException("there is no member " + name);
+            throw new IllegalArgumentException("unknown instance name " + name);
         }
         return instance;
     }
@@ -143,9 +145,9 @@
         }
     }
 
-    // ---- what the supervisor saw; what belongs to another generation changes nothing ----
+    // ---- observations of the supervisor; an observation of another generation is ignored ----
 
-    /** The process of an instance has this process id. */
+    /** Records the process id of a started instance. */
     public void processStarted(String name, int generation, long pid) {
         FleetInstance instance = instances.get(name);
         if (instance != null && instance.generation == generation) {
@@ -154,7 +156,7 @@
         }
     }
 
-    /** A health check was answered. */
+    /** Records the answer to a health check. */
     public void healthCheckAnswered(String name, int generation, Health health, long nowMicros) {
         FleetInstance instance = instances.get(name);
         if (instance != null && instances.recordHealthCheck(instance, generation, health, nowMicros)) {
@@ -162,7 +164,7 @@
         }
     }
 
-    /** A health check was refused, or not answered in time. */
+    /** Records a health check that was refused or timed out. */
     public void healthCheckFailed(String name, int generation, long nowMicros) {
         FleetInstance instance = instances.get(name);
         if (instance != null && instances.recordFailedCheck(instance, generation, nowMicros)) {
@@ -170,7 +172,7 @@
         }
     }
 
-    /** The process of an instance exited; the code may be {@link FleetInstance#UNKNOWN_EXIT_CODE}. */
+    /** Records the exit of a process; {@code exitCode} may be {@link FleetInstance#UNKNOWN_EXIT_CODE}. */
     public void processExited(String name, int generation, int exitCode, long nowMicros) {
         FleetInstance instance = instances.get(name);
         if (instance == null || instance.generation != generation || !instance.hasProcess()) {
@@ -185,7 +187,7 @@
         }
     }
 
-    /** Returns whether the exit changed the rollout's status, by which it is accounted for. */
+    /** Returns whether the exit changed the rollout's status; such an exit is not counted for the restart backoff. */
     private boolean reportExitToRollout(FleetInstance instance, boolean expected, long nowMicros) {
         if (rollout == null) {
             return false;
@@ -214,7 +216,7 @@
 
     // ---- decisions ----
 
-    /** Decides on every instance. Returns what is to be done once {@link #state} is saved. */
+    /** Decides about every instance. Returns the actions to carry out after {@link #state} has been saved. */
     public List<InstanceAction> decide(long nowMicros) {
         for (FleetInstance instance : instances.all()) {
             superviseInstance(instance, nowMicros);
@@ -244,8 +246,9 @@
     }
 
     /**
-     * The start was not carried out, or its process exited at once. Neither counts as an exit or as a fault of the
-     * build; the next generation will show one.
+     * Gives up a start whose process has not taken its lock in time: the start was not carried out, or the process
+     * exited immediately. This counts neither as an exit nor as a failure of the build, since a faulty build also fails
+     * in its next generation.
      */
     private void giveUpUnconfirmedStart(FleetInstance instance, long nowMicros) {
         instance.startUnconfirmedUntilMicros = 0;
@@ -265,7 +268,10 @@
         log.instanceKilled(instance, reason);
     }
 
-    /** Where that does not end the rollout, another generation of the same build is tried. */
+    /**
+     * Reports to the rollout that a new instance failed. If the rollout continues, the instance is drained and started
+     * again with the same build.
+     */
     private void failNewInstance(FleetInstance instance, long nowMicros) {
         long requests = instance.health.served() + instance.health.failed();
         rollout.instanceFailed(
@@ -277,7 +283,7 @@
         }
     }
 
-    /** Sends SIGTERM, unless there is no process or it was sent before. */
+    /** Orders SIGTERM for an instance, unless it has no process or is draining already. */
     void beginDrain(FleetInstance instance, long nowMicros) {
         if (!instance.hasProcess() || instance.state == State.DRAINING) {
             return;
@@ -306,8 +312,9 @@
     }
 
     /**
-     * Starts instances that should run and have no process, {@link FleetPlan#maxConcurrentStarts} at a time. Those
-     * that a rollout replaces are bounded by the rollout instead.
+     * Starts the instances that should run and have no process. At most {@link FleetPlan#maxConcurrentStarts}
+     * instances are in state {@code STARTING} at a time; instances that a rollout replaces are limited by the rollout
+     * instead.
      */
     private void startInstances(long nowMicros) {
         int starting = instances.count(State.STARTING);
@@ -334,16 +341,19 @@
         log.instanceStarted(instance);
     }
 
-    // ---- from one supervisor to the next ----
+    // ---- recovery after a restart of the supervisor ----
 
-    /** What is to be saved before the actions that were last returned are carried out. */
+    /** Returns the state to save before the actions that {@link #decide} returned are carried out. */
     public FleetState state() {
         return FleetState.of(instances, backoff, rollout, shuttingDown);
     }
 
     /**
-     * Goes on from what an earlier supervisor saved and from the processes found running, by instance. Instances that
-     * the plan no longer has are drained, and stay in the table until then.
+     * Restores the state that an earlier supervisor saved, and adopts its running processes.
+     *
+     * <p>Instances that the plan no longer contains are drained, and remain in the table.
+     *
+     * @param running the processes that hold the lock of an instance, by instance name
      */
     public void restore(FleetState saved, Map<String, RunningProcess> running, long nowMicros) {
         shuttingDown = saved.shuttingDown();
@@ -355,7 +365,7 @@
         log.restored(saved.instances().size(), running.size(), rollout);
     }
 
-    /** Whether it is open if a start that an earlier supervisor recorded was carried out. */
+    /** Returns whether it is unknown if a start that an earlier supervisor recorded was carried out. */
     public boolean isStartUnconfirmed(String name) {
         FleetInstance instance = instances.get(name);
         return instance != null && instance.startUnconfirmedUntilMicros > 0;
--- a/server/src/main/java/wheatspread/fleet/FleetInstance.java
+++ b/server/src/main/java/wheatspread/fleet/FleetInstance.java
@@ -1,29 +1,30 @@
 package wheatspread.fleet;
 
 /**
- * One server of a fleet as its supervisor knows it. Times are Unix microseconds; 0 stands for "not yet".
+ * The supervisor's record of one server of a fleet. Times are Unix microseconds; 0 means that the event has not
+ * happened. One thread makes all calls.
  *
- * <p>A generation is one start of a process of this instance. Health checks and exits carry the generation they
- * belong to, so a late one of an earlier process changes nothing.
+ * <p>A generation is one start of a process of this instance. Health checks and exits carry their generation number, so
+ * that late reports about an earlier process are ignored.
  */
 public final class FleetInstance {
     /**
-     * The states of an instance.
+     * The state of an instance.
      *
      * <table>
      * <caption>States, and how an instance enters and leaves them</caption>
-     * <tr><th>state</th><th>meaning</th><th>left for</th></tr>
-     * <tr><td>{@code STOPPED}</td><td>no process: none is wanted, or its restart delay runs</td>
-     *     <td>{@code STARTING} when the supervisor starts one; {@code CRASH_LOOP} on too many exits</td></tr>
-     * <tr><td>{@code STARTING}</td><td>from the decision to start it to its first good health check</td>
+     * <tr><th>state</th><th>meaning</th><th>followed by</th></tr>
+     * <tr><td>{@code STOPPED}</td><td>it has no process: none is wanted, or the restart delay has not expired</td>
+     *     <td>{@code STARTING} when a process is started; {@code CRASH_LOOP} after too many exits</td></tr>
+     * <tr><td>{@code STARTING}</td><td>a start was decided, and no health check has succeeded yet</td>
      *     <td>{@code HEALTHY}; {@code DRAINING}; {@code STOPPED} on its exit</td></tr>
-     * <tr><td>{@code HEALTHY}</td><td>its last health checks were good</td>
-     *     <td>{@code UNHEALTHY} after enough failed checks in a row; {@code DRAINING}; {@code STOPPED}</td></tr>
-     * <tr><td>{@code UNHEALTHY}</td><td>enough health checks in a row failed</td>
-     *     <td>{@code HEALTHY} with the next good one; {@code DRAINING}; {@code STOPPED}</td></tr>
+     * <tr><td>{@code HEALTHY}</td><td>its last health check succeeded, or fewer than the threshold failed</td>
+     *     <td>{@code UNHEALTHY} after too many consecutive failed checks; {@code DRAINING}; {@code STOPPED}</td></tr>
+     * <tr><td>{@code UNHEALTHY}</td><td>too many consecutive health checks failed</td>
+     *     <td>{@code HEALTHY} after a successful check; {@code DRAINING}; {@code STOPPED}</td></tr>
      * <tr><td>{@code DRAINING}</td><td>it was sent SIGTERM</td><td>{@code STOPPED} on its exit</td></tr>
-     * <tr><td>{@code CRASH_LOOP}</td><td>it exited too often and is not restarted for now</td>
-     *     <td>{@code STOPPED} when the hold is over, or an operator starts or drains it</td></tr>
+     * <tr><td>{@code CRASH_LOOP}</td><td>it exited too often and is held: it is not restarted</td>
+     *     <td>{@code STOPPED} when the hold ends, or an operator starts or drains it</td></tr>
      * </table>
      */
     public enum State {
@@ -40,12 +41,16 @@
             this.storedName = storedName;
         }
 
-        /** The name in files and in the log. It stays when the constant is renamed. */
+        /** Returns the name used in files and in the log, which must not change when the constant is renamed. */
         public String storedName() {
             return storedName;
         }
 
-        /** The constant with this stored name; an unknown name is an {@link IllegalArgumentException}. */
+        /**
+         * Returns the constant with this stored name.
+         *
+         * @throws IllegalArgumentException if the name is unknown
+         */
         public static State fromStoredName(String storedName) {
             for (State state : values()) {
                 if (state.storedName.equals(storedName)) {
@@ -57,50 +62,50 @@
     }
 
     /**
-     * The answer to a health check. The counters run from the start of the process.
+     * The answer to a health check. The counters start at the start of the process.
      *
-     * @param healthy whether the process says that it takes requests
-     * @param served requests answered with a result
-     * @param failed requests answered with an error
-     * @param rejected requests rejected for want of capacity
-     * @param warmUpRemainingMicros how long until the process is warmed up; 0 once it is
+     * @param healthy whether the process reports that it accepts requests
+     * @param served number of requests answered with a result
+     * @param failed number of requests answered with an error
+     * @param rejected number of requests rejected because of overload
+     * @param warmUpRemainingMicros the time until the process is warmed up; 0 if it is warm
      */
     public record Health(boolean healthy, long served, long failed, long rejected, long warmUpRemainingMicros) {}
 
-    /** The exit code of a process that was not a child of this supervisor, whose code the system does not report. */
+    /** Exit code for a process that is not a child of this supervisor: the system does not report its code. */
     public static final int UNKNOWN_EXIT_CODE = -1;
 
     final String name;
     State state = State.STOPPED;
     long stateSinceMicros;
-    /** Whether operators want it to run; false once it was drained or left the fleet's file. */
+    /** Whether the instance should run; false after an operator drained it or removed it from the fleet's file. */
     boolean shouldRun = true;
 
-    /** The label of the build of the current generation, or of the next one while there is no process. */
+    /** The label of the build of the current generation, or of the next generation if there is no process. */
     String build;
 
     int generation;
-    /** The process id; 0 while it is not known. */
+    /** The process id; 0 if it is unknown. */
     long pid;
 
     long startedAtMicros;
-    /** The first good health check of this generation. */
+    /** The time of the first successful health check of this generation. */
     long firstHealthyAtMicros;
-    /** The last answered health check of this generation. */
+    /** The time of the last answered health check of this generation. */
     long lastCheckAtMicros;
 
     int consecutiveFailedChecks;
-    /** The last answered health check of this generation; null if there was none. */
+    /** The last answer to a health check of this generation; null if there has been none. */
     Health health;
     /**
-     * Set while it is not known whether a start that an earlier supervisor recorded was carried out: until when the
-     * process may still show itself by its lock. 0 if there is no such doubt.
+     * The time until which the process of a recorded start may take its lock. It is set while it is unknown whether an
+     * earlier supervisor carried out the start; 0 otherwise.
      */
     long startUnconfirmedUntilMicros;
 
     int lastExitCode = UNKNOWN_EXIT_CODE;
     boolean hasExited;
-    /** Whether SIGKILL was ordered for this generation; it is ordered once. */
+    /** Whether SIGKILL was ordered for this generation; it is ordered at most once. */
     boolean killRequested;
 
     FleetInstance(String name, String build) {
@@ -132,37 +137,37 @@
         return shouldRun;
     }
 
-    /** The last answered health check; null if there was none in this generation. */
+    /** Returns the last answer to a health check of this generation; null if there has been none. */
     public Health health() {
         return health;
     }
 
-    /** The exit code of its last process; null if none has exited. */
+    /** Returns the exit code of the last process; null if no process has exited. */
     public Integer lastExitCode() {
         return hasExited ? lastExitCode : null;
     }
 
-    /** Whether it has a running process, as far as is known. */
+    /** Returns whether the instance is believed to have a running process. */
     public boolean hasProcess() {
         return state == State.STARTING || state == State.HEALTHY || state == State.UNHEALTHY || state == State.DRAINING;
     }
 
-    /** The time since its last answered health check; -1 if there was none. */
+    /** Returns the time since the last answered health check; -1 if there has been none. */
     public long sinceLastCheckMicros(long nowMicros) {
         return lastCheckAtMicros == 0 ? -1 : nowMicros - lastCheckAtMicros;
     }
 
-    /** The time for which it has been in its state. */
+    /** Returns the time since the instance entered its current state. */
     public long inStateMicros(long nowMicros) {
         return nowMicros - stateSinceMicros;
     }
 
-    /** The time since it last proved to be alive, by an answered check or by becoming healthy. */
+    /** Returns the time since the last answered health check, or since the instance became healthy if that is later. */
     long silentMicros(long nowMicros) {
         return nowMicros - Math.max(lastCheckAtMicros, firstHealthyAtMicros);
     }
 
-    /** Whether health checks have found it healthy before, so that silence says something about it. */
+    /** Returns whether the instance has been healthy, so that unanswered health checks indicate a failure. */
     boolean isChecked() {
         return state == State.HEALTHY || state == State.UNHEALTHY;
     }
@@ -172,7 +177,7 @@
         stateSinceMicros = nowMicros;
     }
 
-    /** Takes over what an earlier supervisor recorded. */
+    /** Restores the fields that an earlier supervisor saved. */
     void restore(FleetState.InstanceRecord saved) {
         state = saved.state();
         shouldRun = saved.shouldRun();
@@ -183,7 +188,7 @@
         firstHealthyAtMicros = saved.firstHealthyAtMicros();
     }
 
-    /** Enters {@code STARTING} as the next generation; nothing known of the last one holds any more. */
+    /** Enters {@code STARTING} with the next generation number, and resets the data of the previous generation. */
     void beginGeneration(String nextBuild, long nowMicros) {
         enterState(State.STARTING, nowMicros);
         build = nextBuild;
@@ -198,7 +203,7 @@
         killRequested = false;
     }
 
-    /** Enters {@code STOPPED} after the exit of its process. */
+    /** Enters {@code STOPPED} after the exit of the process. */
     void recordExit(int exitCode, long nowMicros) {
         lastExitCode = exitCode;
         hasExited = true;
--- a/server/src/main/java/wheatspread/fleet/FleetLog.java
+++ b/server/src/main/java/wheatspread/fleet/FleetLog.java
@@ -5,8 +5,8 @@
 import wheatspread.logging.EventLog.Level;
 
 /**
- * The log events of a fleet's instances and rollouts; {@code docs/operating/log.md} describes them for operators.
- * Times are Unix microseconds.
+ * Writes the log events of a fleet's instances and rollouts, which {@code docs/operating/log.md} describes for
+ * operators. Times are Unix microseconds.
  */
 final class FleetLog {
     private static final long MICROS_PER_MILLI = 1_000;
@@ -17,7 +17,7 @@
         this.log = log;
     }
 
-    /** The state of an earlier supervisor was restored; {@code rollout} is null if there was none. */
+    /** Logs that the state of an earlier supervisor was restored; {@code rollout} is null if there was none. */
     void restored(int instances, int running, Rollout rollout) {
         log.info(
                 "fleet_found",
@@ -31,7 +31,7 @@
 
     // ---- instances ----
 
-    /** A health check changed the state of an instance. */
+    /** Logs that a health check changed the state of an instance. */
     void stateChanged(FleetInstance instance, long nowMicros) {
         log.info(
                 "instance",
@@ -52,7 +52,7 @@
                 "instance_starting", "name", instance.name, "build", instance.build, "generation", instance.generation);
     }
 
-    /** A start that an earlier supervisor recorded did not show itself in time. */
+    /** Logs that no process took the lock in time after a start that an earlier supervisor recorded. */
     void startNotConfirmed(FleetInstance instance) {
         log.info("instance_start_lost", "name", instance.name, "generation", instance.generation);
     }
@@ -66,7 +66,7 @@
         log.warn("instance_killed", "name", instance.name, "generation", instance.generation, "why", reason);
     }
 
-    /** A process exited; {@code expected} says whether it had been sent SIGTERM. */
+    /** Logs the exit of a process; {@code expected} tells whether SIGTERM was sent to it before. */
     void processExited(FleetInstance instance, boolean expected, long nowMicros) {
         log.log(
                 expected ? Level.INFO : Level.WARN,
@@ -85,7 +85,7 @@
                 (nowMicros - instance.startedAtMicros) / MICROS_PER_MILLI);
     }
 
-    /** An instance is held for a crash loop. */
+    /** Logs that an instance is held because of a crash loop. */
     void crashLoopDetected(FleetInstance instance, BackoffPolicy backoff) {
         log.error(
                 "instance_crash_loop",
@@ -103,7 +103,7 @@
         log.info("rollout_started", "from", fromBuild, "to", toBuild, "members", instances, "most_out", maxUnavailable);
     }
 
-    /** The status of a rollout changed. */
+    /** Logs the new status of a rollout; a status with a reason is logged as an error. */
     void rolloutStatusChanged(Rollout rollout) {
         log.log(
                 rollout.reason().isEmpty() ? Level.INFO : Level.ERROR,
@@ -116,7 +116,7 @@
                 rollout.reason());
     }
 
-    /** A rollout waits for unavailable instances, or goes on. */
+    /** Logs that a rollout was paused because instances are unavailable, or was resumed. */
     void rolloutPaused(Rollout rollout, int unavailable) {
         log.warn(
                 rollout.isPaused() ? "rollout_paused" : "rollout_resumed", "to", rollout.toBuild(), "out", unavailable);
--- a/server/src/main/java/wheatspread/fleet/FleetRecovery.java
+++ b/server/src/main/java/wheatspread/fleet/FleetRecovery.java
@@ -4,11 +4,11 @@
 import wheatspread.fleet.FleetState.RunningProcess;
 
 /**
- * Takes over, instance by instance, what an earlier supervisor saved and left running.
+ * Restores the instances that an earlier supervisor saved, and adopts the processes that it left running.
  *
- * <p>Rule: a process that was found is adopted with its generation. Without one, a start that was recorded stays
- * unconfirmed for {@link FleetPlan#startConfirmationMicros}, since the process may not have taken its lock yet; any
- * other state with a process means that the process has exited unseen.
+ * <p>A running process is adopted with its generation. If no process was found, a recorded start remains unconfirmed
+ * for {@link FleetPlan#startConfirmationMicros}, since the process may not have taken its lock yet; in any other state
+ * with a process, the process has exited while no supervisor ran.
  */
 final class FleetRecovery {
     private final FleetPlan plan;
@@ -23,7 +23,11 @@
         this.controller = controller;
     }
 
-    /** {@code process} is null where none was found. An instance that the plan no longer has is drained. */
+    /**
+     * Restores one instance. An instance that the plan no longer contains is drained.
+     *
+     * @param process the running process of the instance; null if none was found
+     */
     void restore(FleetState.InstanceRecord saved, RunningProcess process, long nowMicros) {
         FleetInstance planned = instances.get(saved.name());
         if (planned == null && process == null) {
@@ -51,10 +55,10 @@
             instance.startedAtMicros = nowMicros;
         }
         if (instance.state == State.DRAINING) {
-            controller.terminate(instance); // SIGTERM may not have been sent; a second one does no harm
+            controller.terminate(instance); // SIGTERM may not have been sent; sending it twice is harmless
             instance.stateSinceMicros = nowMicros;
         }
-        // stale until its first answer, but not unresponsive
+        // the instance is stale until its first answered check, but not yet unresponsive
         instance.lastCheckAtMicros = nowMicros - plan.staleAfterMicros() - 1;
     }
 
--- a/server/src/main/java/wheatspread/fleet/FleetState.java
+++ b/server/src/main/java/wheatspread/fleet/FleetState.java
@@ -4,13 +4,14 @@
 import java.util.Map;
 
 /**
- * What a supervisor saves before it acts, so that the next one can continue. Times are Unix microseconds.
+ * The state that a supervisor saves before it carries out actions, so that the next supervisor can continue. Times are
+ * Unix microseconds.
  *
- * @param rollout the last rollout; null if there was none
- * @param shuttingDown whether the whole fleet is to stop
+ * @param rollout the last rollout; null if there has been none
+ * @param shuttingDown whether the fleet is being shut down
  */
 public record FleetState(List<InstanceRecord> instances, RolloutRecord rollout, boolean shuttingDown) {
-    /** What is to be saved of a fleet now; {@code rollout} is null if there was none. */
+    /** Returns a copy of the current state of a fleet; {@code rollout} is null if there has been none. */
     static FleetState of(InstanceTable instances, RestartBackoff backoff, Rollout rollout, boolean shuttingDown) {
         List<InstanceRecord> records = instances.all().stream()
                 .map(instance -> InstanceRecord.of(instance, backoff.historyOf(instance.name)))
@@ -19,10 +20,10 @@
     }
 
     /**
-     * One instance, with the history of its exits. For the meaning of the fields see {@link FleetInstance} and
+     * One instance with the history of its exits. The fields are those of {@link FleetInstance} and
      * {@link RestartBackoff}.
      *
-     * @param heldUntilMicros until when it is held for a crash loop; -1 if it is not
+     * @param heldUntilMicros the end of the hold because of a crash loop; -1 if the instance is not held
      */
     public record InstanceRecord(
             String name,
@@ -58,12 +59,12 @@
     }
 
     /**
-     * A rollout.
+     * The saved fields of a {@link Rollout}.
      *
-     * @param reason why it stopped or rolled back; empty if it did not
-     * @param failures how many new instances have failed
-     * @param endedAtMicros 0 while it goes on
-     * @param steps how far each of its instances has come, by name
+     * @param reason why the rollout stopped or rolled back; empty if it did neither
+     * @param failures the number of new instances that have failed
+     * @param endedAtMicros the end of the rollout; 0 while it is in progress
+     * @param steps the step of each instance, by instance name
      */
     public record RolloutRecord(
             String fromBuild,
@@ -75,6 +76,6 @@
             long endedAtMicros,
             Map<String, RolloutStep> steps) {}
 
-    /** A process that holds the lock of an instance, with the generation that it was started as. */
+    /** A process that holds the lock of an instance, and the generation with which it was started. */
     public record RunningProcess(long pid, int generation) {}
 }
--- a/server/src/main/java/wheatspread/fleet/InstanceAction.java
+++ b/server/src/main/java/wheatspread/fleet/InstanceAction.java
@@ -1,16 +1,16 @@
 package wheatspread.fleet;
 
-/** What a supervisor has to do to one instance. The state that leads to it is saved before it is carried out. */
+/** An action of the supervisor on one instance. The fleet's state is saved before the action is carried out. */
 public sealed interface InstanceAction {
-    /** The name of the instance. */
+    /** Returns the name of the instance. */
     String instance();
 
-    /** Start a process of a build as this generation of the instance. */
+    /** Starts a process of a build with this generation number. */
     record Start(String instance, String build, int generation) implements InstanceAction {}
 
-    /** Send SIGTERM, on which the process drains and exits. */
+    /** Sends SIGTERM, after which the process drains and exits. */
     record Terminate(String instance, int generation) implements InstanceAction {}
 
-    /** Send SIGKILL. */
+    /** Sends SIGKILL; {@code reason} is logged. */
     record Kill(String instance, int generation, String reason) implements InstanceAction {}
 }
--- a/server/src/main/java/wheatspread/fleet/InstanceTable.java
+++ b/server/src/main/java/wheatspread/fleet/InstanceTable.java
@@ -9,12 +9,13 @@
 import wheatspread.fleet.FleetInstance.State;
 
 /**
- * The instances of a fleet, in the order of the fleet's file, and their states from health checks.
+ * The instances of a fleet in the order of the fleet's file, with the states that result from health checks. One thread
+ * makes all calls.
  *
- * <p>Rule: a good check makes an instance {@code HEALTHY} at once; {@link FleetPlan#unhealthyThreshold} failed
- * checks in a row make it {@code UNHEALTHY}. An instance whose last answer is older than
- * {@link FleetPlan#staleAfterMicros} is stale: it does not count as available, since a rollout that goes by old
- * answers could take more of the fleet out than allowed.
+ * <p>One successful check makes an instance {@code HEALTHY}; {@link FleetPlan#unhealthyThreshold} consecutive failed
+ * checks make it {@code UNHEALTHY}. An instance whose last answer is older than {@link FleetPlan#staleAfterMicros} is
+ * stale and does not count as available: a rollout that relied on old answers could make more instances unavailable
+ * than allowed.
  */
 public final class InstanceTable {
     private final Map<String, FleetInstance> instances = new LinkedHashMap<>();
@@ -27,12 +28,12 @@
         plan.instances().forEach(name -> instances.put(name, new FleetInstance(name, plan.build())));
     }
 
-    /** An instance by its name; null if there is none. */
+    /** Returns the instance with this name; null if there is none. */
     public FleetInstance get(String name) {
         return instances.get(name);
     }
 
-    /** Adds an instance that the plan no longer has, but whose process still runs. */
+    /** Adds an instance that the plan no longer contains but whose process is still running. */
     FleetInstance add(String name, String build) {
         FleetInstance instance = new FleetInstance(name, build);
         instances.put(name, instance);
@@ -43,24 +44,24 @@
         return instances.values();
     }
 
-    /** How many are in a state. */
+    /** Returns the number of instances in a state. */
     public int count(State state) {
         return (int) instances.values().stream()
                 .filter(instance -> instance.state == state)
                 .count();
     }
 
-    /** Whether its last answer to a health check is too old to go by. */
+    /** Returns whether the last answer of an instance to a health check is too old to be relied on. */
     public boolean isStale(FleetInstance instance, long nowMicros) {
         return instance.isChecked() && instance.silentMicros(nowMicros) > staleAfterMicros;
     }
 
-    /** Whether it takes requests, as far as is known. */
+    /** Returns whether an instance accepts requests according to a recent health check. */
     public boolean isAvailable(FleetInstance instance, long nowMicros) {
         return instance.state == State.HEALTHY && !isStale(instance, nowMicros);
     }
 
-    /** Those that should run and are not available. */
+    /** Returns the instances that should run and are not available. */
     public List<FleetInstance> unavailable(long nowMicros) {
         List<FleetInstance> unavailable = new ArrayList<>();
         for (FleetInstance instance : instances.values()) {
@@ -72,7 +73,7 @@
     }
 
     /**
-     * A health check was answered. A check of an earlier generation changes nothing. Returns whether the state of
+     * Records the answer to a health check; an answer of an earlier generation is ignored. Returns whether the state of
      * the instance changed.
      */
     boolean recordHealthCheck(FleetInstance instance, int generation, Health health, long nowMicros) {
@@ -84,14 +85,14 @@
         instance.startUnconfirmedUntilMicros = 0;
         State before = instance.state;
         if (health.healthy()) {
-            recordGoodCheck(instance, nowMicros);
+            recordSuccessfulCheck(instance, nowMicros);
         } else {
             countFailedCheck(instance, nowMicros);
         }
         return instance.state != before;
     }
 
-    /** A health check was refused or not answered in time. Returns whether the state of the instance changed. */
+    /** Records a health check that was refused or timed out. Returns whether the state of the instance changed. */
     boolean recordFailedCheck(FleetInstance instance, int generation, long nowMicros) {
         State before = instance.state;
         if (instance.generation == generation) {
@@ -100,7 +101,7 @@
         return instance.state != before;
     }
 
-    private static void recordGoodCheck(FleetInstance instance, long nowMicros) {
+    private static void recordSuccessfulCheck(FleetInstance instance, long nowMicros) {
         instance.consecutiveFailedChecks = 0;
         if (instance.state == State.STARTING || instance.state == State.UNHEALTHY) {
             instance.enterState(State.HEALTHY, nowMicros);
--- a/server/src/main/java/wheatspread/fleet/InstanceTimeouts.java
+++ b/server/src/main/java/wheatspread/fleet/InstanceTimeouts.java
@@ -1,6 +1,6 @@
 package wheatspread.fleet;
 
-/** Which instances have used up a time limit of the {@link FleetPlan} and are to be killed. */
+/** Detects instances that have exceeded a time limit of the {@link FleetPlan} and must be killed. */
 final class InstanceTimeouts {
     private final FleetPlan plan;
 
@@ -8,21 +8,24 @@
         this.plan = plan;
     }
 
-    /** Whether the process of a start that may not have been carried out has not taken its lock in time. */
+    /** Returns whether the process of an unconfirmed start has failed to take its lock in time. */
     static boolean startUnconfirmed(FleetInstance instance, long nowMicros) {
         return instance.startUnconfirmedUntilMicros > 0 && nowMicros >= instance.startUnconfirmedUntilMicros;
     }
 
-    /** Why an instance is to be killed; null if it is not. */
+    /** Returns why an instance must be killed; null if it must not. */
     String killReason(FleetInstance instance, long nowMicros) {
         return switch (instance.state) {
             case STARTING ->
-                nowMicros - instance.startedAtMicros > plan.startTimeoutMicros() ? "not well in time" : null;
+                nowMicros - instance.startedAtMicros > plan.startTimeoutMicros()
+                        ? "not healthy within the start timeout"
+                        : null;
             case DRAINING ->
                 instance.inStateMicros(nowMicros) > plan.stopTimeoutMicros()
-                        ? "still there after its time to leave"
+                        ? "not exited within the stop timeout after SIGTERM"
                         : null;
-            case HEALTHY, UNHEALTHY -> isUnresponsive(instance, nowMicros) ? "answers no check" : null;
+            case HEALTHY, UNHEALTHY ->
+                isUnresponsive(instance, nowMicros) ? "no health check answered within the unresponsive timeout" : null;
             default -> null;
         };
     }
--- a/server/src/main/java/wheatspread/fleet/RestartBackoff.java
+++ b/server/src/main/java/wheatspread/fleet/RestartBackoff.java
@@ -8,40 +8,41 @@
 import wheatspread.fleet.FleetPlan.BackoffPolicy;
 
 /**
- * When an instance that exited by itself may start again: exponential backoff with jitter, and a hold for crash
- * loops.
+ * Decides when an instance that exited unexpectedly may be restarted: exponential backoff with jitter, and a hold for
+ * crash loops.
  *
- * <p>Rule: the delay after the n-th exit in a row is {@code min(initialDelay * multiplier^(n-1), maxDelay)}, spread by
- * the jitter so that instances which exited together do not come back together. An instance that ran for
- * {@code resetAfter} begins again with n = 1. {@code crashLoopExits} exits within {@code crashLoopWindow} are a crash
- * loop, and the instance is held. Each instance has a history of its own, so that a bad one delays no other.
+ * <p>The delay after the n-th consecutive exit is {@code min(initialDelay * multiplier^(n-1), maxDelay)}, with jitter
+ * so that instances that exited at the same time are not restarted at the same time. After an instance has run for
+ * {@code resetAfter}, n is 1 again. If an instance exits {@code crashLoopExits} times within {@code crashLoopWindow},
+ * it is in a crash loop and is held. Each instance has its own history, so a failing instance does not delay the
+ * others.
  *
- * <p>It does no I/O; times are Unix microseconds.
+ * <p>The class does no I/O; times are Unix microseconds. One thread makes all calls.
  */
 public final class RestartBackoff {
-    /** How many exits of one instance are kept. The settings allow a crash loop of 60 exits at most. */
+    /** The number of exits kept for one instance. The settings limit {@code crashLoopExits} to 60. */
     private static final int MAX_EXIT_TIMES = 64;
-    /** Bounds the exponent, so that the delay stays a finite number; every maximum is reached before. */
+    /** Keeps the delay finite; every configurable maximum delay is reached with a smaller exponent. */
     private static final int MAX_EXPONENT = 60;
-    /** An instance that is not held. */
+    /** The value of {@link ExitHistory#heldUntilMicros} for an instance that is not held. */
     private static final long NOT_HELD = -1;
 
     private final BackoffPolicy policy;
     private final SplittableRandom random;
     private final Map<String, ExitHistory> histories = new HashMap<>();
 
-    /** What is known of one instance's exits. */
+    /** The recent exits of one instance, and the restart delay that follows from them. */
     static final class ExitHistory {
-        /** The exits within the crash loop window, the oldest first. */
+        /** The times of the exits within the crash loop window, in ascending order. */
         final Deque<Long> exitTimesMicros = new ArrayDeque<>();
 
         int consecutiveExits;
         long nextStartMicros;
-        /** Until when it is held; {@link #NOT_HELD} while it is not, {@link Long#MAX_VALUE} without an end. */
+        /** The end of the hold; {@link #NOT_HELD} if not held, {@link Long#MAX_VALUE} if held without a time limit. */
         long heldUntilMicros = NOT_HELD;
     }
 
-    /** {@code seed} is that of the jitter. */
+    /** Creates an empty history; {@code seed} seeds the jitter. */
     RestartBackoff(BackoffPolicy policy, long seed) {
         this.policy = policy;
         random = new SplittableRandom(seed);
@@ -51,7 +52,7 @@
         return histories.computeIfAbsent(name, key -> new ExitHistory());
     }
 
-    /** Takes over what an earlier supervisor recorded. */
+    /** Restores the exit history that an earlier supervisor saved. */
     void restore(FleetState.InstanceRecord instance) {
         ExitHistory history = historyOf(instance.name());
         history.exitTimesMicros.addAll(instance.exitTimesMicros());
@@ -60,7 +61,7 @@
         history.heldUntilMicros = instance.heldUntilMicros();
     }
 
-    /** An instance exited after {@code uptimeMicros}. Returns whether that makes it a crash loop. */
+    /** Records an exit after {@code uptimeMicros}. Returns whether the instance is now in a crash loop. */
     boolean recordExit(String name, long uptimeMicros, long nowMicros) {
         ExitHistory history = historyOf(name);
         history.consecutiveExits = uptimeMicros >= policy.resetAfterMicros() ? 1 : history.consecutiveExits + 1;
@@ -70,8 +71,8 @@
         if (history.exitTimesMicros.size() < policy.crashLoopExits()) {
             return false;
         }
-        boolean holdWithoutEnd = policy.crashLoopHoldMicros() == 0;
-        history.heldUntilMicros = holdWithoutEnd ? Long.MAX_VALUE : nowMicros + policy.crashLoopHoldMicros();
+        boolean heldWithoutLimit = policy.crashLoopHoldMicros() == 0;
+        history.heldUntilMicros = heldWithoutLimit ? Long.MAX_VALUE : nowMicros + policy.crashLoopHoldMicros();
         return true;
     }
 
@@ -90,7 +91,9 @@
         return (long) (Math.min(delayMicros, policy.maxDelayMicros()) * jitter);
     }
 
-    /** Whether it may start now. The end of a hold resets its history: the hold was its delay. */
+    /**
+     * Returns whether an instance may be started. When a hold ends, the history is reset, since the hold was the delay.
+     */
     boolean mayStart(String name, long nowMicros) {
         ExitHistory history = historyOf(name);
         if (history.heldUntilMicros < 0) {
@@ -103,12 +106,12 @@
         return nowMicros >= history.nextStartMicros;
     }
 
-    /** Whether it is held for a crash loop. */
+    /** Returns whether an instance is held because of a crash loop. */
     boolean isHeld(String name, long nowMicros) {
         return historyOf(name).heldUntilMicros > nowMicros;
     }
 
-    /** Forgets its exits: an operator started it, or it is to run another build. */
+    /** Deletes the history of an instance that an operator started or that a rollout will start with another build. */
     void reset(String name) {
         histories.remove(name);
     }
--- a/server/src/main/java/wheatspread/fleet/Rollout.java
+++ b/server/src/main/java/wheatspread/fleet/Rollout.java
@@ -8,22 +8,22 @@
 import wheatspread.fleet.FleetPlan.RolloutPolicy;
 
 /**
- * Replaces a build by another, instance by instance. It decides which instance is drained next and which build an
- * instance starts with; {@link FleetController} starts and stops processes. The steps of an instance stand in
- * {@link RolloutStep}.
+ * Replaces one build by another, instance by instance. The rollout decides which instance is drained next and with
+ * which build an instance is started; {@link FleetController} starts and stops processes. {@link RolloutStep} describes
+ * the steps of one instance.
  *
  * <p>Rules:
  * <ul>
- * <li>At most {@link RolloutPolicy#maxUnavailable} instances are unavailable at a time, whatever made them so. An
- * instance
- *     that is being replaced counts as unavailable until its new process is verified, so a rollout pauses by itself
- *     while other instances are down.
+ * <li>At most {@link RolloutPolicy#maxUnavailable} instances are unavailable at a time, for any reason. An instance
+ *     that is being replaced counts as unavailable until its new process is verified. The rollout therefore pauses
+ *     while other instances are unavailable.
  * <li>A new instance has failed if it exits without SIGTERM, is not healthy in time, or fails too many requests.
- *     {@link RolloutPolicy#maxFailedInstances} failures end the rollout, with a rollback where the operator wants one.
- * <li>A rollback keeps the same bound, and takes instances without a process first.
+ *     {@link RolloutPolicy#maxFailedInstances} failures end the rollout, followed by a rollback if the operator has
+ *     enabled it.
+ * <li>A rollback has the same limit on unavailable instances, and restarts instances without a process first.
  * </ul>
  *
- * <p>It does no I/O; times are Unix microseconds.
+ * <p>The class does no I/O; times are Unix microseconds. One thread makes all calls.
  */
 public final class Rollout {
     private static final long MICROS_PER_MILLI = 1_000;
@@ -33,7 +33,7 @@
     private final String fromBuild;
     private final String toBuild;
     private final long startedAtMicros;
-    /** By instance, in the order in which they are replaced. */
+    /** The step of each instance, in the order of replacement. */
     private final Map<String, RolloutStep> steps = new LinkedHashMap<>();
 
     private RolloutStatus status = RolloutStatus.IN_PROGRESS;
@@ -51,7 +51,7 @@
         names.forEach(name -> steps.put(name, RolloutStep.PENDING));
     }
 
-    /** Goes on with one that an earlier supervisor recorded. */
+    /** Restores a rollout that an earlier supervisor saved. */
     Rollout(RolloutPolicy policy, FleetState.RolloutRecord saved) {
         this.policy = policy;
         verification = new RolloutVerification(policy);
@@ -81,12 +81,12 @@
         return status;
     }
 
-    /** Why it stopped or rolled back; empty if it did not. */
+    /** Returns why the rollout stopped or rolled back; empty if it did neither. */
     public String reason() {
         return reason;
     }
 
-    /** Whether it waits because too much of the fleet is unavailable for other reasons. */
+    /** Returns whether the rollout waits because too many other instances are unavailable. */
     public boolean isPaused() {
         return paused;
     }
@@ -99,7 +99,7 @@
         return startedAtMicros;
     }
 
-    /** When it ended; 0 while it goes on. */
+    /** Returns the time at which the rollout ended; 0 while it is in progress. */
     public long endedAtMicros() {
         return endedAtMicros;
     }
@@ -108,23 +108,23 @@
         return status.isOver();
     }
 
-    /** How many of its instances are at a step. */
+    /** Returns the number of instances at a step. */
     public int count(RolloutStep step) {
         return (int) steps.values().stream().filter(current -> current == step).count();
     }
 
-    /** How many instances it replaces. */
+    /** Returns the number of instances that the rollout replaces. */
     public int size() {
         return steps.size();
     }
 
-    /** Whether it is replacing an instance now, so that the rollout decides about its start. */
+    /** Returns whether an instance is being replaced, so that the rollout decides when it starts. */
     boolean isReplacing(String name) {
         RolloutStep step = steps.get(name);
         return !isOver() && step != null && step.isBeingReplaced();
     }
 
-    /** The build that an instance is to start with; null where the rollout does not decide that. */
+    /** Returns the build with which an instance must start; null if the rollout does not decide it. */
     String buildOf(String name) {
         RolloutStep step = steps.get(name);
         if (step == null || status == RolloutStatus.STOPPED) {
@@ -136,30 +136,30 @@
         return step == RolloutStep.PENDING ? null : toBuild;
     }
 
-    // ---- what happens to its instances ----
+    // ---- events of instances ----
 
-    /** A process of an instance was started for the rollout. */
+    /** Records that a process was started; ignored unless the instance is being replaced. */
     void processStarted(String name) {
         if (isReplacing(name)) {
             steps.put(name, RolloutStep.STARTING);
         }
     }
 
-    /** A recorded start did not show itself in time, and counts as not carried out. */
+    /** Records that no process took the lock after a recorded start; the instance will be started again. */
     void startNotConfirmed(String name) {
         if (isReplacing(name)) {
             steps.put(name, RolloutStep.STOPPED);
         }
     }
 
-    /** A process of an instance exited; {@code expected} says whether it had been sent SIGTERM. */
+    /** Records the exit of a process; {@code expected} tells whether SIGTERM was sent to it before. */
     void processExited(FleetInstance instance, boolean expected, long nowMicros) {
         RolloutStep step = steps.get(instance.name);
         if (isOver() || step == null) {
             return;
         }
         if (step == RolloutStep.DRAINING || status == RolloutStatus.ROLLING_BACK) {
-            steps.put(instance.name, RolloutStep.STOPPED); // a rollback starts the old build, whichever one exited
+            steps.put(instance.name, RolloutStep.STOPPED); // a rollback starts the old build, whichever build exited
             return;
         }
         boolean runsNewBuild = instance.build.equals(toBuild) && step != RolloutStep.PENDING;
@@ -179,7 +179,7 @@
         return "ended with " + code + " " + when;
     }
 
-    /** A new instance failed; {@code description} goes on after its name and build. */
+    /** Records the failure of a new instance; {@code description} is appended to its name and build in the reason. */
     void instanceFailed(FleetInstance instance, String description, long nowMicros) {
         failures++;
         if (status != RolloutStatus.IN_PROGRESS || failures < policy.maxFailedInstances()) {
@@ -194,7 +194,10 @@
         }
     }
 
-    /** An instance that failed too many requests was sent SIGTERM and is started again with the same build. */
+    /**
+     * Records that an instance which failed too many requests is drained, and will be started again with the same
+     * build.
+     */
     void retryInstance(FleetInstance instance) {
         if (steps.containsKey(instance.name)) {
             steps.put(instance.name, RolloutStep.DRAINING);
@@ -202,7 +205,8 @@
     }
 
     /**
-     * An instance of it is held for a crash loop. That ends the rollout; a rollback goes on without the instance.
+     * Records that an instance of the rollout is held because of a crash loop. This ends the rollout; a rollback
+     * continues without the instance.
      */
     void instanceInCrashLoop(FleetInstance instance, long nowMicros) {
         if (status == RolloutStatus.ROLLING_BACK) {
@@ -214,21 +218,21 @@
         }
     }
 
-    /** Ends it where it stands. */
-    void stop(String why, long nowMicros) {
+    /** Stops the rollout; every instance keeps its current build. */
+    void stop(String stopReason, long nowMicros) {
         if (!isOver()) {
-            reason = why;
+            reason = stopReason;
             end(RolloutStatus.STOPPED, nowMicros);
         }
     }
 
-    private void end(RolloutStatus how, long nowMicros) {
-        status = how;
+    private void end(RolloutStatus finalStatus, long nowMicros) {
+        status = finalStatus;
         endedAtMicros = nowMicros;
         paused = false;
     }
 
-    /** Whether an instance fails too many requests; only the verification of a new build asks that. */
+    /** Returns whether an instance fails too many requests; false unless it is being verified with the new build. */
     boolean failsTooManyRequests(FleetInstance instance) {
         return status == RolloutStatus.IN_PROGRESS
                 && instance.build.equals(toBuild)
@@ -236,11 +240,11 @@
                 && verification.failsTooManyRequests(instance);
     }
 
-    // ---- its progress ----
+    // ---- progress ----
 
     /**
-     * Takes every instance to its next step, and returns those that are to be drained now. {@code instances} says
-     * which are available; one whose new process is not verified does not count as such.
+     * Advances every instance to its next step, and returns the instances to drain. An instance whose new process is
+     * not verified counts as unavailable.
      */
     List<FleetInstance> advance(InstanceTable instances, long nowMicros) {
         if (isOver()) {
@@ -258,7 +262,7 @@
         return toDrain;
     }
 
-    /** {@code instance} is null where it left the fleet. */
+    /** Returns the next step of an instance; {@code instance} is null if it is no longer in the table. */
     private RolloutStep nextStep(RolloutStep step, FleetInstance instance, long nowMicros) {
         if (instance == null || !instance.shouldRun && step == RolloutStep.PENDING) {
             return RolloutStep.DONE;
@@ -271,29 +275,29 @@
         };
     }
 
-    /** Whether a rollback has nothing to do for an instance whose turn did not come. */
+    /** Returns whether a rollback can skip a pending instance, since it still runs the old build. */
     private boolean keptOldBuild(FleetInstance instance) {
         return status == RolloutStatus.ROLLING_BACK
                 && instance.build.equals(fromBuild)
                 && instance.state != State.DRAINING;
     }
 
-    /** The old build needs no verification. */
+    /** Returns the step after {@code STARTING}; the old build needs no verification. */
     private RolloutStep whenHealthy() {
         return status == RolloutStatus.ROLLING_BACK ? RolloutStep.DONE : RolloutStep.VERIFYING;
     }
 
     /**
-     * Begins the replacement of as many pending instances as the bound allows, and returns those with a process to
-     * drain. An instance that is known to be unavailable is replaced regardless of the bound, since nothing is lost
-     * by it; one that is only stale may still serve, and is not.
+     * Starts the replacement of as many pending instances as the limit allows, and returns those that have a process to
+     * drain. An instance that is known to be unavailable is replaced regardless of the limit, since this does not
+     * reduce the number of available instances. A stale instance may still serve requests, so the limit applies to it.
      */
     private List<FleetInstance> startDrains(InstanceTable instances, long nowMicros) {
         int maxUnavailable = policy.maxUnavailable(instances.all().size());
         int replacing = countReplacing(instances);
         int unavailableOtherwise = countUnavailableOtherwise(instances, nowMicros);
         int unavailable = replacing + unavailableOtherwise;
-        boolean someWait = false;
+        boolean hasBlocked = false;
         List<FleetInstance> toDrain = new ArrayList<>();
         for (Map.Entry<String, RolloutStep> entry : steps.entrySet()) {
             if (entry.getValue() != RolloutStep.PENDING) {
@@ -302,7 +306,7 @@
             FleetInstance instance = instances.get(entry.getKey());
             boolean alreadyUnavailable = instance.shouldRun && instance.state != State.HEALTHY;
             if (unavailable >= maxUnavailable && !alreadyUnavailable) {
-                someWait = true;
+                hasBlocked = true;
                 continue;
             }
             unavailable += alreadyUnavailable ? 0 : 1;
@@ -311,7 +315,7 @@
                 toDrain.add(instance);
             }
         }
-        paused = someWait && unavailableOtherwise > 0;
+        paused = hasBlocked && unavailableOtherwise > 0;
         return toDrain;
     }
 
--- a/server/src/main/java/wheatspread/fleet/RolloutStatus.java
+++ b/server/src/main/java/wheatspread/fleet/RolloutStatus.java
@@ -1,8 +1,9 @@
 package wheatspread.fleet;
 
 /**
- * How far a rollout has come. {@code IN_PROGRESS} ends in {@code COMPLETED}, in {@code STOPPED}, or by way of
- * {@code ROLLING_BACK} in {@code ROLLED_BACK}; an operator can stop it while it rolls back, too.
+ * The status of a rollout. {@code IN_PROGRESS} is followed by {@code COMPLETED}, {@code STOPPED} or
+ * {@code ROLLING_BACK}; {@code ROLLING_BACK} is followed by {@code ROLLED_BACK}, or by {@code STOPPED} if an operator
+ * stops the rollback.
  */
 public enum RolloutStatus {
     IN_PROGRESS("RUNNING"),
@@ -17,17 +18,21 @@
         this.storedName = storedName;
     }
 
-    /** The name in files and in the log. It stays when the constant is renamed. */
+    /** Returns the name used in files and in the log, which must not change when the constant is renamed. */
     public String storedName() {
         return storedName;
     }
 
-    /** Whether no further step follows. */
+    /** Returns whether this status is final. */
     public boolean isOver() {
         return this != IN_PROGRESS && this != ROLLING_BACK;
     }
 
-    /** The constant with this stored name; an unknown name is an {@link IllegalArgumentException}. */
+    /**
+     * Returns the constant with this stored name.
+     *
+     * @throws IllegalArgumentException if the name is unknown
+     */
     public static RolloutStatus fromStoredName(String storedName) {
         for (RolloutStatus status : values()) {
             if (status.storedName.equals(storedName)) {
--- a/server/src/main/java/wheatspread/fleet/RolloutStep.java
+++ b/server/src/main/java/wheatspread/fleet/RolloutStep.java
@@ -1,21 +1,21 @@
 package wheatspread.fleet;
 
 /**
- * How far one instance of a rollout has come.
+ * The step of one instance in a rollout.
  *
  * <table>
- * <caption>Steps, and what leads to the next one</caption>
+ * <caption>Steps and their transitions</caption>
  * <tr><th>step</th><th>meaning</th><th>followed by</th></tr>
- * <tr><td>{@code PENDING}</td><td>it runs what it ran before</td>
- *     <td>{@code DRAINING} when its turn comes; {@code STOPPED} if it has no process then</td></tr>
+ * <tr><td>{@code PENDING}</td><td>its replacement has not started</td>
+ *     <td>{@code DRAINING} when its replacement starts; {@code STOPPED} if it has no process then</td></tr>
  * <tr><td>{@code DRAINING}</td><td>its process was sent SIGTERM</td><td>{@code STOPPED} on its exit</td></tr>
- * <tr><td>{@code STOPPED}</td><td>it has no process and is to start with the other build</td>
+ * <tr><td>{@code STOPPED}</td><td>it has no process and will start with the other build</td>
  *     <td>{@code STARTING}</td></tr>
  * <tr><td>{@code STARTING}</td><td>its new process was started</td>
  *     <td>{@code VERIFYING} once it is healthy; {@code DONE} at once in a rollback</td></tr>
- * <tr><td>{@code VERIFYING}</td><td>it has yet to show that the new build serves</td>
+ * <tr><td>{@code VERIFYING}</td><td>it is healthy, and the new build has not been verified yet</td>
  *     <td>{@code DONE}; {@code DRAINING} for another attempt; {@code STOPPED} on its exit</td></tr>
- * <tr><td>{@code DONE}</td><td>it runs the build that it is to run, or was taken out</td>
+ * <tr><td>{@code DONE}</td><td>it runs the intended build, or the rollout skips it</td>
  *     <td>{@code PENDING} if a rollback begins; {@code STOPPED} on an unexpected exit</td></tr>
  * </table>
  */
@@ -33,17 +33,17 @@
         this.storedName = storedName;
     }
 
-    /** The name in files. It stays when the constant is renamed. */
+    /** Returns the name used in files, which must not change when the constant is renamed. */
     public String storedName() {
         return storedName;
     }
 
-    /** Whether the instance is between its old and its new process, or the new one is not verified. */
+    /** Returns whether the old process is being stopped or the new process is not verified yet. */
     boolean isBeingReplaced() {
         return this != PENDING && this != DONE;
     }
 
-    /** Where a rollback takes this step up. Instances without a process, and those about to exit, stay as they are. */
+    /** Returns the step at the start of a rollback; stopped and draining instances keep their step. */
     RolloutStep whenRollingBack() {
         return switch (this) {
             case PENDING -> DONE;
@@ -52,7 +52,11 @@
         };
     }
 
-    /** The constant with this stored name; an unknown name is an {@link IllegalArgumentException}. */
+    /**
+     * Returns the constant with this stored name.
+     *
+     * @throws IllegalArgumentException if the name is unknown
+     */
     public static RolloutStep fromStoredName(String storedName) {
         for (RolloutStep step : values()) {
             if (step.storedName.equals(storedName)) {
--- a/server/src/main/java/wheatspread/fleet/RolloutVerification.java
+++ b/server/src/main/java/wheatspread/fleet/RolloutVerification.java
@@ -4,11 +4,11 @@
 import wheatspread.fleet.FleetPlan.RolloutPolicy;
 
 /**
- * Whether an instance shows by its requests that its new build serves. Health checks alone say little: a build may
+ * Verifies that an instance with a new build serves requests. Successful health checks are not sufficient: a build may
  * answer them and fail every request. The inputs are the counters of the last health check.
  */
 final class RolloutVerification {
-    /** With fewer answered requests than this the share of failed ones says nothing. */
+    /** The minimum number of answered requests for which the share of failed requests is evaluated. */
     private static final int MIN_REQUESTS_FOR_SHARE = 10;
 
     private final RolloutPolicy policy;
@@ -18,8 +18,9 @@
     }
 
     /**
-     * Rule: healthy for {@code minHealthyMicros}, and either {@code minServedRequests} served or healthy for
-     * {@code idleVerificationMicros}, so that a rollout also ends in a fleet without requests.
+     * Returns whether an instance has been healthy for {@code minHealthyMicros}, and has either served
+     * {@code minServedRequests} or been healthy for {@code idleVerificationMicros}. The latter lets a rollout finish in
+     * a fleet without requests.
      */
     boolean isVerified(FleetInstance instance, long nowMicros) {
         if (instance.state != State.HEALTHY || instance.health == null || instance.firstHealthyAtMicros == 0) {
@@ -33,7 +34,9 @@
                 || healthyMicros >= policy.idleVerificationMicros();
     }
 
-    /** Rule: it failed a larger share of its requests than {@code maxFailedShare}, of enough requests for a verdict. */
+    /**
+     * Returns whether the share of failed requests exceeds {@code maxFailedShare}; false if there are too few requests.
+     */
     boolean failsTooManyRequests(FleetInstance instance) {
         if (instance.health == null) {
             return false;
--- a/server/src/test/java/wheatspread/fleet/StoredNamesTest.java
+++ b/server/src/test/java/wheatspread/fleet/StoredNamesTest.java
@@ -6,7 +6,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The names by which states stand in the state file, the status file and the log; they never change. */
+/** Guards against changed names of states in the state file, the status file and the log. */
 class StoredNamesTest {
     @Test
     void instanceStatesKeepTheirStoredNames() {
