--- a/server/src/main/java/wheatspread/supervisor/CommandSpool.java
+++ b/server/src/main/java/wheatspread/supervisor/CommandSpool.java
@@ -12,20 +12,21 @@
 import wheatspread.daemon.AtomicFile;
 
 /**
- * The commands to a supervisor, as files in the fleet's directory. A command is renamed into place, so that one given
- * while no supervisor runs is carried out by the next one. Its answer is a file beside it. Whoever may write to the
- * directory may command the fleet; its mode is up to the operator.
+ * The queue of commands to a supervisor, kept as files in the fleet's directory. Each command file is renamed into
+ * place, and the answer is written to a second file in the same directory. A command that is submitted while no
+ * supervisor runs is carried out by the next supervisor. Every user with write access to the directory can send
+ * commands; the operator sets the mode of the directory.
  */
 public final class CommandSpool {
     private static final String COMMAND_SUFFIX = ".json";
     private static final String ANSWER_SUFFIX = ".done";
     private static final int POLL_INTERVAL_MILLIS = 50;
-    /** So many commands may wait; further ones are refused. */
+    /** The maximum number of pending commands; further commands are rejected. */
     private static final int MAX_PENDING_COMMANDS = 100;
 
     private final Path directory;
 
-    /** Creates the directory of the commands, if it is missing. */
+    /** Creates the command directory if it does not exist. */
     public CommandSpool(Path fleetDir) throws IOException {
         directory = Files.createDirectories(fleetDir.resolve("commands"));
     }
@@ -33,10 +34,11 @@
     /** A pending command; {@code arguments} is null if the file holds no JSON object. */
     record Command(Path file, JSONObject arguments) {}
 
-    /** Gives a command and waits for its answer; null if none came in time. Blocks the calling thread. */
+    /** Submits a command and blocks until it is answered. Returns the answer; null if the timeout expires before it. */
     public JSONObject submit(JSONObject command, long timeoutMillis) throws IOException, InterruptedException {
         if (pendingFiles().size() >= MAX_PENDING_COMMANDS) {
-            throw new IOException(MAX_PENDING_COMMANDS + " commands wait; nobody reads them");
+            throw new IOException("command rejected: " + MAX_PENDING_COMMANDS + " commands are pending in " + directory
+                    + "; no supervisor is reading them");
         }
         String name = String.format(
                 "%016d-%d", System.currentTimeMillis(), ProcessHandle.current().pid());
@@ -63,7 +65,7 @@
         }
     }
 
-    /** The oldest pending command; null if there is none. One that is not JSON is answered with an error. */
+    /** Returns the oldest pending command; null if there is none. A file that is not JSON is answered with an error. */
     Command next() throws IOException {
         for (Path file : pendingFiles()) {
             try {
@@ -75,7 +77,7 @@
         return null;
     }
 
-    /** Answers a command and removes it; the answer is written first, or a crash would lose it. */
+    /** Answers a command and removes its file. The answer is written first, so that a crash cannot lose it. */
     void answer(Command command, JSONObject answer) throws IOException {
         String name = command.file().getFileName().toString();
         AtomicFile.write(directory.resolve(name.replace(COMMAND_SUFFIX, ANSWER_SUFFIX)), answer + "\n");
--- a/server/src/main/java/wheatspread/supervisor/FleetRunner.java
+++ b/server/src/main/java/wheatspread/supervisor/FleetRunner.java
@@ -16,13 +16,12 @@
 import wheatspread.logging.EventLog;
 
 /**
- * The process of a supervisor: turns on one thread, which may wait for the disk, with commands from the
- * {@link CommandSpool} and the status in the {@link StatusFile}. The instances outlive it; the next supervisor adopts
- * them.
+ * Runs a supervisor: executes turns on one thread, which may block for the disk, reads commands from the
+ * {@link CommandSpool}, and writes the status to the {@link StatusFile}. The instances continue to run after the
+ * supervisor exits; the next supervisor adopts them.
  *
- * <p>{@link #run} makes all calls on the thread that calls it; {@link #requestShutDown} and {@link #requestReload}
- * are for the threads
- * of signals and only set a flag, which the next turn reads.
+ * <p>{@link #run} does all work on its calling thread. {@link #requestShutDown} and {@link #requestReload} are called
+ * by signal handler threads, and only set a flag that the next turn reads.
  */
 public final class FleetRunner {
     private static final long TURN_INTERVAL_MILLIS = 50;
@@ -32,7 +31,7 @@
     private final EventLog log;
     private final AtomicBoolean shutDownRequested = new AtomicBoolean();
     private final AtomicBoolean reloadRequested = new AtomicBoolean();
-    /** Whether this supervisor is to end and leave the instances running. */
+    /** Whether this supervisor must exit and leave the instances running. */
     private boolean detachRequested;
 
     private FleetConfig config;
@@ -40,7 +39,7 @@
     private Supervisor supervisor;
     private LocalHost host;
 
-    /** Another supervisor runs for this fleet. */
+    /** Thrown when another supervisor is running for the same fleet. */
     public static final class SupervisorRunningException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -49,29 +48,29 @@
         }
     }
 
-    /** {@code config} is that of the start; {@link #requestReload} reads its file again. */
+    /** Creates a runner; {@link #requestReload} reads the file of {@code config} again. */
     public FleetRunner(FleetConfig config, EventLog log) {
         this.config = config;
         this.log = log;
     }
 
-    /** SIGTERM or SIGINT: shuts the fleet down. Any thread may call. */
+    /** Requests the shutdown of the fleet (SIGTERM, SIGINT). Any thread may call. */
     public void requestShutDown() {
         shutDownRequested.set(true);
     }
 
-    /** SIGHUP: reads the fleet's file again. Any thread may call. */
+    /** Requests a reload of the fleet's file (SIGHUP). Any thread may call. */
     public void requestReload() {
         reloadRequested.set(true);
     }
 
-    /** Runs until the fleet is shut down, or an operator detaches the supervisor and leaves the instances running. */
+    /** Runs until the fleet is shut down, or until an operator detaches the supervisor from the running instances. */
     public void run() throws IOException, InterruptedException, SupervisorRunningException {
         Files.createDirectories(config.directory());
         try (FileChannel lock = FileChannel.open(
                 config.directory().resolve("supervisor.lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
             if (lock.tryLock() == null) {
-                throw new SupervisorRunningException("a supervisor runs already for " + config.directory());
+                throw new SupervisorRunningException("another supervisor is already running for " + config.directory());
             }
             host = new LocalHost(config);
             startSupervisor();
@@ -105,7 +104,7 @@
             applySignals(nowMicros);
             CommandSpool.Command command = commands.next();
             JSONObject answer = command == null ? null : execute(command.arguments(), nowMicros);
-            shutDown = supervisor.runTurn(nowMicros); // saves the state, before the command counts as carried out
+            shutDown = supervisor.runTurn(nowMicros); // saves the state before the command is answered
             if (command != null) {
                 commands.answer(command, answer);
             }
@@ -127,7 +126,7 @@
         }
     }
 
-    /** Carries a command out, and returns its answer. */
+    /** Executes a command and returns its answer. */
     private JSONObject execute(JSONObject arguments, long nowMicros) {
         try {
             switch (arguments.optString("do")) {
@@ -137,7 +136,9 @@
                 case "start" -> fleet.enable(arguments.getString("name"), nowMicros);
                 case "down" -> fleet.shutDown(nowMicros);
                 case "detach" -> detachRequested = true;
-                default -> throw new IllegalArgumentException("is an unknown command");
+                default ->
+                    throw new IllegalArgumentException("unknown command \"" + arguments.optString("do")
+                            + "\"; expected roll, stop-roll, drain, start, down or detach");
             }
             return new JSONObject().put("ok", true).put("at", nowMicros / MICROS_PER_MILLI);
         } catch (IllegalArgumentException | JSONException e) {
@@ -148,7 +149,7 @@
     private void startRollout(JSONObject arguments, long nowMicros) {
         String toBuild = arguments.getString("to");
         if (!config.builds().containsKey(toBuild)) {
-            throw new IllegalArgumentException("there is no build " + toBuild + "; known are "
+            throw new IllegalArgumentException("unknown build " + toBuild + "; expected one of "
                     + config.builds().keySet());
         }
         List<String> names = arguments.getJSONArray("names").toList().stream()
@@ -157,12 +158,13 @@
         fleet.startRollout(toBuild, names, arguments.getInt("count"), nowMicros);
     }
 
-    /** A file that is not valid changes nothing. */
+    /** Reads the fleet's file again and applies it; an invalid file is logged and changes nothing. */
     private void reloadConfig() throws IOException {
         try {
             FleetConfig next = FleetConfig.readFile(config.file());
             if (!next.directory().equals(config.directory())) {
-                throw new JsonFields.InvalidValueException("dir cannot change while the fleet runs");
+                throw new JsonFields.InvalidValueException("dir changed from " + config.directory() + " to "
+                        + next.directory() + "; it cannot change while the fleet runs");
             }
             config = next;
             host.reconfigure(next);
--- a/server/src/main/java/wheatspread/supervisor/HealthChecks.java
+++ b/server/src/main/java/wheatspread/supervisor/HealthChecks.java
@@ -23,13 +23,12 @@
 import wheatspread.fleet.FleetInstance.Health;
 
 /**
- * Health checks by the method {@code stats}, each on a connection of its own, as the platform's proxies make them.
- * They run on one event loop thread of this object, which {@link #close} ends.
+ * Sends health checks with the method {@code stats}, each on a separate connection, as the platform's proxies do. The
+ * checks run on one event loop thread that this object owns and {@link #close} stops.
  */
 final class HealthChecks implements AutoCloseable {
-    /** The request of a health check. */
     private static final String REQUEST = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"stats\"}\n";
-    /** A notification that a draining server may write before its answer. */
+    /** The method of a notification that a draining server may send before its answer. */
     private static final String DRAINING_NOTIFICATION = "lastCall";
 
     private static final long MICROS_PER_MILLI = 1_000;
@@ -45,8 +44,8 @@
     }
 
     /**
-     * Checks a server once. {@code result} is called once, on the event loop thread; with null if there was no answer
-     * in time.
+     * Checks a server once. {@code result} is called once, on the event loop thread; its argument is null if the server
+     * did not answer in time.
      */
     void check(InetSocketAddress address, Consumer<Health> result) {
         CheckHandler handler = new CheckHandler(result);
@@ -79,9 +78,9 @@
         group.shutdownGracefully(0, CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** One check, from its connection to its result. */
+    /** The channel handler of one check. */
     private static final class CheckHandler extends SimpleChannelInboundHandler<String> {
-        /** Null once the result was given. */
+        /** Null after the result was delivered. */
         private Consumer<Health> result;
 
         CheckHandler(Consumer<Health> result) {
--- a/server/src/main/java/wheatspread/supervisor/HostOperations.java
+++ b/server/src/main/java/wheatspread/supervisor/HostOperations.java
@@ -9,43 +9,43 @@
 import wheatspread.fleet.FleetState.RunningProcess;
 
 /**
- * All that a supervisor does to the machine it runs on. It is an interface so that a test can crash the supervisor
- * before and after each step. The supervisor's thread makes all calls; they may block for the disk.
+ * The operations of a supervisor on its machine. This is an interface so that a test can crash the supervisor before
+ * and after each operation. The supervisor's thread makes all calls; they may block for the disk.
  */
 interface HostOperations {
-    /** The saved state; null if there is none. */
+    /** Returns the saved state; null if there is none. */
     FleetState loadState() throws IOException;
 
     /** Saves the state. When it returns, the state survives a crash of the machine. */
     void saveState(FleetState state) throws IOException;
 
-    /** Starts a process of a build as a generation of an instance, and returns its process id. */
+    /** Starts a process of a build with the given generation number, and returns its process id. */
     long startProcess(String instance, String build, int generation) throws IOException;
 
-    /** Sends SIGTERM to a process, if it still runs. */
+    /** Sends SIGTERM to a process; does nothing if it has exited. */
     void sendSigterm(String instance, long pid);
 
-    /** Sends SIGKILL to a process, if it still runs. */
+    /** Sends SIGKILL to a process; does nothing if it has exited. */
     void sendSigkill(String instance, long pid);
 
-    /** The process that holds the lock of an instance; null if none does. */
+    /** Returns the process that holds the lock of an instance; null if the lock is free. */
     RunningProcess lockHolder(String instance) throws IOException;
 
     /**
-     * The exits since the last call, as exit codes by instance: those of processes that were started here and of
-     * watched ones. The code of the latter is {@link FleetInstance#UNKNOWN_EXIT_CODE}.
+     * Returns the exit codes, by instance, of the started and watched processes that have exited since the last call.
+     * The code of a watched process is {@link FleetInstance#UNKNOWN_EXIT_CODE}.
      */
     Map<String, Integer> exitedProcesses();
 
-    /** Reports the exit of a process that an earlier supervisor started. */
+    /** Adds a process of an earlier supervisor to those that {@link #exitedProcesses} reports. */
     void watchProcess(String instance, long pid);
 
     /**
-     * Begins a health check. The result, null if there was no answer, is given to {@code result} by a later call of
-     * {@link #deliverCheckResults}.
+     * Starts a health check. A later call of {@link #deliverCheckResults} passes the answer to {@code result}; null if
+     * the instance did not answer.
      */
     void checkHealth(String instance, int generation, Consumer<Health> result);
 
-    /** Delivers the results of health checks that have come in since the last call, on the calling thread. */
+    /** Delivers the results of the health checks that finished since the last call, on the calling thread. */
     void deliverCheckResults();
 }
--- a/server/src/main/java/wheatspread/supervisor/LocalHost.java
+++ b/server/src/main/java/wheatspread/supervisor/LocalHost.java
@@ -24,9 +24,9 @@
 import wheatspread.fleet.FleetState.RunningProcess;
 
 /**
- * The machine that the supervisor runs on. Instances log to files of the fleet's directory and not to a pipe, so that
- * they outlive the supervisor; each holds a lock there, by which a later supervisor finds it. {@link #close} ends the
- * health checks and leaves the processes running.
+ * Implements the operations on the local machine. Instances log to files in the fleet's directory instead of a pipe, so
+ * that they can continue to run after the supervisor exits. Each instance holds a lock file in that directory, by which
+ * a later supervisor finds its process. {@link #close} stops the health checks and leaves the processes running.
  */
 final class LocalHost implements HostOperations, AutoCloseable {
     private static final long MICROS_PER_MILLI = 1_000;
@@ -34,11 +34,11 @@
     private FleetConfig config;
     private final StateFile stateFile;
     private final HealthChecks checks;
-    /** Processes started here, by instance. */
+    /** The processes that this supervisor started, by instance. */
     private final Map<String, Process> children = new HashMap<>();
-    /** Processes that an earlier supervisor started, by instance. */
+    /** The processes that an earlier supervisor started, by instance. */
     private final Map<String, ProcessHandle> adopted = new HashMap<>();
-    /** Filled by the thread of the health checks. */
+    /** Results that are not delivered yet; the thread of the health checks adds them. */
     private final Queue<Runnable> checkResults = new ConcurrentLinkedQueue<>();
 
     LocalHost(FleetConfig config) throws IOException {
@@ -48,7 +48,7 @@
         checks = new HealthChecks(config.checkTimeoutMicros() / MICROS_PER_MILLI);
     }
 
-    /** Takes over the fleet's file that was read again. */
+    /** Replaces the configuration after a reload of the fleet's file. */
     void reconfigure(FleetConfig next) {
         config = next;
     }
@@ -57,7 +57,7 @@
         return config.directory().resolve(instance + "." + kind);
     }
 
-    /** Null if the fleet's file has no such instance. */
+    /** Returns the configuration of an instance; null if the fleet's file does not contain it. */
     private FleetConfig.MemberConfig configOf(String name) {
         return config.members().stream()
                 .filter(member -> member.name().equals(name))
@@ -80,7 +80,7 @@
         FleetConfig.Build build = config.builds().get(label);
         FleetConfig.MemberConfig instance = configOf(name);
         if (build == null || instance == null) {
-            throw new IOException(build == null ? "there is no build " + label : "there is no member " + name);
+            throw new IOException(build == null ? "unknown build " + label : "unknown instance name " + name);
         }
         Process process = processBuilder(build, instance, generation).start();
         children.put(name, process);
@@ -138,7 +138,7 @@
             JSONObject identity = new JSONObject(Files.readString(file));
             return new RunningProcess(identity.getLong("pid"), Integer.parseInt(identity.getString("mark")));
         } catch (JSONException | NumberFormatException | OverlappingFileLockException e) {
-            return null; // it has just taken the lock, and has not written its identity yet
+            return null; // the process has taken the lock but has not written its identity yet
         }
     }
 
@@ -163,7 +163,7 @@
     @Override
     public void watchProcess(String name, long pid) {
         Process child = children.get(name);
-        if (child == null || child.pid() != pid) { // a child has an exit code, and must be waited for
+        if (child == null || child.pid() != pid) { // a child's exit code is known
             ProcessHandle.of(pid).ifPresent(process -> adopted.put(name, process));
         }
     }
--- a/server/src/main/java/wheatspread/supervisor/StateFile.java
+++ b/server/src/main/java/wheatspread/supervisor/StateFile.java
@@ -17,8 +17,8 @@
 import wheatspread.fleet.RolloutStep;
 
 /**
- * The fleet's state as a JSON file, from which the next supervisor continues. This class maps the keys of the file,
- * which never change, to the names of the program.
+ * Stores the fleet's state in a JSON file, from which the next supervisor restores it. This class maps the keys of the
+ * file, which must not change, to the fields of {@link FleetState}.
  */
 final class StateFile {
     private static final int VERSION = 1;
@@ -29,7 +29,11 @@
         this.file = file;
     }
 
-    /** The saved state; null if there is none. A file of another version, or without a key, is an IOException. */
+    /**
+     * Returns the saved state; null if there is none.
+     *
+     * @throws IOException if the file has another version or lacks a key
+     */
     FleetState load() throws IOException {
         if (!Files.exists(file)) {
             return null;
@@ -37,15 +41,17 @@
         try {
             JSONObject json = new JSONObject(Files.readString(file));
             if (json.getInt("version") != VERSION) {
-                throw new IOException(file + " is of version " + json.get("version") + ", not " + VERSION);
+                throw new IOException(file + " has version " + json.get("version") + ", expected " + VERSION);
             }
             return fromJson(json);
         } catch (JSONException | IllegalArgumentException e) {
-            throw new IOException(file + " cannot be understood: " + e.getMessage(), e);
+            throw new IOException(file + " is not a valid state file: " + e.getMessage(), e);
         }
     }
 
-    /** Replaces the file. A crash leaves the old state or the new one whole. */
+    /**
+     * Replaces the file atomically: after a crash it contains either the complete old state or the complete new one.
+     */
     void save(FleetState state) throws IOException {
         AtomicFile.writeSynced(file, toJson(state).toString(1) + "\n");
     }
--- a/server/src/main/java/wheatspread/supervisor/StatusFile.java
+++ b/server/src/main/java/wheatspread/supervisor/StatusFile.java
@@ -14,30 +14,30 @@
 import wheatspread.fleet.RolloutStep;
 
 /**
- * The status of a fleet, as a JSON file that anybody may read at any rate. This class maps the names of the program to
- * the keys of the file, which never change; its times are milliseconds.
+ * Stores the status of a fleet in a JSON file, which other programs may read at any time. This class maps the fields of
+ * the fleet to the keys of the file, which must not change. Times in the file are milliseconds.
  */
 public final class StatusFile {
-    /** A status older than this was written by a supervisor that has ended or hangs; milliseconds. */
+    /** The supervisor of a status that is older than this has exited or hangs. */
     public static final long STALE_AFTER_MILLIS = 3_000;
 
     private static final long MICROS_PER_MILLI = 1_000;
-    /** Stands for an instance that has not answered a health check. */
+    /** The value of {@code heard_ms} for an instance that has not answered a health check. */
     private static final long NEVER = -1;
 
     private final Path file;
 
-    /** The status file in a fleet's directory, whether it exists or not. */
+    /** Creates an object for the status file in a fleet's directory; the file need not exist. */
     public StatusFile(Path fleetDir) {
         file = fleetDir.resolve("status.json");
     }
 
-    /** The last status; null if no supervisor has ever run here. */
+    /** Returns the last status; null if the file does not exist. */
     public JSONObject read() throws IOException {
         try {
             return Files.exists(file) ? new JSONObject(Files.readString(file)) : null;
         } catch (JSONException e) {
-            throw new IOException(file + " cannot be understood: " + e.getMessage(), e);
+            throw new IOException(file + " is not a valid status file: " + e.getMessage(), e);
         }
     }
 
--- a/server/src/main/java/wheatspread/supervisor/Supervisor.java
+++ b/server/src/main/java/wheatspread/supervisor/Supervisor.java
@@ -13,10 +13,11 @@
 import wheatspread.logging.EventLog;
 
 /**
- * Runs the turns of a {@link FleetController} on a {@link HostOperations}.
+ * Executes the turns of a {@link FleetController} on a {@link HostOperations}.
  *
- * <p>The order of a turn makes a crash at any step harmless: observe, decide, save the state, act. The next supervisor
- * finds every action in the saved state, and the processes by their locks. One thread calls it.
+ * <p>Each turn observes, decides, saves the state and then acts. Because of this order a crash at any step is harmless:
+ * the next supervisor finds every action in the saved state, and the processes by their locks. One thread makes all
+ * calls.
  */
 final class Supervisor {
     private final FleetController fleet;
@@ -24,12 +25,12 @@
     private final long checkIntervalMicros;
     private final EventLog log;
     private final Map<String, Long> nextCheckMicros = new HashMap<>();
-    /** The state as it was last saved; null before the first time. */
+    /** The last saved state; null before the first save. */
     private FleetState savedState;
-    /** The time of the current turn, which is that of the check results that it delivers. */
+    /** The time of the current turn, with which the check results of the turn are recorded. */
     private long turnMicros;
 
-    /** {@code checkIntervalMicros} is the time between two health checks of an instance. */
+    /** Creates a supervisor; {@code checkIntervalMicros} is the time between two health checks of an instance. */
     Supervisor(FleetController fleet, HostOperations host, long checkIntervalMicros, EventLog log) {
         this.fleet = fleet;
         this.host = host;
@@ -37,7 +38,7 @@
         this.log = log;
     }
 
-    /** Restores the state of an earlier supervisor, and adopts its processes. */
+    /** Restores the state of an earlier supervisor and adopts its processes. */
     void recover(long nowMicros) throws IOException {
         FleetState saved = host.loadState();
         if (saved == null) {
@@ -54,7 +55,7 @@
         fleet.restore(saved, running, nowMicros);
     }
 
-    /** Runs one turn. Returns whether the fleet was shut down and every process has exited. */
+    /** Executes one turn. Returns whether the fleet is being shut down and every process has exited. */
     boolean runTurn(long nowMicros) throws IOException {
         turnMicros = nowMicros;
         host.deliverCheckResults();
@@ -86,7 +87,7 @@
         }
     }
 
-    /** A start that an earlier supervisor recorded is confirmed as soon as its process holds the lock. */
+    /** Confirms a start that an earlier supervisor recorded, if the process holds the lock. */
     private void confirmStart(FleetInstance instance) throws IOException {
         if (!fleet.isStartUnconfirmed(instance.name())) {
             return;
@@ -99,8 +100,8 @@
     }
 
     private void checkHealth(FleetInstance instance, long nowMicros) {
-        boolean wanted = instance.hasProcess() && instance.state() != FleetInstance.State.DRAINING;
-        if (!wanted || nextCheckMicros.getOrDefault(instance.name(), 0L) > nowMicros) {
+        boolean needsCheck = instance.hasProcess() && instance.state() != FleetInstance.State.DRAINING;
+        if (!needsCheck || nextCheckMicros.getOrDefault(instance.name(), 0L) > nowMicros) {
             return;
         }
         nextCheckMicros.put(instance.name(), nowMicros + checkIntervalMicros);
@@ -109,7 +110,7 @@
                 instance.name(), generation, health -> healthCheckFinished(instance.name(), generation, health));
     }
 
-    /** {@code health} is null if there was no answer. */
+    /** Records the result of a health check; {@code health} is null if the instance did not answer. */
     private void healthCheckFinished(String name, int generation, FleetInstance.Health health) {
         if (health == null) {
             fleet.healthCheckFailed(name, generation, turnMicros);
@@ -146,7 +147,10 @@
         }
     }
 
-    /** An unconfirmed start has taken its lock after its time; a second process would end at that lock. */
+    /**
+     * Adopts the process of an earlier start that took its lock after the confirmation time. A second process would
+     * exit because the lock is held.
+     */
     private void adoptLateProcess(InstanceAction.Start start, RunningProcess process) {
         host.watchProcess(start.instance(), process.pid());
         fleet.processStarted(start.instance(), start.generation(), process.pid());
--- a/server/src/test/java/wheatspread/supervisor/SimulatedHost.java
+++ b/server/src/test/java/wheatspread/supervisor/SimulatedHost.java
@@ -16,19 +16,21 @@
 import wheatspread.fleet.FleetState.RunningProcess;
 
 /**
- * A host in memory with a clock of its own. Processes start, take their lock, become healthy, drain and crash as the
- * behaviour of their build says; the supervisor can be crashed before and after each of its operations. It records
- * violations of what must never happen.
+ * Simulates a machine in memory, with a manual clock. Processes take their lock, become healthy, drain and crash as
+ * their build's {@link Behaviour} defines; the supervisor can be crashed before and after each operation. Violations of
+ * the supervisor's invariants are recorded in {@link #violations}.
  */
 final class SimulatedHost implements HostOperations {
     static final long MICROS_PER_MILLI = 1_000;
 
-    /** A crash of the supervisor. */
+    /** Thrown by an operation to simulate a crash of the supervisor. */
     static final class SupervisorCrash extends RuntimeException {
         private static final long serialVersionUID = 1L;
     }
 
-    /** How processes of a build behave; times in microseconds after the start, 0 for never. */
+    /**
+     * The behaviour of the processes of a build; times are relative to the start, and an exit time of 0 means never.
+     */
     record Behaviour(
             long locksAfterMicros,
             long healthyAfterMicros,
@@ -49,11 +51,11 @@
         boolean running = true;
         int exitCode;
 
-        SimulatedProcess(long pid, String build, int generation, long startedAt, Behaviour behaviour) {
+        SimulatedProcess(long pid, String build, int generation, long startedAtMicros, Behaviour behaviour) {
             this.pid = pid;
             this.build = build;
             this.generation = generation;
-            this.startedAtMicros = startedAt;
+            this.startedAtMicros = startedAtMicros;
             this.behaviour = behaviour;
         }
     }
@@ -62,17 +64,20 @@
     final Map<String, SimulatedProcess> processes = new LinkedHashMap<>();
     final List<String> violations = new ArrayList<>();
     final Set<String> startedGenerations = new HashSet<>();
+    /** The processes whose exit is reported, by instance; the value tells whether they are children. */
     private final Map<String, Boolean> watched = new LinkedHashMap<>();
+    /** The instances of started processes that exited because the lock was held. */
     private final List<String> lockLosers = new ArrayList<>();
+
     private final Deque<Runnable> checkResults = new ArrayDeque<>();
     private FleetState savedState;
     long nowMicros = 1_000_000_000_000L;
     private long lastPid = 100;
-    /** The supervisor crashes at this step; -1 for never. */
+    /** The number of the step at which the supervisor crashes; -1 for never. */
     int crashAtStep = -1;
 
     int steps;
-    /** Whether health checks get no answer. */
+    /** Whether all health checks remain unanswered. */
     boolean checksUnanswered;
 
     private void step() {
@@ -81,33 +86,33 @@
         }
     }
 
-    /** Moves the clock on; processes exit as their behaviour says. */
+    /** Advances the clock, and ends the processes whose exit time has come. */
     void advance(long micros) {
         nowMicros += micros;
-        for (SimulatedProcess instance : processes.values()) {
-            long dies = instance.behaviour.exitsAfterMicros == 0
+        for (SimulatedProcess process : processes.values()) {
+            long exitsAtMicros = process.behaviour.exitsAfterMicros == 0
                     ? Long.MAX_VALUE
-                    : instance.startedAtMicros + instance.behaviour.exitsAfterMicros;
-            if (instance.running && nowMicros >= Math.min(dies, instance.drainedAtMicros)) {
-                instance.running = false;
-                instance.exitCode = dies <= instance.drainedAtMicros ? instance.behaviour.exitCode : 0;
+                    : process.startedAtMicros + process.behaviour.exitsAfterMicros;
+            if (process.running && nowMicros >= Math.min(exitsAtMicros, process.drainedAtMicros)) {
+                process.running = false;
+                process.exitCode = exitsAtMicros <= process.drainedAtMicros ? process.behaviour.exitCode : 0;
             }
         }
     }
 
-    /** A new supervisor has started; what the old one held in memory is lost. */
-    void supervisorRestarted() {
+    /** Discards what the crashed supervisor held in memory. */
+    void discardSupervisorMemory() {
         watched.clear();
         checkResults.clear();
         crashAtStep = -1;
     }
 
     boolean serves(String name) {
-        SimulatedProcess instance = processes.get(name);
-        return instance != null
-                && instance.running
-                && instance.drainedAtMicros == Long.MAX_VALUE
-                && nowMicros >= instance.startedAtMicros + instance.behaviour.healthyAfterMicros;
+        SimulatedProcess process = processes.get(name);
+        return process != null
+                && process.running
+                && process.drainedAtMicros == Long.MAX_VALUE
+                && nowMicros >= process.startedAtMicros + process.behaviour.healthyAfterMicros;
     }
 
     void crash(String name) {
@@ -123,17 +128,17 @@
     @Override
     public void saveState(FleetState state) {
         step();
-        savedState = StateFile.fromJson(StateFile.toJson(state)); // what a file would give back
+        savedState = StateFile.fromJson(StateFile.toJson(state)); // as if read back from the file
         step();
     }
 
     @Override
     public long startProcess(String name, String build, int generation) {
         step();
-        SimulatedProcess before = processes.get(name);
-        if (before != null && before.running && lockHolder(name) != null) {
-            violations.add(name + " was started while it lives");
-        } else if (before != null && before.running) {
+        SimulatedProcess previous = processes.get(name);
+        if (previous != null && previous.running && lockHolder(name) != null) {
+            violations.add(name + " was started while its previous process holds the lock");
+        } else if (previous != null && previous.running) {
             lockLosers.add(name); // the first process takes the lock, and this one exits
             startedGenerations.add(name + "." + generation);
             return ++lastPid;
@@ -141,26 +146,26 @@
         if (!startedGenerations.add(name + "." + generation)) {
             violations.add(name + " generation " + generation + " was started twice");
         }
-        FleetState.InstanceRecord written = savedState.instances().stream()
+        FleetState.InstanceRecord savedInstance = savedState.instances().stream()
                 .filter(instance -> instance.name().equals(name))
                 .findFirst()
                 .orElseThrow();
-        if (written.generation() != generation) {
-            violations.add(name + " was started before that was written down");
+        if (savedInstance.generation() != generation) {
+            violations.add(name + " generation " + generation + " was started before the state was saved");
         }
-        SimulatedProcess proc = new SimulatedProcess(++lastPid, build, generation, nowMicros, builds.get(build));
-        processes.put(name, proc);
+        SimulatedProcess process = new SimulatedProcess(++lastPid, build, generation, nowMicros, builds.get(build));
+        processes.put(name, process);
         watched.put(name, true);
         step();
-        return proc.pid;
+        return process.pid;
     }
 
     @Override
     public void sendSigterm(String name, long pid) {
         step();
-        SimulatedProcess instance = processes.get(name);
-        if (instance.pid == pid && !instance.behaviour.ignoresSigterm && instance.drainedAtMicros == Long.MAX_VALUE) {
-            instance.drainedAtMicros = nowMicros + 2_700 * MICROS_PER_MILLI;
+        SimulatedProcess process = processes.get(name);
+        if (process.pid == pid && !process.behaviour.ignoresSigterm && process.drainedAtMicros == Long.MAX_VALUE) {
+            process.drainedAtMicros = nowMicros + 2_700 * MICROS_PER_MILLI;
         }
         step();
     }
@@ -176,26 +181,26 @@
 
     @Override
     public RunningProcess lockHolder(String name) {
-        SimulatedProcess instance = processes.get(name);
-        return instance != null
-                        && instance.running
-                        && nowMicros >= instance.startedAtMicros + instance.behaviour.locksAfterMicros
-                ? new RunningProcess(instance.pid, instance.generation)
+        SimulatedProcess process = processes.get(name);
+        return process != null
+                        && process.running
+                        && nowMicros >= process.startedAtMicros + process.behaviour.locksAfterMicros
+                ? new RunningProcess(process.pid, process.generation)
                 : null;
     }
 
     @Override
     public Map<String, Integer> exitedProcesses() {
-        Map<String, Integer> ended = new LinkedHashMap<>();
+        Map<String, Integer> exitCodes = new LinkedHashMap<>();
         watched.forEach((name, child) -> {
             if (!processes.get(name).running) {
-                ended.put(name, child ? processes.get(name).exitCode : FleetInstance.UNKNOWN_EXIT_CODE);
+                exitCodes.put(name, child ? processes.get(name).exitCode : FleetInstance.UNKNOWN_EXIT_CODE);
             }
         });
-        watched.keySet().removeAll(ended.keySet());
-        lockLosers.forEach(name -> ended.put(name, 75));
+        watched.keySet().removeAll(exitCodes.keySet());
+        lockLosers.forEach(name -> exitCodes.put(name, 75));
         lockLosers.clear();
-        return ended;
+        return exitCodes;
     }
 
     @Override
@@ -204,15 +209,15 @@
     }
 
     @Override
-    public void checkHealth(String name, int generation, Consumer<Health> answer) {
-        SimulatedProcess instance = processes.get(name);
-        boolean well = serves(name) && !checksUnanswered;
-        long asked = instance == null
+    public void checkHealth(String name, int generation, Consumer<Health> result) {
+        SimulatedProcess process = processes.get(name);
+        boolean healthy = serves(name) && !checksUnanswered;
+        long requests = process == null
                 ? 0
-                : Math.max(0, nowMicros - instance.startedAtMicros - instance.behaviour.healthyAfterMicros)
+                : Math.max(0, nowMicros - process.startedAtMicros - process.behaviour.healthyAfterMicros)
                         / (50 * MICROS_PER_MILLI);
-        long failed = instance == null ? 0 : asked * instance.behaviour.failedRequestPercent / 100;
-        checkResults.add(() -> answer.accept(well ? new Health(true, asked - failed, failed, 0, 0) : null));
+        long failed = process == null ? 0 : requests * process.behaviour.failedRequestPercent / 100;
+        checkResults.add(() -> result.accept(healthy ? new Health(true, requests - failed, failed, 0, 0) : null));
     }
 
     @Override
--- a/server/src/test/java/wheatspread/supervisor/StateFileTest.java
+++ b/server/src/test/java/wheatspread/supervisor/StateFileTest.java
@@ -20,7 +20,7 @@
     @TempDir
     private Path dir;
 
-    private static FleetState state(int generation, boolean rolled) {
+    private static FleetState state(int generation, boolean withRollout) {
         FleetState.InstanceRecord instance = new FleetState.InstanceRecord(
                 "n1",
                 FleetInstance.State.DRAINING,
@@ -37,7 +37,7 @@
                 Long.MAX_VALUE);
         return new FleetState(
                 List.of(instance),
-                rolled
+                withRollout
                         ? new FleetState.RolloutRecord(
                                 "v1",
                                 "v2",
@@ -52,29 +52,29 @@
     }
 
     @Test
-    void savedStateIsLoadedAndATornTemporaryFileIsIgnored() throws IOException {
+    void loadsSavedStateAndIgnoresIncompleteTemporaryFile() throws IOException {
         StateFile file = new StateFile(dir.resolve("state.json"));
         assertThat(file.load()).isNull();
         file.save(state(1, false));
         assertThat(file.load()).isEqualTo(state(1, false));
         file.save(state(2, true));
-        Files.writeString(dir.resolve("state.json.new"), "{\"version\": 1, \"memb"); // torn by a crash
+        Files.writeString(dir.resolve("state.json.new"), "{\"version\": 1, \"memb"); // incomplete after a crash
         assertThat(file.load()).isEqualTo(state(2, true));
     }
 
     @Test
-    void unknownVersionAndMissingFieldsAreRefused() throws IOException {
+    void rejectsUnknownVersionAndMissingFields() throws IOException {
         Path path = dir.resolve("state.json");
         Files.writeString(path, new JSONObject().put("version", 2).toString());
-        assertThatThrownBy(new StateFile(path)::load).hasMessageContaining("is of version 2, not 1");
+        assertThatThrownBy(new StateFile(path)::load).hasMessageContaining("has version 2, expected 1");
         Files.writeString(path, "{\"version\": 1, \"members\": [{}], \"down\": false}");
-        assertThatThrownBy(new StateFile(path)::load).hasMessageContaining("cannot be understood");
+        assertThatThrownBy(new StateFile(path)::load).hasMessageContaining("is not a valid state file");
     }
 
     @Test
-    void commandWaitsForASupervisorAndIsAnsweredOnce() throws Exception {
+    void keepsCommandUntilASupervisorAnswersIt() throws Exception {
         CommandSpool spool = new CommandSpool(dir);
-        assertThat(spool.submit(new JSONObject().put("do", "down"), 0)).isNull(); // nobody reads yet
+        assertThat(spool.submit(new JSONObject().put("do", "down"), 0)).isNull(); // no supervisor reads the command
         Files.writeString(dir.resolve("commands/0.json"), "no JSON");
         CommandSpool.Command command = spool.next();
         assertThat(command.arguments().getString("do")).isEqualTo("down");
--- a/server/src/test/java/wheatspread/supervisor/SupervisorFilesCompatibilityTest.java
+++ b/server/src/test/java/wheatspread/supervisor/SupervisorFilesCompatibilityTest.java
@@ -19,7 +19,9 @@
 import wheatspread.fleet.FleetState;
 import wheatspread.logging.EventLog;
 
-/** The state and status files that an earlier release wrote are read, and written again just as they are. */
+/**
+ * Guards against changes to the format of the state and status files: files of an earlier release keep their content.
+ */
 class SupervisorFilesCompatibilityTest {
     private static final Path FILES = Path.of("src/test/resources/compatibility/supervisor");
     private static final long SAVED_AT_MICROS = 1_000_000_000_000L;
@@ -33,7 +35,7 @@
 
     @ParameterizedTest
     @CsvSource({"running", "rolling-back", "done", "stopped", "rolled-back", "no-roll"})
-    void anEarlierStateFileIsReadAndWrittenAgainUnchanged(String kind) throws IOException {
+    void writesStateFileOfEarlierReleaseUnchanged(String kind) throws IOException {
         FleetState state = stateOf(kind);
         assertThat(state.instances().stream().map(member -> member.state().storedName()))
                 .containsExactly("ABSENT", "STARTING", "UP", "UNWELL", "LEAVING", "HELD");
@@ -43,7 +45,7 @@
     }
 
     @Test
-    void everyFieldOfAnEarlierStateFileKeepsItsMeaning() throws IOException {
+    void readsEveryFieldOfEarlierStateFile() throws IOException {
         FleetState state = stateOf("rolling-back");
         assertThat(state.shuttingDown()).isFalse();
         assertThat(stateOf("stopped").shuttingDown()).isTrue();
@@ -96,10 +98,10 @@
                         "DONE"));
     }
 
-    /** What the table and the commands read: the same fields and values, but for the supervisor's own pid. */
+    /** Compares all fields and values except the pid of the supervisor itself. */
     @ParameterizedTest
     @CsvSource({"running", "rolling-back", "done", "stopped", "rolled-back", "no-roll"})
-    void theStatusOfARestoredFleetIsThatOfTheEarlierRelease(String kind) throws IOException {
+    void writesSameStatusAsEarlierReleaseForRestoredFleet(String kind) throws IOException {
         FleetPlan plan = new FleetPlan(
                 List.of("n1", "n2", "n3", "n4", "n5", "n6"),
                 "v1",
@@ -114,11 +116,11 @@
                 new FleetPlan.BackoffPolicy(200_000, 2, 5_000_000, 0.2, 60_000_000, 3, 60_000_000, 0));
         FleetController fleet = new FleetController(plan, 7, EventLog.NONE);
         FleetState state = stateOf(kind);
-        Map<String, FleetState.RunningProcess> alive = new LinkedHashMap<>();
+        Map<String, FleetState.RunningProcess> running = new LinkedHashMap<>();
         for (FleetState.InstanceRecord member : state.instances().subList(1, 5)) {
-            alive.put(member.name(), new FleetState.RunningProcess(member.pid(), member.generation()));
+            running.put(member.name(), new FleetState.RunningProcess(member.pid(), member.generation()));
         }
-        fleet.restore(state, alive, SAVED_AT_MICROS);
+        fleet.restore(state, running, SAVED_AT_MICROS);
         fleet.healthCheckAnswered("n3", 3, new Health(true, 40, 2, 1, 250_000), SAVED_AT_MICROS + 100_000);
 
         JSONObject expected = new JSONObject(Files.readString(FILES.resolve("status-" + kind + ".json")));
--- a/server/src/test/java/wheatspread/supervisor/SupervisorTest.java
+++ b/server/src/test/java/wheatspread/supervisor/SupervisorTest.java
@@ -19,7 +19,7 @@
 import wheatspread.logging.EventLog;
 import wheatspread.supervisor.SimulatedHost.Behaviour;
 
-/** A supervisor on a simulated host, which can crash it at every step. */
+/** Tests the supervisor on a {@link SimulatedHost}, which can crash it at every step. */
 class SupervisorTest {
     private static final long MICROS_PER_MILLI = SimulatedHost.MICROS_PER_MILLI;
     private static final long TURN_MICROS = 50 * MICROS_PER_MILLI;
@@ -37,12 +37,13 @@
     private FleetController fleet;
     private Supervisor supervisor;
     private int maxUnavailableSeen;
-    /** Whether all instances served at one time; unavailable ones are counted from then on. */
+    /** Whether all instances have served at the same time; unavailable instances are counted only after that. */
     private boolean allServedOnce;
 
+    /** The number of instances that the test crashed; they do not count as unavailable. */
     private int killedByTest;
 
-    private static FleetPlan plan(int size, double outShare) {
+    private static FleetPlan plan(int size, double maxUnavailableShare) {
         List<String> names = new ArrayList<>();
         for (int i = 1; i <= size; i++) {
             names.add("n" + i);
@@ -58,7 +59,7 @@
                 15_000 * MICROS_PER_MILLI,
                 2_000 * MICROS_PER_MILLI,
                 new FleetPlan.RolloutPolicy(
-                        outShare, 0, 5, 1_000 * MICROS_PER_MILLI, 8_000 * MICROS_PER_MILLI, 0.5, 1, true),
+                        maxUnavailableShare, 0, 5, 1_000 * MICROS_PER_MILLI, 8_000 * MICROS_PER_MILLI, 0.5, 1, true),
                 BACKOFF);
     }
 
@@ -79,13 +80,13 @@
         }
     }
 
-    /** Runs turns until a condition holds or the time is over; a crashed supervisor is restarted after 0.4 s. */
-    private void runTurns(long most, java.util.function.BooleanSupplier until) {
-        for (long end = host.nowMicros + most; host.nowMicros < end && !until.getAsBoolean(); ) {
+    /** Runs turns until a condition holds or a time has passed; a crashed supervisor is restarted after 0.4 s. */
+    private void runTurns(long maxMicros, java.util.function.BooleanSupplier until) {
+        for (long endMicros = host.nowMicros + maxMicros; host.nowMicros < endMicros && !until.getAsBoolean(); ) {
             try {
                 supervisor.runTurn(host.nowMicros);
             } catch (SimulatedHost.SupervisorCrash crash) {
-                host.supervisorRestarted();
+                host.discardSupervisorMemory();
                 host.advance(400 * MICROS_PER_MILLI);
                 startSupervisor();
             } catch (IOException e) {
@@ -128,27 +129,27 @@
     }
 
     @Test
-    void rolloutReplacesInstancesWithinTheUnavailableBound() {
+    void rolloutRespectsMaxUnavailable() {
         awaitAllHealthy();
         rollOut(5);
         assertThat(fleet.rollout().status()).isEqualTo(RolloutStatus.COMPLETED);
         assertThat(countRunning("v2")).isEqualTo(5);
         assertThat(countRunning("v1")).isOne();
-        assertThat(maxUnavailableSeen).isEqualTo(2); // a third of six
+        assertThat(maxUnavailableSeen).isEqualTo(2); // 0.34 of 6 instances
         assertThatThrownBy(() -> fleet.startRollout("v2", List.of("n9"), 0, host.nowMicros))
                 .hasMessageContaining("n9");
     }
 
-    /** The supervisor crashes before and after each of its operations, through a start and a rollout. */
+    /** Crashes the supervisor before and after each of its operations during a start and a rollout. */
     @Test
-    void supervisorCrashAtAnyStepStartsNothingTwiceAndCompletesTheRollout() {
+    void completesRolloutWithoutDuplicateStartsAfterSupervisorCrashAtAnyStep() {
         awaitAllHealthy();
         rollOut(5);
         int steps = host.steps;
         assertThat(steps).isGreaterThan(60);
-        for (int at = 0; at < steps; at++) {
+        for (int crashStep = 0; crashStep < steps; crashStep++) {
             host = new SimulatedHost();
-            host.crashAtStep = at;
+            host.crashAtStep = crashStep;
             maxUnavailableSeen = 0;
             allServedOnce = false;
             startSupervisor();
@@ -157,18 +158,20 @@
                 fleet.startRollout("v2", List.of(), 5, host.nowMicros);
             }
             if (host.crashAtStep >= 0) {
-                host.crashAtStep = Math.max(at, host.steps);
+                host.crashAtStep = Math.max(crashStep, host.steps);
             }
             runTurns(
                     120_000 * MICROS_PER_MILLI,
                     () -> rolloutIsOver() && fleet.instances().count(State.HEALTHY) == 6);
-            assertThat(host.violations).as("died at step %d", at).isEmpty();
-            // a command that was not saved before the crash is given again by the spool
+            assertThat(host.violations).as("crash at step %d", crashStep).isEmpty();
+            // there is no rollout if the crash lost its command, which a real spool would deliver again
             if (fleet.rollout() != null) {
-                assertThat(fleet.rollout().status()).as("died at step %d", at).isEqualTo(RolloutStatus.COMPLETED);
-                assertThat(countRunning("v2")).as("died at step %d", at).isEqualTo(5);
+                assertThat(fleet.rollout().status())
+                        .as("crash at step %d", crashStep)
+                        .isEqualTo(RolloutStatus.COMPLETED);
+                assertThat(countRunning("v2")).as("crash at step %d", crashStep).isEqualTo(5);
             }
-            assertThat(maxUnavailableSeen).as("died at step %d", at).isLessThanOrEqualTo(2);
+            assertThat(maxUnavailableSeen).as("crash at step %d", crashStep).isLessThanOrEqualTo(2);
             assertThat(host.processes.values().stream()
                             .filter(instance -> instance.running)
                             .count())
@@ -176,25 +179,25 @@
         }
     }
 
-    /** Its process is adopted when it takes the lock, and no second one is started. */
+    /** Guards against a second process for a recorded start whose process takes its lock late. */
     @Test
-    void unconfirmedStartThatLocksLateIsAdopted() {
+    void adoptsProcessOfUnconfirmedStartThatLocksLate() {
         host.builds.put("v1", new Behaviour(2_450 * MICROS_PER_MILLI, 3_000 * MICROS_PER_MILLI, 0, 0, false, 0));
         runTurns(100 * MICROS_PER_MILLI, () -> false);
-        host.supervisorRestarted();
+        host.discardSupervisorMemory();
         startSupervisor();
         awaitAllHealthy();
         assertThat(host.processes.values()).allMatch(instance -> instance.running && instance.generation == 1);
     }
 
     @Test
-    void buildThatExitsBeforeItIsHealthyIsRolledBack() {
+    void rollsBackBuildThatExitsBeforeItIsHealthy() {
         awaitAllHealthy();
         host.builds.put("v2", new Behaviour(0, 1_000 * MICROS_PER_MILLI, 300 * MICROS_PER_MILLI, 78, false, 0));
-        long began = host.nowMicros;
+        long startedAtMicros = host.nowMicros;
         fleet.startRollout("v2", List.of(), 0, host.nowMicros);
         runTurns(10_000 * MICROS_PER_MILLI, () -> fleet.rollout().status() != RolloutStatus.IN_PROGRESS);
-        assertThat(host.nowMicros - began).isLessThan(5_000 * MICROS_PER_MILLI);
+        assertThat(host.nowMicros - startedAtMicros).isLessThan(5_000 * MICROS_PER_MILLI);
         runTurns(20_000 * MICROS_PER_MILLI, this::rolloutIsOver);
         assertThat(fleet.rollout().status()).isEqualTo(RolloutStatus.ROLLED_BACK);
         assertThat(fleet.rollout().reason()).contains("of build v2 ended with code 78", "before it was well");
@@ -203,7 +206,7 @@
     }
 
     @Test
-    void buildThatExitsAfterItWasHealthyIsRolledBack() {
+    void rollsBackBuildThatExitsAfterItWasHealthy() {
         awaitAllHealthy();
         host.builds.put(
                 "v2",
@@ -218,7 +221,7 @@
     }
 
     @Test
-    void buildThatFailsRequestsOrIsNeverHealthyIsRolledBack() {
+    void rollsBackBuildThatFailsRequestsOrIsNeverHealthy() {
         awaitAllHealthy();
         host.builds.put("v2", new Behaviour(100 * MICROS_PER_MILLI, 500 * MICROS_PER_MILLI, 0, 0, false, 80));
         rollOut(0);
@@ -231,9 +234,9 @@
         assertThat(countRunning("v1")).isEqualTo(6);
     }
 
-    /** A fifth of the fleet is killed during the rollout, which waits until enough of it is available again. */
+    /** A fifth of the fleet is killed during a rollout, which must pause until enough instances are available. */
     @Test
-    void rolloutPausesWhileOtherInstancesAreUnavailableAndResumes() {
+    void rolloutPausesWhileOtherInstancesAreUnavailable() {
         plan = plan(20, 0.2);
         host = new SimulatedHost();
         startSupervisor();
@@ -251,7 +254,7 @@
     }
 
     @Test
-    void crashLoopIsHeldUntilAnOperatorStartsItAndAffectsNoOther() {
+    void holdsOnlyTheInstanceInCrashLoopUntilAnOperatorStartsIt() {
         awaitAllHealthy();
         host.processes.get("n3").running = false;
         host.builds.put(
@@ -262,7 +265,7 @@
         assertThat(fleet.instances().count(State.HEALTHY)).isEqualTo(5);
         host.builds.put("v1", Behaviour.GOOD);
         runTurns(5_000 * MICROS_PER_MILLI, () -> false);
-        assertThat(fleet.instances().get("n3").state()).isEqualTo(State.CRASH_LOOP); // until an operator starts it
+        assertThat(fleet.instances().get("n3").state()).isEqualTo(State.CRASH_LOOP); // held until an operator starts it
         fleet.enable("n3", host.nowMicros);
         awaitAllHealthy();
     }
@@ -270,45 +273,45 @@
     @Test
     void restartDelayDoublesWithEachExit() {
         awaitAllHealthy();
-        List<Long> pauses = new ArrayList<>();
+        List<Long> delaysMillis = new ArrayList<>();
         host.builds.put("v1", new Behaviour(0, 50 * MICROS_PER_MILLI, 100 * MICROS_PER_MILLI, 1, false, 0));
         host.crash("n1");
         for (int i = 0; i < 3; i++) {
             runTurns(5_000 * MICROS_PER_MILLI, () -> fleet.instances().get("n1").state() == State.STOPPED);
-            long ended = host.nowMicros;
+            long exitedAtMicros = host.nowMicros;
             runTurns(5_000 * MICROS_PER_MILLI, () -> fleet.instances().get("n1").state() != State.STOPPED);
-            pauses.add((host.nowMicros - ended) / MICROS_PER_MILLI);
+            delaysMillis.add((host.nowMicros - exitedAtMicros) / MICROS_PER_MILLI);
             runTurns(5_000 * MICROS_PER_MILLI, () -> fleet.instances().get("n1").state() == State.STOPPED);
         }
-        assertThat(pauses.get(0)).isBetween(150L, 300L);
-        assertThat(pauses.get(1)).isBetween(300L, 550L);
-        assertThat(pauses.get(2)).isBetween(600L, 1_050L);
+        assertThat(delaysMillis.get(0)).isBetween(150L, 300L);
+        assertThat(delaysMillis.get(1)).isBetween(300L, 550L);
+        assertThat(delaysMillis.get(2)).isBetween(600L, 1_050L);
     }
 
     @Test
-    void instanceThatIgnoresSigtermOrHealthChecksIsKilled() {
+    void killsInstanceThatIgnoresSigtermOrHealthChecks() {
         host.builds.put("v1", new Behaviour(100 * MICROS_PER_MILLI, 500 * MICROS_PER_MILLI, 0, 0, true, 0));
         awaitAllHealthy();
         fleet.drain("n2", host.nowMicros);
         runTurns(6_000 * MICROS_PER_MILLI, () -> false);
         assertThat(host.processes.get("n2").running).isFalse();
         assertThat(host.processes.get("n2").exitCode).isEqualTo(137);
-        assertThat(fleet.instances().get("n2").state()).isEqualTo(State.STOPPED); // drained: it is not restarted
+        assertThat(fleet.instances().get("n2").state()).isEqualTo(State.STOPPED); // a drained instance is not restarted
         host.checksUnanswered = true;
         runTurns(4_000 * MICROS_PER_MILLI, () -> false);
         assertThat(fleet.instances().get("n1").state()).isEqualTo(State.UNHEALTHY);
         assertThat(fleet.instances().isStale(fleet.instances().get("n1"), host.nowMicros))
                 .isTrue();
-        int before = fleet.instances().get("n1").generation();
+        int previousGeneration = fleet.instances().get("n1").generation();
         runTurns(14_000 * MICROS_PER_MILLI, () -> false);
-        assertThat(fleet.instances().get("n1").generation()).isGreaterThan(before);
+        assertThat(fleet.instances().get("n1").generation()).isGreaterThan(previousGeneration);
     }
 
     @Test
-    void instanceDroppedFromThePlanIsDrainedAndShutDownDrainsAll() {
+    void drainsInstancesRemovedFromThePlanAndAllInstancesOnShutDown() {
         awaitAllHealthy();
         plan = plan(4, 0.34);
-        startSupervisor(); // another file, read by a later supervisor
+        startSupervisor(); // a later supervisor with another plan
         runTurns(
                 10_000 * MICROS_PER_MILLI,
                 () -> host.processes.values().stream()
@@ -322,7 +325,7 @@
         assertThat(host.processes.values()).allMatch(instance -> instance.exitCode == 0);
     }
 
-    /** In the end each instance runs, once, or is held for a crash loop. */
+    /** After all crashes every instance must be healthy, or be held because of a crash loop. */
     @Property(tries = 150, seed = "41")
     void fleetRecoversFromRandomCrashesOfInstancesAndSupervisor(@ForAll long seed) {
         host = new SimulatedHost();
