--- a/server/src/main/java/wheatspread/control/ControlConnection.java
+++ b/server/src/main/java/wheatspread/control/ControlConnection.java
@@ -6,7 +6,7 @@
 import wheatspread.transport.ClientChannelHandler;
 import wheatspread.transport.Listener;
 
-/** One connection to the operators' endpoint: reads the head of one request, answers it, and closes. */
+/** One connection to the operators' endpoint: reads the head of one HTTP request, answers it, and closes. */
 final class ControlConnection extends ClientChannelHandler {
     private final ControlFront front;
     private boolean answered;
@@ -23,7 +23,7 @@
 
     @Override
     protected void clientDisconnected() {
-        // a request is answered at once, so none is open
+        // a request is answered as soon as it is read, so no request is open
     }
 
     @Override
@@ -48,12 +48,12 @@
                         "head over " + ControlFront.MAX_HEAD_BYTES + " bytes\n"));
                 return 1;
             }
-            return 0; // the rest of the head has not come yet
+            return 0; // the head is incomplete
         }
         int length = end - bytes.readerIndex();
         String head =
                 bytes.readCharSequence(length, StandardCharsets.ISO_8859_1).toString();
-        bytes.skipBytes(bytes.readableBytes()); // one request a connection: a body and further requests are not read
+        bytes.skipBytes(bytes.readableBytes()); // a body and further requests are ignored
         answer(front.endpoints.answer(head));
         return 1;
     }
@@ -65,7 +65,7 @@
         drain();
     }
 
-    /** The index just after the blank line that ends the head; -1 before it has come. */
+    /** Returns the index after the blank line that ends the head; -1 if the head is incomplete. */
     private static int endOfHead(ByteBuf bytes) {
         int from = bytes.readerIndex();
         int to = bytes.writerIndex();
--- a/server/src/main/java/wheatspread/control/ControlEndpoints.java
+++ b/server/src/main/java/wheatspread/control/ControlEndpoints.java
@@ -6,7 +6,7 @@
 import wheatspread.control.ControlFront.AdditionalEndpoints;
 import wheatspread.control.ControlFront.ControlResponse;
 
-/** Answers the requests of the operators' endpoint, from the head of a request to the bytes of a response. */
+/** Answers the HTTP requests of the operators' endpoint. All calls are made on the event loop's thread. */
 final class ControlEndpoints {
     private static final String READY_PATH = "/_ready";
     private static final String METRICS_PATH = "/_vars";
@@ -18,8 +18,11 @@
     private final AdditionalEndpoints additionalEndpoints;
 
     /**
-     * {@code ready} says whether the process serves; {@code metrics} gives the metrics as lines of text;
-     * {@code additionalEndpoints} is null where there are none.
+     * Creates the endpoints.
+     *
+     * @param ready returns whether the process serves
+     * @param metrics returns the metrics as lines of text
+     * @param additionalEndpoints answers all other paths; null if there are none
      */
     ControlEndpoints(BooleanSupplier ready, Supplier<String> metrics, AdditionalEndpoints additionalEndpoints) {
         this.ready = ready;
@@ -27,7 +30,7 @@
         this.additionalEndpoints = additionalEndpoints;
     }
 
-    /** The response to a request with this head, which ends with its blank line. */
+    /** Returns the bytes of the response to a request; {@code head} includes the blank line at its end. */
     byte[] answer(String head) {
         int lineEnd = head.indexOf('\n');
         String requestLine = (lineEnd < 0 ? head : head.substring(0, lineEnd)).strip();
--- a/server/src/main/java/wheatspread/control/MetricsPage.java
+++ b/server/src/main/java/wheatspread/control/MetricsPage.java
@@ -5,12 +5,12 @@
 import wheatspread.core.RequestCounters;
 
 /**
- * The metrics of {@code GET /_vars}: one {@code name=value} a line. Operators' tools read the names, so they never
- * change.
+ * Formats the metrics of {@code GET /_vars}, with one {@code name=value} per line. Operators' tools depend on the
+ * names, which must not change.
  */
 public final class MetricsPage {
     private static final String PREFIX = "edge_gw.";
-    /** The order of the final answers in {@link RequestCounters#answersByClass}. */
+    /** Index of the successful answers in the values of {@link RequestCounters#answersByClass}. */
     private static final int SUCCESS = 0;
 
     private static final int OVERLOAD = 1;
@@ -20,14 +20,14 @@
     private MetricsPage() {}
 
     /**
-     * The metrics since the start of the process. Every request class of the deployment is listed, with 0 where no
-     * request came.
+     * Returns the metrics since the start of the process. Every request class of the deployment is listed, with the
+     * value 0 if it received no request.
      *
-     * @param counters final answers by class, and the runs that were dispatched to the kernel
+     * @param counters the final answers by class, and the number of runs dispatched to the kernel
      * @param classes the names of the request classes, in the order of their numbers
-     * @param openRequests requests that are not answered yet
-     * @param appliedReloads configurations applied at SIGHUP
-     * @param rejectedReloads configurations rejected at SIGHUP
+     * @param openRequests the number of requests that are not answered yet
+     * @param appliedReloads the number of configurations applied on SIGHUP
+     * @param rejectedReloads the number of configurations rejected on SIGHUP
      */
     public static String text(
             RequestCounters counters,
