--- a/server/src/main/java/wheatspread/daemon/AtomicFile.java
+++ b/server/src/main/java/wheatspread/daemon/AtomicFile.java
@@ -10,21 +10,22 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Replaces files that other processes read at any time: the text is written to a temporary file beside the old one,
- * which is then renamed over it. A reader finds the old text or the new one whole. Calls block for the disk; two calls
- * for the same file must not overlap, since they share the temporary file.
+ * Replaces files that other processes may read at any time. The text is written to a temporary file in the same
+ * directory, which is then renamed over the old file, so that a reader sees either the complete old text or the
+ * complete new one. Calls block for the disk. Two calls for the same file must not overlap, since they use the same
+ * temporary file.
  */
 public final class AtomicFile {
     private AtomicFile() {}
 
-    /** Replaces the file. A crash of the machine may lose the new text. */
+    /** Replaces the file without a sync; a crash of the machine may lose the new text. */
     public static void write(Path file, String text) throws IOException {
         Path temporary = temporaryFile(file);
         Files.writeString(temporary, text);
         Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** Replaces the file. When it returns, the text survives a crash of the machine. */
+    /** Replaces the file and syncs it: after the method returns, the text survives a crash of the machine. */
     public static void writeSynced(Path file, String text) throws IOException {
         Path temporary = temporaryFile(file);
         try (FileChannel out = FileChannel.open(
--- a/server/src/main/java/wheatspread/daemon/AvailabilityAnnouncer.java
+++ b/server/src/main/java/wheatspread/daemon/AvailabilityAnnouncer.java
@@ -5,11 +5,11 @@
 import wheatspread.lifecycle.Lifecycle;
 
 /**
- * Announces whether this process takes requests.
+ * Announces to the announce service whether this process accepts requests.
  *
- * <p>Where the listening socket was inherited, a drain signal means an upgrade: the next process announces the same
- * name. An announcement that this one takes no requests would remove the name from the list for both, so this process
- * stops announcing instead. The loop's thread calls.
+ * <p>If the listening socket was inherited, a drain signal means an upgrade, in which the next process announces the
+ * same name. If this process announced that it accepts no requests, the name would be removed from the list for both
+ * processes; it therefore stops announcing instead. All calls are made on the event loop's thread.
  */
 final class AvailabilityAnnouncer {
     private final ServerConfig config;
--- a/server/src/main/java/wheatspread/daemon/ConfigReloader.java
+++ b/server/src/main/java/wheatspread/daemon/ConfigReloader.java
@@ -7,18 +7,18 @@
 import wheatspread.logging.EventLog;
 
 /**
- * What SIGHUP does:
+ * Reloads the configuration on SIGHUP:
  *
  * <ol>
- * <li>The signal's thread reads the whole configuration and checks it; {@link ServerConfig#requireNoServiceRemoved}
- * rejects
- *     one that lacks what the process was started with.
- * <li>The loop's thread applies it by {@link ReloadApplier}, which lists what a reload changes. Everything else in the
- *     file holds from the next start on, and the log says so ({@code needs_start}).
- * <li>One of the two counters of the operators' endpoint goes up by one.
+ * <li>The signal handler's thread reads and validates the whole configuration;
+ *     {@link ServerConfig#requireNoServiceRemoved} rejects a configuration that lacks a service with which the process
+ *     was started.
+ * <li>The event loop's thread applies it with {@link ReloadApplier}, which lists the settings that a reload
+ *     changes. All other settings take effect at the next start, which the log reports ({@code needs_start}).
+ * <li>The counter of applied or that of rejected reloads, shown by the operators' endpoint, is incremented.
  * </ol>
  *
- * <p>A configuration that is not valid, or comes while the process closes, changes nothing. Any thread may call.
+ * <p>A configuration that is invalid, or is read while the process is closing, changes nothing. Any thread may call.
  */
 final class ConfigReloader {
     private final ServerConfig startConfig;
@@ -28,8 +28,8 @@
     private final AtomicLong rejected = new AtomicLong();
 
     /**
-     * A reloader for a process that was started with {@code startConfig}. {@code applier} returns once a configuration
-     * is applied, or throws.
+     * Creates a reloader for a process that was started with {@code startConfig}. {@code applier} applies a
+     * configuration before it returns, or throws.
      */
     ConfigReloader(ServerConfig startConfig, Consumer<ServerConfig> applier, EventLog log) {
         this.startConfig = startConfig;
@@ -38,9 +38,9 @@
     }
 
     /**
-     * Reads a configuration on the calling thread and applies it. One call runs at a time: otherwise an older file
-     * could be applied after a newer one, and each would take the memory of a configuration. Whatever is thrown, an
-     * {@link Error} too, counts as rejected, so that each call moves one counter by one.
+     * Reads a configuration on the calling thread and applies it. Calls are serialized: otherwise an older file could
+     * be applied after a newer one, and each concurrent call would need the memory of one configuration. Every
+     * exception, including an {@link Error}, counts as a rejection, so that each call increments exactly one counter.
      */
     synchronized void reload(Supplier<ServerConfig> reader) {
         try {
@@ -54,7 +54,7 @@
     }
 
     private void reject(Throwable cause) {
-        rejected.incrementAndGet(); // first, since the log may need memory that is not there
+        rejected.incrementAndGet(); // before logging, which may fail for lack of memory
         log.warn(
                 "reload_rejected", "reason", cause instanceof RuntimeException ? cause.getMessage() : cause.toString());
     }
--- a/server/src/main/java/wheatspread/daemon/CounterReporter.java
+++ b/server/src/main/java/wheatspread/daemon/CounterReporter.java
@@ -13,8 +13,8 @@
 import wheatspread.transport.Listener;
 
 /**
- * Logs the counters of requests, connections and the event loop: at an interval where the operator sets one, and once
- * at the end of the process. Only the loop's thread calls.
+ * Logs the counters of requests, connections and the event loop, periodically if the operator sets an interval, and
+ * once when the process closes. All calls are made on the event loop's thread.
  */
 final class CounterReporter {
     private static final long MICROS_PER_SECOND = 1_000_000;
@@ -27,7 +27,7 @@
     private final BooleanSupplier isActive;
     private final EventLog log;
 
-    /** Logs every {@code intervalSeconds}, 0 for never, as long as {@code isActive}. */
+    /** Creates a reporter that logs every {@code intervalSeconds} (0 for never) while {@code isActive} returns true. */
     CounterReporter(
             Core core,
             Map<Listener, InetSocketAddress> listeners,
@@ -45,7 +45,7 @@
         this.log = log;
     }
 
-    /** Logs the counters after the interval, and again after each further one. */
+    /** Schedules the periodic log of the counters; does nothing if the interval is 0. */
     void scheduleNext() {
         if (intervalSeconds > 0) {
             clock.schedule(intervalSeconds * MICROS_PER_SECOND, this::logAndScheduleNext);
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Logs the counters from the start of the process. */
+    /** Logs the counters since the start of the process. */
     void logCounters() {
         log.info("request_counters", core.counters().logFields());
         listeners.forEach((listener, address) -> {
--- a/server/src/main/java/wheatspread/daemon/EventLoopClock.java
+++ b/server/src/main/java/wheatspread/daemon/EventLoopClock.java
@@ -6,8 +6,8 @@
 import wheatspread.transport.EventLoopScheduler;
 
 /**
- * The system's Unix clock, with the timers and tasks of one event loop. Any thread may read the time; timers and tasks
- * are set on the loop's thread, and run there.
+ * The system's Unix clock, combined with the timers and tasks of one event loop. Any thread may read the time. Timers
+ * and tasks are scheduled on the event loop's thread, and run on it.
  */
 public final class EventLoopClock implements Clock {
     private static final long MICROS_PER_SECOND = 1_000_000;
@@ -15,12 +15,12 @@
 
     private final EventLoopScheduler scheduler;
 
-    /** The clock of the loop that this scheduler runs. */
+    /** Creates the clock of the event loop that {@code scheduler} runs. */
     public EventLoopClock(EventLoopScheduler scheduler) {
         this.scheduler = scheduler;
     }
 
-    /** The system's Unix clock, in microseconds. */
+    /** Returns the system's Unix time in microseconds. */
     public static long unixMicros() {
         Instant now = Instant.now();
         return now.getEpochSecond() * MICROS_PER_SECOND + now.getNano() / NANOS_PER_MICRO;
@@ -43,7 +43,7 @@
         scheduler.runInIteration(task);
     }
 
-    /** A timer of the scheduler's timer wheel. */
+    /** A timer in the scheduler's timer wheel. */
     private final class WheelTimer extends TimerWheel.Timer implements Timer {
         private final Runnable task;
 
--- a/server/src/main/java/wheatspread/daemon/FrontListeners.java
+++ b/server/src/main/java/wheatspread/daemon/FrontListeners.java
@@ -8,22 +8,22 @@
 import wheatspread.transport.Listener;
 
 /**
- * The listeners of a server: those of its fronts, with the addresses they are to listen on and those they were bound
- * to, and that of the operators' endpoint.
+ * The listeners of a server's fronts, with their configured and bound addresses, and the listener of the operators'
+ * endpoint.
  *
- * <p>{@link #bind} is called once, on the thread that starts the server; the addresses may be read by any thread after
- * that. All else is called on the loop's thread. {@link ShutdownSequence} closes the listeners.
+ * <p>{@link #bind} is called once, on the thread that starts the server; after that any thread may read the addresses.
+ * All other methods are called on the event loop's thread. {@link ShutdownSequence} closes the listeners.
  */
 final class FrontListeners {
-    /** In the order in which they are bound; without the operators' endpoint. */
+    /** The listeners of the fronts with their configured addresses, in the order of binding. */
     private final Map<Listener, InetSocketAddress> addresses = new LinkedHashMap<>();
 
     private final List<InetSocketAddress> boundAddresses = new ArrayList<>();
-    /** That of the platform's proxies, which may accept on an inherited socket. */
+    /** The listener for the platform's proxies, which may accept on an inherited socket. */
     private final Listener platformListener;
-    /** The file descriptor of the inherited socket; -1 for none. */
+    /** The file descriptor of the inherited socket; -1 if there is none. */
     private final int inheritedDescriptor;
-    /** That of the operators' endpoint; null where there is none. */
+    /** The listener of the operators' endpoint; null if there is none. */
     private final Listener controlListener;
 
     private volatile InetSocketAddress controlAddress;
@@ -39,7 +39,11 @@
         this.controlListener = controlListener;
     }
 
-    /** Binds the operators' endpoint to {@code controlAddress}, then the fronts. What cannot be bound is thrown. */
+    /**
+     * Binds the operators' endpoint to {@code controlAddress}, and then the fronts.
+     *
+     * @throws IllegalStateException if an address cannot be bound; the message names the address
+     */
     void bind(InetSocketAddress controlAddress) {
         if (controlListener != null) {
             this.controlAddress = listen(controlListener, controlAddress);
@@ -55,56 +59,58 @@
     private static InetSocketAddress listen(Listener listener, InetSocketAddress address) {
         try {
             return listener.listen(address);
-        } catch (Exception e) { // Netty throws the system's error, checked or not
+        } catch (Exception e) { // Netty rethrows the system's error, which may be a checked exception
             throw new IllegalStateException("cannot listen on " + address + ": " + e.getMessage(), e);
         }
     }
 
-    /** The listeners of the fronts. */
+    /** Returns the listeners of the fronts, in the order of binding. */
     List<Listener> listeners() {
         return List.copyOf(addresses.keySet());
     }
 
-    /** The listeners of the fronts, with the addresses that they are to listen on. */
+    /** Returns the listeners of the fronts with their configured addresses, in the order of binding. */
     Map<Listener, InetSocketAddress> addresses() {
         return addresses;
     }
 
-    /** The addresses to which the fronts were bound, in that order. */
+    /** Returns the addresses to which the fronts were bound, in the order of binding. */
     List<InetSocketAddress> boundAddresses() {
         return List.copyOf(boundAddresses);
     }
 
-    /** Null where there is none. */
+    /** Returns the listener of the operators' endpoint; null if there is none. */
     Listener controlListener() {
         return controlListener;
     }
 
-    /** Null before it is bound, and where there is none. */
+    /** Returns the bound address of the operators' endpoint; null before it is bound, or if there is none. */
     InetSocketAddress controlAddress() {
         return controlAddress;
     }
 
-    /** Accepts connections of an inherited socket; until the process serves, the earlier process accepts them. */
+    /**
+     * Starts to accept connections on an inherited socket; the earlier process accepts them until this process serves.
+     */
     void acceptInherited() {
         if (inheritedDescriptor >= 0) {
             platformListener.acceptHeld();
         }
     }
 
-    /** Leaves further connections of an inherited socket to the next process. */
+    /** Stops accepting connections on an inherited socket; the next process accepts them. */
     void releaseInherited() {
         if (inheritedDescriptor >= 0) {
             platformListener.stopListening();
         }
     }
 
-    /** Closes the connections of the fronts that were idle for so long. */
+    /** Closes the connections of the fronts that have been idle for at least {@code idleMicros}. */
     void closeIdle(long idleMicros) {
         addresses.keySet().forEach(listener -> listener.closeIdle(idleMicros));
     }
 
-    /** Closes all listeners, that of the operators' endpoint too. */
+    /** Drains all listeners, including that of the operators' endpoint. */
     void close() {
         addresses.keySet().forEach(Listener::drainAll);
         if (controlListener != null) {
--- a/server/src/main/java/wheatspread/daemon/GracefulShutdown.java
+++ b/server/src/main/java/wheatspread/daemon/GracefulShutdown.java
@@ -14,9 +14,9 @@
 import wheatspread.transport.Listener;
 
 /**
- * Drains the requests and connections of a server. {@link DrainDeadlines} says which step is to be taken at which
- * time; here it is carried out on the core and the listeners. {@link ShutdownSequence} has the whole of a shutdown.
- * Only the loop's thread calls.
+ * Drains the requests and connections of a server. {@link DrainDeadlines} decides which step is due; this class applies
+ * it to the core and the listeners. {@link ShutdownSequence} describes the complete shutdown. All calls are made on the
+ * event loop's thread.
  */
 final class GracefulShutdown {
     private static final long MICROS_PER_MILLI = 1_000;
@@ -35,8 +35,10 @@
     private Core.InFlightCounts openAtSignal;
 
     /**
-     * {@code hasUnreadInput} says whether callers have written what has not been read yet; {@code drainEnded} is given
-     * {@link Event#ALL_ANSWERED} or {@link Event#DRAIN_TIMED_OUT} at the end of the drain.
+     * Creates a shutdown that has not begun.
+     *
+     * @param hasUnreadInput returns whether clients have sent input that has not been read yet
+     * @param drainEnded receives {@link Event#ALL_ANSWERED} or {@link Event#DRAIN_TIMED_OUT} at the end of the drain
      */
     GracefulShutdown(
             Core core,
@@ -55,7 +57,7 @@
         this.drainEnded = drainEnded;
     }
 
-    /** Begins the drain; for the parameters see {@link DrainDeadlines}. */
+    /** Starts the drain. {@link DrainDeadlines} describes the parameters. */
     void begin(long signalledAtMicros, long stopTimeoutMicros, long graceMicros, boolean listed) {
         countersAtSignal = core.countersSnapshot();
         openAtSignal = core.inFlight();
@@ -66,8 +68,8 @@
     }
 
     /**
-     * Ends the grace, and has everything answered soon: rejected if it has not started, failed if it has. Before the
-     * drain it does nothing.
+     * Ends the grace period and answers all requests soon: a request is rejected if it has not started, and failed if
+     * it has. Does nothing before the drain.
      */
     void answerImmediately() {
         if (deadlines != null && !deadlines.isImmediate()) {
@@ -76,8 +78,8 @@
     }
 
     /**
-     * Takes the step of the time. Input that is not read yet counts as one unanswered request: a busy process may be
-     * late in reading it.
+     * Applies the step that is due, and schedules the next poll. Unread input counts as one unanswered request, since a
+     * busy process may read it late.
      */
     private void poll() {
         int unanswered = core.unansweredCount() + (hasUnreadInput.getAsBoolean() ? 1 : 0);
@@ -97,7 +99,8 @@
     }
 
     /**
-     * Logs, and writes to the report file, what was open at the signal, what became of it, and what is unanswered.
+     * Logs the requests that were in flight at the signal, their outcomes, and the number of unanswered requests, and
+     * writes the same fields to the report file.
      */
     void logReport() {
         List<Object> fields = new ArrayList<>(List.of(
@@ -120,27 +123,30 @@
     }
 
     /**
-     * Closes all connections, those of the operators' endpoint too ({@code controlListener} is null where there is
-     * none), and then runs {@code closed}. The process must not exit before: the system would reset connections with
-     * bytes that nobody has read, and the answers on their way would be lost.
+     * Closes all connections, including those of the operators' endpoint, and then runs {@code closed}. The process
+     * must not exit before: the operating system would reset connections with unread bytes, and answers that are not
+     * delivered yet would be lost.
+     *
+     * @param controlListener the listener of the operators' endpoint; null if there is none
      */
     void close(Listener controlListener, Runnable closed) {
-        List<Listener> all = new ArrayList<>(listeners);
+        List<Listener> allListeners = new ArrayList<>(listeners);
         if (controlListener != null) {
-            all.add(controlListener);
+            allListeners.add(controlListener);
         }
-        all.forEach(Listener::drainAll);
-        awaitClosed(all, clock.nowMicros(), closed);
+        allListeners.forEach(Listener::drainAll);
+        awaitClosed(allListeners, clock.nowMicros(), closed);
     }
 
-    private void awaitClosed(List<Listener> all, long closingAtMicros, Runnable closed) {
-        long pendingBytes = all.stream().mapToLong(Listener::pendingWriteBytes).sum();
-        if (all.stream().allMatch(Listener::isEmpty)
+    private void awaitClosed(List<Listener> allListeners, long closingAtMicros, Runnable closed) {
+        long pendingBytes =
+                allListeners.stream().mapToLong(Listener::pendingWriteBytes).sum();
+        if (allListeners.stream().allMatch(Listener::isEmpty)
                 || !deadlines.mayLinger(clock.nowMicros(), closingAtMicros, pendingBytes)) {
-            all.forEach(Listener::closeAll);
+            allListeners.forEach(Listener::closeAll);
             clock.runAfterTurn(closed);
         } else {
-            clock.schedule(CLOSE_POLL_MICROS, () -> awaitClosed(all, closingAtMicros, closed));
+            clock.schedule(CLOSE_POLL_MICROS, () -> awaitClosed(allListeners, closingAtMicros, closed));
         }
     }
 }
--- a/server/src/main/java/wheatspread/daemon/KernelReadiness.java
+++ b/server/src/main/java/wheatspread/daemon/KernelReadiness.java
@@ -7,8 +7,8 @@
 import wheatspread.logging.EventLog;
 
 /**
- * Waits for the kernel in the phase {@code AWAITING_KERNEL}: logs every {@link #LOG_INTERVAL_MICROS} that it is not
- * ready, and reports a timeout where the operator sets one. Only the loop's thread calls.
+ * Monitors the kernel in the phase {@code AWAITING_KERNEL}: logs every {@link #LOG_INTERVAL_MICROS} that the kernel is
+ * not ready, and reports a timeout if the operator sets one. All calls are made on the event loop's thread.
  */
 final class KernelReadiness {
     private static final long MICROS_PER_MILLI = 1_000;
@@ -22,7 +22,7 @@
     private final EventLog log;
     private final long startedAtMicros;
 
-    /** {@code timedOut} runs after {@code timeoutMicros}; never if that is 0. The time runs from this call. */
+    /** Starts the wait. {@code timedOut} runs after {@code timeoutMicros}; it never runs if that is 0. */
     KernelReadiness(
             Clock clock,
             long timeoutMicros,
@@ -39,7 +39,7 @@
         startedAtMicros = clock.nowMicros();
     }
 
-    /** Checks again after the log interval, or at the timeout if that is sooner. */
+    /** Schedules a check after the log interval, or at the timeout if that is earlier. */
     void scheduleCheck() {
         long remainingMicros =
                 timeoutMicros > 0 ? startedAtMicros + timeoutMicros - clock.nowMicros() : LOG_INTERVAL_MICROS;
--- a/server/src/main/java/wheatspread/daemon/MembershipService.java
+++ b/server/src/main/java/wheatspread/daemon/MembershipService.java
@@ -19,13 +19,13 @@
 import wheatspread.transport.Transport;
 
 /**
- * This server as a member of a cluster of peers, with what operators see of it: metrics, and the paths
- * {@code /_members} and {@code /_members/form} of their endpoint. It owns the sockets to the peers;
- * {@link ShutdownSequence} has it leave the cluster and closes it. {@link #open} is called on the thread that starts
- * the server, all else on the loop's thread.
+ * Connects this server to its cluster of peers, and provides the cluster's part of the operators' endpoint: metrics,
+ * and the paths {@code /_members} and {@code /_members/form}. The service owns the sockets to the peers; {@link
+ * ShutdownSequence} calls {@link #leave} and {@link #close}. {@link #open} is called on the thread that starts the
+ * server, and all other methods on the event loop's thread.
  */
 final class MembershipService {
-    /** The pause before another attempt to bind a socket that the earlier process still holds. */
+    /** The delay before the next attempt to bind a socket that the earlier process still holds. */
     private static final long BIND_RETRY_MICROS = 250_000;
 
     private final String cluster;
@@ -45,7 +45,7 @@
         Package program = MembershipService.class.getPackage();
         String build = program.getImplementationVersion() == null ? "" : program.getImplementationVersion();
         Member self = new Member(new MemberId(name, start), config.advertise(), config.zone(), build, 0);
-        // a seed of its own, or all servers of the fleet would send at the same times
+        // the seed differs between servers, since otherwise all servers would send at the same times
         peers = new PeerTransport(
                 cluster,
                 config.listen(),
@@ -60,7 +60,9 @@
 
     /**
      * Binds the sockets. In an {@code upgrade} the earlier process may hold them until it exits, so binding is retried
-     * until it succeeds; otherwise a socket that cannot be bound is thrown.
+     * until it succeeds.
+     *
+     * @throws IllegalStateException if a socket cannot be bound and this is not an upgrade
      */
     void open(boolean upgrade) {
         Future<Void> opening = peers.open();
@@ -94,7 +96,7 @@
         peers.close();
     }
 
-    /** Its lines for the metrics of the operators' endpoint. */
+    /** Returns the lines of the cluster's metrics for the operators' endpoint. */
     String metrics() {
         Membership membership = peers.membership();
         View view = membership.view();
@@ -103,7 +105,7 @@
                 + (membership.isQuorumReachable(EventLoopScheduler.monotonicMicros()) ? 1 : 0) + "\n";
     }
 
-    /** Answers its paths of the operators' endpoint; null for any other path. */
+    /** Answers a request to the operators' endpoint; returns null for a path that is not the cluster's. */
     ControlFront.ControlResponse answer(String method, String path) {
         if (path.equals("/_members")) {
             return method.equals("GET")
@@ -114,11 +116,11 @@
             if (!method.equals("POST")) {
                 return new ControlFront.ControlResponse("405 Method Not Allowed", "only POST\n");
             }
-            String refused = peers.orderBootstrap();
-            log.info("bootstrap_ordered", "refused", refused == null ? "no" : refused);
-            return refused == null
+            String refusal = peers.orderBootstrap();
+            log.info("bootstrap_ordered", "refused", refusal == null ? "no" : refusal);
+            return refusal == null
                     ? new ControlFront.ControlResponse("200 OK", "forming\n")
-                    : new ControlFront.ControlResponse("409 Conflict", refused + "\n");
+                    : new ControlFront.ControlResponse("409 Conflict", refusal + "\n");
         }
         return null;
     }
@@ -130,7 +132,7 @@
         JSONArray members = new JSONArray();
         for (int i = 0; view != null && i < view.size(); i++) {
             Member member = view.members().get(i);
-            boolean in = membership.isMember();
+            boolean isMember = membership.isMember();
             members.put(new JSONObject()
                     .put("name", member.id().name())
                     .put("start", member.id().start())
@@ -138,8 +140,8 @@
                     .put("zone", member.zone())
                     .put("build", member.build())
                     .put("config", member.config())
-                    .put("suspected_by", in ? membership.suspectingObservers(i) : List.of())
-                    .put("missed_by", in ? membership.reportingObservers(i) : List.of())
+                    .put("suspected_by", isMember ? membership.suspectingObservers(i) : List.of())
+                    .put("missed_by", isMember ? membership.reportingObservers(i) : List.of())
                     .put("suspected_ms", membership.suspectedForMicros(member.id(), nowMicros) / 1_000));
         }
         return new JSONObject()
--- a/server/src/main/java/wheatspread/daemon/ProcessMarkerFiles.java
+++ b/server/src/main/java/wheatspread/daemon/ProcessMarkerFiles.java
@@ -20,34 +20,34 @@
 import wheatspread.logging.EventLog;
 
 /**
- * The files by which a supervisor knows a process: a lock file that it holds while it runs, a ready file that exists
- * while it serves, and the report of its drain. Each is optional.
+ * The files by which a supervisor observes a process: a lock file that the process holds while it runs, a ready file
+ * that exists while it serves, and a report of its drain. Each file is optional.
  *
  * <p>The lock is taken on the calling thread. The other files are written by a thread of this object, since a disk may
- * stall; what fails is logged, and the process goes on. {@link Server#awaitStopped} closes it.
+ * stall. A failed write is logged, and the process continues. {@link Server#awaitStopped} closes this object.
  */
 public final class ProcessMarkerFiles implements AutoCloseable {
-    /** How long the end of the process waits for the files. */
+    /** How long the exit of the process waits for pending writes. */
     private static final int CLOSE_TIMEOUT_MILLIS = 300;
-    /** A supervisor that checks whether the lock is held takes it for a moment, so one attempt may fail. */
+    /** Several attempts are made, since a supervisor that checks whether the lock is held takes it briefly. */
     private static final int MAX_LOCK_ATTEMPTS = 6;
 
     private static final int LOCK_RETRY_MILLIS = 40;
 
-    /** Another process holds the lock. */
+    /** Thrown when another process holds the lock. */
     public static final class LockTakenException extends Exception {
         private static final long serialVersionUID = 1L;
 
         LockTakenException(Path file) {
-            super(file + " is locked: this server runs already");
+            super("lock file " + file + " is held by another process: this server is already running");
         }
     }
 
     private final LifeConfig files;
     private final EventLog log;
-    /** Null where neither a ready file nor a report is asked for. */
+    /** Null if neither a ready file nor a report file is configured. */
     private final ExecutorService writer;
-    /** Open as long as the process runs; null without a lock file. */
+    /** The channel that holds the lock, open while the process runs; null if no lock file is configured. */
     private FileChannel lock;
 
     ProcessMarkerFiles(LifeConfig files, EventLog log) {
@@ -66,8 +66,10 @@
     }
 
     /**
-     * Takes the lock file, writes name and mark into it, and removes the ready file and the report of a process that
-     * was killed. The system releases the lock when the process ends, however it ends.
+     * Takes the lock, writes name and mark into the lock file, and removes the ready file and the report of a process
+     * that was killed. The operating system releases the lock on every kind of exit.
+     *
+     * @throws LockTakenException if another process holds the lock
      */
     void lock(String name, String mark) throws IOException, LockTakenException {
         if (files.lockFile() == null) {
@@ -98,7 +100,7 @@
         return false;
     }
 
-    /** Null where it is not free. */
+    /** Returns the lock; null if it is held by another process or the thread is interrupted. */
     private FileLock tryLockAfter(int delayMillis) throws IOException {
         try {
             TimeUnit.MILLISECONDS.sleep(delayMillis);
@@ -111,12 +113,12 @@
         }
     }
 
-    /** Writes the ready file: the process of this name serves at these addresses since this Unix time. */
-    void ready(String name, List<InetSocketAddress> bound, long atMillis) {
-        List<String> listen = bound.stream()
+    /** Writes the ready file; {@code readyAtMillis} is the Unix time at which the process began to serve. */
+    void ready(String name, List<InetSocketAddress> boundAddresses, long readyAtMillis) {
+        List<String> listen = boundAddresses.stream()
                 .map(address -> address.getHostString() + ":" + address.getPort())
                 .toList();
-        write(files.readyFile(), identity(name).put("listen", listen).put("at", atMillis));
+        write(files.readyFile(), identity(name).put("listen", listen).put("at", readyAtMillis));
     }
 
     private static JSONObject identity(String name) {
@@ -125,7 +127,7 @@
                 .put("pid", ProcessHandle.current().pid());
     }
 
-    /** Removes the ready file. */
+    /** Removes the ready file, if one is configured. */
     void notReady() {
         if (files.readyFile() != null) {
             writer.execute(() -> {
@@ -138,7 +140,7 @@
         }
     }
 
-    /** Writes the report of the drain. */
+    /** Writes the report of the drain, if a report file is configured. */
     void report(JSONObject report) {
         write(files.reportFile(), report);
     }
@@ -158,7 +160,7 @@
                 writer);
     }
 
-    /** Waits for what is still to be written, for {@link #CLOSE_TIMEOUT_MILLIS} at most. */
+    /** Waits for pending writes, for at most {@link #CLOSE_TIMEOUT_MILLIS}. */
     @Override
     public void close() {
         if (writer != null) {
--- a/server/src/main/java/wheatspread/daemon/ReloadApplier.java
+++ b/server/src/main/java/wheatspread/daemon/ReloadApplier.java
@@ -11,9 +11,9 @@
 import wheatspread.uwsgi.UwsgiFront;
 
 /**
- * Applies a new configuration to a running server. A reload adds request classes, which keep
- * their figures once they are known, and moves the addresses of the kernel, the records service and the announce
- * service. Everything else, tenants included, holds from the next start on.
+ * Applies a new configuration to a running server. A reload adds request classes and changes the addresses of the
+ * kernel, the records service and the announce service. The settings of a request class that is already known do not
+ * change. All other settings, including the tenants, take effect at the next start.
  */
 final class ReloadApplier {
     private final ServerConfig startConfig;
@@ -25,7 +25,10 @@
     private final UwsgiFront uwsgi;
     private final EventLog log;
 
-    /** {@code startConfig} is that of the start; {@code uwsgi} is null where that front is off. */
+    /**
+     * Creates an applier; {@code startConfig} is the configuration at the start, {@code uwsgi} is null if that front is
+     * off.
+     */
     ReloadApplier(
             ServerConfig startConfig,
             Core core,
@@ -46,8 +49,8 @@
     }
 
     /**
-     * Called on the loop's thread. The settings come first: they are all that can still be rejected, which is thrown
-     * before anything has changed.
+     * Applies a configuration. Called on the event loop's thread. The settings are applied first, since only they can
+     * still be rejected: the exception is then thrown before anything has changed.
      */
     void apply(ServerConfig next) {
         DeploymentSettings deployment = core.reload(next.site());
--- a/server/src/main/java/wheatspread/daemon/Server.java
+++ b/server/src/main/java/wheatspread/daemon/Server.java
@@ -18,16 +18,16 @@
 import wheatspread.transport.EventLoopScheduler;
 
 /**
- * One server process, from its start to its exit. {@link ServerFactory} creates its parts; this class takes them
- * through the phases of {@link Lifecycle}. {@link ShutdownSequence} describes what SIGTERM leads to, and
- * {@link ConfigReloader} what SIGHUP changes.
+ * One server process, from its start to its exit. {@link ServerFactory} creates its components; this class moves them
+ * through the phases of {@link Lifecycle}. {@link ShutdownSequence} describes the effects of SIGTERM, and
+ * {@link ConfigReloader} those of SIGHUP.
  *
- * <p>The caller's thread makes, in this order, the calls {@link #lock}, {@link #warmUp}, {@link #start} and
- * {@link #awaitStopped}, of which the first two may be left out. The threads of signals call {@link #signal} and
- * {@link #reload} at any time. The phase changes on the loop's thread only.
+ * <p>The main thread calls {@link #lock}, {@link #warmUp}, {@link #start} and {@link #awaitStopped} in this order; the
+ * first two calls are optional. Signal handler threads may call {@link #signal} and {@link #reload} at any time. The
+ * phase changes only on the event loop's thread.
  */
 public final class Server {
-    /** EX_SOFTWARE of sysexits.h: the exit code where the event loop has died. */
+    /** EX_SOFTWARE of sysexits.h: the exit code if the event loop has terminated unexpectedly. */
     public static final int EXIT_EVENT_LOOP_ENDED = 70;
 
     private static final long MICROS_PER_MILLI = 1_000;
@@ -42,7 +42,7 @@
     private final ServerEventLoop eventLoop;
     private final ShutdownSequence shutdown;
 
-    /** Creates a server that does not listen yet; {@code newClock} makes the clock of its loop. */
+    /** Creates a server that does not listen yet; {@code newClock} creates the clock of its event loop. */
     public Server(
             ServerConfig config,
             OperatorConfig operator,
@@ -53,33 +53,35 @@
         this.log = log;
         components = new ServerFactory(config, operator, newClock, lifecycle, this::handle, log).create();
         eventLoop = components.eventLoop();
-        eventLoop.whenEnded(stopped::countDown); // without its loop a server would neither serve nor exit
+        eventLoop.whenEnded(stopped::countDown); // otherwise awaitStopped would block forever
         shutdown = new ShutdownSequence(config, components, lifecycle);
     }
 
-    // ---- the caller's thread ----
+    // ---- called by the main thread ----
 
     /**
-     * Takes the operator's lock file, if there is one; only one process of this name may hold it. {@code mark} is
-     * written into it.
+     * Takes the lock file, if one is configured; only one process can hold it. {@code mark} is written into it.
+     *
+     * @throws ProcessMarkerFiles.LockTakenException if another process holds the lock
      */
     public void lock(String mark) throws IOException, ProcessMarkerFiles.LockTakenException {
         components.markerFiles().lock(config.name(), mark);
     }
 
-    /** Warms up the JVM before any caller can connect. A drain signal ends it. */
+    /** Warms up the JVM before any client can connect. A drain signal ends the warm-up. */
     public void warmUp() {
         begin();
         if (!lifecycle.isStopping()) {
             long startNanos = System.nanoTime();
-            int served = new WarmUp(config.site()).play(WarmUp.MAX_DURATION_NANOS, lifecycle::isStopping);
+            int served = new WarmUp(config.site()).serveRequests(WarmUp.MAX_DURATION_NANOS, lifecycle::isStopping);
             log.info("warm_up_done", "requests", served, "took_ms", (System.nanoTime() - startNanos) / NANOS_PER_MILLI);
         }
     }
 
     /**
-     * Binds the listeners. An address that cannot be bound is thrown, after all that was bound is closed. Returns
-     * whether the server listens; it does not if a drain signal came first.
+     * Binds the listeners. Returns whether the server listens; false if a drain signal was received before.
+     *
+     * @throws IllegalStateException if an address cannot be bound; all bound listeners are closed before
      */
     public boolean start() {
         begin();
@@ -111,7 +113,7 @@
         return true;
     }
 
-    /** Begins the start, unless it has begun or a drain signal came before it. */
+    /** Leaves the phase {@code NEW}; does nothing in any other phase. */
     private void begin() {
         eventLoop.runAndWait(() -> {
             if (lifecycle.phase() == Phase.NEW) {
@@ -121,9 +123,8 @@
     }
 
     /**
-     * Waits until the process may exit, and returns its exit code: {@link #EXIT_EVENT_LOOP_ENDED} where its event
-     * loop has
-     * died.
+     * Waits until the process may exit, and returns its exit code, which is {@link #EXIT_EVENT_LOOP_ENDED} if the event
+     * loop has terminated unexpectedly.
      */
     public int awaitStopped() throws InterruptedException {
         stopped.await();
@@ -132,37 +133,39 @@
         return lifecycle.phase() == Phase.STOPPED ? lifecycle.exitCode() : EXIT_EVENT_LOOP_ENDED;
     }
 
-    // ---- any thread ----
+    // ---- called by any thread ----
 
-    /** The address of the operators' endpoint; null where there is none, and before it is bound. */
+    /** Returns the address of the operators' endpoint; null if there is none, or before it is bound. */
     public InetSocketAddress controlAddress() {
         return components.listeners().controlAddress();
     }
 
-    /** The addresses that were bound: that of the uwsgi front first, where it is on, then the platform's. */
+    /** Returns the bound addresses: that of the uwsgi front, if it is on, and then that of the platform's front. */
     public List<InetSocketAddress> boundAddresses() {
         return components.listeners().boundAddresses();
     }
 
-    /** Any thread may call. */
+    /** Returns the current phase; any thread may call. */
     public Phase phase() {
         return lifecycle.phase();
     }
 
     /**
-     * SIGHUP: applies a new configuration while the server runs on. {@code reader} reads and checks it on the calling
-     * thread. Returns when it is applied or rejected.
+     * Applies a new configuration to the running server (SIGHUP). {@code reader} reads and validates it on the calling
+     * thread. Returns after the configuration has been applied or rejected.
      */
     public void reload(Supplier<ServerConfig> reader) {
         components.reloader().reload(reader);
     }
 
-    /** SIGTERM: drains the server. A second call changes nothing. */
+    /** Drains the server (SIGTERM). Further calls have no effect. */
     public void drain() {
         signal(Event.DRAIN);
     }
 
-    /** A signal: {@link Event#DRAIN} drains the server, {@link Event#DRAIN_IMMEDIATELY} ends the grace of its drain. */
+    /**
+     * Handles a signal: {@link Event#DRAIN} starts the drain, {@link Event#DRAIN_IMMEDIATELY} ends its grace period.
+     */
     public void signal(Event signal) {
         long signalledAtMicros = eventLoop.clock().nowMicros();
         eventLoop.execute(() -> {
@@ -171,17 +174,17 @@
         });
     }
 
-    /** Ends the loop at once, with whatever is open; for a start that failed and for tests. */
+    /** Terminates the event loop immediately, without a drain; used after a failed start and by tests. */
     void kill() {
         eventLoop.kill();
     }
 
-    /** The counters of requests so far. */
+    /** Returns the request counters since the start of the process. */
     RequestCounters counts() {
         return components.core().counters();
     }
 
-    // ---- the loop's thread ----
+    // ---- called by the event loop's thread ----
 
     private void handle(Event event) {
         boolean drainSignal = event == Event.DRAIN || event == Event.DRAIN_IMMEDIATELY;
@@ -198,8 +201,8 @@
         }
     }
 
-    private void phaseEntered(Phase from, Phase to, Event by) {
-        log.info("phase", "from", from.storedName(), "to", to.storedName(), "by", by.storedName());
+    private void phaseEntered(Phase from, Phase to, Event cause) {
+        log.info("phase", "from", from.storedName(), "to", to.storedName(), "by", cause.storedName());
         switch (to) {
             case BINDING -> components.kernel().open();
             case AWAITING_KERNEL -> {
--- a/server/src/main/java/wheatspread/daemon/ServerComponents.java
+++ b/server/src/main/java/wheatspread/daemon/ServerComponents.java
@@ -6,10 +6,10 @@
 import wheatspread.records.RecordsClient;
 
 /**
- * The parts of a server, as {@link ServerFactory} has connected them. Only the loop's thread calls them, but for
- * {@code eventLoop}, {@code markerFiles}, {@code reloader} and the binding of {@code listeners}.
+ * The components of a server, as {@link ServerFactory} has connected them. They are used only on the event loop's
+ * thread, except for {@code eventLoop}, {@code markerFiles}, {@code reloader} and the binding of {@code listeners}.
  *
- * @param membership this server among its peers; null where the operator's file does not ask for it
+ * @param membership this server's membership in its cluster; null if the operator's file does not configure it
  */
 record ServerComponents(
         ServerEventLoop eventLoop,
--- a/server/src/main/java/wheatspread/daemon/ServerEventLoop.java
+++ b/server/src/main/java/wheatspread/daemon/ServerEventLoop.java
@@ -15,9 +15,9 @@
 import wheatspread.transport.EventLoopScheduler;
 import wheatspread.transport.Transport;
 
-/** The one event loop of a server, with its thread, its scheduler and its clock. Any thread may call. */
+/** The event loop of a server, with its thread, scheduler and clock. Any thread may call. */
 final class ServerEventLoop {
-    /** How often a thread that waits for the loop checks whether the loop has ended. */
+    /** How often a thread that waits for a task checks whether the event loop has terminated. */
     private static final long LOOP_POLL_MILLIS = 500;
 
     private static final int CLOSE_TIMEOUT_MILLIS = 100;
@@ -28,7 +28,7 @@
     private final EventLoop loop;
     private final Clock clock;
 
-    /** {@code newClock} makes the clock of the loop. */
+    /** Starts the event loop; {@code newClock} creates its clock. */
     ServerEventLoop(
             OperatorConfig operator,
             long seed,
@@ -68,22 +68,26 @@
         return clock;
     }
 
-    /** What every outgoing connection of the server starts from. */
+    /** Returns a bootstrap with the common settings of all outgoing connections of the server. */
     Bootstrap clientBootstrap() {
         return new Bootstrap().group(loop).channel(transport.clientChannel()).option(ChannelOption.TCP_NODELAY, true);
     }
 
-    /** Runs {@code task} on the loop's thread when the loop has ended, for whatever reason. */
+    /** Runs {@code task} when the event loop has terminated, for any reason. */
     void whenEnded(Runnable task) {
         group.terminationFuture().addListener(ended -> task.run());
     }
 
-    /** Runs a task on the loop's thread, and returns at once. */
+    /** Runs a task on the event loop's thread; returns without waiting for it. */
     void execute(Runnable task) {
         loop.execute(task);
     }
 
-    /** Runs a task on the loop's thread and waits for it. What it throws, and a loop that has ended, is thrown. */
+    /**
+     * Runs a task on the event loop's thread, waits for it, and rethrows its exception.
+     *
+     * @throws IllegalStateException if the event loop has terminated
+     */
     void runAndWait(Runnable task) {
         if (loop.inEventLoop()) {
             task.run();
@@ -92,18 +96,18 @@
         Future<?> done = loop.submit(task);
         while (!done.awaitUninterruptibly(LOOP_POLL_MILLIS)) {
             if (loop.isTerminated()) {
-                throw new IllegalStateException("the event loop has ended");
+                throw new IllegalStateException("the event loop has terminated");
             }
         }
         done.syncUninterruptibly();
     }
 
-    /** Ends the loop once its connections are closed; returns at once. */
+    /** Terminates the event loop after its connections are closed; returns without waiting. */
     void close() {
         group.shutdownGracefully(0, CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Ends the loop now, with whatever is open, and waits for its end. */
+    /** Terminates the event loop immediately, without a quiet period, and waits for its termination. */
     void kill() {
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
--- a/server/src/main/java/wheatspread/daemon/ServerFactory.java
+++ b/server/src/main/java/wheatspread/daemon/ServerFactory.java
@@ -30,8 +30,8 @@
 import wheatspread.uwsgi.UwsgiFront;
 
 /**
- * Creates the parts of a server and connects them to each other. It starts the thread of the event loop; no file,
- * listener or connection is opened. What the operator's file does not ask for is not created.
+ * Creates the components of a server and connects them to each other. The factory starts the event loop's thread, but
+ * opens no file, listener or connection. Optional components that are not configured are not created.
  */
 final class ServerFactory {
     private final ServerConfig config;
@@ -43,8 +43,11 @@
     private final Clock clock;
 
     /**
-     * {@code newClock} makes the clock of the loop; {@code events} is given, on the loop's thread, the events
-     * {@code KERNEL_READY} and {@code RELOAD} and those that end a drain.
+     * Creates the event loop of the server.
+     *
+     * @param newClock creates the clock of the event loop
+     * @param events receives, on the event loop's thread, the events {@code KERNEL_READY} and {@code RELOAD} and the
+     *     events that end a drain
      */
     ServerFactory(
             ServerConfig config,
@@ -107,7 +110,7 @@
                 log);
     }
 
-    /** A directory that cannot be used is logged, and the process goes on without sharing. */
+    /** Shares idempotency claims if a directory is configured; on failure it is logged, and claims are not shared. */
     private void shareIdempotencyClaims(Core core) {
         if (config.sharedDirectory() == null) {
             return;
@@ -136,7 +139,7 @@
                 next -> eventLoop.runAndWait(() -> {
                     events.accept(Event.RELOAD);
                     if (lifecycle.phase().compareTo(Phase.CLOSING) >= 0) {
-                        throw new IllegalStateException("this process is leaving");
+                        throw new IllegalStateException("the process is closing; the configuration is not applied");
                     }
                     applier.apply(next);
                 }),
@@ -150,7 +153,7 @@
                         operator.membership(), config.name(), eventLoop.transport(), eventLoop.loop(), clock, log);
     }
 
-    /** The listener of the operators' endpoint; null where there is none. {@code membership} may be null. */
+    /** Creates the listener of the operators' endpoint; null if none is configured. {@code membership} may be null. */
     private Listener createControlListener(Core core, ConfigReloader reloader, MembershipService membership) {
         if (config.control() == null) {
             return null;
@@ -172,11 +175,11 @@
         return membership == null ? ownMetrics : ownMetrics + membership.metrics();
     }
 
-    /** {@code uwsgi} and {@code controlListener} may be null. */
+    /** Creates the listeners; {@code uwsgi} and {@code controlListener} may be null. */
     private FrontListeners createListeners(RpcFront platform, UwsgiFront uwsgi, Listener controlListener) {
         EventLoop loop = eventLoop.loop();
         EventLoopScheduler scheduler = eventLoop.scheduler();
-        Map<Listener, InetSocketAddress> addresses = new LinkedHashMap<>(); // in the order in which they are bound
+        Map<Listener, InetSocketAddress> addresses = new LinkedHashMap<>(); // in the order of binding
         if (uwsgi != null) {
             addresses.put(
                     new Listener(loop, scheduler, clock, uwsgi, operator.uwsgiLimits(), log),
--- a/server/src/main/java/wheatspread/daemon/ShutdownSequence.java
+++ b/server/src/main/java/wheatspread/daemon/ShutdownSequence.java
@@ -6,29 +6,30 @@
 import wheatspread.lifecycle.Lifecycle.Event;
 
 /**
- * What happens from SIGTERM to the exit of the process:
+ * The shutdown of the process, from SIGTERM to its exit:
  *
  * <ol>
- * <li>The signal's thread notes the time and hands the signal to the loop ({@link Server#notice}). All deadlines run
- *     from that time, however late a busy loop comes to it.
- * <li>{@link Lifecycle} enters {@code DRAINING}, and {@link #beginDrain} removes the ready file, has every caller
- *     notified that the server drains, leaves the cluster of peers, and leaves an inherited listening socket to the
- *     next process. {@link GracefulShutdown} then follows the steps of
- *     {@link wheatspread.lifecycle.DrainDeadlines}: it serves on for the grace, closes the listeners, and waits until
- *     every request is answered, or until shortly before the process is killed.
- * <li>{@link Lifecycle} enters {@code CLOSING}, and {@link #close} writes the report of the drain, closes the links to
- *     the other services and the connections of callers, and gives those a short time to read their last answers.
- * <li>{@link Lifecycle} enters {@code STOPPED}; {@link Server#awaitStopped} ends the loop and returns the exit code.
+ * <li>The signal handler's thread records the time and passes the signal to the event loop ({@link Server#signal}). All
+ *     deadlines are relative to that time, even if a busy event loop handles the signal late.
+ * <li>{@link Lifecycle} enters {@code DRAINING}, and {@link #beginDrain} removes the ready file, notifies every client
+ *     that the server is draining, leaves the cluster of peers, and stops accepting on an inherited listening socket,
+ *     which the next process uses. {@link GracefulShutdown} then follows the steps of
+ *     {@link wheatspread.lifecycle.DrainDeadlines}: it continues to serve during the grace period, closes the
+ *     listeners, and waits until every request is answered, or until shortly before the process is killed.
+ * <li>{@link Lifecycle} enters {@code CLOSING}, and {@link #close} writes the report of the drain, closes the
+ *     connections to the other services and to clients, and gives clients a short time to read their last answers.
+ * <li>{@link Lifecycle} enters {@code STOPPED}; {@link Server#awaitStopped} terminates the event loop and returns the
+ *     exit code.
  * </ol>
  *
- * <p>A second SIGTERM changes nothing; a second SIGINT ({@link #answerImmediately}) ends the grace and rejects what has
- * not started. All methods are called on the loop's thread.
+ * <p>A second SIGTERM has no effect. A second SIGINT ({@link #answerImmediately}) ends the grace period and rejects all
+ * requests that have not started. All methods are called on the event loop's thread.
  */
 final class ShutdownSequence {
     private final ServerConfig config;
     private final ServerComponents components;
     private final Lifecycle lifecycle;
-    /** When the first drain signal came, in Unix microseconds; 0 before that. */
+    /** The time of the first drain signal, in Unix microseconds; 0 before it. */
     private long signalledAtMicros;
 
     ShutdownSequence(ServerConfig config, ServerComponents components, Lifecycle lifecycle) {
@@ -37,14 +38,14 @@
         this.lifecycle = lifecycle;
     }
 
-    /** A drain signal came at this time; the first one counts. */
-    void signalled(long atMicros) {
+    /** Records the time of a drain signal; only the first signal counts. */
+    void signalled(long receivedAtMicros) {
         if (signalledAtMicros == 0) {
-            signalledAtMicros = atMicros;
+            signalledAtMicros = receivedAtMicros;
         }
     }
 
-    /** Begins the drain, also where it has no signal since the kernel was not ready in time. */
+    /** Starts the drain, after a signal or because the kernel was not ready in time. */
     void beginDrain() {
         signalled(components.eventLoop().clock().nowMicros());
         components.markerFiles().notReady();
@@ -58,12 +59,12 @@
         components.listeners().releaseInherited();
     }
 
-    /** Ends the grace of a drain. */
+    /** Ends the grace period of the drain; does nothing before the drain. */
     void answerImmediately() {
         components.shutdown().answerImmediately();
     }
 
-    /** Closes everything; {@code closed} is given {@link Event#CLOSED} once the last connection is closed. */
+    /** Closes all connections; {@code closed} receives {@link Event#CLOSED} after the last connection is closed. */
     void close(Consumer<Event> closed) {
         components.shutdown().logReport();
         components.counterReporter().logCounters();
@@ -74,7 +75,7 @@
         components.shutdown().close(components.listeners().controlListener(), () -> closed.accept(Event.CLOSED));
     }
 
-    /** Closes what a start has opened before an address could not be bound. */
+    /** Closes the components that were opened before an address could not be bound. */
     void closeAfterFailedBind() {
         components.listeners().close();
         closePeers();
--- a/server/src/main/java/wheatspread/daemon/SignalHandlers.java
+++ b/server/src/main/java/wheatspread/daemon/SignalHandlers.java
@@ -3,17 +3,19 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Handlers of signals. The JDK's class for them is exported, but the compiler warns of its use without a way to
- * suppress the warning, so it is looked up by name. A process installs its handlers before its start does anything
- * that a signal must not interrupt.
+ * Installs signal handlers. The JDK's class {@code sun.misc.Signal} is exported, but its use causes a compiler warning
+ * that cannot be suppressed, so the class is looked up by name. A process must install its handlers before it starts
+ * any work that a signal must not interrupt.
  */
 public final class SignalHandlers {
     private SignalHandlers() {}
 
     /**
-     * Runs a task whenever a signal such as {@code HUP} comes, on a thread that the JVM starts for each. Returns
-     * whether it will: a process that was started with HUP, INT or TERM ignored, as {@code nohup} does it, passes that
-     * on to its children, and the JVM does not change it.
+     * Runs a task whenever a signal is received, on a new thread of the JVM for each signal. Returns whether the
+     * handler is effective: if the process was started with HUP, INT or TERM ignored, for example by {@code nohup}, the
+     * signal remains ignored and the JVM does not change that.
+     *
+     * @param name the name of the signal without the prefix SIG, such as {@code HUP}
      */
     public static boolean handle(String name, Runnable task) {
         try {
@@ -31,9 +33,9 @@
                         case "equals" -> self == arguments[0];
                         default -> "handler of SIG" + name;
                     });
-            Object before = signal.getMethod("handle", signal, handler)
+            Object previousHandler = signal.getMethod("handle", signal, handler)
                     .invoke(null, signal.getConstructor(String.class).newInstance(name), proxy);
-            return before != handler.getField("SIG_IGN").get(null);
+            return previousHandler != handler.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException("SIG" + name + " cannot be handled: " + e, e);
         }
--- a/server/src/main/java/wheatspread/daemon/WarmUp.java
+++ b/server/src/main/java/wheatspread/daemon/WarmUp.java
@@ -29,31 +29,32 @@
 import wheatspread.transport.Transport;
 
 /**
- * Warms up the JVM before the process listens: it takes requests through a front, a core and an admission controller
- * of its own, without a socket, on a clock of its own. Otherwise the first seconds of service would be too slow for the
- * load, until the JVM has loaded and compiled what a request needs, and good requests would be rejected.
+ * Warms up the JVM before the process listens, by serving synthetic requests through a separate front, core and
+ * admission controller, without a socket and on a simulated clock. Without a warm-up the first seconds of service would
+ * be too slow for the load, since the JVM has not loaded and compiled the code yet, and valid requests would be
+ * rejected.
  *
- * <p>It is its own clock, kernel and records service, for which each run ends well after {@link #STEP_MICROS}. The
- * thread that starts the server makes all calls.
+ * <p>This class simulates the clock, the kernel and the records service; every run succeeds after {@link #STEP_MICROS}.
+ * The thread that starts the server makes all calls.
  */
 final class WarmUp implements Clock, Kernel, RecordsService {
     private static final int MAX_REQUESTS = 400;
-    /** It ends early on a slow processor, since a server that starts late serves no requests meanwhile. */
+    /** Limits the warm-up on a slow processor, since the server serves no requests during it. */
     static final long MAX_DURATION_NANOS = 1_500_000_000L;
 
-    /** How long a run, a call and its reply take each, and the time between two requests. */
+    /** The simulated duration of a run, of a dependency call and of its reply, and the interval between requests. */
     private static final long STEP_MICROS = 5_000;
 
     private static final long MICROS_PER_MILLI = 1_000;
     private static final byte[] BODY = new byte[256];
 
-    /** A timer; those of one time run in the order in which they were set. */
-    private record Task(long atMicros, long number, Runnable action) {}
+    /** A timer; timers with the same deadline run in the order in which they were scheduled. */
+    private record ScheduledTask(long deadlineMicros, long number, Runnable action) {}
 
     private final DeploymentSettings deployment;
     private final Core core;
-    private final PriorityQueue<Task> timers =
-            new PriorityQueue<>(Comparator.comparingLong(Task::atMicros).thenComparingLong(Task::number));
+    private final PriorityQueue<ScheduledTask> timers = new PriorityQueue<>(
+            Comparator.comparingLong(ScheduledTask::deadlineMicros).thenComparingLong(ScheduledTask::number));
     private final Deque<Runnable> readyTasks = new ArrayDeque<>();
     private long nowMicros = 1_000_000_000;
     private long lastTimerNumber;
@@ -73,10 +74,10 @@
     }
 
     /**
-     * Plays {@link #MAX_REQUESTS} requests, or fewer if {@code maxNanos} are over or it is cancelled. Returns how many
-     * were served.
+     * Serves {@link #MAX_REQUESTS} synthetic requests, or fewer if {@code maxNanos} have passed or {@code cancelled}
+     * returns true. Returns the number of requests that were answered with a result.
      */
-    int play(long maxNanos, BooleanSupplier cancelled) {
+    int serveRequests(long maxNanos, BooleanSupplier cancelled) {
         long deadlineNanos = System.nanoTime() + maxNanos;
         EventLoopScheduler scheduler =
                 new EventLoopScheduler(Transport.named("nio"), IterationBudget.DEFAULT, 1, EventLog.NONE);
@@ -119,7 +120,7 @@
                 .put("cpu", 20.5)
                 .put("ram", 20.5)
                 .put("standing", 0.5)
-                .put("blob", encoded());
+                .put("blob", encodedBody());
         if (!deployment.tenants().isEmpty()) {
             params.put(
                     "team",
@@ -134,14 +135,14 @@
                 .toString();
     }
 
-    private static String encoded() {
+    private static String encodedBody() {
         return Base64.getEncoder().encodeToString(BODY);
     }
 
     private void advanceTo(long untilMicros) {
-        while (!readyTasks.isEmpty() || !timers.isEmpty() && timers.peek().atMicros() <= untilMicros) {
+        while (!readyTasks.isEmpty() || !timers.isEmpty() && timers.peek().deadlineMicros() <= untilMicros) {
             if (readyTasks.isEmpty()) {
-                nowMicros = Math.max(nowMicros, timers.peek().atMicros());
+                nowMicros = Math.max(nowMicros, timers.peek().deadlineMicros());
                 timers.poll().action().run();
             } else {
                 readyTasks.poll().run();
@@ -150,7 +151,7 @@
         nowMicros = untilMicros;
     }
 
-    // ---- the clock ----
+    // ---- the simulated clock ----
 
     @Override
     public long nowMicros() {
@@ -159,7 +160,7 @@
 
     @Override
     public Timer schedule(long micros, Runnable task) {
-        Task timer = new Task(nowMicros + micros, ++lastTimerNumber, task);
+        ScheduledTask timer = new ScheduledTask(nowMicros + micros, ++lastTimerNumber, task);
         timers.add(timer);
         return () -> timers.remove(timer);
     }
@@ -169,17 +170,17 @@
         readyTasks.add(task);
     }
 
-    // ---- the kernel: each run asks for a call, if its class makes calls, and ends well ----
+    // ---- the simulated kernel: each run succeeds, after a dependency call if its class makes calls ----
 
     @Override
     public void run(String job, String kind, byte[] body) {
-        boolean calls = deployment
+        boolean callsDependency = deployment
                 .settings()
                 .classes()
                 .get(deployment.classes().indexOf(kind))
                 .callsDependency();
         schedule(STEP_MICROS, () -> {
-            if (calls) {
+            if (callsDependency) {
                 core.onDependencyCallRequested(job, ++lastNotice, body);
             } else {
                 core.onRunEnded(job, End.OK, STEP_MICROS, body);
@@ -212,7 +213,7 @@
         core.onGauges(new double[] {0.5, 2, 0.1, 3});
     }
 
-    // ---- the records service ----
+    // ---- the simulated records service ----
 
     @Override
     public Call call(String job, byte[] body, long timeoutMicros, RecordsService.Listener listener) {
--- a/server/src/test/java/wheatspread/daemon/BothFrontsTest.java
+++ b/server/src/test/java/wheatspread/daemon/BothFrontsTest.java
@@ -95,7 +95,7 @@
         JSONObject json = new JSONObject(Files.readString(Path.of("src/test/resources/config.json")));
         WarmUp warmUp =
                 new WarmUp(ServerConfig.read(JsonFields.of(json.toMap(), "")).site());
-        assertThat(warmUp.play(Long.MAX_VALUE / 2, () -> false)).isBetween(390, 400);
+        assertThat(warmUp.serveRequests(Long.MAX_VALUE / 2, () -> false)).isBetween(390, 400);
     }
 
     /** The answers over both protocols are those, and so the same. */
--- a/server/src/test/java/wheatspread/daemon/StartTest.java
+++ b/server/src/test/java/wheatspread/daemon/StartTest.java
@@ -159,7 +159,7 @@
         Server second = server("127.0.0.1:0", LifeConfig.DEFAULT.with(null, lock, null));
         assertThatThrownBy(() -> second.lock("8"))
                 .isInstanceOf(ProcessMarkerFiles.LockTakenException.class)
-                .hasMessageContaining("runs already");
+                .hasMessageContaining("is already running");
         assertThat(new JSONObject(Files.readString(lock)).getString("mark")).isEqualTo("7");
         first.kill();
         second.kill();
