--- a/server/src/test/java/wheatspread/daemon/BothFrontsTest.java
+++ b/server/src/test/java/wheatspread/daemon/BothFrontsTest.java
@@ -15,25 +15,25 @@
 import wheatspread.config.JsonFields;
 import wheatspread.config.ServerConfig;
 
-/** Both protocols at once, on one core: the same requests come to the same ends and counts. */
+/** Tests that the same requests have the same outcomes and counters over both protocols, which share one core. */
 class BothFrontsTest {
     @Test
     void bothProtocolsGiveTheSameOutcomesAndCounters() throws Exception {
         try (ServerFixture fixture = new ServerFixture();
-                StandInProxy proxy = new StandInProxy(fixture)) {
-            StandInKernel kernel = new StandInKernel(fixture);
+                SimulatedProxy proxy = new SimulatedProxy(fixture)) {
+            SimulatedKernel kernel = new SimulatedKernel(fixture);
             start(kernel);
             start(() -> answerCalls(fixture));
             assertThat(fixture.nextAnnounced()).endsWith("{\"accepting\":\"true\"}");
 
-            proxy.ask("stew", "north", 5000, null, "ok-1");
-            proxy.ask("stew", "south", 5000, null, "error-2");
-            proxy.ask("stew", "south", 5000, null, "call-3");
-            proxy.ask("save", "north", 8000, "k1", "ok-4");
-            proxy.ask("save", "north", 8000, "k1", "ok-4");
-            proxy.ask("save", "north", 8000, "k1", "other-4");
-            proxy.ask("stew", "east", 5000, null, "ok-5");
-            proxy.ask("save", "south", 8000, null, "ok-6");
+            proxy.sendRequest("stew", "north", 5000, null, "ok-1");
+            proxy.sendRequest("stew", "south", 5000, null, "error-2");
+            proxy.sendRequest("stew", "south", 5000, null, "call-3");
+            proxy.sendRequest("save", "north", 8000, "k1", "ok-4");
+            proxy.sendRequest("save", "north", 8000, "k1", "ok-4");
+            proxy.sendRequest("save", "north", 8000, "k1", "other-4");
+            proxy.sendRequest("stew", "east", 5000, null, "ok-5");
+            proxy.sendRequest("save", "south", 8000, null, "ok-6");
             assertOutcomes(
                     proxy,
                     Map.of(
@@ -52,44 +52,44 @@
                             "ok-6",
                             "malformed"));
             assertThat(Collections.frequency(kernel.runs, "ok-4"))
-                    .as("runs of one key over both")
+                    .as("runs of one idempotency key over both protocols")
                     .isOne();
             assertThat(Collections.frequency(kernel.runs, "ok-1")).isEqualTo(2);
 
-            proxy.ask("stew", "north", 900, null, "hang-7");
+            proxy.sendRequest("stew", "north", 900, null, "hang-7");
             fixture.clock().advance(900_000);
             assertOutcomes(proxy, Map.of("hang-7", "out of time"));
 
-            proxy.ask("save", "north", 8000, "k2", "hang-8");
+            proxy.sendRequest("save", "north", 8000, "k2", "hang-8");
             fixture.clock().advance(0);
             fixture.server.drain();
             fixture.clock().advance(2_600_000);
-            proxy.ask("stew", "north", 5000, null, "ok-9");
+            proxy.sendRequest("stew", "north", 5000, null, "ok-9");
             fixture.clock().advance(1_400_000);
             assertOutcomes(proxy, Map.of("hang-8", "out of time", "ok-9", "refused"));
             fixture.server.awaitStopped();
 
             assertThat(fixture.announced.poll()).endsWith("{\"accepting\":\"false\"}");
             assertThat(kernel.runs).doesNotContain("ok-9").contains("hang-8");
-            // each front: ok-1, call-3 and ok-4 twice served; error-2, other-4, hang-7 and hang-8 failed;
-            // ok-9 refused
+            // per front: 4 served (ok-1, call-3, ok-4 twice), 4 failed (error-2, other-4, hang-7, hang-8), and ok-9
+            // refused
             assertThat(fixture.server.counts().toString())
                     .startsWith("read 18, served 8, refused 2, failed 8")
                     .contains("gone 0, runs 10, joins 4");
         }
     }
 
-    /** Guards against a process whose event loop has died, and that stays for ever, deaf to SIGTERM. */
+    /** Guards against a process that never exits and ignores SIGTERM after its event loop has terminated. */
     @Test
     @Timeout(20)
-    void serverExitsWithItsOwnCodeWhenTheEventLoopDies() throws Exception {
+    void exitsWithSoftwareErrorWhenTheEventLoopTerminates() throws Exception {
         try (ServerFixture fixture = new ServerFixture()) {
             fixture.server.kill();
             assertThat(fixture.server.awaitStopped()).isEqualTo(Server.EXIT_EVENT_LOOP_ENDED);
         }
     }
 
-    /** Guards against a warm-up that compiles the refusal of requests in place of their service. */
+    /** Guards against a warm-up whose requests are rejected, so that the code for served requests is not compiled. */
     @Test
     void warmUpServesItsRequests() throws Exception {
         JSONObject json = new JSONObject(Files.readString(Path.of("src/test/resources/config.json")));
@@ -98,20 +98,20 @@
         assertThat(warmUp.serveRequests(Long.MAX_VALUE / 2, () -> false)).isBetween(390, 400);
     }
 
-    /** The answers over both protocols are those, and so the same. */
-    private static void assertOutcomes(StandInProxy proxy, Map<String, String> outcomes) throws IOException {
-        assertThat(proxy.overJsonRpc()).isEqualTo(new TreeMap<>(outcomes));
-        assertThat(proxy.overUwsgi()).isEqualTo(new TreeMap<>(outcomes));
-        proxy.forget();
+    /** Asserts that the outcomes over both protocols are those expected. */
+    private static void assertOutcomes(SimulatedProxy proxy, Map<String, String> outcomes) throws IOException {
+        assertThat(proxy.readJsonRpcOutcomes()).isEqualTo(new TreeMap<>(outcomes));
+        assertThat(proxy.readUwsgiOutcomes()).isEqualTo(new TreeMap<>(outcomes));
+        proxy.clearRequests();
     }
 
-    private static void start(Runnable party) {
-        Thread thread = new Thread(party, "stand-in");
+    private static void start(Runnable service) {
+        Thread thread = new Thread(service, "simulated-service");
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** A records service that answers every call with the same reply. */
+    /** Simulates a records service that answers every call with the same reply. */
     private static void answerCalls(ServerFixture fixture) {
         while (!fixture.records.isClosed()) {
             try {
@@ -125,13 +125,13 @@
 
     private static void answerCalls(TestConnection connection) {
         try (connection) {
-            for (String line = connection.line(); line != null; line = connection.line()) {
+            for (String line = connection.readLine(); line != null; line = connection.readLine()) {
                 String[] words = line.split(" ");
-                connection.bytes(Integer.parseInt(words[3]) + 2);
+                connection.readBytes(Integer.parseInt(words[3]) + 2);
                 connection.write((words[1] + " DONE 5\r\nreply\r\n").getBytes(StandardCharsets.US_ASCII));
             }
         } catch (IOException e) {
-            return; // that connection ended
+            return; // the connection was closed
         }
     }
 }
--- a/server/src/test/java/wheatspread/daemon/EndingsTest.java
+++ b/server/src/test/java/wheatspread/daemon/CloseRaceTest.java
@@ -22,15 +22,16 @@
 import wheatspread.transport.Transport;
 
 /**
- * What comes at the very moment in which a connection, a listener or the process ends, on real sockets. The
- * loop is held where a crossing is to happen, so its order is the same every time.
+ * Guards against lost answers, duplicate runs and resets when input arrives while a connection, a listener or the
+ * process is being closed. The tests use real sockets; the event loop is blocked while the input is sent, so that the
+ * order is the same in every run.
  */
 @Timeout(60)
-class EndingsTest {
+class CloseRaceTest {
     private static final long GRACE_MICROS = 2_500_000;
 
-    private ServerFixture current;
-    private StandInKernel kernel;
+    private ServerFixture currentFixture;
+    private SimulatedKernel kernel;
     private int lastTransaction;
 
     static List<String> transports() {
@@ -39,14 +40,14 @@
                 .toList();
     }
 
-    private ServerFixture begin(String operatorOverrides, String transport) throws Exception {
-        current = new ServerFixture(operatorOverrides, transport);
-        kernel = new StandInKernel(current);
-        Thread thread = new Thread(kernel, "stand-in");
+    private ServerFixture startServer(String operatorOverrides, String transport) throws Exception {
+        currentFixture = new ServerFixture(operatorOverrides, transport);
+        kernel = new SimulatedKernel(currentFixture);
+        Thread thread = new Thread(kernel, "simulated-kernel");
         thread.setDaemon(true);
         thread.start();
-        assertThat(current.nextAnnounced()).endsWith("{\"accepting\":\"true\"}");
-        return current;
+        assertThat(currentFixture.nextAnnounced()).endsWith("{\"accepting\":\"true\"}");
+        return currentFixture;
     }
 
     private String requestLine(int id, String body) {
@@ -58,26 +59,26 @@
                                 "params",
                                 new JSONObject()
                                         .put("txn", String.format("%016x", ++lastTransaction))
-                                        .put("door", current.clock().nowMicros() / 1000)
+                                        .put("door", currentFixture.clock().nowMicros() / 1000)
                                         .put("lb", 1)
                                         .put("team", "north")
                                         .put("limit", 5000)
                                         .put("ram", 20)
-                                        .put("blob", StandInKernel.encode(body)))
+                                        .put("blob", SimulatedKernel.encode(body)))
                 + "\n";
     }
 
-    /** An attempt of a request with one idempotency key, which arrived so long ago. */
-    private String idempotentRequestLine(int id, int agoMs) {
+    /** Returns an attempt of a request with an idempotency key, which arrived {@code ageMillis} ago. */
+    private String idempotentRequestLine(int id, int ageMillis) {
         JSONObject request = new JSONObject(requestLine(id, "ok-plan")).put("method", "save");
         request.getJSONObject("params")
                 .put("unique", "key")
                 .put("limit", 8_000)
-                .put("door", current.clock().nowMicros() / 1000 - agoMs);
+                .put("door", currentFixture.clock().nowMicros() / 1000 - ageMillis);
         return request + "\n";
     }
 
-    /** What became of each request, by its id; the words of notifications are left out. */
+    /** Returns the sorted outcomes of all answers, each with its request id; notifications are skipped. */
     private static List<String> outcomes(List<String> lines) {
         List<String> outcomes = new ArrayList<>();
         for (String line : lines) {
@@ -93,7 +94,10 @@
         return outcomes;
     }
 
-    /** Every request up to this id has one final answer: a result, or a refusal where it was too much. */
+    /**
+     * Asserts that every id from 1 to {@code count} has one answer, a result or an overload error, and at least one
+     * result.
+     */
     private static void assertAnsweredOnce(List<String> outcomes, int count) {
         List<Integer> ids = outcomes.stream()
                 .map(outcome -> Integer.valueOf(outcome.split(" ")[0]))
@@ -105,33 +109,33 @@
                 .anyMatch(outcome -> outcome.endsWith(" served"));
     }
 
-    /** Waits until so many requests are answered; the simulated kernel does not run on the clock of the test. */
+    /** Waits until {@code count} requests are answered; the simulated kernel does not use the test's clock. */
     private void awaitAnswers(int count) {
         Pattern answers = Pattern.compile("served (\\d+), refused (\\d+), failed (\\d+)");
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
         int answered = 0;
         while (answered < count) {
             assertThat(System.nanoTime())
                     .as("%d of %d answered", answered, count)
-                    .isLessThan(until);
-            current.clock().advance(0);
-            Matcher now = answers.matcher(current.server.counts().toString());
-            assertThat(now.find()).isTrue();
+                    .isLessThan(deadlineNanos);
+            currentFixture.clock().advance(0);
+            Matcher counters = answers.matcher(currentFixture.server.counts().toString());
+            assertThat(counters.find()).isTrue();
             answered = IntStream.rangeClosed(1, 3)
-                    .map(i -> Integer.parseInt(now.group(i)))
+                    .map(i -> Integer.parseInt(counters.group(i)))
                     .sum();
         }
     }
 
-    /** Never run and unanswered: the crossing request is closed on with an end of stream, and is not run. */
+    /** A request that arrives during an idle close must not run, and its stream must end without a reset. */
     @ParameterizedTest
     @MethodSource("transports")
-    void requestThatCrossesAnIdleCloseIsNeitherRunNorReset(String transport) throws Exception {
-        try (ServerFixture fixture = begin("{\"connections\":{\"idle_timeout_ms\":1000}}", transport);
-                FaultyClient client = FaultyClient.to(fixture.jsonrpc)) {
+    void requestDuringIdleCloseIsNeitherRunNorReset(String transport) throws Exception {
+        try (ServerFixture fixture = startServer("{\"connections\":{\"idle_timeout_ms\":1000}}", transport);
+                FaultyClient client = FaultyClient.connect(fixture.jsonrpc)) {
             client.write(requestLine(1, "ok-1"));
-            assertThat(outcomes(List.of(client.line()))).containsExactly("1 served");
-            fixture.clock().cross(1_000_000, () -> {
+            assertThat(outcomes(List.of(client.readLine()))).containsExactly("1 served");
+            fixture.clock().advanceWithConcurrentInput(1_000_000, () -> {
                 client.write(requestLine(2, "ok-2"));
                 return null;
             });
@@ -143,14 +147,14 @@
 
     @ParameterizedTest
     @MethodSource("transports")
-    void incompleteLineAtACloseLosesNoAnswer(String transport) throws Exception {
-        try (ServerFixture fixture = begin("{\"connections\":{\"whole_request_ms\":100}}", transport);
-                FaultyClient client = FaultyClient.to(fixture.jsonrpc)) {
+    void incompleteLineTimeoutLosesNoAnswer(String transport) throws Exception {
+        try (ServerFixture fixture = startServer("{\"connections\":{\"whole_request_ms\":100}}", transport);
+                FaultyClient client = FaultyClient.connect(fixture.jsonrpc)) {
             client.write(requestLine(1, "call-1") + "{\"jsonrpc\":\"2.0\",\"id\":2,");
             try (TestConnection records = new TestConnection(fixture.records.accept())) {
-                String job = records.line().split(" ")[1];
-                records.line();
-                fixture.clock().advance(100_000); // its half line took too long
+                String job = records.readLine().split(" ")[1];
+                records.readLine();
+                fixture.clock().advance(100_000); // the incomplete line times out
                 client.write("\"method\":\"stew\"");
                 fixture.clock().advance(0);
                 records.write((job + " DONE 2\r\nok\r\n").getBytes(StandardCharsets.US_ASCII));
@@ -160,29 +164,29 @@
         }
     }
 
-    /** A line over its bound is an error, and what was asked before it is answered all the same. */
+    /** A line over the length limit is answered with an error, and earlier requests are answered. */
     @ParameterizedTest
     @MethodSource("transports")
-    void lineOverItsBoundIsAnErrorAndNotAReset(String transport) throws Exception {
-        try (ServerFixture fixture = begin("{}", transport);
-                FaultyClient client = FaultyClient.to(fixture.jsonrpc)) {
+    void answersOverlongLineWithErrorAndNoReset(String transport) throws Exception {
+        try (ServerFixture fixture = startServer("{}", transport);
+                FaultyClient client = FaultyClient.connect(fixture.jsonrpc)) {
             client.write(requestLine(1, "ok-1") + "x".repeat(100_000));
             assertThat(client.readToEnd(1)).isEqualTo(StreamEnd.CLOSED);
             assertThat(outcomes(client.lines())).containsExactly("1 served", "null -32700");
-            try (FaultyClient otherClient = FaultyClient.to(fixture.jsonrpc)) {
+            try (FaultyClient otherClient = FaultyClient.connect(fixture.jsonrpc)) {
                 otherClient.write("\u00ff\u0000{\"id\":\n" + requestLine(1, "ok-2"));
-                assertThat(outcomes(List.of(otherClient.line()))).containsExactly("null -32700");
-                assertThat(outcomes(List.of(otherClient.line()))).containsExactly("1 served");
+                assertThat(outcomes(List.of(otherClient.readLine()))).containsExactly("null -32700");
+                assertThat(outcomes(List.of(otherClient.readLine()))).containsExactly("1 served");
             }
         }
     }
 
-    /** A caller that sends without end after its close is cut off at the bound. */
+    /** A client that continues to send after the server's close is aborted at the limit. */
     @ParameterizedTest
     @MethodSource("transports")
-    void callerThatSendsOnAfterItsCloseIsAborted(String transport) throws Exception {
-        try (ServerFixture fixture = begin("{}", transport);
-                FaultyClient client = FaultyClient.to(fixture.jsonrpc)) {
+    void abortsClientThatSendsAfterClose(String transport) throws Exception {
+        try (ServerFixture fixture = startServer("{}", transport);
+                FaultyClient client = FaultyClient.connect(fixture.jsonrpc)) {
             assertThatThrownBy(() -> {
                         for (int i = 0; i < 1_000; i++) {
                             client.write("x".repeat(64 * 1024));
@@ -194,37 +198,39 @@
 
     @ParameterizedTest
     @MethodSource("transports")
-    void slowReaderGetsAllAnswersDuringAShutdown(String transport) throws Exception {
+    void slowReaderReceivesAllAnswersDuringShutdown(String transport) throws Exception {
         int count = 32;
-        try (ServerFixture fixture = begin("{}", transport);
-                FaultyClient client = FaultyClient.to(fixture.jsonrpc, 2_048)) {
-            StringBuilder all = new StringBuilder();
+        try (ServerFixture fixture = startServer("{}", transport);
+                FaultyClient client = FaultyClient.connect(fixture.jsonrpc, 2_048)) {
+            StringBuilder requests = new StringBuilder();
             for (int id = 1; id <= count; id++) {
-                all.append(requestLine(id, "ok-" + "y".repeat(2_000) + id));
+                requests.append(requestLine(id, "ok-" + "y".repeat(2_000) + id));
             }
-            client.write(all + "{\"jsonrpc\"");
+            client.write(requests + "{\"jsonrpc\"");
             awaitAnswers(count);
             fixture.server.drain();
-            fixture.clock().cross(GRACE_MICROS + DrainDeadlines.LAST_ACCEPTED_READ_MICROS + 50_000, () -> {
-                client.write(":\"2.0\"");
-                return null;
-            });
+            fixture.clock()
+                    .advanceWithConcurrentInput(
+                            GRACE_MICROS + DrainDeadlines.LAST_ACCEPTED_READ_MICROS + 50_000, () -> {
+                                client.write(":\"2.0\"");
+                                return null;
+                            });
             client.write(",\"id\"");
             assertThat(client.readToEnd(512)).isEqualTo(StreamEnd.CLOSED);
             assertAnsweredOnce(outcomes(client.lines()), count);
-            client.shutOutput();
+            client.shutdownOutput();
             fixture.clock().advance(DrainDeadlines.LINGER_MICROS);
             assertThat(fixture.server.awaitStopped()).isZero();
         }
     }
 
-    /** It costs the server its bound of time, and the others nothing. */
+    /** The exit is delayed up to the time limit, and other clients are not affected. */
     @ParameterizedTest
     @MethodSource("transports")
-    void callerThatNeverReadsDelaysTheExitUpToItsBoundOnly(String transport) throws Exception {
-        try (ServerFixture fixture = begin("{}", transport);
-                FaultyClient client = FaultyClient.to(fixture.jsonrpc, 2_048);
-                FaultyClient otherClient = FaultyClient.to(fixture.jsonrpc)) {
+    void clientThatNeverReadsDelaysExitUpToTheLimitOnly(String transport) throws Exception {
+        try (ServerFixture fixture = startServer("{}", transport);
+                FaultyClient client = FaultyClient.connect(fixture.jsonrpc, 2_048);
+                FaultyClient otherClient = FaultyClient.connect(fixture.jsonrpc)) {
             for (int id = 1; id <= 32; id++) {
                 client.write(requestLine(id, "ok-" + "z".repeat(2_000)));
             }
@@ -240,23 +246,25 @@
         }
     }
 
-    /** Forty wait in the queue of the listening socket, with their requests written, when it is closed. */
+    /**
+     * Guards against losing connections that wait in the backlog, with their requests sent, when the listener closes.
+     */
     @ParameterizedTest
     @MethodSource("transports")
-    void connectionsInTheBacklogAreAnsweredWhenTheListenerCloses(String transport) throws Exception {
+    void answersConnectionsInTheBacklogWhenListenerCloses(String transport) throws Exception {
         List<FaultyClient> clients = new ArrayList<>();
-        try (ServerFixture fixture = begin("{}", transport)) {
+        try (ServerFixture fixture = startServer("{}", transport)) {
             fixture.server.drain();
             fixture.clock().advance(GRACE_MICROS - 1);
-            fixture.clock().cross(25_001, () -> {
+            fixture.clock().advanceWithConcurrentInput(25_001, () -> {
                 for (int i = 0; i < 40; i++) {
-                    FaultyClient client = FaultyClient.to(fixture.jsonrpc);
+                    FaultyClient client = FaultyClient.connect(fixture.jsonrpc);
                     clients.add(client);
                     client.write(requestLine(1, "ok-late"));
                 }
                 return null;
             });
-            assertThatThrownBy(() -> FaultyClient.to(fixture.jsonrpc)).isInstanceOf(ConnectException.class);
+            assertThatThrownBy(() -> FaultyClient.connect(fixture.jsonrpc)).isInstanceOf(ConnectException.class);
             fixture.clock().advance(DrainDeadlines.LAST_ACCEPTED_READ_MICROS + 50_000);
             for (FaultyClient client : clients) {
                 assertThat(client.readToEnd(4096)).isEqualTo(StreamEnd.CLOSED);
@@ -269,16 +277,16 @@
         }
     }
 
-    /** Accepted just before the listener's end, and silent until after it: closed in order, not reset. */
+    /** A connection accepted just before the listener closes, and silent until after it, must end without a reset. */
     @ParameterizedTest
     @MethodSource("transports")
-    void requestThatCrossesTheLastCloseIsNotReset(String transport) throws Exception {
-        try (ServerFixture fixture = begin("{}", transport);
-                FaultyClient client = FaultyClient.to(fixture.jsonrpc)) {
+    void requestDuringTheLastCloseIsNotReset(String transport) throws Exception {
+        try (ServerFixture fixture = startServer("{}", transport);
+                FaultyClient client = FaultyClient.connect(fixture.jsonrpc)) {
             fixture.clock().advance(0);
             fixture.server.drain();
             fixture.clock().advance(GRACE_MICROS + DrainDeadlines.LAST_ACCEPTED_READ_MICROS - 25_000);
-            fixture.clock().cross(50_000, () -> {
+            fixture.clock().advanceWithConcurrentInput(50_000, () -> {
                 client.write(requestLine(1, "ok-1"));
                 return null;
             });
@@ -288,19 +296,19 @@
         }
     }
 
-    /** A caller that says no more may still read: what it asked is answered, then its stream ends. */
+    /** A client that has shut down its output may still read: its requests are answered, then its stream ends. */
     @ParameterizedTest
     @MethodSource("transports")
-    void callerThatEndsItsStreamIsStillAnswered(String transport) throws Exception {
-        try (ServerFixture fixture = begin("{}", transport);
-                FaultyClient client = FaultyClient.to(fixture.jsonrpc)) {
+    void answersClientThatShutDownItsOutput(String transport) throws Exception {
+        try (ServerFixture fixture = startServer("{}", transport);
+                FaultyClient client = FaultyClient.connect(fixture.jsonrpc)) {
             client.write(requestLine(1, "call-1"));
             try (TestConnection records = new TestConnection(fixture.records.accept())) {
-                String job = records.line().split(" ")[1];
-                records.line();
-                fixture.clock().cross(0, () -> {
-                    client.writeBytewise(requestLine(2, "ok-2") + "{\"half");
-                    client.shutOutput();
+                String job = records.readLine().split(" ")[1];
+                records.readLine();
+                fixture.clock().advanceWithConcurrentInput(0, () -> {
+                    client.writeByteByByte(requestLine(2, "ok-2") + "{\"half");
+                    client.shutdownOutput();
                     return null;
                 });
                 fixture.clock().advance(60_000);
@@ -313,41 +321,41 @@
         }
     }
 
-    /** Three attempts in one turn of the loop, the first too late to be run: the other two share one run. */
+    /** Three attempts in one iteration of the event loop, the first too late to run: the other two share one run. */
     @ParameterizedTest
     @MethodSource("transports")
-    void attemptsWithOneIdempotencyKeyReadTogetherRunOnce(String transport) throws Exception {
-        try (ServerFixture fixture = begin("{}", transport);
-                FaultyClient client = FaultyClient.to(fixture.jsonrpc)) {
+    void attemptsWithSameIdempotencyKeyReadTogetherRunOnce(String transport) throws Exception {
+        try (ServerFixture fixture = startServer("{}", transport);
+                FaultyClient client = FaultyClient.connect(fixture.jsonrpc)) {
             client.write(idempotentRequestLine(1, 4_000) + idempotentRequestLine(2, 0) + idempotentRequestLine(3, 0));
             awaitAnswers(3);
-            client.shutOutput();
+            client.shutdownOutput();
             assertThat(client.readToEnd(4096)).isEqualTo(StreamEnd.CLOSED);
             assertThat(outcomes(client.lines())).containsExactly("1 -32066", "2 served", "3 served");
             assertThat(kernel.runs).hasSize(1);
         }
     }
 
-    /** A caller that resets its connection is gone; another connection is served on. */
+    /** The reset of a connection counts as a disconnected client; other connections are served. */
     @ParameterizedTest
     @MethodSource("transports")
-    void resetOfOneConnectionAffectsNoOther(String transport) throws Exception {
-        try (ServerFixture fixture = begin("{}", transport);
-                FaultyClient client = FaultyClient.to(fixture.jsonrpc);
-                FaultyClient otherClient = FaultyClient.to(fixture.jsonrpc)) {
+    void resetDoesNotAffectOtherConnections(String transport) throws Exception {
+        try (ServerFixture fixture = startServer("{}", transport);
+                FaultyClient client = FaultyClient.connect(fixture.jsonrpc);
+                FaultyClient otherClient = FaultyClient.connect(fixture.jsonrpc)) {
             client.write(requestLine(1, "hang-1"));
             otherClient.write(requestLine(1, "call-1"));
             try (TestConnection records = new TestConnection(fixture.records.accept())) {
-                String job = records.line().split(" ")[1];
-                records.line();
-                fixture.clock().cross(10_000, () -> {
+                String job = records.readLine().split(" ")[1];
+                records.readLine();
+                fixture.clock().advanceWithConcurrentInput(10_000, () -> {
                     client.write("{\"half");
                     client.reset();
                     return null;
                 });
                 fixture.clock().advance(100_000);
                 records.write((job + " DONE 2\r\nok\r\n").getBytes(StandardCharsets.US_ASCII));
-                assertThat(outcomes(List.of(otherClient.line()))).containsExactly("1 served");
+                assertThat(outcomes(List.of(otherClient.readLine()))).containsExactly("1 served");
             }
             assertThat(fixture.server.counts().toString()).contains("gone 1,");
         }
--- a/server/src/test/java/wheatspread/daemon/ControlFrontTest.java
+++ b/server/src/test/java/wheatspread/daemon/ControlFrontTest.java
@@ -14,33 +14,33 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The operators' door: readiness, the figures, bad calls, and callers that say nothing or come in pieces. */
+/** Tests the operators' endpoint: readiness, metrics, malformed requests, silent clients and split requests. */
 class ControlFrontTest {
     @Test
     @Timeout(30)
-    void readyOnlyWhileServingAndMetricsCountEachClass() throws Exception {
+    void isReadyOnlyWhileServingAndCountsAnswersByClass() throws Exception {
         try (ServerFixture fixture = new ServerFixture();
-                StandInProxy proxy = new StandInProxy(fixture)) {
+                SimulatedProxy proxy = new SimulatedProxy(fixture)) {
             InetSocketAddress controlAddress = fixture.server.controlAddress();
             assertThat(request(controlAddress, "GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n"))
                     .startsWith("HTTP/1.1 503");
-            StandInKernel kernel = new StandInKernel(fixture);
-            Thread thread = new Thread(kernel, "stand-in");
+            SimulatedKernel kernel = new SimulatedKernel(fixture);
+            Thread thread = new Thread(kernel, "simulated-kernel");
             thread.setDaemon(true);
             thread.start();
             assertThat(fixture.nextAnnounced()).endsWith("{\"accepting\":\"true\"}");
             assertThat(request(controlAddress, "GET /_ready HTTP/1.1\r\n\r\n")).startsWith("HTTP/1.1 200");
 
-            proxy.ask("stew", "north", 5000, null, "ok-1");
-            proxy.ask("stew", "south", 5000, null, "error-2");
-            proxy.ask("stew", "north", 900, null, "hang-3");
+            proxy.sendRequest("stew", "north", 5000, null, "ok-1");
+            proxy.sendRequest("stew", "south", 5000, null, "error-2");
+            proxy.sendRequest("stew", "north", 900, null, "hang-3");
             fixture.clock().advance(900_000);
-            Map<String, String> ends = Map.of("ok-1", "served 1-ko", "error-2", "failed", "hang-3", "out of time");
-            assertThat(proxy.overJsonRpc()).isEqualTo(ends);
-            assertThat(proxy.overUwsgi()).isEqualTo(ends);
-            // each over both fronts: two served, four failed, six runs
-            String vars = request(controlAddress, "GET /_vars HTTP/1.1\r\n\r\n");
-            assertThat(vars)
+            Map<String, String> outcomes = Map.of("ok-1", "served 1-ko", "error-2", "failed", "hang-3", "out of time");
+            assertThat(proxy.readJsonRpcOutcomes()).isEqualTo(outcomes);
+            assertThat(proxy.readUwsgiOutcomes()).isEqualTo(outcomes);
+            // both fronts together: 2 served, 4 failed, 6 runs
+            String metrics = request(controlAddress, "GET /_vars HTTP/1.1\r\n\r\n");
+            assertThat(metrics)
                     .startsWith("HTTP/1.1 200")
                     .contains(
                             "\nedge_gw.replies.stew.success=2\n",
@@ -60,12 +60,12 @@
 
     @Test
     @Timeout(30)
-    void malformedRequestsAreAnsweredWhileOtherConnectionsStaySilent() throws Exception {
+    void answersMalformedRequestsWhileOtherConnectionsAreSilent() throws Exception {
         try (ServerFixture fixture = new ServerFixture()) {
             InetSocketAddress controlAddress = fixture.server.controlAddress();
-            List<Socket> silent = new ArrayList<>();
+            List<Socket> silentConnections = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
-                silent.add(new Socket(controlAddress.getAddress(), controlAddress.getPort()));
+                silentConnections.add(new Socket(controlAddress.getAddress(), controlAddress.getPort()));
             }
             assertThat(request(controlAddress, "GET /elsewhere HTTP/1.1\r\n\r\n"))
                     .startsWith("HTTP/1.1 404");
@@ -74,23 +74,23 @@
             assertThat(request(controlAddress, "hello there\r\n\r\n")).startsWith("HTTP/1.1 400");
             assertThat(request(controlAddress, "GET /_vars HTTP/1.1\r\n" + "X: y\r\n".repeat(3000) + "\r\n"))
                     .startsWith("HTTP/1.1 431");
-            try (Socket pieces = new Socket(controlAddress.getAddress(), controlAddress.getPort())) {
-                OutputStream out = pieces.getOutputStream();
+            try (Socket splitRequest = new Socket(controlAddress.getAddress(), controlAddress.getPort())) {
+                OutputStream out = splitRequest.getOutputStream();
                 for (byte b : "GET /_vars HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)) {
                     out.write(b);
                     out.flush();
                 }
-                assertThat(read(pieces.getInputStream()))
+                assertThat(read(splitRequest.getInputStream()))
                         .startsWith("HTTP/1.1 200")
                         .contains("edge_gw.dispatches=0");
             }
-            for (Socket connection : silent) {
+            for (Socket connection : silentConnections) {
                 connection.close();
             }
         }
     }
 
-    /** One call on a connection of its own, and all that comes back until the server closes it. */
+    /** Sends one request on a new connection, and returns all bytes until the server closes the connection. */
     static String request(InetSocketAddress controlAddress, String request) throws IOException {
         try (Socket socket = new Socket(controlAddress.getAddress(), controlAddress.getPort())) {
             socket.setSoTimeout(5_000);
--- a/server/src/test/java/wheatspread/daemon/FaultyClient.java
+++ b/server/src/test/java/wheatspread/daemon/FaultyClient.java
@@ -12,33 +12,33 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A caller that does on purpose what callers do at the wrong instant: it ends one side of its connection,
- * resets it, stalls, sends single bytes, or lets its receive window fill.
+ * A client that simulates connection faults: it shuts down one direction of its connection, resets the connection,
+ * stalls, sends single bytes, or lets its receive window fill.
  */
 final class FaultyClient implements Closeable {
-    /** How a connection ended, as its peer saw it. */
+    /** How a connection ended, as seen by this client. */
     enum StreamEnd {
         CLOSED,
         RESET,
         SILENT
     }
 
-    /** A program that stays silent fails a test rather than hang it. */
+    /** A server that does not answer within this time fails the test instead of blocking it. */
     private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
 
     private final SocketChannel channel;
-    private final StringBuilder read = new StringBuilder();
+    private final StringBuilder receivedText = new StringBuilder();
 
     private FaultyClient(SocketChannel channel) {
         this.channel = channel;
     }
 
-    static FaultyClient to(InetSocketAddress address) throws IOException {
-        return to(address, 0);
+    static FaultyClient connect(InetSocketAddress address) throws IOException {
+        return connect(address, 0);
     }
 
-    /** With a receive buffer of so many bytes; 0 for the system's. */
-    static FaultyClient to(InetSocketAddress address, int receiveBufferBytes) throws IOException {
+    /** Connects with a receive buffer of {@code receiveBufferBytes}; 0 for the system's default. */
+    static FaultyClient connect(InetSocketAddress address, int receiveBufferBytes) throws IOException {
         SocketChannel channel = SocketChannel.open();
         if (receiveBufferBytes > 0) {
             channel.setOption(StandardSocketOptions.SO_RCVBUF, receiveBufferBytes);
@@ -55,39 +55,39 @@
         }
     }
 
-    /** Writes one byte a segment. */
-    void writeBytewise(String text) throws IOException {
+    /** Writes each byte in a separate segment. */
+    void writeByteByByte(String text) throws IOException {
         for (byte singleByte : text.getBytes(StandardCharsets.UTF_8)) {
             channel.write(ByteBuffer.wrap(new byte[] {singleByte}));
         }
     }
 
-    /** Shuts the output down; the input stays open. */
-    void shutOutput() throws IOException {
+    /** Shuts down the output; the input remains open. */
+    void shutdownOutput() throws IOException {
         channel.shutdownOutput();
     }
 
-    /** Ends both sides at once, with a reset. */
+    /** Closes the connection with a TCP reset. */
     void reset() throws IOException {
         channel.setOption(StandardSocketOptions.SO_LINGER, 0);
         channel.close();
     }
 
-    /** Reads one line; null where the stream has ended before it. */
-    String line() throws IOException {
+    /** Reads one line; returns null if the stream ends before a complete line. */
+    String readLine() throws IOException {
         channel.configureBlocking(true);
-        while (read.indexOf("\n") < 0) {
+        while (receivedText.indexOf("\n") < 0) {
             if (fill(64) < 0) {
                 return null;
             }
         }
-        int end = read.indexOf("\n");
-        String line = read.substring(0, end);
-        read.delete(0, end + 1);
+        int end = receivedText.indexOf("\n");
+        String line = receivedText.substring(0, end);
+        receivedText.delete(0, end + 1);
         return line;
     }
 
-    /** Reads to the end of the stream, {@code maxBytes} at a time, and returns how it ended. */
+    /** Reads to the end of the stream, at most {@code maxBytes} per read, and returns how the stream ended. */
     StreamEnd readToEnd(int maxBytes) throws IOException {
         channel.configureBlocking(false);
         long deadlineNanos = System.nanoTime() + TIMEOUT_NANOS;
@@ -107,12 +107,12 @@
         }
     }
 
-    /** The whole lines read so far and not taken by {@link #line}. */
+    /** Returns the complete lines read so far that {@link #readLine} has not returned. */
     List<String> lines() {
         List<String> lines = new ArrayList<>();
-        for (int end = read.indexOf("\n"); end >= 0; end = read.indexOf("\n")) {
-            lines.add(read.substring(0, end));
-            read.delete(0, end + 1);
+        for (int end = receivedText.indexOf("\n"); end >= 0; end = receivedText.indexOf("\n")) {
+            lines.add(receivedText.substring(0, end));
+            receivedText.delete(0, end + 1);
         }
         return lines;
     }
@@ -120,7 +120,7 @@
     private int fill(int maxBytes) throws IOException {
         ByteBuffer buffer = ByteBuffer.allocate(maxBytes);
         int count = channel.read(buffer);
-        read.append(new String(buffer.array(), 0, buffer.position(), StandardCharsets.UTF_8));
+        receivedText.append(new String(buffer.array(), 0, buffer.position(), StandardCharsets.UTF_8));
         return count;
     }
 
--- a/server/src/test/java/wheatspread/daemon/FloodTest.java
+++ b/server/src/test/java/wheatspread/daemon/FloodTest.java
@@ -10,21 +10,22 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Many connections that send nothing, or half a line, while a service is away. The clock of the test stands still, so
- * no connection times out.
+ * Guards against a server that stops answering health checks and loses its services when many clients open connections
+ * and send nothing, or an incomplete line, while the announce service is down. The test's clock does not advance, so no
+ * connection times out.
  */
 @Timeout(60)
 class FloodTest {
     private static final String CHECK = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n";
-    /** The configuration of the fixture leaves the platform's front 160 connections of its 256 descriptors. */
-    private static final int FLOOD = 400;
+    /** Exceeds the 160 connections that the fixture's 256 descriptors leave for the platform's front. */
+    private static final int FLOOD_CONNECTIONS = 400;
 
-    private final List<FaultyClient> idlePeers = new ArrayList<>();
+    private final List<FaultyClient> floodClients = new ArrayList<>();
 
-    private void idlePeers(ServerFixture fixture, String sentText) throws IOException {
-        for (int i = 0; i < FLOOD; i++) {
-            FaultyClient client = FaultyClient.to(fixture.jsonrpc);
-            idlePeers.add(client);
+    private void openFlood(ServerFixture fixture, String sentText) throws IOException {
+        for (int i = 0; i < FLOOD_CONNECTIONS; i++) {
+            FaultyClient client = FaultyClient.connect(fixture.jsonrpc);
+            floodClients.add(client);
             client.write(sentText);
             fixture.clock().advance(0);
         }
@@ -32,30 +33,31 @@
 
     private static void assertChecksAreAnswered(ServerFixture fixture) throws IOException {
         for (int i = 0; i < 20; i++) {
-            try (FaultyClient client = FaultyClient.to(fixture.jsonrpc)) {
+            try (FaultyClient client = FaultyClient.connect(fixture.jsonrpc)) {
                 client.write(CHECK);
-                assertThat(client.line()).contains("\"well\":");
+                assertThat(client.readLine()).contains("\"well\":");
             }
         }
     }
 
     @ParameterizedTest
     @CsvSource({"nio,''", "nio,'{\"jsonrpc\":'", "auto,''", "auto,'{\"jsonrpc\":'"})
-    void healthChecksAndServicesWorkDuringAConnectionFlood(String transport, String sentText) throws Exception {
+    void answersHealthChecksAndConnectsToServicesDuringConnectionFlood(String transport, String sentText)
+            throws Exception {
         try (ServerFixture fixture = new ServerFixture("{}", transport)) {
             fixture.stopService("announce");
-            idlePeers(fixture, sentText);
+            openFlood(fixture, sentText);
             assertChecksAreAnswered(fixture);
-            StandInKernel kernel = new StandInKernel(fixture);
-            Thread thread = new Thread(kernel, "stand-in");
+            SimulatedKernel kernel = new SimulatedKernel(fixture);
+            Thread thread = new Thread(kernel, "simulated-kernel");
             thread.setDaemon(true);
-            thread.start(); // the link waited in its queue; now it is answered
+            thread.start(); // the server's link waited in the backlog until now
             fixture.awaitLogged("to=SERVING");
             fixture.startService("announce");
             assertThat(fixture.nextAnnounced()).endsWith("{\"accepting\":\"true\"}");
             assertChecksAreAnswered(fixture);
         } finally {
-            for (FaultyClient client : idlePeers) {
+            for (FaultyClient client : floodClients) {
                 client.close();
             }
         }
--- a/server/src/test/java/wheatspread/daemon/GracefulShutdownTest.java
+++ b/server/src/test/java/wheatspread/daemon/GracefulShutdownTest.java
@@ -18,7 +18,7 @@
 import wheatspread.lifecycle.Lifecycle.Event;
 import wheatspread.logging.EventLog;
 
-/** When a drain ends, while input of callers is unread. */
+/** Tests when a drain ends, in particular while input of clients is unread. */
 class GracefulShutdownTest {
     private static final long MICROS_PER_MILLI = 1_000;
 
@@ -36,7 +36,7 @@
                 config.site(),
                 settings -> new SfqAdmissionController(settings, 1),
                 clock,
-                (job, body, patience, listener) -> () -> {},
+                (job, body, timeoutMicros, listener) -> () -> {},
                 accepting -> {},
                 log);
         shutdown = new GracefulShutdown(
@@ -49,7 +49,7 @@
                 events::add);
     }
 
-    /** Input that is not read yet would be lost with its connection. */
+    /** Guards against closing a connection whose input has not been read, which would lose the input. */
     @Test
     void drainWaitsForUnreadInput() {
         unreadInput = true;
@@ -69,7 +69,7 @@
         assertThat(events).containsExactly(Event.DRAIN_TIMED_OUT);
     }
 
-    /** The deadlines run from the signal, however late the loop comes to it. */
+    /** The deadlines are relative to the signal, even if the event loop handles it late. */
     @Test
     void drainDeadlinesRunFromTheSignal() {
         shutdown.begin(
--- a/server/src/test/java/wheatspread/daemon/ManualClock.java
+++ b/server/src/test/java/wheatspread/daemon/ManualClock.java
@@ -5,10 +5,10 @@
 import wheatspread.core.Clock;
 import wheatspread.core.FakeClock;
 
-/** A clock that moves only when a test says so; its timers fire on the loop, in the order of their times. */
+/** A clock that only a test advances. Its timers run on the event loop, in the order of their deadlines. */
 final class ManualClock implements Clock {
-    /** Unix microseconds at the start of every test. */
-    static final long START = 1_700_000_000_000_000L;
+    /** The Unix time at the start of every test. */
+    static final long START_MICROS = 1_700_000_000_000_000L;
 
     private static final int SETTLE_ROUNDS = 4;
 
@@ -18,7 +18,7 @@
 
     ManualClock(EventLoop loop) {
         this.loop = loop;
-        clock = new FakeClock(START, loop);
+        clock = new FakeClock(START_MICROS, loop);
     }
 
     @Override
@@ -36,27 +36,29 @@
         clock.runAfterTurn(task);
     }
 
-    /** Moves on; what a timer brings about is through before the next timer. */
+    /** Advances the clock; the effects of each timer are complete before the next timer runs. */
     void advance(long micros) {
-        long until = nowMicros() + micros;
+        long untilMicros = nowMicros() + micros;
         settle();
-        while (loop.submit(() -> clock.fireNext(until)).syncUninterruptibly().getNow()) {
+        while (loop.submit(() -> clock.fireNext(untilMicros))
+                .syncUninterruptibly()
+                .getNow()) {
             settle();
         }
     }
 
     /**
-     * Moves on with the loop held: {@code between} happens after the loop last looked at its sockets and
-     * before the timers of that time fire, so it crosses what they do, every time.
+     * Advances the clock while the event loop is blocked. {@code input} runs after the loop has last polled its sockets
+     * and before the timers run, so that the input and the effects of the timers always cross in the same order.
      */
-    void cross(long micros, Callable<?> between) {
-        long until = nowMicros() + micros;
+    void advanceWithConcurrentInput(long micros, Callable<?> input) {
+        long untilMicros = nowMicros() + micros;
         settle();
         loop.submit(() -> {
-                    between.call();
+                    input.call();
                     boolean more = true;
                     while (more) {
-                        more = clock.fireNext(until);
+                        more = clock.fireNext(untilMicros);
                     }
                     return null;
                 })
@@ -65,9 +67,9 @@
     }
 
     /**
-     * What was written before is read, and the tasks that follow (a batch, then a connection, then its
-     * refusal) are run. The round trip stands behind all that in the order of the loopback; without it a
-     * starved machine gave other verdicts.
+     * Waits until the server has read all earlier input and run the tasks that follow from it (a batch, then a
+     * connection, then its rejection). The loopback interface delivers the round trip after all earlier input; without
+     * it, results differed on a machine short of processor time.
      */
     private void settle() {
         for (int round = 0; round < SETTLE_ROUNDS; round++) {
@@ -76,8 +78,8 @@
         }
     }
 
-    /** Sets a question over a socket to the program that returns once it is answered. */
-    void settleWith(Runnable question) {
-        roundTrip = question;
+    /** Sets a task that sends a request to the server over a socket and returns after it is answered. */
+    void setRoundTrip(Runnable roundTrip) {
+        this.roundTrip = roundTrip;
     }
 }
--- a/server/src/test/java/wheatspread/daemon/ReloadAtSizeTest.java
+++ b/server/src/test/java/wheatspread/daemon/ReloadAtSizeTest.java
@@ -21,7 +21,7 @@
 import wheatspread.config.ServerConfig;
 import wheatspread.logging.EventLog;
 
-/** No SIGHUP is lost: each is taken or refused, and counted, whatever the file and the memory are like. */
+/** Guards against a SIGHUP that is neither applied nor rejected, with large or invalid files and little memory. */
 class ReloadAtSizeTest {
     @TempDir
     private Path dir;
@@ -34,26 +34,26 @@
         return () -> ServerConfig.fromEnvironment(Map.of("GW_CONFIG", config.toString()));
     }
 
-    private static void assertReloadCounts(ServerFixture fixture, int taken, int refused) throws IOException {
+    private static void assertReloadCounts(ServerFixture fixture, int applied, int rejected) throws IOException {
         assertThat(ControlFrontTest.request(fixture.server.controlAddress(), "GET /_vars HTTP/1.1\r\n\r\n"))
-                .contains("\nedge_gw.reload_success=" + taken + "\n", "\nedge_gw.reload_failure=" + refused + "\n");
+                .contains("\nedge_gw.reload_success=" + applied + "\n", "\nedge_gw.reload_failure=" + rejected + "\n");
     }
 
     @Test
     @Timeout(60)
-    void concurrentReloadsWithManyTenantsAreEachAppliedOrRejected() throws Exception {
-        String whole = AtSize.config(AtSize.tenants(AtSize.TENANTS));
-        Path good = config("good.json", whole);
-        Path cut = config("cut.json", whole.substring(0, whole.length() / 2));
+    void appliesOrRejectsEachConcurrentReload() throws Exception {
+        String completeConfig = AtSize.config(AtSize.tenants(AtSize.TENANTS));
+        Path validFile = config("good.json", completeConfig);
+        Path truncatedFile = config("cut.json", completeConfig.substring(0, completeConfig.length() / 2));
         try (ServerFixture fixture = new ServerFixture()) {
-            List<Thread> signals = new ArrayList<>();
+            List<Thread> signalThreads = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                Path file = i % 2 == 0 ? good : cut;
-                signals.add(new Thread(() -> fixture.server.reload(reader(file)), "signal " + i));
+                Path file = i % 2 == 0 ? validFile : truncatedFile;
+                signalThreads.add(new Thread(() -> fixture.server.reload(reader(file)), "signal " + i));
             }
-            signals.forEach(Thread::start);
-            for (Thread signal : signals) {
-                signal.join();
+            signalThreads.forEach(Thread::start);
+            for (Thread signalThread : signalThreads) {
+                signalThread.join();
             }
             assertReloadCounts(fixture, 5, 5);
         }
@@ -61,7 +61,7 @@
 
     @Test
     @Timeout(30)
-    void anythingTheReaderThrowsCountsAsRejected() throws Exception {
+    void countsAnyExceptionOfTheReaderAsRejection() throws Exception {
         try (ServerFixture fixture = new ServerFixture()) {
             fixture.server.reload(() -> {
                 throw new OutOfMemoryError("of the test");
@@ -76,18 +76,18 @@
 
     @Test
     @Timeout(30)
-    void anythingTheApplierThrowsCountsAsRejected() throws Exception {
+    void countsAnyExceptionOfTheApplierAsRejection() throws Exception {
         JSONObject json = new JSONObject(Files.readString(Path.of("src/test/resources/config.json")));
         ServerConfig config = ServerConfig.read(JsonFields.of(json.toMap(), ""));
-        ConfigReloader reloads = new ConfigReloader(
+        ConfigReloader reloader = new ConfigReloader(
                 config,
                 next -> {
                     throw new StackOverflowError("of the test");
                 },
                 EventLog.NONE);
-        reloads.reload(() -> config);
-        assertThat(reloads.rejectedCount()).isEqualTo(1);
-        ServerConfig noKernel = new ServerConfig(
+        reloader.reload(() -> config);
+        assertThat(reloader.rejectedCount()).isEqualTo(1);
+        ServerConfig withoutKernel = new ServerConfig(
                 "w1",
                 config.listen(),
                 null,
@@ -100,35 +100,37 @@
                 null,
                 -1,
                 null);
-        try (ServerFixture fixture = new ServerFixture()) { // on the loop's thread
-            fixture.server.reload(() -> noKernel);
+        try (ServerFixture fixture = new ServerFixture()) { // applies on the event loop's thread
+            fixture.server.reload(() -> withoutKernel);
             assertReloadCounts(fixture, 0, 1);
             fixture.server.kill();
             fixture.server.reload(() -> config);
-            fixture.awaitLogged("reload_rejected"); // the one before
+            fixture.awaitLogged("reload_rejected"); // the previous reload
             fixture.awaitLogged("reload_rejected reason=\"event executor terminated\"");
         }
     }
 
-    /** Guards against the process that has no memory left for a second configuration beside its own. */
+    /** Guards against a heap that is too small for a second configuration beside the current one. */
     @Test
     @Timeout(120)
-    void processWithTheDeployedHeapHandlesEverySighup() throws Exception {
+    void handlesEverySighupWithTheDeployedHeapSize() throws Exception {
         try (ServerSocket kernels = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             Thread kernel = new Thread(() -> bootEveryLink(kernels), "kernel");
             kernel.setDaemon(true);
             kernel.start();
-            String whole = AtSize.config(AtSize.tenants(AtSize.TENANTS))
+            String completeConfig = AtSize.config(AtSize.tenants(AtSize.TENANTS))
                     .replace("\"kernel\": \"127.0.0.1:9\"", "\"kernel\": \"127.0.0.1:" + kernels.getLocalPort() + "\"");
-            Path file = config("config.json", whole);
+            Path file = config("config.json", completeConfig);
             Process process = AtSize.process("-Xmx48m", file, "serve").start();
             try (BufferedReader log = process.inputReader()) {
                 await(log, "to=SERVING");
                 for (int i = 0; i < 10; i++) {
-                    boolean bad = i % 5 == 4;
-                    Files.writeString(file, bad ? whole.substring(0, whole.length() / 2) : whole);
+                    boolean truncated = i % 5 == 4;
+                    Files.writeString(
+                            file,
+                            truncated ? completeConfig.substring(0, completeConfig.length() / 2) : completeConfig);
                     signal("HUP", process);
-                    await(log, bad ? "reload_rejected" : "classes_reloaded");
+                    await(log, truncated ? "reload_rejected" : "classes_reloaded");
                 }
                 signal("TERM", process);
                 await(log, "to=STOPPED");
@@ -139,8 +141,8 @@
         }
     }
 
-    private static void signal(String name, Process to) throws IOException, InterruptedException {
-        assertThat(new ProcessBuilder("kill", "-" + name, String.valueOf(to.pid()))
+    private static void signal(String name, Process process) throws IOException, InterruptedException {
+        assertThat(new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid()))
                         .start()
                         .waitFor())
                 .isZero();
@@ -150,23 +152,23 @@
         try {
             while (true) {
                 TestConnection link = new TestConnection(kernels.accept());
-                link.line();
-                link.line("{\"type\":\"BOOTED\",\"state\":\"WARM\",\"took\":5}");
+                link.readLine();
+                link.writeLine("{\"type\":\"BOOTED\",\"state\":\"WARM\",\"took\":5}");
             }
         } catch (IOException e) {
             // the test has ended
         }
     }
 
-    /** Reads on to a line with this text. */
+    /** Reads lines until one contains {@code text}. */
     private static void await(BufferedReader log, String text) throws IOException {
-        List<String> before = new ArrayList<>();
+        List<String> skippedLines = new ArrayList<>();
         for (String line = log.readLine(); line != null; line = log.readLine()) {
             if (line.contains(text)) {
                 return;
             }
-            before.add(line);
+            skippedLines.add(line);
         }
-        throw new AssertionError("no line with " + text + ", but " + before);
+        throw new AssertionError("expected a log line with \"" + text + "\", found " + skippedLines);
     }
 }
--- a/server/src/test/java/wheatspread/daemon/ReloadTest.java
+++ b/server/src/test/java/wheatspread/daemon/ReloadTest.java
@@ -8,15 +8,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What SIGHUP brings: new classes, files that change nothing, and a kernel that moves with runs in hand. */
+/** Tests SIGHUP: added request classes, rejected files, and a kernel whose address changes during runs. */
 class ReloadTest {
     @Test
     @Timeout(30)
-    void addedClassIsServedAndInvalidFilesChangeNothing() throws Exception {
+    void servesAddedClassAndRejectsInvalidFiles() throws Exception {
         try (ServerFixture fixture = new ServerFixture();
-                StandInProxy proxy = new StandInProxy(fixture)) {
+                SimulatedProxy proxy = new SimulatedProxy(fixture)) {
             startKernel(fixture);
-            fixture.retune(settings -> settings.getJSONArray("Lanes")
+            fixture.reloadSettings(settings -> settings.getJSONArray("Lanes")
                     .put(new JSONObject()
                             .put("Name", "soup")
                             .put("Deadline", 5000.0)
@@ -24,10 +24,10 @@
             fixture.awaitLogged("classes_reloaded");
             assertServedOverBothProtocols(proxy, "stew", "ok-1");
 
-            fixture.retune(
+            fixture.reloadSettings(
                     settings -> settings.getJSONArray("Lanes").getJSONObject(0).put("Deadline", 0));
             fixture.awaitLogged("reload_rejected");
-            fixture.retune(
+            fixture.reloadSettings(
                     settings -> settings.getJSONArray("Lanes").getJSONObject(0).remove("Deadline"));
             fixture.awaitLogged("reload_rejected");
             assertServedOverBothProtocols(proxy, "soup", "ok-2");
@@ -37,35 +37,35 @@
 
     @Test
     @Timeout(30)
-    void runsContinueWhileTheKernelMovesTwice() throws Exception {
+    void runsContinueWhenKernelAddressChangesTwice() throws Exception {
         try (ServerFixture fixture = new ServerFixture();
-                StandInProxy proxy = new StandInProxy(fixture)) {
-            StandInKernel kernel = startKernel(fixture);
+                SimulatedProxy proxy = new SimulatedProxy(fixture)) {
+            SimulatedKernel kernel = startKernel(fixture);
             assertServedOverBothProtocols(proxy, "stew", "ok-1");
-            for (int move = 0; move < 2; move++) {
+            for (int changes = 0; changes < 2; changes++) {
                 fixture.reload("", "");
                 fixture.awaitLogged("classes_reloaded");
-                assertServedOverBothProtocols(proxy, "stew", "ok-after-" + move);
+                assertServedOverBothProtocols(proxy, "stew", "ok-after-" + changes);
             }
             assertThat(kernel.runs).allMatch(body -> Collections.frequency(kernel.runs, body) == 2);
         }
     }
 
-    private static StandInKernel startKernel(ServerFixture fixture) throws InterruptedException {
-        StandInKernel kernel = new StandInKernel(fixture);
-        Thread thread = new Thread(kernel, "stand-in");
+    private static SimulatedKernel startKernel(ServerFixture fixture) throws InterruptedException {
+        SimulatedKernel kernel = new SimulatedKernel(fixture);
+        Thread thread = new Thread(kernel, "simulated-kernel");
         thread.setDaemon(true);
         thread.start();
         assertThat(fixture.nextAnnounced()).endsWith("{\"accepting\":\"true\"}");
         return kernel;
     }
 
-    /** Both fronts are served. */
-    private static void assertServedOverBothProtocols(StandInProxy proxy, String kind, String body) throws Exception {
-        proxy.ask(kind, "north", 5000, null, body);
+    /** Sends a request over both protocols and asserts that both are served. */
+    private static void assertServedOverBothProtocols(SimulatedProxy proxy, String kind, String body) throws Exception {
+        proxy.sendRequest(kind, "north", 5000, null, body);
         Map<String, String> served = Map.of(body, "served " + new StringBuilder(body).reverse());
-        assertThat(proxy.overJsonRpc()).isEqualTo(served);
-        assertThat(proxy.overUwsgi()).isEqualTo(served);
-        proxy.forget();
+        assertThat(proxy.readJsonRpcOutcomes()).isEqualTo(served);
+        assertThat(proxy.readUwsgiOutcomes()).isEqualTo(served);
+        proxy.clearRequests();
     }
 }
--- a/server/src/test/java/wheatspread/daemon/SceneTest.java
+++ b/server/src/test/java/wheatspread/daemon/SceneTest.java
@@ -25,18 +25,30 @@
 import wheatspread.uwsgi.UwsgiPacket;
 
 /**
- * Plays recorded exchanges against the program. A line {@code peer> text} is sent to it, {@code peer< text}
- * must come from it; {@code clock 50} moves the clock on by milliseconds; {@code cut}, {@code stopService} and
- * {@code startService} break a connection or a service, and {@code quiet} says that nothing came; {@code reload} gives
- * all peers new addresses, after which old connections are called {@code old-kernel} and so on (with
- * {@code late} the new kernel's refuses until {@code startService kernel}), or changes one key; {@code operator} goes
- * over the operator's file; {@code bytes} sends part of a line; {@code announceUnanswered} leaves reports unanswered;
- * {@code drain} is SIGTERM, {@code hurry} a second SIGINT, and {@code stopped} gives lingering connections
- * their time and waits for the end and its exit code. The peers are the kernel, the records service,
- * announce, proxies ({@code p1}) and uwsgi callers ({@code u1}).
+ * Executes the scene files against a server. The peers are the kernel, the records service, the announce service,
+ * JSON-RPC proxies ({@code p1}) and uwsgi clients ({@code u1}). The commands of a scene:
+ *
+ * <ul>
+ * <li>{@code peer> text} sends a line to the server; {@code peer< text} expects a line from it, and
+ *     {@code peer< closed} expects the end of the stream. {@code peer: hex} expects bytes.
+ * <li>{@code kernel<job 1 text} and {@code kernel>job 1 text} expect and send a message about a job whose id the server
+ *     chose; the scene refers to the job by number.
+ * <li>{@code bytes peer text} sends part of a line.
+ * <li>{@code clock 50} advances the clock by 50 ms.
+ * <li>{@code quiet peer} expects that the peer has received nothing.
+ * <li>{@code logged text} expects a log line.
+ * <li>{@code cut peer} closes a connection; {@code down service} and {@code up service} stop and start a service.
+ * <li>{@code mute} leaves further announcements unanswered; {@code nogauges} leaves requests for gauges unanswered.
+ * <li>{@code reload} gives all services new addresses, after which the old connections are named {@code old-kernel} and
+ *     {@code old-records}; with {@code late} the new address of the kernel refuses connections until {@code up kernel}.
+ *     {@code reload key value} changes one key.
+ * <li>{@code operator json} replaces keys of the operator's file.
+ * <li>{@code drain} is SIGTERM, {@code hurry} a second SIGINT. {@code stopped code} waits until lingering connections
+ *     time out, and expects the exit code.
+ * </ul>
  */
 class SceneTest {
-    /** Every scene on every transport that works here. */
+    /** Returns every scene with every transport that this machine supports. */
     static Stream<Arguments> scenes() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("src/test/resources/scenes"))) {
             return files.sorted().toList().stream()
@@ -48,7 +60,7 @@
 
     @ParameterizedTest
     @MethodSource("scenes")
-    void sceneIsFollowed(Path scene, String transport) throws Exception {
+    void serverFollowsScene(Path scene, String transport) throws Exception {
         List<String> lines = Files.readAllLines(scene);
         String operatorLine = lines.stream()
                 .filter(line -> line.startsWith("operator "))
@@ -59,7 +71,7 @@
             for (int i = 0; i < lines.size(); i++) {
                 if (!lines.get(i).isBlank() && !lines.get(i).matches("(#|operator ).*")) {
                     try {
-                        peers.play(lines.get(i));
+                        peers.execute(lines.get(i));
                     } catch (IOException e) {
                         throw new AssertionError(scene + ":" + (i + 1) + ": " + lines.get(i) + ": " + e, e);
                     } catch (AssertionError e) {
@@ -70,36 +82,36 @@
         }
     }
 
-    /** Everybody round the program, played by the lines of a scene. */
+    /** The peers of the server, which execute the commands of a scene. */
     private static final class ScenePeers implements AutoCloseable {
         private final ServerFixture fixture;
         private final Map<String, TestConnection> connections = new HashMap<>();
         private final Map<String, String> jobs = new HashMap<>();
-        private boolean gauges = true;
+        private boolean answersGauges = true;
 
         ScenePeers(ServerFixture fixture) {
             this.fixture = fixture;
         }
 
-        void play(String line) throws Exception {
+        void execute(String line) throws Exception {
             String[] words = line.split(" ", 2);
             String argument = words.length > 1 ? words[1] : "";
             switch (words[0]) {
                 case "clock" -> {
-                    barrier();
+                    awaitInputRead();
                     fixture.clock().advance(Long.parseLong(argument) * 1000);
                 }
                 case "drain" -> {
-                    barrier();
+                    awaitInputRead();
                     fixture.server.drain();
                 }
                 case "hurry" -> {
-                    barrier();
+                    awaitInputRead();
                     fixture.server.signal(Lifecycle.Event.DRAIN_IMMEDIATELY);
                 }
                 case "reload" -> reload(argument);
                 case "logged" -> {
-                    barrier();
+                    awaitInputRead();
                     assertThat(fixture.logged)
                             .contains(argument.replace("$kernel", "/127.0.0.1:" + fixture.kernels.getLocalPort()));
                 }
@@ -108,13 +120,13 @@
                     String[] part = argument.split(" ", 2);
                     connection(part[0]).write(part[1].getBytes(StandardCharsets.UTF_8));
                 }
-                case "stopped" -> stopped(argument);
-                case "nogauges" -> gauges = false;
+                case "stopped" -> awaitStopped(argument);
+                case "nogauges" -> answersGauges = false;
                 case "quiet" -> {
-                    barrier();
+                    awaitInputRead();
                     assertThat(
                                     argument.equals("kernel")
-                                            ? kernelLines()
+                                            ? nextKernelLineLength()
                                             : connection(argument).available())
                             .isZero();
                 }
@@ -126,7 +138,7 @@
         }
 
         private void reload(String argument) throws IOException {
-            barrier();
+            awaitInputRead();
             String[] change = argument.split(" ", 2);
             fixture.reload(change[0], change.length > 1 ? change[1] : "");
             if (argument.isEmpty() || argument.equals("late")) {
@@ -138,8 +150,9 @@
             }
         }
 
-        private void stopped(String exitCode) throws InterruptedException {
-            fixture.clock().advance(DrainDeadlines.LINGER_MICROS); // the callers of a scene don't close their side
+        private void awaitStopped(String exitCode) throws InterruptedException {
+            fixture.clock()
+                    .advance(DrainDeadlines.LINGER_MICROS); // the clients of a scene do not close their connections
             assertThat(fixture.server.awaitStopped()).isEqualTo(exitCode.isEmpty() ? 0 : Integer.parseInt(exitCode));
         }
 
@@ -151,14 +164,14 @@
             }
         }
 
-        /** A line that is sent by a peer, or that a peer must get. */
+        /** Sends a line from a peer, or expects a line that the peer receives. */
         private void message(String direction, String text) throws Exception {
             String peer = direction.substring(0, direction.length() - 1);
             if (direction.endsWith("job")) {
                 job(direction.charAt(direction.length() - 4) == '<', text.split(" ", 2));
             } else if (direction.endsWith(":")) {
                 byte[] expected = ByteBufUtil.decodeHexDump(text);
-                assertThat(connection(peer).bytes(expected.length)).isEqualTo(expected);
+                assertThat(connection(peer).readBytes(expected.length)).isEqualTo(expected);
             } else if (direction.endsWith(">")) {
                 send(peer, text);
             } else {
@@ -166,7 +179,7 @@
             }
         }
 
-        /** Kernel lines about a job that the program named itself; the scene numbers it. */
+        /** Sends or expects a kernel message about a job that the server named; the scene refers to it by number. */
         private void job(boolean expected, String[] words) throws IOException {
             JSONObject message = new JSONObject(words[1]);
             if (expected) {
@@ -174,15 +187,16 @@
                 String job = String.valueOf(actual.remove("job"));
                 assertThat(jobs.computeIfAbsent(words[0], number -> job)).isEqualTo(job);
                 assertThat(actual.similar(message))
-                        .as("wanted %s, got %s", message, actual)
+                        .as("expected %s, received %s", message, actual)
                         .isTrue();
             } else {
-                connection("kernel").line(message.put("job", jobs.get(words[0])).toString());
+                connection("kernel")
+                        .writeLine(message.put("job", jobs.get(words[0])).toString());
             }
         }
 
-        /** All that was written has been read: the loop looks at its sockets before it runs its tasks. */
-        private void barrier() {
+        /** Waits until the server has read all input: the event loop polls its sockets before it runs tasks. */
+        private void awaitInputRead() {
             fixture.clock().advance(0);
         }
 
@@ -193,7 +207,7 @@
                         ? new TestConnection(fixture.kernels.accept())
                         : peer.startsWith("records")
                                 ? new TestConnection(fixture.records.accept())
-                                : TestConnection.to(peer.startsWith("u") ? fixture.uwsgi : fixture.jsonrpc);
+                                : TestConnection.connect(peer.startsWith("u") ? fixture.uwsgi : fixture.jsonrpc);
                 connections.put(peer, connection);
             }
             return connection;
@@ -206,7 +220,8 @@
                 connection(peer).write(unescape(text));
             } else {
                 connection(peer)
-                        .line(text.replace("$now", Long.toString(fixture.clock().nowMicros() / 1000)));
+                        .writeLine(text.replace(
+                                "$now", Long.toString(fixture.clock().nowMicros() / 1000)));
             }
         }
 
@@ -214,7 +229,10 @@
             return text.replace("\\r", "\r").replace("\\n", "\n").getBytes(StandardCharsets.ISO_8859_1);
         }
 
-        /** Bytes in hex, or vars as {@code NAME=value}, the body last behind a {@code +}. */
+        /**
+         * Encodes a uwsgi request, given as {@code hex} bytes, or as vars {@code NAME=value} with the body after {@code
+         * +}.
+         */
         private static byte[] packet(String text) {
             if (text.startsWith("hex ")) {
                 return ByteBufUtil.decodeHexDump(text.substring(4).replace(" ", ""));
@@ -246,64 +264,68 @@
                 return;
             }
             String actual =
-                    peer.equals("kernel") ? kernelLine() : connection(peer).line();
+                    peer.equals("kernel") ? kernelLine() : connection(peer).readLine();
             if (expected.equals("closed")) {
                 assertThat(actual).isNull();
             } else if (expected.startsWith("{")) {
                 String text =
                         expected.replace("$now", Long.toString(fixture.clock().nowMicros() / 1000));
                 assertThat(new JSONObject(actual).similar(new JSONObject(text)))
-                        .as("wanted %s, got %s", text, actual)
+                        .as("expected %s, received %s", text, actual)
                         .isTrue();
             } else {
                 assertThat(actual).isEqualTo(expected);
             }
         }
 
-        /** How many bytes the kernel has to read, questions for gauges left out. */
-        private int kernelLines() throws IOException {
+        /**
+         * Returns the length of the next line that the kernel received, 0 if none; requests for gauges are answered.
+         */
+        private int nextKernelLineLength() throws IOException {
             TestConnection kernel = connection("kernel");
-            int waiting = kernel.available();
-            while (waiting > 0) {
-                String line = kernel.line();
+            int availableBytes = kernel.available();
+            while (availableBytes > 0) {
+                String line = kernel.readLine();
                 if (!line.contains("\"SYSINFO\"")) {
                     return line.length();
                 }
                 answerGauges(line);
-                waiting = kernel.available();
+                availableBytes = kernel.available();
             }
             return 0;
         }
 
         private String kernelLine() throws IOException {
-            String actual = connection("kernel").line();
+            String actual = connection("kernel").readLine();
             while (actual != null && actual.contains("\"SYSINFO\"")) {
                 answerGauges(actual);
-                actual = connection("kernel").line();
+                actual = connection("kernel").readLine();
             }
             return actual;
         }
 
-        private void answerGauges(String question) throws IOException {
-            String ref = new JSONObject(question).getString("ref");
-            if (gauges || ref.equals("sync")) {
-                connection("kernel").line("{\"type\":\"INFO\",\"ref\":\"" + ref + "\",\"gauges\":[0.3,1,0.1,2]}");
+        private void answerGauges(String request) throws IOException {
+            String ref = new JSONObject(request).getString("ref");
+            if (answersGauges || ref.equals("sync")) {
+                connection("kernel").writeLine("{\"type\":\"INFO\",\"ref\":\"" + ref + "\",\"gauges\":[0.3,1,0.1,2]}");
             }
         }
 
-        /** Status, the headers that matter here, and the body. */
+        /** Returns the status, the headers except Content-Length and X- headers, and the body. */
         private static String response(TestConnection connection) throws IOException {
             StringBuilder actual =
-                    new StringBuilder(String.valueOf(connection.line()).replace("HTTP/1.1 ", ""));
+                    new StringBuilder(String.valueOf(connection.readLine()).replace("HTTP/1.1 ", ""));
             int length = 0;
-            for (String header = connection.line(); header != null && !header.isEmpty(); header = connection.line()) {
+            for (String header = connection.readLine();
+                    header != null && !header.isEmpty();
+                    header = connection.readLine()) {
                 if (header.startsWith("Content-Length: ")) {
                     length = Integer.parseInt(header.substring(16));
                 } else if (!header.startsWith("X-")) {
                     actual.append(" | ").append(header);
                 }
             }
-            return actual + " | " + new String(connection.bytes(length), StandardCharsets.ISO_8859_1).trim();
+            return actual + " | " + new String(connection.readBytes(length), StandardCharsets.ISO_8859_1).trim();
         }
 
         @Override
--- a/server/src/test/java/wheatspread/daemon/ServerFixture.java
+++ b/server/src/test/java/wheatspread/daemon/ServerFixture.java
@@ -17,7 +17,7 @@
 import wheatspread.config.ServerConfig;
 import wheatspread.logging.EventLog;
 
-/** A server on the clock of a test, and the services and clients around it on ephemeral ports. */
+/** A server with a {@link ManualClock}, and simulated services and clients on ephemeral ports. */
 final class ServerFixture implements AutoCloseable {
     volatile ServerSocket kernels = socket(0);
     volatile ServerSocket records = socket(0);
@@ -25,9 +25,9 @@
     private volatile TestConnection announceConnection;
     private volatile boolean closed;
     private volatile String lastAnnouncement = "";
-    /** Reports count, but get no answer. */
+    /** Whether announcements are recorded but not answered. */
     volatile boolean announceUnanswered;
-    /** What was announced, repeats left out. */
+    /** The received announcements, without consecutive repetitions. */
     final BlockingQueue<String> announced = new LinkedBlockingQueue<>();
 
     final BlockingQueue<String> logged = new LinkedBlockingQueue<>();
@@ -41,7 +41,7 @@
         this("{}", "nio");
     }
 
-    /** {@code over} goes over the operator's file, key by key. */
+    /** Starts a server; {@code operatorOverrides} replaces single keys of the operator's file. */
     ServerFixture(String operatorOverrides, String transport) throws IOException {
         ServerConfig config = ServerConfig.read(JsonFields.of(configuration().toMap(), ""));
         JSONObject json = new JSONObject(Files.readString(Path.of("src/test/resources/operator.json")));
@@ -54,16 +54,16 @@
         Path file = Files.writeString(Files.createTempFile("operator", ".json"), json.toString());
         OperatorConfig operator = OperatorConfig.readFile(file, config.site());
         Files.delete(file);
-        Thread thread = new Thread(this::serveAnnouncements, "announce stand-in");
+        Thread thread = new Thread(this::serveAnnouncements, "simulated announce service");
         thread.setDaemon(true);
         thread.start();
         server = new Server(
-                config, operator, (loop, turns) -> clock = new ManualClock(loop), EventLog.lines(logged::add));
+                config, operator, (loop, scheduler) -> clock = new ManualClock(loop), EventLog.lines(logged::add));
         server.start();
         uwsgi = server.boundAddresses().get(0);
         jsonrpc = server.boundAddresses().get(1);
-        healthCheckConnection = TestConnection.to(jsonrpc);
-        clock.settleWith(this::roundTrip);
+        healthCheckConnection = TestConnection.connect(jsonrpc);
+        clock.setRoundTrip(this::roundTrip);
     }
 
     private JSONObject configuration() throws IOException {
@@ -75,8 +75,9 @@
     }
 
     /**
-     * A configuration with new addresses, the old ones refusing (with {@code late}, the new kernel's refuses
-     * too until it is {@link #startService}); or one with a key changed to a value.
+     * Reloads the configuration. With an empty key all services get new addresses, and the old addresses refuse
+     * connections. With the key {@code late} the new address of the kernel refuses connections, too, until
+     * {@link #startService}. Any other key is set to {@code value}.
      */
     void reload(String key, String value) throws IOException {
         JSONObject json = configuration();
@@ -95,45 +96,45 @@
         } else {
             json.put(key, value);
         }
-        read(json);
+        applyReload(json);
     }
 
-    /** The same addresses, with settings that are changed so. */
-    void retune(Consumer<JSONObject> change) throws IOException {
+    /** Reloads the configuration with the same addresses and changed settings. */
+    void reloadSettings(Consumer<JSONObject> change) throws IOException {
         JSONObject json = configuration();
         change.accept(json.getJSONObject("settings"));
-        read(json);
+        applyReload(json);
     }
 
-    private void read(JSONObject json) {
+    private void applyReload(JSONObject json) {
         JsonFields fields = JsonFields.of(json.toMap(), "");
         server.reload(() -> ServerConfig.read(fields));
     }
 
-    /** Waits for a line of the log with this text, those before it dropped; 10 s at most. */
+    /** Waits up to 10 s between log lines for a line that contains {@code text}; removes all lines up to it. */
     void awaitLogged(String text) throws InterruptedException {
         for (String line = logged.poll(10, TimeUnit.SECONDS); line != null; line = logged.poll(10, TimeUnit.SECONDS)) {
             if (line.contains(text)) {
                 return;
             }
         }
-        throw new AssertionError("no log line with " + text);
+        throw new AssertionError("expected a log line with \"" + text + "\", found none within 10 s");
     }
 
     boolean isClosed() {
         return closed;
     }
 
-    /** A health check, on a connection of its own as the protocol has it. */
+    /** Sends a health check on a separate connection, and waits for its answer. */
     private void roundTrip() {
         try {
-            healthCheckConnection.line("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}");
-            String line = healthCheckConnection.line();
+            healthCheckConnection.writeLine("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}");
+            String line = healthCheckConnection.readLine();
             while (line != null && line.contains("lastCall")) {
-                line = healthCheckConnection.line();
+                line = healthCheckConnection.readLine();
             }
         } catch (IOException e) {
-            return; // the server has closed: there is nothing left to settle
+            return; // the server has closed the connection, so no input is pending
         }
     }
 
@@ -151,21 +152,21 @@
         while (!closed) {
             try (TestConnection connection = new TestConnection(announce.accept())) {
                 announceConnection = connection;
-                for (String line = connection.line(); line != null; line = connection.line()) {
+                for (String line = connection.readLine(); line != null; line = connection.readLine()) {
                     int length = 0;
-                    for (String header = connection.line(); !header.isEmpty(); header = connection.line()) {
+                    for (String header = connection.readLine(); !header.isEmpty(); header = connection.readLine()) {
                         if (header.toLowerCase().startsWith("content-length:")) {
                             length = Integer.parseInt(header.substring(15).trim());
                         }
                     }
-                    String report = line + " " + new String(connection.bytes(length), StandardCharsets.UTF_8);
+                    String announcement = line + " " + new String(connection.readBytes(length), StandardCharsets.UTF_8);
                     if (!announceUnanswered) {
                         connection.write("HTTP/1.1 204 No Content\r\n\r\n".getBytes(StandardCharsets.UTF_8));
                     }
-                    if (!report.equals(lastAnnouncement)) {
-                        announced.add(report);
+                    if (!announcement.equals(lastAnnouncement)) {
+                        announced.add(announcement);
                     }
-                    lastAnnouncement = report;
+                    lastAnnouncement = announcement;
                 }
             } catch (IOException e) {
                 lastAnnouncement = ""; // the connection or the fixture was closed
@@ -173,12 +174,12 @@
         }
     }
 
-    /** A service goes down: connections are refused. */
+    /** Stops the records or the announce service; its address refuses connections. */
     void stopService(String service) throws IOException {
         (service.equals("records") ? records : announce).close();
     }
 
-    /** It comes back at the same address. */
+    /** Starts a stopped service at the same address. */
     void startService(String service) throws IOException {
         if (service.equals("records")) {
             records = socket(records.getLocalPort());
--- a/server/src/test/java/wheatspread/daemon/SignalsTest.java
+++ b/server/src/test/java/wheatspread/daemon/SignalsTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Whether a process that was started with a signal ignored can detect that. */
+/** Tests that a process detects whether it was started with a signal ignored. */
 class SignalsTest {
-    /** A program that prints whether its handler of HUP will be called. */
+    /** Prints whether a handler for HUP is effective. */
     static final class HupHandlerProgram {
         private HupHandlerProgram() {}
 
@@ -20,18 +20,18 @@
 
     @Test
     @Timeout(30)
-    void processStartedWithAnIgnoredSignalDetectsIt() throws Exception {
+    void detectsSignalIgnoredAtStart() throws Exception {
         assertThat(outputOf("")).isEqualTo("true");
         assertThat(outputOf("trap '' HUP; ")).isEqualTo("false");
-        // what the log of such a server recommends
+        // the command that the server's log recommends
         assertThat(outputOf("trap '' HUP; exec env --default-signal=HUP ")).isEqualTo("true");
     }
 
-    private static String outputOf(String before) throws Exception {
+    private static String outputOf(String shellPrefix) throws Exception {
         String java = Path.of(System.getProperty("java.home"), "bin", "java")
                 + " -XX:TieredStopAtLevel=1 -cp '" + System.getProperty("java.class.path") + "' '"
                 + HupHandlerProgram.class.getName() + "'";
-        Process process = new ProcessBuilder("/bin/sh", "-c", before + java)
+        Process process = new ProcessBuilder("/bin/sh", "-c", shellPrefix + java)
                 .redirectErrorStream(true)
                 .start();
         String output = new String(process.getInputStream().readAllBytes()).strip();
--- /dev/null
+++ b/server/src/test/java/wheatspread/daemon/SimulatedKernel.java
@@ -0,0 +1,127 @@
+package wheatspread.daemon;
+
+import java.io.IOException;
+import java.net.ServerSocket;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.Base64;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.json.JSONObject;
+
+/**
+ * Simulates a kernel whose runs depend on the body: {@code ok} ends with the reversed body, {@code call} ends with the
+ * reply to a dependency call, {@code error} fails, and {@code hang} never ends. Every run is recorded in {@link #runs}.
+ *
+ * <p>Links follow the protocol: a new link replaces the previous one, runs and message numbers continue, and messages
+ * that the server has not received according to its {@code OPEN} are sent again. After the fixture changes the kernel's
+ * address, links are accepted on the new socket.
+ */
+final class SimulatedKernel implements Runnable {
+    final List<String> runs = Collections.synchronizedList(new ArrayList<>());
+    private final ServerFixture fixture;
+    private final Map<String, String> bodies = new HashMap<>();
+    private final List<JSONObject> notices = new ArrayList<>();
+    private TestConnection link;
+
+    SimulatedKernel(ServerFixture fixture) {
+        this.fixture = fixture;
+    }
+
+    @Override
+    public void run() {
+        while (!fixture.isClosed()) {
+            ServerSocket kernels = fixture.kernels;
+            try {
+                TestConnection connection = new TestConnection(kernels.accept());
+                Thread thread = new Thread(() -> serve(connection), "kernel link");
+                thread.setDaemon(true);
+                thread.start();
+            } catch (IOException e) {
+                // the accept timed out, or the fixture closed the socket
+            }
+        }
+    }
+
+    private void serve(TestConnection connection) {
+        try (connection) {
+            for (String line = connection.readLine(); line != null; line = connection.readLine()) {
+                handleCommand(connection, new JSONObject(line));
+            }
+        } catch (IOException e) {
+            // the link was replaced, or the fixture was closed
+        }
+    }
+
+    private synchronized void handleCommand(TestConnection connection, JSONObject command) throws IOException {
+        String job = command.optString("job");
+        if (command.getString("type").equals("OPEN")) {
+            open(connection, command.getLong("n"));
+        } else if (connection == link) {
+            execute(command, job);
+        }
+    }
+
+    private void open(TestConnection connection, long receivedCount) throws IOException {
+        TestConnection previousLink = link;
+        link = connection;
+        if (previousLink != null) {
+            previousLink.close();
+        }
+        connection.writeLine("{\"type\":\"BOOTED\",\"state\":\"WARM\",\"took\":5}");
+        for (JSONObject missed : notices.subList((int) receivedCount, notices.size())) {
+            connection.writeLine(missed.toString());
+        }
+    }
+
+    private void execute(JSONObject command, String job) throws IOException {
+        switch (command.getString("type")) {
+            case "SYSINFO" ->
+                link.writeLine(
+                        "{\"type\":\"INFO\",\"gauges\":[0.2,1,0.1,2],\"ref\":\"" + command.getString("ref") + "\"}");
+            case "SCHED" -> {
+                if (!bodies.containsKey(job)) {
+                    startRun(job, decode(command.getString("data")));
+                }
+            }
+            case "IODONE" -> endRun(job, "OK", decode(command.getString("data")));
+            case "PREEMPT" -> endRun(job, "STOPPED", "");
+            default -> throw new IOException("unexpected command " + command);
+        }
+    }
+
+    private void startRun(String job, String body) throws IOException {
+        runs.add(body);
+        bodies.put(job, body);
+        if (body.startsWith("ok")) {
+            endRun(job, "OK", new StringBuilder(body).reverse().toString());
+        } else if (body.startsWith("error")) {
+            endRun(job, "ERROR", "");
+        } else if (body.startsWith("call")) {
+            sendNotice("IOREQ", job, new JSONObject().put("data", encode(body)));
+        }
+    }
+
+    private void endRun(String job, String state, String result) throws IOException {
+        bodies.remove(job);
+        sendNotice(
+                "REAP", job, new JSONObject().put("state", state).put("took", 3).put("data", encode(result)));
+    }
+
+    /** Records a message before it is sent, so that a message lost with its link is sent again on the next link. */
+    private void sendNotice(String type, String job, JSONObject fields) throws IOException {
+        fields.put("type", type).put("n", notices.size() + 1).put("job", job);
+        notices.add(fields);
+        link.writeLine(fields.toString());
+    }
+
+    static String encode(String text) {
+        return Base64.getEncoder().encodeToString(text.getBytes(StandardCharsets.UTF_8));
+    }
+
+    static String decode(String text) {
+        return new String(Base64.getDecoder().decode(text), StandardCharsets.UTF_8);
+    }
+}
--- a/server/src/test/java/wheatspread/daemon/StandInProxy.java
+++ b/server/src/test/java/wheatspread/daemon/SimulatedProxy.java
@@ -14,8 +14,8 @@
 import wheatspread.uwsgi.UwsgiEncoder;
 import wheatspread.uwsgi.UwsgiPacket;
 
-/** A small proxy that asks for the same over both protocols at once and tells the outcomes alike. */
-final class StandInProxy implements AutoCloseable {
+/** Simulates a proxy that sends each request over both protocols, and describes both outcomes in the same words. */
+final class SimulatedProxy implements AutoCloseable {
     private static final Map<Integer, String> STATUSES =
             Map.of(200, "served", 503, "refused", 500, "failed", 504, "out of time", 400, "malformed", 409, "conflict");
     private static final Map<Integer, String> CODES =
@@ -24,23 +24,25 @@
     private final ServerFixture fixture;
     private final TestConnection jsonrpc;
     private final TestConnection uwsgi;
-    /** What is asked and not answered, in order; JSON-RPC answers name theirs. */
-    private final List<String> asked = new ArrayList<>();
+    /** The bodies of the requests since the last {@link #clearRequests}, in the order of sending. */
+    private final List<String> requestBodies = new ArrayList<>();
+
+    /** The request bodies by JSON-RPC id. */
+    private final Map<String, String> bodiesById = new LinkedHashMap<>();
 
-    private final Map<String, String> idNames = new LinkedHashMap<>();
     private int lastId;
 
-    StandInProxy(ServerFixture fixture) throws IOException {
+    SimulatedProxy(ServerFixture fixture) throws IOException {
         this.fixture = fixture;
-        jsonrpc = TestConnection.to(fixture.jsonrpc);
-        uwsgi = TestConnection.to(fixture.uwsgi);
+        jsonrpc = TestConnection.connect(fixture.jsonrpc);
+        uwsgi = TestConnection.connect(fixture.uwsgi);
     }
 
-    /** Asks over both; {@code unique} is null in classes without keys. */
-    void ask(String kind, String tenant, int limitMs, String unique, String body) throws IOException {
-        asked.add(body);
+    /** Sends a request over both protocols; {@code idempotencyKey} is null in classes without keys. */
+    void sendRequest(String kind, String tenant, int limitMs, String idempotencyKey, String body) throws IOException {
+        requestBodies.add(body);
         int id = ++lastId;
-        idNames.put(Integer.toString(id), body);
+        bodiesById.put(Integer.toString(id), body);
         JSONObject params = new JSONObject()
                 .put("txn", String.format("%016x", id))
                 .put("door", fixture.clock().nowMicros() / 1000)
@@ -49,22 +51,22 @@
                 .put("limit", limitMs)
                 .put("ram", 20)
                 .put("standing", 0.5)
-                .putOpt("unique", unique)
-                .put("blob", StandInKernel.encode(body));
+                .putOpt("unique", idempotencyKey)
+                .put("blob", SimulatedKernel.encode(body));
         Map<String, String> vars = new LinkedHashMap<>();
         vars.put("PATH_INFO", "/");
         vars.put("RECIPE_CLASS", kind);
         vars.put("RECIPE_TENANT", tenant);
         vars.put("RECIPE_LIMIT_MS", Integer.toString(limitMs));
         vars.put("CONTENT_LENGTH", Integer.toString(body.length()));
-        if (unique != null) {
-            vars.put("RECIPE_UNIQUE", unique);
+        if (idempotencyKey != null) {
+            vars.put("RECIPE_UNIQUE", idempotencyKey);
         }
         ByteBuf packet = Unpooled.buffer();
         UwsgiEncoder.write(new UwsgiPacket(UwsgiPacket.REQUEST_MODIFIER, 0, vars), packet);
         packet.writeBytes(body.getBytes(StandardCharsets.UTF_8));
         uwsgi.write(ByteBufUtil.getBytes(packet));
-        jsonrpc.line(new JSONObject()
+        jsonrpc.writeLine(new JSONObject()
                 .put("jsonrpc", "2.0")
                 .put("id", id)
                 .put("method", kind)
@@ -72,47 +74,47 @@
                 .toString());
     }
 
-    /** Reads the answers to all that was asked since: by body, what became of it over JSON-RPC. */
-    Map<String, String> overJsonRpc() throws IOException {
+    /** Reads the JSON-RPC answers to all requests since {@link #clearRequests}; returns the outcomes by body. */
+    Map<String, String> readJsonRpcOutcomes() throws IOException {
         Map<String, String> outcomes = new TreeMap<>();
-        for (int left = asked.size(); left > 0; left--) {
-            JSONObject answer = new JSONObject(jsonrpc.line());
+        for (int remaining = requestBodies.size(); remaining > 0; remaining--) {
+            JSONObject answer = new JSONObject(jsonrpc.readLine());
             if (answer.optString("method").equals("lastCall")) {
-                answer = new JSONObject(jsonrpc.line());
+                answer = new JSONObject(jsonrpc.readLine());
             }
             JSONObject error = answer.optJSONObject("error");
             String outcome = error == null
                     ? "served "
-                            + StandInKernel.decode(
+                            + SimulatedKernel.decode(
                                     answer.getJSONObject("result").getString("blob"))
                     : CODES.get(error.getInt("code"));
-            outcomes.put(idNames.get(answer.get("id").toString()), outcome);
+            outcomes.put(bodiesById.get(answer.get("id").toString()), outcome);
         }
         return outcomes;
     }
 
-    /** The same over uwsgi, whose responses come in the order of the requests. */
-    Map<String, String> overUwsgi() throws IOException {
+    /** Reads the uwsgi responses, which have the order of the requests; returns the outcomes by body. */
+    Map<String, String> readUwsgiOutcomes() throws IOException {
         Map<String, String> outcomes = new TreeMap<>();
-        for (String body : asked) {
-            int status = Integer.parseInt(uwsgi.line().split(" ")[1]);
+        for (String body : requestBodies) {
+            int status = Integer.parseInt(uwsgi.readLine().split(" ")[1]);
             int length = 0;
-            boolean later = false;
-            for (String header = uwsgi.line(); !header.isEmpty(); header = uwsgi.line()) {
-                later |= header.startsWith("Retry-After: ");
+            boolean hasRetryAfter = false;
+            for (String header = uwsgi.readLine(); !header.isEmpty(); header = uwsgi.readLine()) {
+                hasRetryAfter |= header.startsWith("Retry-After: ");
                 if (header.startsWith("Content-Length: ")) {
                     length = Integer.parseInt(header.substring(16));
                 }
             }
-            String text = new String(uwsgi.bytes(length), StandardCharsets.UTF_8);
+            String text = new String(uwsgi.readBytes(length), StandardCharsets.UTF_8);
             String outcome = STATUSES.get(status) + (status == 200 ? " " + text : "");
-            outcomes.put(body, later == (status == 503) ? outcome : "wrong Retry-After with " + outcome);
+            outcomes.put(body, hasRetryAfter == (status == 503) ? outcome : "wrong Retry-After with " + outcome);
         }
         return outcomes;
     }
 
-    void forget() {
-        asked.clear();
+    void clearRequests() {
+        requestBodies.clear();
     }
 
     @Override
--- a/server/src/test/java/wheatspread/daemon/StartTest.java
+++ b/server/src/test/java/wheatspread/daemon/StartTest.java
@@ -26,7 +26,7 @@
 import wheatspread.lifecycle.Lifecycle.Phase;
 import wheatspread.logging.EventLog;
 
-/** How a process starts, is found by its supervisor, and ends where it cannot start. */
+/** Tests the start of a process, its marker files, and its exit if it cannot start. */
 @Timeout(30)
 class StartTest {
     @TempDir
@@ -44,16 +44,18 @@
                 EventLog.lines(logged::add));
     }
 
-    private static void await(BooleanSupplier what) {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(15);
-        while (!what.getAsBoolean()) {
-            assertThat(System.nanoTime()).as("it never came").isLessThan(until);
+    private static void await(BooleanSupplier condition) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(15);
+        while (!condition.getAsBoolean()) {
+            assertThat(System.nanoTime())
+                    .as("condition did not hold within 15 s")
+                    .isLessThan(deadlineNanos);
             Thread.onSpinWait();
         }
     }
 
     @Test
-    void addressInUseEndsTheStartAndIsNamed() throws Exception {
+    void startFailsWithTheAddressThatIsInUse() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             String address = "127.0.0.1:" + taken.getLocalPort();
             Server server = server(address, LifeConfig.DEFAULT);
@@ -66,7 +68,7 @@
     }
 
     @Test
-    void drainSignalBeforeTheListenersAreBoundEndsTheStart() throws Exception {
+    void drainSignalBeforeBindingEndsTheStart() throws Exception {
         Server server = server("127.0.0.1:0", LifeConfig.DEFAULT);
         server.signal(Event.RELOAD);
         server.signal(Event.DRAIN);
@@ -75,13 +77,13 @@
         assertThat(server.start()).isFalse();
         assertThat(server.awaitStopped()).isZero();
         Server other = server("127.0.0.1:0", LifeConfig.DEFAULT);
-        Thread notice = new Thread(() -> {
+        Thread signalThread = new Thread(() -> {
             await(() -> other.phase() == Phase.WARMING_UP);
             other.signal(Event.DRAIN);
         });
-        notice.start();
+        signalThread.start();
         other.warmUp();
-        notice.join();
+        signalThread.join();
         await(() -> other.phase() == Phase.STOPPED);
         assertThat(other.start()).isFalse();
         assertThat(other.awaitStopped()).isZero();
@@ -89,18 +91,18 @@
     }
 
     /**
-     * SIGHUP with a kernel that has moved comes before the link is to be opened. A link opened then would
-     * tell that the kernel is up while the process warms up, and nobody would hear it a second time.
+     * Guards against a reload that opens the kernel link during the warm-up. The link would then report the boot of the
+     * kernel before the server handles that event, and the report is not repeated.
      */
     @Test
-    void kernelThatMovesDuringTheWarmUpIsReachedAtItsNewAddress() throws Exception {
-        try (ServerSocket moved = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            moved.setSoTimeout(10_000);
+    void connectsToKernelAddressReloadedDuringWarmUp() throws Exception {
+        try (ServerSocket kernels = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+            kernels.setSoTimeout(10_000);
             JSONObject json = new JSONObject(Files.readString(Path.of("src/test/resources/config.json")))
                     .put("listen", "127.0.0.1:0")
-                    .put("kernel", "127.0.0.1:" + moved.getLocalPort());
+                    .put("kernel", "127.0.0.1:" + kernels.getLocalPort());
             Server server = server("127.0.0.1:0", LifeConfig.DEFAULT);
-            Thread kernel = new Thread(() -> bootEveryLink(moved), "kernel");
+            Thread kernel = new Thread(() -> bootEveryLink(kernels), "kernel");
             kernel.setDaemon(true);
             kernel.start();
             Thread hangup = new Thread(() -> {
@@ -122,8 +124,8 @@
         try {
             while (true) {
                 TestConnection link = new TestConnection(kernels.accept());
-                link.line();
-                link.line("{\"type\":\"BOOTED\",\"state\":\"WARM\",\"took\":5}");
+                link.readLine();
+                link.writeLine("{\"type\":\"BOOTED\",\"state\":\"WARM\",\"took\":5}");
             }
         } catch (IOException e) {
             // the test has ended
@@ -131,7 +133,7 @@
     }
 
     @Test
-    void oneProcessHoldsTheLockAndReadyFileFollowsItsService() throws Exception {
+    void onlyOneProcessTakesTheLockAndReadyFileExistsWhileServing() throws Exception {
         Path lock = dir.resolve("lock");
         Path ready = Files.writeString(dir.resolve("ready"), "of one that was killed");
         Path report = dir.resolve("report");
@@ -142,8 +144,8 @@
                 .toString();
         try (ServerFixture fixture = new ServerFixture(operatorOverrides, "nio");
                 TestConnection kernel = new TestConnection(fixture.kernels.accept())) {
-            kernel.line();
-            kernel.line("{\"type\":\"BOOTED\",\"state\":\"WARM\",\"took\":10}");
+            kernel.readLine();
+            kernel.writeLine("{\"type\":\"BOOTED\",\"state\":\"WARM\",\"took\":10}");
             await(() -> fixture.logged.stream().anyMatch(line -> line.contains("to=SERVING")));
             await(() -> read(ready).contains("\"name\":\"w1\""));
             fixture.server.drain();
@@ -169,7 +171,7 @@
         try {
             return Files.exists(file) ? Files.readString(file) : "";
         } catch (IOException e) {
-            return ""; // it is being replaced
+            return ""; // the file is being replaced
         }
     }
 }
--- a/server/src/test/java/wheatspread/daemon/TestConnection.java
+++ b/server/src/test/java/wheatspread/daemon/TestConnection.java
@@ -9,9 +9,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** One end of a real connection to the program, read and written byte for byte. */
+/** The client end of a real connection to the server, with blocking reads and writes. */
 final class TestConnection implements Closeable {
-    /** A program that stays silent fails a test rather than hang it. */
+    /** The read timeout: a server that does not answer fails the test instead of blocking it. */
     private static final int TIMEOUT_MILLIS = 10_000;
 
     private final Socket socket;
@@ -24,7 +24,7 @@
         in = socket.getInputStream();
     }
 
-    static TestConnection to(InetSocketAddress address) throws IOException {
+    static TestConnection connect(InetSocketAddress address) throws IOException {
         return new TestConnection(new Socket(address.getAddress(), address.getPort()));
     }
 
@@ -33,12 +33,12 @@
         socket.getOutputStream().flush();
     }
 
-    void line(String text) throws IOException {
+    void writeLine(String text) throws IOException {
         write((text + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
-    /** The next line without its end; null at the end of the stream. */
-    String line() throws IOException {
+    /** Returns the next line without its terminator; null at the end of the stream. */
+    String readLine() throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int c = in.read(); c != '\n'; c = in.read()) {
             if (c < 0) {
@@ -49,7 +49,7 @@
         return line.toString(StandardCharsets.UTF_8).replaceAll("\r$", "");
     }
 
-    byte[] bytes(int count) throws IOException {
+    byte[] readBytes(int count) throws IOException {
         byte[] bytes = in.readNBytes(count);
         return bytes.length == count ? bytes : Arrays.copyOf(bytes, bytes.length);
     }
