--- a/server/src/main/java/wheatspread/daemon/GracefulShutdown.java
+++ b/server/src/main/java/wheatspread/daemon/GracefulShutdown.java
@@ -32,7 +32,7 @@
     private final Consumer<Event> drainEnded;
     private DrainDeadlines deadlines;
     private RequestCounters countersAtSignal;
-    private Core.InFlightCounts openAtSignal;
+    private Core.InFlightCounts inFlightAtSignal;
 
     /**
      * Creates a shutdown that has not begun.
@@ -60,7 +60,7 @@
     /** Starts the drain. {@link DrainDeadlines} describes the parameters. */
     void begin(long signalledAtMicros, long stopTimeoutMicros, long graceMicros, boolean listed) {
         countersAtSignal = core.countersSnapshot();
-        openAtSignal = core.inFlight();
+        inFlightAtSignal = core.inFlight();
         deadlines = new DrainDeadlines(signalledAtMicros, stopTimeoutMicros, graceMicros, listed);
         core.drain(signalledAtMicros, stopTimeoutMicros);
         listeners.forEach(Listener::notifyDraining);
@@ -107,19 +107,19 @@
                 "took_ms",
                 deadlines.elapsedMicros(clock.nowMicros()) / MICROS_PER_MILLI,
                 "held",
-                openAtSignal.queued(),
+                inFlightAtSignal.queued(),
                 "running",
-                openAtSignal.running(),
+                inFlightAtSignal.running(),
                 "paused",
-                openAtSignal.suspended(),
+                inFlightAtSignal.suspended(),
                 "calling",
-                openAtSignal.awaitingDependency(),
+                inFlightAtSignal.awaitingDependency(),
                 "joined",
-                openAtSignal.joined()));
+                inFlightAtSignal.joined()));
         fields.addAll(List.of(core.counters().logFieldsSince(countersAtSignal)));
         fields.addAll(List.of("unanswered", core.unansweredCount()));
         log.info("drained", fields.toArray());
-        markerFiles.report(new JSONObject(EventLog.map(fields.toArray())));
+        markerFiles.writeReport(new JSONObject(EventLog.map(fields.toArray())));
     }
 
     /**
--- a/server/src/main/java/wheatspread/daemon/ProcessMarkerFiles.java
+++ b/server/src/main/java/wheatspread/daemon/ProcessMarkerFiles.java
@@ -114,7 +114,7 @@
     }
 
     /** Writes the ready file; {@code readyAtMillis} is the Unix time at which the process began to serve. */
-    void ready(String name, List<InetSocketAddress> boundAddresses, long readyAtMillis) {
+    void writeReadyFile(String name, List<InetSocketAddress> boundAddresses, long readyAtMillis) {
         List<String> listen = boundAddresses.stream()
                 .map(address -> address.getHostString() + ":" + address.getPort())
                 .toList();
@@ -128,7 +128,7 @@
     }
 
     /** Removes the ready file, if one is configured. */
-    void notReady() {
+    void removeReadyFile() {
         if (files.readyFile() != null) {
             writer.execute(() -> {
                 try {
@@ -141,7 +141,7 @@
     }
 
     /** Writes the report of the drain, if a report file is configured. */
-    void report(JSONObject report) {
+    void writeReport(JSONObject report) {
         write(files.reportFile(), report);
     }
 
--- a/server/src/main/java/wheatspread/daemon/ReloadApplier.java
+++ b/server/src/main/java/wheatspread/daemon/ReloadApplier.java
@@ -12,8 +12,8 @@
 
 /**
  * Applies a new configuration to a running server. A reload adds request classes and changes the addresses of the
- * kernel, the records service and the announce service. The settings of a request class that is already known do not
- * change. All other settings, including the tenants, take effect at the next start.
+ * kernel, the records service and the announce service. A request class that is already known keeps its settings. All
+ * other settings, including the tenants, take effect at the next start.
  */
 final class ReloadApplier {
     private final ServerConfig startConfig;
--- a/server/src/main/java/wheatspread/daemon/Server.java
+++ b/server/src/main/java/wheatspread/daemon/Server.java
@@ -53,7 +53,7 @@
         this.log = log;
         components = new ServerFactory(config, operator, newClock, lifecycle, this::handle, log).create();
         eventLoop = components.eventLoop();
-        eventLoop.whenEnded(stopped::countDown); // otherwise awaitStopped would block forever
+        eventLoop.onTermination(stopped::countDown); // otherwise the process would neither serve nor exit
         shutdown = new ShutdownSequence(config, components, lifecycle);
     }
 
@@ -169,7 +169,7 @@
     public void signal(Event signal) {
         long signalledAtMicros = eventLoop.clock().nowMicros();
         eventLoop.execute(() -> {
-            shutdown.signalled(signalledAtMicros);
+            shutdown.recordSignalTime(signalledAtMicros);
             handle(signal);
         });
     }
@@ -180,7 +180,7 @@
     }
 
     /** Returns the request counters since the start of the process. */
-    RequestCounters counts() {
+    RequestCounters requestCounters() {
         return components.core().counters();
     }
 
@@ -236,6 +236,6 @@
     private void beginService() {
         components.listeners().acceptInherited();
         long readyAtMillis = eventLoop.clock().nowMicros() / MICROS_PER_MILLI;
-        components.markerFiles().ready(config.name(), boundAddresses(), readyAtMillis);
+        components.markerFiles().writeReadyFile(config.name(), boundAddresses(), readyAtMillis);
     }
 }
--- a/server/src/main/java/wheatspread/daemon/ServerEventLoop.java
+++ b/server/src/main/java/wheatspread/daemon/ServerEventLoop.java
@@ -74,7 +74,7 @@
     }
 
     /** Runs {@code task} when the event loop has terminated, for any reason. */
-    void whenEnded(Runnable task) {
+    void onTermination(Runnable task) {
         group.terminationFuture().addListener(ended -> task.run());
     }
 
--- a/server/src/main/java/wheatspread/daemon/ShutdownSequence.java
+++ b/server/src/main/java/wheatspread/daemon/ShutdownSequence.java
@@ -39,7 +39,7 @@
     }
 
     /** Records the time of a drain signal; only the first signal counts. */
-    void signalled(long receivedAtMicros) {
+    void recordSignalTime(long receivedAtMicros) {
         if (signalledAtMicros == 0) {
             signalledAtMicros = receivedAtMicros;
         }
@@ -47,8 +47,8 @@
 
     /** Starts the drain, after a signal or because the kernel was not ready in time. */
     void beginDrain() {
-        signalled(components.eventLoop().clock().nowMicros());
-        components.markerFiles().notReady();
+        recordSignalTime(components.eventLoop().clock().nowMicros());
+        components.markerFiles().removeReadyFile();
         long graceMicros = config.site().settings().limits().drainGraceMicros();
         components
                 .shutdown()
--- a/server/src/main/java/wheatspread/daemon/WarmUp.java
+++ b/server/src/main/java/wheatspread/daemon/WarmUp.java
@@ -58,7 +58,7 @@
     private final Deque<Runnable> readyTasks = new ArrayDeque<>();
     private long nowMicros = 1_000_000_000;
     private long lastTimerNumber;
-    private long lastNotice;
+    private long lastNoticeNumber;
 
     WarmUp(DeploymentSettings deployment) {
         this.deployment = deployment;
@@ -181,7 +181,7 @@
                 .callsDependency();
         schedule(STEP_MICROS, () -> {
             if (callsDependency) {
-                core.onDependencyCallRequested(job, ++lastNotice, body);
+                core.onDependencyCallRequested(job, ++lastNoticeNumber, body);
             } else {
                 core.onRunEnded(job, End.OK, STEP_MICROS, body);
             }
--- a/server/src/main/java/wheatspread/fleet/FleetController.java
+++ b/server/src/main/java/wheatspread/fleet/FleetController.java
@@ -233,7 +233,7 @@
     }
 
     private void superviseInstance(FleetInstance instance, long nowMicros) {
-        if (InstanceTimeouts.startUnconfirmed(instance, nowMicros)) {
+        if (InstanceTimeouts.isStartConfirmationOverdue(instance, nowMicros)) {
             giveUpUnconfirmedStart(instance, nowMicros);
             return;
         }
--- a/server/src/main/java/wheatspread/fleet/FleetInstance.java
+++ b/server/src/main/java/wheatspread/fleet/FleetInstance.java
@@ -163,12 +163,12 @@
     }
 
     /** Returns the time since the last answered health check, or since the instance became healthy if that is later. */
-    long silentMicros(long nowMicros) {
+    long sinceLastAnswerMicros(long nowMicros) {
         return nowMicros - Math.max(lastCheckAtMicros, firstHealthyAtMicros);
     }
 
     /** Returns whether the instance has been healthy, so that unanswered health checks indicate a failure. */
-    boolean isChecked() {
+    boolean hasBeenHealthy() {
         return state == State.HEALTHY || state == State.UNHEALTHY;
     }
 
--- a/server/src/main/java/wheatspread/fleet/InstanceTable.java
+++ b/server/src/main/java/wheatspread/fleet/InstanceTable.java
@@ -53,7 +53,7 @@
 
     /** Returns whether the last answer of an instance to a health check is too old to be relied on. */
     public boolean isStale(FleetInstance instance, long nowMicros) {
-        return instance.isChecked() && instance.silentMicros(nowMicros) > staleAfterMicros;
+        return instance.hasBeenHealthy() && instance.sinceLastAnswerMicros(nowMicros) > staleAfterMicros;
     }
 
     /** Returns whether an instance accepts requests according to a recent health check. */
--- a/server/src/main/java/wheatspread/fleet/InstanceTimeouts.java
+++ b/server/src/main/java/wheatspread/fleet/InstanceTimeouts.java
@@ -9,7 +9,7 @@
     }
 
     /** Returns whether the process of an unconfirmed start has failed to take its lock in time. */
-    static boolean startUnconfirmed(FleetInstance instance, long nowMicros) {
+    static boolean isStartConfirmationOverdue(FleetInstance instance, long nowMicros) {
         return instance.startUnconfirmedUntilMicros > 0 && nowMicros >= instance.startUnconfirmedUntilMicros;
     }
 
@@ -32,6 +32,6 @@
 
     private boolean isUnresponsive(FleetInstance instance, long nowMicros) {
         return plan.unresponsiveTimeoutMicros() > 0
-                && instance.silentMicros(nowMicros) > plan.unresponsiveTimeoutMicros();
+                && instance.sinceLastAnswerMicros(nowMicros) > plan.unresponsiveTimeoutMicros();
     }
 }
--- a/server/src/main/java/wheatspread/fleet/Rollout.java
+++ b/server/src/main/java/wheatspread/fleet/Rollout.java
@@ -188,7 +188,7 @@
         reason = instance.name + ": generation " + instance.generation + " of build " + toBuild + " " + description;
         if (policy.automaticRollback()) {
             status = RolloutStatus.ROLLING_BACK;
-            steps.replaceAll((name, step) -> step.whenRollingBack());
+            steps.replaceAll((name, step) -> step.stepInRollback());
         } else {
             end(RolloutStatus.STOPPED, nowMicros);
         }
@@ -269,7 +269,7 @@
         }
         return switch (step) {
             case PENDING -> keptOldBuild(instance) ? RolloutStep.DONE : step;
-            case STARTING -> instance.state == State.HEALTHY ? whenHealthy() : step;
+            case STARTING -> instance.state == State.HEALTHY ? stepAfterStarting() : step;
             case VERIFYING -> verification.isVerified(instance, nowMicros) ? RolloutStep.DONE : step;
             default -> step;
         };
@@ -283,7 +283,7 @@
     }
 
     /** Returns the step after {@code STARTING}; the old build needs no verification. */
-    private RolloutStep whenHealthy() {
+    private RolloutStep stepAfterStarting() {
         return status == RolloutStatus.ROLLING_BACK ? RolloutStep.DONE : RolloutStep.VERIFYING;
     }
 
--- a/server/src/main/java/wheatspread/fleet/RolloutStep.java
+++ b/server/src/main/java/wheatspread/fleet/RolloutStep.java
@@ -44,7 +44,7 @@
     }
 
     /** Returns the step at the start of a rollback; stopped and draining instances keep their step. */
-    RolloutStep whenRollingBack() {
+    RolloutStep stepInRollback() {
         return switch (this) {
             case PENDING -> DONE;
             case STOPPED, DRAINING -> this;
--- a/server/src/main/java/wheatspread/supervisor/LocalHost.java
+++ b/server/src/main/java/wheatspread/supervisor/LocalHost.java
@@ -163,7 +163,7 @@
     @Override
     public void watchProcess(String name, long pid) {
         Process child = children.get(name);
-        if (child == null || child.pid() != pid) { // a child's exit code is known
+        if (child == null || child.pid() != pid) { // a child has an exit code and must be waited for
             ProcessHandle.of(pid).ifPresent(process -> adopted.put(name, process));
         }
     }
--- a/server/src/test/java/wheatspread/daemon/BothFrontsTest.java
+++ b/server/src/test/java/wheatspread/daemon/BothFrontsTest.java
@@ -73,7 +73,7 @@
             assertThat(kernel.runs).doesNotContain("ok-9").contains("hang-8");
             // per front: 4 served (ok-1, call-3, ok-4 twice), 4 failed (error-2, other-4, hang-7, hang-8), and ok-9
             // refused
-            assertThat(fixture.server.counts().toString())
+            assertThat(fixture.server.requestCounters().toString())
                     .startsWith("read 18, served 8, refused 2, failed 8")
                     .contains("gone 0, runs 10, joins 4");
         }
--- a/server/src/test/java/wheatspread/daemon/CloseRaceTest.java
+++ b/server/src/test/java/wheatspread/daemon/CloseRaceTest.java
@@ -119,7 +119,8 @@
                     .as("%d of %d answered", answered, count)
                     .isLessThan(deadlineNanos);
             currentFixture.clock().advance(0);
-            Matcher counters = answers.matcher(currentFixture.server.counts().toString());
+            Matcher counters =
+                    answers.matcher(currentFixture.server.requestCounters().toString());
             assertThat(counters.find()).isTrue();
             answered = IntStream.rangeClosed(1, 3)
                     .map(i -> Integer.parseInt(counters.group(i)))
@@ -357,7 +358,7 @@
                 records.write((job + " DONE 2\r\nok\r\n").getBytes(StandardCharsets.US_ASCII));
                 assertThat(outcomes(List.of(otherClient.readLine()))).containsExactly("1 served");
             }
-            assertThat(fixture.server.counts().toString()).contains("gone 1,");
+            assertThat(fixture.server.requestCounters().toString()).contains("gone 1,");
         }
     }
 }
--- a/server/src/test/java/wheatspread/daemon/ServerFixture.java
+++ b/server/src/test/java/wheatspread/daemon/ServerFixture.java
@@ -63,7 +63,7 @@
         uwsgi = server.boundAddresses().get(0);
         jsonrpc = server.boundAddresses().get(1);
         healthCheckConnection = TestConnection.connect(jsonrpc);
-        clock.setRoundTrip(this::roundTrip);
+        clock.setRoundTrip(this::checkHealth);
     }
 
     private JSONObject configuration() throws IOException {
@@ -118,7 +118,7 @@
                 return;
             }
         }
-        throw new AssertionError("expected a log line with \"" + text + "\", found none within 10 s");
+        throw new AssertionError("expected a log line with \"" + text + "\", found none; no further line within 10 s");
     }
 
     boolean isClosed() {
@@ -126,7 +126,7 @@
     }
 
     /** Sends a health check on a separate connection, and waits for its answer. */
-    private void roundTrip() {
+    private void checkHealth() {
         try {
             healthCheckConnection.writeLine("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}");
             String line = healthCheckConnection.readLine();
--- a/server/src/test/java/wheatspread/supervisor/SimulatedHost.java
+++ b/server/src/test/java/wheatspread/supervisor/SimulatedHost.java
@@ -80,13 +80,14 @@
     /** Whether all health checks remain unanswered. */
     boolean checksUnanswered;
 
-    private void step() {
+    /** Counts a step of the supervisor, and crashes the supervisor at {@link #crashAtStep}. */
+    private void countStep() {
         if (steps++ == crashAtStep) {
             throw new SupervisorCrash();
         }
     }
 
-    /** Advances the clock, and ends the processes whose exit time has come. */
+    /** Advances the clock, and ends the processes whose exit time has passed. */
     void advance(long micros) {
         nowMicros += micros;
         for (SimulatedProcess process : processes.values()) {
@@ -127,14 +128,14 @@
 
     @Override
     public void saveState(FleetState state) {
-        step();
+        countStep();
         savedState = StateFile.fromJson(StateFile.toJson(state)); // as if read back from the file
-        step();
+        countStep();
     }
 
     @Override
     public long startProcess(String name, String build, int generation) {
-        step();
+        countStep();
         SimulatedProcess previous = processes.get(name);
         if (previous != null && previous.running && lockHolder(name) != null) {
             violations.add(name + " was started while its previous process holds the lock");
@@ -156,27 +157,27 @@
         SimulatedProcess process = new SimulatedProcess(++lastPid, build, generation, nowMicros, builds.get(build));
         processes.put(name, process);
         watched.put(name, true);
-        step();
+        countStep();
         return process.pid;
     }
 
     @Override
     public void sendSigterm(String name, long pid) {
-        step();
+        countStep();
         SimulatedProcess process = processes.get(name);
         if (process.pid == pid && !process.behaviour.ignoresSigterm && process.drainedAtMicros == Long.MAX_VALUE) {
             process.drainedAtMicros = nowMicros + 2_700 * MICROS_PER_MILLI;
         }
-        step();
+        countStep();
     }
 
     @Override
     public void sendSigkill(String name, long pid) {
-        step();
+        countStep();
         if (processes.get(name).pid == pid) {
             crash(name);
         }
-        step();
+        countStep();
     }
 
     @Override
--- a/server/src/test/java/wheatspread/supervisor/SupervisorTest.java
+++ b/server/src/test/java/wheatspread/supervisor/SupervisorTest.java
@@ -81,8 +81,8 @@
     }
 
     /** Runs turns until a condition holds or a time has passed; a crashed supervisor is restarted after 0.4 s. */
-    private void runTurns(long maxMicros, java.util.function.BooleanSupplier until) {
-        for (long endMicros = host.nowMicros + maxMicros; host.nowMicros < endMicros && !until.getAsBoolean(); ) {
+    private void runTurns(long maxMicros, java.util.function.BooleanSupplier condition) {
+        for (long endMicros = host.nowMicros + maxMicros; host.nowMicros < endMicros && !condition.getAsBoolean(); ) {
             try {
                 supervisor.runTurn(host.nowMicros);
             } catch (SimulatedHost.SupervisorCrash crash) {
