--- a/server/src/main/java/wheatspread/admission/sfq/ArrivalPolicy.java
+++ b/server/src/main/java/wheatspread/admission/sfq/ArrivalPolicy.java
@@ -3,8 +3,9 @@
 import wheatspread.admission.AdmissionController.Actions;
 
 /**
- * What is admitted: a repeat joins the request that it repeats; a request that was written after the drain grace, that
- * can earn nothing any more, or whose idempotency key finds no room is rejected; every other one is held.
+ * Decides whether an arrival is admitted. A duplicate joins the request that it repeats. A request is rejected if it
+ * arrived after the drain grace time, if its answer would have no value any more, or if its idempotency key does not
+ * fit in memory. Every other request is held.
  */
 final class ArrivalPolicy {
     private final DecisionClock clock;
@@ -35,7 +36,7 @@
     void admit(TrackedRequest tracked, Actions actions) {
         if (duplicates.isDuplicate(tracked)) {
             duplicates.join(tracked, actions);
-        } else if (drain.isPastGrace(tracked.arrivalMicros) || tracked.isWorthless(clock.nowMicros())) {
+        } else if (drain.isPastGrace(tracked.arrivalMicros) || tracked.isAnswerUseless(clock.nowMicros())) {
             shedder.reject(tracked, true, actions);
         } else if (!keyRetention.retainOnArrival(tracked, actions)) {
             shedder.reject(tracked, false, actions);
--- a/server/src/main/java/wheatspread/admission/sfq/ArrivalRate.java
+++ b/server/src/main/java/wheatspread/admission/sfq/ArrivalRate.java
@@ -1,8 +1,8 @@
 package wheatspread.admission.sfq;
 
-/** The smoothed number of arrivals per tick. */
+/** The exponentially smoothed number of arrivals per tick. */
 final class ArrivalRate {
-    /** Least share of the distance to the last tick's count that the mean moves: it averages some seconds. */
+    /** Minimum smoothing gain per tick; the mean covers some seconds. */
     private static final double MIN_GAIN = 0.01;
 
     private int arrivalsSinceTick;
--- a/server/src/main/java/wheatspread/admission/sfq/BatchArrivals.java
+++ b/server/src/main/java/wheatspread/admission/sfq/BatchArrivals.java
@@ -5,8 +5,8 @@
 import wheatspread.admission.AdmissionController.Actions;
 
 /**
- * The requests of a batch that wait for their first decision, in the order of their events: arrivals, and suspended
- * runs whose answer is outstanding. A wakeup is set where a request has to be answered before the next tick.
+ * The requests of a batch that await their first decision, in the order of their events: arrivals, and suspended runs
+ * whose request is unanswered. Schedules a wakeup if a request must be answered before the next tick.
  */
 final class BatchArrivals {
     private final ReloadableSettings settings;
--- a/server/src/main/java/wheatspread/admission/sfq/ClientWaitEstimator.java
+++ b/server/src/main/java/wheatspread/admission/sfq/ClientWaitEstimator.java
@@ -5,22 +5,23 @@
 import wheatspread.admission.RequestClass;
 
 /**
- * How long the client of a marked retry has waited for earlier attempts, so that its latency objective counts from
- * the first one: runs for clients whose objective has passed feed retry storms. First attempts of a class are taken
- * to get one timeout, as a share of the class's deadline. A retry with more time left than that, or any retry where
- * first attempts get the whole deadline, shows the wait; other retries get the mean of the waits seen. Clients that
- * repeat quickly may be taken to have waited longer than they did.
+ * Estimates how long the client of a marked retry has waited for its earlier attempts, so that the latency objective
+ * counts from the first attempt. Running requests whose client's objective has already passed would feed retry storms.
+ *
+ * The estimator assumes that all first attempts of a class have the same timeout, as a share of the class's deadline.
+ * The wait of a retry is known if the retry has more time left than that, or if first attempts get the whole deadline.
+ * Every other retry gets the mean of the known waits. The wait of clients that retry quickly may be overestimated.
  */
 final class ClientWaitEstimator {
-    /** The wait of a retry without a timeout, as a share of its class's latency objective. */
+    /** Wait assumed for a retry without a timeout, as a share of its class's latency objective. */
     private static final double DEFAULT_WAIT_SHARE = 0.7;
-    /** Shares of a deadline that differ by less count as equal. */
+    /** Difference below which two shares of a deadline count as equal. */
     private static final double SHARE_TOLERANCE = 0.02;
 
     private final ReloadableSettings settings;
-    /** By class: the largest timeout of first attempts, as a share of the deadline. */
+    /** Maximum timeout of first attempts, as a share of the deadline, by request class. */
     private double[] maxFirstTimeoutShare;
-    /** By class: the mean timeout of first attempts, as a share of the deadline. */
+    /** Mean timeout of first attempts, as a share of the deadline, by request class. */
     private double[] meanFirstTimeoutShare;
 
     private double meanWaitMicros;
@@ -31,13 +32,16 @@
         meanFirstTimeoutShare = new double[settings.classCount()];
     }
 
-    /** Makes room for classes that a reload added. */
+    /** Extends the per-class estimates after a reload has added request classes. */
     void resizeClasses(int classCount) {
         maxFirstTimeoutShare = Arrays.copyOf(maxFirstTimeoutShare, classCount);
         meanFirstTimeoutShare = Arrays.copyOf(meanFirstTimeoutShare, classCount);
     }
 
-    /** Learns from an arrival and returns how long its client waited before; 0 for a first attempt. */
+    /**
+     * Updates the estimates with an arrival and returns how long its client has waited for earlier attempts, in
+     * microseconds; 0 for a first attempt.
+     */
     long recordArrival(AdmissionRequest request, RequestClass requestClass) {
         if (request.timeoutMicros() <= 0 && request.retry()) {
             return (long) (DEFAULT_WAIT_SHARE * requestClass.latencyObjectiveMicros());
--- a/server/src/main/java/wheatspread/admission/sfq/ConcurrencyLimit.java
+++ b/server/src/main/java/wheatspread/admission/sfq/ConcurrencyLimit.java
@@ -3,22 +3,23 @@
 import wheatspread.admission.LoadGauges;
 
 /**
- * D of SFQ(D): how many requests run at once. D starts at the core count, grows by one a tick while requests are held,
- * D is used up and cores idle, and shrinks by one for every {@value #CROWDED_TICKS} ticks in a row with a crowded run
- * queue. It stays at or above the core count and under a share of the requests that the server survives; with stuck
- * gauges it is the core count. Requests at dependency calls do not count against D, but all started requests stay
- * under a bound of their own, since all calls may return at once.
+ * The concurrency limit D of SFQ(D): the number of requests that may run at the same time. D starts at the core count.
+ * It grows by one per tick while requests are held, all D slots are used and cores are idle. It shrinks by one after
+ * every {@value #CROWDED_TICKS} consecutive ticks with a crowded run queue. It never falls below the core count, nor
+ * rises above a share of the requests that the server can run without overload. When the gauges are stuck, D is the
+ * core count. Requests that wait for a dependency call do not count against D, but the number of all started requests
+ * has a separate bound, since all calls may return at the same time.
  */
 final class ConcurrencyLimit {
-    /** Core utilization, as a share, under which cores count as idle; the gauge averages half a second. */
+    /** Core utilization, as a share, below which cores count as idle; the gauge averages half a second. */
     private static final double IDLE_UTILIZATION = 0.92;
     /** Runnable tasks per core above which the run queue counts as crowded. */
     private static final double CROWDED_TASKS_PER_CORE = 1.4;
-    /** Crowded ticks in a row until D shrinks by one: the hysteresis. */
+    /** Consecutive crowded ticks after which D shrinks by one; provides hysteresis. */
     private static final int CROWDED_TICKS = 3;
-    /** Ceiling of D, as a share of the requests that the server survives. */
+    /** Upper bound on D, as a share of the requests that the server can run without overload. */
     private static final double MAX_RUNNING_SHARE = 0.6;
-    /** Ceiling of all started requests, as a share of the requests that the server survives. */
+    /** Upper bound on all started requests, as a share of the requests that the server can run without overload. */
     private static final double MAX_STARTED_SHARE = 0.85;
 
     private final ReloadableSettings settings;
@@ -36,18 +37,18 @@
         depth = settings.cores();
     }
 
-    /** D, in requests. */
+    /** Returns D, in requests. */
     int depth() {
         return depth;
     }
 
-    /** Whether one more request may be started. */
+    /** Returns whether one more request may be started. */
     boolean hasFreeSlot() {
         return inFlight.running() < depth
-                && inFlight.started() < (int) (MAX_STARTED_SHARE * slowStart.survivableRequests());
+                && inFlight.started() < (int) (MAX_STARTED_SHARE * slowStart.sustainableRequests());
     }
 
-    /** Adapts D to the gauges, once a tick. */
+    /** Adapts D to the gauges; called once per tick. */
     void update() {
         LoadGauges reading = gauges.check(inFlight.started() > 0);
         if (reading != null) {
@@ -55,7 +56,7 @@
         } else if (gauges.isStuck()) {
             depth = settings.cores();
         }
-        int ceiling = (int) (MAX_RUNNING_SHARE * slowStart.survivableRequests());
+        int ceiling = (int) (MAX_RUNNING_SHARE * slowStart.sustainableRequests());
         depth = Math.max(settings.cores(), Math.min(depth, ceiling));
     }
 
@@ -71,8 +72,8 @@
     }
 
     private boolean canGrow(double tasksPerCore, double coreUtilization) {
-        boolean wanted = inFlight.held() > 0 && inFlight.running() >= depth;
+        boolean needed = inFlight.held() > 0 && inFlight.running() >= depth;
         boolean coresIdle = tasksPerCore < 1 || coreUtilization < IDLE_UTILIZATION;
-        return wanted && tasksPerCore < CROWDED_TASKS_PER_CORE && coresIdle;
+        return needed && tasksPerCore < CROWDED_TASKS_PER_CORE && coresIdle;
     }
 }
--- a/server/src/main/java/wheatspread/admission/sfq/DecisionClock.java
+++ b/server/src/main/java/wheatspread/admission/sfq/DecisionClock.java
@@ -1,12 +1,12 @@
 package wheatspread.admission.sfq;
 
 /**
- * The time of the current batch, and the ticks at which slow-changing state is updated. A batch that comes more than
- * one tick late shows that the process stood still; requests that arrive in a clump then do not count that time as
- * load.
+ * The time of the current batch, and the ticks at which slowly changing state is updated. A batch that begins more than
+ * one tick late shows that the process was stalled; the ages of requests that arrive after the stall then exclude the
+ * stall time, so that it does not count as load.
  */
 final class DecisionClock {
-    /** Time between ticks: short beside latency objectives, long beside the cost of a timer. */
+    /** Time between ticks: short compared with latency objectives, long compared with the cost of a timer. */
     static final long TICK_MICROS = 50_000;
 
     private long nowMicros;
@@ -30,7 +30,7 @@
         return nowMicros;
     }
 
-    /** Time of the first batch. */
+    /** Returns the time of the first batch. */
     long startedMicros() {
         return startedMicros;
     }
@@ -51,7 +51,7 @@
         nextTickMicros = nowMicros + TICK_MICROS;
     }
 
-    /** The part of an arrival's age that was not spent while the process stood still. */
+    /** Returns the part of an arrival's age that was not spent while the process was stalled. */
     long ageWithoutStallMicros(long ageMicros) {
         return nowMicros <= stallEndMicros ? Math.max(0, ageMicros - stallMicros) : ageMicros;
     }
--- a/server/src/main/java/wheatspread/admission/sfq/DependencyCallGate.java
+++ b/server/src/main/java/wheatspread/admission/sfq/DependencyCallGate.java
@@ -6,17 +6,17 @@
 import wheatspread.admission.Outcome;
 
 /**
- * When a run's dependency call is made, skipped or abandoned. Runs that can still meet their objective come first,
- * then the smallest start tag. A call that the class may do without is skipped after a wait; a call that may have
- * taken effect is not repeated unless the request is idempotent.
+ * Decides when the dependency call of a run is made, skipped or abandoned. Runs that can still meet their latency
+ * objective come first, then those with the smallest start tag. A call that is optional for its class is skipped after
+ * a waiting time. A call that may have taken effect is not repeated unless the request is idempotent.
  */
 final class DependencyCallGate {
-    /** Longest wait for the reply to a call that may be skipped, as a share of the class's objective. */
-    private static final double SKIPPABLE_TIMEOUT_SHARE = 0.3;
-    /** Wait to call, as a share of the class's objective, after which a call that may be skipped is. */
-    private static final double SKIP_AFTER_SHARE = 0.1;
-    /** Calls for one request at one point before it is given up; each further one waits a tick more. */
-    private static final int MAX_ATTEMPTS = 5;
+    /** Maximum wait for the reply to an optional call, as a share of the class's latency objective. */
+    private static final double MAX_OPTIONAL_CALL_TIMEOUT_SHARE = 0.3;
+    /** Wait before an optional call is skipped, as a share of the class's latency objective. */
+    private static final double SKIP_DELAY_SHARE = 0.1;
+    /** Maximum number of attempts for one call before it is given up. The backoff grows by one tick per attempt. */
+    private static final int MAX_CALL_ATTEMPTS = 5;
 
     private final ReloadableSettings settings;
     private final DecisionClock clock;
@@ -40,7 +40,7 @@
         this.termination = termination;
     }
 
-    /** A run has reached a point where it needs a call. */
+    /** Marks a run as waiting for a dependency call. */
     void onBlocked(TrackedRequest tracked) {
         tracked.addCoreTime(clock.nowMicros());
         tracked.restartStateTimer(clock.nowMicros());
@@ -48,12 +48,15 @@
         inFlight.transition(tracked, RequestState.AWAITING_CALL);
     }
 
-    /** A suspended run goes on; it may call again. */
+    /** Allows a resumed run to make calls again. */
     void onRunResumed(TrackedRequest tracked) {
         tracked.callExhausted = false;
     }
 
-    /** A call has ended with this outcome. */
+    /**
+     * Handles the end of a call: resumes the run after a success, and otherwise leaves it waiting for another attempt,
+     * a skip or its abandonment.
+     */
     void onCallCompleted(TrackedRequest tracked, Outcome outcome, long elapsedMicros) {
         boolean neverReceived = outcome == Outcome.QUEUE_FULL || outcome == Outcome.CONNECT_ERROR;
         if (neverReceived || outcome == Outcome.TIMED_OUT) {
@@ -67,27 +70,27 @@
             inFlight.transition(tracked, RequestState.RUNNING);
             return;
         }
-        tracked.callExhausted = !tracked.isIdempotent() && !neverReceived || tracked.callAttempts >= MAX_ATTEMPTS;
+        tracked.callExhausted = !tracked.isIdempotent() && !neverReceived || tracked.callAttempts >= MAX_CALL_ATTEMPTS;
         if (outcome == Outcome.TIMED_OUT) {
             limit.onCallLingers();
         }
         inFlight.transition(tracked, RequestState.AWAITING_CALL);
     }
 
-    /** A run has ended before its call did. */
+    /** Accounts for the call of a run that ended before its reply. */
     void onRunEndedDuringCall() {
         limit.onCallLingers();
         limit.onCallEnded();
     }
 
-    /** Makes, skips or abandons the calls that runs wait for. */
+    /** Makes, skips or abandons the calls that runs wait for, in order of priority. */
     void makeCalls(Actions actions) {
         limit.updateMean();
-        for (TrackedRequest tracked : awaitingCallInOrder()) {
-            boolean skippable = isSkippable(tracked);
-            if (!tracked.callExhausted && isBackoffOver(tracked) && limit.hasRoom(skippable)) {
+        for (TrackedRequest tracked : awaitingCallByPriority()) {
+            boolean optional = isCallOptional(tracked);
+            if (!tracked.callExhausted && isBackoffOver(tracked) && limit.hasRoom(optional)) {
                 call(tracked, actions);
-            } else if (skippable && (tracked.callExhausted || hasWaitedToSkip(tracked))) {
+            } else if (optional && (tracked.callExhausted || isSkipDelayOver(tracked))) {
                 skip(tracked, actions);
             } else if (tracked.callExhausted) {
                 termination.abandon(tracked, actions);
@@ -95,25 +98,27 @@
         }
     }
 
-    private List<TrackedRequest> awaitingCallInOrder() {
-        long now = clock.nowMicros();
+    private List<TrackedRequest> awaitingCallByPriority() {
+        long nowMicros = clock.nowMicros();
         List<TrackedRequest> waiting = new ArrayList<>(inFlight.awaitingCall());
         waiting.removeIf(TrackedRequest::isAnswered);
-        waiting.sort((a, b) -> {
-            boolean aLate = a.objectiveMicros < now;
-            boolean bLate = b.objectiveMicros < now;
-            return aLate != bLate ? Boolean.compare(aLate, bLate) : Double.compare(a.startTag, b.startTag);
+        waiting.sort((first, second) -> {
+            boolean firstIsLate = first.objectiveMicros < nowMicros;
+            boolean secondIsLate = second.objectiveMicros < nowMicros;
+            return firstIsLate != secondIsLate
+                    ? Boolean.compare(firstIsLate, secondIsLate)
+                    : Double.compare(first.startTag, second.startTag);
         });
         return waiting;
     }
 
-    private static boolean isSkippable(TrackedRequest tracked) {
+    private static boolean isCallOptional(TrackedRequest tracked) {
         return tracked.requestClass.degradedResponseWeight() > 0;
     }
 
-    private boolean hasWaitedToSkip(TrackedRequest tracked) {
+    private boolean isSkipDelayOver(TrackedRequest tracked) {
         return clock.nowMicros() - tracked.stateSinceMicros()
-                > SKIP_AFTER_SHARE * tracked.requestClass.latencyObjectiveMicros();
+                > SKIP_DELAY_SHARE * tracked.requestClass.latencyObjectiveMicros();
     }
 
     private boolean isBackoffOver(TrackedRequest tracked) {
@@ -129,18 +134,22 @@
         actions.callDependency(tracked.id(), timeoutMicros);
     }
 
-    /** Time to the end of the request, or less where a later reply would earn nothing. */
+    /**
+     * Returns the timeout of a call: the time to the end of the request, or less if a later reply would have no value.
+     */
     private long callTimeoutMicros(TrackedRequest tracked) {
-        long now = clock.nowMicros();
+        long nowMicros = clock.nowMicros();
         long answerMarginMicros = settings.answerMarginMicros();
         long objectiveLengthMicros = tracked.requestClass.latencyObjectiveMicros();
-        long leftMicros = Math.min(tracked.deadlineMicros, drain.workEndMicros()) - answerMarginMicros - now;
-        if (isSkippable(tracked)) {
-            leftMicros = Math.min(leftMicros, (long) (SKIPPABLE_TIMEOUT_SHARE * objectiveLengthMicros));
+        long remainingMicros = Math.min(tracked.deadlineMicros, drain.workEndMicros()) - answerMarginMicros - nowMicros;
+        if (isCallOptional(tracked)) {
+            remainingMicros =
+                    Math.min(remainingMicros, (long) (MAX_OPTIONAL_CALL_TIMEOUT_SHARE * objectiveLengthMicros));
         } else if (tracked.requestClass.lateWeightFactor() == 0) {
-            leftMicros = Math.min(leftMicros, Math.max(tracked.objectiveMicros - now, objectiveLengthMicros / 2));
+            remainingMicros =
+                    Math.min(remainingMicros, Math.max(tracked.objectiveMicros - nowMicros, objectiveLengthMicros / 2));
         }
-        return Math.max(answerMarginMicros, leftMicros);
+        return Math.max(answerMarginMicros, remainingMicros);
     }
 
     private void skip(TrackedRequest tracked, Actions actions) {
--- a/server/src/main/java/wheatspread/admission/sfq/DependencyCallLimit.java
+++ b/server/src/main/java/wheatspread/admission/sfq/DependencyCallLimit.java
@@ -4,38 +4,38 @@
 import java.util.List;
 
 /**
- * How many dependency calls may be outstanding. The configured number bounds the mean over the averaging window;
- * abandoned calls count until the dependency has let go of them. The bound shrinks while calls are slow or rejected,
- * and grows back afterwards. Without a configured number there is no bound.
+ * Limits the number of outstanding dependency calls. The configured number bounds the mean over the averaging window.
+ * Abandoned calls count until the dependency has stopped working on them. The bound shrinks while calls are slow or
+ * rejected, and grows back afterwards. Without a configured number there is no bound.
  */
 final class DependencyCallLimit {
-    /** Largest mean of outstanding calls, as a share of the bound. */
+    /** Maximum mean of outstanding calls, as a share of the bound. */
     private static final double MAX_MEAN_SHARE = 0.7;
-    /** Smallest bound, as a share of the configured number. */
+    /** Minimum bound, as a share of the configured number. */
     private static final double MIN_BOUND_SHARE = 0.4;
-    /** Share of the bound that is open to calls that may be skipped. */
-    private static final double SKIPPABLE_SHARE = 0.5;
-    /** Calls that may be outstanding at once, as a multiple of the bound on their mean. */
+    /** Share of the bound that optional calls may use. */
+    private static final double OPTIONAL_CALLS_SHARE = 0.5;
+    /** Maximum number of calls outstanding at the same time, as a multiple of the bound on their mean. */
     private static final double MAX_BURST_FACTOR = 2;
-    /** Smoothing of the call time, per call. */
+    /** Smoothing gain of the call time, per call. */
     private static final double CALL_TIME_GAIN = 0.1;
-    /** Growth of the usual call time per call, so that a few fast calls do not set it for good. */
+    /** Growth factor of the usual call time per call, so that a few fast calls do not lower it permanently. */
     private static final double USUAL_TIME_GROWTH = 1.001;
     /** Multiple of the usual call time above which calls count as slow. */
-    private static final double SLOW_FACTOR = 2.0;
-    /** Difference between call times that the scheduling of this process accounts for. */
+    private static final double SLOW_CALL_FACTOR = 2.0;
+    /** Difference between call times that may be due to the scheduling of this process. */
     private static final double SCHEDULING_NOISE_MICROS = 10_000;
-    /** Factor on the bound for every slow or rejected call. */
+    /** Factor applied to the bound for every slow or rejected call. */
     private static final double SHRINK_FACTOR = 0.9;
-    /** Growth of the bound for every other call, as a share of the smallest bound. */
-    private static final double GROWTH_SHARE = 0.05;
-    /** Outstanding calls that make their median age meaningful; half the configured number if that is less. */
-    private static final double MEDIAN_MIN_CALLS = 2;
+    /** Growth of the bound for every other call, as a share of the minimum bound. */
+    private static final double BOUND_GROWTH_SHARE = 0.05;
+    /** Minimum number of outstanding calls for a meaningful median age; half the configured number if that is less. */
+    private static final double MIN_CALLS_FOR_MEDIAN = 2;
 
     private final ReloadableSettings settings;
     private final DecisionClock clock;
     private final InFlightRequests inFlight;
-    private final double configured;
+    private final double configuredCalls;
     private final List<Long> lingeringUntilMicros = new ArrayList<>();
     private int outstanding;
     private long averagedAtMicros;
@@ -48,15 +48,15 @@
         this.settings = settings;
         this.clock = clock;
         this.inFlight = inFlight;
-        configured = settings.current().dependency().maxConcurrentCalls();
-        bound = configured;
+        configuredCalls = settings.current().dependency().maxConcurrentCalls();
+        bound = configuredCalls;
     }
 
-    boolean hasRoom(boolean skippable) {
-        if (configured <= 0) {
+    boolean hasRoom(boolean optional) {
+        if (configuredCalls <= 0) {
             return true;
         }
-        double share = skippable ? SKIPPABLE_SHARE : 1;
+        double share = optional ? OPTIONAL_CALLS_SHARE : 1;
         return meanOutstanding < bound * MAX_MEAN_SHARE * share
                 && outstanding + lingeringUntilMicros.size() < Math.max(1, MAX_BURST_FACTOR * bound * share);
     }
@@ -65,7 +65,7 @@
         outstanding++;
     }
 
-    /** A call ended whose time shows how fast the dependency is. */
+    /** Records the end of a call whose time is a measure of the dependency's speed. */
     void onCallMeasured(long elapsedMicros) {
         onCallEnded();
         recentCallMicros = recentCallMicros == 0
@@ -76,13 +76,13 @@
                 : Math.min(recentCallMicros, usualCallMicros * USUAL_TIME_GROWTH);
     }
 
-    /** A call ended whose time shows nothing. */
+    /** Records the end of a call whose time is no measure of the dependency's speed. */
     void onCallEnded() {
         updateMean();
         outstanding--;
     }
 
-    /** The dependency works on a call for a while after its caller has given it up. */
+    /** Counts an abandoned call until the dependency has stopped working on it. */
     void onCallLingers() {
         lingeringUntilMicros.add(
                 clock.nowMicros() + settings.current().dependency().abandonedCallLingerMicros());
@@ -90,48 +90,51 @@
 
     /** Updates the mean of outstanding and lingering calls over the averaging window. */
     void updateMean() {
-        long now = clock.nowMicros();
-        lingeringUntilMicros.removeIf(untilMicros -> untilMicros < now);
+        long nowMicros = clock.nowMicros();
+        lingeringUntilMicros.removeIf(untilMicros -> untilMicros < nowMicros);
         double windowMicros = Math.max(1.0, settings.current().dependency().averagingWindowMicros());
-        double weight = Math.exp(-(now - averagedAtMicros) / windowMicros);
+        double weight = Math.exp(-(nowMicros - averagedAtMicros) / windowMicros);
         meanOutstanding = meanOutstanding * weight + (outstanding + lingeringUntilMicros.size()) * (1 - weight);
-        averagedAtMicros = now;
+        averagedAtMicros = nowMicros;
     }
 
-    /** Adapts the bound to a call that ended; a rejected call shows a crowded dependency. */
+    /** Adapts the bound to a call that ended. A rejected call indicates an overloaded dependency. */
     void adaptToCall(boolean rejected) {
         if (rejected || isSlow(recentCallMicros)) {
             shrink();
         } else {
-            bound = Math.min(configured, bound + configured * MIN_BOUND_SHARE * GROWTH_SHARE);
+            bound = Math.min(configuredCalls, bound + configuredCalls * MIN_BOUND_SHARE * BOUND_GROWTH_SHARE);
         }
     }
 
-    /** Adapts the bound to the ages of outstanding calls, which show a stall before any of them ends. */
-    void adaptToAges() {
+    /** Adapts the bound to the ages of outstanding calls, which show a stall before any call ends. */
+    void adaptToCallAges() {
         if (isSlow(medianAgeMicros())) {
             shrink();
         }
     }
 
     private void shrink() {
-        bound = Math.max(configured * MIN_BOUND_SHARE, bound * SHRINK_FACTOR);
+        bound = Math.max(configuredCalls * MIN_BOUND_SHARE, bound * SHRINK_FACTOR);
     }
 
     private boolean isSlow(double callMicros) {
         return usualCallMicros > 0
-                && callMicros > Math.max(SLOW_FACTOR * usualCallMicros, usualCallMicros + SCHEDULING_NOISE_MICROS);
+                && callMicros > Math.max(SLOW_CALL_FACTOR * usualCallMicros, usualCallMicros + SCHEDULING_NOISE_MICROS);
     }
 
-    /** The median: with a mean, or from one call of several, one lost reply would look like a slow dependency. */
+    /**
+     * Returns the median age of the outstanding calls, or 0 if there are too few of them. With the mean, or with fewer
+     * calls, one lost reply would look like a slow dependency.
+     */
     private double medianAgeMicros() {
-        long now = clock.nowMicros();
-        long[] agesMicros = inFlight.all().stream()
+        long nowMicros = clock.nowMicros();
+        long[] agesMicros = inFlight.requests().stream()
                 .filter(tracked -> tracked.state == RequestState.CALLING)
-                .mapToLong(tracked -> now - tracked.stateSinceMicros())
+                .mapToLong(tracked -> nowMicros - tracked.stateSinceMicros())
                 .sorted()
                 .toArray();
-        double minCalls = Math.max(1, Math.min(MEDIAN_MIN_CALLS, configured / 2));
+        double minCalls = Math.max(1, Math.min(MIN_CALLS_FOR_MEDIAN, configuredCalls / 2));
         return agesMicros.length < minCalls ? 0 : agesMicros[(agesMicros.length - 1) / 2];
     }
 }
--- a/server/src/main/java/wheatspread/admission/sfq/Dispatcher.java
+++ b/server/src/main/java/wheatspread/admission/sfq/Dispatcher.java
@@ -3,7 +3,7 @@
 import wheatspread.admission.AdmissionController.Actions;
 
 /**
- * Starts held requests in the order of the fair queue while there is a free slot and memory. A request that is
+ * Starts held requests in the order of the fair queue while there is a free slot and enough memory. A request that is
  * expected to end too late is rejected instead.
  */
 final class Dispatcher {
--- a/server/src/main/java/wheatspread/admission/sfq/DrainWindow.java
+++ b/server/src/main/java/wheatspread/admission/sfq/DrainWindow.java
@@ -3,13 +3,13 @@
 import wheatspread.admission.ServerLimits;
 
 /**
- * Graceful shutdown: after the drain notice requests are accepted for a grace time, and all work ends a margin before
- * the process is stopped.
+ * The time window of a graceful shutdown: requests are accepted for a grace time after the drain notice, and all work
+ * ends a margin before the process is stopped.
  */
 final class DrainWindow {
-    /** Runs and calls end this long before the process is stopped. */
+    /** Time between the end of runs and calls and the stop of the process. */
     private static final long WORK_END_MARGIN_MICROS = 300_000;
-    /** Requests are answered this long before the process is stopped. */
+    /** Time between the last answer and the stop of the process. */
     private static final long ANSWER_MARGIN_MICROS = WORK_END_MARGIN_MICROS / 2;
 
     private final long graceMicros;
@@ -29,22 +29,22 @@
         return notifiedMicros >= 0;
     }
 
-    /** Whether a request was written after the grace time, so that it may not be run. */
+    /** Returns whether a request arrived after the grace time and must not be run. */
     boolean isPastGrace(long arrivalMicros) {
         return notifiedMicros >= 0 && arrivalMicros > notifiedMicros + graceMicros;
     }
 
-    /** When the process is stopped; {@link Long#MAX_VALUE} if no stop is announced. */
+    /** Returns when the process is stopped; {@link Long#MAX_VALUE} if no drain was requested. */
     long stopMicros() {
         return stopMicros;
     }
 
-    /** When runs and calls have to end. */
+    /** Returns when runs and dependency calls must have ended. */
     long workEndMicros() {
         return stopMicros - WORK_END_MARGIN_MICROS;
     }
 
-    /** When requests have to be answered. */
+    /** Returns when all requests must have been answered. */
     long answerEndMicros() {
         return stopMicros - ANSWER_MARGIN_MICROS;
     }
--- a/server/src/main/java/wheatspread/admission/sfq/DuplicatePolicy.java
+++ b/server/src/main/java/wheatspread/admission/sfq/DuplicatePolicy.java
@@ -4,8 +4,9 @@
 import wheatspread.admission.Idempotency;
 
 /**
- * When a repeated request joins the one that it repeats instead of running: whenever that one may have run and its
- * class allows repeats. Without memory to wait it is failed, not rejected, since the work may have been done.
+ * Decides whether a duplicate joins the original request instead of running: it does if the original may have run and
+ * the class allows duplicates. A duplicate that cannot wait for lack of memory is failed, not rejected, since the work
+ * may have been done.
  */
 final class DuplicatePolicy {
     private final InFlightRequests inFlight;
--- a/server/src/main/java/wheatspread/admission/sfq/FairQueue.java
+++ b/server/src/main/java/wheatspread/admission/sfq/FairQueue.java
@@ -5,20 +5,21 @@
 import wheatspread.heap.IndexedHeap;
 
 /**
- * Start-time fair queuing: which held request starts next. Each tenant is a {@link Flow} with weight phi, its share
- * of all quotas times the number of tenants, or 1 unless every tenant has a quota. The held request with the smallest
- * start tag is dispatched, and the virtual time v takes its tag. When the server is idle, v becomes the largest finish
- * tag served. Two heaps order the flows that hold requests, so that a decision takes logarithmic time.
+ * Start-time fair queuing, which chooses the held request that starts next. Each tenant is a {@link Flow} with the
+ * weight phi: its share of all quotas times the number of tenants, or 1 unless every tenant has a quota. The held
+ * request with the smallest start tag is dispatched, and the virtual time v becomes its start tag. When the server is
+ * idle, v becomes the largest finish tag served. Two heaps order the flows that hold requests, so that a decision takes
+ * logarithmic time.
  */
 final class FairQueue {
     private final double totalQuotaPerSecond;
     private final boolean weighted;
     private final List<Tenant> tenants;
-    /** By tenant; null until its first request. */
+    /** Flows by tenant; an element is null until the tenant's first request. */
     private final Flow[] flows;
-    /** Flows that hold requests, by the start tag of their head. */
+    /** Flows that hold requests, keyed by the start tag of their head. */
     private final IndexedHeap byStartTag;
-    /** Flows that hold requests, by their negated lead as of the last change. */
+    /** Flows that hold requests, keyed by their negated lead at their last change. */
     private final IndexedHeap byNegatedLead;
 
     private double virtualTime;
@@ -34,7 +35,7 @@
         weighted = tenants.stream().allMatch(tenant -> tenant.quotaPerSecond() > 0) && totalQuotaPerSecond > 0;
     }
 
-    /** The sum of the tenants' quotas over the fleet, in requests a second. */
+    /** Returns the sum of the tenants' quotas over the fleet, in requests per second. */
     double totalQuotaPerSecond() {
         return totalQuotaPerSecond;
     }
@@ -43,7 +44,7 @@
         return virtualTime;
     }
 
-    /** The flow of a tenant; unknown tenants share the first one's. */
+    /** Returns the flow of a tenant. Requests of unknown tenants use the flow of tenant 0. */
     Flow flow(int tenant) {
         int index = tenant < flows.length && tenant >= 0 ? tenant : 0;
         if (flows[index] == null) {
@@ -58,41 +59,41 @@
         reorder(tracked.flow, nowMicros);
     }
 
-    /** The held request with the smallest start tag, or null. */
+    /** Returns the held request with the smallest start tag, or null if none is held. */
     TrackedRequest next() {
         return byStartTag.size() == 0 ? null : flows[byStartTag.first()].head();
     }
 
-    /** Takes the request that {@link #next} returned out of its queue; v takes its start tag. */
+    /** Removes the request that {@link #next} returned from its queue; v becomes its start tag. */
     void dispatch(TrackedRequest tracked, long nowMicros) {
         tracked.flow.dispatchHead(nowMicros);
         virtualTime = tracked.startTag;
         reorder(tracked.flow, nowMicros);
     }
 
-    /** Takes a request that never ran out of its queue; does nothing if it is not queued. */
+    /** Removes a request that never ran from its queue; does nothing if it is not queued. */
     void remove(TrackedRequest tracked, long nowMicros) {
         tracked.flow.remove(tracked);
         reorder(tracked.flow, nowMicros);
     }
 
-    /** Notes that a request has ended. */
+    /** Records the finish tag of a request that has ended. */
     void onServed(TrackedRequest tracked) {
         largestServedFinishTag = Math.max(largestServedFinishTag, tracked.finishTag);
     }
 
-    /** Ends a busy period: nothing is held or started. */
+    /** Ends a busy period, when no request is held or started. */
     void onIdle() {
         advanceVirtualTime(largestServedFinishTag);
     }
 
-    void advanceVirtualTime(double atLeast) {
-        virtualTime = Math.max(virtualTime, atLeast);
+    void advanceVirtualTime(double minVirtualTime) {
+        virtualTime = Math.max(virtualTime, minVirtualTime);
     }
 
     /**
-     * The flow with the largest lead of those that hold requests; there must be one. A lead only decays until its
-     * flow changes, so the first flow that stays first with its lead recomputed is ahead of all others.
+     * Returns the flow with the largest lead among those that hold requests; there must be at least one. A lead only
+     * decays until its flow changes, so a flow that is still first after its lead is recomputed is ahead of all others.
      */
     Flow furthestAhead(long nowMicros) {
         Flow flow = flows[byNegatedLead.first()];
--- a/server/src/main/java/wheatspread/admission/sfq/Flow.java
+++ b/server/src/main/java/wheatspread/admission/sfq/Flow.java
@@ -3,14 +3,15 @@
 import java.util.ArrayDeque;
 
 /**
- * One tenant's FIFO queue and tags. A request gets the start tag S = max(v, F_prev) and the finish tag F = S + c/phi:
- * v is the virtual time at its arrival, F_prev the finish tag before it, c its cost and phi the tenant's weight.
+ * The FIFO queue and the tags of one tenant. A request gets the start tag S = max(v, F_prev) and the finish tag F = S +
+ * c/phi, where v is the virtual time at its arrival, F_prev the finish tag of the request before it, c its cost and phi
+ * the weight of the tenant.
  */
 final class Flow {
-    /** Time constant over which charges for dispatched requests are forgotten: some tens of runs. */
+    /** Time constant of the exponential decay of charges for dispatched requests; it spans some tens of runs. */
     private static final double CHARGE_DECAY_MICROS = 2_000_000;
 
-    /** The queue of all flows that hold nothing, so that idle ones take little memory; never added to. */
+    /** The queue that all flows without held requests share to save memory. Never added to. */
     private static final ArrayDeque<TrackedRequest> EMPTY = new ArrayDeque<>(0);
 
     final int tenant;
@@ -18,7 +19,7 @@
     private ArrayDeque<TrackedRequest> queue = EMPTY;
     private double lastDispatchedFinishTag;
     private double lastQueuedFinishTag;
-    /** Charges of dispatched requests, decayed to {@link #chargedAtMicros}. */
+    /** Sum of the charges of dispatched requests, decayed to {@link #chargedAtMicros}, in virtual time. */
     private double recentCharge;
 
     private long chargedAtMicros;
@@ -32,7 +33,7 @@
         return queue.isEmpty();
     }
 
-    /** The oldest held request, or null. */
+    /** Returns the oldest held request, or null if the queue is empty. */
     TrackedRequest head() {
         return queue.peek();
     }
@@ -55,7 +56,7 @@
         lastQueuedFinishTag = tracked.finishTag;
     }
 
-    /** Takes the head out of the queue to be started. */
+    /** Removes the head from the queue and charges the flow for it. */
     void dispatchHead(long nowMicros) {
         TrackedRequest tracked = queue.poll();
         queue = queue.isEmpty() ? EMPTY : queue;
@@ -69,22 +70,31 @@
     }
 
     /**
-     * How far the newest start tag is ahead of the oldest, plus what the flow was charged recently, in virtual time.
-     * The last finish tag alone misleads where few requests are held: it counts the newest one's own charge and not
-     * how little the flow used just before. With many held the two agree. A flood that has just begun may be spared.
+     * Returns the lead of this flow in virtual time: the distance from its oldest to its newest start tag plus its
+     * recent charges. The queue must not be empty.
+     *
+     * The last finish tag alone would mislead when few requests are held, since it includes the charge of the newest
+     * request but not how little the flow used before. With many held requests the two measures agree. A flow that has
+     * just begun to flood the server may therefore keep its requests at first.
      */
     double lead(long nowMicros) {
         return recentCharge(nowMicros) + queue.peekLast().startTag - queue.peek().startTag;
     }
 
-    /** The request that this flow loses when it has to lose one: the newest of those with the least weight. */
+    /**
+     * Returns the request to shed from this flow: the newest of those with the least weight. The queue must not be
+     * empty.
+     */
     TrackedRequest lowestWeightRequest() {
         return queue.stream()
                 .reduce((older, newer) -> newer.totalWeight() <= older.totalWeight() ? newer : older)
                 .orElseThrow();
     }
 
-    /** Takes a request that never ran out of the queue, and its charge off the later tags. */
+    /**
+     * Removes a request that never ran and recomputes the tags of the requests behind it without its charge. Does
+     * nothing if the request is not queued.
+     */
     void remove(TrackedRequest tracked) {
         if (queue.remove(tracked)) {
             queue = queue.isEmpty() ? EMPTY : queue;
--- a/server/src/main/java/wheatspread/admission/sfq/GaugeMonitor.java
+++ b/server/src/main/java/wheatspread/admission/sfq/GaugeMonitor.java
@@ -3,15 +3,15 @@
 import wheatspread.admission.LoadGauges;
 
 /**
- * The gauge readings of the host, and whether they can be trusted. Gauges count as stuck after
- * {@value #STUCK_READINGS} equal readings in a row while work goes on, or at once when core gauges are missing.
+ * Holds the gauge readings of the host and detects stuck gauges. Gauges count as stuck after {@value #STUCK_READINGS}
+ * equal consecutive readings while requests are started, or at once if a core gauge is missing.
  */
 final class GaugeMonitor {
     private static final int STUCK_READINGS = 40;
 
-    /** The reading of this batch, or null. */
+    /** The reading of this batch, or null if there is none. */
     private LoadGauges current;
-    /** The last reading that was checked, or null. */
+    /** The last reading that was checked, or null before the first check. */
     private LoadGauges lastChecked;
 
     private int stuckReadings;
@@ -27,7 +27,7 @@
     /**
      * Checks the reading of this batch.
      *
-     * @param working whether any request is started, so that a gauge should change
+     * @param working whether any request is started, so that the gauges should change
      * @return the reading, or null if there is none or the gauges are stuck
      */
     LoadGauges check(boolean working) {
@@ -49,7 +49,7 @@
         return stuckReadings >= STUCK_READINGS;
     }
 
-    /** The last reading that was checked, or null. */
+    /** Returns the last reading that was checked, or null before the first check. */
     LoadGauges last() {
         return lastChecked;
     }
--- a/server/src/main/java/wheatspread/admission/sfq/HealthReporter.java
+++ b/server/src/main/java/wheatspread/admission/sfq/HealthReporter.java
@@ -3,15 +3,16 @@
 import wheatspread.admission.AdmissionController.Actions;
 
 /**
- * What health checks hear: bad while draining, and while overloaded unless the whole fleet is flooded. Under a flood
- * each server that left the load balancer would overload the next.
+ * Sets the answer to health checks: unhealthy while draining, and while overloaded unless the whole fleet is. During an
+ * overload of the whole fleet each server that the load balancer takes out would overload the next.
  */
 final class HealthReporter {
     /**
-     * Arrival rate, as a multiple of an average server's part of all quotas, above which the fleet counts as flooded.
-     * Quotas may promise half of what the fleet can serve, and load may exceed that by a quarter.
+     * Arrival rate, as a multiple of an average server's share of all quotas, above which the whole fleet counts as
+     * overloaded. The sum of quotas may be as low as half of what the fleet can serve, and load may exceed that
+     * capacity by a quarter.
      */
-    private static final double FLOOD_FACTOR = 2.5;
+    private static final double FLEET_OVERLOAD_FACTOR = 2.5;
 
     private static final long MICROS_PER_SECOND = 1_000_000;
 
@@ -35,22 +36,22 @@
         this.totalQuotaPerSecond = totalQuotaPerSecond;
     }
 
-    /** Reports a new process as healthy. */
+    /** Reports the process as healthy at its start. */
     void reportInitially(Actions actions) {
         actions.setHealth(true, true);
     }
 
     void update(Actions actions) {
-        boolean healthy = !drain.isDraining() && !(overload.isOverloaded() && !isFleetFlooded());
+        boolean healthy = !drain.isDraining() && !(overload.isOverloaded() && !isFleetOverloaded());
         if (healthy != reportedHealthy) {
             reportedHealthy = healthy;
             actions.setHealth(healthy, true);
         }
     }
 
-    private boolean isFleetFlooded() {
+    private boolean isFleetOverloaded() {
         double fleetRate = arrivalRate.meanPerTick() * settings.current().servers() * MICROS_PER_SECOND;
-        double floodRate = FLOOD_FACTOR * totalQuotaPerSecond * DecisionClock.TICK_MICROS;
-        return totalQuotaPerSecond != 0 && !(fleetRate <= floodRate);
+        double overloadRate = FLEET_OVERLOAD_FACTOR * totalQuotaPerSecond * DecisionClock.TICK_MICROS;
+        return totalQuotaPerSecond != 0 && !(fleetRate <= overloadRate);
     }
 }
--- a/server/src/main/java/wheatspread/admission/sfq/HeldQueueBound.java
+++ b/server/src/main/java/wheatspread/admission/sfq/HeldQueueBound.java
@@ -1,13 +1,13 @@
 package wheatspread.admission.sfq;
 
 /**
- * The bound on held requests: the expected time to start all of them stays under a share of the mean time that they
- * have left for waiting, which is the time from arrival to objective less the mean service time of their class.
+ * The bound on held requests: the expected time to start all of them must stay below a share of the mean time that they
+ * can wait, which is the time from arrival to latency objective minus the mean service time of their class.
  */
 final class HeldQueueBound {
-    /** Largest drain time, as a share of the mean time left for waiting. */
+    /** Maximum drain time of the queue, as a share of the mean time that held requests can wait. */
     private static final double MAX_DRAIN_SHARE = 0.6;
-    /** Smallest bound on the drain time. */
+    /** Minimum bound on the drain time. */
     private static final double MIN_DRAIN_MICROS = 1;
 
     private final InFlightRequests inFlight;
@@ -21,10 +21,10 @@
     }
 
     /**
-     * The expected drain time over its bound; above 1 a held request is shed. The newest one does not count, which
-     * rounds the bound up to a whole request: with few cores, one request is a large part of it.
+     * Returns the expected drain time over its bound; above 1 a held request is shed. The newest request is not
+     * counted, which rounds the bound up to a whole request: with few cores, one request is a large part of the bound.
      */
-    double fill() {
+    double fillRatio() {
         int held = inFlight.held();
         if (held == 0) {
             return 0;
@@ -38,6 +38,6 @@
     }
 
     boolean isExceeded() {
-        return fill() > 1;
+        return fillRatio() > 1;
     }
 }
--- a/server/src/main/java/wheatspread/admission/sfq/IdleConnectionPolicy.java
+++ b/server/src/main/java/wheatspread/admission/sfq/IdleConnectionPolicy.java
@@ -5,25 +5,28 @@
 import wheatspread.admission.LoadGauges;
 
 /**
- * When idle connections are closed early. Open connections take core time, and past the server's capacity for them
- * clients get none. Where clients come back only after a good part of their idle timeout, or where keeping idle
- * connections costs more than the openings it saves, connections are closed after a share of the shortest latency
- * objective: long for a burst, short beside the time to the client's next request. While requests are read late the
- * timeout is a whole objective, since openings take core time too. Without a usable gauge clients close connections
- * themselves. Assumes that clients send about equally often.
+ * Decides when idle connections are closed early. Open connections take core time, and when the server's capacity for
+ * connections is used up, clients cannot connect. Idle connections are closed after a share of the shortest latency
+ * objective if clients return only after a large part of their idle timeout, or if keeping connections costs more than
+ * the connection set-ups that it saves. That time is long compared with a burst and short compared with the time to the
+ * client's next request. While the read delay is elevated, the timeout is the whole objective, since connection set-up
+ * takes core time too. Without a usable gauge the server closes no connections early. The policy assumes that all
+ * clients send about equally often.
  */
 final class IdleConnectionPolicy {
-    /** Mean time between a client's requests, as a share of its idle timeout, above which it counts as silent. */
-    private static final double SILENT_GAP_SHARE = 0.2;
-    /** Factor on that share while connections are closed early: the hysteresis. */
+    /**
+     * Mean time between a client's requests, as a share of its idle timeout, above which clients count as infrequent.
+     */
+    private static final double INFREQUENT_GAP_SHARE = 0.2;
+    /** Factor on {@link #INFREQUENT_GAP_SHARE} while connections are closed early; provides hysteresis. */
     private static final double HYSTERESIS_FACTOR = 0.5;
-    /** Idle timeout, as a share of the shortest latency objective. */
+    /** Idle timeout of connections, as a share of the shortest latency objective. */
     private static final double IDLE_TIMEOUT_SHARE = 0.1;
-    /** Part of the clients' idle timeout after the start before connections are closed early. */
+    /** Divisor of the clients' idle timeout that gives the time after the start before connections are closed early. */
     private static final int START_DELAY_DIVISOR = 10;
-    /** The configured cost of idle connections is that of this many. */
+    /** Number of idle connections to which the configured cost applies. */
     private static final double CONNECTIONS_PER_COST = 100;
-    /** Keeps the gap finite where nothing arrives. */
+    /** Lower bound on the arrival rate; keeps the time between requests finite if nothing arrives. */
     private static final double MIN_ARRIVALS_PER_TICK = 1e-9;
 
     private final ReloadableSettings settings;
@@ -62,10 +65,10 @@
         closing = shouldClose(clients, reading.openConnections() - inFlight.started() - inFlight.held());
         double shareOfObjective = overload.isReadDelayElevated() ? 1 : IDLE_TIMEOUT_SHARE;
         double timeoutMicros = settings.shortestObjectiveMicros() * shareOfObjective;
-        long wantedMicros = closing ? Math.min(clientTimeoutMicros, (long) timeoutMicros) : 0;
-        if (wantedMicros != reportedTimeoutMicros) {
-            reportedTimeoutMicros = wantedMicros;
-            actions.setIdleTimeout(wantedMicros);
+        long newTimeoutMicros = closing ? Math.min(clientTimeoutMicros, (long) timeoutMicros) : 0;
+        if (newTimeoutMicros != reportedTimeoutMicros) {
+            reportedTimeoutMicros = newTimeoutMicros;
+            actions.setIdleTimeout(newTimeoutMicros);
         }
     }
 
@@ -76,9 +79,10 @@
         double gapMicros = clients.count()
                 * DecisionClock.TICK_MICROS
                 / Math.max(arrivalRate.meanPerTick(), MIN_ARRIVALS_PER_TICK);
-        double savedCost = Math.min(1, clients.idleTimeoutMicros() / gapMicros) * clients.connectionOpenCost();
-        boolean costly = idleConnections / CONNECTIONS_PER_COST * clients.idleConnectionsCost() > savedCost;
-        boolean silent = gapMicros > clients.idleTimeoutMicros() * SILENT_GAP_SHARE * (closing ? HYSTERESIS_FACTOR : 1);
-        return silent && (closing || idleConnections > settings.cores()) || costly;
+        double savedOpenCost = Math.min(1, clients.idleTimeoutMicros() / gapMicros) * clients.connectionOpenCost();
+        boolean costly = idleConnections / CONNECTIONS_PER_COST * clients.idleConnectionsCost() > savedOpenCost;
+        boolean infrequent =
+                gapMicros > clients.idleTimeoutMicros() * INFREQUENT_GAP_SHARE * (closing ? HYSTERESIS_FACTOR : 1);
+        return infrequent && (closing || idleConnections > settings.cores()) || costly;
     }
 }
--- a/server/src/main/java/wheatspread/admission/sfq/InFlightRequests.java
+++ b/server/src/main/java/wheatspread/admission/sfq/InFlightRequests.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * All requests that were read and are not done, by id, with counts by state. Every change of state goes through
- * {@link #transition}, which keeps the counts true. Iteration is in order of arrival.
+ * All requests that were read and are not done, by id, with counts by state. Every change of state goes through {@link
+ * #transition}, which keeps the counts consistent. The iteration order is that of arrival.
  */
 final class InFlightRequests {
     private final double runningMemoryFactor;
@@ -28,18 +28,18 @@
         resizeClasses(settings.classCount());
     }
 
-    /** Makes room for classes that a reload added. */
+    /** Extends the per-class counts after a reload has added request classes. */
     void resizeClasses(int classCount) {
         heldByClass = Arrays.copyOf(heldByClass, classCount);
     }
 
-    /** Tracks a request that arrived. */
+    /** Adds an arrival in state {@code HELD}. */
     void add(TrackedRequest tracked) {
         transition(tracked, RequestState.HELD);
         byId.put(tracked.id(), tracked);
     }
 
-    /** The request with this id, or null. */
+    /** Returns the request with this id, or null if it is not in flight. */
     TrackedRequest get(long id) {
         return byId.get(id);
     }
@@ -52,7 +52,7 @@
         byId.remove(tracked.id());
     }
 
-    Collection<TrackedRequest> all() {
+    Collection<TrackedRequest> requests() {
         return byId.values();
     }
 
@@ -64,12 +64,12 @@
         RequestState from = tracked.state;
         tracked.state = to;
         memoryKb += memoryKb(tracked, to) - memoryKb(tracked, from);
-        int heldChange = change(to, from, RequestState.HELD);
+        int heldChange = countChange(to, from, RequestState.HELD);
         held += heldChange;
         heldMemoryKb += heldChange * tracked.request.heldKb();
         heldObjectiveMicros += heldChange * (tracked.objectiveMicros - tracked.arrivalMicros);
         heldByClass[tracked.request.requestClass()] += heldChange;
-        running += change(to, from, RequestState.RUNNING);
+        running += countChange(to, from, RequestState.RUNNING);
         started += (to.isStarted() ? 1 : 0) - (from.isStarted() ? 1 : 0);
         if (to == RequestState.AWAITING_CALL) {
             awaitingCall.add(tracked);
@@ -79,12 +79,12 @@
         if (to == RequestState.JOINING || from == RequestState.JOINING) {
             TrackedRequest original = byId.get(tracked.request.duplicateOf());
             if (original != null) {
-                original.joiners += change(to, from, RequestState.JOINING);
+                original.joiners += countChange(to, from, RequestState.JOINING);
             }
         }
     }
 
-    private static int change(RequestState to, RequestState from, RequestState counted) {
+    private static int countChange(RequestState to, RequestState from, RequestState counted) {
         return (to == counted ? 1 : 0) - (from == counted ? 1 : 0);
     }
 
@@ -109,22 +109,25 @@
         return running;
     }
 
-    /** Requests that run, wait to call or wait for the reply to a call. */
+    /** Returns the number of requests that run, wait to make a call or wait for the reply to a call. */
     int started() {
         return started;
     }
 
-    /** Memory that all requests take; a started or joining one takes the running factor times its held size. */
+    /**
+     * Returns the memory of all requests in kilobytes; a started or joining request counts with its held size times the
+     * running factor.
+     */
     double memoryKb() {
         return memoryKb;
     }
 
-    /** Memory that held requests take. */
+    /** Returns the memory of held requests in kilobytes. */
     double heldMemoryKb() {
         return heldMemoryKb;
     }
 
-    /** The sum over held requests of the time from arrival to objective. */
+    /** Returns the sum over held requests of the time from arrival to latency objective. */
     double heldObjectiveMicros() {
         return heldObjectiveMicros;
     }
--- a/server/src/main/java/wheatspread/admission/sfq/KeyRetentionPolicy.java
+++ b/server/src/main/java/wheatspread/admission/sfq/KeyRetentionPolicy.java
@@ -3,8 +3,9 @@
 import wheatspread.admission.AdmissionController.Actions;
 
 /**
- * Whose key is retained: always that of a request with an idempotency key, which may not run without; and, while there
- * is room, that of a cacheable read, whose answer may serve others.
+ * Decides which requests have their key retained. The idempotency key of a request is always retained; without it the
+ * request must not run. The key of a cacheable read, whose answer may serve other requests, is retained while there is
+ * room.
  */
 final class KeyRetentionPolicy {
     private final ReloadableSettings settings;
@@ -18,7 +19,7 @@
     }
 
     /**
-     * Retains the key of an arrival where that is required or useful.
+     * Retains the key of an arrival if that is required or useful.
      *
      * @return whether the request may run
      */
--- a/server/src/main/java/wheatspread/admission/sfq/LoadFeedback.java
+++ b/server/src/main/java/wheatspread/admission/sfq/LoadFeedback.java
@@ -5,25 +5,31 @@
 import wheatspread.admission.LoadFeedbackMode;
 
 /**
- * The feedback to clients about how much to send. The withheld share of their load rises slowly while the pressure is
- * above 1 and falls while it is under; a read delay withholds at once. In the window mode a server offers its clients
- * up to a multiple of twice D, divided among them. The multiple shrinks under pressure and recovers once the overload
- * is over, so that clients do not keep avoiding an idle server. A cold server offers by its proven speed.
+ * Computes the load feedback that is sent to clients. The share of their load that clients should withhold rises slowly
+ * while the pressure is above 1 and falls while it is below 1; an elevated read delay raises it at once. In window mode
+ * the server offers its clients up to a multiple of twice D, divided among them. The multiple shrinks under pressure
+ * and recovers once the overload is over, so that clients do not keep avoiding an idle server. A cold server scales its
+ * offer by its proven speed.
  */
 final class LoadFeedback {
-    /** Change of the withheld share, per tick and unit of pressure; small, since all clients follow it. */
-    private static final double WITHHELD_GAIN = 0.015;
+    /** Change of the withheld share per tick and unit of pressure; small, since all clients follow it. */
+    private static final double WITHHELD_SHARE_GAIN = 0.015;
     /** Pressure above which the withheld share grows no faster. */
     private static final double MAX_PRESSURE = 3;
-    /** Largest withheld share due to pressure, so that the server keeps some load. */
+    /** Upper bound on the withheld share due to pressure, so that the server keeps some load. */
     private static final double MAX_WITHHELD_SHARE = 0.5;
-    /** Change of the withheld share that is reported. */
+    /** Minimum change of the withheld share that is reported. */
     private static final double MIN_REPORTED_CHANGE = 0.02;
-    /** Largest multiple of the base window that clients may have outstanding, since their requests come in bursts. */
+    /**
+     * Upper bound on the outstanding requests of clients, as a multiple of the base window; requests come in bursts.
+     */
     private static final double MAX_WINDOW_MULTIPLE = 4;
-    /** Growth of the window multiple per tick; it shrinks twice as fast. Also the change that is reported. */
+    /**
+     * Growth of the window multiple per tick; it shrinks twice as fast. Also the minimum relative change that is
+     * reported.
+     */
     private static final double WINDOW_GROWTH = 0.1;
-    /** Pressure under which the window multiple grows. */
+    /** Pressure below which the window multiple grows. */
     private static final double LOW_PRESSURE = 0.3;
     /** Base window, as a multiple of D. */
     private static final double WINDOW_PER_SLOT = 2.0;
@@ -34,7 +40,7 @@
     private final ConcurrencyLimit concurrency;
     private final OverloadDetector overload;
     private final LoadPressure pressure;
-    private double withheldByPressure;
+    private double withheldShareByPressure;
     private double reportedWithheldShare;
     private double windowMultiple = MAX_WINDOW_MULTIPLE;
     private double reportedWindowMultiple = MAX_WINDOW_MULTIPLE;
@@ -59,9 +65,9 @@
         if (mode == LoadFeedbackMode.NONE) {
             return;
         }
-        updateWithheldByPressure();
+        updateWithheldShareByPressure();
         updateWindowMultiple();
-        double withheldShare = Math.max(withheldByPressure, withheldByReadDelay());
+        double withheldShare = Math.max(withheldShareByPressure, withheldShareByReadDelay());
         double offeredMultiple = windowMultiple * serviceTimes.provenSpeed();
         boolean windowChanged = mode == LoadFeedbackMode.WINDOW
                 && Math.abs(offeredMultiple - reportedWindowMultiple) > WINDOW_GROWTH * reportedWindowMultiple;
@@ -74,9 +80,9 @@
         }
     }
 
-    private void updateWithheldByPressure() {
-        withheldByPressure += WITHHELD_GAIN * (Math.min(MAX_PRESSURE, pressure.value()) - 1);
-        withheldByPressure = Math.max(0, Math.min(MAX_WITHHELD_SHARE, withheldByPressure));
+    private void updateWithheldShareByPressure() {
+        withheldShareByPressure += WITHHELD_SHARE_GAIN * (Math.min(MAX_PRESSURE, pressure.value()) - 1);
+        withheldShareByPressure = Math.max(0, Math.min(MAX_WITHHELD_SHARE, withheldShareByPressure));
     }
 
     private void updateWindowMultiple() {
@@ -85,12 +91,14 @@
         windowMultiple = Math.max(1, Math.min(MAX_WINDOW_MULTIPLE, windowMultiple));
     }
 
-    /** Rises from 0 at an elevated read delay to 1 at overload. */
-    private double withheldByReadDelay() {
+    /**
+     * Returns the share withheld because of the read delay; it rises from 0 at an elevated read delay to 1 at overload.
+     */
+    private double withheldShareByReadDelay() {
         return Math.min(
                 1,
-                (overload.readDelay() - OverloadDetector.ELEVATED_READ_DELAY)
-                        / (OverloadDetector.OVERLOAD_READ_DELAY - OverloadDetector.ELEVATED_READ_DELAY));
+                (overload.readDelayShare() - OverloadDetector.ELEVATED_READ_DELAY_SHARE)
+                        / (OverloadDetector.OVERLOAD_READ_DELAY_SHARE - OverloadDetector.ELEVATED_READ_DELAY_SHARE));
     }
 
     private double reportedValue() {
@@ -98,12 +106,12 @@
         return switch (clients.feedbackMode()) {
             case THRESHOLD -> reportedWithheldShare;
             case SHARE -> 1 - reportedWithheldShare;
-            default -> Math.max(1, window() / Math.max(1, clients.count()));
+            default -> Math.max(1, windowRequests() / Math.max(1, clients.count()));
         };
     }
 
-    /** Requests that all clients together may have outstanding. */
-    private double window() {
+    /** Returns the number of requests that all clients together may have outstanding. */
+    private double windowRequests() {
         return WINDOW_PER_SLOT
                 * concurrency.depth()
                 * windowMultiple
--- a/server/src/main/java/wheatspread/admission/sfq/LoadPressure.java
+++ b/server/src/main/java/wheatspread/admission/sfq/LoadPressure.java
@@ -3,15 +3,16 @@
 import wheatspread.admission.LoadFeedbackMode;
 
 /**
- * How far the server is from its bounds: the largest of held-queue fill, read delay and, where clients follow a
- * priority threshold, the share of rejected requests, each over the value that counts as a pressure of 1.
+ * The load pressure: how close the server is to its bounds. It is the maximum of the held-queue fill, the read delay
+ * and, if clients follow a priority threshold, the share of rejected requests, each divided by the value that counts as
+ * a pressure of 1.
  */
 final class LoadPressure {
     /** Fill of the held queue that counts as a pressure of 1. */
-    private static final double ELEVATED_FILL = 0.6;
+    private static final double ELEVATED_FILL_RATIO = 0.6;
     /** Share of rejected requests that counts as a pressure of 1. */
     private static final double ELEVATED_REJECTED_SHARE = 0.25;
-    /** Smoothing of the share of rejected requests, per request. */
+    /** Smoothing gain of the share of rejected requests, per request. */
     private static final double REJECTED_SHARE_GAIN = 0.05;
 
     private final ReloadableSettings settings;
@@ -37,11 +38,12 @@
         return value() > 1;
     }
 
-    /** The pressure; above 1 it is high. */
+    /** Returns the pressure; a value above 1 is high. */
     double value() {
-        double waiting = Math.max(
-                heldQueueBound.fill() / ELEVATED_FILL, overload.readDelay() / OverloadDetector.ELEVATED_READ_DELAY);
-        boolean byThreshold = settings.current().clients().feedbackMode() == LoadFeedbackMode.THRESHOLD;
-        return byThreshold ? Math.max(waiting, rejectedShare / ELEVATED_REJECTED_SHARE) : waiting;
+        double delayPressure = Math.max(
+                heldQueueBound.fillRatio() / ELEVATED_FILL_RATIO,
+                overload.readDelayShare() / OverloadDetector.ELEVATED_READ_DELAY_SHARE);
+        boolean countsRejections = settings.current().clients().feedbackMode() == LoadFeedbackMode.THRESHOLD;
+        return countsRejections ? Math.max(delayPressure, rejectedShare / ELEVATED_REJECTED_SHARE) : delayPressure;
     }
 }
--- a/server/src/main/java/wheatspread/admission/sfq/LoadShedder.java
+++ b/server/src/main/java/wheatspread/admission/sfq/LoadShedder.java
@@ -6,10 +6,10 @@
 import wheatspread.admission.AdmissionController.Actions;
 
 /**
- * Which held request is rejected, and with which advice to its client. Past the bound on memory or on the held queue,
- * the flow with the largest lead loses the newest of its requests with the least weight. Under pressure clients are
- * asked not to retry and to stay away for a random time between one and two thirds of the longest allowed, so that
- * they do not return together.
+ * Chooses the held requests that are rejected and the advice that their clients get. When a bound on memory or on the
+ * held queue is exceeded, the flow with the largest lead loses the newest of its requests with the least weight. Under
+ * high pressure clients are asked not to retry, and to stay away for a random time between one and two thirds of the
+ * maximum retry-after, so that they do not return at the same time.
  */
 final class LoadShedder {
     private final ReloadableSettings settings;
@@ -38,14 +38,14 @@
         random = new SplittableRandom(seed);
     }
 
-    /** Sheds while held requests take the memory that starting them needs. */
+    /** Sheds held requests until starting the others fits in memory. */
     void shedForMemory(MemoryBudget memory, Actions actions) {
         while (fairQueue.next() != null && memory.isHeldMemoryExceeded()) {
             shedOne(actions);
         }
     }
 
-    /** Sheds while held requests would wait for too long. */
+    /** Sheds held requests until their expected waiting time is within its bound. */
     void shedForDelay(HeldQueueBound heldQueueBound, Actions actions) {
         while (fairQueue.next() != null && heldQueueBound.isExceeded()) {
             shedOne(actions);
@@ -56,7 +56,7 @@
         reject(fairQueue.furthestAhead(clock.nowMicros()).lowestWeightRequest(), false, actions);
     }
 
-    /** Rejects a request that never ran. */
+    /** Rejects a request that never ran and ends its tracking. */
     void reject(TrackedRequest tracked, boolean doNotRetry, Actions actions) {
         pressure.recordRejection();
         boolean underPressure = pressure.isHigh();
@@ -72,7 +72,7 @@
         return (long) (maxMicros * (1 + random.nextDouble()) / 3);
     }
 
-    /** Whether this request was rejected in the current batch, so that a repeat of it has nothing to join. */
+    /** Returns whether this request was rejected in the current batch, so that a duplicate of it cannot join it. */
     boolean wasRejectedInBatch(long id) {
         return rejectedInBatch.contains(id);
     }
--- a/server/src/main/java/wheatspread/admission/sfq/MemoryBudget.java
+++ b/server/src/main/java/wheatspread/admission/sfq/MemoryBudget.java
@@ -4,13 +4,16 @@
 
 /**
  * Bounds on the memory that held requests, started requests and retained keys share, as shares of the server's memory
- * in kilobytes. Runs leave room for arrivals; held requests leave room to occupy every core.
+ * in kilobytes. Runs leave room for arrivals, and held requests leave room for a run on every core.
  */
 final class MemoryBudget {
-    /** Share that runs beyond one a core, and keys of reads, may fill; the rest is room for arrivals. */
-    private static final double RUN_SHARE = 0.8;
-    /** Share above which held requests are shed. */
-    private static final double FULL_SHARE = 0.95;
+    /**
+     * Share of the memory that runs beyond one per core and the keys of reads may use; the rest is reserved for
+     * arrivals.
+     */
+    private static final double MAX_RUN_MEMORY_SHARE = 0.8;
+    /** Share of the memory above which held requests are shed. */
+    private static final double MAX_MEMORY_SHARE = 0.95;
 
     private final ReloadableSettings settings;
     private final ServerLimits limits;
@@ -24,14 +27,14 @@
         this.keys = keys;
     }
 
-    /** Whether one more key fits that the rules require. */
+    /** Returns whether one more idempotency key fits, which is needed to run its request. */
     boolean hasRoomForRequiredKey() {
-        return hasRoomForKey(FULL_SHARE);
+        return hasRoomForKey(MAX_MEMORY_SHARE);
     }
 
-    /** Whether one more key fits that only saves work. */
+    /** Returns whether one more key of a cacheable read fits, which only saves work. */
     boolean hasRoomForOptionalKey() {
-        return hasRoomForKey(RUN_SHARE);
+        return hasRoomForKey(MAX_RUN_MEMORY_SHARE);
     }
 
     private boolean hasRoomForKey(double share) {
@@ -39,22 +42,22 @@
     }
 
     boolean isFull() {
-        return usedKb() > limits.memoryKb() * FULL_SHARE;
+        return usedKb() > limits.memoryKb() * MAX_MEMORY_SHARE;
     }
 
-    /** Whether held requests leave too little memory to start one on every core that has none. */
+    /** Returns whether held requests leave too little memory to start one of them on every core that has no run. */
     boolean isHeldMemoryExceeded() {
         int held = inFlight.held();
         int idleCores = Math.min(held, Math.max(0, settings.cores() - inFlight.started()));
         double idleCoresKb =
                 held <= 1 ? 0 : idleCores * (limits.runningMemoryFactor() - 1) * inFlight.heldMemoryKb() / held;
-        return usedKb() + idleCoresKb > limits.memoryKb() * FULL_SHARE;
+        return usedKb() + idleCoresKb > limits.memoryKb() * MAX_MEMORY_SHARE;
     }
 
-    /** Whether a held request can be started. */
+    /** Returns whether a held request can be started. */
     boolean canStart(TrackedRequest tracked) {
         double additionalKb = tracked.request.heldKb() * (limits.runningMemoryFactor() - 1);
-        double share = inFlight.started() < settings.cores() ? FULL_SHARE : RUN_SHARE;
+        double share = inFlight.started() < settings.cores() ? MAX_MEMORY_SHARE : MAX_RUN_MEMORY_SHARE;
         return usedKb() + additionalKb <= limits.memoryKb() * share;
     }
 
--- a/server/src/main/java/wheatspread/admission/sfq/ObjectiveForecast.java
+++ b/server/src/main/java/wheatspread/admission/sfq/ObjectiveForecast.java
@@ -1,13 +1,14 @@
 package wheatspread.admission.sfq;
 
 /**
- * Whether a held request would end too late if it started now: after its latency objective, or after runs have to end
- * because this process is stopped. The expected service time is stretched by the share of recent runs that were given
- * up. Where hardly anything runs a request starts whatever its estimate, so that estimates recover.
+ * Predicts whether a held request would end too late if it started at this time: after its latency objective, or after
+ * the time at which runs must end because the process is stopped. The expected service time is stretched by the share
+ * of recent runs that were abandoned. When hardly any request is started, the estimate is ignored, so that new runs can
+ * correct it.
  */
 final class ObjectiveForecast {
-    /** Started requests per core below which the estimate does not count. */
-    private static final double PROBES_PER_CORE = 0.34;
+    /** Started requests per core below which a request is started as a probe, whatever its estimate. */
+    private static final double MAX_PROBES_PER_CORE = 0.34;
 
     private final ReloadableSettings settings;
     private final DecisionClock clock;
@@ -29,7 +30,7 @@
     }
 
     boolean isExpectedToMiss(TrackedRequest tracked) {
-        boolean probe = inFlight.started() < PROBES_PER_CORE * settings.cores();
+        boolean probe = inFlight.started() < MAX_PROBES_PER_CORE * settings.cores();
         double neededMicros = probe ? 0 : serviceTimes.expectedMicros(tracked) / (1 - serviceTimes.abandonedShare());
         return clock.nowMicros() + neededMicros > Math.min(tracked.objectiveMicros, drain.workEndMicros());
     }
--- a/server/src/main/java/wheatspread/admission/sfq/OverloadDetector.java
+++ b/server/src/main/java/wheatspread/admission/sfq/OverloadDetector.java
@@ -3,24 +3,25 @@
 import wheatspread.admission.AdmissionController.Actions;
 
 /**
- * Detects that the server reads requests too late: their mean age when they are read, as a share of the latency
- * objective of their class, lies above a high watermark, until it falls under a low one. All the cores' work then goes
- * into requests whose clients soon give up and retry, which keeps the backlog of unread requests from ending.
+ * Detects that the server reads requests too late. It is overloaded once the read delay, the mean age of requests when
+ * they are read as a share of their class's latency objective, rises above a high watermark, and until it falls below a
+ * low one. During an overload the cores work for requests whose clients soon give up and retry, which keeps the backlog
+ * of unread requests from shrinking.
  */
 final class OverloadDetector {
-    /** Read delay, as a share of the objective, above which the server counts as slowed down. */
-    static final double ELEVATED_READ_DELAY = 0.1;
-    /** Read delay, as a share of the objective, at which the server becomes overloaded. */
-    static final double OVERLOAD_READ_DELAY = 0.35;
-    /** Read delay, as a share of the objective, under which an overload ends. */
-    private static final double RECOVERED_READ_DELAY = 0.15;
-    /** Smoothing of the read delay, per request. */
+    /** Read delay, as a share of the latency objective, above which the server counts as slowed down. */
+    static final double ELEVATED_READ_DELAY_SHARE = 0.1;
+    /** Read delay, as a share of the latency objective, above which an overload begins. */
+    static final double OVERLOAD_READ_DELAY_SHARE = 0.35;
+    /** Read delay, as a share of the latency objective, at or below which an overload ends. */
+    private static final double RECOVERED_READ_DELAY_SHARE = 0.15;
+    /** Smoothing gain of the read delay, per request. */
     private static final double READ_DELAY_GAIN = 0.2;
-    /** Decay of the read delay, per tick without requests. */
+    /** Decay of the read delay, per tick without arrivals. */
     private static final double IDLE_DECAY = 0.05;
 
     private final DecisionClock clock;
-    private double readDelay;
+    private double readDelayShare;
     private boolean overloaded;
 
     OverloadDetector(DecisionClock clock) {
@@ -28,20 +29,20 @@
     }
 
     void recordArrival(TrackedRequest tracked) {
-        long waitedMicros = clock.ageWithoutStallMicros(tracked.request.ageMicros());
-        double observed = (double) waitedMicros / tracked.requestClass.latencyObjectiveMicros();
-        readDelay += READ_DELAY_GAIN * (observed - readDelay);
+        long unreadMicros = clock.ageWithoutStallMicros(tracked.request.ageMicros());
+        double observedShare = (double) unreadMicros / tracked.requestClass.latencyObjectiveMicros();
+        readDelayShare += READ_DELAY_GAIN * (observedShare - readDelayShare);
     }
 
-    /** A tick passed without any arrival. */
+    /** Decays the read delay after a tick without arrivals. */
     void onIdleTick() {
-        readDelay -= IDLE_DECAY * readDelay;
+        readDelayShare -= IDLE_DECAY * readDelayShare;
     }
 
     void update(Actions actions) {
-        boolean before = overloaded;
-        overloaded = readDelay > (overloaded ? RECOVERED_READ_DELAY : OVERLOAD_READ_DELAY);
-        if (before != overloaded) {
+        boolean wasOverloaded = overloaded;
+        overloaded = readDelayShare > (overloaded ? RECOVERED_READ_DELAY_SHARE : OVERLOAD_READ_DELAY_SHARE);
+        if (wasOverloaded != overloaded) {
             actions.log(overloaded ? "jam of unread tries begins" : "jam of unread tries ends");
         }
     }
@@ -50,12 +51,12 @@
         return overloaded;
     }
 
-    /** The smoothed age of requests when they are read, as a share of their class's latency objective. */
-    double readDelay() {
-        return readDelay;
+    /** Returns the smoothed age of requests when they are read, as a share of their class's latency objective. */
+    double readDelayShare() {
+        return readDelayShare;
     }
 
     boolean isReadDelayElevated() {
-        return readDelay > ELEVATED_READ_DELAY;
+        return readDelayShare > ELEVATED_READ_DELAY_SHARE;
     }
 }
--- a/server/src/main/java/wheatspread/admission/sfq/ReloadableSettings.java
+++ b/server/src/main/java/wheatspread/admission/sfq/ReloadableSettings.java
@@ -5,12 +5,11 @@
 import wheatspread.admission.ServerLimits;
 
 /**
- * The settings in force. A reload adds request classes, and takes over what the host changed, except the server's
- * limits and the margin for late answers, which
- * stay as they were at start.
+ * The settings in force. A reload may add request classes and change every other setting except the server's limits and
+ * the answer margin, which keep their values from the start.
  */
 final class ReloadableSettings {
-    /** Margin before a request's deadline, in units of the timer resolution of the wire. */
+    /** Margin before a request's deadline, in units of the wire's timer resolution. */
     private static final int ANSWER_MARGIN_TIMER_STEPS = 2;
 
     private final ServerLimits limits;
@@ -27,11 +26,14 @@
     /**
      * Replaces the settings.
      *
-     * @throws IllegalArgumentException if a request class is missing, since tracked requests refer to them by index
+     * @throws IllegalArgumentException if the new settings have fewer request classes, since tracked requests refer to
+     *     their class by index
      */
     void replace(AdmissionSettings next) {
         if (next.classes().size() < current.classes().size()) {
-            throw new IllegalArgumentException("a retuned site keeps every class it had");
+            throw new IllegalArgumentException(
+                    "settings reload has " + next.classes().size() + " request classes, expected at least "
+                            + current.classes().size() + "; keeping the old settings");
         }
         apply(next);
     }
@@ -48,7 +50,7 @@
         return current;
     }
 
-    /** The server's limits as of the start. */
+    /** Returns the server's limits as configured at the start. */
     ServerLimits limits() {
         return limits;
     }
@@ -61,12 +63,12 @@
         return current.classes().size();
     }
 
-    /** The shortest latency objective of all request classes. */
+    /** Returns the shortest latency objective of all request classes. */
     long shortestObjectiveMicros() {
         return shortestObjectiveMicros;
     }
 
-    /** How long before its deadline a request is answered at the latest; a late answer counts as a fault. */
+    /** Returns the minimum time between an answer and the deadline of its request; a late answer counts as a fault. */
     long answerMarginMicros() {
         return answerMarginMicros;
     }
--- a/server/src/main/java/wheatspread/admission/sfq/RequestExpiry.java
+++ b/server/src/main/java/wheatspread/admission/sfq/RequestExpiry.java
@@ -4,9 +4,10 @@
 import wheatspread.admission.AdmissionController.Actions;
 
 /**
- * Ends, at each tick, requests whose deadline comes before the next one and those that can earn nothing any more. A
- * held request is rejected once its objective has passed; a started or joining one is given up at its deadline, or
- * when it is worthless unless it has an idempotency key. Answered runs are stopped.
+ * Ends requests at each tick whose deadline falls before the next tick or whose answer would have no value any more. A
+ * held request is rejected once its latency objective has passed. A started or joining request is failed at its
+ * deadline, or once its answer is useless unless it has an idempotency key. Runs whose request is already answered are
+ * stopped.
  */
 final class RequestExpiry {
     private final ReloadableSettings settings;
@@ -32,16 +33,16 @@
     }
 
     void expire(Actions actions) {
-        long now = clock.nowMicros();
-        for (TrackedRequest tracked : new ArrayList<>(inFlight.all())) {
-            boolean expired = now >= lastAnswerMicros(tracked) - DecisionClock.TICK_MICROS;
+        long nowMicros = clock.nowMicros();
+        for (TrackedRequest tracked : new ArrayList<>(inFlight.requests())) {
+            boolean expired = nowMicros >= lastAnswerMicros(tracked) - DecisionClock.TICK_MICROS;
             if (tracked.isAnswered()) {
                 termination.stop(tracked, actions);
             } else if (tracked.state == RequestState.HELD) {
-                if (expired || now > tracked.objectiveMicros) {
+                if (expired || nowMicros > tracked.objectiveMicros) {
                     shedder.reject(tracked, true, actions);
                 }
-            } else if (expired || tracked.isWorthless(now) && !tracked.hasIdempotencyKey()) {
+            } else if (expired || tracked.isAnswerUseless(nowMicros) && !tracked.hasIdempotencyKey()) {
                 termination.abandon(tracked, actions);
             }
         }
--- a/server/src/main/java/wheatspread/admission/sfq/RequestState.java
+++ b/server/src/main/java/wheatspread/admission/sfq/RequestState.java
@@ -2,20 +2,20 @@
 
 /** The states of a request in this server. */
 enum RequestState {
-    /** Read and waiting for its turn. */
+    /** Read and held in the fair queue. */
     HELD,
-    /** Running on the cores. */
+    /** Running, in the sense that it uses a core and counts against D. */
     RUNNING,
     /** Started, and waiting until its dependency call is made or skipped. */
     AWAITING_CALL,
     /** Started, and waiting for the reply to its dependency call. */
     CALLING,
-    /** Waiting for the result of the request that it repeats. */
+    /** Waiting for the result of the original request that it duplicates. */
     JOINING,
-    /** Not tracked any more, or suspended and not yet resumed. */
+    /** No longer tracked, or suspended and not yet resumed. */
     DONE;
 
-    /** Whether a request in this state was started and has not ended. */
+    /** Returns whether a request in this state was started and has not ended. */
     boolean isStarted() {
         return this == RUNNING || this == AWAITING_CALL || this == CALLING;
     }
--- a/server/src/main/java/wheatspread/admission/sfq/RetainedKeys.java
+++ b/server/src/main/java/wheatspread/admission/sfq/RetainedKeys.java
@@ -5,9 +5,10 @@
 import wheatspread.admission.AdmissionController.Actions;
 
 /**
- * How long the host remembers the key of a request, so that repeats join it instead of running. An idempotency key
- * is kept for the class's window, at least to the deadline, plus the slack for its answer; the key of a cacheable
- * read until its deadline plus the cache's time to live, then for that time after a successful answer.
+ * The keys that the server retains, with their expiry times, so that duplicates join the original request instead of
+ * running. An idempotency key is retained for the class's window, at least until the deadline, plus the slack for the
+ * answer. The key of a cacheable read is retained until its deadline plus the cache's time to live, and after a
+ * successful answer for the time to live.
  */
 final class RetainedKeys {
     private final ReloadableSettings settings;
@@ -42,19 +43,19 @@
         }
     }
 
-    /** Keeps the answer of a read for the cache's time to live, or lets it expire if the read failed. */
+    /** Retains the key of a read for the cache's time to live if the read succeeded, or lets it expire if it failed. */
     void onCompletion(TrackedRequest tracked, boolean successful) {
         if (tracked.keyRetained && tracked.isIdempotent()) {
-            long now = clock.nowMicros();
+            long nowMicros = clock.nowMicros();
             expiryMicrosById.put(
-                    tracked.id(), successful ? now + settings.current().cacheTtlMicros() : now);
+                    tracked.id(), successful ? nowMicros + settings.current().cacheTtlMicros() : nowMicros);
         }
     }
 
     void releaseExpired(Actions actions) {
-        long now = clock.nowMicros();
+        long nowMicros = clock.nowMicros();
         expiryMicrosById.entrySet().removeIf(entry -> {
-            boolean expired = entry.getValue() < now;
+            boolean expired = entry.getValue() < nowMicros;
             if (expired) {
                 actions.releaseKey(entry.getKey());
             }
--- a/server/src/main/java/wheatspread/admission/sfq/RunTermination.java
+++ b/server/src/main/java/wheatspread/admission/sfq/RunTermination.java
@@ -3,7 +3,7 @@
 import wheatspread.admission.AdmissionController.Actions;
 import wheatspread.admission.PreemptionMode;
 
-/** How a started or joining request is given up: answered with an error, and stopped where that is possible. */
+/** Abandons started and joining requests: answers them with an error and stops their work if the kernel allows it. */
 final class RunTermination {
     private final ReloadableSettings settings;
     private final InFlightRequests inFlight;
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Stops the work of an answered request unless others wait for its result.
+     * Stops the run of an answered request, unless other requests wait for its result.
      *
      * @return whether a stop was requested
      */
@@ -47,9 +47,7 @@
         return stoppable;
     }
 
-    /**
-     * Fails a suspended request that will not be resumed; it has no work to stop.
-     */
+    /** Fails a suspended request that will not be resumed. It has no work to stop. */
     void failSuspended(TrackedRequest tracked, Actions actions) {
         actions.fail(tracked.id());
         inFlight.remove(tracked);
--- a/server/src/main/java/wheatspread/admission/sfq/RunningMean.java
+++ b/server/src/main/java/wheatspread/admission/sfq/RunningMean.java
@@ -1,13 +1,16 @@
 package wheatspread.admission.sfq;
 
-/** The exponentially smoothed mean of service times, hints and waits. */
+/** Exponential smoothing of service times, hints and waits. */
 final class RunningMean {
-    /** Share of the distance to a new observation that the mean moves. */
+    /** Smoothing gain: the share of the distance to a new observation that the mean moves. */
     private static final double GAIN = 0.05;
 
     private RunningMean() {}
 
-    /** The mean after a new observation; 0 means that there was none before. */
+    /**
+     * Returns the mean after a new observation. A mean of 0 stands for no earlier observation, and becomes the
+     * observation.
+     */
     static double update(double mean, double observation) {
         return mean == 0 ? observation : mean + GAIN * (observation - mean);
     }
--- a/server/src/main/java/wheatspread/admission/sfq/ServiceTimeEstimator.java
+++ b/server/src/main/java/wheatspread/admission/sfq/ServiceTimeEstimator.java
@@ -3,27 +3,27 @@
 import java.util.Arrays;
 
 /**
- * What runs take, learned from those that ended: the cost of a request for the fair queue, the expected time of a
- * run, and the time for which a run occupies one of the D slots. All times are microseconds.
+ * Estimates service times from completed runs: the cost of a request for the fair queue, the expected time of a run,
+ * and the time for which a run occupies one of the D slots. All times are in microseconds.
  */
 final class ServiceTimeEstimator {
-    /** Slot time before any run has ended, as a share of the shortest objective at full speed. */
+    /** Initial slot time before any run has ended, as a share of the shortest latency objective at full speed. */
     private static final double INITIAL_SLOT_SHARE = 0.25;
-    /** Median of service times as a share of their mean. */
+    /** Median of service times, as a share of their mean. */
     private static final double MEDIAN_OF_MEAN = 0.7;
-    /** Smoothing of the share of runs given up, per run. */
+    /** Smoothing gain of the share of abandoned runs, per run. */
     private static final double ABANDONED_GAIN = 0.05;
-    /** How many times the usual slot time the current one must be to stretch the prediction from a hint. */
-    private static final double HINT_STRETCH_THRESHOLD = 2;
+    /** Ratio of the current slot time to the usual one above which a prediction from a hint is stretched. */
+    private static final double MIN_HINT_STRETCH_RATIO = 2;
 
     private final ReloadableSettings settings;
     private final DecisionClock clock;
     private final InFlightRequests inFlight;
     private final SlowStart slowStart;
     private final WorkHintModel hints;
-    /** By class: mean time on the cores. */
+    /** Mean time on the cores, by request class; 0 before any run of the class has ended. */
     private double[] meanCoreMicros;
-    /** By class: mean time from start to end, calls included. */
+    /** Mean time from start to end, dependency calls included, by request class; 0 before any run has ended. */
     private double[] meanElapsedMicros;
 
     private double meanCoreMicrosOfAll;
@@ -42,15 +42,15 @@
         meanElapsedMicros = new double[settings.classCount()];
     }
 
-    /** Makes room for classes that a reload added. */
+    /** Extends the per-class estimates after a reload has added request classes. */
     void resizeClasses(int classCount) {
         meanCoreMicros = Arrays.copyOf(meanCoreMicros, classCount);
         meanElapsedMicros = Arrays.copyOf(meanElapsedMicros, classCount);
     }
 
     /**
-     * The cost c of a request: its hint over the mean hint, else its class's mean time on the cores over that of all
-     * classes, else one unit. A hint is counted into the mean.
+     * Returns the cost c of a request for the fair queue: its work hint over the mean hint if it has one, otherwise the
+     * mean core time of its class over that of all classes, otherwise 1. Updates the mean hint.
      */
     double cost(TrackedRequest tracked) {
         double hintMicros = tracked.request.expectedWorkMicros();
@@ -58,11 +58,11 @@
             meanHintMicros = RunningMean.update(meanHintMicros, hintMicros);
             return hintMicros / meanHintMicros;
         }
-        double ofClass = meanCoreMicros[tracked.request.requestClass()];
-        return ofClass > 0 && meanCoreMicrosOfAll > 0 ? ofClass / meanCoreMicrosOfAll : 1;
+        double classCoreMicros = meanCoreMicros[tracked.request.requestClass()];
+        return classCoreMicros > 0 && meanCoreMicrosOfAll > 0 ? classCoreMicros / meanCoreMicrosOfAll : 1;
     }
 
-    /** Learns from a run that ended. */
+    /** Updates the estimates with a completed run. */
     void recordCompletion(TrackedRequest tracked, long elapsedMicros) {
         int index = tracked.request.requestClass();
         long coreMicros = tracked.coreMicros();
@@ -70,23 +70,26 @@
         meanElapsedMicros[index] = RunningMean.update(meanElapsedMicros[index], elapsedMicros);
         meanCoreMicrosOfAll = RunningMean.update(meanCoreMicrosOfAll, coreMicros);
         abandonedShare += ABANDONED_GAIN * (0 - abandonedShare);
-        learnHint(tracked, coreMicros);
+        updateHintModel(tracked, coreMicros);
     }
 
-    /** Learns from a run that is given up now; the time it had counts, as it would have taken longer. */
+    /**
+     * Updates the estimates with a run that is abandoned now. Its core time so far is a lower bound and is counted as
+     * if it were complete.
+     */
     void recordAbandonment(TrackedRequest tracked) {
         abandonedShare += ABANDONED_GAIN * (1 - abandonedShare);
-        learnHint(tracked, tracked.coreMicrosUntil(clock.nowMicros()));
+        updateHintModel(tracked, tracked.coreMicrosUntil(clock.nowMicros()));
     }
 
-    private void learnHint(TrackedRequest tracked, long coreMicros) {
+    private void updateHintModel(TrackedRequest tracked, long coreMicros) {
         if (tracked.request.expectedWorkMicros() <= 0) {
             return;
         }
-        hints.learn(tracked.request.expectedWorkMicros(), coreMicros);
+        hints.update(tracked.request.expectedWorkMicros(), coreMicros);
     }
 
-    /** The share of recent runs that were given up. */
+    /** Returns the smoothed share of runs that were abandoned. */
     double abandonedShare() {
         return abandonedShare;
     }
@@ -96,9 +99,10 @@
     }
 
     /**
-     * How long a run likely takes; half of them take longer. Calls add their mean time, which hints do not cover. A
-     * few long runs look like a slow server, so a prediction from a hint is stretched only once the slot time is
-     * twice the usual.
+     * Returns the expected time of a run; the estimate is a median, so half of the runs take longer. The mean time of
+     * dependency calls is added, since hints do not cover it. A few long runs make the server look slow, so a
+     * prediction from a hint is stretched only once the slot time is more than {@value #MIN_HINT_STRETCH_RATIO} times
+     * the usual one.
      */
     double expectedMicros(TrackedRequest tracked) {
         double elapsedMicros = meanElapsedMicros[tracked.request.requestClass()];
@@ -108,17 +112,20 @@
             return MEDIAN_OF_MEAN * slowdown * elapsedMicros;
         }
         double coreMicros = hints.coreMicros(hintMicros, slowStart.guaranteedSpeed());
-        return coreMicros * Math.max(1, slowdown / HINT_STRETCH_THRESHOLD)
+        return coreMicros * Math.max(1, slowdown / MIN_HINT_STRETCH_RATIO)
                 + elapsedMicros
                 - meanCoreMicros[tracked.request.requestClass()];
     }
 
-    /** Updates the slot time. With a run on every core their ages count, which show a stall before any run ends. */
+    /**
+     * Updates the slot time. When every core has a run, the mean age of the runs counts too, since it shows a stall
+     * before any run ends.
+     */
     void updateSlotTime() {
-        long now = clock.nowMicros();
-        double[] agesMicros = inFlight.all().stream()
+        long nowMicros = clock.nowMicros();
+        double[] agesMicros = inFlight.requests().stream()
                 .filter(tracked -> tracked.state == RequestState.RUNNING)
-                .mapToDouble(tracked -> tracked.coreMicrosUntil(now))
+                .mapToDouble(tracked -> tracked.coreMicrosUntil(nowMicros))
                 .toArray();
         double usualMicros = meanCoreMicrosOfAll > 0
                 ? meanCoreMicrosOfAll
@@ -127,15 +134,15 @@
         slotMicros = agesMicros.length < settings.cores() ? usualMicros : Math.max(usualMicros, meanAgeMicros);
     }
 
-    /** How long a run occupies a slot. */
+    /** Returns how long a run occupies a slot. */
     double slotMicros() {
         return slotMicros;
     }
 
     /**
-     * The share of its full speed that the server is known to have: what its warm-up guarantees, or more where its
-     * runs took less than their hints predict at that speed. A warm server has 1. Clients fill the offered capacity
-     * at once, so a cold server that offered all of it would be overloaded.
+     * Returns the speed that the server is known to have, as a share of its full speed: the speed that its warm-up
+     * guarantees, or a higher one if its runs took less time than their hints predict. A warm server has 1. Clients use
+     * the offered capacity at once, so a cold server that offered its full capacity would be overloaded.
      */
     double provenSpeed() {
         double guaranteed = slowStart.guaranteedSpeed();
--- a/server/src/main/java/wheatspread/admission/sfq/SfqAdmissionController.java
+++ b/server/src/main/java/wheatspread/admission/sfq/SfqAdmissionController.java
@@ -8,10 +8,11 @@
 import wheatspread.admission.RequestClass;
 
 /**
- * SFQ(D): start-time fair queuing with a depth. Tenants are flows with FIFO queues; a request gets the start tag S =
- * max(v, F_prev) and the finish tag F = S + c/phi; while fewer than D requests run, the held request with the smallest
- * start tag is dispatched and the virtual time v takes its tag. This class passes events to the classes that each hold
- * one rule, and calls those in a fixed order to make the decisions of a batch.
+ * Admission controller by SFQ(D), start-time fair queuing with a concurrency limit D. Tenants are flows with FIFO
+ * queues. A request gets the start tag S = max(v, F_prev) and the finish tag F = S + c/phi. While fewer than D requests
+ * run, the held request with the smallest start tag is dispatched, and the virtual time v becomes its start tag. This
+ * class passes events to the classes that each implement one rule, and calls them in a fixed order to make the
+ * decisions of a batch.
  */
 public final class SfqAdmissionController implements AdmissionController {
     private final ReloadableSettings settings;
@@ -40,10 +41,10 @@
     private final LoadFeedback loadFeedback;
 
     /**
-     * Makes a controller for one process.
+     * Creates a controller for one process.
      *
      * @param initial the settings at start
-     * @param seed spreads the times after which rejected clients come back, and nothing else
+     * @param seed seed of the random retry-after times of rejected clients; not used for anything else
      */
     public SfqAdmissionController(AdmissionSettings initial, long seed) {
         settings = new ReloadableSettings(initial);
@@ -92,7 +93,8 @@
     public void onArrival(AdmissionRequest request) {
         int index = request.requestClass();
         if (index < 0 || index >= settings.classCount()) {
-            throw new IllegalArgumentException("request of unknown class " + index);
+            throw new IllegalArgumentException("request " + request.id() + " has unknown class " + index
+                    + ", expected 0 to " + (settings.classCount() - 1));
         }
         RequestClass requestClass = settings.current().classes().get(index);
         Flow flow = fairQueue.flow(request.tenant());
@@ -185,7 +187,7 @@
             keys.releaseExpired(actions);
             expiry.expire(actions);
             serviceTimes.updateSlotTime();
-            callLimit.adaptToAges();
+            callLimit.adaptToCallAges();
             concurrency.update();
         }
         arrivals.decide(actions);
--- a/server/src/main/java/wheatspread/admission/sfq/SlowStart.java
+++ b/server/src/main/java/wheatspread/admission/sfq/SlowStart.java
@@ -3,11 +3,12 @@
 import wheatspread.admission.ServerLimits;
 
 /**
- * The least speed that a server has while it warms up, as a share of its full speed, and the concurrency that it
- * survives at that speed. The speed rises linearly from the configured floor to 1 over the configured warm-up time.
+ * The guaranteed speed of a server during its warm-up, as a share of its full speed, and the number of requests that it
+ * can run without overload at that speed. The speed rises linearly from the configured floor to 1 over the configured
+ * warm-up time.
  */
 final class SlowStart {
-    /** Keeps divisions by the speed finite where the configured floor is 0. */
+    /** Lower bound on the speed; keeps divisions by the speed finite if the configured floor is 0. */
     private static final double MIN_SPEED = 0.01;
 
     private final ReloadableSettings settings;
@@ -18,18 +19,21 @@
         this.clock = clock;
     }
 
-    /** The least share of its full speed that the server has by now. */
+    /** Returns the minimum share of its full speed that the server has at the time of this batch. */
     double guaranteedSpeed() {
         ServerLimits limits = settings.limits();
-        long now = clock.nowMicros();
-        double warmed = settings.current().cold() && now < clock.startedMicros() + limits.warmUpMicros()
-                ? (double) (now - clock.startedMicros()) / limits.warmUpMicros()
+        long nowMicros = clock.nowMicros();
+        double warmedShare = settings.current().cold() && nowMicros < clock.startedMicros() + limits.warmUpMicros()
+                ? (double) (nowMicros - clock.startedMicros()) / limits.warmUpMicros()
                 : 1;
-        return Math.max(MIN_SPEED, limits.coldSpeedFloor() + (1 - limits.coldSpeedFloor()) * warmed);
+        return Math.max(MIN_SPEED, limits.coldSpeedFloor() + (1 - limits.coldSpeedFloor()) * warmedShare);
     }
 
-    /** Requests on the cores that the server survives: one a core when cold, the overload multiple when warm. */
-    double survivableRequests() {
+    /**
+     * Returns the number of running requests that the server can run without overload: one per core when cold, the
+     * overload multiple per core when warm.
+     */
+    double sustainableRequests() {
         return settings.cores() * (1 + (settings.limits().overloadMultiple() - 1) * guaranteedSpeed());
     }
 }
--- a/server/src/main/java/wheatspread/admission/sfq/SuspendedRunPolicy.java
+++ b/server/src/main/java/wheatspread/admission/sfq/SuspendedRunPolicy.java
@@ -4,8 +4,9 @@
 import wheatspread.admission.PreemptionMode;
 
 /**
- * When a suspended run whose answer is outstanding is resumed: once, if the host can suspend work and there is time
- * left. It has kept its memory, and a write may not be started again. Otherwise the request fails.
+ * Resumes or fails a suspended run whose request is unanswered. The run is resumed once if the kernel can suspend work
+ * and there is time left, since it has kept its memory and a write must not be started again. Otherwise the request
+ * fails.
  */
 final class SuspendedRunPolicy {
     private final ReloadableSettings settings;
--- a/server/src/main/java/wheatspread/admission/sfq/TrackedRequest.java
+++ b/server/src/main/java/wheatspread/admission/sfq/TrackedRequest.java
@@ -4,16 +4,16 @@
 import wheatspread.admission.Idempotency;
 import wheatspread.admission.RequestClass;
 
-/** One request from its arrival to its end. Mutable fields are grouped by the class that writes them. */
+/** The state of one request from its arrival to its end. Mutable fields are grouped by the class that writes them. */
 final class TrackedRequest {
     final AdmissionRequest request;
     final RequestClass requestClass;
     final Flow flow;
-    /** When it reached the machine. */
+    /** Time at which the request reached the machine. */
     final long arrivalMicros;
-    /** When its caller stops waiting. */
+    /** Time at which the client stops waiting. */
     final long deadlineMicros;
-    /** The latest end that earns the full weight of its class. */
+    /** Latest end of the request that gives the full weight of its class. */
     final long objectiveMicros;
 
     // Written by Flow.
@@ -24,20 +24,20 @@
 
     // Written by InFlightRequests.
     RequestState state = RequestState.DONE;
-    /** How many requests wait for the result of this one. */
+    /** Number of duplicates that wait for the result of this request. */
     int joiners;
 
     // Written by RetainedKeys.
     boolean keyRetained;
 
     // Written by DependencyCallGate.
-    /** No further call may be made at the point that the run has reached. */
+    /** Whether no further call may be made at the point that the run has reached. */
     boolean callExhausted;
-    /** Calls made at the point that the run has reached. */
+    /** Number of calls made at the point that the run has reached. */
     int callAttempts;
 
     // Written by SuspendedRunPolicy.
-    /** Whether its run was suspended and resumed before. */
+    /** Whether the run was suspended and resumed before. */
     boolean resumed;
 
     private boolean answered;
@@ -45,10 +45,10 @@
     private long coreMicros;
 
     /**
-     * Tracks a request that was read.
+     * Starts tracking a request that was read.
      *
-     * @param nowMicros time of the batch in which it arrived
-     * @param clientWaitMicros how long its client waited for earlier attempts; shortens the time to its objective
+     * @param nowMicros time of the batch in which the request arrived
+     * @param clientWaitMicros how long the client has waited for earlier attempts; shortens the time to the objective
      */
     TrackedRequest(
             AdmissionRequest request, RequestClass requestClass, Flow flow, long nowMicros, long clientWaitMicros) {
@@ -79,7 +79,7 @@
         return requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY;
     }
 
-    /** Whether its caller got an answer or went away. */
+    /** Returns whether the client got an answer or cancelled the request. */
     boolean isAnswered() {
         return answered;
     }
@@ -88,17 +88,17 @@
         answered = true;
     }
 
-    /** Whether an answer given now would earn nothing. */
-    boolean isWorthless(long nowMicros) {
+    /** Returns whether an answer given at this time would have no value. */
+    boolean isAnswerUseless(long nowMicros) {
         return nowMicros > objectiveMicros && requestClass.lateWeightFactor() == 0;
     }
 
-    /** The weight that its answer earns, with the requests that wait for the same answer. */
+    /** Returns the weight of the answer, including that of the duplicates that wait for it. */
     double totalWeight() {
         return requestClass.weight() * (1 + joiners);
     }
 
-    /** Starts the count of the time in the state that it enters now. */
+    /** Restarts the timer of the current state. */
     void restartStateTimer(long nowMicros) {
         stateSinceMicros = nowMicros;
     }
@@ -107,17 +107,17 @@
         return stateSinceMicros;
     }
 
-    /** Adds the time since the state timer was restarted to its time on the cores. */
+    /** Adds the time since the state timer was restarted to the time on the cores. */
     void addCoreTime(long nowMicros) {
         coreMicros += nowMicros - stateSinceMicros;
     }
 
-    /** Time on the cores up to the last pause or end of its run. */
+    /** Returns the time on the cores up to the last pause or the end of the run. */
     long coreMicros() {
         return coreMicros;
     }
 
-    /** Time on the cores up to now, for a running request. */
+    /** Returns the time on the cores up to {@code nowMicros}, for a running request. */
     long coreMicrosUntil(long nowMicros) {
         return coreMicros + nowMicros - stateSinceMicros;
     }
--- a/server/src/main/java/wheatspread/admission/sfq/UnstartedRequests.java
+++ b/server/src/main/java/wheatspread/admission/sfq/UnstartedRequests.java
@@ -1,6 +1,6 @@
 package wheatspread.admission.sfq;
 
-/** Ends the tracking of held and joining requests, which never ran here. */
+/** Ends the tracking of held and joining requests, which never ran in this server. */
 final class UnstartedRequests {
     private final DecisionClock clock;
     private final InFlightRequests inFlight;
--- a/server/src/main/java/wheatspread/admission/sfq/WorkHintModel.java
+++ b/server/src/main/java/wheatspread/admission/sfq/WorkHintModel.java
@@ -1,18 +1,18 @@
 package wheatspread.admission.sfq;
 
 /**
- * What work hints predict of the time on the cores: a least-squares slope over the logarithms of hint and core time,
- * with exponential forgetting. The means adapt faster than the slope, since speed changes while a process warms up.
- * Until enough runs ended, the hint itself, over the guaranteed speed, is the prediction.
+ * Predicts the time on the cores from a request's work hint: a least-squares fit of the logarithm of core time on the
+ * logarithm of the hint, with exponential forgetting. The means adapt faster than the slope, since speed changes while
+ * a process warms up. Until enough runs have ended, the prediction is the hint divided by the guaranteed speed.
  */
 final class WorkHintModel {
-    /** Least share of the distance to a new observation that the slope's sums move. */
+    /** Minimum smoothing gain of the variance and the covariance, per run. */
     private static final double MIN_SLOPE_GAIN = 0.01;
-    /** Least share of the distance to a new observation that the means move. */
+    /** Minimum smoothing gain of the means, per run. */
     private static final double MIN_MEAN_GAIN = 0.05;
-    /** Floor of the variance of hints: below it the slope is damped. */
+    /** Lower bound on the variance of hints; below it the slope is damped. */
     private static final double MIN_HINT_VARIANCE = 0.01;
-    /** Runs after which the measured relation replaces the hint itself. */
+    /** Number of runs from which the fitted relation replaces the hint itself. */
     private static final int MIN_RUNS = 10;
 
     private final long minCoreMicros;
@@ -23,15 +23,15 @@
     private double covariance;
 
     /**
-     * Makes a model that has seen no run.
+     * Creates a model without observations.
      *
-     * @param minCoreMicros shorter times on the cores count as this
+     * @param minCoreMicros lower bound on core times; shorter ones count as this
      */
     WorkHintModel(long minCoreMicros) {
         this.minCoreMicros = minCoreMicros;
     }
 
-    void learn(double hintMicros, long coreMicros) {
+    void update(double hintMicros, long coreMicros) {
         runs++;
         double slopeGain = Math.max(MIN_SLOPE_GAIN, 1.0 / runs);
         double meanGain = Math.max(MIN_MEAN_GAIN, slopeGain);
@@ -43,7 +43,7 @@
         covariance += slopeGain * ((1 - slopeGain) * hintDeviation * coreDeviation - covariance);
     }
 
-    /** The predicted time on the cores of a run with this hint. */
+    /** Returns the predicted time on the cores of a run with this hint, in microseconds. */
     double coreMicros(double hintMicros, double guaranteedSpeed) {
         if (runs < MIN_RUNS) {
             return hintMicros / guaranteedSpeed;
@@ -52,7 +52,10 @@
         return Math.exp(meanLogCoreMicros + slope * (Math.log(hintMicros) - meanLogHint));
     }
 
-    /** Speed of the runs beside their hints, 1 being the usual speed; 0 until enough runs ended. */
+    /**
+     * Returns the measured speed of runs relative to their hints, where 1 is the usual speed; 0 until enough runs have
+     * ended.
+     */
     double measuredSpeed() {
         return runs < MIN_RUNS ? 0 : Math.exp(meanLogHint - meanLogCoreMicros);
     }
