--- a/server/src/main/java/wheatspread/admission/AdmissionRequest.java
+++ b/server/src/main/java/wheatspread/admission/AdmissionRequest.java
@@ -1,18 +1,18 @@
 package wheatspread.admission;
 
 /**
- * One request that was read.
+ * A request that was read.
  *
- * @param id its number, unique in this process
- * @param tenant index of its tenant
- * @param requestClass index of its class
- * @param ageMicros how long ago it reached the machine
- * @param timeoutMicros how long its client still waits; 0 if unknown
- * @param duplicateOf id of the request that it repeats; 0 if none
- * @param retry whether its client marked it as an attempt after the first
- * @param cacheable whether it has a cache key
- * @param write whether it changes data
- * @param heldKb memory that it takes while held, in kilobytes
+ * @param id number of the request, unique in this process
+ * @param tenant index of the tenant
+ * @param requestClass index of the request class
+ * @param ageMicros time since the request reached the machine
+ * @param timeoutMicros time for which the client still waits; 0 if unknown
+ * @param duplicateOf id of the original request that this one repeats; 0 if none
+ * @param retry whether the client marked the request as an attempt after the first
+ * @param cacheable whether the request has a cache key
+ * @param write whether the request changes data
+ * @param heldKb memory of the request while it is held, in kilobytes
  * @param expectedWorkMicros expected time on a core of the usual speed; 0 if unknown
  */
 public record AdmissionRequest(
--- a/server/src/main/java/wheatspread/admission/AdmissionSettings.java
+++ b/server/src/main/java/wheatspread/admission/AdmissionSettings.java
@@ -5,15 +5,15 @@
 /**
  * The settings of admission control.
  *
- * @param cores processor cores of this server
- * @param servers how many servers share the work; 0 if unknown
+ * @param cores number of processor cores of this server
+ * @param servers number of servers that share the load; 0 if unknown
  * @param cold whether the process starts below its full speed
- * @param preemptionMode what the host can do with running work
- * @param cacheTtlMicros how long the answer of a cacheable read may serve others; 0 disables that
+ * @param preemptionMode what the kernel can do with running work
+ * @param cacheTtlMicros time for which the answer of a cacheable read may serve other requests; 0 disables caching
  * @param timerResolutionMicros resolution of times on the wire
- * @param limits what the server survives
- * @param dependency what the dependency survives
- * @param clients what clients do and which advice they follow
+ * @param limits load that the server can take without failing
+ * @param dependency load that the dependency can take without failing
+ * @param clients properties of the clients and the advice that they follow
  * @param classes the request classes, by index; at least one
  * @param tenants the tenants, by index
  */
--- a/server/src/main/java/wheatspread/admission/ClientSettings.java
+++ b/server/src/main/java/wheatspread/admission/ClientSettings.java
@@ -1,14 +1,14 @@
 package wheatspread.admission;
 
 /**
- * What the clients do and which advice they follow.
+ * Properties of the clients and the advice that they follow.
  *
- * @param count how many clients there are
- * @param feedbackMode what they make of the load feedback
- * @param feedbackHoldMicros how long they follow a feedback value
- * @param maxRetryAfterMicros the longest retry-after advice that they pass on; 0 if they pass on none
- * @param healthChecksSteerTraffic whether a bad health answer keeps requests away
- * @param idleTimeoutMicros time after which they close an idle connection; 0 if unknown
+ * @param count number of clients
+ * @param feedbackMode how clients use the load feedback
+ * @param feedbackHoldMicros how long clients follow a feedback value
+ * @param maxRetryAfterMicros the maximum retry-after that clients follow; 0 if they follow none
+ * @param healthChecksSteerTraffic whether an unhealthy answer keeps requests away from the server
+ * @param idleTimeoutMicros time after which clients close an idle connection; 0 if unknown
  * @param connectionOpenCost cost of opening connections, per new connection and first attempt
  * @param idleConnectionsCost cost of a mean of a hundred open connections
  */
--- a/server/src/main/java/wheatspread/admission/DependencyKind.java
+++ b/server/src/main/java/wheatspread/admission/DependencyKind.java
@@ -1,10 +1,10 @@
 package wheatspread.admission;
 
-/** What requests may call while they run. */
+/** The dependency that requests may call while they run. */
 public enum DependencyKind {
-    /** Nothing. */
+    /** No dependency. */
     NONE,
-    /** One service that all servers share. */
+    /** A service that all servers share. */
     SHARED,
     /** The servers of the next tier, which run the same code. */
     TIER
--- a/server/src/main/java/wheatspread/admission/DependencyLimits.java
+++ b/server/src/main/java/wheatspread/admission/DependencyLimits.java
@@ -1,12 +1,12 @@
 package wheatspread.admission;
 
 /**
- * What the dependency of this server's requests survives.
+ * The load that the dependency of this server's requests can take.
  *
- * @param kind what the dependency is
- * @param maxConcurrentCalls calls from this server that it survives, as a mean over the window; 0 for no bound
+ * @param kind kind of the dependency
+ * @param maxConcurrentCalls maximum concurrent calls from this server, as a mean over the window; 0 for no bound
  * @param averagingWindowMicros the window of that mean
- * @param abandonedCallLingerMicros how long it works on a call after the caller gave it up
+ * @param abandonedCallLingerMicros time for which the dependency works on a call after the server abandoned it
  */
 public record DependencyLimits(
         DependencyKind kind, double maxConcurrentCalls, long averagingWindowMicros, long abandonedCallLingerMicros) {
--- a/server/src/main/java/wheatspread/admission/Idempotency.java
+++ b/server/src/main/java/wheatspread/admission/Idempotency.java
@@ -2,10 +2,10 @@
 
 /** How often a request of a class may take effect. */
 public enum Idempotency {
-    /** Any number of times. */
+    /** The request may take effect any number of times. */
     IDEMPOTENT,
-    /** Once for each idempotency key within the class's window; repeats get the first result. */
+    /** The request takes effect once per idempotency key within the class's window; duplicates get the first result. */
     IDEMPOTENCY_KEY,
-    /** Once, without a key that would identify a repeat. */
+    /** The request takes effect at most once and has no key that would identify a duplicate. */
     AT_MOST_ONCE
 }
--- a/server/src/main/java/wheatspread/admission/LoadFeedbackMode.java
+++ b/server/src/main/java/wheatspread/admission/LoadFeedbackMode.java
@@ -1,13 +1,13 @@
 package wheatspread.admission;
 
-/** What clients make of {@link AdmissionController.Actions#setLoadFeedback}. */
+/** How clients use the value of {@link AdmissionController.Actions#setLoadFeedback}. */
 public enum LoadFeedbackMode {
-    /** Nothing; no value is sent. */
+    /** Clients use no feedback and no value is sent. */
     NONE,
-    /** They send nothing whose priority rank is below the value. */
+    /** Clients send no request whose priority rank is below the value. */
     THRESHOLD,
-    /** Each client has at most that many requests outstanding at this server. */
+    /** Each client has at most this many requests outstanding at this server. */
     WINDOW,
-    /** They choose this server with this probability when they come across it. */
+    /** Clients select this server with this probability when their load balancing considers it. */
     SHARE
 }
--- a/server/src/main/java/wheatspread/admission/LoadGauges.java
+++ b/server/src/main/java/wheatspread/admission/LoadGauges.java
@@ -1,12 +1,12 @@
 package wheatspread.admission;
 
 /**
- * Gauge readings of the moment; NaN where one is missing.
+ * Gauge readings at one time; NaN stands for a missing reading.
  *
- * @param coreUtilization use of all cores, as a share
- * @param runnableTasks tasks on the cores or waiting for one
- * @param memoryUtilization use of the memory, as a share
- * @param openConnections open connections
+ * @param coreUtilization utilization of all cores, as a share
+ * @param runnableTasks number of tasks that run on a core or wait for one
+ * @param memoryUtilization utilization of the memory, as a share
+ * @param openConnections number of open connections
  */
 public record LoadGauges(
         double coreUtilization, double runnableTasks, double memoryUtilization, double openConnections) {}
--- a/server/src/main/java/wheatspread/admission/Outcome.java
+++ b/server/src/main/java/wheatspread/admission/Outcome.java
@@ -2,13 +2,13 @@
 
 /** How a run or a dependency call ended. */
 public enum Outcome {
-    /** With a result. */
+    /** The run or call ended with a result. */
     OK,
-    /** With an error; a call may have taken effect. */
+    /** The run or call ended with an error; a call may have taken effect. */
     FAILED,
-    /** The call was rejected before it was treated. */
+    /** The call was rejected before it was processed. */
     QUEUE_FULL,
-    /** The call was given up; it may have taken effect. */
+    /** The call timed out; it may have taken effect. */
     TIMED_OUT,
     /** No connection was made, so the call never arrived. */
     CONNECT_ERROR,
@@ -16,6 +16,6 @@
     RESET,
     /** The run was stopped or suspended, or ended at a call because its answer is no longer needed. */
     CANCELED,
-    /** Nothing was started, since the request was done. */
+    /** Nothing was started, since the request was already done. */
     IGNORED
 }
--- a/server/src/main/java/wheatspread/admission/PreemptionMode.java
+++ b/server/src/main/java/wheatspread/admission/PreemptionMode.java
@@ -1,11 +1,11 @@
 package wheatspread.admission;
 
-/** What the host can do with running work. */
+/** What the kernel can do with running work. */
 public enum PreemptionMode {
-    /** Nothing; every run goes on to its end. */
+    /** The kernel cannot preempt; every run continues to its end. */
     NONE,
-    /** Stop it for good. */
+    /** The kernel can stop a run, which cannot be resumed. */
     ABORT,
-    /** Suspend it and resume it later. */
+    /** The kernel can suspend a run and resume it later. */
     SUSPEND
 }
--- a/server/src/main/java/wheatspread/admission/RequestClass.java
+++ b/server/src/main/java/wheatspread/admission/RequestClass.java
@@ -1,17 +1,17 @@
 package wheatspread.admission;
 
 /**
- * One class of requests.
+ * A class of requests.
  *
- * @param latencyObjectiveMicros time from arrival within which an answer earns the full weight
- * @param objectiveStretch how much longer the objective is per unit of expected work
+ * @param latencyObjectiveMicros time from arrival within which an answer has the full weight
+ * @param objectiveStretch extension of the latency objective per unit of expected work
  * @param deadlineMicros time from arrival within which a request is answered
  * @param idempotency how often a request may take effect
- * @param weight priority weight that an answer earns
- * @param lateWeightFactor part of the weight that an answer after the objective earns
- * @param idempotencyWindowMicros how long a repeat with the same idempotency key takes no effect
+ * @param weight priority weight of an answer
+ * @param lateWeightFactor share of the weight that an answer after the objective has
+ * @param idempotencyWindowMicros time within which a duplicate with the same idempotency key takes no effect
  * @param callsDependency whether requests may call the dependency
- * @param degradedResponseWeight part of the weight that an answer without the call earns; 0 if it cannot be skipped
+ * @param degradedResponseWeight share of the weight that an answer without the call has; 0 if the call is mandatory
  */
 public record RequestClass(
         long latencyObjectiveMicros,
@@ -41,7 +41,8 @@
         SettingChecks.atMost("class skipWorth", degradedResponseWeight, 1);
         SettingChecks.present("class effect", idempotency);
         if (latencyObjectiveMicros > deadlineMicros) {
-            throw new IllegalArgumentException("class aim: longer than the deadline");
+            throw new IllegalArgumentException("class aim: " + latencyObjectiveMicros
+                    + " us is longer than the deadline of " + deadlineMicros + " us");
         }
     }
 }
--- a/server/src/main/java/wheatspread/admission/ServerLimits.java
+++ b/server/src/main/java/wheatspread/admission/ServerLimits.java
@@ -1,16 +1,16 @@
 package wheatspread.admission;
 
 /**
- * What the server survives.
+ * The load that the server can take without failing.
  *
  * @param memoryKb memory for requests and keys, in kilobytes
- * @param runningMemoryFactor memory of a started request, as a multiple of a held one's
+ * @param runningMemoryFactor memory of a started request, as a multiple of that of a held one
  * @param idempotencyKeyKb memory of a retained key, in kilobytes
- * @param overloadMultiple started requests per core that a warm server survives
- * @param coldSpeedFloor least speed of a cold process, as a share of its full speed
+ * @param overloadMultiple maximum of started requests per core that a warm server can run without failing
+ * @param coldSpeedFloor minimum speed of a cold process, as a share of its full speed
  * @param warmUpMicros time until a cold process has its full speed
  * @param answerSlackMicros time that an answer may take to reach the client after the deadline
- * @param drainGraceMicros time after the drain notice in which requests that are written are still run
+ * @param drainGraceMicros time after the drain notice within which requests that arrive are still run
  */
 public record ServerLimits(
         double memoryKb,
--- a/server/src/main/java/wheatspread/admission/Tenant.java
+++ b/server/src/main/java/wheatspread/admission/Tenant.java
@@ -3,7 +3,7 @@
 /**
  * A tenant.
  *
- * @param quotaPerSecond its quota over the fleet, in requests a second; 0 if it has none
+ * @param quotaPerSecond quota of the tenant over the whole fleet, in requests per second; 0 if it has none
  */
 public record Tenant(double quotaPerSecond) {
 
--- a/server/src/main/java/wheatspread/admission/TenantList.java
+++ b/server/src/main/java/wheatspread/admission/TenantList.java
@@ -6,8 +6,8 @@
 import java.util.RandomAccess;
 
 /**
- * An immutable list of tenants that takes 8 bytes for each: their quotas are one array, and {@link #get} creates the
- * object.
+ * An immutable list of tenants that takes 8 bytes for each tenant. The quotas are stored in one array, and {@link #get}
+ * creates the {@link Tenant}.
  */
 public final class TenantList extends AbstractList<Tenant> implements RandomAccess {
     private final double[] quotas;
@@ -16,7 +16,11 @@
         this.quotas = quotas;
     }
 
-    /** The tenants with these quotas, by index; throws {@link IllegalArgumentException} as {@link Tenant} does. */
+    /**
+     * Returns the tenants with these quotas, by index.
+     *
+     * @throws IllegalArgumentException if a quota is negative or not a finite number
+     */
     public static TenantList ofQuotas(double... quotas) {
         TenantList tenants = new TenantList(quotas.clone());
         for (int i = 0; i < quotas.length; i++) {
