--- a/server/src/main/java/wheatspread/sim/ActionEncoder.java
+++ b/server/src/main/java/wheatspread/sim/ActionEncoder.java
@@ -5,10 +5,10 @@
 import java.io.UncheckedIOException;
 import wheatspread.admission.AdmissionController;
 
-/** Writes the actions of one instance; opens its part of the reply with the first of them. */
+/** Encodes the actions of one instance. The first action opens the instance's part of the reply. */
 final class ActionEncoder implements AdmissionController.Actions {
     private static final double MICROS_PER_MILLI = 1000.0;
-    /** The wire wants a label for each timer; there is but one kind. */
+    /** Label of timers, which the wire requires; there is only one kind of timer. */
     private static final String TICK_LABEL = "tick";
 
     private final JsonGenerator json;
@@ -25,7 +25,7 @@
         void write() throws IOException;
     }
 
-    /** Ends the part of the reply, if there was an action. */
+    /** Closes the instance's part of the reply if it has any action. */
     void close() throws IOException {
         if (open) {
             json.writeEndArray();
--- a/server/src/main/java/wheatspread/sim/BenchLink.java
+++ b/server/src/main/java/wheatspread/sim/BenchLink.java
@@ -11,7 +11,10 @@
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** The simulator's wire: each line read is a batch of events, and each line written the actions decided on it. */
+/**
+ * The connection to the simulator. Each line read is a batch of events, and each line written holds the actions decided
+ * on it.
+ */
 public final class BenchLink {
     private static final int BUFFER_BYTES = 1 << 16;
 
@@ -21,7 +24,7 @@
     private final BufferedReader in;
     private final OutputStream out;
 
-    /** What was read cannot be understood; the message names the line. */
+    /** Thrown when the input cannot be decoded; the message names the line. */
     public static final class InvalidInputException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
@@ -30,28 +33,29 @@
         }
     }
 
-    /** Connects to the simulator; {@link #serve} does the work. */
+    /** Creates a connection over the given streams. {@link #serve} processes the input. */
     public BenchLink(InputStream in, OutputStream out) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), BUFFER_BYTES);
         this.out = new BufferedOutputStream(out, BUFFER_BYTES);
     }
 
     /**
-     * Answers every line until the input ends.
+     * Processes every line until the end of the input.
      *
-     * @throws BadInput if a line cannot be understood
+     * @throws InvalidInputException if a line cannot be decoded
+     * @throws IOException if the input cannot be read or the output cannot be written
      */
     public void serve() throws IOException {
         long lineNumber = 0;
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             lineNumber++;
-            answer(line, lineNumber);
+            processLine(line, lineNumber);
             out.write('\n');
             out.flush();
         }
     }
 
-    private void answer(String line, long lineNumber) throws IOException {
+    private void processLine(String line, long lineNumber) throws IOException {
         try (JsonGenerator reply = json.createGenerator(out)) {
             reply.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
             reply.disable(JsonGenerator.Feature.FLUSH_PASSED_TO_STREAM);
--- a/server/src/main/java/wheatspread/sim/EventDecoder.java
+++ b/server/src/main/java/wheatspread/sim/EventDecoder.java
@@ -7,14 +7,14 @@
 import wheatspread.config.JsonFields;
 import wheatspread.core.DeploymentSettings;
 
-/** Passes an event of the wire to the controller of its instance. */
+/** Decodes events of the simulator's wire and passes them to the controller of their instance. */
 final class EventDecoder {
     private EventDecoder() {}
 
     static void deliver(SimulatedInstance instance, String kind, JsonFields event) {
         AdmissionController controller = instance.controller();
         switch (kind) {
-            case WireNames.ARRIVAL -> controller.onArrival(request(event));
+            case WireNames.ARRIVAL -> controller.onArrival(decodeRequest(event));
             case WireNames.COMPLETION ->
                 controller.onCompletion(
                         event.id(WireNames.REQUEST_ID),
@@ -28,12 +28,12 @@
                         event.millisAsMicros(WireNames.ELAPSED));
             case WireNames.CANCELLATION -> controller.onCancellation(event.id(WireNames.REQUEST_ID));
             case WireNames.DRAIN -> controller.onDrain(event.millisAsMicros(WireNames.TIME_LEFT));
-            case WireNames.TIMER -> controller.onTimer(gauges(instance.gaugeNames(), event));
-            default -> throw new BenchLink.InvalidInputException("unknown event " + kind);
+            case WireNames.TIMER -> controller.onTimer(decodeGauges(instance.gaugeNames(), event));
+            default -> throw new BenchLink.InvalidInputException("unknown event kind " + kind);
         }
     }
 
-    private static AdmissionRequest request(JsonFields event) {
+    private static AdmissionRequest decodeRequest(JsonFields event) {
         return new AdmissionRequest(
                 event.id(WireNames.REQUEST_ID),
                 (int) event.number(WireNames.TENANT, 0),
@@ -48,7 +48,7 @@
                 event.millisAsMicros(WireNames.EXPECTED_WORK, 0));
     }
 
-    private static LoadGauges gauges(List<String> gaugeNames, JsonFields event) {
+    private static LoadGauges decodeGauges(List<String> gaugeNames, JsonFields event) {
         List<Object> readings = event.list(WireNames.GAUGES);
         return DeploymentSettings.gaugesFrom(
                 gaugeNames,
--- a/server/src/main/java/wheatspread/sim/JsonTreeParser.java
+++ b/server/src/main/java/wheatspread/sim/JsonTreeParser.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import wheatspread.config.JsonFields;
 
-/** Parses a text that is one JSON object into maps, lists, texts, longs, doubles and booleans. */
+/** Parses a text that holds one JSON object into maps, lists, strings, longs, doubles and booleans. */
 final class JsonTreeParser {
     private final JsonFactory json;
 
@@ -21,22 +21,22 @@
     JsonFields parseObject(String text) throws IOException {
         try (JsonParser parser = json.createParser(text)) {
             parser.nextToken();
-            Object value = value(parser);
+            Object value = readValue(parser);
             if (parser.nextToken() != null) {
-                throw new BenchLink.InvalidInputException("more than one value");
+                throw new BenchLink.InvalidInputException("unexpected text after the JSON object");
             }
             return JsonFields.of(value, "message");
         }
     }
 
-    private static Object value(JsonParser parser) throws IOException {
+    private static Object readValue(JsonParser parser) throws IOException {
         JsonToken token = parser.currentToken();
         if (token == null) {
             return null;
         }
         return switch (token) {
-            case START_OBJECT -> object(parser);
-            case START_ARRAY -> list(parser);
+            case START_OBJECT -> readObject(parser);
+            case START_ARRAY -> readList(parser);
             case VALUE_NUMBER_INT -> parser.getNumberValue().longValue();
             case VALUE_NUMBER_FLOAT -> parser.getDoubleValue();
             case VALUE_STRING -> parser.getText();
@@ -46,19 +46,19 @@
         };
     }
 
-    private static Map<String, Object> object(JsonParser parser) throws IOException {
+    private static Map<String, Object> readObject(JsonParser parser) throws IOException {
         Map<String, Object> map = new HashMap<>();
         for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
             parser.nextToken();
-            map.put(name, value(parser));
+            map.put(name, readValue(parser));
         }
         return map;
     }
 
-    private static List<Object> list(JsonParser parser) throws IOException {
+    private static List<Object> readList(JsonParser parser) throws IOException {
         List<Object> list = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            list.add(value(parser));
+            list.add(readValue(parser));
         }
         return list;
     }
--- a/server/src/main/java/wheatspread/sim/SimulatedFleet.java
+++ b/server/src/main/java/wheatspread/sim/SimulatedFleet.java
@@ -8,7 +8,7 @@
 import wheatspread.config.JsonFields;
 import wheatspread.config.SettingsReader;
 
-/** The simulated instances by id; hands each its events of a batch and writes the actions that it decides. */
+/** The simulated instances by id. Passes each instance its events of a batch and writes the actions that it decides. */
 final class SimulatedFleet {
     private final JsonTreeParser parser;
     private final Map<Integer, SimulatedInstance> instances = new HashMap<>();
--- a/server/src/main/java/wheatspread/sim/WireNames.java
+++ b/server/src/main/java/wheatspread/sim/WireNames.java
@@ -3,18 +3,18 @@
 import java.util.Map;
 import wheatspread.admission.Outcome;
 
-/** The names on the simulator's wire, each beside the term that the server uses for it. */
+/** The names on the simulator's wire, each assigned to a constant that has the server's term for it. */
 final class WireNames {
     // A batch of events, and the reply with the actions of each instance.
 
-    /** Time of the batch; on the wire every time is in milliseconds. */
+    /** Time of the batch. All times on the wire are in milliseconds. */
     static final String BATCH_TIME = "SimTime";
 
     static final String PARTS = "parts";
     static final String INSTANCE_ID = "WorkerId";
     static final String EVENTS = "items";
     static final String ACTIONS = "cmds";
-    /** Which event or action an object is. */
+    /** Kind of an event or action. */
     static final String KIND = "m";
 
     // Events.
@@ -37,7 +37,7 @@
     static final String TENANT = "Customer";
     static final String REQUEST_CLASS = "Band";
     static final String AGE = "Age";
-    /** Of an arrival its timeout, of a drain notice the time until the process is stopped. */
+    /** The timeout of an arrival, or the time from a drain notice until the process is stopped. */
     static final String TIME_LEFT = "Left";
 
     static final String DUPLICATE_OF = "DupOf";
@@ -72,7 +72,7 @@
     static final String RETRY_AFTER = "StayAway";
     static final String DO_NOT_RETRY = "DontRetry";
     static final String CALL_TIMEOUT = "GiveUpAfter";
-    /** How long a key is retained or a connection may be idle. */
+    /** Time for which a key is retained or a connection may be idle. */
     static final String TIME_TO_LIVE = "Ttl";
 
     static final String HEALTHY = "Want";
