--- a/server/src/main/java/wheatspread/heap/IndexedHeap.java
+++ b/server/src/main/java/wheatspread/heap/IndexedHeap.java
@@ -3,24 +3,24 @@
 import java.util.Arrays;
 
 /**
- * An indexed binary heap (R. Sedgewick and K. Wayne, "Algorithms", 4th edition, section 2.4, index priority
- * queue): elements are indexes from 0 to a bound, each with a key, and the one with the smallest key comes first,
- * of equal keys the one with the smallest index. Since the position of each element is known, its key is changed,
- * and it is removed, in logarithmic time; a plain heap would have to search for it.
+ * An indexed binary min-heap (R. Sedgewick and K. Wayne, "Algorithms", 4th edition, section 2.4, index priority queue).
+ * Its elements are indexes from 0 to a bound, each with a key. The element with the smallest key is the first; among
+ * equal keys it is the one with the smallest index. Since the position of each element is stored, changing its key and
+ * removing it take logarithmic time; a plain heap would have to search for the element.
  *
- * <p>Keys are compared by {@link Double#compare}, so NaN comes last, but both zeros are equal. The heap takes 4
- * bytes for each possible index and 12 for each element that it held at most. Not safe for use by several
- * threads.
+ * <p>Keys are compared by {@link Double#compare}, so NaN is the largest key, except that both zeros are equal. The heap
+ * takes 4 bytes for each possible index and 12 bytes for each element of the largest size that it has had. Not safe for
+ * use by several threads.
  */
 public final class IndexedHeap {
     private static final int INITIAL_CAPACITY = 16;
 
-    /** By index: its position in {@link #indexes} and {@link #keys} plus one, 0 while it is not in the heap. */
+    /** Position of each index in {@link #indexes} and {@link #keys} plus one; 0 if the index is not in the heap. */
     private final int[] positionsPlusOne;
 
-    /** By position: the index there. */
+    /** Index at each position. */
     private int[] indexes = new int[INITIAL_CAPACITY];
-    /** By position: the key of the index there. */
+    /** Key of the index at each position. */
     private double[] keys = new double[INITIAL_CAPACITY];
 
     private int size;
@@ -42,18 +42,18 @@
      */
     public int first() {
         if (size == 0) {
-            throw new IllegalStateException("first of an empty heap");
+            throw new IllegalStateException("heap is empty, expected at least one element");
         }
         return indexes[0];
     }
 
     /**
-     * Adds an index, or moves it if its key has changed.
+     * Adds an index, or changes its key if the heap contains it.
      *
-     * @return false if the heap had it with this key already
+     * @return false if the heap already contained the index with this key
      */
     public boolean put(int index, double key) {
-        double sortKey = key + 0.0; // turns a negative zero into a positive one
+        double sortKey = key + 0.0; // converts negative zero to positive zero
         if (positionsPlusOne[index] == 0) {
             grow();
             siftUp(size++, index, sortKey);
@@ -72,7 +72,7 @@
     /**
      * Removes an index.
      *
-     * @return false if the heap did not have it
+     * @return false if the heap did not contain the index
      */
     public boolean remove(int index) {
         if (positionsPlusOne[index] == 0) {
@@ -94,39 +94,39 @@
         }
     }
 
-    /** Places an element at a position or at one of its ancestors, and returns where. */
+    /** Places an element at a position or at one of its ancestors, and returns its new position. */
     private int siftUp(int position, int index, double key) {
-        int at = position;
-        while (at > 0) {
-            int parent = (at - 1) >>> 1;
+        int newPosition = position;
+        while (newPosition > 0) {
+            int parent = (newPosition - 1) >>> 1;
             if (!isBefore(index, key, parent)) {
                 break;
             }
-            place(at, indexes[parent], keys[parent]);
-            at = parent;
+            place(newPosition, indexes[parent], keys[parent]);
+            newPosition = parent;
         }
-        place(at, index, key);
-        return at;
+        place(newPosition, index, key);
+        return newPosition;
     }
 
-    /** Places an element at a position or below it. */
+    /** Places an element at a position or at one of its descendants. */
     private void siftDown(int position, int index, double key) {
-        int at = position;
-        while (2 * at + 1 < size) {
-            int child = 2 * at + 1;
+        int newPosition = position;
+        while (2 * newPosition + 1 < size) {
+            int child = 2 * newPosition + 1;
             if (child + 1 < size && isBefore(indexes[child + 1], keys[child + 1], child)) {
                 child++;
             }
             if (isBefore(index, key, child)) {
                 break;
             }
-            place(at, indexes[child], keys[child]);
-            at = child;
+            place(newPosition, indexes[child], keys[child]);
+            newPosition = child;
         }
-        place(at, index, key);
+        place(newPosition, index, key);
     }
 
-    /** Whether an element comes before the one at a position. */
+    /** Returns whether an element precedes the element at a position. */
     private boolean isBefore(int index, double key, int position) {
         int order = Double.compare(key, keys[position]);
         return order < 0 || order == 0 && index < indexes[position];
--- a/server/src/main/java/wheatspread/heap/package-info.java
+++ b/server/src/main/java/wheatspread/heap/package-info.java
@@ -1,5 +1,5 @@
 /**
- * An indexed priority queue. Owns nothing but the data structure; must not know what its elements stand for, nor any
- * other package of the server.
+ * An indexed priority queue. The package must not depend on the meaning of its elements or on any other package of the
+ * server.
  */
 package wheatspread.heap;
