--- a/server/src/test/java/wheatspread/admission/sfq/ControllerHarness.java
+++ b/server/src/test/java/wheatspread/admission/sfq/ControllerHarness.java
@@ -10,7 +10,10 @@
 import wheatspread.admission.LoadGauges;
 import wheatspread.admission.Outcome;
 
-/** Passes events to one {@link SfqAdmissionController} and records its actions; times are milliseconds. */
+/**
+ * Passes events to an {@link SfqAdmissionController} and records its actions. All times are in milliseconds unless a
+ * name says otherwise.
+ */
 final class ControllerHarness implements AdmissionController.Actions {
     static final LoadGauges BUSY_GAUGES = new LoadGauges(1, 2, 0.1, 3);
     static final LoadGauges IDLE_GAUGES = new LoadGauges(0.2, 1, 0.1, 3);
@@ -23,10 +26,10 @@
 
     ControllerHarness(AdmissionSettings settings) {
         controller = new SfqAdmissionController(settings, 1);
-        at(nowMillis).decide();
+        advanceTo(nowMillis).decide();
     }
 
-    ControllerHarness at(long timeMillis) {
+    ControllerHarness advanceTo(long timeMillis) {
         nowMillis = timeMillis;
         actions.clear();
         controller.beginBatch(timeMillis * 1000);
@@ -48,20 +51,20 @@
         return this;
     }
 
-    /** A read of class 0 with a cache key. */
+    /** Reports the arrival of a read of class 0 with a cache key. */
     ControllerHarness arriveCacheable(long id, int tenant, long duplicateOf) {
         controller.onArrival(new AdmissionRequest(id, tenant, 0, 0, 0, duplicateOf, false, true, false, 20, 0));
         return this;
     }
 
-    /** A request whose client still waits for {@code timeoutMillis}. */
+    /** Reports the arrival of a request whose client still waits for {@code timeoutMillis}. */
     ControllerHarness arriveWithTimeout(long id, int requestClass, long timeoutMillis, boolean retry) {
         controller.onArrival(
                 new AdmissionRequest(id, 0, requestClass, 0, timeoutMillis * 1000, 0, retry, false, false, 20, 0));
         return this;
     }
 
-    /** A request of class 0 with a work hint. */
+    /** Reports the arrival of a request of class 0 with a work hint. */
     ControllerHarness arriveWithHint(long id, int tenant, double hintMillis) {
         controller.onArrival(new AdmissionRequest(id, tenant, 0, 0, 0, 0, false, false, false, 20, hintMillis * 1000));
         return this;
@@ -77,16 +80,16 @@
         return this;
     }
 
-    /** Lets ticks pass up to {@code untilMillis} with the same gauges, and returns all actions. */
+    /** Runs a batch per tick up to {@code untilMillis} with the same gauge readings, and returns all actions. */
     List<String> tickUntil(long untilMillis, LoadGauges gauges) {
-        List<String> all = new ArrayList<>();
-        for (long t = nowMillis + 50; t <= untilMillis; t += 50) {
-            at(t);
+        List<String> allActions = new ArrayList<>();
+        for (long timeMillis = nowMillis + 50; timeMillis <= untilMillis; timeMillis += 50) {
+            advanceTo(timeMillis);
             controller.onTimer(gauges);
             decide();
-            all.addAll(actions);
+            allActions.addAll(actions);
         }
-        return all;
+        return allActions;
     }
 
     @Override
@@ -95,9 +98,9 @@
     }
 
     @Override
-    public void reject(long id, long retryAfter, boolean doNotRetry) {
+    public void reject(long id, long retryAfterDelayMicros, boolean doNotRetry) {
         actions.add("reject " + id);
-        retryAfterMicros.add(retryAfter);
+        retryAfterMicros.add(retryAfterDelayMicros);
     }
 
     @Override
--- a/server/src/test/java/wheatspread/admission/sfq/DependencyCallsTest.java
+++ b/server/src/test/java/wheatspread/admission/sfq/DependencyCallsTest.java
@@ -6,10 +6,10 @@
 import wheatspread.admission.Idempotency;
 import wheatspread.admission.Outcome;
 
-/** When dependency calls are made, skipped or abandoned. */
+/** Tests when dependency calls are made, skipped or abandoned. */
 class DependencyCallsTest {
     @Test
-    void boundsCallsAndSkipsOrFailsOthers() {
+    void boundsCallsAndSkipsOptionalAndFailsUnsafeCalls() {
         ControllerHarness harness = new ControllerHarness(TestSettings.settings(
                 false,
                 100_000,
@@ -17,18 +17,18 @@
                 TestSettings.TWO_TENANTS,
                 TestSettings.requestClass(1000, 3000, Idempotency.IDEMPOTENCY_KEY, 0.2, 0),
                 TestSettings.requestClass(1000, 3000, Idempotency.IDEMPOTENT, 0, 0.5)));
-        harness.at(1010).arrive(1, 0, 0).arrive(2, 1, 1).decide();
-        harness.at(1020);
+        harness.advanceTo(1010).arrive(1, 0, 0).arrive(2, 1, 1).decide();
+        harness.advanceTo(1020);
         harness.controller.onBlocked(1);
         harness.controller.onBlocked(2);
         harness.decide();
         assertThat(harness.actions).contains("call 1").doesNotContain("call 2");
         assertThat(harness.tickUntil(1300, ControllerHarness.BUSY_GAUGES)).contains("skip 2");
-        harness.at(1310);
+        harness.advanceTo(1310);
         harness.controller.onCallCompleted(1, Outcome.TIMED_OUT, 290_000);
         harness.decide();
         assertThat(harness.actions)
-                .as("an effect may have happened, so no second call")
+                .as("the call may have taken effect, so it is not repeated")
                 .containsExactly("fail 1");
     }
 
@@ -42,32 +42,34 @@
                 TestSettings.requestClass(9000, 20_000, Idempotency.IDEMPOTENCY_KEY, 0, 0)));
         long id = 0;
         for (int i = 0; i < 20; i++) {
-            harness.at(1010 + 50L * i).arrive(++id, 0, 0).decide();
-            harness.at(1020 + 50L * i);
+            harness.advanceTo(1010 + 50L * i).arrive(++id, 0, 0).decide();
+            harness.advanceTo(1020 + 50L * i);
             harness.controller.onBlocked(id);
             harness.decide();
-            harness.at(1030 + 50L * i);
+            harness.advanceTo(1030 + 50L * i);
             harness.controller.onCallCompleted(id, Outcome.OK, 10_000);
             harness.decide();
-            harness.at(1040 + 50L * i).complete(id, Outcome.OK, 30).decide();
+            harness.advanceTo(1040 + 50L * i).complete(id, Outcome.OK, 30).decide();
         }
         int calls = 0;
         for (int i = 0; i < 15; i++) {
-            harness.at(3000 + 200L * i).arrive(++id, 0, 0);
+            harness.advanceTo(3000 + 200L * i).arrive(++id, 0, 0);
             harness.controller.onTimer(ControllerHarness.BUSY_GAUGES);
             harness.decide();
-            harness.at(3010 + 200L * i);
+            harness.advanceTo(3010 + 200L * i);
             harness.controller.onBlocked(id);
             harness.decide();
-            calls += harness.actions.stream().filter(a -> a.startsWith("call")).count();
+            calls += harness.actions.stream()
+                    .filter(action -> action.startsWith("call"))
+                    .count();
         }
         assertThat(calls)
-                .as("of the 10 that a burst may have outstanding; none has ended")
+                .as("calls made out of the 10 that may be outstanding in a burst, with none ended")
                 .isBetween(1, 6);
     }
 
     @Test
-    void oneHangingCallDoesNotLowerBound() {
+    void singleHangingCallDoesNotLowerBound() {
         ControllerHarness harness = new ControllerHarness(TestSettings.settings(
                 false,
                 100_000,
@@ -76,28 +78,30 @@
                 TestSettings.requestClass(9000, 20_000, Idempotency.IDEMPOTENCY_KEY, 0, 0)));
         long id = 0;
         for (int i = 0; i < 60; i++) {
-            harness.at(1010 + 50L * i).arrive(++id, 0, 0);
+            harness.advanceTo(1010 + 50L * i).arrive(++id, 0, 0);
             harness.controller.onTimer(ControllerHarness.BUSY_GAUGES);
             harness.decide();
-            harness.at(1020 + 50L * i);
+            harness.advanceTo(1020 + 50L * i);
             harness.controller.onBlocked(id);
             harness.decide();
             if (i != 20) {
-                harness.at(1030 + 50L * i);
+                harness.advanceTo(1030 + 50L * i);
                 harness.controller.onCallCompleted(id, Outcome.OK, 10_000);
                 harness.decide();
-                harness.at(1040 + 50L * i).complete(id, Outcome.OK, 30).decide();
+                harness.advanceTo(1040 + 50L * i).complete(id, Outcome.OK, 30).decide();
             }
         }
         int calls = 0;
         for (int i = 0; i < 6; i++) {
-            harness.at(4010 + 5L * i).arrive(++id, 0, 0).decide();
-            harness.at(4012 + 5L * i);
+            harness.advanceTo(4010 + 5L * i).arrive(++id, 0, 0).decide();
+            harness.advanceTo(4012 + 5L * i);
             harness.controller.onBlocked(id);
             harness.decide();
-            calls += harness.actions.stream().filter(a -> a.startsWith("call")).count();
+            calls += harness.actions.stream()
+                    .filter(action -> action.startsWith("call"))
+                    .count();
         }
-        assertThat(calls).as("a burst beside the one that hangs").isEqualTo(6);
+        assertThat(calls).as("calls of a burst while one call hangs").isEqualTo(6);
     }
 
     @Test
@@ -108,20 +112,20 @@
                 2,
                 TestSettings.TWO_TENANTS,
                 TestSettings.requestClass(1000, 3000, Idempotency.IDEMPOTENCY_KEY, 0.2, 0)));
-        harness.at(1010).arrive(1, 0, 0).decide();
-        harness.at(1020);
+        harness.advanceTo(1010).arrive(1, 0, 0).decide();
+        harness.advanceTo(1020);
         harness.controller.onBlocked(1);
         harness.decide();
-        harness.at(1030);
+        harness.advanceTo(1030);
         harness.controller.onCallCompleted(1, Outcome.QUEUE_FULL, 10_000);
         harness.decide();
         assertThat(harness.actions)
-                .as("a full dependency is not called again at once")
+                .as("a dependency with a full queue is not called again at once")
                 .isEmpty();
         assertThat(harness.tickUntil(1080, ControllerHarness.BUSY_GAUGES)).containsExactly("call 1");
         harness.controller.onCallCompleted(1, Outcome.QUEUE_FULL, 10_000);
         assertThat(harness.tickUntil(1130, ControllerHarness.BUSY_GAUGES))
-                .as("the second wait is longer")
+                .as("the second backoff is longer")
                 .isEmpty();
         assertThat(harness.tickUntil(1280, ControllerHarness.BUSY_GAUGES)).containsExactly("call 1");
     }
--- a/server/src/test/java/wheatspread/admission/sfq/FairSchedulingTest.java
+++ b/server/src/test/java/wheatspread/admission/sfq/FairSchedulingTest.java
@@ -10,11 +10,11 @@
 import wheatspread.admission.RequestClass;
 import wheatspread.admission.Tenant;
 
-/** Which held request starts next, and which is shed. */
+/** Tests which held request starts next and which one is shed. */
 class FairSchedulingTest {
     @Test
     void startsSmallestStartTagWhileSlotsAreFree() {
-        ControllerHarness harness = new ControllerHarness(TestSettings.defaults()).at(1010);
+        ControllerHarness harness = new ControllerHarness(TestSettings.defaults()).advanceTo(1010);
         harness.arrive(1, 0, 0)
                 .arrive(2, 0, 0)
                 .arrive(3, 0, 0)
@@ -22,7 +22,7 @@
                 .arrive(5, 1, 0)
                 .decide();
         assertThat(harness.actions).containsExactly("run 1", "run 5");
-        harness.at(1100).complete(1, Outcome.OK, 90).decide();
+        harness.advanceTo(1100).complete(1, Outcome.OK, 90).decide();
         assertThat(harness.actions).containsExactly("run 2");
     }
 
@@ -34,16 +34,16 @@
                         0,
                         List.of(new Tenant(3), new Tenant(1)),
                         TestSettings.requestClass(9000, 9000, Idempotency.IDEMPOTENT, 0, 0)))
-                .at(1010);
+                .advanceTo(1010);
         for (int i = 0; i < 8; i++) {
             harness.arrive(10 + i, 0, 0).arrive(20 + i, 1, 0);
         }
         harness.decide();
-        harness.at(1020).complete(10, Outcome.FAILED, 0).decide();
-        harness.at(1030).complete(20, Outcome.FAILED, 0).decide();
-        harness.at(1040).complete(11, Outcome.FAILED, 0).decide();
+        harness.advanceTo(1020).complete(10, Outcome.FAILED, 0).decide();
+        harness.advanceTo(1030).complete(20, Outcome.FAILED, 0).decide();
+        harness.advanceTo(1040).complete(11, Outcome.FAILED, 0).decide();
         assertThat(harness.actions)
-                .as("the third of the heavier flow before the second of the lighter")
+                .as("the third request of the heavier flow starts before the second of the lighter one")
                 .containsExactly("run 13");
     }
 
@@ -51,24 +51,24 @@
     void idleFlowGainsNoCredit() {
         ControllerHarness harness = new ControllerHarness(TestSettings.defaults());
         for (int i = 0; i < 6; i++) {
-            harness.at(1010 + 10L * i).arrive(i + 1, 0, 0).decide();
-            harness.at(1015 + 10L * i).complete(i + 1, Outcome.OK, 5).decide();
+            harness.advanceTo(1010 + 10L * i).arrive(i + 1, 0, 0).decide();
+            harness.advanceTo(1015 + 10L * i).complete(i + 1, Outcome.OK, 5).decide();
         }
-        harness.at(1200)
+        harness.advanceTo(1200)
                 .arrive(20, 1, 0)
                 .arrive(21, 1, 0)
                 .arrive(22, 1, 0)
                 .arrive(23, 0, 0)
                 .decide();
-        harness.at(1210).complete(20, Outcome.OK, 10).decide();
+        harness.advanceTo(1210).complete(20, Outcome.OK, 10).decide();
         assertThat(harness.actions)
-                .as("both flows start from v, so the other one's first comes next")
+                .as("both flows start from v, so request 21 has the smallest start tag")
                 .isEqualTo(List.of("run 21"));
     }
 
     @Test
-    void rejectionTakesChargeOffLaterTags() {
-        ControllerHarness harness = new ControllerHarness(TestSettings.defaults()).at(1010);
+    void rejectionRemovesChargeFromLaterTags() {
+        ControllerHarness harness = new ControllerHarness(TestSettings.defaults()).advanceTo(1010);
         harness.arrive(1, 0, 0)
                 .arrive(2, 0, 0)
                 .arrive(3, 0, 0, 990, 0)
@@ -77,22 +77,27 @@
                 .arrive(6, 1, 0)
                 .decide();
         assertThat(harness.tickUntil(1060, ControllerHarness.BUSY_GAUGES)).contains("reject 3");
-        harness.at(1100).complete(1, Outcome.OK, 90).complete(5, Outcome.OK, 90).decide();
+        harness.advanceTo(1100)
+                .complete(1, Outcome.OK, 90)
+                .complete(5, Outcome.OK, 90)
+                .decide();
         assertThat(harness.actions).containsExactly("run 2", "run 6");
-        harness.at(1200).arrive(7, 1, 0).complete(2, Outcome.OK, 100).decide();
-        assertThat(harness.actions).as("4 has the tag that 3 had").containsExactly("run 4");
+        harness.advanceTo(1200).arrive(7, 1, 0).complete(2, Outcome.OK, 100).decide();
+        assertThat(harness.actions)
+                .as("request 4 takes over the tag of the rejected request 3")
+                .containsExactly("run 4");
     }
 
     @Test
-    void shedsRequestWithJoinersLast() {
+    void shedsRequestWithJoinersAfterOthers() {
         ControllerHarness harness =
-                new ControllerHarness(TestSettings.withCacheTtl(TestSettings.defaults(), 1000)).at(1010);
+                new ControllerHarness(TestSettings.withCacheTtl(TestSettings.defaults(), 1000)).advanceTo(1010);
         harness.arrive(1, 0, 0).arrive(2, 0, 0).decide();
-        harness.at(1410)
+        harness.advanceTo(1410)
                 .complete(1, Outcome.OK, 400)
                 .complete(2, Outcome.OK, 400)
                 .decide();
-        harness.at(1420)
+        harness.advanceTo(1420)
                 .arriveCacheable(9, 0, 0)
                 .arriveCacheable(10, 0, 0)
                 .arriveCacheable(11, 0, 0)
@@ -104,15 +109,15 @@
     }
 
     @Test
-    void shedsNewestOfFlowFurthestAhead() {
-        ControllerHarness harness = new ControllerHarness(TestSettings.defaults()).at(1010);
+    void shedsNewestRequestOfFlowWithLargestLead() {
+        ControllerHarness harness = new ControllerHarness(TestSettings.defaults()).advanceTo(1010);
         harness.arrive(1, 0, 0).arrive(2, 0, 0).decide();
-        harness.at(1410)
+        harness.advanceTo(1410)
                 .complete(1, Outcome.OK, 400)
                 .complete(2, Outcome.OK, 400)
                 .decide();
         harness.tickUntil(1460, ControllerHarness.BUSY_GAUGES);
-        harness.at(1470);
+        harness.advanceTo(1470);
         for (int i = 10; i < 20; i++) {
             harness.arrive(i, 0, 0);
         }
@@ -121,45 +126,53 @@
     }
 
     @Test
-    void sparesOnlyRequestOfSmallTenant() {
+    void keepsOnlyRequestOfTenantWithSmallQuota() {
         ControllerHarness harness = new ControllerHarness(TestSettings.settings(
                         false,
                         100_000,
                         0,
                         List.of(new Tenant(5), new Tenant(1)),
                         TestSettings.requestClass(1000, 3000, Idempotency.IDEMPOTENT, 0, 0)))
-                .at(1010);
+                .advanceTo(1010);
         harness.arrive(1, 0, 0).arrive(2, 0, 0).decide();
-        harness.at(1410)
+        harness.advanceTo(1410)
                 .complete(1, Outcome.OK, 400)
                 .complete(2, Outcome.OK, 400)
                 .decide();
-        harness.at(1420).arrive(10, 0, 0).arrive(11, 0, 0).arrive(30, 1, 0).decide();
-        harness.at(1430).arrive(12, 0, 0).arrive(13, 0, 0).arrive(14, 0, 0).decide();
+        harness.advanceTo(1420)
+                .arrive(10, 0, 0)
+                .arrive(11, 0, 0)
+                .arrive(30, 1, 0)
+                .decide();
+        harness.advanceTo(1430)
+                .arrive(12, 0, 0)
+                .arrive(13, 0, 0)
+                .arrive(14, 0, 0)
+                .decide();
         assertThat(harness.actions)
-                .as("one charge of the small tenant equals five of the large")
+                .as("a request of the small tenant is charged five times as much as one of the large tenant")
                 .contains("reject 14")
                 .doesNotContain("reject 30");
     }
 
     @Test
     void roundsHeldQueueBoundUpToWholeRequest() {
-        ControllerHarness harness = new ControllerHarness(TestSettings.defaults()).at(1010);
+        ControllerHarness harness = new ControllerHarness(TestSettings.defaults()).advanceTo(1010);
         harness.arrive(1, 0, 0).arrive(2, 0, 0).decide();
-        harness.at(1610)
+        harness.advanceTo(1610)
                 .complete(1, Outcome.OK, 600)
                 .complete(2, Outcome.OK, 600)
                 .decide();
-        harness.at(1620).arrive(3, 0, 0).arrive(4, 0, 0).arrive(5, 0, 0).decide();
+        harness.advanceTo(1620).arrive(3, 0, 0).arrive(4, 0, 0).arrive(5, 0, 0).decide();
         assertThat(harness.actions)
-                .as("one held drains in 300 ms, the bound is 240 ms")
+                .as("one held request drains in 300 ms, the bound is 240 ms")
                 .isEqualTo(List.of("run 3", "run 4"));
-        harness.at(1630).arrive(6, 0, 0).decide();
+        harness.advanceTo(1630).arrive(6, 0, 0).decide();
         assertThat(harness.actions).isEqualTo(List.of("reject 6"));
     }
 
     @Test
-    void shedsLeastWeightOfFlowFurthestAhead() {
+    void shedsLeastWeightOfFlowWithLargestLead() {
         RequestClass heavy = new RequestClass(1_000_000, 0, 3_000_000, Idempotency.IDEMPOTENT, 5, 0, 0, false, 0);
         ControllerHarness harness = new ControllerHarness(TestSettings.settings(
                         false,
@@ -168,13 +181,13 @@
                         TestSettings.TWO_TENANTS,
                         TestSettings.requestClass(1000, 3000, Idempotency.IDEMPOTENT, 0, 0),
                         heavy))
-                .at(1010);
+                .advanceTo(1010);
         harness.arrive(1, 0, 0).arrive(2, 0, 0).decide();
-        harness.at(1410)
+        harness.advanceTo(1410)
                 .complete(1, Outcome.OK, 400)
                 .complete(2, Outcome.OK, 400)
                 .decide();
-        harness.at(1420)
+        harness.advanceTo(1420)
                 .arrive(9, 0, 0)
                 .arrive(10, 0, 0)
                 .arrive(11, 0, 0)
@@ -186,7 +199,7 @@
     }
 
     @Test
-    void sparesSecondRequestOfTenantServedLittle() {
+    void keepsSecondRequestOfTenantWithFewRecentRuns() {
         ControllerHarness harness = new ControllerHarness(TestSettings.settings(
                 false,
                 100_000,
@@ -194,16 +207,16 @@
                 List.of(new Tenant(5), new Tenant(1)),
                 TestSettings.requestClass(1000, 3000, Idempotency.IDEMPOTENT, 0, 0)));
         for (int i = 0; i < 10; i++) {
-            harness.at(1010 + 410L * i)
+            harness.advanceTo(1010 + 410L * i)
                     .arrive(100 + i, 0, 0)
                     .arrive(200 + i, 0, 0)
                     .decide();
-            harness.at(1410 + 410L * i)
+            harness.advanceTo(1410 + 410L * i)
                     .complete(100 + i, Outcome.OK, 400)
                     .complete(200 + i, Outcome.OK, 400)
                     .decide();
         }
-        harness.at(5150)
+        harness.advanceTo(5150)
                 .arrive(1, 0, 0)
                 .arrive(2, 0, 0)
                 .arrive(3, 0, 0)
@@ -212,25 +225,30 @@
                 .arrive(11, 1, 0)
                 .decide();
         assertThat(harness.actions).contains("run 10").doesNotContain("reject 11");
-        assertThat(harness.actions.stream().filter(a -> a.startsWith("reject"))).isNotEmpty();
+        assertThat(harness.actions.stream().filter(action -> action.startsWith("reject")))
+                .isNotEmpty();
     }
 
     @Test
     void spreadsRetryAfterOfRejectedClients() {
-        List<List<Long>> delays = new ArrayList<>();
+        List<List<Long>> delaysByProcess = new ArrayList<>();
         for (int process = 0; process < 2; process++) {
-            ControllerHarness harness = new ControllerHarness(TestSettings.defaults()).at(1010);
+            ControllerHarness harness = new ControllerHarness(TestSettings.defaults()).advanceTo(1010);
             for (int i = 0; i < 60; i++) {
                 harness.arrive(i + 1, i % 2, 0);
             }
             harness.decide();
-            delays.add(harness.retryAfterMicros);
+            delaysByProcess.add(harness.retryAfterMicros);
         }
-        List<Long> given = delays.get(0).stream().filter(s -> s > 0).toList();
-        assertThat(given)
+        List<Long> positiveDelaysMicros = delaysByProcess.get(0).stream()
+                .filter(delayMicros -> delayMicros > 0)
+                .toList();
+        assertThat(positiveDelaysMicros)
                 .hasSizeGreaterThan(20)
-                .allMatch(s -> s >= 333_333 && s <= 666_667)
+                .allMatch(delayMicros -> delayMicros >= 333_333 && delayMicros <= 666_667)
                 .doesNotHaveDuplicates();
-        assertThat(delays.get(1)).as("same seed, same events").isEqualTo(delays.get(0));
+        assertThat(delaysByProcess.get(1))
+                .as("equal seed and events give equal delays")
+                .isEqualTo(delaysByProcess.get(0));
     }
 }
--- a/server/src/test/java/wheatspread/admission/sfq/KeyRetentionTest.java
+++ b/server/src/test/java/wheatspread/admission/sfq/KeyRetentionTest.java
@@ -7,23 +7,23 @@
 import wheatspread.admission.Idempotency;
 import wheatspread.admission.Outcome;
 
-/** Which keys are retained, which requests join others, and the memory that they share. */
+/** Tests which keys are retained, which requests join others, and the bound on their memory. */
 class KeyRetentionTest {
     @Test
-    void readsOfOneKeyShareOneRun() {
+    void coalescesReadsWithSameCacheKey() {
         ControllerHarness harness =
-                new ControllerHarness(TestSettings.withCacheTtl(TestSettings.defaults(), 1000)).at(1010);
+                new ControllerHarness(TestSettings.withCacheTtl(TestSettings.defaults(), 1000)).advanceTo(1010);
         harness.arriveCacheable(1, 0, 0)
                 .arriveCacheable(2, 0, 1)
                 .arriveCacheable(3, 1, 1)
                 .decide();
         assertThat(harness.actions).containsExactly("retain 1", "join 2", "join 3", "run 1");
-        harness.at(1100)
+        harness.advanceTo(1100)
                 .complete(1, Outcome.OK, 90)
                 .complete(2, Outcome.OK, 90)
                 .complete(3, Outcome.OK, 90)
                 .decide();
-        harness.at(1110).arriveCacheable(4, 0, 1).decide();
+        harness.advanceTo(1110).arriveCacheable(4, 0, 1).decide();
         assertThat(harness.actions).as("the answer is cached").containsExactly("join 4");
         assertThat(harness.tickUntil(2200, ControllerHarness.IDLE_GAUGES))
                 .as("the key is released when the answer has expired")
@@ -32,29 +32,29 @@
 
     @Test
     void joinsDuplicateAfterDrainGrace() {
-        ControllerHarness harness = new ControllerHarness(TestSettings.defaults()).at(1010);
+        ControllerHarness harness = new ControllerHarness(TestSettings.defaults()).advanceTo(1010);
         harness.arrive(1, 0, 1).decide();
-        harness.at(1020);
+        harness.advanceTo(1020);
         harness.controller.onDrain(6_000_000);
         harness.decide();
-        harness.at(2500).arrive(2, 0, 1, 0, 1).arrive(3, 0, 1).decide();
+        harness.advanceTo(2500).arrive(2, 0, 1, 0, 1).arrive(3, 0, 1).decide();
         assertThat(harness.actions)
-                .as("1 runs, so its duplicate may not be rejected")
+                .as("request 1 runs, so its duplicate must not be rejected")
                 .startsWith("join 2", "reject 3")
                 .doesNotContain("run 3");
     }
 
     @Test
-    void retainsKeyJoinsDuplicatesAndNeverRejectsAfterRun() {
+    void retainsKeyAndJoinsDuplicatesAndRejectsNoneAfterRun() {
         ControllerHarness harness = new ControllerHarness(TestSettings.defaults())
-                .at(1010)
+                .advanceTo(1010)
                 .arrive(1, 0, 1)
                 .decide();
         assertThat(harness.actions).containsExactly("retain 1", "run 1");
-        harness.at(1020).arrive(2, 0, 1, 0, 1).decide();
+        harness.advanceTo(1020).arrive(2, 0, 1, 0, 1).decide();
         assertThat(harness.actions).containsExactly("join 2");
-        List<String> all = harness.tickUntil(4100, ControllerHarness.BUSY_GAUGES);
-        assertThat(all).contains("fail 1", "fail 2").doesNotContain("reject 1", "reject 2", "run 1", "run 2");
+        List<String> allActions = harness.tickUntil(4100, ControllerHarness.BUSY_GAUGES);
+        assertThat(allActions).contains("fail 1", "fail 2").doesNotContain("reject 1", "reject 2", "run 1", "run 2");
     }
 
     @Test
@@ -65,10 +65,10 @@
                         0,
                         TestSettings.TWO_TENANTS,
                         TestSettings.requestClass(1000, 3000, Idempotency.IDEMPOTENCY_KEY, 0, 0)))
-                .at(1010);
+                .advanceTo(1010);
         harness.arrive(1, 0, 0).arrive(2, 0, 0, 0, 1).decide();
         assertThat(harness.actions)
-                .as("no memory for the first one's key")
+                .as("there is no memory for the key of request 1")
                 .contains("reject 1", "retain 2")
                 .doesNotContain("join 2");
     }
@@ -81,24 +81,24 @@
                 0,
                 TestSettings.TWO_TENANTS,
                 TestSettings.requestClass(1000, 3000, Idempotency.IDEMPOTENCY_KEY, 0, 0)));
-        harness.at(1010).arrive(1, 0, 0).decide();
+        harness.advanceTo(1010).arrive(1, 0, 0).decide();
         assertThat(harness.actions).containsExactly("reject 1");
     }
 
     @Test
-    void failsDuplicatesBeforeMemoryRunsOut() {
+    void failsDuplicatesBeforeMemoryIsExhausted() {
         ControllerHarness harness = new ControllerHarness(TestSettings.settings(
                         false,
                         500,
                         0,
                         TestSettings.TWO_TENANTS,
                         TestSettings.requestClass(1000, 3000, Idempotency.IDEMPOTENCY_KEY, 0, 0)))
-                .at(1010)
+                .advanceTo(1010)
                 .arrive(1, 0, 0)
                 .decide();
         int failed = 0;
         for (int i = 2; i < 40; i++) {
-            harness.at(1010 + i).arrive(i, 0, 0, 0, 1).decide();
+            harness.advanceTo(1010 + i).arrive(i, 0, 0, 0, 1).decide();
             assertThat(harness.actions).doesNotContain("reject " + i);
             failed += harness.actions.contains("fail " + i) ? 1 : 0;
         }
@@ -114,14 +114,17 @@
                 0,
                 TestSettings.TWO_TENANTS,
                 TestSettings.requestClass(1000, 3000, Idempotency.IDEMPOTENT, 0, 0)));
-        harness.at(1010);
+        harness.advanceTo(1010);
         for (int i = 0; i < 100; i++) {
             harness.arrive(i + 1, i % 2, 0);
         }
         harness.decide();
-        long rejected =
-                harness.actions.stream().filter(a -> a.startsWith("reject")).count();
-        long runs = harness.actions.stream().filter(a -> a.startsWith("run")).count();
+        long rejected = harness.actions.stream()
+                .filter(action -> action.startsWith("reject"))
+                .count();
+        long runs = harness.actions.stream()
+                .filter(action -> action.startsWith("run"))
+                .count();
         assertThat((100 - rejected - runs) * 20 + runs * 80).isLessThanOrEqualTo(400);
         assertThat(runs).isPositive();
     }
--- a/server/src/test/java/wheatspread/admission/sfq/RandomEventsTest.java
+++ b/server/src/test/java/wheatspread/admission/sfq/RandomEventsTest.java
@@ -26,10 +26,10 @@
 import wheatspread.admission.Tenant;
 
 /**
- * Seeded random events, checked against the rules: one answer in time for each request, effects once, and memory,
- * started requests and calls within their bounds. Covers calls, some of them rejected, duplicates of requests with an
- * idempotency key and of reads, at-most-once classes, cancellations, work hints, retries, each feedback mode, cold
- * starts, preemption, little memory and draining.
+ * Checks invariants under seeded random events: each request gets one answer in time and takes effect at most once, and
+ * memory, started requests and calls stay within their bounds. Covers calls, some of them rejected, duplicates of
+ * requests with an idempotency key and of reads, at-most-once classes, cancellations, work hints, retries, each
+ * feedback mode, cold starts, preemption, little memory and draining.
  */
 class RandomEventsTest {
     private static final double MAX_CONCURRENT_CALLS = 1.5;
@@ -42,15 +42,15 @@
 
     private final Map<Long, Long> answerDeadlines = new HashMap<>();
     private final Map<Long, Integer> requestClasses = new HashMap<>();
-    private final Set<Long> ran = new HashSet<>();
+    private final Set<Long> startedIds = new HashSet<>();
     private final Set<Long> held = new HashSet<>();
     private final Map<Long, Long> originals = new LinkedHashMap<>();
     private final Set<Long> joining = new LinkedHashSet<>();
     private final Set<Long> running = new LinkedHashSet<>();
     private final Set<Long> awaitingCall = new LinkedHashSet<>();
     private final Map<Long, Long> calling = new LinkedHashMap<>();
-    private final Set<Long> callMayHaveActed = new HashSet<>();
-    private final List<Long> ended = new ArrayList<>();
+    private final Set<Long> callMayHaveTakenEffect = new HashSet<>();
+    private final List<Long> endingRuns = new ArrayList<>();
     private final List<Long> lingering = new ArrayList<>();
     private final Map<Long, Long> retainedUntil = new LinkedHashMap<>();
     private final Deque<Integer> outstandingCalls = new ArrayDeque<>();
@@ -62,54 +62,54 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-    void keepsRulesAndRepeatsActionsForSameEvents(long seed) {
-        List<String> actions = play(seed);
-        assertThat(new RandomEventsTest().play(seed)).isEqualTo(actions);
+    void keepsInvariantsAndIsDeterministic(long seed) {
+        List<String> actions = runRandomEvents(seed);
+        assertThat(new RandomEventsTest().runRandomEvents(seed)).isEqualTo(actions);
     }
 
-    private List<String> play(long seed) {
-        List<String> all = new ArrayList<>();
+    private List<String> runRandomEvents(long seed) {
+        List<String> allActions = new ArrayList<>();
         Random random = new Random(seed);
-        double memory = seed % 3 == 0 ? 420 : 1500;
-        ControllerHarness harness = new ControllerHarness(settings(seed, memory));
+        double memoryKb = seed % 3 == 0 ? 420 : 1500;
+        ControllerHarness harness = new ControllerHarness(settings(seed, memoryKb));
         long id = 0;
-        for (long t = 1010; t < 30_000; t += 10) {
-            nowMillis = t;
-            harness.at(t);
-            if (t == 24_000) {
+        for (long timeMillis = 1010; timeMillis < 30_000; timeMillis += 10) {
+            nowMillis = timeMillis;
+            harness.advanceTo(timeMillis);
+            if (timeMillis == 24_000) {
                 harness.controller.onDrain(6_000_000);
             }
-            if (t < 24_900) {
-                for (int n = random.nextInt(t % 5000 < 1000 ? 4 : 2); n > 0; n--) {
+            if (timeMillis < 24_900) {
+                for (int n = random.nextInt(timeMillis % 5000 < 1000 ? 4 : 2); n > 0; n--) {
                     arrive(harness, ++id, random);
                 }
             }
-            if (t % 130 == 0) {
+            if (timeMillis % 130 == 0) {
                 cancel(harness, random);
             }
-            progress(harness, random, t % 7000 < 2000 ? 100 : 12, t % 9000 < 4000 ? 150 : 10);
-            if (t % 50 == 0) {
+            advanceWork(harness, random, timeMillis % 7000 < 2000 ? 100 : 12, timeMillis % 9000 < 4000 ? 150 : 10);
+            if (timeMillis % 50 == 0) {
                 harness.controller.onTimer(new LoadGauges(1, running.size(), random.nextDouble(), 3));
             }
             harness.decide();
-            harness.actions.forEach(action -> check(action));
-            all.addAll(harness.actions);
-            checkBounds(memory);
+            harness.actions.forEach(action -> checkAction(action));
+            allActions.addAll(harness.actions);
+            checkBounds(memoryKb);
         }
         assertThat(answerDeadlines)
                 .as("all requests are answered before the process is stopped")
                 .isEmpty();
-        assertThat(ran.size()).isGreaterThan(40);
+        assertThat(startedIds.size()).isGreaterThan(40);
         assertThat(callsMade).as("calls").isGreaterThan(20);
         assertThat(callsSkipped).as("calls skipped").isPositive();
         assertThat(joinsMade).as("duplicates joined").isPositive();
-        return all;
+        return allActions;
     }
 
-    private static AdmissionSettings settings(long seed, double memory) {
+    private static AdmissionSettings settings(long seed, double memoryKb) {
         AdmissionSettings base = TestSettings.settings(
                 seed % 2 == 0,
-                memory,
+                memoryKb,
                 MAX_CONCURRENT_CALLS,
                 List.of(new Tenant(1), new Tenant(2)),
                 TestSettings.requestClass(800, DEADLINES_MILLIS[0], IDEMPOTENCY[0], 0, 0.5),
@@ -179,106 +179,106 @@
         }
     }
 
-    /** A client goes away; the server hears of it, now and then twice or too late. */
+    /** Cancels a random request; the controller is notified, sometimes twice or after the end of the request. */
     private void cancel(ControllerHarness harness, Random random) {
-        List<Long> open = new ArrayList<>(answerDeadlines.keySet());
-        open.sort(null);
-        if (open.isEmpty()) {
+        List<Long> unansweredIds = new ArrayList<>(answerDeadlines.keySet());
+        unansweredIds.sort(null);
+        if (unansweredIds.isEmpty()) {
             return;
         }
-        long id = open.get(random.nextInt(open.size()));
-        boolean waits = held.remove(id);
+        long id = unansweredIds.get(random.nextInt(unansweredIds.size()));
+        boolean wasHeld = held.remove(id);
         joining.remove(id);
         answerDeadlines.remove(id);
         failed.add(id);
         if (awaitingCall.contains(id) || calling.containsKey(id)) {
-            ended.add(id);
+            endingRuns.add(id);
             if (calling.remove(id) != null) {
                 lingering.add(nowMillis + CALL_LINGER_MILLIS);
             }
         }
         harness.controller.onCancellation(id);
-        if (waits || random.nextBoolean()) {
+        if (wasHeld || random.nextBoolean()) {
             harness.controller.onCancellation(id);
         }
     }
 
-    /** Runs end or reach a call, calls end; both go slower at times. */
-    private void progress(ControllerHarness harness, Random random, int runs, int calls) {
-        for (long run : new ArrayList<>(running)) {
-            int draw = random.nextInt(runs);
+    /** Ends runs and calls and lets runs reach calls; both are slower in some periods. */
+    private void advanceWork(ControllerHarness harness, Random random, int runBound, int callBound) {
+        for (long runId : new ArrayList<>(running)) {
+            int draw = random.nextInt(runBound);
             if (draw == 0) {
-                end(harness, run, answerDeadlines.containsKey(run) ? Outcome.OK : Outcome.CANCELED);
-            } else if (draw == 1 && answerDeadlines.containsKey(run)) {
-                running.remove(run);
-                awaitingCall.add(run);
-                harness.controller.onBlocked(run);
+                completeRun(harness, runId, answerDeadlines.containsKey(runId) ? Outcome.OK : Outcome.CANCELED);
+            } else if (draw == 1 && answerDeadlines.containsKey(runId)) {
+                running.remove(runId);
+                awaitingCall.add(runId);
+                harness.controller.onBlocked(runId);
             }
         }
         for (Map.Entry<Long, Long> call : new ArrayList<>(calling.entrySet())) {
             long id = call.getKey();
-            boolean late = nowMillis >= call.getValue();
-            if (!late && random.nextInt(calls) != 0) {
+            boolean timedOut = nowMillis >= call.getValue();
+            if (!timedOut && random.nextInt(callBound) != 0) {
                 continue;
             }
             calling.remove(id);
-            Outcome outcome = late
+            Outcome outcome = timedOut
                     ? Outcome.TIMED_OUT
                     : random.nextInt(8) == 0
                             ? Outcome.QUEUE_FULL
                             : random.nextInt(8) == 0 ? Outcome.FAILED : Outcome.OK;
             if (!answerDeadlines.containsKey(id)) {
-                end(harness, id, Outcome.CANCELED);
+                completeRun(harness, id, Outcome.CANCELED);
                 continue;
             }
-            if (late) {
+            if (timedOut) {
                 lingering.add(nowMillis + CALL_LINGER_MILLIS);
             }
             (outcome == Outcome.OK ? running : awaitingCall).add(id);
-            if (outcome == Outcome.FAILED || late) {
-                callMayHaveActed.add(id);
+            if (outcome == Outcome.FAILED || timedOut) {
+                callMayHaveTakenEffect.add(id);
             }
             harness.controller.onCallCompleted(id, outcome, 50_000);
         }
-        for (long join : new ArrayList<>(joining)) {
-            long first = originals.get(join);
-            if (!held.contains(first)
-                    && !running.contains(first)
-                    && !awaitingCall.contains(first)
-                    && !calling.containsKey(first)) {
-                joining.remove(join);
-                if (held.remove(join) && answerDeadlines.remove(join) != null) {
-                    harness.complete(join, ran.contains(first) ? Outcome.OK : Outcome.FAILED, 100);
+        for (long duplicateId : new ArrayList<>(joining)) {
+            long originalId = originals.get(duplicateId);
+            if (!held.contains(originalId)
+                    && !running.contains(originalId)
+                    && !awaitingCall.contains(originalId)
+                    && !calling.containsKey(originalId)) {
+                joining.remove(duplicateId);
+                if (held.remove(duplicateId) && answerDeadlines.remove(duplicateId) != null) {
+                    harness.complete(duplicateId, startedIds.contains(originalId) ? Outcome.OK : Outcome.FAILED, 100);
                 }
             }
         }
-        for (long id : new ArrayList<>(ended)) {
-            ended.remove(id);
+        for (long id : new ArrayList<>(endingRuns)) {
+            endingRuns.remove(id);
             awaitingCall.remove(id);
-            end(harness, id, Outcome.CANCELED);
+            completeRun(harness, id, Outcome.CANCELED);
         }
     }
 
-    private void end(ControllerHarness harness, long id, Outcome outcome) {
+    private void completeRun(ControllerHarness harness, long id, Outcome outcome) {
         running.remove(id);
         answerDeadlines.remove(id);
         harness.complete(id, outcome, 100);
     }
 
-    private void check(String action) {
+    private void checkAction(String action) {
         String[] words = action.split(" ");
         long id = words.length == 2 && words[1].matches("\\d+") ? Long.parseLong(words[1]) : 0;
         switch (words[0]) {
             case "run" -> {
-                assertThat(ran.add(id)).as("runs once: " + id).isTrue();
+                assertThat(startedIds.add(id)).as("runs once: " + id).isTrue();
                 assertThat(held.remove(id)).as("was held: " + id).isTrue();
-                assertThat(ran)
-                        .as("the request that it repeats has run")
+                assertThat(startedIds)
+                        .as("the original request has not run")
                         .doesNotContain(originals.getOrDefault(id, 0L));
                 running.add(id);
             }
             case "reject" -> {
-                assertThat(ran).as("rejected after a run").doesNotContain(id);
+                assertThat(startedIds).as("requests that ran are not rejected").doesNotContain(id);
                 assertThat(answerDeadlines.remove(id))
                         .as("one answer for " + id)
                         .isNotNull();
@@ -290,22 +290,22 @@
                         .isNotNull();
                 held.remove(id);
                 if (awaitingCall.contains(id) || calling.containsKey(id)) {
-                    ended.add(id);
+                    endingRuns.add(id);
                     if (calling.remove(id) != null) {
                         lingering.add(nowMillis + CALL_LINGER_MILLIS);
                     }
                 }
             }
             case "call" -> {
-                assertThat(awaitingCall.remove(id)).as("waits to call: " + id).isTrue();
-                assertThat(requestClasses.get(id) != 0 && callMayHaveActed.contains(id))
-                        .as("second call")
+                assertThat(awaitingCall.remove(id)).as("awaits its call: " + id).isTrue();
+                assertThat(requestClasses.get(id) != 0 && callMayHaveTakenEffect.contains(id))
+                        .as("a call that may have taken effect is repeated")
                         .isFalse();
                 calling.put(id, nowMillis + 600);
                 callsMade++;
             }
             case "skip" -> {
-                assertThat(requestClasses.get(id)).as("may be skipped").isZero();
+                assertThat(requestClasses.get(id)).as("class of a skipped call").isZero();
                 assertThat(awaitingCall.remove(id)).isTrue();
                 running.add(id);
                 callsSkipped++;
@@ -321,7 +321,7 @@
         }
     }
 
-    private void checkBounds(double memory) {
+    private void checkBounds(double memoryKb) {
         assertThat(answerDeadlines.values())
                 .as("answered in time at " + nowMillis)
                 .allMatch(deadline -> deadline >= nowMillis);
@@ -330,13 +330,16 @@
         int started = running.size() + awaitingCall.size() + calling.size();
         assertThat(held.size() * 20 + started * 80 + retainedUntil.size() * 10)
                 .as("memory at " + nowMillis)
-                .isLessThanOrEqualTo((int) memory);
+                .isLessThanOrEqualTo((int) memoryKb);
         assertThat(started).as("started requests").isLessThanOrEqualTo(10);
         outstandingCalls.add(calling.size() + lingering.size());
         if (outstandingCalls.size() > CALL_WINDOW_MILLIS / 10) {
             outstandingCalls.remove();
         }
-        double mean = outstandingCalls.stream().mapToInt(Integer::intValue).sum() / (CALL_WINDOW_MILLIS / 10.0);
-        assertThat(mean).as("mean of outstanding calls at " + nowMillis).isLessThanOrEqualTo(MAX_CONCURRENT_CALLS);
+        double meanOutstandingCalls =
+                outstandingCalls.stream().mapToInt(Integer::intValue).sum() / (CALL_WINDOW_MILLIS / 10.0);
+        assertThat(meanOutstandingCalls)
+                .as("mean of outstanding calls at " + nowMillis)
+                .isLessThanOrEqualTo(MAX_CONCURRENT_CALLS);
     }
 }
--- a/server/src/test/java/wheatspread/admission/sfq/RequestLifecycleTest.java
+++ b/server/src/test/java/wheatspread/admission/sfq/RequestLifecycleTest.java
@@ -9,12 +9,12 @@
 import wheatspread.admission.Outcome;
 import wheatspread.admission.PreemptionMode;
 
-/** When a request is given up, stopped, resumed or answered. */
+/** Tests when a request is abandoned, stopped, resumed or answered. */
 class RequestLifecycleTest {
     @Test
     void preemptsCanceledRunUnlessJoined() {
         ControllerHarness harness =
-                new ControllerHarness(TestSettings.withCacheTtl(TestSettings.defaults(), 1000)).at(1010);
+                new ControllerHarness(TestSettings.withCacheTtl(TestSettings.defaults(), 1000)).advanceTo(1010);
         harness.arriveCacheable(1, 0, 0)
                 .arriveCacheable(2, 0, 0)
                 .arriveCacheable(3, 0, 1)
@@ -24,7 +24,7 @@
         assertThat(harness.tickUntil(1110, ControllerHarness.BUSY_GAUGES))
                 .contains("preempt 2")
                 .doesNotContain("preempt 1");
-        harness.at(1120).complete(2, Outcome.CANCELED, 110).decide();
+        harness.advanceTo(1120).complete(2, Outcome.CANCELED, 110).decide();
         harness.controller.onCancellation(3);
         assertThat(harness.tickUntil(1200, ControllerHarness.BUSY_GAUGES))
                 .contains("preempt 1")
@@ -39,12 +39,14 @@
                         0,
                         TestSettings.TWO_TENANTS,
                         TestSettings.requestClass(1000, 3000, Idempotency.AT_MOST_ONCE, 0, 0)))
-                .at(1010);
+                .advanceTo(1010);
         harness.arrive(1, 0, 0).decide();
-        List<String> all = harness.tickUntil(2110, ControllerHarness.BUSY_GAUGES);
-        assertThat(all).contains("fail 1", "preempt 1");
-        harness.at(2120).complete(1, Outcome.CANCELED, 1100).decide();
-        assertThat(harness.actions).as("neither run again nor answered twice").isEmpty();
+        List<String> allActions = harness.tickUntil(2110, ControllerHarness.BUSY_GAUGES);
+        assertThat(allActions).contains("fail 1", "preempt 1");
+        harness.advanceTo(2120).complete(1, Outcome.CANCELED, 1100).decide();
+        assertThat(harness.actions)
+                .as("the request is neither run again nor answered twice")
+                .isEmpty();
     }
 
     @Test
@@ -62,53 +64,53 @@
                         defaults.clients(),
                         defaults.classes(),
                         defaults.tenants()))
-                .at(1010)
+                .advanceTo(1010)
                 .arrive(1, 0, 0)
                 .decide();
-        List<String> all = harness.tickUntil(2560, ControllerHarness.BUSY_GAUGES);
-        assertThat(all).containsSubsequence("fail 1", "preempt 1");
-        harness.at(2570)
+        List<String> allActions = harness.tickUntil(2560, ControllerHarness.BUSY_GAUGES);
+        assertThat(allActions).containsSubsequence("fail 1", "preempt 1");
+        harness.advanceTo(2570)
                 .complete(1, Outcome.CANCELED, 1560)
                 .arrive(2, 0, 0)
                 .arrive(3, 0, 0)
                 .decide();
         assertThat(harness.actions)
-                .as("its core is free and it gets no second answer")
+                .as("the core of request 1 is free, and the request gets no second answer")
                 .contains("run 2", "run 3")
                 .doesNotContain("fail 1");
     }
 
     @Test
-    void answersEverythingByDeadline() {
+    void answersAllRequestsByDeadline() {
         ControllerHarness harness = new ControllerHarness(TestSettings.settings(
                         false,
                         100_000,
                         0,
                         TestSettings.TWO_TENANTS,
                         TestSettings.requestClass(1000, 1500, Idempotency.IDEMPOTENT, 0.2, 0)))
-                .at(1010);
+                .advanceTo(1010);
         harness.arrive(1, 0, 0).arrive(2, 0, 0).arrive(3, 0, 0).decide();
-        List<String> all = harness.tickUntil(2560, ControllerHarness.BUSY_GAUGES);
-        assertThat(all).contains("reject 3", "fail 1", "preempt 1", "fail 2", "preempt 2");
+        List<String> allActions = harness.tickUntil(2560, ControllerHarness.BUSY_GAUGES);
+        assertThat(allActions).contains("reject 3", "fail 1", "preempt 1", "fail 2", "preempt 2");
     }
 
     @Test
-    void drainingServerRunsNothingLateAndAnswersAll() {
+    void drainingServerRejectsArrivalsAfterGraceAndAnswersAll() {
         ControllerHarness harness = new ControllerHarness(TestSettings.defaults())
-                .at(1010)
+                .advanceTo(1010)
                 .arrive(1, 0, 0)
                 .decide();
-        harness.at(1020);
+        harness.advanceTo(1020);
         harness.controller.onDrain(1_900_000);
         harness.decide();
-        harness.at(1990).arrive(2, 0, 0).decide();
+        harness.advanceTo(1990).arrive(2, 0, 0).decide();
         assertThat(harness.actions).contains("run 2");
-        harness.at(2030).arrive(3, 0, 0).decide();
+        harness.advanceTo(2030).arrive(3, 0, 0).decide();
         assertThat(harness.actions).contains("reject 3");
         assertThat(harness.tickUntil(2880, ControllerHarness.BUSY_GAUGES)).contains("fail 2");
     }
 
-    /** A suspended run whose answer is outstanding is resumed; a second suspension ends it. */
+    /** A suspended run whose request is unanswered is resumed once; after a second suspension the request fails. */
     @Test
     void resumesSuspendedRunOnce() {
         AdmissionSettings defaults = TestSettings.defaults();
@@ -124,22 +126,22 @@
                 defaults.clients(),
                 defaults.classes(),
                 defaults.tenants()));
-        harness.at(1010).arrive(1, 0, 1).decide();
-        harness.at(1100).complete(1, Outcome.CANCELED, 90).decide();
+        harness.advanceTo(1010).arrive(1, 0, 1).decide();
+        harness.advanceTo(1100).complete(1, Outcome.CANCELED, 90).decide();
         assertThat(harness.actions).contains("run 1").doesNotContain("fail 1");
-        harness.at(1200).complete(1, Outcome.CANCELED, 90).decide();
+        harness.advanceTo(1200).complete(1, Outcome.CANCELED, 90).decide();
         assertThat(harness.actions).contains("fail 1").doesNotContain("run 1");
         ControllerHarness abortingHarness = new ControllerHarness(defaults);
-        abortingHarness.at(1010).arrive(1, 0, 1).decide();
-        abortingHarness.at(1100).complete(1, Outcome.CANCELED, 90).decide();
+        abortingHarness.advanceTo(1010).arrive(1, 0, 1).decide();
+        abortingHarness.advanceTo(1100).complete(1, Outcome.CANCELED, 90).decide();
         assertThat(abortingHarness.actions)
-                .as("an aborted run would begin anew")
+                .as("an aborted run would start from the beginning")
                 .contains("fail 1");
     }
 
     @Test
     void ignoresEventsOfDoneRequests() {
-        ControllerHarness harness = new ControllerHarness(TestSettings.defaults()).at(1010);
+        ControllerHarness harness = new ControllerHarness(TestSettings.defaults()).advanceTo(1010);
         harness.complete(5, Outcome.OK, 3);
         harness.controller.onBlocked(6);
         harness.controller.onCallCompleted(7, Outcome.OK, 1);
--- a/server/src/test/java/wheatspread/admission/sfq/SfqAdmissionControllerTest.java
+++ b/server/src/test/java/wheatspread/admission/sfq/SfqAdmissionControllerTest.java
@@ -13,10 +13,10 @@
 import wheatspread.admission.Idempotency;
 import wheatspread.admission.LoadFeedbackMode;
 
-/** The settings and the files of the decision logic. */
+/** Tests the checks of settings, and that the deployment file lists the files of the decision logic. */
 class SfqAdmissionControllerTest {
     @Test
-    void namesInvalidSettings() {
+    void errorNamesInvalidSetting() {
         assertThatThrownBy(() -> TestSettings.settings(
                         false,
                         -1,
@@ -41,25 +41,26 @@
     }
 
     @Test
-    void deployFileNamesEveryDecisionFile() throws Exception {
-        String deploy = Files.readString(Path.of("../deploy/balancer.toml"));
-        String policy = deploy.lines()
+    void deploymentFileListsEveryDecisionFile() throws Exception {
+        String deployment = Files.readString(Path.of("../deploy/balancer.toml"));
+        String policyLine = deployment
+                .lines()
                 .filter(line -> line.startsWith("policy = "))
                 .findFirst()
                 .orElseThrow();
-        List<Path> named = Pattern.compile("\"([^\"]+)\"")
-                .matcher(policy)
+        List<Path> listedFiles = Pattern.compile("\"([^\"]+)\"")
+                .matcher(policyLine)
                 .results()
                 .map(match -> Path.of("..", match.group(1)))
                 .toList();
-        for (Path file : named) {
+        for (Path file : listedFiles) {
             assertThat(Files.readAllLines(file)).as(file.toString()).hasSizeLessThanOrEqualTo(400);
         }
         try (Stream<Path> files = Files.list(Path.of("src/main/java/wheatspread/admission/sfq"))) {
             assertThat(files.map(Path::getFileName))
-                    .as("all decision files are named")
+                    .as("files listed under policy")
                     .containsExactlyInAnyOrderElementsOf(
-                            named.stream().map(Path::getFileName).toList());
+                            listedFiles.stream().map(Path::getFileName).toList());
         }
     }
 }
--- a/server/src/test/java/wheatspread/admission/sfq/TestSettings.java
+++ b/server/src/test/java/wheatspread/admission/sfq/TestSettings.java
@@ -12,7 +12,7 @@
 import wheatspread.admission.ServerLimits;
 import wheatspread.admission.Tenant;
 
-/** Settings of a server with two cores for tests; times are milliseconds. */
+/** Settings of a server with two cores for tests. All times are in milliseconds. */
 final class TestSettings {
     static final List<Tenant> TWO_TENANTS = List.of(new Tenant(1), new Tenant(1));
 
@@ -56,7 +56,7 @@
                 tenants);
     }
 
-    /** The same with other client settings. */
+    /** Returns a copy of the settings with other client settings. */
     static AdmissionSettings withClients(AdmissionSettings base, ClientSettings clients) {
         return new AdmissionSettings(
                 base.cores(),
@@ -72,7 +72,7 @@
                 base.tenants());
     }
 
-    /** The same with a cache for reads. */
+    /** Returns a copy of the settings with a cache for reads. */
     static AdmissionSettings withCacheTtl(AdmissionSettings base, long ttlMillis) {
         return new AdmissionSettings(
                 base.cores(),
--- a/server/src/test/java/wheatspread/heap/IndexedHeapTest.java
+++ b/server/src/test/java/wheatspread/heap/IndexedHeapTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void emptyHeapHasNoFirst() {
+    void emptyHeapHasNoFirstElement() {
         assertThat(heap.size()).isZero();
         assertThat(heap.remove(7)).isFalse();
         assertThatThrownBy(heap::first).isInstanceOf(IllegalStateException.class);
@@ -62,7 +62,7 @@
         assertThat(heap.put(2, 5)).isTrue();
         assertThat(heap.first()).isEqualTo(2);
         assertThat(heap.put(2, 40)).isTrue();
-        assertThat(heap.put(2, 40)).as("the key it has").isFalse();
+        assertThat(heap.put(2, 40)).as("unchanged key").isFalse();
         assertThat(heap.size()).isEqualTo(3);
         assertThat(drain()).containsExactly(1, 3, 2);
     }
@@ -87,21 +87,24 @@
         assertThat(drain()).containsExactly(3, 4, 2, 1);
     }
 
-    /** The heap against a list that is sorted anew after every step; keys are few, so that ties are many. */
+    /**
+     * Compares the heap with a list that is sorted after every step. Keys have few distinct values, so that ties are
+     * frequent.
+     */
     @Property(tries = 200, seed = "11")
-    void agreesWithSortedList(@ForAll long seed) {
-        new IndexedHeapTest().agrees(new Random(seed)); // a heap of its own for each seed
+    void matchesSortedList(@ForAll long seed) {
+        new IndexedHeapTest().assertMatchesSortedList(new Random(seed)); // each seed needs a new heap
     }
 
-    private void agrees(Random random) {
+    private void assertMatchesSortedList(Random random) {
         Map<Integer, Double> expected = new TreeMap<>();
         int distinctKeys = 1 + random.nextInt(30);
         for (int step = 0; step < 400; step++) {
             int index = random.nextInt(BOUND);
             if (random.nextInt(3) < 2) {
                 double key = random.nextInt(distinctKeys);
-                Double before = expected.put(index, key);
-                assertThat(heap.put(index, key)).isEqualTo(before == null || before != key);
+                Double previousKey = expected.put(index, key);
+                assertThat(heap.put(index, key)).isEqualTo(previousKey == null || previousKey != key);
             } else {
                 assertThat(heap.remove(index)).isEqualTo(expected.remove(index) != null);
             }
@@ -113,7 +116,7 @@
         assertThat(drain()).isEqualTo(sorted(expected));
     }
 
-    /** A stable sort: equal keys stay in the map's order, which is that of the indexes. */
+    /** Sorts stably by key: equal keys keep the order of the map, which is that of the indexes. */
     private static List<Integer> sorted(Map<Integer, Double> keys) {
         return keys.entrySet().stream()
                 .sorted(Map.Entry.comparingByValue())
--- a/server/src/test/java/wheatspread/sim/BenchLinkTest.java
+++ b/server/src/test/java/wheatspread/sim/BenchLinkTest.java
@@ -18,14 +18,14 @@
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    private static String recorded() throws IOException {
+    private static String recordedInput() throws IOException {
         return Files.readString(Path.of("src/test/resources/exchange.jsonl"));
     }
 
     @Test
     void answersEachBatchWithOneLine() throws IOException {
-        String[] replies = exchange(recorded()).split("\n");
-        assertThat(replies).hasSize((int) recorded().lines().count());
+        String[] replies = exchange(recordedInput()).split("\n");
+        assertThat(replies).hasSize((int) recordedInput().lines().count());
         assertThat(replies[0]).isEqualTo("{\"parts\":[]}");
         assertThat(replies[1]).contains("\"WorkerId\":4", "\"m\":\"ReportHealth\",\"Want\":true,\"Stored\":true");
         assertThat(replies[2]).contains("{\"m\":\"Pin\",\"Tid\":14,", "{\"m\":\"Execute\",\"Tid\":11}");
@@ -33,13 +33,13 @@
     }
 
     @Test
-    void repeatsActionsForSameEvents() throws IOException {
-        assertThat(exchange(recorded())).isEqualTo(exchange(recorded()));
+    void givesEqualRepliesForEqualInput() throws IOException {
+        assertThat(exchange(recordedInput())).isEqualTo(exchange(recordedInput()));
     }
 
     @Test
-    void namesLineOfInvalidInput() throws IOException {
-        String start = recorded().lines().limit(2).reduce("", (a, b) -> a + b + "\n");
+    void errorNamesLineOfInvalidInput() throws IOException {
+        String start = recordedInput().lines().limit(2).reduce("", (lines, line) -> lines + line + "\n");
         String part = "{\"SimTime\":101.0,\"parts\":[{\"WorkerId\":4,\"items\":[%s]}]}";
         assertThatThrownBy(() -> exchange("{\"SimTime\":")).hasMessageContaining("line 1: not JSON");
         assertThatThrownBy(() -> exchange("{}")).hasMessageContaining("SimTime");
