--- a/server/src/main/java/wheatspread/admission/sfq/ConcurrencyLimit.java
+++ b/server/src/main/java/wheatspread/admission/sfq/ConcurrencyLimit.java
@@ -44,13 +44,13 @@
 
     /** Returns whether one more request may be started. */
     boolean hasFreeSlot() {
-        return inFlight.running() < depth
-                && inFlight.started() < (int) (MAX_STARTED_SHARE * slowStart.sustainableRequests());
+        return inFlight.runningCount() < depth
+                && inFlight.startedCount() < (int) (MAX_STARTED_SHARE * slowStart.sustainableRequests());
     }
 
     /** Adapts D to the gauges; called once per tick. */
     void update() {
-        LoadGauges reading = gauges.check(inFlight.started() > 0);
+        LoadGauges reading = gauges.check(inFlight.startedCount() > 0);
         if (reading != null) {
             adapt(reading);
         } else if (gauges.isStuck()) {
@@ -72,7 +72,7 @@
     }
 
     private boolean canGrow(double tasksPerCore, double coreUtilization) {
-        boolean needed = inFlight.held() > 0 && inFlight.running() >= depth;
+        boolean needed = inFlight.heldCount() > 0 && inFlight.runningCount() >= depth;
         boolean coresIdle = tasksPerCore < 1 || coreUtilization < IDLE_UTILIZATION;
         return needed && tasksPerCore < CROWDED_TASKS_PER_CORE && coresIdle;
     }
--- a/server/src/main/java/wheatspread/admission/sfq/DependencyCallGate.java
+++ b/server/src/main/java/wheatspread/admission/sfq/DependencyCallGate.java
@@ -72,14 +72,14 @@
         }
         tracked.callExhausted = !tracked.isIdempotent() && !neverReceived || tracked.callAttempts >= MAX_CALL_ATTEMPTS;
         if (outcome == Outcome.TIMED_OUT) {
-            limit.onCallLingers();
+            limit.onCallAbandoned();
         }
         inFlight.transition(tracked, RequestState.AWAITING_CALL);
     }
 
     /** Accounts for the call of a run that ended before its reply. */
     void onRunEndedDuringCall() {
-        limit.onCallLingers();
+        limit.onCallAbandoned();
         limit.onCallEnded();
     }
 
--- a/server/src/main/java/wheatspread/admission/sfq/DependencyCallLimit.java
+++ b/server/src/main/java/wheatspread/admission/sfq/DependencyCallLimit.java
@@ -37,10 +37,10 @@
     private final InFlightRequests inFlight;
     private final double configuredCalls;
     private final List<Long> lingeringUntilMicros = new ArrayList<>();
-    private int outstanding;
+    private int outstandingCalls;
     private long averagedAtMicros;
-    private double bound;
-    private double meanOutstanding;
+    private double boundCalls;
+    private double meanOutstandingCalls;
     private double usualCallMicros;
     private double recentCallMicros;
 
@@ -49,7 +49,7 @@
         this.clock = clock;
         this.inFlight = inFlight;
         configuredCalls = settings.current().dependency().maxConcurrentCalls();
-        bound = configuredCalls;
+        boundCalls = configuredCalls;
     }
 
     boolean hasRoom(boolean optional) {
@@ -57,12 +57,12 @@
             return true;
         }
         double share = optional ? OPTIONAL_CALLS_SHARE : 1;
-        return meanOutstanding < bound * MAX_MEAN_SHARE * share
-                && outstanding + lingeringUntilMicros.size() < Math.max(1, MAX_BURST_FACTOR * bound * share);
+        return meanOutstandingCalls < boundCalls * MAX_MEAN_SHARE * share
+                && outstandingCalls + lingeringUntilMicros.size() < Math.max(1, MAX_BURST_FACTOR * boundCalls * share);
     }
 
     void onCallStarted() {
-        outstanding++;
+        outstandingCalls++;
     }
 
     /** Records the end of a call whose time is a measure of the dependency's speed. */
@@ -79,11 +79,11 @@
     /** Records the end of a call whose time is no measure of the dependency's speed. */
     void onCallEnded() {
         updateMean();
-        outstanding--;
+        outstandingCalls--;
     }
 
     /** Counts an abandoned call until the dependency has stopped working on it. */
-    void onCallLingers() {
+    void onCallAbandoned() {
         lingeringUntilMicros.add(
                 clock.nowMicros() + settings.current().dependency().abandonedCallLingerMicros());
     }
@@ -94,7 +94,8 @@
         lingeringUntilMicros.removeIf(untilMicros -> untilMicros < nowMicros);
         double windowMicros = Math.max(1.0, settings.current().dependency().averagingWindowMicros());
         double weight = Math.exp(-(nowMicros - averagedAtMicros) / windowMicros);
-        meanOutstanding = meanOutstanding * weight + (outstanding + lingeringUntilMicros.size()) * (1 - weight);
+        meanOutstandingCalls =
+                meanOutstandingCalls * weight + (outstandingCalls + lingeringUntilMicros.size()) * (1 - weight);
         averagedAtMicros = nowMicros;
     }
 
@@ -103,7 +104,7 @@
         if (rejected || isSlow(recentCallMicros)) {
             shrink();
         } else {
-            bound = Math.min(configuredCalls, bound + configuredCalls * MIN_BOUND_SHARE * BOUND_GROWTH_SHARE);
+            boundCalls = Math.min(configuredCalls, boundCalls + configuredCalls * MIN_BOUND_SHARE * BOUND_GROWTH_SHARE);
         }
     }
 
@@ -115,7 +116,7 @@
     }
 
     private void shrink() {
-        bound = Math.max(configuredCalls * MIN_BOUND_SHARE, bound * SHRINK_FACTOR);
+        boundCalls = Math.max(configuredCalls * MIN_BOUND_SHARE, boundCalls * SHRINK_FACTOR);
     }
 
     private boolean isSlow(double callMicros) {
--- a/server/src/main/java/wheatspread/admission/sfq/FairQueue.java
+++ b/server/src/main/java/wheatspread/admission/sfq/FairQueue.java
@@ -95,7 +95,7 @@
      * Returns the flow with the largest lead among those that hold requests; there must be at least one. A lead only
      * decays until its flow changes, so a flow that is still first after its lead is recomputed is ahead of all others.
      */
-    Flow furthestAhead(long nowMicros) {
+    Flow flowWithLargestLead(long nowMicros) {
         Flow flow = flows[byNegatedLead.first()];
         while (byNegatedLead.put(flow.tenant, -flow.lead(nowMicros))) {
             flow = flows[byNegatedLead.first()];
--- a/server/src/main/java/wheatspread/admission/sfq/HeldQueueBound.java
+++ b/server/src/main/java/wheatspread/admission/sfq/HeldQueueBound.java
@@ -25,7 +25,7 @@
      * counted, which rounds the bound up to a whole request: with few cores, one request is a large part of the bound.
      */
     double fillRatio() {
-        int held = inFlight.held();
+        int held = inFlight.heldCount();
         if (held == 0) {
             return 0;
         }
--- a/server/src/main/java/wheatspread/admission/sfq/IdleConnectionPolicy.java
+++ b/server/src/main/java/wheatspread/admission/sfq/IdleConnectionPolicy.java
@@ -62,7 +62,7 @@
                 || clock.nowMicros() <= clock.startedMicros() + clientTimeoutMicros / START_DELAY_DIVISOR) {
             return;
         }
-        closing = shouldClose(clients, reading.openConnections() - inFlight.started() - inFlight.held());
+        closing = shouldClose(clients, reading.openConnections() - inFlight.startedCount() - inFlight.heldCount());
         double shareOfObjective = overload.isReadDelayElevated() ? 1 : IDLE_TIMEOUT_SHARE;
         double timeoutMicros = settings.shortestObjectiveMicros() * shareOfObjective;
         long newTimeoutMicros = closing ? Math.min(clientTimeoutMicros, (long) timeoutMicros) : 0;
--- a/server/src/main/java/wheatspread/admission/sfq/InFlightRequests.java
+++ b/server/src/main/java/wheatspread/admission/sfq/InFlightRequests.java
@@ -93,7 +93,7 @@
         return tracked.request.heldKb() * factor;
     }
 
-    int held() {
+    int heldCount() {
         return held;
     }
 
@@ -105,12 +105,12 @@
         return heldByClass.length;
     }
 
-    int running() {
+    int runningCount() {
         return running;
     }
 
     /** Returns the number of requests that run, wait to make a call or wait for the reply to a call. */
-    int started() {
+    int startedCount() {
         return started;
     }
 
--- a/server/src/main/java/wheatspread/admission/sfq/LoadFeedback.java
+++ b/server/src/main/java/wheatspread/admission/sfq/LoadFeedback.java
@@ -86,7 +86,7 @@
     }
 
     private void updateWindowMultiple() {
-        boolean unloaded = pressure.value() < LOW_PRESSURE && inFlight.held() == 0;
+        boolean unloaded = pressure.value() < LOW_PRESSURE && inFlight.heldCount() == 0;
         windowMultiple *= unloaded ? 1 + WINDOW_GROWTH : 1 - 2 * WINDOW_GROWTH;
         windowMultiple = Math.max(1, Math.min(MAX_WINDOW_MULTIPLE, windowMultiple));
     }
--- a/server/src/main/java/wheatspread/admission/sfq/LoadShedder.java
+++ b/server/src/main/java/wheatspread/admission/sfq/LoadShedder.java
@@ -53,7 +53,7 @@
     }
 
     private void shedOne(Actions actions) {
-        reject(fairQueue.furthestAhead(clock.nowMicros()).lowestWeightRequest(), false, actions);
+        reject(fairQueue.flowWithLargestLead(clock.nowMicros()).lowestWeightRequest(), false, actions);
     }
 
     /** Rejects a request that never ran and ends its tracking. */
--- a/server/src/main/java/wheatspread/admission/sfq/ServiceTimeEstimator.java
+++ b/server/src/main/java/wheatspread/admission/sfq/ServiceTimeEstimator.java
@@ -26,7 +26,7 @@
     /** Mean time from start to end, dependency calls included, by request class; 0 before any run has ended. */
     private double[] meanElapsedMicros;
 
-    private double meanCoreMicrosOfAll;
+    private double meanCoreMicrosOfAllClasses;
     private double meanHintMicros;
     private double abandonedShare;
     private double slotMicros;
@@ -59,7 +59,7 @@
             return hintMicros / meanHintMicros;
         }
         double classCoreMicros = meanCoreMicros[tracked.request.requestClass()];
-        return classCoreMicros > 0 && meanCoreMicrosOfAll > 0 ? classCoreMicros / meanCoreMicrosOfAll : 1;
+        return classCoreMicros > 0 && meanCoreMicrosOfAllClasses > 0 ? classCoreMicros / meanCoreMicrosOfAllClasses : 1;
     }
 
     /** Updates the estimates with a completed run. */
@@ -68,7 +68,7 @@
         long coreMicros = tracked.coreMicros();
         meanCoreMicros[index] = RunningMean.update(meanCoreMicros[index], coreMicros);
         meanElapsedMicros[index] = RunningMean.update(meanElapsedMicros[index], elapsedMicros);
-        meanCoreMicrosOfAll = RunningMean.update(meanCoreMicrosOfAll, coreMicros);
+        meanCoreMicrosOfAllClasses = RunningMean.update(meanCoreMicrosOfAllClasses, coreMicros);
         abandonedShare += ABANDONED_GAIN * (0 - abandonedShare);
         updateHintModel(tracked, coreMicros);
     }
@@ -106,7 +106,7 @@
      */
     double expectedMicros(TrackedRequest tracked) {
         double elapsedMicros = meanElapsedMicros[tracked.request.requestClass()];
-        double slowdown = meanCoreMicrosOfAll > 0 ? Math.max(1, slotMicros / meanCoreMicrosOfAll) : 1;
+        double slowdown = meanCoreMicrosOfAllClasses > 0 ? Math.max(1, slotMicros / meanCoreMicrosOfAllClasses) : 1;
         double hintMicros = tracked.request.expectedWorkMicros();
         if (hintMicros <= 0) {
             return MEDIAN_OF_MEAN * slowdown * elapsedMicros;
@@ -127,8 +127,8 @@
                 .filter(tracked -> tracked.state == RequestState.RUNNING)
                 .mapToDouble(tracked -> tracked.coreMicrosUntil(nowMicros))
                 .toArray();
-        double usualMicros = meanCoreMicrosOfAll > 0
-                ? meanCoreMicrosOfAll
+        double usualMicros = meanCoreMicrosOfAllClasses > 0
+                ? meanCoreMicrosOfAllClasses
                 : INITIAL_SLOT_SHARE * settings.shortestObjectiveMicros() / slowStart.guaranteedSpeed();
         double meanAgeMicros = Arrays.stream(agesMicros).average().orElse(0);
         slotMicros = agesMicros.length < settings.cores() ? usualMicros : Math.max(usualMicros, meanAgeMicros);
--- a/server/src/main/java/wheatspread/admission/sfq/SfqAdmissionController.java
+++ b/server/src/main/java/wheatspread/admission/sfq/SfqAdmissionController.java
@@ -215,7 +215,7 @@
     }
 
     private void endBatch() {
-        if (inFlight.held() + inFlight.started() == 0) {
+        if (inFlight.heldCount() + inFlight.startedCount() == 0) {
             fairQueue.onIdle();
         }
         shedder.endBatch();
--- a/server/src/test/java/wheatspread/admission/sfq/FairQueueTest.java
+++ b/server/src/test/java/wheatspread/admission/sfq/FairQueueTest.java
@@ -136,7 +136,7 @@
                     .orElse(null);
         }
 
-        private ReferenceFlow furthestAhead(long nowMicros) {
+        private ReferenceFlow flowWithLargestLead(long nowMicros) {
             return backlogged()
                     .reduce((a, b) -> b.lead(nowMicros) > a.lead(nowMicros) ? b : a)
                     .orElse(null);
@@ -216,12 +216,12 @@
         }
 
         private void reject(boolean remove) {
-            ReferenceFlow expected = reference.furthestAhead(nowMicros);
+            ReferenceFlow expected = reference.flowWithLargestLead(nowMicros);
             assertThat(queue.next() == null).isEqualTo(expected == null);
             if (expected == null) {
                 return;
             }
-            Flow flow = queue.furthestAhead(nowMicros);
+            Flow flow = queue.flowWithLargestLead(nowMicros);
             assertThat(flow.tenant).as("furthest ahead").isEqualTo(expected.tenant);
             assertThat(flow.lead(nowMicros)).isEqualTo(expected.lead(nowMicros));
             assertThat(flow.lowestWeightRequest()).isSameAs(expected.leastWeight().counterpart);
