--- a/server/src/main/java/wheatspread/admission/AdmissionRequest.java
+++ b/server/src/main/java/wheatspread/admission/AdmissionRequest.java
@@ -8,7 +8,7 @@
  * @param requestClass index of the request class
  * @param ageMicros time since the request reached the machine
  * @param timeoutMicros time for which the client still waits; 0 if unknown
- * @param duplicateOf id of the original request that this one repeats; 0 if none
+ * @param originalId id of the original request that this one repeats; 0 if none
  * @param retry whether the client marked the request as an attempt after the first
  * @param cacheable whether the request has a cache key
  * @param write whether the request changes data
@@ -21,7 +21,7 @@
         int requestClass,
         long ageMicros,
         long timeoutMicros,
-        long duplicateOf,
+        long originalId,
         boolean retry,
         boolean cacheable,
         boolean write,
--- a/server/src/main/java/wheatspread/admission/AdmissionSettings.java
+++ b/server/src/main/java/wheatspread/admission/AdmissionSettings.java
@@ -5,9 +5,9 @@
 /**
  * The settings of admission control.
  *
- * @param cores number of processor cores of this server
- * @param servers number of servers that share the load; 0 if unknown
- * @param cold whether the process starts below its full speed
+ * @param coreCount number of processor cores of this server
+ * @param serverCount number of servers that share the load; 0 if unknown
+ * @param startsCold whether the process starts below its full speed
  * @param preemptionMode what the kernel can do with running work
  * @param cacheTtlMicros time for which the answer of a cacheable read may serve other requests; 0 disables caching
  * @param timerResolutionMicros resolution of times on the wire
@@ -18,9 +18,9 @@
  * @param tenants the tenants, by index
  */
 public record AdmissionSettings(
-        int cores,
-        int servers,
-        boolean cold,
+        int coreCount,
+        int serverCount,
+        boolean startsCold,
         PreemptionMode preemptionMode,
         long cacheTtlMicros,
         long timerResolutionMicros,
@@ -36,8 +36,8 @@
      * @throws IllegalArgumentException if a value is out of bounds; the message names the setting
      */
     public AdmissionSettings {
-        SettingChecks.atLeast("cores", cores, 1);
-        SettingChecks.atLeast("servers", servers, 0);
+        SettingChecks.atLeast("cores", coreCount, 1);
+        SettingChecks.atLeast("servers", serverCount, 0);
         SettingChecks.present("halt", preemptionMode);
         SettingChecks.atLeast("fresh", cacheTtlMicros, 0);
         SettingChecks.atLeast("resolution", timerResolutionMicros, 0);
--- a/server/src/main/java/wheatspread/admission/ClientSettings.java
+++ b/server/src/main/java/wheatspread/admission/ClientSettings.java
@@ -3,7 +3,7 @@
 /**
  * Properties of the clients and the advice that they follow.
  *
- * @param count number of clients
+ * @param clientCount number of clients
  * @param feedbackMode how clients use the load feedback
  * @param feedbackHoldMicros how long clients follow a feedback value
  * @param maxRetryAfterMicros the maximum retry-after that clients follow; 0 if they follow none
@@ -13,7 +13,7 @@
  * @param idleConnectionsCost cost of a mean of a hundred open connections
  */
 public record ClientSettings(
-        int count,
+        int clientCount,
         LoadFeedbackMode feedbackMode,
         long feedbackHoldMicros,
         long maxRetryAfterMicros,
@@ -28,7 +28,7 @@
      * @throws IllegalArgumentException if a value is out of bounds; the message names the setting
      */
     public ClientSettings {
-        SettingChecks.atLeast("callers", count, 0);
+        SettingChecks.atLeast("callers", clientCount, 0);
         SettingChecks.present("advice", feedbackMode);
         SettingChecks.atLeast("heeded", feedbackHoldMicros, 0);
         SettingChecks.atLeast("maxStayAway", maxRetryAfterMicros, 0);
--- a/server/src/main/java/wheatspread/admission/sfq/ConcurrencyLimit.java
+++ b/server/src/main/java/wheatspread/admission/sfq/ConcurrencyLimit.java
@@ -34,7 +34,7 @@
         this.inFlight = inFlight;
         this.slowStart = slowStart;
         this.gauges = gauges;
-        depth = settings.cores();
+        depth = settings.coreCount();
     }
 
     /** Returns D, in requests. */
@@ -54,14 +54,14 @@
         if (reading != null) {
             adapt(reading);
         } else if (gauges.isStuck()) {
-            depth = settings.cores();
+            depth = settings.coreCount();
         }
         int ceiling = (int) (MAX_RUNNING_SHARE * slowStart.sustainableRequests());
-        depth = Math.max(settings.cores(), Math.min(depth, ceiling));
+        depth = Math.max(settings.coreCount(), Math.min(depth, ceiling));
     }
 
     private void adapt(LoadGauges reading) {
-        double tasksPerCore = reading.runnableTasks() / settings.cores();
+        double tasksPerCore = reading.runnableTasks() / settings.coreCount();
         crowdedTicks = tasksPerCore > CROWDED_TASKS_PER_CORE ? crowdedTicks + 1 : 0;
         if (crowdedTicks >= CROWDED_TICKS) {
             depth--;
--- a/server/src/main/java/wheatspread/admission/sfq/DuplicatePolicy.java
+++ b/server/src/main/java/wheatspread/admission/sfq/DuplicatePolicy.java
@@ -22,7 +22,7 @@
     }
 
     boolean isDuplicate(TrackedRequest tracked) {
-        long originalId = tracked.request.duplicateOf();
+        long originalId = tracked.request.originalId();
         return originalId != 0
                 && !shedder.wasRejectedInBatch(originalId)
                 && tracked.requestClass.idempotency() != Idempotency.AT_MOST_ONCE;
--- a/server/src/main/java/wheatspread/admission/sfq/HealthReporter.java
+++ b/server/src/main/java/wheatspread/admission/sfq/HealthReporter.java
@@ -50,7 +50,7 @@
     }
 
     private boolean isFleetOverloaded() {
-        double fleetRate = arrivalRate.meanPerTick() * settings.current().servers() * MICROS_PER_SECOND;
+        double fleetRate = arrivalRate.meanPerTick() * settings.current().serverCount() * MICROS_PER_SECOND;
         double overloadRate = FLEET_OVERLOAD_FACTOR * totalQuotaPerSecond * DecisionClock.TICK_MICROS;
         return totalQuotaPerSecond != 0 && !(fleetRate <= overloadRate);
     }
--- a/server/src/main/java/wheatspread/admission/sfq/IdleConnectionPolicy.java
+++ b/server/src/main/java/wheatspread/admission/sfq/IdleConnectionPolicy.java
@@ -76,13 +76,13 @@
         if (Double.isNaN(idleConnections) || gauges.isStuck()) {
             return false;
         }
-        double gapMicros = clients.count()
+        double gapMicros = clients.clientCount()
                 * DecisionClock.TICK_MICROS
                 / Math.max(arrivalRate.meanPerTick(), MIN_ARRIVALS_PER_TICK);
         double savedOpenCost = Math.min(1, clients.idleTimeoutMicros() / gapMicros) * clients.connectionOpenCost();
         boolean costly = idleConnections / CONNECTIONS_PER_COST * clients.idleConnectionsCost() > savedOpenCost;
         boolean infrequent =
                 gapMicros > clients.idleTimeoutMicros() * INFREQUENT_GAP_SHARE * (closing ? HYSTERESIS_FACTOR : 1);
-        return infrequent && (closing || idleConnections > settings.cores()) || costly;
+        return infrequent && (closing || idleConnections > settings.coreCount()) || costly;
     }
 }
--- a/server/src/main/java/wheatspread/admission/sfq/InFlightRequests.java
+++ b/server/src/main/java/wheatspread/admission/sfq/InFlightRequests.java
@@ -77,7 +77,7 @@
             awaitingCall.remove(tracked);
         }
         if (to == RequestState.JOINING || from == RequestState.JOINING) {
-            TrackedRequest original = byId.get(tracked.request.duplicateOf());
+            TrackedRequest original = byId.get(tracked.request.originalId());
             if (original != null) {
                 original.joiners += countChange(to, from, RequestState.JOINING);
             }
--- a/server/src/main/java/wheatspread/admission/sfq/LoadFeedback.java
+++ b/server/src/main/java/wheatspread/admission/sfq/LoadFeedback.java
@@ -106,7 +106,7 @@
         return switch (clients.feedbackMode()) {
             case THRESHOLD -> reportedWithheldShare;
             case SHARE -> 1 - reportedWithheldShare;
-            default -> Math.max(1, windowRequests() / Math.max(1, clients.count()));
+            default -> Math.max(1, windowRequests() / Math.max(1, clients.clientCount()));
         };
     }
 
--- a/server/src/main/java/wheatspread/admission/sfq/MemoryBudget.java
+++ b/server/src/main/java/wheatspread/admission/sfq/MemoryBudget.java
@@ -48,7 +48,7 @@
     /** Returns whether held requests leave too little memory to start one of them on every core that has no run. */
     boolean isHeldMemoryExceeded() {
         int held = inFlight.heldCount();
-        int idleCores = Math.min(held, Math.max(0, settings.cores() - inFlight.startedCount()));
+        int idleCores = Math.min(held, Math.max(0, settings.coreCount() - inFlight.startedCount()));
         double idleCoresKb =
                 held <= 1 ? 0 : idleCores * (limits.runningMemoryFactor() - 1) * inFlight.heldMemoryKb() / held;
         return usedKb() + idleCoresKb > limits.memoryKb() * MAX_MEMORY_SHARE;
@@ -57,7 +57,7 @@
     /** Returns whether a held request can be started. */
     boolean canStart(TrackedRequest tracked) {
         double additionalKb = tracked.request.heldKb() * (limits.runningMemoryFactor() - 1);
-        double share = inFlight.startedCount() < settings.cores() ? MAX_MEMORY_SHARE : MAX_RUN_MEMORY_SHARE;
+        double share = inFlight.startedCount() < settings.coreCount() ? MAX_MEMORY_SHARE : MAX_RUN_MEMORY_SHARE;
         return usedKb() + additionalKb <= limits.memoryKb() * share;
     }
 
--- a/server/src/main/java/wheatspread/admission/sfq/ObjectiveForecast.java
+++ b/server/src/main/java/wheatspread/admission/sfq/ObjectiveForecast.java
@@ -30,7 +30,7 @@
     }
 
     boolean isExpectedToMiss(TrackedRequest tracked) {
-        boolean probe = inFlight.startedCount() < MAX_PROBES_PER_CORE * settings.cores();
+        boolean probe = inFlight.startedCount() < MAX_PROBES_PER_CORE * settings.coreCount();
         double neededMicros = probe ? 0 : serviceTimes.expectedMicros(tracked) / (1 - serviceTimes.abandonedShare());
         return clock.nowMicros() + neededMicros > Math.min(tracked.objectiveMicros, drain.workEndMicros());
     }
--- a/server/src/main/java/wheatspread/admission/sfq/ReloadableSettings.java
+++ b/server/src/main/java/wheatspread/admission/sfq/ReloadableSettings.java
@@ -55,8 +55,8 @@
         return limits;
     }
 
-    int cores() {
-        return current.cores();
+    int coreCount() {
+        return current.coreCount();
     }
 
     int classCount() {
--- a/server/src/main/java/wheatspread/admission/sfq/ServiceTimeEstimator.java
+++ b/server/src/main/java/wheatspread/admission/sfq/ServiceTimeEstimator.java
@@ -131,7 +131,7 @@
                 ? meanCoreMicrosOfAllClasses
                 : INITIAL_SLOT_SHARE * settings.shortestObjectiveMicros() / slowStart.guaranteedSpeed();
         double meanAgeMicros = Arrays.stream(agesMicros).average().orElse(0);
-        slotMicros = agesMicros.length < settings.cores() ? usualMicros : Math.max(usualMicros, meanAgeMicros);
+        slotMicros = agesMicros.length < settings.coreCount() ? usualMicros : Math.max(usualMicros, meanAgeMicros);
     }
 
     /** Returns how long a run occupies a slot. */
--- a/server/src/main/java/wheatspread/admission/sfq/SlowStart.java
+++ b/server/src/main/java/wheatspread/admission/sfq/SlowStart.java
@@ -23,9 +23,10 @@
     double guaranteedSpeed() {
         ServerLimits limits = settings.limits();
         long nowMicros = clock.nowMicros();
-        double warmedShare = settings.current().cold() && nowMicros < clock.startedMicros() + limits.warmUpMicros()
-                ? (double) (nowMicros - clock.startedMicros()) / limits.warmUpMicros()
-                : 1;
+        double warmedShare =
+                settings.current().startsCold() && nowMicros < clock.startedMicros() + limits.warmUpMicros()
+                        ? (double) (nowMicros - clock.startedMicros()) / limits.warmUpMicros()
+                        : 1;
         return Math.max(MIN_SPEED, limits.coldSpeedFloor() + (1 - limits.coldSpeedFloor()) * warmedShare);
     }
 
@@ -34,6 +35,6 @@
      * overload multiple per core when warm.
      */
     double sustainableRequests() {
-        return settings.cores() * (1 + (settings.limits().overloadMultiple() - 1) * guaranteedSpeed());
+        return settings.coreCount() * (1 + (settings.limits().overloadMultiple() - 1) * guaranteedSpeed());
     }
 }
--- a/server/src/main/java/wheatspread/core/DeploymentSettings.java
+++ b/server/src/main/java/wheatspread/core/DeploymentSettings.java
@@ -46,7 +46,7 @@
                 requestClasses.add(next.settings().classes().get(index));
             }
         }
-        return new DeploymentSettings(settingsWith(settings.cold(), requestClasses), names, tenants, gauges);
+        return new DeploymentSettings(settingsWith(settings.startsCold(), requestClasses), names, tenants, gauges);
     }
 
     /** The settings of a process whose kernel says whether it started cold. */
@@ -56,8 +56,8 @@
 
     private AdmissionSettings settingsWith(boolean cold, List<RequestClass> requestClasses) {
         return new AdmissionSettings(
-                settings.cores(),
-                settings.servers(),
+                settings.coreCount(),
+                settings.serverCount(),
                 cold,
                 settings.preemptionMode(),
                 settings.cacheTtlMicros(),
--- a/server/src/test/java/wheatspread/admission/sfq/RandomEventsTest.java
+++ b/server/src/test/java/wheatspread/admission/sfq/RandomEventsTest.java
@@ -126,9 +126,9 @@
                 0);
         long cacheTtlMicros = seed % 4 < 2 ? 1_000_000 : 0;
         return new AdmissionSettings(
-                base.cores(),
-                base.servers(),
-                base.cold(),
+                base.coreCount(),
+                base.serverCount(),
+                base.startsCold(),
                 PreemptionMode.values()[(int) (seed % 3)],
                 cacheTtlMicros,
                 base.timerResolutionMicros(),
--- a/server/src/test/java/wheatspread/admission/sfq/RequestLifecycleTest.java
+++ b/server/src/test/java/wheatspread/admission/sfq/RequestLifecycleTest.java
@@ -115,8 +115,8 @@
     void resumesSuspendedRunOnce() {
         AdmissionSettings defaults = TestSettings.defaults();
         ControllerHarness harness = new ControllerHarness(new AdmissionSettings(
-                defaults.cores(),
-                defaults.servers(),
+                defaults.coreCount(),
+                defaults.serverCount(),
                 false,
                 PreemptionMode.SUSPEND,
                 0,
--- a/server/src/test/java/wheatspread/admission/sfq/TestSettings.java
+++ b/server/src/test/java/wheatspread/admission/sfq/TestSettings.java
@@ -59,9 +59,9 @@
     /** Returns a copy of the settings with other client settings. */
     static AdmissionSettings withClients(AdmissionSettings base, ClientSettings clients) {
         return new AdmissionSettings(
-                base.cores(),
-                base.servers(),
-                base.cold(),
+                base.coreCount(),
+                base.serverCount(),
+                base.startsCold(),
                 base.preemptionMode(),
                 base.cacheTtlMicros(),
                 base.timerResolutionMicros(),
@@ -75,9 +75,9 @@
     /** Returns a copy of the settings with a cache for reads. */
     static AdmissionSettings withCacheTtl(AdmissionSettings base, long ttlMillis) {
         return new AdmissionSettings(
-                base.cores(),
-                base.servers(),
-                base.cold(),
+                base.coreCount(),
+                base.serverCount(),
+                base.startsCold(),
                 base.preemptionMode(),
                 ttlMillis * 1000,
                 base.timerResolutionMicros(),
