--- a/server/src/main/java/wheatspread/admission/sfq/DependencyCallGate.java
+++ b/server/src/main/java/wheatspread/admission/sfq/DependencyCallGate.java
@@ -15,7 +15,7 @@
     private static final double MAX_OPTIONAL_CALL_TIMEOUT_SHARE = 0.3;
     /** Wait before an optional call is skipped, as a share of the class's latency objective. */
     private static final double SKIP_DELAY_SHARE = 0.1;
-    /** Maximum number of attempts for one call before it is given up. The backoff grows by one tick per attempt. */
+    /** Maximum number of attempts for one call before it is abandoned. The backoff grows by one tick per attempt. */
     private static final int MAX_CALL_ATTEMPTS = 5;
 
     private final ReloadableSettings settings;
--- a/server/src/main/java/wheatspread/admission/sfq/Flow.java
+++ b/server/src/main/java/wheatspread/admission/sfq/Flow.java
@@ -73,7 +73,7 @@
      * Returns the lead of this flow in virtual time: the distance from its oldest to its newest start tag plus its
      * recent charges. The queue must not be empty.
      *
-     * The last finish tag alone would mislead when few requests are held, since it includes the charge of the newest
+     * <p>The last finish tag alone would mislead when few requests are held, since it includes the charge of the newest
      * request but not how little the flow used before. With many held requests the two measures agree. A flow that has
      * just begun to flood the server may therefore keep its requests at first.
      */
--- a/server/src/main/java/wheatspread/admission/sfq/GaugeMonitor.java
+++ b/server/src/main/java/wheatspread/admission/sfq/GaugeMonitor.java
@@ -7,6 +7,7 @@
  * equal consecutive readings while requests are started, or at once if a core gauge is missing.
  */
 final class GaugeMonitor {
+    /** Equal consecutive readings, one per tick, after which the gauges count as stuck. */
     private static final int STUCK_READINGS = 40;
 
     /** The reading of this batch, or null if there is none. */
--- a/server/src/main/java/wheatspread/admission/sfq/IdleConnectionPolicy.java
+++ b/server/src/main/java/wheatspread/admission/sfq/IdleConnectionPolicy.java
@@ -18,7 +18,7 @@
      * Mean time between a client's requests, as a share of its idle timeout, above which clients count as infrequent.
      */
     private static final double INFREQUENT_GAP_SHARE = 0.2;
-    /** Factor on {@link #INFREQUENT_GAP_SHARE} while connections are closed early; provides hysteresis. */
+    /** Factor applied to {@link #INFREQUENT_GAP_SHARE} while connections are closed early; provides hysteresis. */
     private static final double HYSTERESIS_FACTOR = 0.5;
     /** Idle timeout of connections, as a share of the shortest latency objective. */
     private static final double IDLE_TIMEOUT_SHARE = 0.1;
--- a/server/src/main/java/wheatspread/admission/sfq/InFlightRequests.java
+++ b/server/src/main/java/wheatspread/admission/sfq/InFlightRequests.java
@@ -33,7 +33,6 @@
         heldByClass = Arrays.copyOf(heldByClass, classCount);
     }
 
-    /** Adds an arrival in state {@code HELD}. */
     void add(TrackedRequest tracked) {
         transition(tracked, RequestState.HELD);
         byId.put(tracked.id(), tracked);
--- a/server/src/main/java/wheatspread/admission/sfq/RequestState.java
+++ b/server/src/main/java/wheatspread/admission/sfq/RequestState.java
@@ -4,7 +4,7 @@
 enum RequestState {
     /** Read and held in the fair queue. */
     HELD,
-    /** Running, in the sense that it uses a core and counts against D. */
+    /** Running on the cores; counts against D. */
     RUNNING,
     /** Started, and waiting until its dependency call is made or skipped. */
     AWAITING_CALL,
--- a/server/src/main/java/wheatspread/admission/sfq/ServiceTimeEstimator.java
+++ b/server/src/main/java/wheatspread/admission/sfq/ServiceTimeEstimator.java
@@ -74,7 +74,7 @@
     }
 
     /**
-     * Updates the estimates with a run that is abandoned now. Its core time so far is a lower bound and is counted as
+     * Updates the estimates with a run that is being abandoned. Its core time so far is a lower bound and is counted as
      * if it were complete.
      */
     void recordAbandonment(TrackedRequest tracked) {
--- a/server/src/main/java/wheatspread/admission/sfq/TrackedRequest.java
+++ b/server/src/main/java/wheatspread/admission/sfq/TrackedRequest.java
@@ -98,7 +98,6 @@
         return requestClass.weight() * (1 + joiners);
     }
 
-    /** Restarts the timer of the current state. */
     void restartStateTimer(long nowMicros) {
         stateSinceMicros = nowMicros;
     }
