--- a/server/src/main/java/wheatspread/admission/sfq/ClientWaitEstimator.java
+++ b/server/src/main/java/wheatspread/admission/sfq/ClientWaitEstimator.java
@@ -8,9 +8,10 @@
  * Estimates how long the client of a marked retry has waited for its earlier attempts, so that the latency objective
  * counts from the first attempt. Running requests whose client's objective has already passed would feed retry storms.
  *
- * <p>The estimator assumes that all first attempts of a class have the same timeout, as a share of the class's deadline.
- * The wait of a retry is known if the retry has more time left than that, or if first attempts get the whole deadline.
- * Every other retry gets the mean of the known waits. The wait of clients that retry quickly may be overestimated.
+ * <p>The estimator assumes that all first attempts of a class have the same timeout, as a share of the class's
+ * deadline. The wait of a retry is known if the retry has more time left than that, or if first attempts get the whole
+ * deadline. Every other retry gets the mean of the known waits. The wait of clients that retry quickly may be
+ * overestimated.
  */
 final class ClientWaitEstimator {
     /** Wait assumed for a retry without a timeout, as a share of its class's latency objective. */
