--- a/server/src/main/java/wheatspread/admission/AdmissionSettings.java
+++ b/server/src/main/java/wheatspread/admission/AdmissionSettings.java
@@ -5,22 +5,22 @@
 /**
  * The settings of admission control.
  *
- * @param cores processor cores of this server
- * @param servers how many servers share the work; 0 if unknown
- * @param cold whether the process starts below its full speed
- * @param preemptionMode what the host can do with running work
- * @param cacheTtlMicros how long the answer of a cacheable read may serve others; 0 disables that
+ * @param coreCount number of processor cores of this server
+ * @param serverCount number of servers that share the load; 0 if unknown
+ * @param startsCold whether the process starts below its full speed
+ * @param preemptionMode what the kernel can do with running work
+ * @param cacheTtlMicros time for which the answer of a cacheable read may serve other requests; 0 disables caching
  * @param timerResolutionMicros resolution of times on the wire
- * @param limits what the server survives
- * @param dependency what the dependency survives
- * @param clients what clients do and which advice they follow
+ * @param limits load that the server can take without failing
+ * @param dependency load that the dependency can take without failing
+ * @param clients properties of the clients and the advice that they follow
  * @param classes the request classes, by index; at least one
  * @param tenants the tenants, by index
  */
 public record AdmissionSettings(
-        int cores,
-        int servers,
-        boolean cold,
+        int coreCount,
+        int serverCount,
+        boolean startsCold,
         PreemptionMode preemptionMode,
         long cacheTtlMicros,
         long timerResolutionMicros,
@@ -36,8 +36,8 @@
      * @throws IllegalArgumentException if a value is out of bounds; the message names the setting
      */
     public AdmissionSettings {
-        SettingChecks.atLeast("cores", cores, 1);
-        SettingChecks.atLeast("servers", servers, 0);
+        SettingChecks.atLeast("cores", coreCount, 1);
+        SettingChecks.atLeast("servers", serverCount, 0);
         SettingChecks.present("halt", preemptionMode);
         SettingChecks.atLeast("fresh", cacheTtlMicros, 0);
         SettingChecks.atLeast("resolution", timerResolutionMicros, 0);
