--- a/server/src/main/java/wheatspread/membership/BootstrapProtocol.java
+++ b/server/src/main/java/wheatspread/membership/BootstrapProtocol.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import wheatspread.membership.Message.Body;
 
-/** The messages of {@link ClusterBootstrap}: requests for consent, answers to others' requests, and consents. */
+/** Sends and handles the messages of {@link ClusterBootstrap}: requests for consent, and consents. */
 final class BootstrapProtocol {
     private final MembershipState state;
     private final List<String> seeds;
@@ -19,23 +19,24 @@
         this.sender = sender;
     }
 
-    /** The next time at which {@link #run} has something to do. */
+    /** Returns the next time at which {@link #run} has a step to take; {@link Long#MAX_VALUE} if there is none. */
     long nextStepMicros() {
         return bootstrap.nextStepMicros();
     }
 
     /**
-     * Takes the next step towards a new cluster, where it is time for one.
+     * Takes the next step towards a new cluster if one is due.
      *
-     * @param unixMillis the time by the calendar, for the epoch
-     * @return the first view of the new cluster, to be installed; null while there is none
+     * @param unixMillis the wall-clock time, from which the epoch is derived
+     * @return the first view of the new cluster, which the caller must install; null while there is none
      */
     View run(long nowMicros, long unixMillis) {
         if (state.isLeaving()) {
             return null;
         }
         if (bootstrap.isOrderedByOperator() && state.isQuorumReachable(nowMicros)) {
-            bootstrap.onEnteredView(); // the quorum came back before the order was carried out
+            bootstrap.onEnteredView(); // cancels the order: the quorum became reachable again before the cluster was
+            // formed
         }
         return switch (bootstrap.nextStep(state.self(), nowMicros, unixMillis)) {
             case NOTHING -> null;
@@ -48,28 +49,28 @@
     }
 
     private void requestConsent(long nowMicros) {
-        boolean ordered = bootstrap.isOrderedByOperator();
+        boolean operatorOrdered = bootstrap.isOrderedByOperator();
         Set<String> recipients = new LinkedHashSet<>(seeds);
-        if (ordered && state.view() != null) {
+        if (operatorOrdered && state.view() != null) {
             state.view().members().forEach(member -> recipients.add(member.address()));
         }
         recipients.remove(state.self().address());
         for (String address : recipients) {
-            sender.sendWithoutGossip(address, new Body.BootstrapRequest(bootstrap.epoch(), ordered), nowMicros);
+            sender.sendWithoutGossip(address, new Body.BootstrapRequest(bootstrap.epoch(), operatorOrdered), nowMicros);
         }
     }
 
     /**
-     * An operator orders a new cluster.
+     * Starts forming a new cluster on an operator's order.
      *
-     * @return why it is refused, or null
+     * @return why the order is refused; null if it is accepted
      */
     String orderByOperator(long nowMicros) {
         if (!bootstrap.isSeed()) {
-            return "only a seed founds";
+            return "only a seed can form a cluster, and this server is not in the list of seeds";
         }
         if (state.isQuorumReachable(nowMicros)) {
-            return "the view " + state.viewId() + " stands";
+            return "a quorum of the current view " + state.viewId() + " is reachable";
         }
         bootstrap.orderByOperator(nowMicros);
         return null;
@@ -77,8 +78,8 @@
 
     void onRequest(String address, MemberId founder, Body.BootstrapRequest request, long nowMicros) {
         boolean inNoOtherCluster = request.operatorOrdered() ? !state.isQuorumReachable(nowMicros) : !state.isMember();
-        boolean free = !state.isLeaving() && inNoOtherCluster;
-        if (bootstrap.grantConsent(founder, free, nowMicros)) {
+        boolean canConsent = !state.isLeaving() && inNoOtherCluster;
+        if (bootstrap.grantConsent(founder, canConsent, nowMicros)) {
             sender.sendWithoutGossip(address, new Body.BootstrapConsent(request.epoch(), state.self()), nowMicros);
         }
     }
--- a/server/src/main/java/wheatspread/membership/ClusterBootstrap.java
+++ b/server/src/main/java/wheatspread/membership/ClusterBootstrap.java
@@ -9,65 +9,69 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Cluster bootstrap: how the first view of a cluster is formed. Only a seed forms a cluster, and only one that is in no
- * view and has for a while heard of none with a reachable quorum. It asks the other seeds for consent; each consents to
- * one founder at a time, and none that is in a view consents. With consent of more than half of the seeds it makes the
- * first view of an epoch that no other founder can use.
+ * Cluster bootstrap: forms the first view of a cluster. Only a seed can form a cluster (the founder), and only while it
+ * is in no view and has not received a message from a member of a view with a reachable quorum for a while. The founder
+ * requests consent from the other seeds; a seed consents to one founder at a time, and only while it is in no view.
+ * With the consent of more than half of the seeds the founder creates the first view in an epoch that no other founder
+ * can use.
  *
- * <p>So no view number is used twice. Two clusters are formed only where consent expired while its founder was
- * partitioned; the later one then yields ({@link ViewPrecedence}).
+ * <p>Therefore no view number is used twice. Two clusters can be formed only if consent expired while its founder was
+ * partitioned; the cluster formed later then yields ({@link ViewPrecedence}).
  *
- * <p>On an operator's order a seed forms a cluster with whoever consents, also members of a view without a reachable
- * quorum.
+ * <p>On an operator's order a seed forms a cluster with all servers that consent, including members of a view without a
+ * reachable quorum.
  */
 final class ClusterBootstrap {
-    /** What the caller is to do. */
+    /** The step that the caller must take. */
     enum Step {
-        /** Nothing until {@link #nextStepMicros}. */
+        /** Do nothing until {@link #nextStepMicros}. */
         NOTHING,
-        /** Ask the seeds for consent to {@link #epoch}. */
+        /** Request consent to {@link #epoch} from the seeds. */
         REQUEST_CONSENT,
         /** Install {@link #firstView}. */
         FORM_CLUSTER
     }
 
     private enum Phase {
-        /** In a view, or not a seed. */
+        /** The server is in a view or not a seed, and forms no cluster. */
         IDLE,
-        /** In no view, and waiting whether one is heard of. */
+        /** The server is in no view and waits for messages from members of a view with a reachable quorum. */
         QUIET,
-        /** Asking for consent. */
+        /** The server requests consent. */
         REQUESTING
     }
 
-    /** Entries that a list of seeds may have. An epoch is the founding's Unix milliseconds times this, plus a rank. */
+    /**
+     * The maximum number of entries in a list of seeds. An epoch is the Unix time in milliseconds at which forming the
+     * cluster started times this number, plus the founder's rank.
+     */
     static final int MAX_SEEDS = 32;
-    /** A seed waits until it has heard of no reachable quorum for this time; a lost quorum is noticed sooner. */
+    /** A seed waits for this time without a sign of a reachable quorum; the loss of a quorum is detected sooner. */
     static final long QUIET_MICROS = 5_000_000;
-    /** How long a consent is valid. */
+    /** The validity of a consent. */
     static final long CONSENT_MICROS = 4_000_000;
-    /** Wait for further consents and joiners after the last of them, so that the first view has most servers. */
+    /** The wait for further consents and joiners after the last one, so that the first view has most servers. */
     private static final long GATHER_MICROS = 1_000_000;
 
     private static final long REQUEST_INTERVAL_MICROS = 300_000;
-    /** Each seed waits this much longer than the one before it in the list, so that usually one asks alone. */
+    /** Each seed waits this much longer than the previous one in the list, to avoid concurrent founders. */
     private static final long RANK_DELAY_MICROS = 500_000;
-    /** A server whose last join request is older may have stopped. */
+    /** Older join requests are ignored, since their senders may have stopped. */
     private static final long JOIN_REQUEST_VALID_MICROS = 3_000_000;
-    /** Join requests that are remembered; the oldest is forgotten first. */
+    /** The maximum number of stored join requests; the oldest is removed first. */
     private static final int MAX_JOIN_REQUESTS = 4_096;
 
     private static final long FIRST_VIEW_NUMBER = 1;
 
     private final List<String> seeds;
     private final String ownAddress;
-    /** This server's place in the list of seeds; negative where it is none. */
+    /** This server's index in the list of seeds; negative if it is not a seed. */
     private final int rank;
 
     private final RandomGenerator random;
-    private final Map<MemberId, TimedRequest> joinRequests = new LinkedHashMap<>();
-    /** Who will be in the first view. */
-    private final Map<MemberId, Member> founders = new LinkedHashMap<>();
+    private final Map<MemberId, ReceivedJoinRequest> joinRequests = new LinkedHashMap<>();
+    /** The members of the first view. */
+    private final Map<MemberId, Member> firstMembers = new LinkedHashMap<>();
 
     private final Set<String> consentingAddresses = new LinkedHashSet<>();
     private Phase phase = Phase.IDLE;
@@ -78,16 +82,17 @@
     private long gatherUntilMicros;
     private long epoch;
     private long lastEpoch;
-    /** The other founder that this server consented to last; null for none. */
+    /** The other founder to which this server last gave consent; null for none. */
     private MemberId consentGivenTo;
 
     private long consentUntilMicros;
 
-    private record TimedRequest(Member member, long atMicros) {}
+    private record ReceivedJoinRequest(Member member, long receivedMicros) {}
 
     ClusterBootstrap(List<String> seeds, String ownAddress, RandomGenerator random) {
         if (seeds.size() > MAX_SEEDS) {
-            throw new IllegalArgumentException("at most " + MAX_SEEDS + " seeds");
+            throw new IllegalArgumentException(
+                    "list of seeds has " + seeds.size() + " entries, expected at most " + MAX_SEEDS);
         }
         this.seeds = List.copyOf(seeds);
         this.ownAddress = ownAddress;
@@ -99,40 +104,40 @@
         return rank >= 0;
     }
 
-    /** This server is in no view from now on. */
+    /** Starts the waiting phase of a seed that is in no view, or restarts it. */
     void onLeftView(long nowMicros) {
         phase = isSeed() ? Phase.QUIET : Phase.IDLE;
         orderedByOperator = false;
         quietUntilMicros = nowMicros + QUIET_MICROS + Math.max(0, rank) * RANK_DELAY_MICROS;
     }
 
-    /** This server is in a view from now on. */
+    /** Cancels forming a cluster, because this server is in a view. */
     void onEnteredView() {
         phase = Phase.IDLE;
         orderedByOperator = false;
         joinRequests.clear();
     }
 
-    /** A view with a reachable quorum was heard of: it is to be joined, and no cluster to be formed. */
+    /** Restarts the waiting phase, because a view with a reachable quorum exists that this server can join. */
     void onReachableQuorum(long nowMicros) {
         if (phase != Phase.IDLE && !orderedByOperator) {
             onLeftView(nowMicros);
         }
     }
 
-    /** A server asks to join, while there is no view here that it could join. */
+    /** Stores a join request that arrives while this server is in no view. */
     void onJoinRequest(Member member, long nowMicros) {
-        TimedRequest last = joinRequests.remove(member.id());
+        ReceivedJoinRequest last = joinRequests.remove(member.id());
         if (joinRequests.size() >= MAX_JOIN_REQUESTS) {
             joinRequests.remove(joinRequests.keySet().iterator().next());
         }
-        joinRequests.put(member.id(), new TimedRequest(member, nowMicros));
+        joinRequests.put(member.id(), new ReceivedJoinRequest(member, nowMicros));
         if (last == null && phase == Phase.REQUESTING) {
             gatherUntilMicros = nowMicros + GATHER_MICROS;
         }
     }
 
-    /** An operator orders a new epoch with all that consent. */
+    /** Starts forming a cluster in a new epoch with all servers that consent, on an operator's order. */
     void orderByOperator(long nowMicros) {
         phase = Phase.QUIET;
         orderedByOperator = true;
@@ -141,14 +146,15 @@
     }
 
     /**
-     * Another founder asks for consent; returns whether this server gives it.
+     * Handles a request for consent from another founder; returns whether this server consents.
      *
-     * @param free whether this server is in no view or, for an operator's order, in none with a reachable quorum
+     * @param canConsent whether this server is in no view or, for an operator's order, in no view with a reachable
+     *     quorum
      */
-    boolean grantConsent(MemberId founder, boolean free, long nowMicros) {
-        boolean boundToAnother =
+    boolean grantConsent(MemberId founder, boolean canConsent, long nowMicros) {
+        boolean consentedToAnother =
                 consentGivenTo != null && !consentGivenTo.equals(founder) && nowMicros < consentUntilMicros;
-        if (!free || phase == Phase.REQUESTING || boundToAnother) {
+        if (!canConsent || phase == Phase.REQUESTING || consentedToAnother) {
             return false;
         }
         consentGivenTo = founder;
@@ -156,16 +162,16 @@
         return true;
     }
 
-    /** A server consents to the cluster of that epoch. */
+    /** Records the consent of a server to the cluster of an epoch; ignored if the epoch is not the current one. */
     void onConsent(long consentedEpoch, Member member, long nowMicros) {
-        boolean current = phase == Phase.REQUESTING && consentedEpoch == epoch;
-        if (current && founders.putIfAbsent(member.id(), member) == null) {
+        boolean isCurrent = phase == Phase.REQUESTING && consentedEpoch == epoch;
+        if (isCurrent && firstMembers.putIfAbsent(member.id(), member) == null) {
             consentingAddresses.add(member.address());
             gatherUntilMicros = nowMicros + GATHER_MICROS;
         }
     }
 
-    /** When {@link #nextStep} has something to do next. */
+    /** Returns the next time at which {@link #nextStep} has a step to take; {@link Long#MAX_VALUE} if there is none. */
     long nextStepMicros() {
         return switch (phase) {
             case IDLE -> Long.MAX_VALUE;
@@ -174,7 +180,7 @@
         };
     }
 
-    /** The next step at this time; {@code unixMillis} is the time by the calendar, for the epoch. */
+    /** Returns the next step at this time; the epoch is derived from {@code unixMillis}, the wall-clock time. */
     Step nextStep(Member self, long nowMicros, long unixMillis) {
         if (phase == Phase.QUIET && nowMicros >= quietUntilMicros) {
             if (consentGivenTo != null && nowMicros < consentUntilMicros) {
@@ -192,7 +198,7 @@
             return Step.FORM_CLUSTER;
         }
         if (nowMicros >= requestingSinceMicros + CONSENT_MICROS) {
-            // all consents have expired: another founder may try, or this one again later
+            // all consents have expired, so another founder may try now, and this one again after a wait
             phase = Phase.QUIET;
             quietUntilMicros = nowMicros + random.nextLong(CONSENT_MICROS);
             return Step.NOTHING;
@@ -204,23 +210,23 @@
         return Step.NOTHING;
     }
 
-    /** Whether enough consent, and either nobody further is to be expected or the consents are about to expire. */
+    /** Returns whether enough seeds consent and either no further ones are expected or the consents expire soon. */
     private boolean isReadyToForm(long nowMicros) {
-        boolean enough = orderedByOperator || 2 * countConsentingSeeds() > seeds.size();
-        if (!enough) {
+        boolean hasEnoughConsents = orderedByOperator || 2 * countConsentingSeeds() > seeds.size();
+        if (!hasEnoughConsents) {
             return false;
         }
         boolean allConsent = !orderedByOperator && consentingAddresses.containsAll(seeds);
-        boolean gatheredLong = nowMicros >= requestingSinceMicros + 2 * GATHER_MICROS;
-        boolean gathered = nowMicros >= gatherUntilMicros && (allConsent || gatheredLong);
+        boolean hasWaitedLong = nowMicros >= requestingSinceMicros + 2 * GATHER_MICROS;
+        boolean hasGathered = nowMicros >= gatherUntilMicros && (allConsent || hasWaitedLong);
         boolean consentsExpireSoon = nowMicros >= requestingSinceMicros + CONSENT_MICROS - GATHER_MICROS;
-        return gathered || consentsExpireSoon;
+        return hasGathered || consentsExpireSoon;
     }
 
     private void addFreshJoiners(long nowMicros) {
-        for (TimedRequest request : joinRequests.values()) {
-            if (nowMicros - request.atMicros <= JOIN_REQUEST_VALID_MICROS) {
-                founders.putIfAbsent(request.member.id(), request.member);
+        for (ReceivedJoinRequest request : joinRequests.values()) {
+            if (nowMicros - request.receivedMicros <= JOIN_REQUEST_VALID_MICROS) {
+                firstMembers.putIfAbsent(request.member.id(), request.member);
             }
         }
     }
@@ -233,9 +239,9 @@
         nextRequestMicros = nowMicros;
         gatherUntilMicros = nowMicros + GATHER_MICROS;
         consentGivenTo = null;
-        founders.clear();
+        firstMembers.clear();
         consentingAddresses.clear();
-        founders.put(self.id(), self);
+        firstMembers.put(self.id(), self);
         consentingAddresses.add(ownAddress);
     }
 
@@ -247,7 +253,7 @@
         return count;
     }
 
-    /** The epoch that consent is asked for. */
+    /** Returns the epoch for which this server last requested consent; 0 before its first request. */
     long epoch() {
         return epoch;
     }
@@ -256,11 +262,13 @@
         return orderedByOperator;
     }
 
-    /** The first view, after {@link Step#FORM_CLUSTER}; of two incarnations of a server, the later one is in it. */
+    /**
+     * Returns the first view, after {@link Step#FORM_CLUSTER}; of two incarnations of a server it has the later one.
+     */
     View firstView() {
         Map<String, Member> byName = new LinkedHashMap<>();
-        for (Member founder : founders.values()) {
-            byName.merge(founder.id().name(), founder, ClusterBootstrap::laterIncarnation);
+        for (Member member : firstMembers.values()) {
+            byName.merge(member.id().name(), member, ClusterBootstrap::laterIncarnation);
         }
         return new View(new ViewId(epoch, FIRST_VIEW_NUMBER), new ArrayList<>(byName.values()));
     }
--- a/server/src/main/java/wheatspread/membership/JoinProtocol.java
+++ b/server/src/main/java/wheatspread/membership/JoinProtocol.java
@@ -5,10 +5,10 @@
 import java.util.random.RandomGenerator;
 import wheatspread.membership.Message.Body;
 
-/** Joining: requests to seeds while this server is in no view, and the answers to others' requests. */
+/** Sends join requests to seeds while this server is in no view. */
 final class JoinProtocol {
     private static final long JOIN_REQUEST_INTERVAL_MICROS = 500_000;
-    /** Seeds that each round of join requests goes to, so that a long list costs no more than a short one. */
+    /** The maximum number of seeds per round of join requests, so that a long list of seeds costs no more. */
     private static final int MAX_SEEDS_PER_REQUEST = 3;
 
     private final MembershipState state;
@@ -24,16 +24,17 @@
         this.sender = sender;
     }
 
+    /** Schedules the first requests for now. */
     void start(long nowMicros) {
         nextRequestMicros = nowMicros;
     }
 
-    /** The next time at which {@link #run} sends requests. */
+    /** Returns the next time at which {@link #run} sends requests. */
     long nextRequestMicros() {
         return nextRequestMicros;
     }
 
-    /** Sends join requests, where it is time and this server is in no view. */
+    /** Sends join requests if they are due, this server is in no view, and it is not leaving. */
     void run(long nowMicros) {
         if (state.isMember() || state.isLeaving() || nowMicros < nextRequestMicros) {
             return;
@@ -44,7 +45,7 @@
         }
     }
 
-    /** Some seeds and, where this server knows a view that it is not in, a member of that. */
+    /** Selects some seeds at random and, if this server knows a view without itself, a member of that view. */
     private List<String> drawRecipients() {
         String ownAddress = state.self().address();
         List<String> recipients = new ArrayList<>(seeds);
@@ -62,7 +63,7 @@
         return recipients;
     }
 
-    /** This server is not in the view that was just installed, and asks to join before long. */
+    /** Called when a view without this server was installed; the first requests are sent after one interval. */
     void onLeftView(long nowMicros) {
         nextRequestMicros = nowMicros + JOIN_REQUEST_INTERVAL_MICROS;
     }
--- a/server/src/main/java/wheatspread/membership/Membership.java
+++ b/server/src/main/java/wheatspread/membership/Membership.java
@@ -4,16 +4,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One member of the cluster: detects failures of others, spreads gossip, and agrees with the others on the next view.
- * It connects the parts of the protocol and gives each its turn. Messages and the time go in, messages and views come
- * out; it does no I/O, reads no clock and has no random source of its own. Times are microseconds of one monotonic
- * clock. Not thread-safe: all calls come from one thread.
+ * The membership protocol of one server: detects failures of other members, disseminates gossip, and agrees with the
+ * other members on the next view. This class creates the parts of the protocol and runs each of them in a turn. The
+ * caller passes in messages, the time and the random generator; messages and views are passed to {@link Actions}. It
+ * does no I/O and reads no clock. Times are microseconds of one monotonic clock. Not thread-safe: all calls must come
+ * from one thread.
  */
 public final class Membership {
-    /** Entries that a list of seeds may have. */
+    /** The maximum number of entries in a list of seeds. */
     public static final int MAX_SEEDS = ClusterBootstrap.MAX_SEEDS;
 
-    private static final long NO_TURN_EXPECTED = Long.MAX_VALUE;
+    private static final long NO_TURN_EXPECTED_MICROS = Long.MAX_VALUE;
 
     private final Actions actions;
     private final MembershipState state;
@@ -29,34 +30,35 @@
     private final BootstrapProtocol bootstrapProtocol;
     private final ViewInstaller installer;
     private final MessageDispatcher dispatcher;
-    /** The time of the last call. */
+    /** The time passed to the last call of a method that advances the protocol. */
     private long lastCallMicros;
-    /** The time of the next turn as it was last announced. */
-    private long expectedTurnMicros = NO_TURN_EXPECTED;
+    /** The time of the next turn as {@link #nextTurnMicros} last returned it. */
+    private long expectedTurnMicros = NO_TURN_EXPECTED_MICROS;
 
-    /** What a member does to the outside. */
+    /** The effects of the protocol: sent messages and installed views. Called on the thread of the caller. */
     public interface Actions {
-        /** Sends a message; it may be lost, delayed, duplicated or reordered. */
+        /** Sends a message, which the network may lose, delay, duplicate or reorder. */
         void send(String address, Message message);
 
         /**
-         * Another view is in force from now on.
+         * Called after a view was installed.
          *
-         * @param before null for the first
-         * @param gone the members of {@code before} that are not in it, with the causes
+         * @param previous the view that was replaced; null for the first view
+         * @param installed the new view
+         * @param departures the members of {@code previous} that are not in {@code installed}, with the causes
          */
-        void onViewInstalled(View before, View now, List<Departure> gone);
+        void onViewInstalled(View previous, View installed, List<Departure> departures);
 
-        /** The time by the calendar, from which epochs are numbered. */
+        /** Returns the wall-clock time in Unix milliseconds, from which epochs are numbered. */
         long unixMillis();
     }
 
     /**
-     * A member without a view; {@link #start} or {@link #startWithView} come next.
+     * Creates a member without a view; the caller must call {@link #start} or {@link #startWithView} next.
      *
-     * @param self this member, as others will know it
-     * @param seeds addresses of servers that are asked for a view; in the same order on all servers
-     * @param random the only source of random draws, so that a run can be repeated
+     * @param self the identity and attributes of this member that other members receive
+     * @param seeds addresses of the servers that receive join requests; in the same order on all servers
+     * @param random the only source of random numbers, so that a run can be repeated
      */
     public Membership(
             Member self, List<String> seeds, DetectorSettings settings, RandomGenerator random, Actions actions) {
@@ -96,61 +98,64 @@
                 sender);
     }
 
-    /** This member under its present incarnation. */
+    /** Returns this member with its current incarnation. */
     public Member self() {
         return state.self();
     }
 
-    /** The view in force here; null before the first. */
+    /** Returns the installed view; null before the first view is installed. */
     public View view() {
         return state.view();
     }
 
-    /** Whether this member is in the view in force here. */
+    /** Returns whether this member is in the installed view. */
     public boolean isMember() {
         return state.isMember();
     }
 
-    /** The local health multiplier: how many times as long as usual this member waits; 1 in good health. */
+    /** Returns the local health multiplier, by which this member multiplies its timeouts; 1 in good health. */
     public int localHealthMultiplier() {
         return health.multiplier();
     }
 
-    /** Whether this member is in its view and a quorum of it seems reachable. */
+    /** Returns whether this member is in its view and a quorum of the view appears to be reachable. */
     public boolean isQuorumReachable(long nowMicros) {
         return state.isQuorumReachable(nowMicros);
     }
 
-    /** Why no quorum seems reachable, for operators; empty where one does. */
+    /** Returns, for operators, why no quorum appears to be reachable; empty if a quorum is reachable. */
     public String quorumUnreachableReason(long nowMicros) {
         String reason = state.unreachableReason(nowMicros);
         return reason == null ? "" : reason;
     }
 
-    /** Starts without a view: joins the cluster that exists, or helps to form one. */
+    /** Starts without a view: joins an existing cluster or takes part in forming one. */
     public void start(long nowMicros) {
         lastCallMicros = nowMicros;
         joining.start(nowMicros);
         bootstrap.onLeftView(nowMicros);
     }
 
-    /** Starts with a view that was agreed elsewhere. */
+    /** Starts with a view that other members agreed on. */
     public void startWithView(View first, long nowMicros) {
         lastCallMicros = nowMicros;
         installer.install(first, nowMicros);
     }
 
     /**
-     * An operator orders a new epoch, because the quorum is lost for good: this member forms it with all that are in
-     * no view with a reachable quorum.
+     * Starts forming a cluster in a new epoch on an operator's order, for a quorum that is permanently lost. The new
+     * cluster consists of this member and the servers that are not in a view with a reachable quorum.
      *
-     * @return why the order is refused, or null
+     * @return why the order is refused; null if it is accepted
      */
     public String orderBootstrap(long nowMicros) {
         return bootstrapProtocol.orderByOperator(nowMicros);
     }
 
-    /** Announces that this member leaves. It takes part until the others have agreed on that, and does not rejoin. */
+    /**
+     * Announces that this member leaves. It keeps taking part in the protocol until the other members have agreed on
+     * its removal, and does not rejoin.
+     */
     public void leave() {
         state.setLeaving();
         if (state.isMember()) {
@@ -158,13 +163,13 @@
         }
     }
 
-    /** The next time at which {@link #turn} has something to do. */
+    /** Returns the next time at which {@link #turn} has a step to take; {@link Long#MAX_VALUE} if there is none. */
     public long nextTurnMicros() {
         long next = Math.min(nextProtocolStepMicros(), probes.nextStepMicros());
         if (!state.isLeaving()) {
             next = Math.min(next, bootstrapProtocol.nextStepMicros());
         }
-        // a step that is overdue is to be taken now: a time in the past would make the turn look late
+        // an overdue step is due immediately: if this returned a time in the past, the turn would be counted as late
         next = Math.max(next, lastCallMicros);
         expectedTurnMicros = next;
         return next;
@@ -179,7 +184,7 @@
         return active ? Math.min(nextNotice, gossip.nextRoundMicros()) : nextNotice;
     }
 
-    /** Takes all steps whose time has come. A turn that comes far too late shows that this process was suspended. */
+    /** Takes all steps that are due. A turn that runs much later than expected shows that the process was suspended. */
     public void turn(long nowMicros) {
         lastCallMicros = nowMicros;
         detectSuspension(nowMicros);
@@ -196,14 +201,14 @@
 
     private void detectSuspension(long nowMicros) {
         long lateMicros = nowMicros - expectedTurnMicros;
-        boolean expected = expectedTurnMicros != NO_TURN_EXPECTED;
-        expectedTurnMicros = NO_TURN_EXPECTED;
+        boolean expected = expectedTurnMicros != NO_TURN_EXPECTED_MICROS;
+        expectedTurnMicros = NO_TURN_EXPECTED_MICROS;
         if (expected && health.onLateTurn(lateMicros)) {
             probes.extendDeadlines(lateMicros);
         }
     }
 
-    /** Takes a message in; {@code address} is where answers go. */
+    /** Handles a received message; replies go to {@code address}. */
     public void receive(String address, Message message, long nowMicros) {
         lastCallMicros = nowMicros;
         dispatcher.dispatch(address, message, nowMicros);
@@ -217,17 +222,17 @@
         }
     }
 
-    /** The names of the observers that report a member down; only while this member is in the view. */
+    /** Returns the names of the observers that report a member down; valid only while this member is in the view. */
     public List<String> reportingObservers(int member) {
         return reports.reporting(member);
     }
 
-    /** The names of the observers that suspect a member; only while this member is in the view. */
+    /** Returns the names of the observers that suspect a member; valid only while this member is in the view. */
     public List<String> suspectingObservers(int member) {
         return reports.suspecting(member);
     }
 
-    /** For how long this member has suspected another, in microseconds; 0 where it does not. */
+    /** Returns how long this member has suspected another one, in microseconds; 0 if it does not suspect it. */
     public long suspectedForMicros(MemberId other, long nowMicros) {
         MonitoredSubject subject = subjects.get(other);
         if (subject == null || !subject.detector().isSuspectOrDown()) {
--- a/server/src/main/java/wheatspread/membership/MembershipState.java
+++ b/server/src/main/java/wheatspread/membership/MembershipState.java
@@ -1,13 +1,13 @@
 package wheatspread.membership;
 
 /**
- * The view that this member holds, its own place in it, and what it knows about that view. All other parts read it;
- * {@link ViewInstaller} replaces the view as a whole.
+ * The installed view, this member's index in it, and the evidence, votes and reachability recorded for that view. All
+ * other parts read this state; {@link ViewInstaller} replaces the view as a whole.
  */
 final class MembershipState {
     private static final int NOT_A_MEMBER = -1;
     private static final long DIGEST_FACTOR = 31;
-    /** Servers that may ask to join during one view; further ones join in the next. */
+    /** The maximum number of joiners during one view; further servers can join during the next view. */
     private static final int MAX_JOINERS = 256;
 
     private Member self;
@@ -22,67 +22,70 @@
         this.self = self;
     }
 
-    /** This member under its present incarnation. */
+    /** Returns this member with its current incarnation. */
     Member self() {
         return self;
     }
 
-    /** The view that is held; null before the first. */
+    /** Returns the installed view; null before the first view is installed. */
     View view() {
         return view;
     }
 
-    /** The number of the view that is held, {@link ViewId#NONE} before the first. */
+    /** Returns the number of the installed view; {@link ViewId#NONE} before the first view is installed. */
     ViewId viewId() {
         return view == null ? ViewId.NONE : view.id();
     }
 
-    /** Whether this member is in the view that it holds. */
+    /** Returns whether this member is in the installed view. */
     boolean isMember() {
         return ownIndex != NOT_A_MEMBER;
     }
 
-    /** This member's index in the view; only while {@link #isMember}. */
+    /** Returns this member's index in the view; valid only while {@link #isMember} returns true. */
     int ownIndex() {
         return ownIndex;
     }
 
-    /** What is reported about the members of this view; only while {@link #isMember}. */
+    /** Returns the reports about members of this view; valid only while {@link #isMember} returns true. */
     CutDetector cutDetector() {
         return cutDetector;
     }
 
-    /** Whether a quorum of this view seems reachable; only while {@link #isMember}. */
+    /** Returns the quorum reachability of this view; valid only while {@link #isMember} returns true. */
     QuorumReachability reachability() {
         return reachability;
     }
 
-    /** The agreement on the change that ends this view; only while {@link #isMember}. */
+    /** Returns the agreement on the next view change; valid only while {@link #isMember} returns true. */
     ViewAgreement agreement() {
         return agreement;
     }
 
-    /** Whether this member has announced that it leaves. */
+    /** Returns whether this member has announced that it leaves. */
     boolean isLeaving() {
         return leaving;
     }
 
-    /** Whether this member is in its view and a quorum of it seems reachable. */
+    /** Returns whether this member is in its view and a quorum of the view appears to be reachable. */
     boolean isQuorumReachable(long nowMicros) {
         return isMember() && reachability.isReachable(nowMicros);
     }
 
-    /** Why no quorum seems reachable, for operators; null where one does. */
+    /** Returns, for operators, why no quorum appears to be reachable; null if a quorum is reachable. */
     String unreachableReason(long nowMicros) {
-        return isMember() ? reachability.unreachableReason(nowMicros) : "this server is not in it";
+        return isMember() ? reachability.unreachableReason(nowMicros) : "this server is not a member of its view";
     }
 
-    /** Whether the view has a member of this index. */
+    /** Returns whether the view has a member with this index. */
     boolean isValidIndex(int member) {
         return member >= 0 && member < view.size();
     }
 
-    /** Equal on two members that know the same about this view; 0 while this one is not a member. */
+    /**
+     * Returns a digest of the reports and votes known for this view, which is equal on members with equal knowledge; 0
+     * while this server is not a member.
+     */
     long digest() {
         return isMember() ? cutDetector.digest() * DIGEST_FACTOR + agreement.digest() : 0;
     }
@@ -91,14 +94,14 @@
         leaving = true;
     }
 
-    /** Continues under the next incarnation, which is another member to all others. */
+    /** Increments this member's incarnation; other members treat the new incarnation as a different member. */
     void advanceIncarnation() {
         MemberId next = new MemberId(self.id().name(), self.id().start() + 1);
         self = new Member(next, self.address(), self.zone(), self.build(), self.config());
     }
 
-    /** Holds this view from now on, with nothing known about it yet. */
-    void enter(View next, long nowMicros) {
+    /** Replaces the installed view and discards the reports and votes that belong to the previous one. */
+    void installView(View next, long nowMicros) {
         view = next;
         ownIndex = next.indexOf(self.id());
         if (isMember()) {
--- a/server/src/main/java/wheatspread/membership/Message.java
+++ b/server/src/main/java/wheatspread/membership/Message.java
@@ -5,21 +5,22 @@
 /**
  * A message from one member to another.
  *
- * @param from who sends it
- * @param view the view that the sender holds, {@link ViewId#NONE} before its first
+ * @param from the identity of the sender
+ * @param view the number of the sender's view; {@link ViewId#NONE} before it has one
  * @param quorumReachable whether the sender is in that view and appears to reach a quorum of it
- * @param digest of all that the sender knows about that view; two members with different digests synchronize
- * @param body what the message is for
- * @param updates gossip about that view, which any message may carry
+ * @param digest a digest of the reports and votes that the sender knows for that view; two members with different
+ *     digests synchronize
+ * @param body the purpose of the message and its parameters
+ * @param updates gossip updates about that view, which a message of any kind may carry
  */
 public record Message(
         MemberId from, ViewId view, boolean quorumReachable, long digest, Body body, List<GossipUpdate> updates) {
-    /** The purpose of a message, besides the gossip that it carries. */
+    /** The purpose of a message, apart from the gossip updates that it carries. */
     public sealed interface Body {
         /** Calls the method of the visitor for this kind of body. */
         <R> R accept(Visitor<R> visitor);
 
-        /** One method for each kind of body, so that a new kind does not compile until all handle it. */
+        /** Has one method for each kind of body, so that every visitor must handle a new kind to compile. */
         interface Visitor<R> {
             R visitPing(Ping body);
 
@@ -42,7 +43,7 @@
             R visitBootstrapConsent(BootstrapConsent body);
         }
 
-        /** A probe of {@code target}, and of no other process at its address; answered by an {@link Ack}. */
+        /** Probes {@code target}; only that incarnation answers, with an {@link Ack}. */
         record Ping(long number, MemberId target) implements Body {
             @Override
             public <R> R accept(Visitor<R> visitor) {
@@ -50,7 +51,7 @@
             }
         }
 
-        /** The answer to a {@link Ping} or, through a helper, to an {@link IndirectPing} of that number. */
+        /** Answers the {@link Ping} of that number or, through a helper, the {@link IndirectPing} of that number. */
         record Ack(long number) implements Body {
             @Override
             public <R> R accept(Visitor<R> visitor) {
@@ -66,7 +67,7 @@
             }
         }
 
-        /** The helper had no answer to the {@link IndirectPing} of that number either (Lifeguard's nack). */
+        /** Reports that the helper's probe for the {@link IndirectPing} of that number timed out (Lifeguard's nack). */
         record Nack(long number) implements Body {
             @Override
             public <R> R accept(Visitor<R> visitor) {
@@ -74,7 +75,7 @@
             }
         }
 
-        /** Nothing besides the gossip that the message carries. */
+        /** Has no content; the message only carries gossip updates. */
         record Gossip() implements Body {
             @Override
             public <R> R accept(Visitor<R> visitor) {
@@ -82,7 +83,7 @@
             }
         }
 
-        /** Asks for the receiver's view. */
+        /** Requests the receiver's view. */
         record ViewRequest() implements Body {
             @Override
             public <R> R accept(Visitor<R> visitor) {
@@ -90,7 +91,7 @@
             }
         }
 
-        /** The sender's complete view. */
+        /** Contains the sender's complete view. */
         record ViewResponse(View view) implements Body {
             @Override
             public <R> R accept(Visitor<R> visitor) {
@@ -98,7 +99,7 @@
             }
         }
 
-        /** {@code member} asks to join the cluster. */
+        /** Requests that {@code member} join the cluster. */
         record JoinRequest(Member member) implements Body {
             @Override
             public <R> R accept(Visitor<R> visitor) {
@@ -106,7 +107,11 @@
             }
         }
 
-        /** A seed asks for consent to form a cluster of that epoch; {@code operatorOrdered} where one ordered it. */
+        /**
+         * Requests consent to form a cluster of that epoch.
+         *
+         * @param operatorOrdered whether an operator ordered the new cluster
+         */
         record BootstrapRequest(long epoch, boolean operatorOrdered) implements Body {
             @Override
             public <R> R accept(Visitor<R> visitor) {
@@ -114,7 +119,7 @@
             }
         }
 
-        /** The sender, {@code member}, consents to be in the first view of that epoch. */
+        /** Gives the consent of the sender, {@code member}, to be in the first view of that epoch. */
         record BootstrapConsent(long epoch, Member member) implements Body {
             @Override
             public <R> R accept(Visitor<R> visitor) {
--- a/server/src/main/java/wheatspread/membership/MessageDispatcher.java
+++ b/server/src/main/java/wheatspread/membership/MessageDispatcher.java
@@ -2,7 +2,7 @@
 
 import wheatspread.membership.Message.Body;
 
-/** Hands each received message to the parts that it concerns. */
+/** Dispatches each received message to the parts of the protocol that handle it. */
 final class MessageDispatcher {
     private final MembershipState state;
     private final GossipDissemination gossip;
@@ -38,7 +38,7 @@
         this.sender = sender;
     }
 
-    /** Handles a message; {@code address} is where answers go. */
+    /** Handles a message; replies go to {@code address}. */
     void dispatch(String address, Message message, long nowMicros) {
         recordReachability(message, nowMicros);
         if (!message.view().equals(state.viewId())) {
@@ -82,8 +82,9 @@
 
         @Override
         public Void visitPing(Body.Ping body) {
-            boolean forThisProcess = body.target().equals(state.self().id());
-            if (forThisProcess) { // not for an earlier process at this address
+            // a probe of an earlier incarnation at this address is not answered
+            boolean isForThisIncarnation = body.target().equals(state.self().id());
+            if (isForThisIncarnation) {
                 sender.send(address, new Body.Ack(body.number()), nowMicros);
             }
             return null;
@@ -109,7 +110,7 @@
 
         @Override
         public Void visitGossip(Body.Gossip body) {
-            return null; // the updates that the message carries are handled for each kind of message
+            return null; // dispatch() handles the updates of every message, whatever its body
         }
 
         @Override
@@ -120,8 +121,8 @@
 
         @Override
         public Void visitViewResponse(Body.ViewResponse body) {
-            boolean sendersView = body.view().id().equals(message.view());
-            if (viewExchange.takesPrecedence(message, nowMicros) && sendersView) {
+            boolean isSendersView = body.view().id().equals(message.view());
+            if (viewExchange.takesPrecedence(message, nowMicros) && isSendersView) {
                 installer.install(body.view(), nowMicros);
             }
             return null;
@@ -136,7 +137,7 @@
                 sender.sendWithoutGossip(address, new Body.ViewResponse(state.view()), nowMicros);
             } else {
                 receiveGossip(new GossipUpdate.Joining(joiner), nowMicros);
-                // shows the joiner that there is a cluster, so that it does not form another
+                // the reply tells the joiner that a cluster exists, so that it does not form a second cluster
                 sender.sendWithoutGossip(address, new Body.Gossip(), nowMicros);
             }
             return null;
--- a/server/src/main/java/wheatspread/membership/MessageSender.java
+++ b/server/src/main/java/wheatspread/membership/MessageSender.java
@@ -3,9 +3,12 @@
 import java.util.List;
 import wheatspread.membership.Message.Body;
 
-/** Addresses, fills and sends this member's messages: each carries the sender's view and a digest of its knowledge. */
+/**
+ * Completes and sends this member's messages: each carries the number of the sender's view and a digest of the reports
+ * and votes that the sender knows for it.
+ */
 final class MessageSender {
-    /** Gossip updates on one message; with these a message still fits in one datagram. */
+    /** The maximum number of gossip updates on one message, with which the message still fits in one datagram. */
     private static final int MAX_UPDATES_PER_MESSAGE = 16;
 
     private final MembershipState state;
@@ -18,18 +21,18 @@
         this.actions = actions;
     }
 
-    /** Sends a message that carries gossip, where there is any. */
+    /** Sends a message with queued gossip updates, if there are any. */
     void send(String address, Body body, long nowMicros) {
         List<GossipUpdate> updates = state.isMember() ? queue.poll(MAX_UPDATES_PER_MESSAGE) : List.of();
         send(address, body, updates, nowMicros);
     }
 
-    /** Sends a message without gossip: the receiver may hold another view, or none. */
+    /** Sends a message without gossip updates, for a receiver that may have a different view or no view. */
     void sendWithoutGossip(String address, Body body, long nowMicros) {
         send(address, body, List.of(), nowMicros);
     }
 
-    /** Sends these updates, whether they are queued or not. */
+    /** Sends the given updates, and leaves the gossip queue unchanged. */
     void sendUpdates(String address, List<GossipUpdate> updates, long nowMicros) {
         send(address, new Body.Gossip(), updates, nowMicros);
     }
--- a/server/src/main/java/wheatspread/membership/QuorumReachability.java
+++ b/server/src/main/java/wheatspread/membership/QuorumReachability.java
@@ -4,46 +4,46 @@
 import java.util.BitSet;
 
 /**
- * Judges whether a quorum of one member's view seems to be reachable. The smaller side of a partition keeps its view
- * and treats it as outdated by this judgement. Any of three signs means that no quorum is reachable, since each is
- * blind somewhere:
+ * Estimates whether a quorum of one member's view is reachable. Members on the smaller side of a partition keep their
+ * view and use this estimate to treat it as outdated. A quorum counts as unreachable if any of three conditions holds,
+ * since none of them detects every case:
  *
  * <ul>
- * <li>fewer than a quorum are left without the members that observers on this side miss: exact on a side with a third
- *     of the fleet or more, blind on a small one, which has too few observers;
- * <li>less than half of this member's observers and subjects were heard of late: a sample, which is good on a small
- *     side and on a member that was suspended itself;
- * <li>an agreement has been in progress for long without a decision.
+ * <li>Fewer members than a quorum remain without those that observers on this side report or suspect. This is exact on
+ *     a side with a third of the fleet or more; a smaller side has too few observers.
+ * <li>Messages arrived recently from less than half of this member's observers and subjects. This is a sample, which
+ *     works on a small side and on a member that was suspended.
+ * <li>An agreement has been in progress for longer than {@link #AGREEMENT_LIMIT_MICROS} without a decision.
  * </ul>
  *
- * <p>It may be wrong for moments in either direction, so nothing may rest on it that two sides must not decide
- * differently: that takes a view.
+ * <p>The estimate may be wrong for short times in either direction. A decision that two sides of a partition must not
+ * make differently must not depend on it: such a decision requires an agreed view.
  */
 final class QuorumReachability {
-    /** A member that was silent for this time, some four probe periods, counts as not heard. */
+    /** A member without a message for this time, about four probe periods, counts as silent. */
     static final long SILENCE_LIMIT_MICROS = 4_000_000;
-    /** An agreement that takes longer is stuck; a usual one ends within 2 s. */
+    /** An agreement that takes longer counts as blocked; an undisturbed one ends within 2 s. */
     static final long AGREEMENT_LIMIT_MICROS = 6_000_000;
 
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** This member's observers and subjects by index, in order. */
+    /** The indexes of this member's observers and subjects, in ascending order. */
     private final int[] neighbours;
-    /** By position in {@link #neighbours}. */
-    private final long[] lastHeardMicros;
+    /** The time of the last message from each neighbour, by position in {@link #neighbours}. */
+    private final long[] lastMessageMicros;
 
     private final int quorum;
     private final int viewSize;
     private long agreementSinceMicros = Long.MAX_VALUE;
     private int unreachableMembers;
 
-    /** A quorum agreed on the view as it began, so all count as heard then. */
+    /** Creates the state for a new view. A quorum has just agreed on it, so no member counts as silent at first. */
     QuorumReachability(View view, int ownIndex, long nowMicros) {
         viewSize = view.size();
         quorum = view.classicQuorum();
         neighbours = neighboursOf(view, ownIndex);
-        lastHeardMicros = new long[neighbours.length];
-        Arrays.fill(lastHeardMicros, nowMicros);
+        lastMessageMicros = new long[neighbours.length];
+        Arrays.fill(lastMessageMicros, nowMicros);
     }
 
     private static int[] neighboursOf(View view, int ownIndex) {
@@ -61,20 +61,20 @@
         return neighbours.stream().toArray();
     }
 
-    /** A message came from the member of that index. */
+    /** Records a message from the member with this index. */
     void onMessageFrom(int member, long nowMicros) {
         int position = Arrays.binarySearch(neighbours, member);
         if (position >= 0) {
-            lastHeardMicros[position] = nowMicros;
+            lastMessageMicros[position] = nowMicros;
         }
     }
 
-    /** So many members are missed by the observers that are heard here. */
-    void updateUnreachable(int members) {
-        unreachableMembers = members;
+    /** Sets the number of members that appear to be unreachable; see {@link CutDetector#countUnreachable}. */
+    void updateUnreachable(int memberCount) {
+        unreachableMembers = memberCount;
     }
 
-    /** Whether an agreement on the next view is in progress. */
+    /** Records whether an agreement on the next view is in progress. */
     void updateAgreement(boolean inProgress, long nowMicros) {
         agreementSinceMicros = inProgress ? Math.min(agreementSinceMicros, nowMicros) : Long.MAX_VALUE;
     }
@@ -83,22 +83,23 @@
         return unreachableReason(nowMicros) == null;
     }
 
-    /** Why no quorum seems reachable, for operators; null where one does. */
+    /** Returns, for operators, why no quorum appears to be reachable; null if a quorum is reachable. */
     String unreachableReason(long nowMicros) {
         if (viewSize - unreachableMembers < quorum) {
-            return unreachableMembers + " of " + viewSize + " are missed";
+            return unreachableMembers + " of " + viewSize + " members appear unreachable, quorum is " + quorum;
         }
         boolean agreementInProgress = agreementSinceMicros != Long.MAX_VALUE;
         if (agreementInProgress && nowMicros - agreementSinceMicros > AGREEMENT_LIMIT_MICROS) {
             long millis = (nowMicros - agreementSinceMicros) / MICROS_PER_MILLI;
-            return "an agreement does not end for " + millis + " ms";
+            return "agreement on the next view undecided for " + millis + " ms";
         }
-        int silent = 0;
-        for (long heardMicros : lastHeardMicros) {
-            silent += nowMicros - heardMicros > SILENCE_LIMIT_MICROS ? 1 : 0;
+        int silentNeighbours = 0;
+        for (long messageMicros : lastMessageMicros) {
+            silentNeighbours += nowMicros - messageMicros > SILENCE_LIMIT_MICROS ? 1 : 0;
         }
-        if (2 * silent > neighbours.length) {
-            return silent + " of " + neighbours.length + " others watched or watching are not heard";
+        if (2 * silentNeighbours > neighbours.length) {
+            return "no message from " + silentNeighbours + " of " + neighbours.length + " observers and subjects for "
+                    + SILENCE_LIMIT_MICROS / MICROS_PER_MILLI + " ms";
         }
         return null;
     }
--- a/server/src/main/java/wheatspread/membership/SeedNotifier.java
+++ b/server/src/main/java/wheatspread/membership/SeedNotifier.java
@@ -6,15 +6,15 @@
 import wheatspread.membership.Message.Body;
 
 /**
- * Notifies seeds that are not in this view, and so in none or in another cluster's, that this cluster exists. It keeps
- * restarted seeds from forming a second cluster, and lets two clusters find each other.
+ * Notifies seeds that are not in this view that this cluster exists. Such a seed is in no view or in another cluster.
+ * The notices keep restarted seeds from forming a second cluster, and let two clusters discover each other.
  */
 final class SeedNotifier {
-    /** Interval of all members together, so that the load on a seed does not grow with the fleet. */
+    /** The interval between notices of the whole fleet, so that the load on a seed does not grow with the fleet. */
     private static final long FLEET_INTERVAL_MICROS = 200_000;
-    /** Shortest interval of one member, which small fleets use. */
+    /** The shortest interval between notices of one member, which applies in small fleets. */
     private static final long MIN_INTERVAL_MICROS = 2_000_000;
-    /** Intervals are drawn between 50% and 150% of their length. */
+    /** Each interval is multiplied by a random factor between 50% and 150%. */
     private static final int MIN_SPREAD_PERCENT = 50;
 
     private static final int SPREAD_RANGE_PERCENT = 100;
@@ -32,31 +32,33 @@
         this.sender = sender;
     }
 
-    /** The next time at which {@link #run} looks for absent seeds; {@link Long#MAX_VALUE} where all are members. */
+    /**
+     * Returns the next time at which {@link #run} checks for absent seeds; {@link Long#MAX_VALUE} if all are members.
+     */
     long nextNoticeMicros() {
         return nextNoticeMicros;
     }
 
-    /** Notifies one absent seed, where it is time. */
+    /** Notifies one absent seed if a notice is due. */
     void run(long nowMicros) {
         if (!state.isMember() || nowMicros < nextNoticeMicros) {
             return;
         }
-        List<String> absent = new ArrayList<>(seeds);
-        state.view().members().forEach(member -> absent.remove(member.address()));
-        if (absent.isEmpty()) {
+        List<String> absentSeeds = new ArrayList<>(seeds);
+        state.view().members().forEach(member -> absentSeeds.remove(member.address()));
+        if (absentSeeds.isEmpty()) {
             nextNoticeMicros = Long.MAX_VALUE;
             return;
         }
-        long interval = Math.max(
+        long intervalMicros = Math.max(
                 MIN_INTERVAL_MICROS, FLEET_INTERVAL_MICROS * state.view().size());
         int percent = MIN_SPREAD_PERCENT + random.nextInt(SPREAD_RANGE_PERCENT);
-        nextNoticeMicros = nowMicros + interval * percent / 100;
-        String seed = absent.get(random.nextInt(absent.size()));
+        nextNoticeMicros = nowMicros + intervalMicros * percent / 100;
+        String seed = absentSeeds.get(random.nextInt(absentSeeds.size()));
         sender.sendWithoutGossip(seed, new Body.Gossip(), nowMicros);
     }
 
-    /** This member is in the view that was just installed. */
+    /** Called when a view with this member was installed; the first notice follows after a random wait. */
     void onEnteredView(long nowMicros) {
         nextNoticeMicros = nowMicros + random.nextLong(MIN_INTERVAL_MICROS);
     }
--- a/server/src/main/java/wheatspread/membership/ViewExchange.java
+++ b/server/src/main/java/wheatspread/membership/ViewExchange.java
@@ -3,15 +3,15 @@
 import wheatspread.membership.Message.Body;
 
 /**
- * Brings members that hold different views to the same one: asks for a view that takes precedence over the one held
- * here, and sends this one where it takes precedence.
+ * Brings members with different views to the same view: requests a view that takes precedence over this member's view,
+ * and sends this member's view to a member whose view it takes precedence over.
  */
 final class ViewExchange {
     private final MembershipState state;
     private final PeerRateLimit rateLimit;
     private final MessageSender sender;
-    /** When a member of the held view last said that its quorum is reachable, while this one is not a member. */
-    private long quorumSeenMicros;
+    /** When a member of this epoch last reported a reachable quorum while this server was not in the view. */
+    private long quorumReportedMicros;
 
     ViewExchange(MembershipState state, PeerRateLimit rateLimit, MessageSender sender) {
         this.state = state;
@@ -19,14 +19,14 @@
         this.sender = sender;
     }
 
-    /** A message came from a member of a view with a reachable quorum, while this one is not a member of its view. */
+    /** Records a message from a member of a view with a reachable quorum; called while this server is in no view. */
     void onReachableQuorum(ViewId view, long nowMicros) {
         if (view.epoch() == state.viewId().epoch()) {
-            quorumSeenMicros = nowMicros;
+            quorumReportedMicros = nowMicros;
         }
     }
 
-    /** A message came from a member that holds another view. */
+    /** Handles a message from a member that has a different view. */
     void onOtherView(String address, Message message, long nowMicros) {
         if (takesPrecedence(message, nowMicros)) {
             boolean carriesView = message.body() instanceof Body.ViewResponse;
@@ -44,17 +44,20 @@
         }
     }
 
-    /** Whether the sender's view takes precedence over the one held here. */
+    /** Returns whether the sender's view takes precedence over this member's view. */
     boolean takesPrecedence(Message message, long nowMicros) {
         boolean ownQuorumReachable = state.isMember()
                 ? state.isQuorumReachable(nowMicros)
-                : state.view() != null && nowMicros < quorumSeenMicros + ClusterBootstrap.QUIET_MICROS;
+                : state.view() != null && nowMicros < quorumReportedMicros + ClusterBootstrap.QUIET_MICROS;
         return ViewPrecedence.takesPrecedence(
                 message.view(), message.quorumReachable(), state.viewId(), ownQuorumReachable);
     }
 
-    /** This member is not in the view that was just installed; it was learnt from one whose quorum is reachable. */
+    /**
+     * Called when a view without this server was installed. Such a view comes from a member that reaches a quorum, so
+     * its quorum counts as reachable at this time.
+     */
     void onLeftView(long nowMicros) {
-        quorumSeenMicros = nowMicros;
+        quorumReportedMicros = nowMicros;
     }
 }
--- a/server/src/main/java/wheatspread/membership/ViewInstaller.java
+++ b/server/src/main/java/wheatspread/membership/ViewInstaller.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Replaces the view that this member holds, resets all that belongs to the last one, and reports who departed. */
+/** Replaces the installed view, resets the state that belongs to the previous one, and reports departed members. */
 final class ViewInstaller {
     private final MembershipState state;
     private final FlapDamping damping;
@@ -16,9 +16,9 @@
     private final ClusterBootstrap bootstrap;
     private final ObserverReports reports;
     private final Membership.Actions actions;
-    /** The latest epoch in which this member was in a view. */
+    /** The highest epoch of a view of which this server was a member. */
     private long latestMemberEpoch;
-    /** Whether it was in a view under its present incarnation. */
+    /** Whether this server was in a view with its current incarnation. */
     private boolean wasMember;
 
     ViewInstaller(
@@ -45,12 +45,12 @@
         reports = new ObserverReports(state);
     }
 
-    /** Installs a view that was formed, agreed elsewhere or learnt from another member. */
+    /** Installs a view that was formed by a founder or received from another member. */
     void install(View next, long nowMicros) {
         install(next, Departure.Cause.LEARNT_FROM_PEER, nowMicros);
     }
 
-    /** Installs the view that a change decided here leads to. */
+    /** Installs the view that results from a change that this member knows to be decided. */
     void installDecided(ViewChange change, long nowMicros) {
         install(state.view().withChange(change), Departure.Cause.REPORTED_DOWN, nowMicros);
     }
@@ -59,7 +59,7 @@
         View previous = state.view();
         List<Departure> departures = departures(previous, next, unannounced, nowMicros);
         advanceIncarnationIfReturning(next);
-        state.enter(next, nowMicros);
+        state.installView(next, nowMicros);
         viewChanges.onViewInstalled(nowMicros);
         gossip.onViewInstalled();
         if (state.isMember()) {
@@ -77,8 +77,8 @@
     }
 
     /**
-     * A member that returns to a cluster that it left may have voted in views of that epoch and has forgotten its
-     * votes, so it returns under another incarnation: a second vote would break the agreement's quorums.
+     * Increments the incarnation of a member that returns to a cluster which it had left. It may have voted in views of
+     * that epoch and no longer has its votes, and a second vote would break the quorum intersection of the agreement.
      */
     private void advanceIncarnationIfReturning(View next) {
         long epoch = next.id().epoch();
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Who departs and why. Members that depart unannounced count against their names in flap damping. */
+    /** Returns the departed members with the causes. Unannounced departures are recorded for flap damping. */
     private List<Departure> departures(View previous, View next, Departure.Cause unannounced, long nowMicros) {
         List<Departure> departures = new ArrayList<>();
         if (previous == null) {
--- a/server/src/test/java/wheatspread/membership/ClusterBootstrapTest.java
+++ b/server/src/test/java/wheatspread/membership/ClusterBootstrapTest.java
@@ -126,7 +126,8 @@
         for (int seed = 0; seed < 10; seed++) {
             Net net = formed(seed, 12, 0);
             View old = net.agreed(12);
-            assertThat(net.members.get("m001").orderBootstrap(net.nowMicros)).contains("stands");
+            assertThat(net.members.get("m001").orderBootstrap(net.nowMicros))
+                    .isEqualTo("a quorum of the current view " + old.id() + " is reachable");
             for (int i = 5; i < 12; i++) {
                 net.crash(Net.name(i));
             }
@@ -139,7 +140,8 @@
                         .as("seed %d", seed)
                         .isEqualTo(old);
             }
-            assertThat(net.members.get("m004").orderBootstrap(net.nowMicros)).contains("only a seed");
+            assertThat(net.members.get("m004").orderBootstrap(net.nowMicros))
+                    .isEqualTo("only a seed can form a cluster, and this server is not in the list of seeds");
             assertThat(net.members.get("m001").orderBootstrap(net.nowMicros)).isNull();
             net.scheduleTurn("m001");
             net.run(5 * SECOND);
