--- a/server/src/main/java/wheatspread/membership/CutDetector.java
+++ b/server/src/main/java/wheatspread/membership/CutDetector.java
@@ -8,34 +8,38 @@
 import java.util.TreeMap;
 
 /**
- * Multi-process cut detection: finds the one change of a view that the observers' reports lead to (L. Suresh and
- * others, "Stable and Consistent Membership at Scale with Rapid", 2018).
+ * Multi-process cut detection: derives one view change from the observers' reports (L. Suresh and others, "Stable and
+ * Consistent Membership at Scale with Rapid", 2018).
  *
- * <p>Each pair of an observer and its subject has a counter that only grows: odd means "down" for a member and
- * "reachable" for a joiner. The larger counter wins, so reports can be taken back and may arrive late, doubled or in
- * any order; members with equal counters find equal changes. A subject is removed, or a joiner admitted, from the high
- * watermark of reports on. One between the low and the high watermark is unstable, and the change waits for it, so
- * that crashes at about the same time become one change on all members. With two observers or more, one report alone
- * never removes or admits anybody.
+ * <p>Each pair of an observer and its subject has a counter that only grows: an odd value means "down" for a member and
+ * "reachable" for a joiner. The larger counter takes precedence, so reports can be withdrawn and may arrive late,
+ * duplicated or in any order; members with equal counters find equal changes. A member is removed, or a joiner
+ * admitted, if the number of reports reaches the high watermark. A subject between the low and the high watermark is
+ * unstable, and the change waits for it, so that crashes at about the same time become one change on all members. With
+ * two observers or more, a single report never removes a member or admits a joiner.
  */
 final class CutDetector {
     private static final int DIGEST_FACTOR = 31;
 
     private final View view;
-    /** By member and observer; odd is "down". */
+    /** The report counters by member and observer; an odd value means "down". */
     private final int[][] reportCounters;
-    /** By member and observer; odd is "suspected", which is not reported yet and often never will be. */
+    /**
+     * The suspicion counters by member and observer; an odd value means "suspected", which need not become a report.
+     */
     private final int[][] suspicionCounters;
 
     private final BitSet leavingMembers = new BitSet();
     private final Map<MemberId, Joiner> joiners = new TreeMap<>();
     private final int maxJoiners;
-    /** Derived from the above and null after a change of it: most messages bring nothing new. */
+    /**
+     * Cached result derived from the fields above; null after one of them changed. Most messages change none of them.
+     */
     private Summary summary;
 
     private record Summary(long digest, ViewChange stableChange, ViewChange changeIgnoringUnstable) {}
 
-    /** A server that asks to join, its prospective observers and their counters. */
+    /** A server that requests to join, its prospective observers and their counters. */
     private static final class Joiner {
         final Member member;
         final int[] observers;
@@ -48,7 +52,7 @@
         }
     }
 
-    /** Beyond {@code maxJoiners} further joiners are ignored until the next view. */
+    /** Creates a detector without reports; joiners beyond {@code maxJoiners} are ignored until the next view. */
     CutDetector(View view, int maxJoiners) {
         this.view = view;
         this.maxJoiners = maxJoiners;
@@ -61,22 +65,22 @@
         }
     }
 
-    /** Whether a counter says "down", "suspected" or "reachable": it is odd then. */
+    /** Returns whether a counter is odd, which means "down", "suspected" or "reachable". */
     static boolean isSet(int counter) {
         return (counter & 1) == 1;
     }
 
-    /** An observer's report on a member; returns whether it was new. */
+    /** Records an observer's report on a member; returns whether it was new. */
     boolean onReport(int member, int observerIndex, int counter) {
         return invalidateIf(raise(reportCounters[member], observerIndex, counter));
     }
 
-    /** An observer's suspicion of a member, which leads to no change; returns whether it was new. */
+    /** Records an observer's suspicion of a member, which changes no view; returns whether it was new. */
     boolean onSuspicion(int member, int observerIndex, int counter) {
         return raise(suspicionCounters[member], observerIndex, counter);
     }
 
-    /** A member announces that it leaves; returns whether that was new. */
+    /** Records that a member announced that it leaves; returns whether this was new. */
     boolean onLeaving(int member) {
         boolean isNew = !leavingMembers.get(member);
         leavingMembers.set(member);
@@ -84,15 +88,15 @@
     }
 
     /**
-     * A server asks to join; returns whether that was new. An incarnation that is not later than that of a member or
-     * another joiner of its name is ignored.
+     * Records a join request; returns whether it was new. The request is ignored if a member or another joiner with the
+     * same name has an equal or later incarnation.
      */
     boolean onJoining(Member joiner) {
         String name = joiner.id().name();
         Member predecessor = view.memberNamed(name);
-        boolean outdated =
+        boolean isOutdated =
                 predecessor != null && predecessor.id().start() >= joiner.id().start();
-        if (joiners.containsKey(joiner.id()) || joiners.size() >= maxJoiners || outdated) {
+        if (joiners.containsKey(joiner.id()) || joiners.size() >= maxJoiners || isOutdated) {
             return false;
         }
         for (MemberId other : List.copyOf(joiners.keySet())) {
@@ -108,7 +112,7 @@
         return invalidateIf(true);
     }
 
-    /** A prospective observer's report on a joiner; returns whether it was new. */
+    /** Records a prospective observer's report on a joiner; returns whether it was new. */
     boolean onJoinerReachable(MemberId joiner, int observerIndex, int counter) {
         Joiner known = joiners.get(joiner);
         return known != null && invalidateIf(raise(known.counters, observerIndex, counter));
@@ -141,70 +145,74 @@
         return suspicionCounters[member][observerIndex];
     }
 
-    /** How many observers report a member down. */
+    /** Returns the number of observers that report a member down. */
     int downReports(int member) {
         return countSet(reportCounters[member]);
     }
 
-    /** How many observers suspect a member, without that one. */
+    /** Returns the number of observers that suspect a member, not counting the given observer. */
     int otherSuspecters(int member, int observerIndex) {
         int own = suspicionCounters[member][observerIndex] & 1;
         return countSet(suspicionCounters[member]) - own;
     }
 
-    /** The members that announced that they leave, by index; not to be modified. */
+    /** Returns the indexes of the members that announced that they leave; must not be modified. */
     BitSet leavingMembers() {
         return leavingMembers;
     }
 
-    /** The servers that ask to join, in the order of their identities. */
+    /** Returns the servers that request to join, in the order of their identities. */
     List<Member> joiners() {
         return joiners.values().stream().map(joiner -> joiner.member).toList();
     }
 
-    /** Whether a server with this identity asks to join. */
+    /** Returns whether a server with this identity requests to join. */
     boolean isJoiner(MemberId id) {
         return joiners.containsKey(id);
     }
 
-    /** The members that would observe a joiner; see {@link #isJoiner}. */
+    /** Returns the indexes of a joiner's prospective observers; valid only if {@link #isJoiner}. */
     int[] observersOfJoiner(MemberId joiner) {
         return joiners.get(joiner).observers.clone();
     }
 
-    /** An observer's counter on a joiner; see {@link #isJoiner}. */
+    /** Returns an observer's counter on a joiner; valid only if {@link #isJoiner}. */
     int joinerCounter(MemberId joiner, int observerIndex) {
         return joiners.get(joiner).counters[observerIndex];
     }
 
-    /** Equal where the same is known, and very likely different where not. Suspicions do not count. */
+    /**
+     * Returns a digest of the reports, leaving members and joiners, but not of suspicions. Detectors with different
+     * knowledge very likely differ in it.
+     */
     long digest() {
         return summary().digest;
     }
 
     /**
-     * The change that the reports lead to; null while there is none.
+     * Returns the change derived from the reports; null while there is none.
      *
-     * @param ignoreUnstable whether unstable members stay in the view and unstable joiners outside; else there is no
-     *     change while any is unstable
+     * @param ignoreUnstable if true, unstable members stay in the view and unstable joiners outside of it; if false,
+     *     there is no change while any member or joiner is unstable
      */
     ViewChange change(boolean ignoreUnstable) {
         return ignoreUnstable ? summary().changeIgnoringUnstable : summary().stableChange;
     }
 
     /**
-     * How many members seem unreachable from here: crashed, or behind a partition. Suspicions count too, since the
-     * smaller side of a partition distrusts its own health and is slow to report. It goes through all members.
+     * Counts the members that appear to be unreachable from this server, because they crashed or are behind a
+     * partition. Suspicions count like reports, since members on the smaller side of a partition have a poor local
+     * health score and are slow to report. This method visits all members.
      */
     int countUnreachable() {
         BitSet unreachable = unstableMembers();
         int counted = 0;
-        // most observers of a member behind a partition are there too and report nothing, so each round counts only
-        // the observers that are still reachable, until a round finds no further member
+        // most observers of a member behind a partition are behind it too, and their reports do not arrive, so each
+        // round considers only the observers that are still reachable, until a round finds no further member
         while (unreachable.cardinality() > counted) {
             counted = unreachable.cardinality();
             for (int member = 0; member < view.size(); member++) {
-                if (isMissedByHalfOfReachableObservers(member, unreachable)) {
+                if (isReportedByHalfOfReachableObservers(member, unreachable)) {
                     unreachable.set(member);
                 }
             }
@@ -212,16 +220,16 @@
         return counted;
     }
 
-    private boolean isMissedByHalfOfReachableObservers(int member, BitSet unreachable) {
+    private boolean isReportedByHalfOfReachableObservers(int member, BitSet unreachable) {
         int reachableObservers = 0;
         for (int observer : view.observersOf(member)) {
             reachableObservers += unreachable.get(observer) ? 0 : 1;
         }
-        int missing = 0;
+        int reportingObservers = 0;
         for (int observer = 0; observer < reportCounters[member].length; observer++) {
-            missing += (reportCounters[member][observer] | suspicionCounters[member][observer]) & 1;
+            reportingObservers += (reportCounters[member][observer] | suspicionCounters[member][observer]) & 1;
         }
-        return missing > 0 && 2 * missing >= reachableObservers;
+        return reportingObservers > 0 && 2 * reportingObservers >= reachableObservers;
     }
 
     private Summary summary() {
@@ -251,41 +259,41 @@
     }
 
     private ViewChange computeChange(BitSet unstable, boolean ignoreUnstable) {
-        List<MemberId> out = new ArrayList<>();
+        List<MemberId> removed = new ArrayList<>();
         for (int member = 0; member < view.size(); member++) {
-            boolean aboveHighWatermark = unstable.get(member)
+            boolean reachesHighWatermark = unstable.get(member)
                     && effectiveReports(member, unstable) >= View.highWatermark(observerCount(member));
-            if (leavingMembers.get(member) || aboveHighWatermark) {
-                out.add(view.members().get(member).id());
+            if (leavingMembers.get(member) || reachesHighWatermark) {
+                removed.add(view.members().get(member).id());
             } else if (unstable.get(member) && !ignoreUnstable) {
                 return null;
             }
         }
-        List<Member> in = new ArrayList<>();
+        List<Member> added = new ArrayList<>();
         for (Joiner joiner : joiners.values()) {
             int reachable = countSet(joiner.counters);
             if (reachable >= View.highWatermark(joiner.counters.length)) {
-                in.add(joiner.member);
-                removePredecessor(joiner.member, out);
+                added.add(joiner.member);
+                removePredecessor(joiner.member, removed);
             } else if (reachable >= View.lowWatermark(joiner.counters.length) && !ignoreUnstable) {
                 return null;
             }
         }
-        ViewChange change = ViewChange.of(out, in);
+        ViewChange change = ViewChange.of(removed, added);
         return change.isEmpty() ? null : change;
     }
 
-    /** A server that restarted before its observers noticed takes the place of its earlier incarnation. */
-    private void removePredecessor(Member joiner, List<MemberId> out) {
+    /** Removes the earlier incarnation of a joiner, which is still in the view if no observer reported it down. */
+    private void removePredecessor(Member joiner, List<MemberId> removed) {
         Member predecessor = view.memberNamed(joiner.id().name());
-        if (predecessor != null && !out.contains(predecessor.id())) {
-            out.add(predecessor.id());
+        if (predecessor != null && !removed.contains(predecessor.id())) {
+            removed.add(predecessor.id());
         }
     }
 
     /**
-     * The reports on an unstable member, with those of its observers that are unstable themselves: an observer that
-     * crashed together with its subject can't report it (Rapid's implicit alerts).
+     * Counts the reports on an unstable member, and one for each of its observers that is unstable and has not
+     * reported: an observer that crashed together with its subject can't report it (Rapid's implicit alerts).
      */
     private int effectiveReports(int member, BitSet unstable) {
         int reports = downReports(member);
@@ -299,10 +307,10 @@
     }
 
     private static int countSet(int[] counters) {
-        int set = 0;
+        int count = 0;
         for (int counter : counters) {
-            set += counter & 1;
+            count += counter & 1;
         }
-        return set;
+        return count;
     }
 }
--- a/server/src/main/java/wheatspread/membership/Departure.java
+++ b/server/src/main/java/wheatspread/membership/Departure.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * A member of one view that is not in the next, with the cause as far as it is known on this server.
+ * A member of a view that is not in the next view, with the cause as far as this server knows it.
  *
- * @param witnesses names of the observers that reported it down, if any
+ * @param witnesses the names of the observers that reported it down; empty if there are none
  */
 public record Departure(MemberId member, Cause cause, List<String> witnesses) {
-    /** Why a member departed. */
+    /** The reason for which a member departed. */
     public enum Cause {
-        /** It announced that it leaves. */
+        /** The member announced that it leaves. */
         LEFT("LEFT"),
-        /** Its observers reported it down. */
+        /** The member's observers reported it down. */
         REPORTED_DOWN("MISSED"),
-        /** A later incarnation of it joined. */
+        /** A later incarnation of the member joined. */
         RESTARTED("RESTARTED"),
-        /** The view was learnt from another member, which may know the cause. */
+        /** Another member sent the new view, and this server does not know the cause. */
         LEARNT_FROM_PEER("TOLD");
 
         private final String logName;
@@ -25,7 +25,7 @@
             this.logName = logName;
         }
 
-        /** The name in the log, which stays when the constant is renamed. */
+        /** Returns the name in the log, which must not change when the constant is renamed. */
         public String logName() {
             return logName;
         }
--- a/server/src/main/java/wheatspread/membership/Member.java
+++ b/server/src/main/java/wheatspread/membership/Member.java
@@ -1,12 +1,13 @@
 package wheatspread.membership;
 
 /**
- * A member as all others know it. The text form of this record is part of the hash by which servers log a view, so its
- * component names stay as they are: servers of two versions log equal hashes for equal views.
+ * A member of the cluster, with the attributes that it sends to the other members. The result of {@link #toString} is
+ * part of the hash of a view in the log, so the components must not be renamed: servers of two versions must log equal
+ * hashes for equal views.
  *
- * @param address where its messages go, as {@code host:port}
- * @param zone the failure domain that it is in; empty where there is none
- * @param build the version of its program
- * @param config the version of its configuration
+ * @param address the address to which messages for the member are sent, as {@code host:port}
+ * @param zone the failure domain of the member; empty if none is configured
+ * @param build the version of the member's program
+ * @param config the version of the member's configuration
  */
 public record Member(MemberId id, String address, String zone, String build, long config) {}
--- a/server/src/main/java/wheatspread/membership/MemberId.java
+++ b/server/src/main/java/wheatspread/membership/MemberId.java
@@ -1,11 +1,11 @@
 package wheatspread.membership;
 
 /**
- * The identity of one process of a server. A server that restarted is another member than before: what is reported of
- * the earlier process does not affect it, and it can't vote again where that one may have voted.
+ * The identity of one incarnation of a server. A restarted server is a different member: reports about its earlier
+ * incarnation do not affect it, and it can't vote a second time in a view in which the earlier one may have voted.
  *
  * @param name the server's name
- * @param start the incarnation: a number that grows from one start of the server to the next
+ * @param start the incarnation number, which increases with each start of the server
  */
 public record MemberId(String name, long start) implements Comparable<MemberId> {
     @Override
--- a/server/src/main/java/wheatspread/membership/ObserverReports.java
+++ b/server/src/main/java/wheatspread/membership/ObserverReports.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.IntPredicate;
 
-/** Which observers report or suspect a member, by name, for operators and departure records. */
+/** Looks up the names of the observers that report or suspect a member, for operators and departure records. */
 final class ObserverReports {
     private final MembershipState state;
 
@@ -12,13 +12,13 @@
         this.state = state;
     }
 
-    /** The names of the observers that report a member down. */
+    /** Returns the names of the observers that report a member down. */
     List<String> reporting(int member) {
         CutDetector cutDetector = state.cutDetector();
         return observersWhere(member, observer -> CutDetector.isSet(cutDetector.reportCounter(member, observer)));
     }
 
-    /** The names of the observers that suspect a member. */
+    /** Returns the names of the observers that suspect a member. */
     List<String> suspecting(int member) {
         CutDetector cutDetector = state.cutDetector();
         return observersWhere(member, observer -> CutDetector.isSet(cutDetector.suspicionCounter(member, observer)));
--- a/server/src/main/java/wheatspread/membership/View.java
+++ b/server/src/main/java/wheatspread/membership/View.java
@@ -8,30 +8,30 @@
 import java.util.Set;
 
 /**
- * A numbered list of members, the same on every server that holds this number. Members are in the order of their
- * names; a member's place in it is its index, by which votes and reports name it. Immutable.
+ * A numbered list of members, which is the same on every server that has a view with this number. Members are sorted by
+ * name; votes and reports refer to a member by its index in the list. Immutable.
  */
 public final class View {
-    /** Observers of each member; all others where they are fewer. */
+    /** The number of observers of each member; in a smaller view all other members observe it. */
     public static final int OBSERVERS_PER_SUBJECT = 10;
-    /** The index that no member has. */
+    /** Returned instead of the index of a member that is not in the view. */
     static final int NO_MEMBER = -1;
-    /** Share of a member's observers from whose reports on it is unstable (Rapid's L). */
+    /** A member is unstable if at least this share of its observers reports it (Rapid's L). */
     private static final double LOW_WATERMARK_SHARE = 0.3;
-    /** Share of a member's observers from whose reports on it is removed (Rapid's H). */
+    /** A member is removed if at least this share of its observers reports it (Rapid's H). */
     private static final double HIGH_WATERMARK_SHARE = 0.8;
-    /** A single observer's report is not enough where there are more. */
+    /** If a member has two or more observers, the report of a single one does not remove it. */
     private static final int MIN_HIGH_WATERMARK = 2;
 
     private final ViewId id;
     private final List<Member> members;
-    /** By member, the hash of its name. */
+    /** The hashes of the members' names, by member index. */
     private final long[] nameHashes;
-    /** By member, the indexes of its observers. */
+    /** The indexes of each member's observers, by member index. */
     private final int[][] observers;
 
     /**
-     * A view of these members, in whatever order they are given.
+     * Creates a view of these members, which may be given in any order.
      *
      * @throws IllegalArgumentException if two members have the same name
      */
@@ -63,7 +63,7 @@
         return id;
     }
 
-    /** All members, in the order of their indexes. */
+    /** Returns all members, in the order of their indexes. */
     public List<Member> members() {
         return members;
     }
@@ -72,23 +72,23 @@
         return members.size();
     }
 
-    /** The index of a member, or -1 where it is none. */
+    /** Returns the index of a member; -1 if it is not in the view. */
     public int indexOf(MemberId member) {
-        int from = 0;
-        int to = members.size() - 1;
-        while (from <= to) {
-            int middle = (from + to) >>> 1;
+        int low = 0;
+        int high = members.size() - 1;
+        while (low <= high) {
+            int middle = (low + high) >>> 1;
             int order = members.get(middle).id().compareTo(member);
             if (order == 0) {
                 return middle;
             }
-            from = order < 0 ? middle + 1 : from;
-            to = order < 0 ? to : middle - 1;
+            low = order < 0 ? middle + 1 : low;
+            high = order < 0 ? high : middle - 1;
         }
         return NO_MEMBER;
     }
 
-    /** The member with a name, of whatever incarnation; null where there is none. */
+    /** Returns the member with this name, of any incarnation; null if the view has none. */
     public Member memberNamed(String name) {
         return members.stream()
                 .filter(member -> member.id().name().equals(name))
@@ -96,17 +96,17 @@
                 .orElse(null);
     }
 
-    /** The indexes of the observers of a member. */
+    /** Returns a copy of the indexes of a member's observers. */
     public int[] observersOf(int member) {
         return observers[member].clone();
     }
 
     /**
-     * The observers of a member or joiner of that name: the members with the highest scores for it (rendezvous
-     * hashing). So each observes about as many as observe it, sets of observers differ, and few pairs change where
-     * one member comes or goes.
+     * Returns the indexes of the observers of a member or joiner with this name, which are the members with the highest
+     * scores for the name (rendezvous hashing). With this choice each member observes about as many members as observe
+     * it, the sets of observers differ, and few pairs change when one member joins or departs.
      *
-     * @param excluded the index of a member that is left out, -1 for none
+     * @param excluded the index of a member that must not be an observer; -1 for none
      */
     public int[] observersOf(String name, int excluded) {
         int count = Math.min(OBSERVERS_PER_SUBJECT, members.size() - (excluded < 0 ? 0 : 1));
@@ -139,7 +139,7 @@
         return Hashing.komihash5_0().hashCharsToLong(name);
     }
 
-    /** Mixes two hashes in a few operations, since a large fleet has millions of pairs. */
+    /** Combines two hashes in a few operations, since a large fleet has millions of pairs. */
     private static long combine(long first, long second) {
         long mixed = first + Long.rotateLeft(second, 32) * 0x9e3779b97f4a7c15L;
         mixed = (mixed ^ mixed >>> 32) * 0xd6e8feb86659fd93L;
@@ -147,31 +147,34 @@
         return mixed ^ mixed >>> 32;
     }
 
-    /** Reports from which on a subject with so many observers is unstable. */
+    /** Returns the number of reports at which a subject with this number of observers becomes unstable. */
     public static int lowWatermark(int observerCount) {
         return Math.max(1, (int) Math.ceil(LOW_WATERMARK_SHARE * observerCount));
     }
 
-    /** Reports from which on a subject with so many observers is removed; never one where there are two or more. */
+    /**
+     * Returns the number of reports at which a subject with this number of observers is removed; at least 2 for two or
+     * more observers.
+     */
     public static int highWatermark(int observerCount) {
         int byShare = (int) Math.ceil(HIGH_WATERMARK_SHARE * observerCount);
         return Math.max(Math.min(MIN_HIGH_WATERMARK, observerCount), byShare);
     }
 
-    /** Members that are a quorum of a classic round: any two of them meet. */
+    /** Returns the size of a quorum of a classic round; any two classic quorums intersect. */
     public int classicQuorum() {
         return members.size() / 2 + 1;
     }
 
     /**
-     * Equal votes that decide the fast round: the fewest so that any two fast quorums meet in every classic one
-     * (L. Lamport, "Fast Paxos", 2006: the fast quorum requirement).
+     * Returns the number of equal votes that decide the fast round: the smallest size for which any two fast quorums
+     * and any classic quorum intersect (L. Lamport, "Fast Paxos", 2006: the fast quorum requirement).
      */
     public int fastQuorum() {
         return (2 * members.size() - classicQuorum()) / 2 + 1;
     }
 
-    /** The next view, which a change leads to. */
+    /** Returns the next view, which is the result of applying a change to this one. */
     public View withChange(ViewChange change) {
         List<Member> next = new ArrayList<>();
         for (Member member : members) {
--- a/server/src/main/java/wheatspread/membership/ViewAgreement.java
+++ b/server/src/main/java/wheatspread/membership/ViewAgreement.java
@@ -9,18 +9,19 @@
 import java.util.TreeMap;
 
 /**
- * Agreement of the members of one view on the change that leads to the next: Fast Paxos with one instance a view
- * (L. Lamport, "Fast Paxos", 2006). In the fast round each member votes once, for the change that its own cut detector
- * found; equal votes of a fast quorum decide. Where votes split or are lost, a member starts a classic round with a
- * higher ballot: it collects promises (phase 1), proposes the only change that may have been decided, or its own where
- * none can have been, and a classic quorum that accepts it decides (phase 2).
+ * The agreement of the members of one view on the next view change: Fast Paxos with one instance per view (L. Lamport,
+ * "Fast Paxos", 2006). In the fast round each member votes once, for the change that its own cut detector found; equal
+ * votes of a fast quorum decide. If votes split or are lost, a member starts a classic round with a higher ballot: it
+ * collects promises (phase 1), proposes the only change that may have been decided, or its own change if none can have
+ * been decided, and the votes of a classic quorum decide (phase 2).
  *
- * <p>It sends nothing. What a member knows of a round only grows, whoever it comes from and in whatever order, so votes
- * and promises spread by gossip and a coordinator need not be reachable from those that vote. Safety rests on this: a
- * member that forgot its votes never votes again in this view. A restarted one does not, as it is another member.
+ * <p>This class sends no messages. A member's knowledge of a round only grows, independent of the senders and the order
+ * of messages, so votes and promises can spread by gossip and acceptors need not reach the coordinator directly. Safety
+ * requires that a member that lost its votes never votes again in this view. A restarted server satisfies this, since
+ * it is a different member.
  */
 public final class ViewAgreement {
-    /** The ballot of the fast round; classic rounds have higher ones. */
+    /** The ballot of the fast round; classic rounds have higher ballots. */
     public static final long FAST_BALLOT = 0;
     /** The ballot of a member that has not voted. */
     public static final long NOT_VOTED = -1;
@@ -34,32 +35,32 @@
     private final int ownIndex;
     private final int classicQuorum;
     private final int fastQuorum;
-    /** As an acceptor: this member votes in no ballot below this one. */
+    /** The acceptor state: this member votes in no ballot below this value. */
     private long promisedBallot = FAST_BALLOT;
-    /** As an acceptor: the ballot of its last vote. */
+    /** The acceptor state: the ballot of this member's last vote. */
     private long votedBallot = NOT_VOTED;
-    /** As an acceptor: its last vote; null before. */
+    /** The acceptor state: the change in this member's last vote; null before its first vote. */
     private ViewChange votedChange;
-    /** The votes of the fast round by change, as indexes of members. */
+    /** The indexes of the members that voted for each change in the fast round. */
     private final Map<ViewChange, BitSet> fastVotes = new LinkedHashMap<>();
-    /** The highest ballot heard of. The following is known of that one; what is known of lower ones is forgotten. */
+    /** The highest ballot received. The promises, proposal and acceptors below belong to it; lower ones are dropped. */
     private long ballot = FAST_BALLOT;
 
     private final TreeMap<Integer, Promise> promises = new TreeMap<>();
-    /** What the coordinator proposed in phase 2a; null before. */
+    /** The change that the coordinator proposed in phase 2a; null before that. */
     private ViewChange proposal;
 
     private final BitSet acceptors = new BitSet();
-    /** The change that this member's cut detector found last; null before. */
+    /** The change that this member's cut detector found last; null before the first. */
     private ViewChange preferred;
 
     private ViewChange decided;
 
     /**
-     * What a member sends in phase 1b: its last vote before it promised to vote in no lower ballot.
+     * The content of a phase 1b message: the member's last vote before it promised to vote in no lower ballot.
      *
-     * @param votedBallot {@link #NOT_VOTED} where it has not voted
-     * @param votedChange null where it has not voted
+     * @param votedBallot the ballot of that vote; {@link #NOT_VOTED} if the member has not voted
+     * @param votedChange the change in that vote; null if the member has not voted
      */
     public record Promise(long votedBallot, ViewChange votedChange) {}
 
@@ -67,7 +68,7 @@
         this(view, ownIndex, view.classicQuorum(), view.fastQuorum());
     }
 
-    /** With quorums of another size, for tests that show what those would do. */
+    /** Creates an agreement with quorums of other sizes, for tests of the effects of wrong sizes. */
     ViewAgreement(View view, int ownIndex, int classicQuorum, int fastQuorum) {
         this.view = view;
         this.ownIndex = ownIndex;
@@ -75,7 +76,7 @@
         this.fastQuorum = fastQuorum;
     }
 
-    /** A copy of the present state. */
+    /** Creates a copy of the current state. */
     ViewAgreement(ViewAgreement other) {
         this(other.view, other.ownIndex, other.classicQuorum, other.fastQuorum);
         promisedBallot = other.promisedBallot;
@@ -90,7 +91,7 @@
         decided = other.decided;
     }
 
-    /** Proposes a change: votes for it in the fast round, if this member may still vote there. */
+    /** Proposes a change: votes for it in the fast round, unless this member has voted or promised a higher ballot. */
     void propose(ViewChange change) {
         preferred = change;
         if (promisedBallot == FAST_BALLOT && votedBallot == NOT_VOTED) {
@@ -101,18 +102,18 @@
         advance();
     }
 
-    /** Starts a classic round with this member as coordinator, above all ballots heard of (phase 1a). */
+    /** Starts a classic round with this member as coordinator, with a ballot above all received ones (phase 1a). */
     void startClassicRound() {
         long round = (ballot >> COORDINATOR_BITS) + 1;
         adoptBallot(round << COORDINATOR_BITS | ownIndex);
         advance();
     }
 
-    /** Votes of the fast round (phase 2b of the fast ballot); returns whether any is new. */
+    /** Merges votes of the fast round (phase 2b of the fast ballot); returns whether any vote was new. */
     boolean onFastVotes(ViewChange change, BitSet voters) {
         boolean tooManyChanges = fastVotes.size() >= view.size() && !fastVotes.containsKey(change);
         if (tooManyChanges) {
-            return false; // each member votes once, so some sender is faulty
+            return false; // each member votes once, so a sender is faulty
         }
         BitSet known = fastVotes.computeIfAbsent(change, none -> new BitSet());
         int knownBefore = known.cardinality();
@@ -123,49 +124,54 @@
         return known.cardinality() > knownBefore && advance();
     }
 
-    /** A classic round was started (phase 1a); returns whether that is new. */
-    boolean onPrepare(long of) {
-        return of > ballot && adoptBallot(of) && advance();
+    /** Handles the start of a classic round (phase 1a); returns whether the ballot was new. */
+    boolean onPrepare(long preparedBallot) {
+        return preparedBallot > ballot && adoptBallot(preparedBallot) && advance();
     }
 
-    /** A member's promise (phase 1b); returns whether it is new. */
-    boolean onPromise(long of, int from, Promise promise) {
-        adoptBallot(of);
-        return of == ballot && of > FAST_BALLOT && promises.putIfAbsent(from, promise) == null && advance();
+    /** Handles a member's promise (phase 1b); returns whether it was new. */
+    boolean onPromise(long promiseBallot, int member, Promise promise) {
+        adoptBallot(promiseBallot);
+        return promiseBallot == ballot
+                && promiseBallot > FAST_BALLOT
+                && promises.putIfAbsent(member, promise) == null
+                && advance();
     }
 
-    /** The coordinator's proposal (phase 2a); returns whether it is new. */
-    boolean onAccept(long of, ViewChange change) {
-        adoptBallot(of);
-        if (of != ballot || proposal != null || of <= FAST_BALLOT) {
+    /** Handles the coordinator's proposal (phase 2a); returns whether it was new. */
+    boolean onAccept(long proposalBallot, ViewChange change) {
+        adoptBallot(proposalBallot);
+        if (proposalBallot != ballot || proposal != null || proposalBallot <= FAST_BALLOT) {
             return false;
         }
         proposal = change;
         return advance();
     }
 
-    /** The coordinator's proposal with votes for it (phase 2b); returns whether any of it is new. */
-    boolean onAccepted(long of, ViewChange change, BitSet voters) {
-        boolean newProposal = onAccept(of, change);
-        if (of != ballot || of <= FAST_BALLOT) {
-            return newProposal;
+    /**
+     * Handles the coordinator's proposal and votes for it (phase 2b); returns whether the proposal or a vote was new.
+     */
+    boolean onAccepted(long voteBallot, ViewChange change, BitSet voters) {
+        boolean isNewProposal = onAccept(voteBallot, change);
+        if (voteBallot != ballot || voteBallot <= FAST_BALLOT) {
+            return isNewProposal;
         }
         int knownBefore = acceptors.cardinality();
         acceptors.or(voters);
-        return acceptors.cardinality() > knownBefore && advance() || newProposal;
+        return acceptors.cardinality() > knownBefore && advance() || isNewProposal;
     }
 
-    /** Another member knows the decision. A member that knows it takes no part in rounds and passes it on instead. */
+    /** Records a decision that another member knows; from then on this member takes no further steps in rounds. */
     boolean onDecided(ViewChange change) {
         boolean isNew = decided == null;
         decided = isNew ? change : decided;
         return isNew;
     }
 
-    /** Follows a higher ballot; always true, to be chained. */
-    private boolean adoptBallot(long other) {
-        if (other > ballot) {
-            ballot = other;
+    /** Adopts a ballot that is higher than the current one; always returns true, for use in conditions. */
+    private boolean adoptBallot(long receivedBallot) {
+        if (receivedBallot > ballot) {
+            ballot = receivedBallot;
             promises.clear();
             proposal = null;
             acceptors.clear();
@@ -173,7 +179,7 @@
         return true;
     }
 
-    /** Takes all steps that what is known now allows; always true, to be chained. */
+    /** Takes all steps that the current knowledge allows; always returns true, for use in conditions. */
     private boolean advance() {
         if (decided == null) {
             promise();
@@ -184,7 +190,7 @@
         return true;
     }
 
-    /** Phase 1b: promises to vote in no lower ballot. */
+    /** Phase 1b: promises to vote in no ballot below the current one. */
     private void promise() {
         if (ballot > promisedBallot) {
             promisedBallot = ballot;
@@ -192,15 +198,15 @@
         }
     }
 
-    /** Phase 2a: as coordinator with promises of a classic quorum, proposes a change. */
+    /** Phase 2a: proposes a change if this member is the coordinator and has promises of a classic quorum. */
     private void proposeAsCoordinator() {
-        boolean coordinator = ballot > FAST_BALLOT && coordinator() == ownIndex;
-        if (coordinator && proposal == null && promises.size() >= classicQuorum) {
+        boolean isCoordinator = ballot > FAST_BALLOT && coordinator() == ownIndex;
+        if (isCoordinator && proposal == null && promises.size() >= classicQuorum) {
             proposal = chooseProposal();
         }
     }
 
-    /** Phase 2b: votes for the proposal, unless it promised not to. */
+    /** Phase 2b: votes for the proposal, unless this member promised a higher ballot. */
     private void accept() {
         if (proposal != null && votedBallot < ballot && promisedBallot <= ballot) {
             promisedBallot = ballot;
@@ -210,7 +216,7 @@
         }
     }
 
-    /** Learns the decision from the votes of a quorum, of the classic round or else of the fast one. */
+    /** Records the decision if a quorum has voted for a change, in the classic round or else in the fast round. */
     private void decide() {
         if (proposal != null && acceptors.cardinality() >= classicQuorum) {
             decided = proposal;
@@ -222,7 +228,7 @@
         });
     }
 
-    /** The only change that may have been decided in a lower ballot; where none can have been, the preferred one. */
+    /** Returns the only change that may have been decided in a lower ballot; the preferred change if there is none. */
     private ViewChange chooseProposal() {
         long highestVote =
                 promises.values().stream().mapToLong(Promise::votedBallot).max().orElse(NOT_VOTED);
@@ -235,12 +241,12 @@
                 fastVoteCounts.merge(promise.votedChange, 1, Integer::sum);
             }
         }
-        // a change decided in the fast round has at least so many votes among any members that promised
-        int possiblyDecided = Math.max(1, promises.size() + fastQuorum - view.size());
+        // a change that the fast round decided has at least this number of votes among the members that promised
+        int minDecidedVotes = Math.max(1, promises.size() + fastQuorum - view.size());
         ViewChange leadingChange = preferred;
         int maxVotes = 0;
         for (Map.Entry<ViewChange, Integer> entry : fastVoteCounts.entrySet()) {
-            if (entry.getValue() >= possiblyDecided) {
+            if (entry.getValue() >= minDecidedVotes) {
                 return entry.getKey();
             }
             if (preferred == null && entry.getValue() > maxVotes) {
@@ -251,52 +257,52 @@
         return leadingChange;
     }
 
-    /** The index of the member that coordinates the current classic round. */
+    /** Returns the index of the coordinator of the current classic round. */
     private int coordinator() {
         return (int) (ballot & COORDINATOR_MASK);
     }
 
-    /** The change that was decided; null while none is known to be. */
+    /** Returns the decided change; null while no decision is known. */
     ViewChange decided() {
         return decided;
     }
 
-    /** Whether any member is known to have voted or started a round. */
+    /** Returns whether a vote or a classic round is known. */
     boolean isInProgress() {
         return ballot > FAST_BALLOT || !fastVotes.isEmpty();
     }
 
-    /** Whether a round that this member coordinates would have a change to propose. */
+    /** Returns whether this member would have a change to propose as coordinator. */
     boolean hasCandidate() {
         return preferred != null || !fastVotes.isEmpty();
     }
 
-    /** The votes of the fast round by change, as indexes of members. */
+    /** Returns the indexes of the members that voted for each change in the fast round. */
     Map<ViewChange, BitSet> fastVotes() {
         return Collections.unmodifiableMap(fastVotes);
     }
 
-    /** The highest ballot heard of. */
+    /** Returns the highest ballot received. */
     long ballot() {
         return ballot;
     }
 
-    /** The promises of the current classic round, by index of the member. */
+    /** Returns the promises of the current classic round, by member index. */
     Map<Integer, Promise> promises() {
         return Collections.unmodifiableMap(promises);
     }
 
-    /** The coordinator's proposal in the current classic round; null before. */
+    /** Returns the coordinator's proposal in the current classic round; null before it is received. */
     ViewChange proposal() {
         return proposal;
     }
 
-    /** Who accepted that proposal, by index; not to be modified. */
+    /** Returns the indexes of the members that voted for the proposal; must not be modified. */
     BitSet acceptors() {
         return acceptors;
     }
 
-    /** Equal where the same is known of votes and rounds, and very likely different where not. */
+    /** Returns a digest of the known votes and rounds; members with different knowledge very likely differ in it. */
     long digest() {
         return fastVotes.hashCode() * DIGEST_FACTOR * DIGEST_FACTOR
                 + promises.hashCode() * DIGEST_FACTOR
@@ -305,7 +311,7 @@
                 + Objects.hashCode(proposal);
     }
 
-    /** The whole state: two agreements with equal texts behave alike. */
+    /** Returns the whole state as text; two agreements with equal texts behave in the same way. */
     @Override
     public String toString() {
         return promisedBallot + "|" + votedBallot + votedChange + "|" + fastVotes + "|" + ballot + promises + proposal
--- a/server/src/main/java/wheatspread/membership/ViewChange.java
+++ b/server/src/main/java/wheatspread/membership/ViewChange.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * The difference between a view and the next, on which members agree. Both lists are sorted, so that equal changes are
- * equal whoever found them.
+ * The difference between a view and the next view, on which members agree. Both lists are sorted, so that changes
+ * detected by different members compare as equal.
  *
  * @param out members that are removed
  * @param in servers that are added
@@ -19,7 +19,7 @@
         in = List.copyOf(in);
     }
 
-    /** A change that removes and adds these, in whatever order they are given. */
+    /** Returns a change that removes and adds these members, which may be given in any order. */
     public static ViewChange of(Collection<MemberId> out, Collection<Member> in) {
         List<MemberId> removed = new ArrayList<>(out);
         removed.sort(null);
--- a/server/src/main/java/wheatspread/membership/ViewChangeCoordinator.java
+++ b/server/src/main/java/wheatspread/membership/ViewChangeCoordinator.java
@@ -3,28 +3,30 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Leads from evidence to the next view: proposes the change that the cut detector finds once the evidence has settled,
- * and starts a classic round of Fast Paxos where the fast round does not decide.
+ * Drives the agreement on the next view: proposes the change that the cut detector finds once the evidence has settled,
+ * and starts a classic round of Fast Paxos if the fast round does not decide.
  */
 final class ViewChangeCoordinator {
-    /** A change is proposed when no new evidence came for this time, so that crashes at once make one change. */
+    /** A change is proposed after this time without new evidence, so that simultaneous crashes become one change. */
     private static final long PROPOSAL_SETTLE_MICROS = 200_000;
     /**
-     * How long to wait for a member whose report count lies between the low and the high watermark before voting
-     * without it. Observers suspect for different times, so their reports are spread.
+     * How long a proposal waits for a member whose report count is between the low and the high watermark before it
+     * leaves that member in the view. Suspicion timeouts differ between observers, so their reports are spread in time.
      */
     private static final long UNSTABLE_WAIT_MICROS = 5_000_000;
-    /** A member waits one to three times this for the fast round; drawn, so that few start a classic round at once. */
+    /** A member waits one to three times this for the fast round; a random wait avoids simultaneous classic rounds. */
     private static final long FAST_ROUND_TIMEOUT_MICROS = 250_000;
-    /** A member waits one to three times this for a classic round before it starts the next. */
+    /** A member waits one to three times this for a classic round before it starts the next one. */
     private static final long CLASSIC_ROUND_TIMEOUT_MICROS = 1_000_000;
-    /** Counting goes through all members, and suspicions come with every message while some are lost. */
+    /**
+     * Bounds the cost of counting, which visits all members: under message loss, suspicions arrive with every message.
+     */
     private static final long UNREACHABLE_COUNT_INTERVAL_MICROS = 250_000;
 
     private final MembershipState state;
     private final GossipDissemination gossip;
     private final RandomGenerator random;
-    /** What this member proposed last in this view; null before. */
+    /** The change that this member proposed last in this view; null before its first proposal. */
     private ViewChange proposed;
 
     private long lastEvidenceMicros;
@@ -39,20 +41,20 @@
         this.random = random;
     }
 
-    /** New evidence about members came, so a change that is not proposed yet waits until that settles. */
+    /** Records new evidence about members, which delays a change that is not proposed yet until it has settled. */
     void onEvidence(long nowMicros) {
         lastEvidenceMicros = nowMicros;
     }
 
-    /** Whether there is a change to propose or to agree on. */
+    /** Returns whether there is a change to propose or to agree on; valid only while this server is a member. */
     boolean isChangePending() {
         return state.agreement().isInProgress() || state.cutDetector().change(true) != null;
     }
 
     /**
-     * Proposes, votes and starts rounds as the evidence and the time ask for.
+     * Proposes the detected change and starts a classic round if either is due.
      *
-     * @return the change that was decided, whose view is to be installed; null while there is none
+     * @return the decided change, whose view the caller must install; null while there is no decision
      */
     ViewChange advance(long nowMicros) {
         if (!state.isMember()) {
@@ -79,7 +81,7 @@
         reachability.updateAgreement(state.agreement().isInProgress(), nowMicros);
     }
 
-    /** The change without unstable members or, after a wait, the one that leaves those in the view. */
+    /** Returns the stable change or, after a wait, the change that keeps unstable members in the view; null if none. */
     private ViewChange detectedChange(long nowMicros) {
         ViewChange stable = state.cutDetector().change(false);
         ViewChange ignoringUnstable = stable == null ? state.cutDetector().change(true) : null;
@@ -108,7 +110,7 @@
         return timeoutMicros + random.nextLong(2 * timeoutMicros);
     }
 
-    /** Forgets what was proposed in the last view. */
+    /** Resets the proposal and the timers for a new view. */
     void onViewInstalled(long nowMicros) {
         proposed = null;
         lastBallot = ViewAgreement.FAST_BALLOT;
--- a/server/src/main/java/wheatspread/membership/ViewId.java
+++ b/server/src/main/java/wheatspread/membership/ViewId.java
@@ -1,17 +1,18 @@
 package wheatspread.membership;
 
 /**
- * The number of a view, which is never used twice. A cluster that is formed anew, because no quorum was left, counts
- * from 1 again in a later epoch.
+ * The number of a view, which is never used twice. A cluster that is formed again after the quorum was lost numbers its
+ * views from 1 in a later epoch.
  *
- * @param epoch when the cluster was formed ({@link ClusterBootstrap}), which grows with time; 0 for no view at all
- * @param number from 1, one more with each view of the epoch
+ * @param epoch a number derived from the time at which the cluster was formed ({@link ClusterBootstrap}), so that later
+ *     clusters have larger epochs; 0 if there is no view
+ * @param number the sequence number of the view within the epoch, from 1
  */
 public record ViewId(long epoch, long number) implements Comparable<ViewId> {
-    /** The number of a member that holds no view. */
+    /** The number that a member without a view uses. */
     public static final ViewId NONE = new ViewId(0, 0);
 
-    /** The number of the next view in the same epoch. */
+    /** Returns the number of the next view in the same epoch. */
     public ViewId next() {
         return new ViewId(epoch, number + 1);
     }
--- a/server/src/main/java/wheatspread/membership/ViewPrecedence.java
+++ b/server/src/main/java/wheatspread/membership/ViewPrecedence.java
@@ -1,21 +1,22 @@
 package wheatspread.membership;
 
 /**
- * Which of two views a member follows. In one epoch the higher number wins, since a quorum agreed on it. Between
- * epochs, and so between clusters, numbers mean nothing: a cluster without a reachable quorum yields to one that has
- * it, and of two that have it the later formed to the earlier. Never do two members each follow the other's view.
+ * Decides which of two views a member follows. Within an epoch the higher number takes precedence, since a quorum
+ * agreed on it. Between epochs, and so between clusters, view numbers are not comparable: a cluster without a reachable
+ * quorum yields to a cluster with a reachable quorum, and of two clusters with reachable quorums the one formed later
+ * yields to the one formed earlier. Two members never each follow the other's view.
  */
 final class ViewPrecedence {
     private ViewPrecedence() {}
 
     /**
-     * Whether another member's view takes precedence over the one held here.
+     * Returns whether another member's view takes precedence over this member's view.
      *
      * @param other the other member's view
-     * @param otherReachable whether its quorum is reachable there
-     * @param own the view held here, {@link ViewId#NONE} for none
-     * @param ownReachable whether its quorum is reachable here; where this server is not in it, whether a member of it
-     *     said so lately
+     * @param otherReachable whether the other member reaches a quorum of that view
+     * @param own this member's view; {@link ViewId#NONE} for none
+     * @param ownReachable whether this member reaches a quorum of its view; if it is not in that view, whether a member
+     *     of the view recently reported a reachable quorum
      */
     static boolean takesPrecedence(ViewId other, boolean otherReachable, ViewId own, boolean ownReachable) {
         if (other.epoch() == own.epoch()) {
