--- a/server/src/main/java/wheatspread/membership/FailureDetector.java
+++ b/server/src/main/java/wheatspread/membership/FailureDetector.java
@@ -1,33 +1,33 @@
 package wheatspread.membership;
 
 /**
- * What one observer concludes about one subject, after SWIM with Lifeguard's suspicion timeouts. A probe that is not
- * answered in time is repeated through helpers; one that fails even so starts a suspicion, which lasts the shorter the
- * more other observers share it; a suspicion that runs out becomes a report. Any answer ends all of it and takes a
- * report back. Probes go on at each state, so that a subject that is down can recover.
+ * The failure detector of one observer for one subject, after SWIM with Lifeguard's suspicion timeouts. A probe that is
+ * not answered in time is repeated through helpers. If that also fails, a suspicion starts, whose timeout is shorter
+ * the more other observers share it. When the timeout expires, the subject is reported down. Any answer ends a
+ * suspicion and withdraws a report. Probes continue in every state, so that a subject that is down can recover.
  */
 final class FailureDetector {
-    /** What is concluded about the subject. */
+    /** The state of the subject. */
     enum State {
-        /** It answered last. */
+        /** The subject answered the last probe. */
         HEALTHY,
-        /** The first probe since an answer is under way. */
+        /** The first probe since the last answer is in progress. */
         PROBING,
-        /** That probe is repeated through helpers. */
+        /** Helpers repeat that probe. */
         PROBING_INDIRECTLY,
-        /** A probe failed, and the suspicion timeout runs. */
+        /** A probe failed, and the suspicion timeout is running. */
         SUSPECT,
-        /** The suspicion timeout ran out, and the subject is reported. */
+        /** The suspicion timeout expired, and the subject is reported down. */
         DOWN
     }
 
-    /** What the observer is to do. */
+    /** The step that the observer must take. */
     enum Step {
-        /** Nothing until {@link #nextStepMicros}. */
+        /** Do nothing until {@link #nextStepMicros}. */
         NOTHING,
         /** Send a probe. */
         PROBE,
-        /** Ask helpers to probe. */
+        /** Send indirect pings to helpers. */
         PROBE_INDIRECTLY,
         /** Publish a suspicion. */
         SUSPECT,
@@ -38,14 +38,14 @@
     private final DetectorSettings settings;
     private final LocalHealth health;
     private State state = State.HEALTHY;
-    /** When the current probe began or, between probes, when the next one does. */
+    /** The start time of the current probe or, between probes, of the next one. */
     private long probeMicros;
 
     private boolean probing;
-    private boolean helpersAsked;
+    private boolean helpersRequested;
     private long suspectedSinceMicros;
     private int confirmations;
-    private int confirmationsNeeded;
+    private int requiredConfirmations;
 
     FailureDetector(DetectorSettings settings, LocalHealth health, long firstProbeMicros) {
         this.settings = settings;
@@ -65,22 +65,22 @@
         return state == State.DOWN;
     }
 
-    /** When the suspicion began; only while {@link #isSuspectOrDown}. */
+    /** Returns when the suspicion began; valid only while {@link #isSuspectOrDown} returns true. */
     long suspectedSinceMicros() {
         return suspectedSinceMicros;
     }
 
-    /** How many other observers share the suspicion, and how many there are. */
-    void updateConfirmations(int sharedBy, int otherObservers) {
-        confirmations = sharedBy;
-        confirmationsNeeded = Math.min(settings.confirmations(), otherObservers);
+    /** Sets the number of other observers that share the suspicion, and the number of other observers in total. */
+    void updateConfirmations(int otherSuspecters, int otherObservers) {
+        confirmations = otherSuspecters;
+        requiredConfirmations = Math.min(settings.requiredConfirmations(), otherObservers);
     }
 
-    /** When {@link #nextStep} has something to do next. */
+    /** Returns the next time at which {@link #nextStep} returns a step. */
     long nextStepMicros() {
         long next = probeMicros;
         if (probing) {
-            next += helpersAsked ? probeTimeoutMicros() : directTimeoutMicros();
+            next += helpersRequested ? probeTimeoutMicros() : directTimeoutMicros();
         }
         return state == State.SUSPECT ? Math.min(next, suspectedSinceMicros + suspicionTimeoutMicros()) : next;
     }
@@ -94,18 +94,18 @@
     }
 
     /**
-     * How long the current suspicion lasts: between the longest and the shortest timeout, by the logarithm of its
-     * confirmations, as in Lifeguard.
+     * Returns the timeout of the current suspicion: it decreases from the longest to the shortest timeout with the
+     * logarithm of the number of confirmations, as in Lifeguard.
      */
     long suspicionTimeoutMicros() {
-        double range = settings.maxSuspicionMicros() - settings.minSuspicionMicros();
-        double confirmed = confirmationsNeeded == 0
+        double rangeMicros = settings.maxSuspicionMicros() - settings.minSuspicionMicros();
+        double confirmedShare = requiredConfirmations == 0
                 ? 0
-                : Math.log1p(Math.min(confirmations, confirmationsNeeded)) / Math.log1p(confirmationsNeeded);
-        return (long) (settings.maxSuspicionMicros() - range * confirmed) * health.multiplier();
+                : Math.log1p(Math.min(confirmations, requiredConfirmations)) / Math.log1p(requiredConfirmations);
+        return (long) (settings.maxSuspicionMicros() - rangeMicros * confirmedShare) * health.multiplier();
     }
 
-    /** The next step at this time; to be called again until there is none. */
+    /** Returns the next step at this time; the caller repeats the call until it returns {@link Step#NOTHING}. */
     Step nextStep(long nowMicros) {
         if (state == State.SUSPECT && nowMicros >= suspectedSinceMicros + suspicionTimeoutMicros()) {
             state = State.DOWN;
@@ -114,8 +114,8 @@
         if (!probing) {
             return nowMicros < probeMicros ? Step.NOTHING : startProbe(nowMicros);
         }
-        if (!helpersAsked && nowMicros >= probeMicros + directTimeoutMicros()) {
-            helpersAsked = true;
+        if (!helpersRequested && nowMicros >= probeMicros + directTimeoutMicros()) {
+            helpersRequested = true;
             state = state == State.PROBING ? State.PROBING_INDIRECTLY : state;
             return Step.PROBE_INDIRECTLY;
         }
@@ -127,7 +127,7 @@
 
     private Step startProbe(long nowMicros) {
         probing = true;
-        helpersAsked = false;
+        helpersRequested = false;
         probeMicros = nowMicros;
         state = state == State.HEALTHY ? State.PROBING : state;
         return Step.PROBE;
@@ -144,7 +144,7 @@
         return Step.SUSPECT;
     }
 
-    /** The subject answered, directly or through a helper; returns whether a suspicion or report is to be withdrawn. */
+    /** Handles an answer, direct or through a helper; returns whether a suspicion or report must be withdrawn. */
     boolean onAnswer() {
         boolean withdraw = isSuspectOrDown();
         state = State.HEALTHY;
@@ -157,8 +157,8 @@
     }
 
     /**
-     * This process was suspended for that time. Answers that came meanwhile are not read yet, so no probe counts as
-     * failed, and a suspected subject gets the time back.
+     * Extends the deadlines after this process was suspended. Answers that arrived in the meantime are not read yet, so
+     * the suspended time must not count towards the timeouts of probes and suspicions.
      */
     void extendDeadlines(long suspendedMicros) {
         probeMicros += suspendedMicros;
--- a/server/src/main/java/wheatspread/membership/GossipDissemination.java
+++ b/server/src/main/java/wheatspread/membership/GossipDissemination.java
@@ -3,14 +3,16 @@
 import wheatspread.membership.Message.Body;
 
 /**
- * Spreads gossip: queues this member's own updates and those that were new here, and sends rounds of messages to
- * random members while there is something to spread. Other messages carry queued updates too.
+ * Disseminates gossip: queues this member's own updates and received updates that were new, and sends rounds of
+ * messages to random members while updates are queued. Messages of other kinds carry queued updates too.
  */
 final class GossipDissemination {
     private static final long ROUND_INTERVAL_MICROS = 100_000;
-    /** Members that one round of gossip goes to (the fan-out). */
+    /** The number of members to which a round of gossip is sent. */
     private static final int FAN_OUT = 3;
-    /** Rounds after a view change even where nothing is queued, so that members of the old view learn of it. */
+    /**
+     * The number of rounds after a view change even with an empty queue, which tell members of the old view about it.
+     */
     private static final int NEW_VIEW_ROUNDS = 10;
 
     private final MembershipState state;
@@ -20,7 +22,7 @@
     private final PeerSelector peers;
     private final MessageSender sender;
     private long nextRoundMicros;
-    private int newViewRoundsLeft;
+    private int remainingNewViewRounds;
 
     GossipDissemination(
             MembershipState state,
@@ -37,14 +39,14 @@
         this.sender = sender;
     }
 
-    /** Applies and queues an update of this member's own. */
+    /** Applies an update that this member made, and queues it if it was new. */
     void publish(GossipUpdate update) {
         if (handler.apply(update)) {
             queue.add(update);
         }
     }
 
-    /** Applies an update of another member and passes it on where it was new; returns whether it is new evidence. */
+    /** Applies an update of another member and passes it on if it was new; returns whether it is new evidence. */
     boolean receive(GossipUpdate update) {
         if (!handler.apply(update)) {
             return false;
@@ -62,39 +64,40 @@
         return category == GossipUpdate.Category.EVIDENCE;
     }
 
-    /** Queues what is known of the agreement, which supersedes what was queued of it before. */
+    /** Queues the known votes, ballot and own promise, which supersede those that were queued before. */
     void queueAgreement() {
-        knownUpdates.agreement(member -> member == state.ownIndex()).forEach(queue::add);
+        knownUpdates.agreementUpdates(member -> member == state.ownIndex()).forEach(queue::add);
     }
 
-    /** Whether a round would have something to spread. */
+    /** Returns whether updates are queued or rounds after a view change remain. */
     boolean hasPending() {
-        return !queue.isEmpty() || newViewRoundsLeft > 0;
+        return !queue.isEmpty() || remainingNewViewRounds > 0;
     }
 
+    /** Returns the earliest time of the next round. */
     long nextRoundMicros() {
         return nextRoundMicros;
     }
 
-    /** Sends a round of gossip, where it is time and there is something to spread. */
+    /** Sends a round of gossip if a round is due and {@link #hasPending}. */
     void run(long nowMicros) {
         if (nowMicros < nextRoundMicros) {
             return;
         }
         nextRoundMicros = nowMicros + ROUND_INTERVAL_MICROS;
         if (state.isMember() && state.view().size() > 1 && hasPending()) {
-            newViewRoundsLeft = Math.max(0, newViewRoundsLeft - 1);
+            remainingNewViewRounds = Math.max(0, remainingNewViewRounds - 1);
             for (int i = 0; i < FAN_OUT; i++) {
                 sender.send(peers.randomOther().address(), new Body.Gossip(), nowMicros);
             }
         }
     }
 
-    /** Forgets the updates about the last view: they say nothing about this one. */
+    /** Discards the queued updates, which refer to the previous view. */
     void onViewInstalled() {
         queue.reset(state.view().size());
         if (state.isMember()) {
-            newViewRoundsLeft = NEW_VIEW_ROUNDS;
+            remainingNewViewRounds = NEW_VIEW_ROUNDS;
         }
     }
 }
--- a/server/src/main/java/wheatspread/membership/GossipQueue.java
+++ b/server/src/main/java/wheatspread/membership/GossipQueue.java
@@ -8,48 +8,49 @@
 import java.util.Map;
 
 /**
- * Gossip updates to be sent, each a bounded number of times, the least sent first (A. Das and others, "SWIM", 2002). An
- * update takes the place of a queued one with an equal {@link GossipUpdate#supersessionKey}. The cost of a message
- * grows with the updates that it takes, not with all that are queued, which are many while messages are lost.
+ * Queue of gossip updates to send, each a bounded number of times, the least often sent ones first (A. Das and others,
+ * "SWIM", 2002). An update replaces a queued update with an equal {@link GossipUpdate#supersessionKey}. The cost of
+ * {@link #poll} grows with the number of updates that it returns, and not with the length of the queue, which is large
+ * while messages are lost.
  */
 final class GossipQueue {
-    /** Each update is sent so many times the binary logarithm of the fleet's size, which reaches all very likely. */
+    /** Each update is sent this number times the binary logarithm of the view size, which very likely reaches all. */
     private static final int SENDS_PER_LOG_SIZE = 4;
-    /** Superseded entries are removed once the queue is this many times as long as its valid entries, */
+    /** Superseded entries are removed when the queue is longer than this factor times its valid entries, */
     private static final int MAX_LENGTH_RATIO = 2;
-    /** and longer by that number besides, so that short queues are not cleaned all the time. */
+    /** plus this number of entries, so that short queues are not cleaned up repeatedly. */
     private static final int LENGTH_ALLOWANCE = 256;
 
     /** The valid entries by supersession key. */
     private final Map<Object, Entry> entries = new HashMap<>();
-    /** Queued entries by how often they are still to be sent, from 1 on; superseded ones are skipped. */
-    private final List<Deque<Entry>> bySendsLeft = new ArrayList<>();
+    /** Queued entries, at index n those with n + 1 remaining sends; superseded entries are skipped on removal. */
+    private final List<Deque<Entry>> queuesByRemainingSends = new ArrayList<>();
 
     private int queuedEntries;
 
     private static final class Entry {
         private final GossipUpdate update;
-        private int sendsLeft;
+        private int remainingSends;
 
-        Entry(GossipUpdate update, int sendsLeft) {
+        Entry(GossipUpdate update, int remainingSends) {
             this.update = update;
-            this.sendsLeft = sendsLeft;
+            this.remainingSends = remainingSends;
         }
     }
 
-    /** Empties the queue for a view of that size. */
-    void reset(int fleetSize) {
+    /** Empties the queue for a new view with this number of members. */
+    void reset(int viewSize) {
         entries.clear();
-        bySendsLeft.clear();
+        queuesByRemainingSends.clear();
         queuedEntries = 0;
-        int logSize = Integer.SIZE - Integer.numberOfLeadingZeros(fleetSize);
+        int logSize = Integer.SIZE - Integer.numberOfLeadingZeros(viewSize);
         for (int sends = SENDS_PER_LOG_SIZE * logSize; sends > 0; sends--) {
-            bySendsLeft.add(new ArrayDeque<>());
+            queuesByRemainingSends.add(new ArrayDeque<>());
         }
     }
 
     void add(GossipUpdate update) {
-        Entry entry = new Entry(update, bySendsLeft.size());
+        Entry entry = new Entry(update, queuesByRemainingSends.size());
         entries.put(update.supersessionKey(), entry);
         enqueue(entry);
         if (queuedEntries > MAX_LENGTH_RATIO * entries.size() + LENGTH_ALLOWANCE) {
@@ -58,12 +59,12 @@
     }
 
     private void enqueue(Entry entry) {
-        bySendsLeft.get(entry.sendsLeft - 1).add(entry);
+        queuesByRemainingSends.get(entry.remainingSends - 1).add(entry);
         queuedEntries++;
     }
 
     private void removeSuperseded() {
-        bySendsLeft.forEach(queue -> queue.removeIf(entry -> !isValid(entry)));
+        queuesByRemainingSends.forEach(queue -> queue.removeIf(entry -> !isValid(entry)));
         queuedEntries = entries.size();
     }
 
@@ -75,19 +76,19 @@
         return entries.isEmpty();
     }
 
-    /** How many entries are queued, with superseded ones that are not removed yet. */
+    /** Returns the number of queued entries, including superseded ones that are not removed yet. */
     int queuedEntries() {
         return queuedEntries;
     }
 
-    /** Takes up to so many updates for one message, and queues each again until it was sent often enough. */
+    /** Returns up to {@code maxUpdates} updates for one message, and queues those with remaining sends again. */
     List<GossipUpdate> poll(int maxUpdates) {
         List<Entry> taken = takeLeastSent(maxUpdates);
         List<GossipUpdate> updates = new ArrayList<>(taken.size());
         for (Entry entry : taken) {
             updates.add(entry.update);
-            entry.sendsLeft--;
-            if (entry.sendsLeft > 0) {
+            entry.remainingSends--;
+            if (entry.remainingSends > 0) {
                 enqueue(entry);
             } else {
                 entries.remove(entry.update.supersessionKey());
@@ -98,8 +99,10 @@
 
     private List<Entry> takeLeastSent(int maxUpdates) {
         List<Entry> taken = new ArrayList<>();
-        for (int sendsLeft = bySendsLeft.size(); sendsLeft > 0 && taken.size() < maxUpdates; sendsLeft--) {
-            Deque<Entry> queue = bySendsLeft.get(sendsLeft - 1);
+        for (int remainingSends = queuesByRemainingSends.size();
+                remainingSends > 0 && taken.size() < maxUpdates;
+                remainingSends--) {
+            Deque<Entry> queue = queuesByRemainingSends.get(remainingSends - 1);
             while (!queue.isEmpty() && taken.size() < maxUpdates) {
                 Entry entry = queue.poll();
                 queuedEntries--;
--- a/server/src/main/java/wheatspread/membership/GossipUpdate.java
+++ b/server/src/main/java/wheatspread/membership/GossipUpdate.java
@@ -4,37 +4,37 @@
 import java.util.List;
 
 /**
- * One fact about the current view that members disseminate by gossip. An update may arrive several times, late and in
- * any order, so each kind is a value that only grows. Members are named by their index in the view, observers by
+ * A fact about the current view that members disseminate by gossip. An update may arrive several times, late and in any
+ * order, so the value of each kind only grows. Updates refer to members by their index in the view, and to observers by
  * their position in {@link View#observersOf(int)}.
  */
 public sealed interface GossipUpdate {
     /** Calls the method of the visitor for this kind of update. */
     <R> R accept(Visitor<R> visitor);
 
-    /** Updates with equal keys supersede each other: only the latest is queued. */
+    /** Returns the key of this update; of updates with equal keys only the latest is queued. */
     default Object supersessionKey() {
         return this;
     }
 
-    /** How the update is handled once it is known; evidence unless a kind says otherwise. */
+    /** Returns how a new update is passed on; {@link Category#EVIDENCE} unless a kind overrides this. */
     default Category category() {
         return Category.EVIDENCE;
     }
 
-    /** How an update that was new here is passed on, and what it may lead to. */
+    /** Defines how an update that was new to this member is passed on, and what it can affect. */
     enum Category {
-        /** May change which members leave or join: passed on as received. */
+        /** The update can lead to a view change, and is passed on as received. */
         EVIDENCE,
-        /** Shortens others' suspicions, and changes no view: passed on as received. */
+        /** The update shortens the suspicions of other observers, changes no view, and is passed on as received. */
         SUSPICION,
-        /** A promise of a classic round: passed on as received, with the votes known here. */
+        /** The update is a promise of a classic round, and is passed on as received, with the votes known here. */
         PROMISE,
-        /** Votes that are merged with those known here: the merged votes are passed on. */
+        /** The update has votes or a ballot; they are merged with those known here, and the result is passed on. */
         VOTES
     }
 
-    /** One method for each kind of update, so that a new kind does not compile until all handle it. */
+    /** Has one method for each kind of update, so that every visitor must handle a new kind to compile. */
     interface Visitor<R> {
         R visitReport(Report update);
 
@@ -55,7 +55,7 @@
         R visitAccepted(Accepted update);
     }
 
-    /** An observer's alert about a member: an odd counter reports it down, a larger even one takes that back. */
+    /** An observer's report on a member: an odd counter reports it down, a larger even counter withdraws the report. */
     record Report(int subject, int observerIndex, int counter) implements GossipUpdate {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -68,7 +68,9 @@
         }
     }
 
-    /** An observer's suspicion of a member: odd while it lasts. It confirms others' suspicions and reports nothing. */
+    /**
+     * An observer's suspicion of a member: the counter is odd while it lasts. It confirms other observers' suspicions.
+     */
     record Suspicion(int subject, int observerIndex, int counter) implements GossipUpdate {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -86,7 +88,7 @@
         }
     }
 
-    /** A member leaves by its own decision. */
+    /** A member's announcement that it leaves. */
     record Leaving(int member) implements GossipUpdate {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -94,7 +96,7 @@
         }
     }
 
-    /** A server that is not in the view asks to join. */
+    /** The join request of a server that is not in the view. */
     record Joining(Member member) implements GossipUpdate {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -102,7 +104,7 @@
         }
     }
 
-    /** A prospective observer's report on a joiner: an odd counter says that it answers probes. */
+    /** A prospective observer's report on a joiner: the counter is odd while the joiner answers probes. */
     record JoinerReachable(MemberId joiner, int observerIndex, int counter) implements GossipUpdate {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -115,7 +117,7 @@
         }
     }
 
-    /** Who voted for a change in the fast round (Fast Paxos, phase 2b of the fast ballot). */
+    /** The voters for a change in the fast round (Fast Paxos, phase 2b of the fast ballot), by member index. */
     record FastVotes(ViewChange change, BitSet voters) implements GossipUpdate {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -133,7 +135,7 @@
         }
     }
 
-    /** A classic round was started (phase 1a). */
+    /** The ballot of a classic round that was started (phase 1a). */
     record Prepare(long ballot) implements GossipUpdate {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -169,7 +171,7 @@
         }
     }
 
-    /** The proposal of a classic round's coordinator (phase 2a), with who accepted it (phase 2b). */
+    /** The proposal of a classic round's coordinator (phase 2a), with the members that voted for it (phase 2b). */
     record Accepted(long ballot, ViewChange change, BitSet voters) implements GossipUpdate {
         @Override
         public <R> R accept(Visitor<R> visitor) {
--- a/server/src/main/java/wheatspread/membership/GossipUpdateHandler.java
+++ b/server/src/main/java/wheatspread/membership/GossipUpdateHandler.java
@@ -1,8 +1,8 @@
 package wheatspread.membership;
 
 /**
- * Applies gossip updates to what is known about the view. Each method returns whether the update was new; one that
- * names an index outside the view is not.
+ * Applies gossip updates to the state of the view. Each method returns whether the update was new; an update with an
+ * index outside the view is ignored and does not count as new.
  */
 final class GossipUpdateHandler implements GossipUpdate.Visitor<Boolean> {
     private final MembershipState state;
@@ -15,7 +15,7 @@
         this.health = health;
     }
 
-    /** Applies an update; only while this member is in its view. */
+    /** Applies an update and returns whether it was new; valid only while this server is in its view. */
     boolean apply(GossipUpdate update) {
         return update.accept(this);
     }
--- a/server/src/main/java/wheatspread/membership/KnownUpdates.java
+++ b/server/src/main/java/wheatspread/membership/KnownUpdates.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.function.IntPredicate;
 
-/** What this member knows about its view, as gossip updates. */
+/** Converts this member's knowledge of its view to gossip updates. */
 final class KnownUpdates {
     private final MembershipState state;
 
@@ -13,18 +13,18 @@
         this.state = state;
     }
 
-    /** Everything that is known about the view, except suspicions, which change no view. */
-    List<GossipUpdate> all() {
+    /** Returns everything that is known about the view, except suspicions, which change no view. */
+    List<GossipUpdate> allUpdates() {
         List<GossipUpdate> updates = new ArrayList<>();
         addReports(updates);
         state.cutDetector().leavingMembers().stream().forEach(member -> updates.add(new GossipUpdate.Leaving(member)));
         addJoiners(updates);
-        updates.addAll(agreement(member -> true));
+        updates.addAll(agreementUpdates(member -> true));
         return updates;
     }
 
-    /** The votes and the current round, with the promises of the selected members. */
-    List<GossipUpdate> agreement(IntPredicate includePromiseOf) {
+    /** Returns the votes and the current round, with the promises of the selected members. */
+    List<GossipUpdate> agreementUpdates(IntPredicate includePromiseOf) {
         ViewAgreement agreement = state.agreement();
         List<GossipUpdate> updates = new ArrayList<>();
         agreement
--- a/server/src/main/java/wheatspread/membership/LocalHealth.java
+++ b/server/src/main/java/wheatspread/membership/LocalHealth.java
@@ -1,25 +1,25 @@
 package wheatspread.membership;
 
 /**
- * Lifeguard's local health multiplier (A. Dadgar and others, 2018): a member whose turns run late, whose probes fail
- * while no helper answers either, or that is itself reported down, is likely to be at fault, and waits longer before
- * it suspects others.
+ * Lifeguard's local health multiplier (A. Dadgar and others, 2018). A member is likely to be faulty if its turns run
+ * late, if its probes fail and no helper answers, or if other members report it down. Such a member uses longer
+ * timeouts before it suspects others.
  */
 final class LocalHealth {
     private final DetectorSettings settings;
-    /** 0 in good health, {@link DetectorSettings#maxHealthScore} at worst. */
+    /** The health score, from 0 for good health to {@link DetectorSettings#maxHealthScore}. */
     private int score;
 
     LocalHealth(DetectorSettings settings) {
         this.settings = settings;
     }
 
-    /** How many times as long as usual this member waits; 1 in good health. */
+    /** Returns the factor by which this member multiplies its timeouts; 1 in good health. */
     int multiplier() {
         return score + 1;
     }
 
-    /** A turn came late by that time; returns whether that is so late that this process was suspended. */
+    /** Records how late a turn ran; returns whether the process counts as having been suspended. */
     boolean onLateTurn(long lateMicros) {
         if (lateMicros < settings.lateTurnMicros()) {
             return false;
@@ -28,27 +28,27 @@
         return true;
     }
 
-    /** A probe was answered. */
+    /** Improves the score by one point. */
     void onProbeAnswered() {
         score = Math.max(0, score - 1);
     }
 
     /**
-     * A probe failed. Where helpers were asked and none sent a nack, this member may be the one that is not reached.
-     * Lifeguard counts each silent helper; here they count once, since a member beside a partitioned zone asks many
-     * that can't answer, and would be far too slow to report them.
+     * Records a failed probe. If helpers were requested and none sent a nack, this member may be the unreachable one.
+     * Lifeguard counts each silent helper. Here all silent helpers count as one, since a member outside of a
+     * partitioned zone uses many helpers in that zone, and would report their failures much too late.
      */
-    void onProbeFailed(int helpersAsked, int nacksReceived) {
-        boolean noHelperAnswered = helpersAsked > 0 && nacksReceived == 0;
+    void onProbeFailed(int helpersRequested, int nacksReceived) {
+        boolean noHelperAnswered = helpersRequested > 0 && nacksReceived == 0;
         worsen(noHelperAnswered ? 1 : 0);
     }
 
-    /** Another member reported this one down. */
+    /** Records that another member reported this member down. */
     void onReported() {
         worsen(1);
     }
 
-    private void worsen(int by) {
-        score = Math.min(settings.maxHealthScore(), score + by);
+    private void worsen(int points) {
+        score = Math.min(settings.maxHealthScore(), score + points);
     }
 }
--- a/server/src/main/java/wheatspread/membership/MonitoredSubject.java
+++ b/server/src/main/java/wheatspread/membership/MonitoredSubject.java
@@ -1,13 +1,13 @@
 package wheatspread.membership;
 
-/** A member or joiner that this member observes: its failure detector and the state of the current probe. */
+/** A member or joiner that this member observes, with its failure detector and the state of the current probe. */
 final class MonitoredSubject {
     private final Member member;
     private final FailureDetector detector;
     private int observerIndex;
     private boolean joiner;
     private long probeNumber;
-    private int helpersAsked;
+    private int helpersRequested;
     private int nacksReceived;
 
     private MonitoredSubject(Member member, FailureDetector detector, int observerIndex, boolean joiner) {
@@ -37,32 +37,31 @@
         return detector;
     }
 
-    /** This member's position among the subject's observers. */
+    /** Returns this member's position among the subject's observers. */
     int observerIndex() {
         return observerIndex;
     }
 
-    /** Whether the subject asks to join, and is not in the view. */
+    /** Returns whether the subject is a joiner, which is not in the view. */
     boolean isJoiner() {
         return joiner;
     }
 
-    /** The number of the current probe. */
     long probeNumber() {
         return probeNumber;
     }
 
-    /** How many helpers were asked to probe during the current probe. */
-    int helpersAsked() {
-        return helpersAsked;
+    /** Returns the number of helpers that were requested to probe during the current probe. */
+    int helpersRequested() {
+        return helpersRequested;
     }
 
-    /** How many helpers said that they had no answer either. */
+    /** Returns the number of helpers that replied to the current probe with a nack. */
     int nacksReceived() {
         return nacksReceived;
     }
 
-    /** It is observed as a member of the view from now on. */
+    /** Changes the subject to a member of the view, for the case that it was a joiner or its observers changed. */
     void assignAsMember(int newObserverIndex) {
         observerIndex = newObserverIndex;
         joiner = false;
@@ -70,12 +69,12 @@
 
     void startProbe(long number) {
         probeNumber = number;
-        helpersAsked = 0;
+        helpersRequested = 0;
         nacksReceived = 0;
     }
 
-    void recordHelperAsked() {
-        helpersAsked++;
+    void recordHelperRequested() {
+        helpersRequested++;
     }
 
     void recordNack() {
--- a/server/src/main/java/wheatspread/membership/MonitoredSubjects.java
+++ b/server/src/main/java/wheatspread/membership/MonitoredSubjects.java
@@ -9,8 +9,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Whom this member observes: its subjects of the current view, and joiners that it would observe as members. Failure
- * detectors continue from one view to the next.
+ * The subjects that this member observes: those of the current view, and joiners of which it is a prospective observer.
+ * Failure detectors are kept from one view to the next.
  */
 final class MonitoredSubjects {
     private final MembershipState state;
@@ -26,21 +26,22 @@
         this.random = random;
     }
 
-    /** The subject with this identity; null where it is not observed here. */
+    /** Returns the subject with this identity; null if this member does not observe it. */
     MonitoredSubject get(MemberId id) {
         return subjects.get(id);
     }
 
-    Collection<MonitoredSubject> all() {
+    /** Returns an unmodifiable view of all subjects; see {@link #snapshot} for iteration during changes. */
+    Collection<MonitoredSubject> values() {
         return Collections.unmodifiableCollection(subjects.values());
     }
 
-    /** A copy to iterate over while subjects may come and go. */
+    /** Returns a copy to iterate over while subjects are added or removed. */
     List<MonitoredSubject> snapshot() {
         return List.copyOf(subjects.values());
     }
 
-    /** Passes the number of other observers that suspect a member to its detector, if it is observed here. */
+    /** Updates a member's detector with the number of other observers that suspect it, if this member observes it. */
     void updateConfirmations(int member) {
         MonitoredSubject subject =
                 subjects.get(state.view().members().get(member).id());
@@ -53,7 +54,7 @@
         }
     }
 
-    /** Observes a joiner, where this member is one of its prospective observers, so that it can vouch for it. */
+    /** Starts to observe a joiner if this member is one of its prospective observers. */
     void observeJoiner(Member joiner) {
         CutDetector cutDetector = state.cutDetector();
         subjects.values().removeIf(subject -> subject.isJoiner() && !cutDetector.isJoiner(subject.id()));
@@ -66,7 +67,7 @@
         }
     }
 
-    /** Observes the subjects of the view that was just entered; none where this member is not in it. */
+    /** Observes the subjects of a newly installed view; none if this server is not in it. */
     void onViewInstalled(long nowMicros) {
         Map<MemberId, MonitoredSubject> previous = new HashMap<>(subjects);
         subjects.clear();
@@ -87,7 +88,7 @@
     private void observe(Member member, int observerIndex, Map<MemberId, MonitoredSubject> previous, long nowMicros) {
         MonitoredSubject subject = previous.get(member.id());
         if (subject == null) {
-            // first probes are spread over a period, or all members of a new view would probe at once
+            // first probes are spread over a period, since otherwise all members of a new view would probe at once
             long firstProbeMicros = nowMicros + random.nextLong(settings.probePeriodMicros());
             FailureDetector detector = new FailureDetector(settings, health, firstProbeMicros);
             subject = MonitoredSubject.ofMember(member, detector, observerIndex);
--- a/server/src/main/java/wheatspread/membership/PeerRateLimit.java
+++ b/server/src/main/java/wheatspread/membership/PeerRateLimit.java
@@ -3,18 +3,18 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Bounds how often one peer is sent a view, a view request or the full state, so that answers do not multiply. */
+/** Limits how often this member sends a view, a view request or its full state to one peer, to bound reply traffic. */
 final class PeerRateLimit {
-    /** A peer that is still behind after this time is sent the same again. */
+    /** The minimum interval between two of these messages to a peer; a peer that is still behind then gets another. */
     private static final long INTERVAL_MICROS = 300_000;
-    /** Peers that are remembered; beyond that all are forgotten, which costs one more message to each. */
+    /** The maximum number of entries; above it all are removed, which costs one additional message per peer. */
     private static final int MAX_PEERS = 4_096;
 
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
     private final Map<MemberId, Long> lastSentMicros = new HashMap<>();
 
-    /** Whether the peer may be sent something now; if so, the interval begins anew. */
+    /** Returns whether a message to the peer is allowed now; if so, a new interval starts for the peer. */
     boolean tryAcquire(MemberId peer, long nowMicros) {
         if (lastSentMicros.size() > MAX_PEERS) {
             lastSentMicros.clear();
--- a/server/src/main/java/wheatspread/membership/PeerSelector.java
+++ b/server/src/main/java/wheatspread/membership/PeerSelector.java
@@ -2,7 +2,7 @@
 
 import java.util.random.RandomGenerator;
 
-/** Draws members of the current view at random, as targets of gossip and helpers for indirect probes. */
+/** Selects random members of the current view as recipients of gossip and as helpers for indirect probes. */
 final class PeerSelector {
     private final MembershipState state;
     private final RandomGenerator random;
@@ -12,10 +12,10 @@
         this.random = random;
     }
 
-    /** Any member of the view but this one; the view has at least two. */
+    /** Returns a random member of the view other than this one; requires a view of at least two members. */
     Member randomOther() {
-        int drawn = random.nextInt(state.view().size() - 1);
-        int index = drawn < state.ownIndex() ? drawn : drawn + 1;
+        int randomIndex = random.nextInt(state.view().size() - 1);
+        int index = randomIndex < state.ownIndex() ? randomIndex : randomIndex + 1;
         return state.view().members().get(index);
     }
 }
--- a/server/src/main/java/wheatspread/membership/ProbeScheduler.java
+++ b/server/src/main/java/wheatspread/membership/ProbeScheduler.java
@@ -3,8 +3,8 @@
 import wheatspread.membership.Message.Body;
 
 /**
- * Probes the monitored subjects as their failure detectors ask for it, takes answers in, and publishes suspicions and
- * reports. Also makes indirect probes for others.
+ * Probes the monitored subjects when their failure detectors require it, handles the answers, and publishes suspicions
+ * and reports. It also relays indirect probes for other members.
  */
 final class ProbeScheduler {
     private final MembershipState state;
@@ -41,37 +41,37 @@
         relayedProbes = new RelayedProbes(sender);
     }
 
-    /** The next time at which {@link #run} has something to do. */
+    /** Returns the next time at which {@link #run} has a step to take. */
     long nextStepMicros() {
         long next = relayedProbes.nextDeadlineMicros();
-        for (MonitoredSubject subject : subjects.all()) {
+        for (MonitoredSubject subject : subjects.values()) {
             next = Math.min(next, subject.detector().nextStepMicros());
         }
         return next;
     }
 
-    /** Carries out all steps whose time has come. */
+    /** Takes all steps that are due. */
     void run(long nowMicros) {
         for (MonitoredSubject subject : subjects.snapshot()) {
             FailureDetector.Step step = subject.detector().nextStep(nowMicros);
             while (step != FailureDetector.Step.NOTHING) {
-                carryOut(step, subject, nowMicros);
+                takeStep(step, subject, nowMicros);
                 step = subject.detector().nextStep(nowMicros);
             }
         }
         relayedProbes.expire(nowMicros);
     }
 
-    /** This process was suspended for that time, so nothing that it waits for counts as missed. */
+    /** Extends the deadlines of all probes and suspicions by the time for which this process was suspended. */
     void extendDeadlines(long suspendedMicros) {
-        subjects.all().forEach(subject -> subject.detector().extendDeadlines(suspendedMicros));
+        subjects.values().forEach(subject -> subject.detector().extendDeadlines(suspendedMicros));
     }
 
     void onAck(long number, long nowMicros) {
         if (relayedProbes.onAck(number, nowMicros)) {
             return;
         }
-        for (MonitoredSubject subject : subjects.all()) {
+        for (MonitoredSubject subject : subjects.values()) {
             if (subject.probeNumber() == number) {
                 onSubjectAnswered(subject, nowMicros);
                 return;
@@ -98,12 +98,12 @@
     }
 
     void onNack(long number) {
-        subjects.all().stream()
+        subjects.values().stream()
                 .filter(subject -> subject.probeNumber() == number)
                 .forEach(MonitoredSubject::recordNack);
     }
 
-    /** Observes the subjects of the new view, and publishes again what is held against them. */
+    /** Observes the subjects of the new view, and publishes current suspicions and reports again for this view. */
     void onViewInstalled(long nowMicros) {
         subjects.onViewInstalled(nowMicros);
         for (MonitoredSubject subject : subjects.snapshot()) {
@@ -116,7 +116,7 @@
         }
     }
 
-    private void carryOut(FailureDetector.Step step, MonitoredSubject subject, long nowMicros) {
+    private void takeStep(FailureDetector.Step step, MonitoredSubject subject, long nowMicros) {
         switch (step) {
             case PROBE -> probe(subject, nowMicros);
             case PROBE_INDIRECTLY -> probeIndirectly(subject, nowMicros);
@@ -125,7 +125,7 @@
                 publishReport(subject, true);
                 viewChanges.onEvidence(nowMicros);
             }
-            default -> throw new IllegalArgumentException("no step to carry out: " + step);
+            default -> throw new IllegalArgumentException("not a step that can be taken: " + step);
         }
     }
 
@@ -136,10 +136,10 @@
     }
 
     private void probeIndirectly(MonitoredSubject subject, long nowMicros) {
-        for (int i = 0; i < settings.helpers() && state.view().size() > 1; i++) {
+        for (int i = 0; i < settings.helperCount() && state.view().size() > 1; i++) {
             Member helper = peers.randomOther();
             if (!helper.id().equals(subject.id())) {
-                subject.recordHelperAsked();
+                subject.recordHelperRequested();
                 Body request = new Body.IndirectPing(
                         subject.probeNumber(), subject.id(), subject.member().address());
                 sender.send(helper.address(), request, nowMicros);
@@ -151,11 +151,11 @@
         if (subject.isJoiner()) {
             damping.onJoinerSilent(subject.id());
         }
-        health.onProbeFailed(subject.helpersAsked(), subject.nacksReceived());
+        health.onProbeFailed(subject.helpersRequested(), subject.nacksReceived());
         publishSuspicion(subject, true);
     }
 
-    /** Publishes that this observer suspects a member, or no longer does; only a change is published. */
+    /** Publishes that this observer starts or stops to suspect a member; does nothing if this is already published. */
     private void publishSuspicion(MonitoredSubject subject, boolean suspected) {
         if (subject.isJoiner()) {
             return;
@@ -167,7 +167,7 @@
         }
     }
 
-    /** Publishes whether a member is down or a joiner unreachable; only a change is published. */
+    /** Publishes whether a member is down or a joiner unreachable; does nothing if this is already published. */
     private void publishReport(MonitoredSubject subject, boolean down) {
         if (subject.isJoiner()) {
             publishJoinerReachable(subject, !down);
--- a/server/src/main/java/wheatspread/membership/RelayedProbes.java
+++ b/server/src/main/java/wheatspread/membership/RelayedProbes.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import wheatspread.membership.Message.Body;
 
-/** Probes that this member makes as a helper for others (SWIM's ping-req), until they are answered or time out. */
+/** The probes that this member sends as a helper for others (SWIM's ping-req), until they are answered or time out. */
 final class RelayedProbes {
-    /** Beyond this number further requests are dropped; their senders ask several helpers. */
+    /** Requests beyond this number are dropped; their senders also send them to other helpers. */
     private static final int MAX_RELAYED_PROBES = 256;
 
     private final MessageSender sender;
@@ -23,13 +23,13 @@
         return probes.size() < MAX_RELAYED_PROBES;
     }
 
-    /** Probes the target of a request under this number. */
+    /** Sends a probe with this number to the target of a request. */
     void start(long number, String requester, Body.IndirectPing request, long deadlineMicros, long nowMicros) {
         probes.put(number, new RelayedProbe(requester, request.number(), deadlineMicros));
         sender.send(request.address(), new Body.Ping(number, request.target()), nowMicros);
     }
 
-    /** Passes an answer on to the requester; returns whether it answers a relayed probe. */
+    /** Forwards an answer to the requester; returns whether the number belongs to a relayed probe. */
     boolean onAck(long number, long nowMicros) {
         RelayedProbe probe = probes.remove(number);
         if (probe == null) {
@@ -50,7 +50,7 @@
         }
     }
 
-    /** The earliest deadline; {@link Long#MAX_VALUE} while there is none. */
+    /** Returns the earliest deadline; {@link Long#MAX_VALUE} if there are no relayed probes. */
     long nextDeadlineMicros() {
         long next = Long.MAX_VALUE;
         for (RelayedProbe probe : probes.values()) {
--- a/server/src/main/java/wheatspread/membership/StateSynchronizer.java
+++ b/server/src/main/java/wheatspread/membership/StateSynchronizer.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * Anti-entropy: a member of the same view whose digest differs is sent everything that is known about the view, since
- * gossip alone may miss a member.
+ * Anti-entropy: sends everything that is known about the view to a member of the same view with a different digest,
+ * since gossip alone may not reach every member.
  */
 final class StateSynchronizer {
     private static final long MIN_INTERVAL_MICROS = 20_000;
-    /** Bounds the rate to 1,000 updates a second, since the state of a large fleet takes long to send. */
+    /** Limits the rate to 1,000 updates per second, since the state of a large fleet takes long to send. */
     private static final long INTERVAL_PER_UPDATE_MICROS = 1_000;
 
     private final MembershipState state;
@@ -24,13 +24,15 @@
         this.sender = sender;
     }
 
-    /** Sends the full state to the sender of a message of this view, where its digest differs and the rate allows. */
+    /**
+     * Sends the full state to the sender of a message of this view if its digest differs and the rate limit allows it.
+     */
     void onMessage(String address, Message message, long nowMicros) {
         if (message.digest() != state.digest()
                 && state.view().indexOf(message.from()) >= 0
                 && nowMicros >= nextSyncMicros
                 && rateLimit.tryAcquire(message.from(), nowMicros)) {
-            List<GossipUpdate> updates = knownUpdates.all();
+            List<GossipUpdate> updates = knownUpdates.allUpdates();
             nextSyncMicros = nowMicros + Math.max(MIN_INTERVAL_MICROS, updates.size() * INTERVAL_PER_UPDATE_MICROS);
             sender.sendUpdates(address, updates, nowMicros);
         }
