--- a/server/src/main/java/wheatspread/daemon/MembershipService.java
+++ b/server/src/main/java/wheatspread/daemon/MembershipService.java
@@ -133,7 +133,7 @@
             boolean in = membership.isMember();
             members.put(new JSONObject()
                     .put("name", member.id().name())
-                    .put("start", member.id().start())
+                    .put("start", member.id().incarnation())
                     .put("address", member.address())
                     .put("zone", member.zone())
                     .put("build", member.build())
@@ -145,7 +145,7 @@
         return new JSONObject()
                 .put("cluster", cluster)
                 .put("name", name)
-                .put("start", membership.self().id().start())
+                .put("start", membership.self().id().incarnation())
                 .put("epoch", view == null ? 0 : view.id().epoch())
                 .put("number", view == null ? 0 : view.id().number())
                 .put("in", membership.isMember())
--- a/server/src/main/java/wheatspread/membership/ClusterBootstrap.java
+++ b/server/src/main/java/wheatspread/membership/ClusterBootstrap.java
@@ -274,6 +274,6 @@
     }
 
     private static Member laterIncarnation(Member first, Member second) {
-        return first.id().start() >= second.id().start() ? first : second;
+        return first.id().incarnation() >= second.id().incarnation() ? first : second;
     }
 }
--- a/server/src/main/java/wheatspread/membership/CutDetector.java
+++ b/server/src/main/java/wheatspread/membership/CutDetector.java
@@ -94,14 +94,14 @@
     boolean onJoining(Member joiner) {
         String name = joiner.id().name();
         Member predecessor = view.memberNamed(name);
-        boolean isOutdated =
-                predecessor != null && predecessor.id().start() >= joiner.id().start();
+        boolean isOutdated = predecessor != null
+                && predecessor.id().incarnation() >= joiner.id().incarnation();
         if (joiners.containsKey(joiner.id()) || joiners.size() >= maxJoiners || isOutdated) {
             return false;
         }
         for (MemberId other : List.copyOf(joiners.keySet())) {
             if (other.name().equals(name)) {
-                if (other.start() > joiner.id().start()) {
+                if (other.incarnation() > joiner.id().incarnation()) {
                     return false;
                 }
                 joiners.remove(other);
--- a/server/src/main/java/wheatspread/membership/DetectorSettings.java
+++ b/server/src/main/java/wheatspread/membership/DetectorSettings.java
@@ -47,8 +47,8 @@
                 || lateTurnMicros <= 0) {
             throw new IllegalArgumentException(
                     "expected 0 < directTimeoutMicros <= probeTimeoutMicros <= probePeriodMicros,"
-                            + " 0 <= minSuspicionMicros <= maxSuspicionMicros, counts of at least 0 and lateTurnMicros above 0, found "
-                            + this);
+                            + " 0 <= minSuspicionMicros <= maxSuspicionMicros, counts of at least 0"
+                            + " and lateTurnMicros above 0, found " + this);
         }
     }
 
--- a/server/src/main/java/wheatspread/membership/MembershipState.java
+++ b/server/src/main/java/wheatspread/membership/MembershipState.java
@@ -96,7 +96,7 @@
 
     /** Increments this member's incarnation; other members treat the new incarnation as a different member. */
     void advanceIncarnation() {
-        MemberId next = new MemberId(self.id().name(), self.id().start() + 1);
+        MemberId next = new MemberId(self.id().name(), self.id().incarnation() + 1);
         self = new Member(next, self.address(), self.zone(), self.build(), self.config());
     }
 
--- a/server/src/main/java/wheatspread/membership/View.java
+++ b/server/src/main/java/wheatspread/membership/View.java
@@ -178,11 +178,11 @@
     public View withChange(ViewChange change) {
         List<Member> next = new ArrayList<>();
         for (Member member : members) {
-            if (!change.out().contains(member.id())) {
+            if (!change.removed().contains(member.id())) {
                 next.add(member);
             }
         }
-        next.addAll(change.in());
+        next.addAll(change.added());
         return new View(id.next(), next);
     }
 
--- a/server/src/main/java/wheatspread/membership/ViewChange.java
+++ b/server/src/main/java/wheatspread/membership/ViewChange.java
@@ -9,31 +9,31 @@
  * The difference between a view and the next view, on which members agree. Both lists are sorted, so that changes
  * detected by different members compare as equal.
  *
- * @param out members that are removed
- * @param in servers that are added
+ * @param removed the identities of the members that are removed
+ * @param added the servers that are added
  */
-public record ViewChange(List<MemberId> out, List<Member> in) {
+public record ViewChange(List<MemberId> removed, List<Member> added) {
     /** Copies both lists, which must be sorted; see {@link #of}. */
     public ViewChange {
-        out = List.copyOf(out);
-        in = List.copyOf(in);
+        removed = List.copyOf(removed);
+        added = List.copyOf(added);
     }
 
     /** Returns a change that removes and adds these members, which may be given in any order. */
-    public static ViewChange of(Collection<MemberId> out, Collection<Member> in) {
-        List<MemberId> removed = new ArrayList<>(out);
-        removed.sort(null);
-        List<Member> added = new ArrayList<>(in);
-        added.sort(Comparator.comparing(Member::id));
-        return new ViewChange(removed, added);
+    public static ViewChange of(Collection<MemberId> removed, Collection<Member> added) {
+        List<MemberId> sortedRemoved = new ArrayList<>(removed);
+        sortedRemoved.sort(null);
+        List<Member> sortedAdded = new ArrayList<>(added);
+        sortedAdded.sort(Comparator.comparing(Member::id));
+        return new ViewChange(sortedRemoved, sortedAdded);
     }
 
     public boolean isEmpty() {
-        return out.isEmpty() && in.isEmpty();
+        return removed.isEmpty() && added.isEmpty();
     }
 
     @Override
     public String toString() {
-        return "-" + out + " +" + in.stream().map(Member::id).toList();
+        return "-" + removed + " +" + added.stream().map(Member::id).toList();
     }
 }
--- a/server/src/main/java/wheatspread/peers/FieldCodec.java
+++ b/server/src/main/java/wheatspread/peers/FieldCodec.java
@@ -25,7 +25,10 @@
     private FieldCodec() {}
 
     static Format.Id encodeMemberId(MemberId id) {
-        return Format.Id.newBuilder().setName(id.name()).setStart(id.start()).build();
+        return Format.Id.newBuilder()
+                .setName(id.name())
+                .setStart(id.incarnation())
+                .build();
     }
 
     static MemberId decodeMemberId(Format.Id field) throws MalformedMessageException {
@@ -90,8 +93,8 @@
 
     static Format.Step encodeChange(ViewChange change) {
         Format.Step.Builder field = Format.Step.newBuilder();
-        change.out().forEach(id -> field.addOut(encodeMemberId(id)));
-        change.in().forEach(member -> field.addIn(encodeMember(member)));
+        change.removed().forEach(id -> field.addOut(encodeMemberId(id)));
+        change.added().forEach(member -> field.addIn(encodeMember(member)));
         return field.build();
     }
 
--- a/server/src/test/java/wheatspread/membership/ClusterBootstrapTest.java
+++ b/server/src/test/java/wheatspread/membership/ClusterBootstrapTest.java
@@ -114,7 +114,7 @@
             View healed = net.agreed(12);
             assertThat(healed.id().epoch()).as("seed %d", seed).isEqualTo(first);
             // it had voted in the first fleet and may not do so again under the same number
-            assertThat(healed.memberNamed("m004").id().start())
+            assertThat(healed.memberNamed("m004").id().incarnation())
                     .as("seed %d", seed)
                     .isEqualTo(2);
         }
--- a/server/src/test/java/wheatspread/membership/CutDetectorTest.java
+++ b/server/src/test/java/wheatspread/membership/CutDetectorTest.java
@@ -54,7 +54,7 @@
         report(detector, 1, 10);
         report(detector, 2, 4);
         assertThat(detector.change(false)).isNull();
-        assertThat(detector.change(true).out())
+        assertThat(detector.change(true).removed())
                 .containsExactly(view.members().get(1).id());
         for (int observer = 0; observer < 4; observer++) {
             assertThat(detector.onReport(2, observer, 2)).as("withdrawn").isTrue();
@@ -62,7 +62,7 @@
                     .as("an older report that arrives late")
                     .isFalse();
         }
-        assertThat(detector.change(false).out())
+        assertThat(detector.change(false).removed())
                 .containsExactly(view.members().get(1).id());
     }
 
@@ -79,7 +79,7 @@
                 }
             }
         }
-        assertThat(detector.change(false).out())
+        assertThat(detector.change(false).removed())
                 .hasSize(10)
                 .allMatch(id -> id.name().compareTo("m010") < 0);
     }
@@ -109,7 +109,7 @@
         CutDetector detector = new CutDetector(view, 2);
         assertThat(detector.onLeaving(4)).isTrue();
         assertThat(detector.onLeaving(4)).isFalse();
-        assertThat(detector.change(false).out())
+        assertThat(detector.change(false).removed())
                 .containsExactly(view.members().get(4).id());
     }
 
@@ -132,7 +132,7 @@
             ViewChange change = first.change(ignoreUnstable);
             assertThat(second.change(ignoreUnstable)).isEqualTo(change);
             if (change != null) {
-                for (MemberId gone : change.out()) {
+                for (MemberId gone : change.removed()) {
                     int index = view.indexOf(gone);
                     int low = View.lowWatermark(view.observersOf(index).length);
                     assertThat(first.downReports(index)).isGreaterThanOrEqualTo(low);
--- a/server/src/test/java/wheatspread/membership/MembershipTest.java
+++ b/server/src/test/java/wheatspread/membership/MembershipTest.java
@@ -110,7 +110,7 @@
         net.crash("m004");
         net.add(Net.member("m004", 2), List.of("m000", "m001"), null);
         net.run(8 * SECOND);
-        assertThat(net.agreed(12).memberNamed("m004").id().start()).isEqualTo(2);
+        assertThat(net.agreed(12).memberNamed("m004").id().incarnation()).isEqualTo(2);
         assertThat(net.views.size()).isEqualTo(2);
         net.members.get("m007").leave();
         net.scheduleTurn("m007");
