--- a/server/src/test/java/wheatspread/membership/ClusterBootstrapTest.java
+++ b/server/src/test/java/wheatspread/membership/ClusterBootstrapTest.java
@@ -8,25 +8,29 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Formation of clusters, meetings of two, loss of the quorum and new epochs, on virtual time. */
+/** Tests forming clusters, the merge of two clusters, the loss of the quorum and new epochs, on virtual time. */
 class ClusterBootstrapTest {
-    private static final long SECOND = MembershipTest.SECOND;
+    private static final long SECOND_MICROS = MembershipTest.SECOND_MICROS;
     private static final List<String> SEEDS = List.of("m000", "m001", "m002");
 
-    /** Starts servers without a view, at random times within the given one. */
-    private static void start(Net net, int from, int to, long start, long within) {
-        for (int i = from; i < to; i++) {
-            Member member = Net.member(Net.name(i), start);
-            net.at(net.nowMicros + net.random.nextLong(within), "", () -> net.add(member, SEEDS, null));
+    /** Starts the servers numbered from {@code first} to {@code end - 1} without a view, at random times. */
+    private static void startServers(
+            SimulatedNetwork network, int first, int end, long incarnation, long maxDelayMicros) {
+        for (int i = first; i < end; i++) {
+            Member member = SimulatedNetwork.member(SimulatedNetwork.memberName(i), incarnation);
+            network.schedule(
+                    network.nowMicros + network.random.nextLong(maxDelayMicros),
+                    "",
+                    () -> network.startMember(member, SEEDS, null));
         }
     }
 
-    private static Net formed(long seed, int size, double loss) {
-        Net net = new Net(seed);
-        net.loss = loss;
-        start(net, 0, size, 1, 2 * SECOND);
-        net.run(20 * SECOND);
-        return net;
+    private static SimulatedNetwork formCluster(long seed, int size, double lossProbability) {
+        SimulatedNetwork network = new SimulatedNetwork(seed);
+        network.lossProbability = lossProbability;
+        startServers(network, 0, size, 1, 2 * SECOND_MICROS);
+        network.runFor(20 * SECOND_MICROS);
+        return network;
     }
 
     @Test
@@ -34,12 +38,12 @@
     void clusterFormsInAtMostTwoViews() {
         for (int seed = 0; seed < 10; seed++) {
             for (int size : new int[] {3, 4, 12, 40}) {
-                View view = formed(seed, size, 0).agreed(size);
+                View view = formCluster(seed, size, 0).assertAgreedView(size);
                 assertThat(view.id().number())
                         .as("seed %d, %d members", seed, size)
                         .isLessThanOrEqualTo(2);
             }
-            formed(seed, 12, 0.2).agreed(12);
+            formCluster(seed, 12, 0.2).assertAgreedView(12);
         }
     }
 
@@ -47,23 +51,23 @@
     @Timeout(60)
     void minorityOfSeedsFormsNoClusterAndASecondClusterIsNotFormed() {
         for (int seed = 0; seed < 10; seed++) {
-            Net net = new Net(seed);
-            net.partition = (from, to) -> from.equals("m000") || to.equals("m000");
-            start(net, 0, 1, 1, SECOND); // one seed alone, and servers that are no seeds
-            start(net, 3, 8, 1, SECOND);
-            net.run(30 * SECOND);
-            assertThat(net.views).as("seed %d", seed).isEmpty();
-            start(net, 1, 3, 1, SECOND);
-            net.run(20 * SECOND);
-            net.partition = (from, to) -> false;
-            net.run(20 * SECOND);
-            View all = net.agreed(8);
-            net.crash("m001"); // a seed that comes back joins
-            start(net, 1, 2, 2, 1);
-            net.run(10 * SECOND);
-            assertThat(net.agreed(8).id().epoch())
+            SimulatedNetwork network = new SimulatedNetwork(seed);
+            network.partition = (from, to) -> from.equals("m000") || to.equals("m000");
+            startServers(network, 0, 1, 1, SECOND_MICROS); // a single seed, and servers that are not seeds
+            startServers(network, 3, 8, 1, SECOND_MICROS);
+            network.runFor(30 * SECOND_MICROS);
+            assertThat(network.views).as("seed %d", seed).isEmpty();
+            startServers(network, 1, 3, 1, SECOND_MICROS);
+            network.runFor(20 * SECOND_MICROS);
+            network.partition = (from, to) -> false;
+            network.runFor(20 * SECOND_MICROS);
+            View merged = network.assertAgreedView(8);
+            network.crash("m001"); // the restarted seed must join the existing cluster
+            startServers(network, 1, 2, 2, 1);
+            network.runFor(10 * SECOND_MICROS);
+            assertThat(network.assertAgreedView(8).id().epoch())
                     .as("seed %d", seed)
-                    .isEqualTo(all.id().epoch());
+                    .isEqualTo(merged.id().epoch());
         }
     }
 
@@ -71,18 +75,18 @@
     @Timeout(60)
     void simultaneousRestartOfAllFormsOneClusterInALaterEpoch() {
         for (int seed = 0; seed < 10; seed++) {
-            Net net = formed(seed, 12, 0);
-            View old = net.agreed(12);
+            SimulatedNetwork network = formCluster(seed, 12, 0);
+            View previous = network.assertAgreedView(12);
             for (int i = 0; i < 12; i++) {
-                net.crash(Net.name(i));
+                network.crash(SimulatedNetwork.memberName(i));
             }
-            start(net, 0, 12, 2, 3 * SECOND);
-            net.run(25 * SECOND);
-            View now = net.agreed(12);
-            assertThat(now.id().epoch())
+            startServers(network, 0, 12, 2, 3 * SECOND_MICROS);
+            network.runFor(25 * SECOND_MICROS);
+            View installed = network.assertAgreedView(12);
+            assertThat(installed.id().epoch())
                     .as("seed %d", seed)
-                    .isGreaterThan(old.id().epoch());
-            assertThat(now.id().number()).as("seed %d", seed).isLessThanOrEqualTo(2);
+                    .isGreaterThan(previous.id().epoch());
+            assertThat(installed.id().number()).as("seed %d", seed).isLessThanOrEqualTo(2);
         }
     }
 
@@ -90,30 +94,30 @@
     @Timeout(60)
     void secondClusterBehindAPartitionYieldsToTheFirst() {
         for (int seed = 0; seed < 10; seed++) {
-            Net net = formed(seed, 12, 0);
-            long first = net.agreed(12).id().epoch();
+            SimulatedNetwork network = formCluster(seed, 12, 0);
+            long firstEpoch = network.assertAgreedView(12).id().epoch();
             Set<String> smallerSide = Set.of("m000", "m001", "m002", "m003", "m004");
-            net.partition = (from, to) -> smallerSide.contains(from) != smallerSide.contains(to);
-            net.run(8 * SECOND);
-            for (int i = 0; i < 4; i++) { // all seeds restart while they reach nobody of the larger side
-                net.crash(Net.name(i));
+            network.partition = (from, to) -> smallerSide.contains(from) != smallerSide.contains(to);
+            network.runFor(8 * SECOND_MICROS);
+            for (int i = 0; i < 4; i++) { // all seeds restart while they cannot reach the larger side
+                network.crash(SimulatedNetwork.memberName(i));
             }
-            start(net, 0, 4, 2, SECOND);
-            net.run(20 * SECOND);
-            assertThat(net.members.get("m000").view().id().epoch())
+            startServers(network, 0, 4, 2, SECOND_MICROS);
+            network.runFor(20 * SECOND_MICROS);
+            assertThat(network.members.get("m000").view().id().epoch())
                     .as("seed %d", seed)
-                    .isGreaterThan(first);
-            assertThat(net.members.get("m004").view().size())
-                    .as("m004 follows it")
+                    .isGreaterThan(firstEpoch);
+            assertThat(network.members.get("m004").view().size())
+                    .as("m004 installs the view of the second cluster")
                     .isEqualTo(5);
-            assertThat(net.members.get("m011").view().size())
+            assertThat(network.members.get("m011").view().size())
                     .as("seed %d", seed)
                     .isEqualTo(7);
-            net.partition = (from, to) -> false;
-            net.run(30 * SECOND);
-            View healed = net.agreed(12);
-            assertThat(healed.id().epoch()).as("seed %d", seed).isEqualTo(first);
-            // it had voted in the first fleet and may not do so again under the same number
+            network.partition = (from, to) -> false;
+            network.runFor(30 * SECOND_MICROS);
+            View healed = network.assertAgreedView(12);
+            assertThat(healed.id().epoch()).as("seed %d", seed).isEqualTo(firstEpoch);
+            // m004 may have voted in the first cluster and must not vote again with the same incarnation
             assertThat(healed.memberNamed("m004").id().incarnation())
                     .as("seed %d", seed)
                     .isEqualTo(2);
@@ -122,35 +126,37 @@
 
     @Test
     @Timeout(60)
-    void minorityKeepsItsViewUntilAnOperatorOrdersAnEpoch() {
+    void minorityKeepsItsViewUntilAnOperatorOrdersANewEpoch() {
         for (int seed = 0; seed < 10; seed++) {
-            Net net = formed(seed, 12, 0);
-            View old = net.agreed(12);
-            assertThat(net.members.get("m001").orderBootstrap(net.nowMicros))
-                    .isEqualTo("a quorum of the current view " + old.id() + " is reachable");
+            SimulatedNetwork network = formCluster(seed, 12, 0);
+            View previous = network.assertAgreedView(12);
+            assertThat(network.members.get("m001").orderBootstrap(network.nowMicros))
+                    .isEqualTo("a quorum of the current view " + previous.id() + " is reachable");
             for (int i = 5; i < 12; i++) {
-                net.crash(Net.name(i));
+                network.crash(SimulatedNetwork.memberName(i));
             }
-            net.run(12 * SECOND);
+            network.runFor(12 * SECOND_MICROS);
             for (int i = 0; i < 5; i++) {
-                assertThat(net.members.get(Net.name(i)).isQuorumReachable(net.nowMicros))
+                assertThat(network.members.get(SimulatedNetwork.memberName(i)).isQuorumReachable(network.nowMicros))
                         .as("seed %d", seed)
                         .isFalse();
-                assertThat(net.members.get(Net.name(i)).view())
+                assertThat(network.members.get(SimulatedNetwork.memberName(i)).view())
                         .as("seed %d", seed)
-                        .isEqualTo(old);
+                        .isEqualTo(previous);
             }
-            assertThat(net.members.get("m004").orderBootstrap(net.nowMicros))
+            assertThat(network.members.get("m004").orderBootstrap(network.nowMicros))
                     .isEqualTo("only a seed can form a cluster, and this server is not in the list of seeds");
-            assertThat(net.members.get("m001").orderBootstrap(net.nowMicros)).isNull();
-            net.scheduleTurn("m001");
-            net.run(5 * SECOND);
-            View formedAnew = net.agreed(5);
-            assertThat(formedAnew.id().epoch()).isGreaterThan(old.id().epoch());
-            assertThat(net.members.get("m003").isQuorumReachable(net.nowMicros)).isTrue();
-            start(net, 5, 12, 2, SECOND);
-            net.run(15 * SECOND);
-            assertThat(net.agreed(12).id().epoch())
+            assertThat(network.members.get("m001").orderBootstrap(network.nowMicros))
+                    .isNull();
+            network.scheduleTurn("m001");
+            network.runFor(5 * SECOND_MICROS);
+            View formedAnew = network.assertAgreedView(5);
+            assertThat(formedAnew.id().epoch()).isGreaterThan(previous.id().epoch());
+            assertThat(network.members.get("m003").isQuorumReachable(network.nowMicros))
+                    .isTrue();
+            startServers(network, 5, 12, 2, SECOND_MICROS);
+            network.runFor(15 * SECOND_MICROS);
+            assertThat(network.assertAgreedView(12).id().epoch())
                     .as("seed %d", seed)
                     .isEqualTo(formedAnew.id().epoch());
         }
@@ -161,18 +167,18 @@
     void smallerSideOfAPartitionLosesItsQuorumAndTheLargerKeepsIt() {
         for (int seed = 0; seed < 5; seed++) {
             for (int[] sides : new int[][] {{5, 12}, {2, 12}, {1, 5}, {3, 40}, {15, 40}}) {
-                Net net = MembershipTest.cluster(seed, sides[1]);
-                String border = Net.name(sides[0]);
-                net.partition = (from, to) -> from.compareTo(border) < 0 != to.compareTo(border) < 0;
+                SimulatedNetwork network = MembershipTest.startCluster(seed, sides[1]);
+                String border = SimulatedNetwork.memberName(sides[0]);
+                network.partition = (from, to) -> from.compareTo(border) < 0 != to.compareTo(border) < 0;
                 for (int second = 1; second <= 20; second++) {
-                    net.run(SECOND);
-                    for (Map.Entry<String, Membership> one : net.members.entrySet()) {
-                        boolean largerSide = one.getKey().compareTo(border) >= 0;
+                    network.runFor(SECOND_MICROS);
+                    for (Map.Entry<String, Membership> entry : network.members.entrySet()) {
+                        boolean largerSide = entry.getKey().compareTo(border) >= 0;
                         if (largerSide || second >= 9) {
-                            assertThat(one.getValue().isQuorumReachable(net.nowMicros))
+                            assertThat(entry.getValue().isQuorumReachable(network.nowMicros))
                                     .as(
                                             "%s of %d and %d, seed %d, at %d s",
-                                            one.getKey(), sides[0], sides[1], seed, second)
+                                            entry.getKey(), sides[0], sides[1], seed, second)
                                     .isEqualTo(largerSide);
                         }
                     }
@@ -183,68 +189,77 @@
 
     @Test
     @Timeout(60)
-    void flappingMemberIsKeptOutForLonger() {
+    void flapDampingDelaysTheReadmissionOfAFlappingMember() {
         for (int seed = 0; seed < 5; seed++) {
-            Net net = MembershipTest.cluster(seed, 12);
-            net.partition = (from, to) -> from.equals("m007") && net.nowMicros / (12 * SECOND) % 2 == 1;
-            net.run(480 * SECOND);
-            // it is unreachable 20 times; each time would be two views
-            assertThat(net.views.size()).as("seed %d", seed).isBetween(3, 12);
-            net.partition = (from, to) -> false;
-            net.run(320 * SECOND);
-            net.agreed(12);
+            SimulatedNetwork network = MembershipTest.startCluster(seed, 12);
+            network.partition = (from, to) -> from.equals("m007") && network.nowMicros / (12 * SECOND_MICROS) % 2 == 1;
+            network.runFor(480 * SECOND_MICROS);
+            // m007 is unreachable 20 times; without damping each time would take two views
+            assertThat(network.views.size()).as("seed %d", seed).isBetween(3, 12);
+            network.partition = (from, to) -> false;
+            network.runFor(320 * SECOND_MICROS);
+            network.assertAgreedView(12);
         }
     }
 
-    /** Whatever the order of faults: no two views of one number (asserted by Net), and one view at the end. */
+    /**
+     * Guards against two views with the same number, which SimulatedNetwork asserts, and against different final views.
+     */
     @Test
     @Timeout(100)
     void randomFaultsEndInOneView() {
         for (int seed = 0; seed < 30; seed++) {
-            Net net = formed(seed, 12, 0);
-            int[] starts = new int[12];
+            SimulatedNetwork network = formCluster(seed, 12, 0);
+            int[] restarts = new int[12];
             for (int fault = 0; fault < 8; fault++) {
-                injectFault(net, starts);
-                net.run((3 + net.random.nextInt(12)) * SECOND);
+                injectFault(network, restarts);
+                network.runFor((3 + network.random.nextInt(12)) * SECOND_MICROS);
             }
-            net.partition = (from, to) -> false;
-            net.loss = 0;
-            net.run(300 * SECOND); // members that flapped have to wait
-            assertThat(net.agreed(12).id().number()).as("seed %d", seed).isLessThan(40);
+            network.partition = (from, to) -> false;
+            network.lossProbability = 0;
+            network.runFor(300 * SECOND_MICROS); // evicted members must wait for flap damping
+            assertThat(network.assertAgreedView(12).id().number())
+                    .as("seed %d", seed)
+                    .isLessThan(40);
         }
     }
 
-    private static void injectFault(Net net, int[] starts) {
-        int target = net.random.nextInt(12);
-        int border = net.random.nextInt(12);
-        switch (net.random.nextInt(6)) {
+    private static void injectFault(SimulatedNetwork network, int[] restarts) {
+        int target = network.random.nextInt(12);
+        int border = network.random.nextInt(12);
+        switch (network.random.nextInt(6)) {
             case 0 ->
-                net.partition =
-                        (from, to) -> from.compareTo(Net.name(border)) < 0 != to.compareTo(Net.name(border)) < 0;
-            case 1 -> net.partition = (from, to) -> from.equals(Net.name(target)) && to.compareTo(Net.name(border)) < 0;
-            case 2 -> net.partition = (from, to) -> false;
-            case 3 -> net.loss = net.random.nextDouble(0.4);
-            case 4 -> net.suspendedUntil.put(Net.name(target), net.nowMicros + net.random.nextLong(6 * SECOND));
+                network.partition = (from, to) -> from.compareTo(SimulatedNetwork.memberName(border)) < 0
+                        != to.compareTo(SimulatedNetwork.memberName(border)) < 0;
+            case 1 ->
+                network.partition = (from, to) -> from.equals(SimulatedNetwork.memberName(target))
+                        && to.compareTo(SimulatedNetwork.memberName(border)) < 0;
+            case 2 -> network.partition = (from, to) -> false;
+            case 3 -> network.lossProbability = network.random.nextDouble(0.4);
+            case 4 ->
+                network.suspendedUntil.put(
+                        SimulatedNetwork.memberName(target),
+                        network.nowMicros + network.random.nextLong(6 * SECOND_MICROS));
             default -> {
-                net.crash(Net.name(target));
-                starts[target]++;
-                start(net, target, target + 1, 1 + 10 * starts[target], 2 * SECOND);
+                network.crash(SimulatedNetwork.memberName(target));
+                restarts[target]++;
+                startServers(network, target, target + 1, 1 + 10 * restarts[target], 2 * SECOND_MICROS);
             }
         }
     }
 
     @Test
-    void neverDoTwoClustersYieldToEachOther() {
+    void twoClustersNeverYieldToEachOther() {
         List<ViewId> ids = List.of(new ViewId(1, 1), new ViewId(1, 2), new ViewId(2, 1), new ViewId(2, 2));
-        boolean[] either = {false, true};
-        for (ViewId one : ids) {
+        boolean[] reachability = {false, true};
+        for (ViewId own : ids) {
             for (ViewId other : ids) {
-                for (boolean reachable : either) {
-                    for (boolean otherReachable : either) {
-                        assertThat(ViewPrecedence.takesPrecedence(one, reachable, other, otherReachable)
-                                        && ViewPrecedence.takesPrecedence(other, otherReachable, one, reachable))
+                for (boolean reachable : reachability) {
+                    for (boolean otherReachable : reachability) {
+                        assertThat(ViewPrecedence.takesPrecedence(own, reachable, other, otherReachable)
+                                        && ViewPrecedence.takesPrecedence(other, otherReachable, own, reachable))
                                 .isFalse();
-                        assertThat(ViewPrecedence.takesPrecedence(one, reachable, one, otherReachable))
+                        assertThat(ViewPrecedence.takesPrecedence(own, reachable, own, otherReachable))
                                 .isFalse();
                     }
                 }
--- a/server/src/test/java/wheatspread/membership/CutDetectorTest.java
+++ b/server/src/test/java/wheatspread/membership/CutDetectorTest.java
@@ -11,21 +11,21 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Which reports lead to which view change. */
+/** Tests the view changes that result from reports, announced departures and join requests. */
 class CutDetectorTest {
-    private static Member member(int number, long start) {
-        return new Member(new MemberId(String.format("m%03d", number), start), "", "", "", 0);
+    private static Member member(int number, long incarnation) {
+        return new Member(new MemberId(String.format("m%03d", number), incarnation), "", "", "", 0);
     }
 
     private static View view(int size) {
-        List<Member> all = new ArrayList<>();
+        List<Member> members = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            all.add(member(i, 7));
+            members.add(member(i, 7));
         }
-        return new View(new ViewId(1, 1), all);
+        return new View(new ViewId(1, 1), members);
     }
 
-    private static void report(CutDetector detector, int member, int observers) {
+    private static void reportDown(CutDetector detector, int member, int observers) {
         for (int observer = 0; observer < observers; observer++) {
             detector.onReport(member, observer, 1);
         }
@@ -37,11 +37,13 @@
             View view = view(size);
             CutDetector detector = new CutDetector(view, 10);
             int observers = view.observersOf(1).length;
-            report(detector, 1, 1);
-            assertThat(detector.change(true)).as("one of %d", observers).isNull();
-            report(detector, 1, View.highWatermark(observers) - 1);
+            reportDown(detector, 1, 1);
+            assertThat(detector.change(true))
+                    .as("one of %d observers", observers)
+                    .isNull();
+            reportDown(detector, 1, View.highWatermark(observers) - 1);
             assertThat(detector.change(true)).isNull();
-            report(detector, 1, View.highWatermark(observers));
+            reportDown(detector, 1, View.highWatermark(observers));
             assertThat(detector.change(false))
                     .isEqualTo(ViewChange.of(List.of(view.members().get(1).id()), List.of()));
         }
@@ -51,8 +53,8 @@
     void unstableMemberBlocksTheChangeAndStaysInTheView() {
         View view = view(30);
         CutDetector detector = new CutDetector(view, 10);
-        report(detector, 1, 10);
-        report(detector, 2, 4);
+        reportDown(detector, 1, 10);
+        reportDown(detector, 2, 4);
         assertThat(detector.change(false)).isNull();
         assertThat(detector.change(true).removed())
                 .containsExactly(view.members().get(1).id());
@@ -66,7 +68,7 @@
                 .containsExactly(view.members().get(1).id());
     }
 
-    /** Half of the observers of a member of the zone crashed with it, and can't report it. */
+    /** Guards against a crashed zone becoming several changes: observers in the zone crashed too and can't report. */
     @Test
     void crashedZoneIsOneChange() {
         View view = view(30);
@@ -89,7 +91,9 @@
         View view = view(12);
         CutDetector detector = new CutDetector(view, 2);
         Member restarted = member(3, 8);
-        assertThat(detector.onJoining(member(3, 6))).as("an older start").isFalse();
+        assertThat(detector.onJoining(member(3, 6)))
+                .as("an earlier incarnation")
+                .isFalse();
         assertThat(detector.onJoining(restarted)).isTrue();
         assertThat(detector.onJoining(restarted)).isFalse();
         assertThat(detector.observersOfJoiner(restarted.id())).doesNotContain(3).hasSize(10);
@@ -100,7 +104,9 @@
         assertThat(detector.change(true))
                 .isEqualTo(ViewChange.of(List.of(view.members().get(3).id()), List.of(restarted)));
         assertThat(detector.onJoining(member(20, 1))).isTrue();
-        assertThat(detector.onJoining(member(21, 1))).as("beyond the bound").isFalse();
+        assertThat(detector.onJoining(member(21, 1)))
+                .as("more joiners than the limit")
+                .isFalse();
     }
 
     @Test
@@ -113,7 +119,7 @@
                 .containsExactly(view.members().get(4).id());
     }
 
-    /** The order of reports does not matter, and no member below the low watermark is removed. */
+    /** Checks that the order of reports has no effect, and that no member below the low watermark is removed. */
     @Property(tries = 300)
     void reportsInAnyOrderLeadToTheSameChange(@ForAll Random random, @ForAll @IntRange(min = 3, max = 40) int size) {
         View view = view(size);
@@ -132,10 +138,10 @@
             ViewChange change = first.change(ignoreUnstable);
             assertThat(second.change(ignoreUnstable)).isEqualTo(change);
             if (change != null) {
-                for (MemberId gone : change.removed()) {
-                    int index = view.indexOf(gone);
-                    int low = View.lowWatermark(view.observersOf(index).length);
-                    assertThat(first.downReports(index)).isGreaterThanOrEqualTo(low);
+                for (MemberId removed : change.removed()) {
+                    int index = view.indexOf(removed);
+                    int lowWatermark = View.lowWatermark(view.observersOf(index).length);
+                    assertThat(first.downReports(index)).isGreaterThanOrEqualTo(lowWatermark);
                 }
             }
         }
--- a/server/src/test/java/wheatspread/membership/FailureDetectorTest.java
+++ b/server/src/test/java/wheatspread/membership/FailureDetectorTest.java
@@ -6,20 +6,22 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What an observer concludes about a subject that answers, does not, or answers late; and about its own health. */
+/** Tests the state of a subject that answers, does not answer or answers late, and the observer's local health. */
 class FailureDetectorTest {
-    private static final DetectorSettings USUAL = DetectorSettings.DEFAULT;
-    private final LocalHealth health = new LocalHealth(USUAL);
-    private final FailureDetector detector = new FailureDetector(USUAL, health, 0);
+    private static final DetectorSettings SETTINGS = DetectorSettings.DEFAULT;
+    private final LocalHealth health = new LocalHealth(SETTINGS);
+    private final FailureDetector detector = new FailureDetector(SETTINGS, health, 0);
 
-    /** All steps until then, with their times in milliseconds. */
-    private static List<String> run(FailureDetector detector, long from, long until) {
+    /** Runs the detector for a period and returns its steps with their times in milliseconds. */
+    private static List<String> run(FailureDetector detector, long startMicros, long endMicros) {
         List<String> steps = new ArrayList<>();
-        for (long now = from; now <= until; now = Math.max(now, detector.nextStepMicros())) {
-            for (FailureDetector.Step step = detector.nextStep(now);
+        for (long nowMicros = startMicros;
+                nowMicros <= endMicros;
+                nowMicros = Math.max(nowMicros, detector.nextStepMicros())) {
+            for (FailureDetector.Step step = detector.nextStep(nowMicros);
                     step != FailureDetector.Step.NOTHING;
-                    step = detector.nextStep(now)) {
-                steps.add(step + "@" + now / 1_000);
+                    step = detector.nextStep(nowMicros)) {
+                steps.add(step + "@" + nowMicros / 1_000);
             }
         }
         return steps;
@@ -40,7 +42,7 @@
         long confirmedByOne = detector.suspicionTimeoutMicros();
         detector.updateConfirmations(7, 9);
         assertThat(detector.suspicionTimeoutMicros())
-                .isEqualTo(USUAL.minSuspicionMicros())
+                .isEqualTo(SETTINGS.minSuspicionMicros())
                 .isLessThan(confirmedByOne);
         assertThat(confirmedByOne).isLessThan(unconfirmed);
         assertThat(run(detector, 700_000, 1_700_000)).contains("REPORT@1700");
@@ -60,17 +62,17 @@
     }
 
     @Test
-    void suspendedObserverSuspectsNobodyWhenItResumes() {
+    void suspendedObserverSuspectsNoSubjectWhenItResumes() {
         run(detector, 0, 100_000);
         assertThat(health.onLateTurn(5_000_000)).isTrue();
         detector.extendDeadlines(5_000_000);
         assertThat(run(detector, 5_100_000, 5_100_000)).isEmpty();
         assertThat(detector.state()).isEqualTo(FailureDetector.State.PROBING);
-        // without that it would: the probe in progress counts as failed at once
-        FailureDetector naive =
-                new FailureDetector(USUAL.withFixedSuspicion(), new LocalHealth(USUAL.withFixedSuspicion()), 0);
-        run(naive, 0, 100_000);
-        assertThat(run(naive, 5_100_000, 5_100_000)).contains("SUSPECT@5100");
+        // without extended deadlines the probe in progress fails at once and leads to a suspicion
+        FailureDetector withoutExtension =
+                new FailureDetector(SETTINGS.withFixedSuspicion(), new LocalHealth(SETTINGS.withFixedSuspicion()), 0);
+        run(withoutExtension, 0, 100_000);
+        assertThat(run(withoutExtension, 5_100_000, 5_100_000)).contains("SUSPECT@5100");
     }
 
     @Test
@@ -86,13 +88,13 @@
             health.onProbeFailed(3, 0);
             health.onReported();
         }
-        assertThat(health.multiplier()).as("a bound").isEqualTo(1 + USUAL.maxHealthScore());
+        assertThat(health.multiplier()).as("highest multiplier").isEqualTo(1 + SETTINGS.maxHealthScore());
     }
 
     @Test
     void plainSwimReportsAfterTheFirstFailedProbe() {
         FailureDetector plain =
-                new FailureDetector(USUAL.withoutSuspicion(), new LocalHealth(USUAL.withoutSuspicion()), 0);
+                new FailureDetector(SETTINGS.withoutSuspicion(), new LocalHealth(SETTINGS.withoutSuspicion()), 0);
         assertThat(run(plain, 0, 700_000)).contains("REPORT@700");
     }
 }
--- a/server/src/test/java/wheatspread/membership/GossipQueueTest.java
+++ b/server/src/test/java/wheatspread/membership/GossipQueueTest.java
@@ -7,15 +7,15 @@
 import org.junit.jupiter.api.Test;
 
 class GossipQueueTest {
-    private static GossipQueue queue() {
+    private static GossipQueue newQueue() {
         GossipQueue queue = new GossipQueue();
-        queue.reset(3); // 8 times each
+        queue.reset(3); // each update is sent 8 times
         return queue;
     }
 
     @Test
     void eachUpdateIsSentABoundedNumberOfTimesAndTheLeastSentFirst() {
-        GossipQueue queue = queue();
+        GossipQueue queue = newQueue();
         GossipUpdate.Leaving first = new GossipUpdate.Leaving(1);
         GossipUpdate.Leaving second = new GossipUpdate.Leaving(2);
         queue.add(first);
@@ -32,7 +32,7 @@
 
     @Test
     void newerUpdateSupersedesAnOlderOneWithAnEqualKey() {
-        GossipQueue queue = queue();
+        GossipQueue queue = newQueue();
         queue.add(new GossipUpdate.Report(1, 2, 1));
         queue.add(new GossipUpdate.Report(1, 2, 2));
         queue.add(new GossipUpdate.Report(1, 3, 1));
@@ -40,10 +40,10 @@
                 .containsExactlyInAnyOrder(new GossipUpdate.Report(1, 2, 2), new GossipUpdate.Report(1, 3, 1));
     }
 
-    /** While updates never end, superseded ones must not accumulate behind them. */
+    /** Guards against unbounded growth: a steady flow of new updates is sent first, so superseded ones stay queued. */
     @Test
     void supersededUpdatesDoNotAccumulate() {
-        GossipQueue queue = queue();
+        GossipQueue queue = newQueue();
         for (int i = 1; i <= 200_000; i++) {
             queue.add(new GossipUpdate.Suspicion(i % 10, 0, i));
             if (i % 5 == 0) {
--- a/server/src/test/java/wheatspread/membership/MembershipTest.java
+++ b/server/src/test/java/wheatspread/membership/MembershipTest.java
@@ -6,16 +6,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Clusters on virtual time with crashes, partitions, suspended processes and restarts, and the views that follow. */
+/** Tests the views that result from crashes, partitions, suspended processes and restarts, on virtual time. */
 class MembershipTest {
-    static final long SECOND = 1_000_000;
+    static final long SECOND_MICROS = 1_000_000;
 
-    static Net cluster(long seed, int size) {
-        Net net = new Net(seed);
-        net.startCluster(size);
-        net.run(5 * SECOND);
-        assertThat(net.agreed(size).id().number()).isEqualTo(1);
-        return net;
+    static SimulatedNetwork startCluster(long seed, int size) {
+        SimulatedNetwork network = new SimulatedNetwork(seed);
+        network.startCluster(size);
+        network.runFor(5 * SECOND_MICROS);
+        assertThat(network.assertAgreedView(size).id().number()).isEqualTo(1);
+        return network;
     }
 
     @Test
@@ -23,10 +23,10 @@
     void crashedMemberIsRemovedFromEveryViewWithinFiveSeconds() {
         for (int size : new int[] {3, 4, 5, 12, 40}) {
             for (int seed = 0; seed < 5; seed++) {
-                Net net = cluster(seed, size);
-                net.crash(Net.name(seed % size));
-                net.run(5 * SECOND);
-                assertThat(net.agreed(size - 1).id().number())
+                SimulatedNetwork network = startCluster(seed, size);
+                network.crash(SimulatedNetwork.memberName(seed % size));
+                network.runFor(5 * SECOND_MICROS);
+                assertThat(network.assertAgreedView(size - 1).id().number())
                         .as("size %d seed %d", size, seed)
                         .isEqualTo(2);
             }
@@ -37,99 +37,103 @@
     @Timeout(60)
     void crashOfAThirdTakesAtMostTwoViews() {
         for (int seed = 0; seed < 10; seed++) {
-            Net net = cluster(seed, 12);
+            SimulatedNetwork network = startCluster(seed, 12);
             for (int i = 0; i < 4; i++) {
-                net.crash(Net.name((seed + i) % 12));
+                network.crash(SimulatedNetwork.memberName((seed + i) % 12));
             }
-            net.run(8 * SECOND);
-            assertThat(net.agreed(8).id().number()).as("seed %d", seed).isBetween(2L, 3L);
+            network.runFor(8 * SECOND_MICROS);
+            assertThat(network.assertAgreedView(8).id().number())
+                    .as("seed %d", seed)
+                    .isBetween(2L, 3L);
         }
     }
 
     @Test
     @Timeout(60)
-    void messageLossAndSuspendedProcessesRemoveNobody() {
+    void messageLossAndSuspendedProcessesRemoveNoMember() {
         for (int seed = 0; seed < 5; seed++) {
-            Net net = cluster(seed, 12);
-            net.loss = 0.3;
-            net.run(30 * SECOND);
-            assertThat(net.views).as("seed %d, 30%% loss", seed).hasSize(1);
-            net.loss = 0;
-            net.suspendedUntil.put(Net.name(3), net.nowMicros + 1_500_000);
-            net.run(10 * SECOND);
-            assertThat(net.views).as("seed %d, suspended for 1.5 s", seed).hasSize(1);
-            for (int i = 0; i < 3; i++) { // a quarter that resumes together suspects nobody
-                net.suspendedUntil.put(Net.name(i), net.nowMicros + 1_500_000);
+            SimulatedNetwork network = startCluster(seed, 12);
+            network.lossProbability = 0.3;
+            network.runFor(30 * SECOND_MICROS);
+            assertThat(network.views).as("seed %d, 30%% loss", seed).hasSize(1);
+            network.lossProbability = 0;
+            network.suspendedUntil.put(SimulatedNetwork.memberName(3), network.nowMicros + 1_500_000);
+            network.runFor(10 * SECOND_MICROS);
+            assertThat(network.views).as("seed %d, suspended for 1.5 s", seed).hasSize(1);
+            for (int i = 0; i < 3; i++) { // members that resume at the same time must not suspect others
+                network.suspendedUntil.put(SimulatedNetwork.memberName(i), network.nowMicros + 1_500_000);
             }
-            net.run(10 * SECOND);
-            assertThat(net.views).as("seed %d, a quarter suspended", seed).hasSize(1);
+            network.runFor(10 * SECOND_MICROS);
+            assertThat(network.views).as("seed %d, a quarter suspended", seed).hasSize(1);
         }
     }
 
     @Test
     @Timeout(60)
-    void oneWayPartitionOfAPairRemovesNobodyAndAnUnreachableMemberIsRemovedAndRejoins() {
+    void oneWayPartitionOfAPairRemovesNoMemberAndAnUnreachableMemberIsRemovedAndRejoins() {
         for (int seed = 0; seed < 5; seed++) {
-            Net net = cluster(seed, 12);
-            net.partition = (from, to) -> from.equals("m001") && to.equals("m002");
-            net.run(20 * SECOND);
-            assertThat(net.views)
+            SimulatedNetwork network = startCluster(seed, 12);
+            network.partition = (from, to) -> from.equals("m001") && to.equals("m002");
+            network.runFor(20 * SECOND_MICROS);
+            assertThat(network.views)
                     .as("seed %d: messages from m001 to m002 are lost", seed)
                     .hasSize(1);
-            net.partition = (from, to) -> from.equals("m001");
-            net.run(20 * SECOND);
-            assertThat(net.members.get("m000").view().size()).isEqualTo(11);
-            assertThat(net.views.keySet()).as("no flapping").hasSize(2);
-            net.partition = (from, to) -> false;
-            net.run(8 * SECOND);
-            assertThat(net.agreed(12).id().number()).isEqualTo(3);
+            network.partition = (from, to) -> from.equals("m001");
+            network.runFor(20 * SECOND_MICROS);
+            assertThat(network.members.get("m000").view().size()).isEqualTo(11);
+            assertThat(network.views.keySet()).as("no flapping").hasSize(2);
+            network.partition = (from, to) -> false;
+            network.runFor(8 * SECOND_MICROS);
+            assertThat(network.assertAgreedView(12).id().number()).isEqualTo(3);
         }
     }
 
     @Test
     @Timeout(60)
-    void minorityKeepsItsViewAndFollowsAfterThePartitionHeals() {
+    void minorityKeepsItsViewAndInstallsTheMajoritysViewAfterThePartitionHeals() {
         for (int seed = 0; seed < 5; seed++) {
-            Net net = cluster(seed, 12);
-            net.partition = (from, to) -> from.compareTo("m005") < 0 != to.compareTo("m005") < 0;
-            net.run(20 * SECOND);
-            assertThat(net.members.get("m000").view().id().number())
+            SimulatedNetwork network = startCluster(seed, 12);
+            network.partition = (from, to) -> from.compareTo("m005") < 0 != to.compareTo("m005") < 0;
+            network.runFor(20 * SECOND_MICROS);
+            assertThat(network.members.get("m000").view().id().number())
                     .as("seed %d: five of twelve", seed)
                     .isEqualTo(1);
-            assertThat(net.members.get("m011").view().size()).isEqualTo(7);
-            net.partition = (from, to) -> false;
-            net.run(12 * SECOND);
-            net.agreed(12);
+            assertThat(network.members.get("m011").view().size()).isEqualTo(7);
+            network.partition = (from, to) -> false;
+            network.runFor(12 * SECOND_MICROS);
+            network.assertAgreedView(12);
         }
     }
 
     @Test
     @Timeout(60)
-    void restartDepartureAndJoinsTakeFewViews() {
-        Net net = cluster(1, 12);
-        net.crash("m004");
-        net.add(Net.member("m004", 2), List.of("m000", "m001"), null);
-        net.run(8 * SECOND);
-        assertThat(net.agreed(12).memberNamed("m004").id().incarnation()).isEqualTo(2);
-        assertThat(net.views.size()).isEqualTo(2);
-        net.members.get("m007").leave();
-        net.scheduleTurn("m007");
-        net.run(3 * SECOND);
-        assertThat(net.members.get("m000").view().size()).isEqualTo(11);
-        net.crash("m007");
+    void restartAnnouncedDepartureAndJoinsTakeAtMostFiveViews() {
+        SimulatedNetwork network = startCluster(1, 12);
+        network.crash("m004");
+        network.startMember(SimulatedNetwork.member("m004", 2), List.of("m000", "m001"), null);
+        network.runFor(8 * SECOND_MICROS);
+        assertThat(network.assertAgreedView(12).memberNamed("m004").id().incarnation())
+                .isEqualTo(2);
+        assertThat(network.views.size()).isEqualTo(2);
+        network.members.get("m007").leave();
+        network.scheduleTurn("m007");
+        network.runFor(3 * SECOND_MICROS);
+        assertThat(network.members.get("m000").view().size()).isEqualTo(11);
+        network.crash("m007");
         for (int i = 20; i < 26; i++) {
-            net.add(Net.member(Net.name(i), 1), List.of("m000", "m001"), null);
+            network.startMember(
+                    SimulatedNetwork.member(SimulatedNetwork.memberName(i), 1), List.of("m000", "m001"), null);
         }
-        net.run(8 * SECOND);
-        net.agreed(17);
-        assertThat(net.views.size()).isLessThanOrEqualTo(5);
-        net.run(10 * SECOND);
-        net.members.forEach(
-                (name, one) -> assertThat(net.crashed.contains(name) || one.isQuorumReachable(net.nowMicros))
-                        .as("%s keeps observing after others joined", name)
-                        .isTrue());
-        net.crash("m002");
-        net.run(5 * SECOND);
-        net.agreed(16);
+        network.runFor(8 * SECOND_MICROS);
+        network.assertAgreedView(17);
+        assertThat(network.views.size()).isLessThanOrEqualTo(5);
+        network.runFor(10 * SECOND_MICROS);
+        network.members.forEach((name, membership) -> assertThat(
+                        network.crashed.contains(name) || membership.isQuorumReachable(network.nowMicros))
+                .as("%s keeps observing after others joined", name)
+                .isTrue());
+        network.crash("m002");
+        network.runFor(5 * SECOND_MICROS);
+        network.assertAgreedView(16);
     }
 }
--- a/server/src/test/java/wheatspread/membership/ViewAgreementSearchTest.java
+++ b/server/src/test/java/wheatspread/membership/ViewAgreementSearchTest.java
@@ -17,33 +17,40 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Explores the state space of an agreement: all orders in which proposals, rounds and messages can come, with each
- * message lost, late or duplicated. A message that was sent may reach any member at any later time, or never, so a
- * crash needs no step of its own: it is a member to which nothing more happens. The search records all votes itself
- * and checks that no two changes ever have a quorum of them, whoever knows it. So the votes of the fast round and of
- * acceptors need not be delivered; {@link ViewAgreementTest} covers their delivery.
+ * Explores the state space of an agreement: all orders of proposals, rounds and messages, where each message may be
+ * lost, delayed or duplicated. A message that was sent may reach any member at any later time, or never, so a crash
+ * needs no separate step: a crashed member takes no more steps. The search records all votes and checks that no two
+ * changes ever have a quorum, even if no member knows of it. Therefore the votes of the fast round and of acceptors are
+ * not delivered; {@link ViewAgreementTest} covers their delivery.
  */
 class ViewAgreementSearchTest {
     private static final ViewChange X = ViewChange.of(List.of(new MemberId("x", 1)), List.of());
     private static final ViewChange Y = ViewChange.of(List.of(new MemberId("y", 1)), List.of());
 
-    /** A message of a ballot, its sender and its content. */
+    /** A message of a ballot: its kind, sender and content. */
     private record RoundMessage(char kind, long ballot, int from, long votedBallot, ViewChange change) {}
 
-    /** Limits of a search. */
-    private record Bounds(int members, int rounds, int restarts, int classicQuorum, int fastQuorum, boolean swapped) {}
+    /** The limits of a search and the quorum sizes. */
+    private record Bounds(
+            int memberCount,
+            int maxRounds,
+            int maxRestarts,
+            int classicQuorum,
+            int fastQuorum,
+            boolean swapProposals) {}
 
-    /** The state of all members, with all messages sent so far. */
+    /** The state of all members, with all messages and votes sent so far. */
     private static final class SystemState {
         final ViewAgreement[] members;
         final Set<RoundMessage> sent = new LinkedHashSet<>();
         final Set<RoundMessage> votes = new HashSet<>();
         int rounds;
         int restarts;
+        /** A bit for each member that has proposed, by member index. */
         int proposed;
 
         SystemState(Bounds bounds, View view) {
-            members = new ViewAgreement[bounds.members];
+            members = new ViewAgreement[bounds.memberCount];
             for (int i = 0; i < members.length; i++) {
                 members[i] = new ViewAgreement(view, i, bounds.classicQuorum, bounds.fastQuorum);
             }
@@ -58,31 +65,32 @@
             proposed = other.proposed;
         }
 
-        /** A copy in which one member has another state and has sent its votes and its proposal. */
-        SystemState with(int who, ViewAgreement next) {
+        /** Returns a copy in which a member has a new state and has sent the messages and votes that follow from it. */
+        SystemState withMemberState(int memberIndex, ViewAgreement next) {
             SystemState copy = new SystemState(this);
-            copy.members[who] = next;
+            copy.members[memberIndex] = next;
             next.fastVotes()
-                    .forEach((change, voters) ->
-                            voters.stream().forEach(one -> copy.votes.add(new RoundMessage('v', 0, one, 0, change))));
+                    .forEach((change, voters) -> voters.stream()
+                            .forEach(voter -> copy.votes.add(new RoundMessage('v', 0, voter, 0, change))));
             long ballot = next.ballot();
             if (ballot > ViewAgreement.FAST_BALLOT) {
                 copy.sent.add(new RoundMessage('p', ballot, 0, 0, null));
-                ViewAgreement.Promise mine = next.promises().get(who);
-                if (mine != null) {
-                    copy.sent.add(new RoundMessage('r', ballot, who, mine.votedBallot(), mine.votedChange()));
+                ViewAgreement.Promise ownPromise = next.promises().get(memberIndex);
+                if (ownPromise != null) {
+                    copy.sent.add(new RoundMessage(
+                            'r', ballot, memberIndex, ownPromise.votedBallot(), ownPromise.votedChange()));
                 }
                 if (next.proposal() != null) {
                     copy.sent.add(new RoundMessage('a', ballot, 0, 0, next.proposal()));
                     next.acceptors().stream()
-                            .forEach(one -> copy.votes.add(new RoundMessage('v', ballot, one, 0, next.proposal())));
+                            .forEach(voter -> copy.votes.add(new RoundMessage('v', ballot, voter, 0, next.proposal())));
                 }
             }
             return copy;
         }
 
-        /** The changes that a quorum voted for in one ballot. */
-        Set<ViewChange> chosen(Bounds bounds) {
+        /** Returns the changes for which a quorum voted in one ballot. */
+        Set<ViewChange> chosenChanges(Bounds bounds) {
             Map<String, Integer> counts = new HashMap<>();
             Set<ViewChange> chosen = new HashSet<>();
             for (RoundMessage vote : votes) {
@@ -94,16 +102,17 @@
             return chosen;
         }
 
+        /** Returns a text that is equal for equal states. */
         String key() {
             StringBuilder key = new StringBuilder();
-            for (ViewAgreement one : members) {
-                key.append(one).append('\n');
+            for (ViewAgreement member : members) {
+                key.append(member).append('\n');
             }
-            List<String> all = new ArrayList<>();
-            sent.forEach(message -> all.add(message.toString()));
-            votes.forEach(message -> all.add(message.toString()));
-            all.sort(null);
-            return key.append(all)
+            List<String> messages = new ArrayList<>();
+            sent.forEach(message -> messages.add(message.toString()));
+            votes.forEach(message -> messages.add(message.toString()));
+            messages.sort(null);
+            return key.append(messages)
                     .append(rounds)
                     .append(restarts)
                     .append(proposed)
@@ -121,22 +130,22 @@
         }
     }
 
-    /** The result of a search; the conflict is null where there is none. */
+    /** The result of a search; the conflict is the key of a state with two chosen changes, or null. */
     private record SearchResult(long states, String conflict, boolean complete) {}
 
     private static SearchResult search(Bounds bounds, int maxStates) {
-        List<Member> all = new ArrayList<>();
-        for (int i = 0; i < bounds.members; i++) {
-            all.add(new Member(new MemberId("m" + i, 1), "", "", "", 0));
+        List<Member> members = new ArrayList<>();
+        for (int i = 0; i < bounds.memberCount; i++) {
+            members.add(new Member(new MemberId("m" + i, 1), "", "", "", 0));
         }
-        View view = new View(new ViewId(1, 1), all);
+        View view = new View(new ViewId(1, 1), members);
         Set<Long> seen = new HashSet<>();
         Deque<SystemState> open = new ArrayDeque<>();
         open.add(new SystemState(bounds, view));
         while (!open.isEmpty()) {
             SystemState current = open.pollLast();
             for (SystemState next : successors(current, bounds, view)) {
-                if (next.chosen(bounds).size() > 1) {
+                if (next.chosenChanges(bounds).size() > 1) {
                     return new SearchResult(seen.size(), next.key(), false);
                 }
                 if (seen.size() < maxStates && seen.add(Hashing.komihash5_0().hashCharsToLong(next.key()))) {
@@ -149,37 +158,37 @@
 
     private static List<SystemState> successors(SystemState current, Bounds bounds, View view) {
         List<SystemState> next = new ArrayList<>();
-        for (int who = 0; who < bounds.members; who++) {
-            ViewAgreement member = current.members[who];
-            if ((current.proposed & 1 << who) == 0) {
+        for (int memberIndex = 0; memberIndex < bounds.memberCount; memberIndex++) {
+            ViewAgreement member = current.members[memberIndex];
+            if ((current.proposed & 1 << memberIndex) == 0) {
                 ViewAgreement proposing = new ViewAgreement(member);
-                proposing.propose(who % 2 == 0 != bounds.swapped ? X : Y);
-                SystemState after = current.with(who, proposing);
-                after.proposed |= 1 << who;
+                proposing.propose(memberIndex % 2 == 0 != bounds.swapProposals ? X : Y);
+                SystemState after = current.withMemberState(memberIndex, proposing);
+                after.proposed |= 1 << memberIndex;
                 next.add(after);
             }
-            if (current.rounds < bounds.rounds && member.hasCandidate() && member.decided() == null) {
+            if (current.rounds < bounds.maxRounds && member.hasCandidate() && member.decided() == null) {
                 ViewAgreement coordinator = new ViewAgreement(member);
                 coordinator.startClassicRound();
-                SystemState after = current.with(who, coordinator);
+                SystemState after = current.withMemberState(memberIndex, coordinator);
                 after.rounds++;
                 next.add(after);
             }
-            if (current.restarts < bounds.restarts) {
-                SystemState after =
-                        current.with(who, new ViewAgreement(view, who, bounds.classicQuorum, bounds.fastQuorum));
+            if (current.restarts < bounds.maxRestarts) {
+                SystemState after = current.withMemberState(
+                        memberIndex, new ViewAgreement(view, memberIndex, bounds.classicQuorum, bounds.fastQuorum));
                 after.restarts++;
-                after.proposed &= ~(1 << who);
+                after.proposed &= ~(1 << memberIndex);
                 next.add(after);
             }
             for (RoundMessage message : current.sent) {
-                if (message.kind == 'r' && (message.ballot & 0xFFFFF) != who) {
-                    continue; // a promise matters to the coordinator of its ballot alone
+                if (message.kind == 'r' && (message.ballot & 0xFFFFF) != memberIndex) {
+                    continue; // only the coordinator of its ballot uses a promise
                 }
                 ViewAgreement receiver = new ViewAgreement(member);
                 deliver(receiver, message);
                 if (!receiver.toString().equals(member.toString())) {
-                    next.add(current.with(who, receiver));
+                    next.add(current.withMemberState(memberIndex, receiver));
                 }
             }
         }
@@ -189,27 +198,29 @@
     @Test
     @Timeout(60)
     void threeMembersNeverDecideTwoChanges() {
-        SearchResult found = search(new Bounds(3, 2, 0, 2, 3, false), 200_000);
-        System.out.println("3 members, 2 rounds: " + found.states() + " states");
-        assertThat(found.conflict()).isNull();
-        assertThat(found.complete()).isTrue();
+        SearchResult result = search(new Bounds(3, 2, 0, 2, 3, false), 200_000);
+        System.out.println("3 members, 2 rounds: " + result.states() + " states");
+        assertThat(result.conflict()).isNull();
+        assertThat(result.complete()).isTrue();
     }
 
-    /** Bounded: not all states of five members, but the first ones of every path. */
+    /** The state limit cuts the search off, so that it does not visit all states of five members. */
     @Test
     @Timeout(60)
     void fiveMembersNeverDecideTwoChangesWithinTheStateLimit() {
-        SearchResult found = search(new Bounds(5, 2, 0, 3, 4, false), 40_000);
-        System.out.println("5 members, 2 rounds: " + found.states() + " states");
-        assertThat(found.conflict()).isNull();
+        SearchResult result = search(new Bounds(5, 2, 0, 3, 4, false), 40_000);
+        System.out.println("5 members, 2 rounds: " + result.states() + " states");
+        assertThat(result.conflict()).isNull();
     }
 
-    /** Shows that the search finds faults: each of these would give two servers different views of one number. */
+    /**
+     * Shows that the search finds faults: each of these quorums would allow two different views with the same number.
+     */
     @Test
     @Timeout(60)
-    void quorumThatIsOneTooSmallLeadsToAConflict() {
+    void quorumOneBelowTheRequiredSizeLeadsToAConflict() {
         assertThat(search(new Bounds(3, 2, 0, 1, 3, false), 200_000).conflict()).contains("x#1", "y#1");
-        // which of two possibly decided changes is proposed depends on the order of a map here
+        // with these quorums the iteration order of a map determines which of two possibly decided changes is proposed
         assertThat(Stream.of(false, true)
                         .map(swapped -> search(new Bounds(3, 2, 0, 2, 2, swapped), 200_000)
                                 .conflict()))
@@ -218,7 +229,7 @@
 
     @Test
     @Timeout(60)
-    void voteForgottenAtARestartLeadsToAConflict() {
+    void voteLostInARestartLeadsToAConflict() {
         assertThat(search(new Bounds(3, 2, 1, 2, 3, false), 200_000).conflict()).contains("x#1", "y#1");
     }
 }
--- a/server/src/test/java/wheatspread/membership/ViewTest.java
+++ b/server/src/test/java/wheatspread/membership/ViewTest.java
@@ -12,19 +12,19 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Observers, watermarks, quorums, and how a change leads to the restarted view. */
+/** Tests observers, watermarks, quorums and the view that results from a change. */
 class ViewTest {
-    private static Member member(String name, long start) {
-        return new Member(new MemberId(name, start), "", "", "", 0);
+    private static Member member(String name, long incarnation) {
+        return new Member(new MemberId(name, incarnation), "", "", "", 0);
     }
 
     private static View view(int size) {
-        List<Member> all = new ArrayList<>();
+        List<Member> members = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            all.add(member("server-" + i, 7));
+            members.add(member("server-" + i, 7));
         }
-        Collections.shuffle(all, new Random(size));
-        return new View(new ViewId(5, 1), all);
+        Collections.shuffle(members, new Random(size));
+        return new View(new ViewId(5, 1), members);
     }
 
     @Test
@@ -38,24 +38,24 @@
     }
 
     @Test
-    void everyMemberHasItsOwnSetOfObserversAndObservesAboutAsMany() {
+    void everyMemberHasADifferentSetOfObserversAndABoundedNumberOfSubjects() {
         View view = view(200);
         int[] subjectCounts = new int[view.size()];
-        Set<String> sets = new HashSet<>();
+        Set<String> observerSets = new HashSet<>();
         for (int i = 0; i < view.size(); i++) {
             int[] observers = view.observersOf(i);
             assertThat(observers)
                     .hasSize(View.OBSERVERS_PER_SUBJECT)
                     .doesNotHaveDuplicates()
                     .doesNotContain(i);
-            for (int one : observers) {
-                subjectCounts[one]++;
+            for (int observer : observers) {
+                subjectCounts[observer]++;
             }
             Arrays.sort(observers);
-            sets.add(Arrays.toString(observers));
+            observerSets.add(Arrays.toString(observers));
         }
         assertThat(Arrays.stream(subjectCounts).max().orElseThrow()).isLessThan(3 * View.OBSERVERS_PER_SUBJECT);
-        assertThat(sets).as("no two have the same observers").hasSize(200);
+        assertThat(observerSets).as("no two have the same observers").hasSize(200);
         assertThat(view(3).observersOf(0)).containsExactlyInAnyOrder(1, 2);
         assertThat(view(1).observersOf(0)).isEmpty();
     }
@@ -73,15 +73,15 @@
     @Test
     void restartedMemberReplacesItsEarlierIncarnation() {
         View view = view(4);
-        MemberId old = view.members().get(2).id();
-        Member restarted = member(old.name(), 8);
-        View after = view.withChange(ViewChange.of(List.of(old), List.of(restarted)));
-        assertThat(after.indexOf(old)).isEqualTo(-1);
+        MemberId previous = view.members().get(2).id();
+        Member restarted = member(previous.name(), 8);
+        View after = view.withChange(ViewChange.of(List.of(previous), List.of(restarted)));
+        assertThat(after.indexOf(previous)).isEqualTo(-1);
         assertThat(after.indexOf(restarted.id())).isEqualTo(2);
-        assertThat(after.memberNamed(old.name())).isEqualTo(restarted);
+        assertThat(after.memberNamed(previous.name())).isEqualTo(restarted);
         assertThat(after.id()).isGreaterThan(view.id());
         assertThatThrownBy(() -> view.withChange(ViewChange.of(List.of(), List.of(restarted))))
                 .isInstanceOf(IllegalArgumentException.class)
-                .hasMessageContaining(old.name());
+                .hasMessageContaining(previous.name());
     }
 }
