--- a/server/src/main/java/wheatspread/peers/BodyCodec.java
+++ b/server/src/main/java/wheatspread/peers/BodyCodec.java
@@ -2,7 +2,7 @@
 
 import wheatspread.membership.Message.Body;
 
-/** Message bodies to and from the {@code body} field of an {@code Envelope}. */
+/** Encodes and decodes message bodies in the {@code body} field of an {@code Envelope}. */
 final class BodyCodec {
     private BodyCodec() {}
 
@@ -10,7 +10,7 @@
         body.accept(new Encoder(envelope));
     }
 
-    /** A kind of body of a later minor version counts as gossip alone. */
+    /** Decodes a body; an unknown kind of a later minor version is treated as {@link Body.Gossip}. */
     static Body decode(Format.Envelope envelope) throws MalformedMessageException {
         return switch (envelope.getBodyCase()) {
             case PING -> decodePing(envelope.getPing());
@@ -46,7 +46,7 @@
         return new Body.BootstrapConsent(field.getEpoch(), FieldCodec.decodeMember(field.getMember()));
     }
 
-    /** Sets the field of the body's kind. */
+    /** Sets the field for the kind of body. */
     private static final class Encoder implements Body.Visitor<Format.Envelope.Builder> {
         private final Format.Envelope.Builder envelope;
 
--- a/server/src/main/java/wheatspread/peers/FieldCodec.java
+++ b/server/src/main/java/wheatspread/peers/FieldCodec.java
@@ -11,13 +11,13 @@
 import wheatspread.membership.ViewId;
 
 /**
- * The values that several kinds of message share, to and from their protobuf form. Each decoded value is checked
- * against its bounds, so that membership meets only what a server could have sent.
+ * Encodes and decodes the values that several kinds of messages share. Each decoded value is checked against its
+ * bounds, so that membership receives only values that a server can send.
  */
 final class FieldCodec {
-    /** Characters of a name, a zone or a build. */
+    /** The maximum number of characters of a name, a zone or a build. */
     private static final int MAX_TEXT_LENGTH = 128;
-    /** Bound of epochs, view numbers, start numbers and ballots. */
+    /** The maximum of epochs, view numbers, incarnations and ballots. */
     private static final long MAX_NUMBER = 1L << 53;
 
     private static final int MAX_COUNTER = 1 << 30;
@@ -120,7 +120,7 @@
         return BitSet.valueOf(field.toByteArray());
     }
 
-    /** Only IPv4 addresses are valid: resolving a name would block the event loop. */
+    /** Accepts only IPv4 addresses with a port, since resolving a host name would block the event loop. */
     static String decodeAddress(String field) throws MalformedMessageException {
         if (!PeerAddress.isValid(field)) {
             throw MalformedMessageException.invalid("address", field);
--- a/server/src/main/java/wheatspread/peers/GossipUpdateCodec.java
+++ b/server/src/main/java/wheatspread/peers/GossipUpdateCodec.java
@@ -5,9 +5,9 @@
 import wheatspread.membership.ViewAgreement;
 import wheatspread.membership.ViewChange;
 
-/** Gossip updates to and from their protobuf form, {@code Piece}. */
+/** Encodes and decodes gossip updates in their protobuf form, {@code Piece}. */
 final class GossipUpdateCodec {
-    /** The fast round's votes need no ballot: it is always {@link ViewAgreement#FAST_BALLOT}. */
+    /** The ballot field of the fast round's votes, whose ballot is always {@link ViewAgreement#FAST_BALLOT}. */
     private static final long NO_BALLOT_FIELD = 0;
 
     private static final Encoder ENCODER = new Encoder();
@@ -18,7 +18,7 @@
         return update.accept(ENCODER).build();
     }
 
-    /** Returns null for a kind of update of a later minor version, which is skipped. */
+    /** Decodes an update; returns null for an unknown kind of a later minor version, which the caller skips. */
     static GossipUpdate decode(Format.Piece field) throws MalformedMessageException {
         return switch (field.getWhatCase()) {
             case REPORT -> decodeReport(field.getReport());
@@ -63,7 +63,8 @@
     private static GossipUpdate decodePromised(Format.Promised field) throws MalformedMessageException {
         boolean voted = field.hasVoted();
         if (voted != field.getVotedIn() >= ViewAgreement.FAST_BALLOT) {
-            throw MalformedMessageException.invalid("voted_in", "a vote and its ballot come together or not at all");
+            throw MalformedMessageException.invalid(
+                    "voted_in", "either the vote or its ballot is missing, expected both or neither");
         }
         return new GossipUpdate.Promised(
                 FieldCodec.decodeBallot(field.getBallot()),
@@ -81,7 +82,7 @@
                 FieldCodec.decodeVoters(field.getVoters()));
     }
 
-    /** Sets the field of the update's kind. */
+    /** Builds a {@code Piece} with the field for the kind of update. */
     private static final class Encoder implements GossipUpdate.Visitor<Format.Piece.Builder> {
         @Override
         public Format.Piece.Builder visitReport(GossipUpdate.Report update) {
--- a/server/src/main/java/wheatspread/peers/InboundRateLimit.java
+++ b/server/src/main/java/wheatspread/peers/InboundRateLimit.java
@@ -1,23 +1,25 @@
 package wheatspread.peers;
 
 /**
- * Bounds how many messages of peers are read in each window of time; what comes beyond that is dropped. A fleet of
- * thousands sends far less, and a flood takes a bounded share of the event loop.
+ * Limits how many messages of peers are read in each time window; further messages are dropped. A fleet of thousands of
+ * members sends far less than the limit, and a flood of messages takes a bounded share of the event loop's time.
  */
 final class InboundRateLimit {
-    /** Length of a window, in microseconds. */
+    /** The length of a window. */
     static final long WINDOW_MICROS = 50_000;
-    /** Messages read in one window. */
+    /** The maximum number of messages read in one window. */
     static final int MAX_MESSAGES_PER_WINDOW = 200;
 
-    private long window = Long.MIN_VALUE;
+    /** The number of the current window, counted from time 0. */
+    private long windowNumber = Long.MIN_VALUE;
+
     private int messagesInWindow;
 
-    /** Whether one more message may be read now. */
+    /** Counts a message; returns whether it may be read. */
     boolean tryAcquire(long nowMicros) {
-        long current = Math.floorDiv(nowMicros, WINDOW_MICROS);
-        if (current != window) {
-            window = current;
+        long currentWindow = Math.floorDiv(nowMicros, WINDOW_MICROS);
+        if (currentWindow != windowNumber) {
+            windowNumber = currentWindow;
             messagesInWindow = 0;
         }
         messagesInWindow++;
--- a/server/src/main/java/wheatspread/peers/MalformedMessageException.java
+++ b/server/src/main/java/wheatspread/peers/MalformedMessageException.java
@@ -1,18 +1,18 @@
 package wheatspread.peers;
 
-/** A received message that is dropped, with the reason under which it is counted and the field that was wrong. */
+/** Thrown for a received message that must be dropped, with the reason for the counters and the invalid field. */
 public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Why a message is dropped. */
+    /** The reason for which a message is dropped. */
     public enum Reason {
-        /** The checksum does not match: damaged on its way, or not a message of this protocol. */
+        /** The checksum does not match: the message was corrupted in transit, or is not of this protocol. */
         CORRUPT("spoilt"),
         /** The envelope can't be parsed, or a field is outside its bounds. */
         INVALID("garbage"),
-        /** It belongs to another cluster. */
+        /** The message belongs to another cluster. */
         OTHER_CLUSTER("foreign"),
-        /** Its major format version is not the one of this program. */
+        /** The major format version of the message differs from that of this program. */
         UNSUPPORTED_VERSION("version");
 
         private final String counterName;
@@ -21,7 +21,9 @@
             this.counterName = counterName;
         }
 
-        /** The name in the operators' figures, after {@code unread_}; it stays when the constant is renamed. */
+        /**
+         * Returns the suffix of the counter's name, after {@code unread_}; it must not change with the constant's name.
+         */
         String counterName() {
             return counterName;
         }
@@ -32,14 +34,14 @@
     private final String value;
 
     private MalformedMessageException(Reason reason, String field, String value, String message) {
-        super(message, null, false, false); // no stack trace: a flood of bad messages must stay cheap
+        super(message, null, false, false); // without a stack trace, so that a flood of malformed messages stays cheap
         this.reason = reason;
         this.field = field;
         this.value = value;
     }
 
     static MalformedMessageException corrupt() {
-        return new MalformedMessageException(Reason.CORRUPT, "checksum", "", "checksum does not match");
+        return new MalformedMessageException(Reason.CORRUPT, "checksum", "", "checksum does not match the message");
     }
 
     static MalformedMessageException unparsable(String error) {
@@ -47,7 +49,8 @@
     }
 
     static MalformedMessageException invalid(String field, Object value) {
-        return new MalformedMessageException(Reason.INVALID, field, String.valueOf(value), field + ": " + value);
+        return new MalformedMessageException(
+                Reason.INVALID, field, String.valueOf(value), "invalid value of field " + field + ": " + value);
     }
 
     static MalformedMessageException otherCluster(String cluster) {
@@ -57,20 +60,23 @@
 
     static MalformedMessageException unsupportedVersion(int major) {
         return new MalformedMessageException(
-                Reason.UNSUPPORTED_VERSION, "major", String.valueOf(major), "format version " + major);
+                Reason.UNSUPPORTED_VERSION,
+                "major",
+                String.valueOf(major),
+                "message has major format version " + major + ", expected " + MessageCodec.MAJOR);
     }
 
-    /** Under what the message is counted. */
+    /** Returns the reason under which the message is counted. */
     public Reason reason() {
         return reason;
     }
 
-    /** The field of the message that was wrong. */
+    /** Returns the name of the invalid field. */
     public String field() {
         return field;
     }
 
-    /** What stood in that field; empty where it could not be read. */
+    /** Returns the value of that field as text; empty if it could not be read. */
     public String value() {
         return value;
     }
--- a/server/src/main/java/wheatspread/peers/MessageCodec.java
+++ b/server/src/main/java/wheatspread/peers/MessageCodec.java
@@ -10,16 +10,16 @@
 import wheatspread.membership.Message;
 
 /**
- * Messages to and from bytes: a CRC-32C of four bytes, highest byte first, then an {@code Envelope} with the format
- * version and the cluster's name. Messages that are damaged, out of bounds, of another cluster or of another major
- * version are rejected.
+ * Encodes and decodes messages: a CRC-32C of four bytes in big-endian order, then an {@code Envelope} with the format
+ * version and the cluster's name. Messages that are corrupt, have fields out of bounds, or belong to another cluster or
+ * another major version are rejected.
  */
 public final class MessageCodec {
-    /** Grows with a change that older programs would misread; they drop such messages. */
+    /** The major format version, incremented by incompatible changes; older programs drop such messages. */
     public static final int MAJOR = 1;
-    /** Grows with additions that older programs may skip. */
+    /** The minor format version, incremented by additions that older programs can skip. */
     public static final int MINOR = 0;
-    /** Members of the largest fleet. */
+    /** The maximum number of members in a view. */
     public static final int MAX_MEMBERS = 4_096;
 
     private static final int MAX_UPDATES = 1 << 16;
@@ -27,16 +27,18 @@
     private final String cluster;
     private final String address;
 
-    /** A decoded message, with the address to which answers go. */
+    /** A decoded message, with the address to which replies are sent. */
     public record Received(String address, Message message) {}
 
-    /** {@code address} is this server's own, which its messages carry as the address for answers. */
+    /**
+     * Creates a codec; {@code address} is this server's address, which its messages carry as the address for replies.
+     */
     public MessageCodec(String cluster, String address) {
         this.cluster = cluster;
         this.address = address;
     }
 
-    /** The bytes of a message from this server. */
+    /** Encodes a message from this server. */
     public byte[] encode(Message message) {
         Format.Envelope.Builder envelope = Format.Envelope.newBuilder()
                 .setMajor(MAJOR)
@@ -52,7 +54,11 @@
         return prependChecksum(envelope.build().toByteArray());
     }
 
-    /** The message of these bytes; throws where they are to be dropped. */
+    /**
+     * Decodes a message.
+     *
+     * @throws MalformedMessageException if the message must be dropped
+     */
     public Received decode(byte[] bytes) throws MalformedMessageException {
         Format.Envelope envelope = parse(bytes);
         if (envelope.getMajor() != MAJOR) {
@@ -95,7 +101,7 @@
         return updates;
     }
 
-    /** The envelope with its checksum in front. */
+    /** Returns the checksum of an envelope, followed by the envelope. */
     static byte[] prependChecksum(byte[] envelope) {
         return ByteBuffer.allocate(Integer.BYTES + envelope.length)
                 .putInt(checksum(envelope, 0))
@@ -103,7 +109,7 @@
                 .array();
     }
 
-    /** UDP's own checksum has 16 bits, may be absent, and ends at the first relay. */
+    /** Computes the CRC-32C: UDP's checksum has only 16 bits, may be absent, and does not extend past a relay. */
     private static int checksum(byte[] bytes, int from) {
         CRC32C checksum = new CRC32C();
         checksum.update(bytes, from, bytes.length - from);
--- a/server/src/main/java/wheatspread/peers/PeerAddress.java
+++ b/server/src/main/java/wheatspread/peers/PeerAddress.java
@@ -5,8 +5,8 @@
 import java.net.UnknownHostException;
 
 /**
- * The address of a peer: an IPv4 address and a port, as {@code 10.0.0.7:7400}. Names are not allowed, since resolving
- * one would block the event loop.
+ * Parses and formats the address of a peer: an IPv4 address and a port, as {@code 10.0.0.7:7400}. Host names are
+ * invalid, since resolving a name would block the event loop.
  */
 public final class PeerAddress {
     private static final int IPV4_BYTES = 4;
@@ -18,12 +18,12 @@
 
     private PeerAddress() {}
 
-    /** Whether a text is such an address. */
+    /** Returns whether a text is a valid address. */
     public static boolean isValid(String text) {
         return parse(text) != null;
     }
 
-    /** The address that a text stands for; null where it is none. Nothing is looked up. */
+    /** Parses an address without a DNS lookup; returns null if the text is not valid. */
     public static InetSocketAddress parse(String text) {
         byte[] host = new byte[IPV4_BYTES];
         int position = 0;
@@ -56,12 +56,14 @@
         }
     }
 
-    /** The port at the end of a text; {@link #NO_PORT} where there is none to which messages can be sent. */
-    private static int parsePort(String text, int from) {
+    /**
+     * Parses the port at the end of a text; returns {@link #NO_PORT} if it is missing, 0, not a number or too large.
+     */
+    private static int parsePort(String text, int start) {
         int port = 0;
-        for (int position = from; position < text.length(); position++) {
+        for (int position = start; position < text.length(); position++) {
             char c = text.charAt(position);
-            if (!isDigit(c) || position - from >= MAX_PORT_DIGITS) {
+            if (!isDigit(c) || position - start >= MAX_PORT_DIGITS) {
                 return NO_PORT;
             }
             port = port * 10 + c - '0';
@@ -73,7 +75,7 @@
         return c >= '0' && c <= '9';
     }
 
-    /** The text form of an address, which {@link #parse} reads. */
+    /** Returns the text form of an IPv4 address, which {@link #parse} accepts. */
     public static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
--- a/server/src/main/java/wheatspread/peers/PeerCounters.java
+++ b/server/src/main/java/wheatspread/peers/PeerCounters.java
@@ -3,7 +3,7 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** Counts of messages sent to and received from peers since the start, and of those dropped, by reason. */
+/** Counts messages sent to and received from peers since the start, and dropped messages by reason. */
 public final class PeerCounters {
     private long sent;
     private long sentBytes;
@@ -25,17 +25,17 @@
         receivedBytes += bytes;
     }
 
-    /** A message did not fit in a datagram and went on a stream. */
+    /** Counts a message that did not fit in a datagram and was sent on a stream. */
     void recordOversized() {
         oversized++;
     }
 
-    /** A message could not be sent; the failure detector finds out what that means. */
+    /** Counts a message that could not be sent; the failure detector handles the consequences. */
     void recordSendFailure() {
         sendFailures++;
     }
 
-    /** A message or stream above the limit of {@link InboundRateLimit} or of open streams was dropped. */
+    /** Counts a message or stream that was dropped because of {@link InboundRateLimit} or the limit of open streams. */
     void recordOverRate() {
         overRate++;
     }
@@ -44,43 +44,43 @@
         malformed.merge(reason, 1L, Long::sum);
     }
 
-    /** How many messages were sent. */
+    /** Returns the number of messages sent, including those that a {@link LinkFilter} dropped. */
     public long sent() {
         return sent;
     }
 
-    /** How many bytes were sent, without the headers of IP, UDP and TCP. */
+    /** Returns the number of bytes sent, without the headers of IP, UDP and TCP. */
     public long sentBytes() {
         return sentBytes;
     }
 
-    /** How many messages came faster than {@link InboundRateLimit} lets them be read. */
+    /** Returns the number of messages and streams dropped because of {@link InboundRateLimit} or too many streams. */
     public long overRate() {
         return overRate;
     }
 
-    /** How many messages were dropped as malformed, for whatever reason. */
+    /** Returns the number of messages dropped as malformed, for any reason. */
     public long malformed() {
         return malformed.values().stream().mapToLong(Long::longValue).sum();
     }
 
-    /** The counters as {@code name=value} lines; these names are part of the operators' interface. */
+    /** Returns the counters as lines of {@code name=value}; the names are part of the operators' interface. */
     public String text(String prefix) {
         StringBuilder text = new StringBuilder();
-        line(text, prefix + "sent", sent);
-        line(text, prefix + "sent_bytes", sentBytes);
-        line(text, prefix + "received", received);
-        line(text, prefix + "received_bytes", receivedBytes);
-        line(text, prefix + "large", oversized);
-        line(text, prefix + "unsent", sendFailures);
-        line(text, prefix + "over_rate", overRate);
+        appendLine(text, prefix + "sent", sent);
+        appendLine(text, prefix + "sent_bytes", sentBytes);
+        appendLine(text, prefix + "received", received);
+        appendLine(text, prefix + "received_bytes", receivedBytes);
+        appendLine(text, prefix + "large", oversized);
+        appendLine(text, prefix + "unsent", sendFailures);
+        appendLine(text, prefix + "over_rate", overRate);
         for (MalformedMessageException.Reason reason : MalformedMessageException.Reason.values()) {
-            line(text, prefix + "unread_" + reason.counterName(), malformed.getOrDefault(reason, 0L));
+            appendLine(text, prefix + "unread_" + reason.counterName(), malformed.getOrDefault(reason, 0L));
         }
         return text.toString();
     }
 
-    private static void line(StringBuilder text, String name, long value) {
+    private static void appendLine(StringBuilder text, String name, long value) {
         text.append(name).append('=').append(value).append('\n');
     }
 }
--- a/server/src/main/java/wheatspread/peers/PeerDatagrams.java
+++ b/server/src/main/java/wheatspread/peers/PeerDatagrams.java
@@ -16,9 +16,9 @@
 import wheatspread.logging.EventLog;
 import wheatspread.transport.Transport;
 
-/** The UDP socket for messages that fit in one datagram. All of it runs on the one event loop. */
+/** The UDP socket for messages that fit in one datagram. All calls are made on the event loop's thread. */
 final class PeerDatagrams {
-    /** Payload that passes any network without fragmentation. */
+    /** The maximum payload, which passes through usual networks without fragmentation. */
     static final int MAX_DATAGRAM_BYTES = 1_200;
 
     private static final int RECEIVE_BUFFER_BYTES = 2_048;
@@ -61,9 +61,9 @@
         }
     }
 
-    /** Sends one message; a failure is counted and not repeated. */
-    void send(InetSocketAddress to, byte[] message) {
-        socket.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(message), to))
+    /** Sends a message; a failure is counted, and the message is not sent again. */
+    void send(InetSocketAddress recipient, byte[] message) {
+        socket.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(message), recipient))
                 .addListener(done -> {
                     if (!done.isSuccess()) {
                         counters.recordSendFailure();
@@ -71,7 +71,7 @@
                 });
     }
 
-    /** Hands each datagram's content on. */
+    /** Passes the content of each datagram to {@code onMessage}. */
     private final class InboundHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
--- a/server/src/main/java/wheatspread/peers/PeerStreams.java
+++ b/server/src/main/java/wheatspread/peers/PeerStreams.java
@@ -18,19 +18,20 @@
 import wheatspread.transport.Transport;
 
 /**
- * Messages that are too large for a datagram, each on a TCP connection of its own: a length of four bytes, then the
- * message. Open connections are bounded in number and time. All of it runs on the one event loop.
+ * Sends and receives messages that are too large for a datagram, each on a separate TCP connection: a length of four
+ * bytes, then the message. The number and lifetime of open connections are limited. All calls are made on the event
+ * loop's thread.
  */
 final class PeerStreams {
-    /** A view of {@link MessageCodec#MAX_MEMBERS} with long names. */
+    /** The maximum size of a message, which fits a view of {@link MessageCodec#MAX_MEMBERS} with long names. */
     private static final int MAX_FRAME_BYTES = 2 << 20;
 
     private static final int LENGTH_BYTES = 4;
-    /** Connections at a time, inbound and outbound together. */
+    /** The maximum number of open connections, inbound and outbound together. */
     private static final int MAX_OPEN_STREAMS = 16;
 
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
-    /** A connection is closed after this time, whether its message is complete or not. */
+    /** A connection is closed after this time, even if its message is not complete. */
     private static final long STREAM_TIMEOUT_MICROS = 3_000_000;
 
     private final Transport transport;
@@ -71,8 +72,8 @@
         }
     }
 
-    /** Sends one message on a connection of its own; a failure is counted and not repeated. */
-    void send(InetSocketAddress to, byte[] message) {
+    /** Sends a message on a new connection; a failure is counted, and the message is not sent again. */
+    void send(InetSocketAddress recipient, byte[] message) {
         if (openStreams >= MAX_OPEN_STREAMS) {
             counters.recordSendFailure();
             return;
@@ -83,7 +84,7 @@
                 .channel(transport.clientChannel())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .handler(new OutboundInitializer())
-                .connect(to)
+                .connect(recipient)
                 .addListener((ChannelFuture connecting) -> {
                     if (connecting.isSuccess()) {
                         writeAndClose(connecting.channel(), message);
@@ -99,7 +100,7 @@
                 .addListener(written -> channel.close());
     }
 
-    /** Closes a counted stream when its time is over, and takes it from the count once it is closed. */
+    /** Closes a stream after {@link #STREAM_TIMEOUT_MICROS}, and decrements the number of open streams on its close. */
     private void limitLifetime(Channel channel) {
         Clock.Timer timeout = clock.schedule(STREAM_TIMEOUT_MICROS, channel::close);
         channel.closeFuture().addListener(done -> {
@@ -116,7 +117,7 @@
         }
     }
 
-    /** Sets up a connection that a peer opens, or closes it where too many are open. */
+    /** Sets up a connection that a peer opens, or closes it if too many are open. */
     private final class InboundInitializer extends ChannelInitializer<Channel> {
         @Override
         protected void initChannel(Channel channel) {
@@ -134,7 +135,7 @@
         }
     }
 
-    /** Reads the one message of a connection and closes it. */
+    /** Reads the message of a connection and closes the connection. */
     private final class InboundHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
--- a/server/src/main/java/wheatspread/peers/PeerTransport.java
+++ b/server/src/main/java/wheatspread/peers/PeerTransport.java
@@ -20,12 +20,12 @@
 import wheatspread.transport.Transport;
 
 /**
- * Drives {@link Membership} on one event loop: hands it received messages and the time of its turns, and carries what
- * it sends as datagrams or, where those are too small, on streams. {@link InboundRateLimit} bounds how many messages
- * are read, so peers hold the loop only for a bounded share of its time.
+ * Drives {@link Membership} on one event loop: passes received messages to it, runs its turns, and sends its messages
+ * as datagrams or, if they do not fit, on streams. {@link InboundRateLimit} limits how many messages are read, so that
+ * messages of peers take a bounded share of the event loop's time.
  */
 public final class PeerTransport {
-    private static final long NO_TURN = Long.MAX_VALUE;
+    private static final long NO_TURN_MICROS = Long.MAX_VALUE;
 
     private final EventLoop loop;
     private final Clock clock;
@@ -39,11 +39,16 @@
     private final PeerStreams streams;
     private LinkFilter linkFilter = LinkFilter.NONE;
     private Clock.Timer turnTimer;
-    private long turnMicros = NO_TURN;
+    private long turnMicros = NO_TURN_MICROS;
     private boolean started;
     private boolean closed;
 
-    /** {@code self} holds the address at which others reach this server, which listens at {@code listen}. */
+    /**
+     * Creates the transport; {@link #open} binds its sockets.
+     *
+     * @param self this server as a member, with the address at which other servers reach it
+     * @param listen the address to which the sockets are bound
+     */
     public PeerTransport(
             String cluster,
             InetSocketAddress listen,
@@ -64,12 +69,12 @@
         membership = new Membership(self, seeds, DetectorSettings.DEFAULT, random, new MembershipActions());
     }
 
-    /** Messages pass this filter from now on; on the loop's thread, or before {@link #open}. */
+    /** Sets the filter for all further messages; must be called on the loop's thread, or before {@link #open}. */
     public void setLinkFilter(LinkFilter filter) {
         linkFilter = filter;
     }
 
-    /** Binds both sockets and starts membership; where one socket can't be bound, neither stays open. */
+    /** Binds both sockets and starts membership; if one socket can't be bound, the other one is closed. */
     public Future<Void> open() {
         Promise<Void> opened = loop.newPromise();
         datagrams.bind(listen).addListener(bound -> {
@@ -106,9 +111,9 @@
     }
 
     /**
-     * An operator's order to form the cluster anew; on the loop's thread.
+     * Starts forming a new cluster on an operator's order; must be called on the loop's thread.
      *
-     * @return why it is refused, or null
+     * @return why the order is refused; null if it is accepted
      */
     public String orderBootstrap() {
         String refusal = membership.orderBootstrap(EventLoopScheduler.monotonicMicros());
@@ -116,13 +121,13 @@
         return refusal;
     }
 
-    /** Announces that this server leaves; on the loop's thread. */
+    /** Announces that this server leaves; must be called on the loop's thread. */
     public void leave() {
         membership.leave();
         scheduleTurn();
     }
 
-    /** Closes both sockets and stops membership; on the loop's thread. */
+    /** Closes both sockets and stops membership; must be called on the loop's thread. */
     public void close() {
         closed = true;
         if (turnTimer != null) {
@@ -132,18 +137,18 @@
         streams.close();
     }
 
-    /** What is known of the cluster; on the loop's thread. */
+    /** Returns the membership protocol's state; must be used on the loop's thread. */
     public Membership membership() {
         return membership;
     }
 
-    /** Counts of messages since the start; on the loop's thread. */
+    /** Returns the message counters; must be used on the loop's thread. */
     public PeerCounters counters() {
         return counters;
     }
 
     private void scheduleTurn() {
-        long nextMicros = closed || !started ? NO_TURN : membership.nextTurnMicros();
+        long nextMicros = closed || !started ? NO_TURN_MICROS : membership.nextTurnMicros();
         if (nextMicros == turnMicros) {
             return;
         }
@@ -152,14 +157,14 @@
             turnTimer = null;
         }
         turnMicros = nextMicros;
-        if (nextMicros != NO_TURN) {
+        if (nextMicros != NO_TURN_MICROS) {
             turnTimer = clock.schedule(Math.max(0, nextMicros - EventLoopScheduler.monotonicMicros()), this::turn);
         }
     }
 
     private void turn() {
         turnTimer = null;
-        turnMicros = NO_TURN;
+        turnMicros = NO_TURN_MICROS;
         if (!closed) {
             membership.turn(EventLoopScheduler.monotonicMicros());
             scheduleTurn();
@@ -184,13 +189,13 @@
         }
     }
 
-    /** What membership does to the outside. */
+    /** Sends membership's messages and logs its views. */
     private final class MembershipActions implements Membership.Actions {
         @Override
         public void send(String address, Message message) {
             byte[] bytes = codec.encode(message);
-            InetSocketAddress to = PeerAddress.parse(address);
-            if (closed || to == null) {
+            InetSocketAddress recipient = PeerAddress.parse(address);
+            if (closed || recipient == null) {
                 return;
             }
             counters.recordSent(bytes.length);
@@ -199,31 +204,32 @@
             }
             if (bytes.length > PeerDatagrams.MAX_DATAGRAM_BYTES) {
                 counters.recordOversized();
-                streams.send(to, bytes);
+                streams.send(recipient, bytes);
             } else {
-                datagrams.send(to, bytes);
+                datagrams.send(recipient, bytes);
             }
         }
 
         @Override
-        public void onViewInstalled(View before, View now, List<Departure> gone) {
-            List<String> joined = now.members().stream()
-                    .filter(member -> before == null || before.indexOf(member.id()) < 0)
+        public void onViewInstalled(View previous, View installed, List<Departure> departures) {
+            List<String> joined = installed.members().stream()
+                    .filter(member -> previous == null || previous.indexOf(member.id()) < 0)
                     .map(member -> member.id().toString())
                     .toList();
-            List<String> departed = gone.stream()
+            List<String> departed = departures.stream()
                     .map(departure ->
                             departure.member() + " " + departure.cause().logName() + " " + departure.witnesses())
                     .toList();
-            // a hash that is equal on all servers with this view; the list itself is too long for a line
-            String membersHash = Integer.toHexString(now.members().toString().hashCode());
-            boolean isMember = now.indexOf(membership.self().id()) >= 0;
+            // the hash is equal on all servers with this view; the list of members would be too long for a log line
+            String membersHash =
+                    Integer.toHexString(installed.members().toString().hashCode());
+            boolean isMember = installed.indexOf(membership.self().id()) >= 0;
             log.info(
                     "view",
                     "id",
-                    now.id(),
+                    installed.id(),
                     "members",
-                    now.size(),
+                    installed.size(),
                     "list",
                     membersHash,
                     "in",
--- a/server/src/main/java/wheatspread/peers/package-info.java
+++ b/server/src/main/java/wheatspread/peers/package-info.java
@@ -1,10 +1,10 @@
 /**
- * Carries membership messages between servers: their bytes, their sockets and the timer that drives
+ * Transport of membership messages between servers: the message format, the sockets and the timer that drives
  * {@link wheatspread.membership.Membership}.
  *
- * <p>Owns the message format (a CRC-32C and a protobuf envelope, {@code peers.proto}), the bounds of every field that a
- * peer may send, the UDP socket, the TCP streams for large messages, the limit on inbound messages and the counters.
- * It must not know how failures are detected or views agreed: that is {@code wheatspread.membership}, which in turn
- * knows no socket and no clock. All of it runs on one event loop.
+ * <p>This package owns the message format (a CRC-32C and a protobuf envelope, {@code peers.proto}), the bounds of each
+ * field that a peer may send, the UDP socket, the TCP streams for large messages, the limit on inbound messages and the
+ * counters. It must not depend on how failures are detected or views agreed, which {@code wheatspread.membership} does;
+ * that package in turn uses no sockets and no clock. All code of this package runs on one event loop.
  */
 package wheatspread.peers;
