--- a/server/src/test/java/wheatspread/peers/MessageCodecTest.java
+++ b/server/src/test/java/wheatspread/peers/MessageCodecTest.java
@@ -32,36 +32,41 @@
 
     @Test
     void encodedMessagesDecodeToTheSameMessage() throws Exception {
-        for (Message one : messages()) {
-            MessageCodec.Received read = CODEC.decode(CODEC.encode(one));
-            assertThat(read.address()).isEqualTo(SampleMessages.ADDRESS);
-            assertThat(read.message()).isEqualTo(one);
+        for (Message message : messages()) {
+            MessageCodec.Received received = CODEC.decode(CODEC.encode(message));
+            assertThat(received.address()).isEqualTo(SampleMessages.ADDRESS);
+            assertThat(received.message()).isEqualTo(message);
         }
-        Message first = new Message(SampleMessages.SENDER, ViewId.NONE, false, 0, new Body.Gossip(), List.of());
-        assertThat(CODEC.decode(CODEC.encode(first)).message()).isEqualTo(first);
+        Message withoutView = new Message(SampleMessages.SENDER, ViewId.NONE, false, 0, new Body.Gossip(), List.of());
+        assertThat(CODEC.decode(CODEC.encode(withoutView)).message()).isEqualTo(withoutView);
     }
 
     @Test
     void otherClustersAndMajorVersionsAreRejectedAndLaterMinorVersionsAccepted() throws Exception {
-        Message one = messages().get(0);
-        assertThatThrownBy(() -> new MessageCodec("pantry", SampleMessages.ADDRESS).decode(CODEC.encode(one)))
+        Message message = messages().get(0);
+        assertThatThrownBy(() -> new MessageCodec("pantry", SampleMessages.ADDRESS).decode(CODEC.encode(message)))
                 .isInstanceOfSatisfying(
                         MalformedMessageException.class,
                         e -> assertThat(e.reason()).isEqualTo(MalformedMessageException.Reason.OTHER_CLUSTER));
-        Format.Envelope received = Format.Envelope.parseFrom(envelope(one));
-        byte[] next = MessageCodec.prependChecksum(
-                received.toBuilder().setMajor(MessageCodec.MAJOR + 1).build().toByteArray());
-        assertThatThrownBy(() -> CODEC.decode(next))
+        Format.Envelope sentEnvelope = Format.Envelope.parseFrom(envelope(message));
+        byte[] nextMajor = MessageCodec.prependChecksum(sentEnvelope.toBuilder()
+                .setMajor(MessageCodec.MAJOR + 1)
+                .build()
+                .toByteArray());
+        assertThatThrownBy(() -> CODEC.decode(nextMajor))
                 .isInstanceOfSatisfying(
                         MalformedMessageException.class,
                         e -> assertThat(e.reason()).isEqualTo(MalformedMessageException.Reason.UNSUPPORTED_VERSION));
         // a gossip update and a field that this version does not know
-        byte[] unknown = {(byte) 0x4a, 0x03, (byte) 0xa0, 0x06, 0x01, (byte) 0xa8, 0x06, 0x05};
-        byte[] encoded =
-                received.toBuilder().setMinor(MessageCodec.MINOR + 1).build().toByteArray();
-        byte[] later = Arrays.copyOf(encoded, encoded.length + unknown.length);
-        System.arraycopy(unknown, 0, later, encoded.length, unknown.length);
-        assertThat(CODEC.decode(MessageCodec.prependChecksum(later)).message()).isEqualTo(one);
+        byte[] unknownFields = {(byte) 0x4a, 0x03, (byte) 0xa0, 0x06, 0x01, (byte) 0xa8, 0x06, 0x05};
+        byte[] encoded = sentEnvelope.toBuilder()
+                .setMinor(MessageCodec.MINOR + 1)
+                .build()
+                .toByteArray();
+        byte[] laterMinor = Arrays.copyOf(encoded, encoded.length + unknownFields.length);
+        System.arraycopy(unknownFields, 0, laterMinor, encoded.length, unknownFields.length);
+        assertThat(CODEC.decode(MessageCodec.prependChecksum(laterMinor)).message())
+                .isEqualTo(message);
     }
 
     private static byte[] envelope(Message message) {
@@ -71,10 +76,10 @@
 
     @Test
     void onlyIpv4AddressesWithPortsAreValid() {
-        for (String good : List.of("10.0.0.7:7400", "255.255.255.255:65535", "0.0.0.0:1")) {
-            assertThat(PeerAddress.format(PeerAddress.parse(good))).isEqualTo(good);
+        for (String valid : List.of("10.0.0.7:7400", "255.255.255.255:65535", "0.0.0.0:1")) {
+            assertThat(PeerAddress.format(PeerAddress.parse(valid))).isEqualTo(valid);
         }
-        for (String bad : List.of(
+        for (String invalid : List.of(
                 "",
                 "localhost:1",
                 "10.0.0.7",
@@ -89,19 +94,19 @@
                 "::1:7",
                 "10.0.0.7:7x",
                 " 10.0.0.7:7")) {
-            assertThat(PeerAddress.isValid(bad)).as(bad).isFalse();
+            assertThat(PeerAddress.isValid(invalid)).as(invalid).isFalse();
         }
     }
 
     /**
-     * A million valid datagrams that were corrupted, from one seed; and a quarter of a million with a valid checksum
-     * over a corrupted envelope, which only must not harm the process.
+     * Guards against corrupt messages that change the view or stop the process: a million datagrams that were corrupted
+     * after encoding, and a quarter of a million with a valid checksum over a corrupted envelope, from a fixed seed.
      */
     @Test
     @Timeout(100)
     void aMillionCorruptDatagramsDoNotChangeTheView() {
         View view = SampleMessages.view(12);
-        long[] sent = {0};
+        long[] sentMessages = {0};
         List<View> views = new ArrayList<>();
         Membership self = new Membership(
                 SampleMessages.member(2),
@@ -111,12 +116,12 @@
                 new Membership.Actions() {
                     @Override
                     public void send(String address, Message message) {
-                        sent[0]++;
+                        sentMessages[0]++;
                     }
 
                     @Override
-                    public void onViewInstalled(View before, View now, List<Departure> gone) {
-                        views.add(now);
+                    public void onViewInstalled(View previous, View installed, List<Departure> departures) {
+                        views.add(installed);
                     }
 
                     @Override
@@ -130,7 +135,7 @@
                 messages().stream().map(MessageCodecTest::envelope).toList();
         SplittableRandom random = new SplittableRandom(21);
         Map<MalformedMessageException.Reason, Integer> rejected = new EnumMap<>(MalformedMessageException.Reason.class);
-        int read = 0;
+        int decoded = 0;
         for (int i = 0; i < 1_250_000; i++) {
             boolean checksumValid = i % 5 == 4;
             byte[] corrupted = checksumValid
@@ -138,8 +143,9 @@
                     : corrupt(encoded.get(random.nextInt(encoded.size())), random);
             try {
                 MessageCodec.Received received = CODEC.decode(corrupted);
-                read++;
-                if (!checksumValid || !received.message().view().equals(view.id())) { // else it may be a valid change
+                decoded++;
+                if (!checksumValid
+                        || !received.message().view().equals(view.id())) { // otherwise it may be a valid change
                     self.receive(received.address(), received.message(), i);
                 }
             } catch (MalformedMessageException e) {
@@ -149,8 +155,10 @@
         assertThat(views).as("only the first view").containsExactly(view);
         assertThat(rejected.get(MalformedMessageException.Reason.CORRUPT)).isGreaterThan(990_000);
         assertThat(rejected.get(MalformedMessageException.Reason.INVALID)).isGreaterThan(100_000);
-        assertThat(read).isGreaterThan(1_000);
-        assertThat(sent[0]).as("answers to corrupt messages are bounded").isLessThan(read);
+        assertThat(decoded).isGreaterThan(1_000);
+        assertThat(sentMessages[0])
+                .as("replies to corrupt messages are fewer than decoded messages")
+                .isLessThan(decoded);
     }
 
     private static byte[] corrupt(byte[] encoded, SplittableRandom random) {
--- a/server/src/test/java/wheatspread/peers/MessageCompatibilityTest.java
+++ b/server/src/test/java/wheatspread/peers/MessageCompatibilityTest.java
@@ -12,7 +12,7 @@
 import wheatspread.membership.Message;
 import wheatspread.membership.Message.Body;
 
-/** Messages of servers of an earlier version, as bytes recorded from it. */
+/** Guards against a format that servers of an earlier version can't read, with encoded messages recorded from it. */
 class MessageCompatibilityTest {
     private static final MessageCodec CODEC = new MessageCodec(SampleMessages.CLUSTER, SampleMessages.ADDRESS);
 
--- a/server/src/test/java/wheatspread/peers/PeerSocketsTest.java
+++ b/server/src/test/java/wheatspread/peers/PeerSocketsTest.java
@@ -19,10 +19,10 @@
 import wheatspread.logging.EventLog;
 import wheatspread.transport.Transport;
 
-/** Messages over real sockets on the loopback interface, at ephemeral ports. */
+/** Tests messages over sockets on the loopback interface, at ephemeral ports. */
 class PeerSocketsTest {
     private static final InetSocketAddress ANY_PORT = new InetSocketAddress("127.0.0.1", 0);
-    private static final int WAIT_SECONDS = 20;
+    private static final int MAX_WAIT_SECONDS = 20;
 
     private final Transport transport = Transport.named("nio");
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, transport.ioHandlers());
@@ -32,7 +32,7 @@
 
     @AfterEach
     void stopLoop() {
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(WAIT_SECONDS, TimeUnit.SECONDS);
+        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(MAX_WAIT_SECONDS, TimeUnit.SECONDS);
     }
 
     private void onMessage(ByteBuf message) {
@@ -46,15 +46,15 @@
     }
 
     private static InetSocketAddress boundAddress(ChannelFuture binding) throws Exception {
-        assertThat(binding.await(WAIT_SECONDS, TimeUnit.SECONDS)).isTrue();
+        assertThat(binding.await(MAX_WAIT_SECONDS, TimeUnit.SECONDS)).isTrue();
         assertThat(binding.isSuccess()).isTrue();
         return (InetSocketAddress) binding.channel().localAddress();
     }
 
-    /** Runs a task on the loop, and returns when it is done. */
-    private void onLoop(Runnable task) throws Exception {
+    /** Runs a task on the event loop and waits until it is done. */
+    private void runOnLoop(Runnable task) throws Exception {
         Future<?> done = loop.submit(task);
-        assertThat(done.await(WAIT_SECONDS, TimeUnit.SECONDS)).isTrue();
+        assertThat(done.await(MAX_WAIT_SECONDS, TimeUnit.SECONDS)).isTrue();
         assertThat(done.isSuccess()).isTrue();
     }
 
@@ -64,9 +64,9 @@
         PeerDatagrams datagrams = new PeerDatagrams(transport, loop, counters, EventLog.NONE, this::onMessage);
         InetSocketAddress address = boundAddress(datagrams.bind(ANY_PORT));
         byte[] message = randomBytes(PeerDatagrams.MAX_DATAGRAM_BYTES);
-        onLoop(() -> datagrams.send(address, message));
-        assertThat(received.poll(WAIT_SECONDS, TimeUnit.SECONDS)).isEqualTo(message);
-        onLoop(datagrams::close);
+        runOnLoop(() -> datagrams.send(address, message));
+        assertThat(received.poll(MAX_WAIT_SECONDS, TimeUnit.SECONDS)).isEqualTo(message);
+        runOnLoop(datagrams::close);
     }
 
     @Test
@@ -75,41 +75,41 @@
         PeerStreams streams = new PeerStreams(transport, loop, new LoopClock(), counters, this::onMessage);
         InetSocketAddress address = boundAddress(streams.bind(ANY_PORT));
         byte[] message = randomBytes(500_000);
-        onLoop(() -> streams.send(address, message));
-        assertThat(received.poll(WAIT_SECONDS, TimeUnit.SECONDS)).isEqualTo(message);
-        onLoop(streams::close);
+        runOnLoop(() -> streams.send(address, message));
+        assertThat(received.poll(MAX_WAIT_SECONDS, TimeUnit.SECONDS)).isEqualTo(message);
+        runOnLoop(streams::close);
     }
 
-    /** Twenty failures are more than the limit of open streams, so none may still count as open. */
+    /** Guards against failed streams that still count as open: 20 failures exceed the limit of open streams. */
     @Test
     @Timeout(60)
     void failedStreamsAreCountedAndDoNotBlockLaterOnes() throws Exception {
         PeerStreams streams = new PeerStreams(transport, loop, new LoopClock(), counters, this::onMessage);
         InetSocketAddress address = boundAddress(streams.bind(ANY_PORT));
-        PeerStreams closing = new PeerStreams(transport, loop, new LoopClock(), counters, this::onMessage);
-        ChannelFuture bound = closing.bind(ANY_PORT);
-        InetSocketAddress closedAddress = boundAddress(bound);
-        bound.channel().close().await(WAIT_SECONDS, TimeUnit.SECONDS);
+        PeerStreams closedStreams = new PeerStreams(transport, loop, new LoopClock(), counters, this::onMessage);
+        ChannelFuture closedBinding = closedStreams.bind(ANY_PORT);
+        InetSocketAddress closedAddress = boundAddress(closedBinding);
+        closedBinding.channel().close().await(MAX_WAIT_SECONDS, TimeUnit.SECONDS);
         for (int i = 1; i <= 20; i++) {
-            onLoop(() -> streams.send(closedAddress, randomBytes(10)));
+            runOnLoop(() -> streams.send(closedAddress, randomBytes(10)));
             awaitFailures(i);
         }
         byte[] message = randomBytes(5_000);
-        onLoop(() -> streams.send(address, message));
-        assertThat(received.poll(WAIT_SECONDS, TimeUnit.SECONDS)).isEqualTo(message);
-        onLoop(streams::close);
+        runOnLoop(() -> streams.send(address, message));
+        assertThat(received.poll(MAX_WAIT_SECONDS, TimeUnit.SECONDS)).isEqualTo(message);
+        runOnLoop(streams::close);
     }
 
     private void awaitFailures(int expected) throws Exception {
-        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_WAIT_SECONDS);
         String[] text = {""};
         while (!text[0].contains("unsent=" + expected + "\n") && System.nanoTime() < deadlineNanos) {
-            onLoop(() -> text[0] = counters.text(""));
+            runOnLoop(() -> text[0] = counters.text(""));
         }
         assertThat(text[0]).contains("unsent=" + expected + "\n");
     }
 
-    /** Timers of the loop itself. */
+    /** A clock that uses the system time and the event loop's timers. */
     private final class LoopClock implements Clock {
         @Override
         public long nowMicros() {
--- a/server/src/test/java/wheatspread/peers/SampleMessages.java
+++ b/server/src/test/java/wheatspread/peers/SampleMessages.java
@@ -15,7 +15,7 @@
 import wheatspread.membership.ViewChange;
 import wheatspread.membership.ViewId;
 
-/** One message body and one gossip update of each kind, by the name of its file of encoded bytes. */
+/** Sample message bodies and gossip updates, at least one of each kind, by the name of the file with their bytes. */
 final class SampleMessages {
     static final String CLUSTER = "kitchen";
     static final String ADDRESS = "127.0.0.1:7400";
@@ -24,8 +24,13 @@
 
     private SampleMessages() {}
 
-    static Member member(int i) {
-        return new Member(new MemberId("m" + i, 1_000 + i), "10.0.0." + i + ":7400", "zone-" + i % 3, "b1", 7);
+    static Member member(int number) {
+        return new Member(
+                new MemberId("m" + number, 1_000 + number),
+                "10.0.0." + number + ":7400",
+                "zone-" + number % 3,
+                "b1",
+                7);
     }
 
     static View view(int size) {
@@ -73,7 +78,7 @@
         return bodies;
     }
 
-    /** Each sample as the message that its file holds. */
+    /** Returns each sample as the message that its file contains, by the name of the file. */
     static Map<String, Message> singleMessages() {
         Map<String, Message> messages = new LinkedHashMap<>();
         bodies().forEach((name, body) -> messages.put(name, message(body, List.of())));
