--- a/server/src/main/java/wheatspread/membership/ClusterBootstrap.java
+++ b/server/src/main/java/wheatspread/membership/ClusterBootstrap.java
@@ -47,17 +47,17 @@
      */
     static final int MAX_SEEDS = 32;
     /** A seed waits for this time without a sign of a reachable quorum; the loss of a quorum is detected sooner. */
-    static final long QUIET_MICROS = 5_000_000;
+    static final long QUIET_WAIT_MICROS = 5_000_000;
     /** The validity of a consent. */
-    static final long CONSENT_MICROS = 4_000_000;
+    static final long CONSENT_VALIDITY_MICROS = 4_000_000;
     /** The wait for further consents and joiners after the last one, so that the first view has most servers. */
-    private static final long GATHER_MICROS = 1_000_000;
+    private static final long GATHER_WAIT_MICROS = 1_000_000;
 
     private static final long REQUEST_INTERVAL_MICROS = 300_000;
     /** Each seed waits this much longer than the previous one in the list, to avoid concurrent founders. */
     private static final long RANK_DELAY_MICROS = 500_000;
     /** Older join requests are ignored, since their senders may have stopped. */
-    private static final long JOIN_REQUEST_VALID_MICROS = 3_000_000;
+    private static final long JOIN_REQUEST_VALIDITY_MICROS = 3_000_000;
     /** The maximum number of stored join requests; the oldest is removed first. */
     private static final int MAX_JOIN_REQUESTS = 4_096;
 
@@ -108,7 +108,7 @@
     void onLeftView(long nowMicros) {
         phase = isSeed() ? Phase.QUIET : Phase.IDLE;
         orderedByOperator = false;
-        quietUntilMicros = nowMicros + QUIET_MICROS + Math.max(0, rank) * RANK_DELAY_MICROS;
+        quietUntilMicros = nowMicros + QUIET_WAIT_MICROS + Math.max(0, rank) * RANK_DELAY_MICROS;
     }
 
     /** Cancels forming a cluster, because this server is in a view. */
@@ -133,7 +133,7 @@
         }
         joinRequests.put(member.id(), new ReceivedJoinRequest(member, nowMicros));
         if (last == null && phase == Phase.REQUESTING) {
-            gatherUntilMicros = nowMicros + GATHER_MICROS;
+            gatherUntilMicros = nowMicros + GATHER_WAIT_MICROS;
         }
     }
 
@@ -158,7 +158,7 @@
             return false;
         }
         consentGivenTo = founder;
-        consentUntilMicros = nowMicros + CONSENT_MICROS;
+        consentUntilMicros = nowMicros + CONSENT_VALIDITY_MICROS;
         return true;
     }
 
@@ -167,7 +167,7 @@
         boolean isCurrent = phase == Phase.REQUESTING && consentedEpoch == epoch;
         if (isCurrent && firstMembers.putIfAbsent(member.id(), member) == null) {
             consentingAddresses.add(member.address());
-            gatherUntilMicros = nowMicros + GATHER_MICROS;
+            gatherUntilMicros = nowMicros + GATHER_WAIT_MICROS;
         }
     }
 
@@ -184,7 +184,7 @@
     Step nextStep(Member self, long nowMicros, long unixMillis) {
         if (phase == Phase.QUIET && nowMicros >= quietUntilMicros) {
             if (consentGivenTo != null && nowMicros < consentUntilMicros) {
-                quietUntilMicros = consentUntilMicros + random.nextLong(CONSENT_MICROS);
+                quietUntilMicros = consentUntilMicros + random.nextLong(CONSENT_VALIDITY_MICROS);
                 return Step.NOTHING;
             }
             startRequesting(self, nowMicros, unixMillis);
@@ -197,10 +197,10 @@
             addFreshJoiners(nowMicros);
             return Step.FORM_CLUSTER;
         }
-        if (nowMicros >= requestingSinceMicros + CONSENT_MICROS) {
+        if (nowMicros >= requestingSinceMicros + CONSENT_VALIDITY_MICROS) {
             // all consents have expired, so another founder may try now, and this one again after a wait
             phase = Phase.QUIET;
-            quietUntilMicros = nowMicros + random.nextLong(CONSENT_MICROS);
+            quietUntilMicros = nowMicros + random.nextLong(CONSENT_VALIDITY_MICROS);
             return Step.NOTHING;
         }
         if (nowMicros >= nextRequestMicros) {
@@ -217,15 +217,15 @@
             return false;
         }
         boolean allConsent = !orderedByOperator && consentingAddresses.containsAll(seeds);
-        boolean hasWaitedLong = nowMicros >= requestingSinceMicros + 2 * GATHER_MICROS;
+        boolean hasWaitedLong = nowMicros >= requestingSinceMicros + 2 * GATHER_WAIT_MICROS;
         boolean hasGathered = nowMicros >= gatherUntilMicros && (allConsent || hasWaitedLong);
-        boolean consentsExpireSoon = nowMicros >= requestingSinceMicros + CONSENT_MICROS - GATHER_MICROS;
+        boolean consentsExpireSoon = nowMicros >= requestingSinceMicros + CONSENT_VALIDITY_MICROS - GATHER_WAIT_MICROS;
         return hasGathered || consentsExpireSoon;
     }
 
     private void addFreshJoiners(long nowMicros) {
         for (ReceivedJoinRequest request : joinRequests.values()) {
-            if (nowMicros - request.receivedMicros <= JOIN_REQUEST_VALID_MICROS) {
+            if (nowMicros - request.receivedMicros <= JOIN_REQUEST_VALIDITY_MICROS) {
                 firstMembers.putIfAbsent(request.member.id(), request.member);
             }
         }
@@ -237,7 +237,7 @@
         lastEpoch = epoch;
         requestingSinceMicros = nowMicros;
         nextRequestMicros = nowMicros;
-        gatherUntilMicros = nowMicros + GATHER_MICROS;
+        gatherUntilMicros = nowMicros + GATHER_WAIT_MICROS;
         consentGivenTo = null;
         firstMembers.clear();
         consentingAddresses.clear();
--- a/server/src/main/java/wheatspread/membership/MessageDispatcher.java
+++ b/server/src/main/java/wheatspread/membership/MessageDispatcher.java
@@ -52,9 +52,9 @@
 
     private void recordReachability(Message message, long nowMicros) {
         if (state.isMember()) {
-            int sender = state.view().indexOf(message.from());
-            if (sender >= 0) {
-                state.reachability().onMessageFrom(sender, nowMicros);
+            int senderIndex = state.view().indexOf(message.from());
+            if (senderIndex >= 0) {
+                state.reachability().onMessageFrom(senderIndex, nowMicros);
             }
         } else if (message.quorumReachable()) {
             bootstrap.onReachableQuorum(nowMicros);
--- a/server/src/main/java/wheatspread/membership/View.java
+++ b/server/src/main/java/wheatspread/membership/View.java
@@ -111,28 +111,28 @@
     public int[] observersOf(String name, int excluded) {
         int count = Math.min(OBSERVERS_PER_SUBJECT, members.size() - (excluded < 0 ? 0 : 1));
         long subjectHash = hash(name);
-        int[] best = new int[count];
+        int[] bestCandidates = new int[count];
         long[] scores = new long[count];
-        int found = 0;
+        int foundCount = 0;
         for (int candidate = 0; candidate < members.size(); candidate++) {
             if (candidate == excluded) {
                 continue;
             }
             long score = combine(subjectHash, nameHashes[candidate]);
-            int rank = found;
+            int rank = foundCount;
             while (rank > 0 && scores[rank - 1] < score) {
                 rank--;
             }
             if (rank < count) {
-                int shifted = Math.min(found, count - 1) - rank;
+                int shifted = Math.min(foundCount, count - 1) - rank;
                 System.arraycopy(scores, rank, scores, rank + 1, shifted);
-                System.arraycopy(best, rank, best, rank + 1, shifted);
+                System.arraycopy(bestCandidates, rank, bestCandidates, rank + 1, shifted);
                 scores[rank] = score;
-                best[rank] = candidate;
-                found = Math.min(count, found + 1);
+                bestCandidates[rank] = candidate;
+                foundCount = Math.min(count, foundCount + 1);
             }
         }
-        return best;
+        return bestCandidates;
     }
 
     private static long hash(String name) {
--- a/server/src/main/java/wheatspread/membership/ViewExchange.java
+++ b/server/src/main/java/wheatspread/membership/ViewExchange.java
@@ -48,7 +48,7 @@
     boolean takesPrecedence(Message message, long nowMicros) {
         boolean ownQuorumReachable = state.isMember()
                 ? state.isQuorumReachable(nowMicros)
-                : state.view() != null && nowMicros < quorumReportedMicros + ClusterBootstrap.QUIET_MICROS;
+                : state.view() != null && nowMicros < quorumReportedMicros + ClusterBootstrap.QUIET_WAIT_MICROS;
         return ViewPrecedence.takesPrecedence(
                 message.view(), message.quorumReachable(), state.viewId(), ownQuorumReachable);
     }
--- a/server/src/main/java/wheatspread/membership/ViewInstaller.java
+++ b/server/src/main/java/wheatspread/membership/ViewInstaller.java
@@ -45,7 +45,7 @@
         reports = new ObserverReports(state);
     }
 
-    /** Installs a view that was formed by a founder or received from another member. */
+    /** Installs a view that this server formed, started with or received from another member. */
     void install(View next, long nowMicros) {
         install(next, Departure.Cause.LEARNT_FROM_PEER, nowMicros);
     }
--- a/server/src/main/java/wheatspread/peers/FieldCodec.java
+++ b/server/src/main/java/wheatspread/peers/FieldCodec.java
@@ -16,7 +16,7 @@
  */
 final class FieldCodec {
     /** The maximum number of characters of a name, a zone or a build. */
-    private static final int MAX_TEXT_LENGTH = 128;
+    private static final int MAX_TEXT_CHARS = 128;
     /** The maximum of epochs, view numbers, incarnations and ballots. */
     private static final long MAX_NUMBER = 1L << 53;
 
@@ -152,7 +152,7 @@
     }
 
     private static String decodeText(String field) throws MalformedMessageException {
-        checkRange(field.length(), 0, MAX_TEXT_LENGTH, "text length");
+        checkRange(field.length(), 0, MAX_TEXT_CHARS, "text length");
         return field;
     }
 }
--- a/server/src/main/java/wheatspread/peers/MalformedMessageException.java
+++ b/server/src/main/java/wheatspread/peers/MalformedMessageException.java
@@ -63,7 +63,7 @@
                 Reason.UNSUPPORTED_VERSION,
                 "major",
                 String.valueOf(major),
-                "message has major format version " + major + ", expected " + MessageCodec.MAJOR);
+                "message has major format version " + major + ", expected " + MessageCodec.MAJOR_VERSION);
     }
 
     /** Returns the reason under which the message is counted. */
--- a/server/src/main/java/wheatspread/peers/MessageCodec.java
+++ b/server/src/main/java/wheatspread/peers/MessageCodec.java
@@ -16,9 +16,9 @@
  */
 public final class MessageCodec {
     /** The major format version, incremented by incompatible changes; older programs drop such messages. */
-    public static final int MAJOR = 1;
+    public static final int MAJOR_VERSION = 1;
     /** The minor format version, incremented by additions that older programs can skip. */
-    public static final int MINOR = 0;
+    public static final int MINOR_VERSION = 0;
     /** The maximum number of members in a view. */
     public static final int MAX_MEMBERS = 4_096;
 
@@ -41,8 +41,8 @@
     /** Encodes a message from this server. */
     public byte[] encode(Message message) {
         Format.Envelope.Builder envelope = Format.Envelope.newBuilder()
-                .setMajor(MAJOR)
-                .setMinor(MINOR)
+                .setMajor(MAJOR_VERSION)
+                .setMinor(MINOR_VERSION)
                 .setCluster(cluster)
                 .setFrom(FieldCodec.encodeMemberId(message.from()))
                 .setAddress(address)
@@ -61,7 +61,7 @@
      */
     public Received decode(byte[] bytes) throws MalformedMessageException {
         Format.Envelope envelope = parse(bytes);
-        if (envelope.getMajor() != MAJOR) {
+        if (envelope.getMajor() != MAJOR_VERSION) {
             throw MalformedMessageException.unsupportedVersion(envelope.getMajor());
         }
         if (!envelope.getCluster().equals(cluster)) {
--- a/server/src/test/java/wheatspread/peers/MessageCodecTest.java
+++ b/server/src/test/java/wheatspread/peers/MessageCodecTest.java
@@ -50,7 +50,7 @@
                         e -> assertThat(e.reason()).isEqualTo(MalformedMessageException.Reason.OTHER_CLUSTER));
         Format.Envelope sentEnvelope = Format.Envelope.parseFrom(envelope(message));
         byte[] nextMajor = MessageCodec.prependChecksum(sentEnvelope.toBuilder()
-                .setMajor(MessageCodec.MAJOR + 1)
+                .setMajor(MessageCodec.MAJOR_VERSION + 1)
                 .build()
                 .toByteArray());
         assertThatThrownBy(() -> CODEC.decode(nextMajor))
@@ -60,7 +60,7 @@
         // a gossip update and a field that this version does not know
         byte[] unknownFields = {(byte) 0x4a, 0x03, (byte) 0xa0, 0x06, 0x01, (byte) 0xa8, 0x06, 0x05};
         byte[] encoded = sentEnvelope.toBuilder()
-                .setMinor(MessageCodec.MINOR + 1)
+                .setMinor(MessageCodec.MINOR_VERSION + 1)
                 .build()
                 .toByteArray();
         byte[] laterMinor = Arrays.copyOf(encoded, encoded.length + unknownFields.length);
