--- a/server/src/main/java/wheatspread/membership/MemberId.java
+++ b/server/src/main/java/wheatspread/membership/MemberId.java
@@ -1,21 +1,21 @@
 package wheatspread.membership;
 
 /**
- * The identity of one process of a server. A server that restarted is another member than before: what is reported of
- * the earlier process does not affect it, and it can't vote again where that one may have voted.
+ * The identity of one incarnation of a server. A restarted server is a different member: reports about its earlier
+ * incarnation do not affect it, and it can't vote a second time in a view in which the earlier one may have voted.
  *
  * @param name the server's name
- * @param start the incarnation: a number that grows from one start of the server to the next
+ * @param incarnation a number that increases with each start of the server
  */
-public record MemberId(String name, long start) implements Comparable<MemberId> {
+public record MemberId(String name, long incarnation) implements Comparable<MemberId> {
     @Override
     public int compareTo(MemberId other) {
         int byName = name.compareTo(other.name);
-        return byName != 0 ? byName : Long.compare(start, other.start);
+        return byName != 0 ? byName : Long.compare(incarnation, other.incarnation);
     }
 
     @Override
     public String toString() {
-        return name + "#" + start;
+        return name + "#" + incarnation;
     }
 }
