--- a/server/src/main/java/wheatspread/connections/Connection.java
+++ b/server/src/main/java/wheatspread/connections/Connection.java
@@ -1,33 +1,33 @@
 package wheatspread.connections;
 
 /**
- * One connection in a {@link ConnectionTable}: a node of its table's lists, with nothing in it that an idle
- * connection does not need, since there may be thousands. Only the table changes it, except for the marks
- * that the transport sets. Used on the event loop only.
+ * A connection in a {@link ConnectionTable}, and a node of the table's lists. It has no field that an idle
+ * connection does not need, because thousands of connections may be idle. Only the table changes it, except
+ * for the two flags that the transport sets. Used on the event loop only.
  */
 public final class Connection {
-    /** What a connection is doing, as far as its limits are concerned. */
+    /** The state that determines which time limit applies to a connection and whether it may be evicted. */
     public enum State {
-        /** Accepted; no byte has been received. */
+        /** The connection was accepted and no byte has been received. */
         NEW,
         /** A part of a message has been received. */
         PARTIAL_MESSAGE,
-        /** Requests are open, and no further message has begun. */
+        /** Requests are open, and no part of a further message has been received. */
         AWAITING_ANSWERS,
-        /** Idle: it has sent requests before, and all of them are answered. */
+        /** The client has sent requests before, and all of them are answered. */
         IDLE,
-        /** No more requests are read; the open ones wait for their answers. */
+        /** No more requests are read, and the open requests wait for their answers. */
         DRAINING,
-        /** Everything is answered and the output is shut; it stays until the caller closes too. */
+        /** Every request is answered and the output is shut; the server waits for the client to close. */
         LINGERING,
-        /** No longer in the table. */
+        /** The connection is no longer in the table. */
         CLOSED
     }
 
     private final ConnectionActions actions;
     private final SourceAddressTable.Source source;
     private State state = State.CLOSED;
-    /** When it entered its state; for a partial message when the first byte of it was received. */
+    /** The time when the state was entered; for a partial message, when its first byte was received. */
     private long sinceMicros;
 
     private long lastUsedMicros;
@@ -35,15 +35,18 @@
     private int partialBytes;
     private boolean hasSentRequest;
     private boolean draining;
-    /** A request that the burst limiter rejected does not count as use: the connection is still idle. */
+    /**
+     * Whether requests and answers leave the time of last use unchanged: a request that the burst limiter
+     * rejected does not count as use.
+     */
     private boolean countsAsIdle;
-    /** Bytes wait in its socket that this server has not read yet, or does not read on purpose. */
+    /** Whether the socket may hold bytes that this server has not read yet, or deliberately does not read. */
     private boolean unread;
-    /** The neighbours in the list of its state. */
+    /** The neighbours in the list of the connection's state. */
     private Connection previous;
 
     private Connection next;
-    /** The neighbours among the idle connections of its source. */
+    /** The neighbours among the idle connections of the same source address. */
     private Connection previousOfSource;
 
     private Connection nextOfSource;
@@ -54,29 +57,32 @@
         lastUsedMicros = nowMicros;
     }
 
-    /** What it is doing now. */
+    /** Returns the current state; {@link State#CLOSED} once the table has removed the connection. */
     public State state() {
         return state;
     }
 
-    /** How many requests wait for their answers. */
+    /** Returns the number of requests that wait for their answers. */
     public int openRequests() {
         return openRequests;
     }
 
-    /** When it last sent a request, got an answer or was accepted. */
+    /** Returns the time of the last request or answer, or of the accept before the first request. */
     public long lastUsedMicros() {
         return lastUsedMicros;
     }
 
-    /** Sets whether it goes on counting as idle, because the burst limiter rejected its request. */
-    public void setCountsAsIdle(boolean countAsIdle) {
-        countsAsIdle = countAsIdle;
+    /** Sets whether requests and answers do not count as use, because the burst limiter rejected a request. */
+    public void setCountsAsIdle(boolean countsAsIdle) {
+        this.countsAsIdle = countsAsIdle;
     }
 
-    /** Marks that bytes wait in its socket for this server; its time limits restart meanwhile. */
-    public void setUnread(boolean bytesWait) {
-        unread = bytesWait;
+    /**
+     * Sets whether the socket may hold bytes that this server has not read. Meanwhile the connection is not
+     * evicted, and its time limit restarts instead of ending.
+     */
+    public void setUnread(boolean unread) {
+        this.unread = unread;
     }
 
     ConnectionActions actions() {
@@ -103,12 +109,12 @@
         return draining;
     }
 
-    /** Whether it may be closed in favour of another one without a request being lost. */
+    /** Returns whether the connection may be closed in favour of another without losing a request. */
     boolean isEvictable() {
         return openRequests == 0 && !unread;
     }
 
-    void enter(State newState, long newSinceMicros) {
+    void enterState(State newState, long newSinceMicros) {
         state = newState;
         sinceMicros = newSinceMicros;
     }
@@ -129,18 +135,18 @@
         partialBytes = bytes;
     }
 
-    void requestReceived(long nowMicros) {
+    void recordRequest(long nowMicros) {
         hasSentRequest = true;
-        used(nowMicros);
+        recordUse(nowMicros);
     }
 
-    void used(long nowMicros) {
+    void recordUse(long nowMicros) {
         if (!countsAsIdle) {
             lastUsedMicros = nowMicros;
         }
     }
 
-    /** The state that follows from what has been received and answered. */
+    /** Derives the state from the bytes received, the open requests and the draining flag. */
     State computeState() {
         if (draining) {
             return openRequests > 0 ? State.DRAINING : State.LINGERING;
@@ -154,7 +160,7 @@
         return hasSentRequest ? State.IDLE : State.NEW;
     }
 
-    // ---- the links of the table's lists ----
+    // ---- links of the table's lists ----
 
     Connection previous() {
         return previous;
--- a/server/src/main/java/wheatspread/connections/ConnectionActions.java
+++ b/server/src/main/java/wheatspread/connections/ConnectionActions.java
@@ -1,25 +1,28 @@
 package wheatspread.connections;
 
-/** What a front does with one of its connections when the connection's table decides so. */
+/** The operations that a {@link ConnectionTable} performs on the channel of a connection. Event loop only. */
 public interface ConnectionActions {
-    /** Notifies the caller that the server is draining and takes no new requests here. */
+    /** Notifies the client that the server is draining and accepts no new requests on this connection. */
     void notifyDraining();
 
     /**
-     * Takes no more requests. Once every open request is answered the output is shut, and what still arrives
-     * is discarded until the caller closes too: a lingering close.
+     * Stops reading requests and starts a lingering close: once every open request is answered, the output is
+     * shut, and bytes received after that are discarded until the client closes.
      */
     void drain();
 
-    /** Closes at once, whatever is still in transit in either direction. */
+    /** Closes the channel immediately; data in transit in either direction is lost. */
     void close();
 
-    /** Whether a lingering caller has taken some of its pending answers since the last call. */
+    /** Returns whether a lingering client has read some of its pending answers since the last call. */
     boolean madeWriteProgress();
 
-    /** How many bytes wait to be written. */
+    /** Returns the number of bytes that wait to be written. */
     long pendingWriteBytes();
 
-    /** About how many bytes wait to be written beyond the low watermark; 0 if it is not stalled. */
+    /**
+     * Returns approximately how many pending bytes exceed the low write watermark; 0 if the channel is
+     * writable.
+     */
     long bytesUntilWritable();
 }
--- a/server/src/main/java/wheatspread/connections/ConnectionCounters.java
+++ b/server/src/main/java/wheatspread/connections/ConnectionCounters.java
@@ -2,7 +2,7 @@
 
 import wheatspread.connections.Connection.State;
 
-/** How often each limit of a {@link ConnectionTable} took effect since the start. */
+/** Counts since the start how often each limit of a {@link ConnectionTable} took effect. */
 public final class ConnectionCounters {
     private long accepted;
     private long acceptsPaused;
@@ -20,12 +20,12 @@
     private long closedForMemory;
     private long closedStalled;
 
-    /** Connections that were rejected at once, for whatever reason. */
+    /** Returns the number of connections rejected when they were accepted, over all reasons. */
     public long rejected() {
         return rejectedFull + rejectedSource;
     }
 
-    /** Connections that were evicted in favour of others. */
+    /** Returns the number of connections evicted in favour of others, over all reasons. */
     public long evicted() {
         return evictedLingering + evictedSilent + evictedPartial + evictedIdle + evictedYoung;
     }
@@ -66,7 +66,7 @@
         evictedYoung++;
     }
 
-    /** A connection exceeded the time limit of the state it is in. */
+    /** Counts a connection that exceeded the time limit of {@code state}. */
     void countExpired(State state) {
         switch (state) {
             case NEW -> expiredSilent++;
@@ -76,17 +76,17 @@
         }
     }
 
-    /** A connection was drained since partial messages took too much memory. */
+    /** Counts a connection drained because partial messages took too much memory. */
     void countClosedForMemory() {
         closedForMemory++;
     }
 
-    /** A connection was closed since unread answers took too much memory. */
+    /** Counts a connection closed because unread answers took too much memory. */
     void countClosedStalled() {
         closedStalled++;
     }
 
-    /** All of them as logged, as alternating names and values. */
+    /** Returns all counters as log fields: alternating names and values. */
     public Object[] fields() {
         return new Object[] {
             "accepted",
--- a/server/src/main/java/wheatspread/connections/ConnectionLimits.java
+++ b/server/src/main/java/wheatspread/connections/ConnectionLimits.java
@@ -1,20 +1,24 @@
 package wheatspread.connections;
 
 /**
- * The limits for the connections of one front. Times are microseconds.
+ * The limits for the connections of one front.
  *
- * @param maxConnections connections at a time
- * @param maxPerSource connections of one address at a time; 0 for no limit but the one for all
- * @param acceptsPerSecond how fast connections are accepted; 0 for no limit
- * @param acceptBurst how many may be accepted at once after a pause
- * @param firstByteTimeoutMicros time limit from the accept to the first byte
- * @param messageTimeoutMicros time limit from the first to the last byte of a message
- * @param idleTimeoutMicros time limit for an idle connection; 0 for none
- * @param lingerTimeoutMicros time limit for a lingering connection that does not take its answers
- * @param evictionGraceMicros a connection that sends nothing for longer is evicted before others
- * @param maxPartialBytes bytes of partial messages, over all connections
- * @param maxPendingWriteBytes bytes of answers that stalled callers do not read, over all connections
- * @param rejection what a rejected connection gets
+ * @param maxConnections maximum number of simultaneous connections
+ * @param maxPerSource maximum number of simultaneous connections from one source address; 0 for no
+ *     limit other than {@code maxConnections}
+ * @param acceptsPerSecond sustained rate of accepted connections; 0 for no limit
+ * @param acceptBurst number of connections that may be accepted at once after a pause
+ * @param firstByteTimeoutMicros time limit in microseconds from the accept to the first byte
+ * @param messageTimeoutMicros time limit in microseconds from the first to the last byte of a message
+ * @param idleTimeoutMicros time limit in microseconds for an idle connection; 0 for none
+ * @param lingerTimeoutMicros time limit in microseconds for a lingering connection whose client reads none of
+ *     its pending answers
+ * @param evictionGraceMicros time in microseconds after which a connection without a whole message is evicted
+ *     before idle ones
+ * @param maxPartialBytes maximum bytes of partial messages, summed over all connections
+ * @param maxPendingWriteBytes maximum bytes of answers that stalled clients have not read, summed over all
+ *     connections
+ * @param rejection how a rejected connection is closed
  */
 public record ConnectionLimits(
         int maxConnections,
@@ -29,31 +33,31 @@
         long maxPartialBytes,
         long maxPendingWriteBytes,
         Rejection rejection) {
-    /** What a rejected connection gets: an orderly close, a reset, or an answer and an orderly close. */
+    /** How a rejected connection is closed: by an orderly close, a reset, or an answer and an orderly close. */
     public enum Rejection {
         CLOSE,
         RESET,
         ANSWER
     }
 
-    /** The limits that hold unless the operator's file says otherwise. */
+    /** Returns the limits that apply unless the operator's file sets others. */
     public static ConnectionLimits defaults(int maxConnections) {
         return new ConnectionLimits(
                 maxConnections,
-                0,
-                0,
-                1_000,
-                2_000_000,
-                2_000_000,
-                0,
-                2_000_000,
-                200_000,
-                8 << 20,
-                12 << 20,
+                0, // maxPerSource
+                0, // acceptsPerSecond
+                1_000, // acceptBurst
+                2_000_000, // firstByteTimeoutMicros
+                2_000_000, // messageTimeoutMicros
+                0, // idleTimeoutMicros
+                2_000_000, // lingerTimeoutMicros
+                200_000, // evictionGraceMicros
+                8 << 20, // maxPartialBytes
+                12 << 20, // maxPendingWriteBytes
                 Rejection.CLOSE);
     }
 
-    /** The same limits for another number of connections. */
+    /** Returns a copy of these limits with another maximum number of connections. */
     public ConnectionLimits withMaxConnections(int connections) {
         return new ConnectionLimits(
                 connections,
--- a/server/src/main/java/wheatspread/connections/ConnectionLists.java
+++ b/server/src/main/java/wheatspread/connections/ConnectionLists.java
@@ -3,19 +3,19 @@
 import wheatspread.connections.Connection.State;
 
 /**
- * One doubly linked list of connections for each state, in the order in which they entered it. Times in a
- * list never decrease, even if the clock is set back, so the head of a list is the connection whose limit
- * ends first. Every operation takes constant time.
+ * A doubly linked list of connections for each state, ordered by the time when they entered the state. Times
+ * in a list never decrease, even if the clock is set back, so the head of a list is the connection whose time
+ * limit ends first. Every operation but {@link #toArray} takes constant time.
  */
 final class ConnectionLists {
-    private static final int LISTS = State.CLOSED.ordinal();
+    private static final int LIST_COUNT = State.CLOSED.ordinal();
 
-    private final Connection[] first = new Connection[LISTS];
-    private final Connection[] last = new Connection[LISTS];
-    private final int[] sizes = new int[LISTS];
+    private final Connection[] first = new Connection[LIST_COUNT];
+    private final Connection[] last = new Connection[LIST_COUNT];
+    private final int[] sizes = new int[LIST_COUNT];
     private long latestMicros;
 
-    /** The connection that has been in this state for longest; null if there is none. */
+    /** Returns the connection that has been in {@code state} for the longest time; null if there is none. */
     Connection first(State state) {
         return first[state.ordinal()];
     }
@@ -24,12 +24,12 @@
         return sizes[state.ordinal()];
     }
 
-    /** Moves a connection that is in no list to the end of the list of a state. */
+    /** Sets the state of a connection that is in no list and appends it to the list of that state. */
     void add(Connection connection, State state, long sinceMicros) {
         int list = state.ordinal();
         Connection predecessor = last[list];
         latestMicros = Math.max(latestMicros, sinceMicros);
-        connection.enter(state, latestMicros);
+        connection.enterState(state, latestMicros);
         connection.linkPrevious(predecessor);
         if (predecessor == null) {
             first[list] = connection;
@@ -40,7 +40,7 @@
         sizes[list]++;
     }
 
-    /** Takes a connection out of the list of its state. */
+    /** Removes a connection from the list of its state. */
     void remove(Connection connection) {
         int list = connection.state().ordinal();
         Connection previous = connection.previous();
@@ -60,15 +60,15 @@
         sizes[list]--;
     }
 
-    /** Copies all connections, which are {@code size} in number. */
+    /** Copies all connections; {@code size} is their number. */
     Connection[] toArray(int size) {
-        Connection[] all = new Connection[size];
+        Connection[] connections = new Connection[size];
         int count = 0;
         for (Connection head : first) {
             for (Connection connection = head; connection != null; connection = connection.next()) {
-                all[count++] = connection;
+                connections[count++] = connection;
             }
         }
-        return all;
+        return connections;
     }
 }
--- a/server/src/main/java/wheatspread/connections/ConnectionTable.java
+++ b/server/src/main/java/wheatspread/connections/ConnectionTable.java
@@ -5,31 +5,35 @@
 import wheatspread.connections.Connection.State;
 
 /**
- * The connections of one front: which are admitted, which have exceeded a time limit, and which are evicted
- * to make a place for others. It reads no clock and closes nothing by itself: what it decides it carries out
- * through {@link ConnectionActions}. Each state has a list in the order of time, and all connections in a
- * list have the same limit, so only the heads of the lists have to be checked: a connection has no timer, and
- * one that is used again only moves to the end of a list. Used on the event loop only.
+ * Tracks the connections of one front. It decides which connections are admitted, which have exceeded a time
+ * limit, and which are evicted in favour of new ones. It reads no clock and accesses no channel directly: it
+ * acts on connections through {@link ConnectionActions}. Each state has a list ordered by time, and all
+ * connections in a list have the same time limit, so only the heads of the lists have to be checked.
+ * Therefore a connection needs no timer of its own, and using it again only moves it to the end of a list.
+ * Used on the event loop only.
  */
 public final class ConnectionTable {
-    /** How many connections with unread bytes are skipped in search of one to evict. */
-    private static final int MAX_SKIPPED = 64;
+    /** Bounds the search for a connection to evict: at most this many unevictable ones are skipped. */
+    private static final int MAX_SKIPPED_CONNECTIONS = 64;
 
     private final ConnectionLimits limits;
     private final SourceAddressTable sources = new SourceAddressTable();
-    private final TokenBucket acceptRate;
+    private final TokenBucket acceptTokens;
     private final ConnectionCounters counters = new ConnectionCounters();
     private final ConnectionLists lists = new ConnectionLists();
-    private final Runnable expiryChanged;
+    private final Runnable onExpiryChanged;
     private int size;
     private long partialBytes;
     private long idleTimeoutMicros;
 
-    /** {@code expiryChanged} is run when a limit may end sooner than {@link #nextExpiryMicros} said before. */
-    public ConnectionTable(ConnectionLimits limits, long nowMicros, Runnable expiryChanged) {
+    /**
+     * Creates an empty table. {@code onExpiryChanged} is run whenever a time limit may end before the time that
+     * {@link #nextExpiryMicros} returned last.
+     */
+    public ConnectionTable(ConnectionLimits limits, long nowMicros, Runnable onExpiryChanged) {
         this.limits = limits;
-        this.expiryChanged = expiryChanged;
-        acceptRate = new TokenBucket(limits.acceptsPerSecond(), limits.acceptBurst(), nowMicros);
+        this.onExpiryChanged = onExpiryChanged;
+        acceptTokens = new TokenBucket(limits.acceptsPerSecond(), limits.acceptBurst(), nowMicros);
         idleTimeoutMicros = limits.idleTimeoutMicros();
     }
 
@@ -41,17 +45,17 @@
         return counters;
     }
 
-    /** How many connections there are. */
+    /** Returns the number of connections in the table. */
     public int size() {
         return size;
     }
 
-    /** How many connections are in a state. */
+    /** Returns the number of connections in {@code state}. */
     public int count(State state) {
         return lists.size(state);
     }
 
-    /** The bytes of partial messages, over all connections. */
+    /** Returns the bytes of partial messages, summed over all connections. */
     public long partialBytes() {
         return partialBytes;
     }
@@ -59,8 +63,9 @@
     // ---- admission and eviction ----
 
     /**
-     * Admits a connection, for which another one may be evicted, or rejects it: then the result is null, and
-     * the limits say what its socket gets. {@code sourceAddress} tells sources apart.
+     * Admits a connection, for which another may be evicted. Returns null if the connection is rejected; the
+     * transport then closes its socket as {@link ConnectionLimits#rejection} says. {@code sourceAddress}
+     * identifies the source, see {@code Listener.sourceOf}.
      */
     public Connection admit(ConnectionActions actions, long sourceAddress, long nowMicros) {
         if (limits.maxPerSource() > 0
@@ -77,13 +82,13 @@
         Connection connection = new Connection(actions, sources.of(sourceAddress), nowMicros);
         sources.opened(connection.source());
         size++;
-        place(connection, State.NEW, nowMicros);
+        addToLists(connection, State.NEW, nowMicros);
         return connection;
     }
 
-    /** How long to wait before accepting another connection after this one, in microseconds; 0 for no wait. */
+    /** Returns the microseconds to wait after an accept before the next accept; 0 for no wait. */
     public long pauseAfterAccept(long nowMicros) {
-        long pauseMicros = acceptRate.take(nowMicros);
+        long pauseMicros = acceptTokens.take(nowMicros);
         if (pauseMicros > 0) {
             counters.countAcceptsPaused();
         }
@@ -91,10 +96,11 @@
     }
 
     /**
-     * Evicts one connection, if any may be. One with an open request never may, nor one that has sent
-     * something not read yet, since that may be a request. The order is: lingering ones; those that have sent
-     * nothing within the grace; those with a message that is partial for longer than the grace; the one idle
-     * for longest of the source with most idle ones; last those within the grace.
+     * Evicts one connection and returns whether there was one to evict. A connection with an open request is
+     * never evicted, nor is a connection with unread bytes, since those may be a request. The order of
+     * eviction is: lingering connections; connections that have sent nothing for longer than the grace;
+     * connections whose message has been partial for longer than the grace; the longest idle connection of the
+     * source with the most idle connections; new and partial connections within the grace.
      */
     private boolean evictOne(long nowMicros) {
         long graceStartMicros = nowMicros - limits.evictionGraceMicros();
@@ -118,8 +124,8 @@
             counters.countEvictedIdle();
             return close(idle);
         }
-        // a flood fills the table within the grace: the newest connection may be a caller with a request or a
-        // health check, while the older ones have sent nothing yet
+        // A connection flood can fill the table within the grace. The newest connection may carry a request or a
+        // health check, while the older ones have sent nothing yet.
         Connection young = firstEvictable(State.NEW);
         young = young == null ? firstEvictable(State.PARTIAL_MESSAGE) : young;
         if (young != null) {
@@ -146,16 +152,23 @@
         return firstEvictable(lists.first(state), Connection::next);
     }
 
-    /** The first evictable connection of a list; null if there is none near its head. */
+    /**
+     * Returns the first evictable connection of a list; null if there is none among the first
+     * {@link #MAX_SKIPPED_CONNECTIONS} + 1.
+     */
     private static Connection firstEvictable(Connection head, UnaryOperator<Connection> next) {
         Connection candidate = head;
-        for (int skipped = 0; candidate != null && !candidate.isEvictable() && skipped < MAX_SKIPPED; skipped++) {
+        for (int skipped = 0;
+                candidate != null && !candidate.isEvictable() && skipped < MAX_SKIPPED_CONNECTIONS;
+                skipped++) {
             candidate = next.apply(candidate);
         }
         return candidate != null && candidate.isEvictable() ? candidate : null;
     }
 
-    /** The idle connection to evict next, whether or not it has unread bytes; null if none is idle. */
+    /**
+     * Returns the idle connection to evict next, regardless of unread bytes; null if none is idle. For tests.
+     */
     Connection nextIdleToEvict() {
         return sources.longestIdleOfLargestSource();
     }
@@ -166,25 +179,26 @@
         return true;
     }
 
-    // ---- what happens on connections ----
+    // ---- connection events ----
 
     /**
-     * Records one read: whether whole messages were in it, how many requests are open now, and how many bytes
-     * of a partial message are buffered. If all partial messages together take too much memory, the
-     * connections with the oldest ones are drained.
+     * Records a read: whether it completed any messages, how many requests are open after it, and how many
+     * bytes of a partial message are buffered. If all partial messages together exceed their memory limit, the
+     * connections with the oldest partial messages are drained.
      */
-    public void read(Connection connection, long nowMicros, boolean wholeMessages, int openRequests, int bytes) {
+    public void read(
+            Connection connection, long nowMicros, boolean wholeMessages, int openRequests, int bufferedBytes) {
         if (connection.state() == State.CLOSED) {
             return;
         }
-        partialBytes += bytes - connection.partialBytes();
-        connection.setPartialBytes(bytes);
+        partialBytes += bufferedBytes - connection.partialBytes();
+        connection.setPartialBytes(bufferedBytes);
         connection.setOpenRequests(openRequests);
         connection.setUnread(false);
         if (wholeMessages) {
-            connection.requestReceived(nowMicros);
+            connection.recordRequest(nowMicros);
         }
-        boolean sameMessage = connection.state() == State.PARTIAL_MESSAGE && !wholeMessages && bytes > 0;
+        boolean sameMessage = connection.state() == State.PARTIAL_MESSAGE && !wholeMessages && bufferedBytes > 0;
         updateState(connection, sameMessage ? connection.sinceMicros() : nowMicros);
         while (partialBytes > limits.maxPartialBytes() && lists.first(State.PARTIAL_MESSAGE) != null) {
             Connection oldest = lists.first(State.PARTIAL_MESSAGE);
@@ -194,17 +208,20 @@
         }
     }
 
-    /** Records an answer, after which so many requests are open. */
+    /** Records an answer; {@code openRequests} is the number of requests still open after it. */
     public void answered(Connection connection, long nowMicros, int openRequests) {
         if (connection.state() != State.CLOSED) {
             connection.setOpenRequests(openRequests);
-            connection.used(nowMicros);
+            connection.recordUse(nowMicros);
             boolean partial = connection.state() == State.PARTIAL_MESSAGE;
             updateState(connection, partial ? connection.sinceMicros() : nowMicros);
         }
     }
 
-    /** Nothing more is read: its partial message is dropped, and it closes once everything is answered. */
+    /**
+     * Records that no more requests are read from a connection. Its partial message is dropped, and it lingers
+     * once every open request is answered.
+     */
     public void drain(Connection connection, long nowMicros) {
         if (connection.state() != State.CLOSED && !connection.isDraining()) {
             connection.markDraining();
@@ -221,18 +238,18 @@
     private void updateState(Connection connection, long sinceMicros) {
         State state = connection.computeState();
         if (state == State.NEW && connection.state() == State.NEW) {
-            return; // an empty message does not count
+            return; // an empty message does not restart the time limit for the first byte
         }
         if (state != connection.state() || sinceMicros != connection.sinceMicros()) {
-            remove(connection);
-            place(connection, state, sinceMicros);
+            removeFromLists(connection);
+            addToLists(connection, state, sinceMicros);
         }
     }
 
-    /** Removes a connection that is closed, whichever side closed it. */
+    /** Removes a closed connection, whichever side closed it; does nothing if it was removed before. */
     public void closed(Connection connection) {
         if (connection.state() != State.CLOSED) {
-            remove(connection);
+            removeFromLists(connection);
             connection.markClosed();
             size--;
             dropPartialMessage(connection);
@@ -240,40 +257,40 @@
         }
     }
 
-    private void place(Connection connection, State state, long sinceMicros) {
+    private void addToLists(Connection connection, State state, long sinceMicros) {
         lists.add(connection, state, sinceMicros);
         if (state == State.IDLE) {
-            sources.becameIdle(connection);
+            sources.addIdle(connection);
         }
         if (lists.first(state) == connection && state != State.AWAITING_ANSWERS) {
-            expiryChanged.run();
+            onExpiryChanged.run();
         }
     }
 
-    private void remove(Connection connection) {
+    private void removeFromLists(Connection connection) {
         lists.remove(connection);
         if (connection.state() == State.IDLE) {
-            sources.leftIdle(connection);
+            sources.removeIdle(connection);
         }
     }
 
     // ---- time limits ----
 
     /**
-     * Closes connections that are idle for so many microseconds from now on; 0 means that only the configured
-     * limit holds.
+     * Lowers the time limit of idle connections to {@code timeoutMicros} unless the configured limit is lower;
+     * 0 restores the configured limit.
      */
-    public void closeIdle(long timeoutMicros) {
-        long configured = limits.idleTimeoutMicros();
+    public void limitIdleTime(long timeoutMicros) {
+        long configuredMicros = limits.idleTimeoutMicros();
         if (timeoutMicros == 0) {
-            idleTimeoutMicros = configured;
+            idleTimeoutMicros = configuredMicros;
         } else {
-            idleTimeoutMicros = configured == 0 ? timeoutMicros : Math.min(timeoutMicros, configured);
+            idleTimeoutMicros = configuredMicros == 0 ? timeoutMicros : Math.min(timeoutMicros, configuredMicros);
         }
-        expiryChanged.run();
+        onExpiryChanged.run();
     }
 
-    /** The time limit of a state in microseconds; 0 for none. */
+    /** Returns the time limit of {@code state} in microseconds; 0 for none. */
     private long timeoutMicros(State state) {
         return switch (state) {
             case NEW ->
@@ -293,7 +310,7 @@
         return connection == null || timeoutMicros == 0 ? Long.MAX_VALUE : connection.sinceMicros() + timeoutMicros;
     }
 
-    /** When the first limit ends, in microseconds; {@link Long#MAX_VALUE} if none will. */
+    /** Returns the time when the first time limit ends, in microseconds; {@link Long#MAX_VALUE} if none does. */
     public long nextExpiryMicros() {
         return Math.min(
                 Math.min(nextExpiryMicros(State.NEW), nextExpiryMicros(State.PARTIAL_MESSAGE)),
@@ -301,13 +318,14 @@
     }
 
     /**
-     * Ends the connections past their limit, {@code max} at most, and returns how many were checked. The rest
-     * stays for the next call, and {@link #nextExpiryMicros} shows that there is some.
+     * Checks up to {@code maxChecks} connections whose time limit has ended and drains or closes them. Returns
+     * the number checked. Further expired connections are left for the next call, and
+     * {@link #nextExpiryMicros} then returns a time that is not in the future.
      */
-    public int expire(long nowMicros, int max) {
+    public int expire(long nowMicros, int maxChecks) {
         int checked = 0;
         for (State state : State.values()) {
-            while (state != State.CLOSED && checked < max && nextExpiryMicros(state) <= nowMicros) {
+            while (state != State.CLOSED && checked < maxChecks && nextExpiryMicros(state) <= nowMicros) {
                 checked++;
                 expire(lists.first(state), nowMicros);
             }
@@ -319,8 +337,9 @@
         State state = connection.state();
         if (connection.isUnread()
                 || state == State.LINGERING && connection.actions().madeWriteProgress()) {
-            remove(connection);
-            place(connection, state, nowMicros); // it waits for this server, or still takes its answers
+            removeFromLists(connection);
+            // the connection waits for this server, or its client still reads answers
+            addToLists(connection, state, nowMicros);
             return;
         }
         counters.countExpired(state);
@@ -328,17 +347,18 @@
             close(connection);
         } else {
             drain(connection, nowMicros);
-            connection.actions().drain(); // a request on its way must not be answered by a reset
+            // draining instead of closing avoids a reset in answer to a request in transit
+            connection.actions().drain();
         }
     }
 
-    /** Closes the connection whose unread answers take most memory, because all together take too much. */
+    /** Closes and counts a connection whose client does not read its answers, to free their memory. */
     public void closeStalled(Connection connection) {
         counters.countClosedStalled();
         close(connection);
     }
 
-    /** Runs an action on every connection; it may close them. */
+    /** Runs an action on every connection; the action may close connections. */
     public void forEach(Consumer<ConnectionActions> action) {
         for (Connection connection : lists.toArray(size)) {
             action.accept(connection.actions());
--- a/server/src/main/java/wheatspread/connections/SourceAddressTable.java
+++ b/server/src/main/java/wheatspread/connections/SourceAddressTable.java
@@ -4,19 +4,19 @@
 import org.agrona.collections.Long2ObjectHashMap;
 
 /**
- * The connections of a front by source address, and which source has most idle ones. Sources with equally
- * many idle connections are in one list, and a source moves by one list at a time, so every operation takes
- * constant time.
+ * Groups the connections of a front by source address and finds the source with the most idle connections.
+ * Sources with the same number of idle connections share a list. That number changes by one at a time, so a
+ * source always moves to a neighbouring list, and every operation takes constant time.
  */
 final class SourceAddressTable {
     private static final int INITIAL_CAPACITY = 16;
 
-    /** One address with its connections. */
+    /** A source address with its number of connections and its list of idle connections. */
     static final class Source {
         private final long address;
         private int connections;
         private int idleCount;
-        /** The ends of the list of idle connections; the one that is idle for longest comes first. */
+        /** The ends of the list of idle connections, the longest idle first. */
         private Connection firstIdle;
 
         private Connection lastIdle;
@@ -31,19 +31,19 @@
             return address;
         }
 
-        /** The connection that is idle for longest; null if none is idle. */
+        /** Returns the connection that has been idle for the longest time; null if none is idle. */
         Connection longestIdle() {
             return firstIdle;
         }
     }
 
     private final Long2ObjectHashMap<Source> byAddress = new Long2ObjectHashMap<>(INITIAL_CAPACITY, 0.65f);
-    /** By the number of idle connections, the heads of the lists of sources; null for an empty list. */
+    /** The heads of the lists of sources, indexed by number of idle connections; null for an empty list. */
     private Source[] byIdleCount = new Source[INITIAL_CAPACITY];
 
     private int maxIdleCount;
 
-    /** The source with this address, which is a new one as long as it has no connection. */
+    /** Returns the source with this address, or a new unregistered one if it has no connections. */
     Source of(long address) {
         Source source = byAddress.get(address);
         return source == null ? new Source(address) : source;
@@ -70,8 +70,8 @@
         }
     }
 
-    /** A connection has become idle, as the last one of its source. */
-    void becameIdle(Connection connection) {
+    /** Appends a connection to the idle connections of its source. */
+    void addIdle(Connection connection) {
         Source source = connection.source();
         connection.linkPreviousOfSource(source.lastIdle);
         if (source.lastIdle == null) {
@@ -83,8 +83,8 @@
         changeIdleCount(source, 1);
     }
 
-    /** A connection is idle no longer. */
-    void leftIdle(Connection connection) {
+    /** Removes a connection from the idle connections of its source. */
+    void removeIdle(Connection connection) {
         Source source = connection.source();
         Connection previous = connection.previousOfSource();
         Connection next = connection.nextOfSource();
@@ -119,7 +119,7 @@
             }
             byIdleCount[source.idleCount] = source;
         }
-        // counts change by one, so the list below an emptied one holds the source that left it
+        // counts change by one, so if the top list became empty, its last source is now in the list below
         maxIdleCount = Math.max(maxIdleCount, source.idleCount);
         if (byIdleCount[maxIdleCount] == null && maxIdleCount > 0) {
             maxIdleCount--;
@@ -139,7 +139,7 @@
         source.next = null;
     }
 
-    /** The connection idle for longest of a source with most idle connections; null if none is idle. */
+    /** Returns the longest idle connection of a source with the most idle connections; null if none is idle. */
     Connection longestIdleOfLargestSource() {
         return maxIdleCount == 0 ? null : byIdleCount[maxIdleCount].firstIdle;
     }
--- a/server/src/main/java/wheatspread/connections/TokenBucket.java
+++ b/server/src/main/java/wheatspread/connections/TokenBucket.java
@@ -1,8 +1,9 @@
 package wheatspread.connections;
 
 /**
- * A token bucket that may be overdrawn: what has been taken already cannot be given back, so the caller waits
- * until the debt is paid.
+ * A token bucket whose level may become negative: a connection that was accepted cannot be returned to the
+ * accept queue, so the method's caller waits until the bucket holds a
+ * token again.
  */
 final class TokenBucket {
     private static final double MICROS_PER_SECOND = 1e6;
@@ -10,24 +11,24 @@
     private final double tokensPerMicro;
     private final double capacity;
     private double tokens;
-    private long filledAtMicros;
+    private long refilledAtMicros;
 
-    /** A rate of 0 per second means no limit. */
-    TokenBucket(int perSecond, int burst, long nowMicros) {
-        tokensPerMicro = perSecond / MICROS_PER_SECOND;
+    /** Creates a full bucket; {@code tokensPerSecond} of 0 means no limit. */
+    TokenBucket(int tokensPerSecond, int burst, long nowMicros) {
+        tokensPerMicro = tokensPerSecond / MICROS_PER_SECOND;
         capacity = burst;
         tokens = burst;
-        filledAtMicros = nowMicros;
+        refilledAtMicros = nowMicros;
     }
 
-    /** Takes a token and returns how long to wait before the next one, in microseconds; 0 for no wait. */
+    /** Takes a token and returns the microseconds to wait before taking the next; 0 for no wait. */
     long take(long nowMicros) {
         if (tokensPerMicro == 0) {
             return 0;
         }
-        double refill = Math.max(0, nowMicros - filledAtMicros) * tokensPerMicro;
+        double refill = Math.max(0, nowMicros - refilledAtMicros) * tokensPerMicro;
         tokens = Math.min(capacity, tokens + refill) - 1;
-        filledAtMicros = Math.max(filledAtMicros, nowMicros);
+        refilledAtMicros = Math.max(refilledAtMicros, nowMicros);
         return tokens >= 1 ? 0 : (long) Math.ceil((1 - tokens) / tokensPerMicro);
     }
 }
--- a/server/src/main/java/wheatspread/connections/package-info.java
+++ b/server/src/main/java/wheatspread/connections/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The limits for the connections of a front: admission, time limits, eviction and memory for partial
- * messages. It owns the state of each connection and the counters. It does not know sockets, clocks or what
- * a message contains.
+ * Enforces the limits for the connections of a front: admission, time limits, eviction and memory for partial
+ * messages. The package owns the state of each connection and the counters. It does not depend on sockets,
+ * clocks or the contents of messages.
  */
 package wheatspread.connections;
--- a/server/src/main/java/wheatspread/transport/Listener.java
+++ b/server/src/main/java/wheatspread/transport/Listener.java
@@ -276,7 +276,7 @@
 
     /** Closes connections that are idle for so many microseconds; 0 for the configured limit only. */
     public void closeIdle(long timeoutMicros) {
-        table.closeIdle(timeoutMicros);
+        table.limitIdleTime(timeoutMicros);
     }
 
     /** Starts the one timer for all connections, which expires when the first limit ends. */
--- a/server/src/test/java/wheatspread/connections/ConnectionTableFixture.java
+++ b/server/src/test/java/wheatspread/connections/ConnectionTableFixture.java
@@ -9,16 +9,16 @@
 import wheatspread.connections.Connection.State;
 import wheatspread.connections.ConnectionLimits.Rejection;
 
-/** A connection table with a clock and callers under the control of a test. */
+/** Provides a connection table with a settable clock and fake connections that record their actions. */
 abstract class ConnectionTableFixture {
-    protected static final long SECOND = 1_000_000;
+    protected static final long SECOND_MICROS = 1_000_000;
 
     protected final List<String> events = new ArrayList<>();
-    /** Names of callers that take some of their pending answers between two checks. */
-    protected final Set<String> advancing = new HashSet<>();
+    /** The names of connections whose clients read some of their pending answers between two checks. */
+    protected final Set<String> readingAnswers = new HashSet<>();
 
-    protected long now = 50 * SECOND;
-    protected int changes;
+    protected long nowMicros = 50 * SECOND_MICROS;
+    protected int expiryChanges;
     protected ConnectionTable table = table(4, 0, 0);
 
     protected ConnectionTable table(int maxConnections, int maxPerSource, long idleTimeoutMicros) {
@@ -28,33 +28,33 @@
                         maxPerSource,
                         100,
                         2,
-                        2 * SECOND,
-                        3 * SECOND,
+                        2 * SECOND_MICROS,
+                        3 * SECOND_MICROS,
                         idleTimeoutMicros,
-                        SECOND,
-                        SECOND / 5,
+                        SECOND_MICROS,
+                        SECOND_MICROS / 5,
                         1_000,
                         1_000,
                         Rejection.CLOSE),
-                now,
-                () -> changes++);
+                nowMicros,
+                () -> expiryChanges++);
     }
 
-    protected final class FakeActions implements ConnectionActions {
+    protected final class RecordingActions implements ConnectionActions {
         private final String name;
 
-        FakeActions(String name) {
+        RecordingActions(String name) {
             this.name = name;
         }
 
         @Override
         public void notifyDraining() {
-            events.add(name + " last call");
+            events.add(name + " notified");
         }
 
         @Override
         public void drain() {
-            events.add(name + " leaves");
+            events.add(name + " drained");
         }
 
         @Override
@@ -69,7 +69,7 @@
 
         @Override
         public boolean madeWriteProgress() {
-            return advancing.contains(name);
+            return readingAnswers.contains(name);
         }
 
         @Override
@@ -78,22 +78,23 @@
         }
     }
 
-    protected Connection open(String name, long source) {
-        return table.admit(new FakeActions(name), source, now);
+    protected Connection admit(String name, long source) {
+        return table.admit(new RecordingActions(name), source, nowMicros);
     }
 
-    protected Connection idle(String name, long source) {
-        Connection connection = open(name, source);
-        table.read(connection, now, true, 1, 0);
-        table.answered(connection, now, 0);
+    protected Connection admitIdle(String name, long source) {
+        Connection connection = admit(name, source);
+        table.read(connection, nowMicros, true, 1, 0);
+        table.answered(connection, nowMicros, 0);
         assertThat(connection.state()).isEqualTo(State.IDLE);
         return connection;
     }
 
+    /** Advances the clock, expires connections and returns only the actions that followed. */
     protected List<String> expire(long micros) {
-        now += micros;
+        nowMicros += micros;
         events.clear();
-        table.expire(now, 100);
+        table.expire(nowMicros, 100);
         return events;
     }
 }
--- a/server/src/test/java/wheatspread/connections/ConnectionTableModelTest.java
+++ b/server/src/test/java/wheatspread/connections/ConnectionTableModelTest.java
@@ -12,23 +12,22 @@
 import net.jqwik.api.Property;
 import wheatspread.connections.Connection.State;
 
-/** Compares a connection table with a model that searches all connections. */
+/** Checks the lists of a connection table against a model that searches all connections. */
 class ConnectionTableModelTest extends ConnectionTableFixture {
-    /** Compares the lists with a search over all connections. */
     @Property(tries = 150, seed = "11")
     void agreesWithAModelThatSearches(@ForAll long seed) {
         Random random = new Random(seed);
-        table = table(12, 0, 7 * SECOND);
+        table = table(12, 0, 7 * SECOND_MICROS);
         Map<String, Connection> model = new HashMap<>();
         for (int step = 0; step < 400; step++) {
-            now += random.nextInt(300_000);
+            nowMicros += random.nextInt(300_000);
             events.clear();
             Connection connection =
                     model.isEmpty() ? null : new ArrayList<>(model.values()).get(random.nextInt(model.size()));
             switch (random.nextInt(8)) {
                 case 0, 1 -> {
-                    String victim = model.size() < 12 ? null : victim(model);
-                    Connection opened = open("c" + step, random.nextInt(4));
+                    String victim = model.size() < 12 ? null : findVictim(model);
+                    Connection opened = admit("c" + step, random.nextInt(4));
                     assertThat(opened == null).isEqualTo(model.size() == 12 && victim == null);
                     if (opened != null) {
                         model.put("c" + step, opened);
@@ -44,7 +43,7 @@
                             1 + random.nextInt(30));
                 case 4, 5 -> {
                     if (connection != null && connection.openRequests() > 0) {
-                        table.answered(connection, now, connection.openRequests() - 1);
+                        table.answered(connection, nowMicros, connection.openRequests() - 1);
                     }
                 }
                 case 6 -> {
@@ -53,33 +52,34 @@
                     }
                 }
                 default -> {
-                    assertThat(model.values()).noneMatch(one -> one.state() == State.CLOSED);
-                    long first = table.nextExpiryMicros();
-                    assertThat(table.expire(now, 100) > 0).isEqualTo(first <= now);
-                    assertThat(table.nextExpiryMicros()).isGreaterThan(now);
+                    assertThat(model.values()).noneMatch(tracked -> tracked.state() == State.CLOSED);
+                    long nextExpiryMicros = table.nextExpiryMicros();
+                    assertThat(table.expire(nowMicros, 100) > 0).isEqualTo(nextExpiryMicros <= nowMicros);
+                    assertThat(table.nextExpiryMicros()).isGreaterThan(nowMicros);
                 }
             }
-            model.values().removeIf(one -> one.state() == State.CLOSED);
+            model.values().removeIf(tracked -> tracked.state() == State.CLOSED);
             assertThat(table.size()).isEqualTo(model.size());
             assertThat(table.partialBytes())
                     .isEqualTo(model.values().stream()
-                            .mapToLong(one -> one.partialBytes())
+                            .mapToLong(tracked -> tracked.partialBytes())
                             .sum());
         }
     }
 
     private void read(Connection connection, boolean wholeMessages, int openRequests, int bytes) {
         if (connection != null && connection.state() != State.DRAINING && connection.state() != State.LINGERING) {
-            table.read(connection, now, wholeMessages, openRequests, bytes);
+            table.read(connection, nowMicros, wholeMessages, openRequests, bytes);
         }
     }
 
-    /** The victim among those within the grace, the silent ones first; null if all wait for answers. */
-    private static String young(Map<String, Connection> model, Comparator<Map.Entry<String, Connection>> longest) {
+    /** Finds the victim among new, then partial connections within the grace; null if all have open requests. */
+    private static String findVictimWithinGrace(
+            Map<String, Connection> model, Comparator<Map.Entry<String, Connection>> byTimeInState) {
         for (State state : List.of(State.NEW, State.PARTIAL_MESSAGE)) {
             var found = model.entrySet().stream()
                     .filter(e -> e.getValue().state() == state && e.getValue().openRequests() == 0)
-                    .min(longest);
+                    .min(byTimeInState);
             if (found.isPresent()) {
                 return found.get().getKey();
             }
@@ -87,23 +87,23 @@
         return null;
     }
 
-    /** Which connection should be evicted, by a search. */
-    private String victim(Map<String, Connection> model) {
-        long before = now - SECOND / 5;
-        Comparator<Map.Entry<String, Connection>> longest =
+    /** Finds the connection that should be evicted by searching the model; null if none may be. */
+    private String findVictim(Map<String, Connection> model) {
+        long graceStartMicros = nowMicros - SECOND_MICROS / 5;
+        Comparator<Map.Entry<String, Connection>> byTimeInState =
                 Comparator.comparingLong(e -> e.getValue().sinceMicros());
         var lingering = model.entrySet().stream()
                 .filter(e -> e.getValue().state() == State.LINGERING)
                 .toList();
         if (!lingering.isEmpty()) {
-            // several may have the same time, so the list shows which was the first of them
+            // several may have the same time, so the head of the table's list decides between them
             var head = lingering.stream()
                     .filter(e -> e.getValue().previous() == null)
                     .findFirst()
                     .orElseThrow();
             assertThat(head.getValue().sinceMicros())
                     .isEqualTo(lingering.stream()
-                            .min(longest)
+                            .min(byTimeInState)
                             .orElseThrow()
                             .getValue()
                             .sinceMicros());
@@ -111,15 +111,15 @@
         }
         var silent = model.entrySet().stream()
                 .filter(e -> e.getValue().state() == State.NEW)
-                .min(longest);
-        if (silent.isPresent() && silent.get().getValue().sinceMicros() < before) {
+                .min(byTimeInState);
+        if (silent.isPresent() && silent.get().getValue().sinceMicros() < graceStartMicros) {
             return silent.get().getKey();
         }
         var partial = model.entrySet().stream()
                 .filter(e -> e.getValue().state() == State.PARTIAL_MESSAGE)
-                .min(longest);
+                .min(byTimeInState);
         if (partial.isPresent()
-                && partial.get().getValue().sinceMicros() < before
+                && partial.get().getValue().sinceMicros() < graceStartMicros
                 && partial.get().getValue().openRequests() == 0) {
             return partial.get().getKey();
         }
@@ -131,12 +131,12 @@
         Connection chosen = table.nextIdleToEvict();
         if (chosen == null) {
             assertThat(maxIdleCount).isZero();
-            return young(model, longest);
+            return findVictimWithinGrace(model, byTimeInState);
         }
         assertThat(idleCounts.get(chosen.source().address())).isEqualTo(maxIdleCount);
         return model.entrySet().stream()
                 .filter(e -> e.getValue().state() == State.IDLE && e.getValue().source() == chosen.source())
-                .min(longest)
+                .min(byTimeInState)
                 .orElseThrow()
                 .getKey();
     }
--- a/server/src/test/java/wheatspread/connections/ConnectionTableTest.java
+++ b/server/src/test/java/wheatspread/connections/ConnectionTableTest.java
@@ -11,23 +11,23 @@
 class ConnectionTableTest extends ConnectionTableFixture {
     @Test
     void connectionPassesThroughItsStates() {
-        Connection connection = open("a", 1);
+        Connection connection = admit("a", 1);
         assertThat(connection.state()).isEqualTo(State.NEW);
-        table.read(connection, now, false, 0, 10);
+        table.read(connection, nowMicros, false, 0, 10);
         assertThat(connection.state()).isEqualTo(State.PARTIAL_MESSAGE);
-        table.read(connection, now, true, 2, 0);
+        table.read(connection, nowMicros, true, 2, 0);
         assertThat(connection.state()).isEqualTo(State.AWAITING_ANSWERS);
-        table.read(connection, now, false, 2, 5);
+        table.read(connection, nowMicros, false, 2, 5);
         assertThat(connection.state()).isEqualTo(State.PARTIAL_MESSAGE);
-        table.answered(connection, now, 1);
-        table.read(connection, now, true, 2, 0);
-        table.answered(connection, now, 0);
+        table.answered(connection, nowMicros, 1);
+        table.read(connection, nowMicros, true, 2, 0);
+        table.answered(connection, nowMicros, 0);
         assertThat(connection.state()).isEqualTo(State.IDLE);
         assertThat(table.partialBytes()).isZero();
-        table.read(connection, now, true, 1, 0);
-        table.drain(connection, now);
+        table.read(connection, nowMicros, true, 1, 0);
+        table.drain(connection, nowMicros);
         assertThat(connection.state()).isEqualTo(State.DRAINING);
-        table.answered(connection, now, 0);
+        table.answered(connection, nowMicros, 0);
         assertThat(connection.state()).isEqualTo(State.LINGERING);
         table.closed(connection);
         table.closed(connection);
@@ -36,147 +36,149 @@
     }
 
     @Test
-    void eachStateHasItsTimeLimitAndUseRestartsIt() {
-        table = table(100, 0, 10 * SECOND);
-        open("silent", 1);
-        Connection partial = open("half", 1);
-        Connection used = idle("used", 1);
-        idle("rests", 1);
-        Connection asking = open("asks", 1);
-        table.read(asking, now, true, 1, 0);
-        table.read(partial, now, false, 0, 5);
-        assertThat(table.nextExpiryMicros()).isEqualTo(now + 2 * SECOND);
-        assertThat(expire(2 * SECOND)).containsExactly("silent leaves");
-        table.read(partial, now, false, 0, 6);
-        table.read(used, now, true, 0, 0);
-        assertThat(expire(SECOND))
+    void eachStateHasATimeLimitThatUseRestarts() {
+        table = table(100, 0, 10 * SECOND_MICROS);
+        admit("silent", 1);
+        Connection partial = admit("partial", 1);
+        Connection used = admitIdle("used", 1);
+        admitIdle("idle", 1);
+        Connection awaiting = admit("awaiting", 1);
+        table.read(awaiting, nowMicros, true, 1, 0);
+        table.read(partial, nowMicros, false, 0, 5);
+        assertThat(table.nextExpiryMicros()).isEqualTo(nowMicros + 2 * SECOND_MICROS);
+        assertThat(expire(2 * SECOND_MICROS)).containsExactly("silent drained");
+        table.read(partial, nowMicros, false, 0, 6);
+        table.read(used, nowMicros, true, 0, 0);
+        assertThat(expire(SECOND_MICROS))
                 .as("the limit counts from the first byte of the message")
-                .containsExactly("half leaves", "silent closed");
-        assertThat(expire(SECOND)).as("a caller that does not close").containsExactly("half closed");
-        assertThat(expire(6 * SECOND)).containsExactly("rests leaves");
-        assertThat(expire(2 * SECOND)).containsExactly("used leaves", "rests closed");
-        assertThat(expire(SECOND)).containsExactly("used closed");
+                .containsExactly("partial drained", "silent closed");
+        assertThat(expire(SECOND_MICROS)).as("the client does not close").containsExactly("partial closed");
+        assertThat(expire(6 * SECOND_MICROS)).containsExactly("idle drained");
+        assertThat(expire(2 * SECOND_MICROS)).containsExactly("used drained", "idle closed");
+        assertThat(expire(SECOND_MICROS)).containsExactly("used closed");
         assertThat(table.nextExpiryMicros())
-                .as("awaiting an answer has no limit here")
+                .as("a connection that awaits an answer has no time limit")
                 .isEqualTo(Long.MAX_VALUE);
         assertThat(Arrays.toString(table.counters().fields()))
                 .contains("closed_silent, 1", "closed_half, 1", "closed_idle, 2", "closed_lingering, 4");
     }
 
-    /** A slow reader gets its answers as long as it takes some; one that takes none is cut off. */
+    /** Guards against cutting off a slow client that still reads its answers when the linger time limit ends. */
     @Test
-    void lingeringConnectionGetsItsTimeAgainWhileItTakesAnswers() {
-        Connection slow = open("slow", 1);
-        Connection stuck = open("stuck", 1);
-        advancing.add("slow");
-        for (Connection connection : List.of(slow, stuck)) {
-            table.read(connection, now, true, 1, 0);
-            table.drain(connection, now);
-            table.answered(connection, now, 0);
+    void lingerTimeoutRestartsWhileClientReadsAnswers() {
+        Connection slow = admit("slow", 1);
+        Connection stalled = admit("stalled", 1);
+        readingAnswers.add("slow");
+        for (Connection connection : List.of(slow, stalled)) {
+            table.read(connection, nowMicros, true, 1, 0);
+            table.drain(connection, nowMicros);
+            table.answered(connection, nowMicros, 0);
             assertThat(connection.state()).isEqualTo(State.LINGERING);
         }
-        assertThat(expire(SECOND)).containsExactly("stuck closed");
-        assertThat(expire(SECOND)).isEmpty();
-        advancing.clear();
-        assertThat(expire(SECOND)).containsExactly("slow closed");
+        assertThat(expire(SECOND_MICROS)).containsExactly("stalled closed");
+        assertThat(expire(SECOND_MICROS)).isEmpty();
+        readingAnswers.clear();
+        assertThat(expire(SECOND_MICROS)).containsExactly("slow closed");
     }
 
-    /** A flood fills the table within the grace; a later connection may carry a health check. */
+    /** A connection flood fills the table within the grace, and a later connection may carry a health check. */
     @Test
-    void floodOfSilentCallersKeepsNobodyOut() {
+    void floodOfSilentConnectionsDoesNotBlockNewConnections() {
         table = table(3, 0, 0);
-        Connection asking = open("asks", 1);
-        table.read(asking, now, true, 1, 0);
-        Connection partial = open("half", 2);
-        table.read(partial, now, false, 0, 5);
-        open("silent", 2);
-        now += SECOND / 100;
-        assertThat(open("check", 3)).isNotNull();
+        Connection awaiting = admit("awaiting", 1);
+        table.read(awaiting, nowMicros, true, 1, 0);
+        Connection partial = admit("partial", 2);
+        table.read(partial, nowMicros, false, 0, 5);
+        admit("silent", 2);
+        nowMicros += SECOND_MICROS / 100;
+        assertThat(admit("health check", 3)).isNotNull();
         assertThat(events).containsExactly("silent closed");
-        table.read(table.admit(new FakeActions("check 2"), 3, now), now, true, 1, 0);
-        assertThat(events).containsExactly("silent closed", "check closed");
-        open("check 3", 3);
-        assertThat(events).endsWith("half closed");
-        table.read(open("check 4", 3), now, true, 1, 0);
-        assertThat(events).endsWith("check 3 closed");
-        assertThat(open("none waits", 3)).as("all wait for answers").isNull();
+        table.read(table.admit(new RecordingActions("health check 2"), 3, nowMicros), nowMicros, true, 1, 0);
+        assertThat(events).containsExactly("silent closed", "health check closed");
+        admit("health check 3", 3);
+        assertThat(events).endsWith("partial closed");
+        table.read(admit("health check 4", 3), nowMicros, true, 1, 0);
+        assertThat(events).endsWith("health check 3 closed");
+        assertThat(admit("rejected", 3))
+                .as("every connection has an open request")
+                .isNull();
     }
 
-    /** Its bytes may be a request: the next one is evicted instead, and none if all have unread bytes. */
+    /** Unread bytes may be a request, so the next connection is evicted, or none if all have unread bytes. */
     @Test
     void connectionWithUnreadBytesIsNotEvicted() {
         table = table(2, 0, 0);
-        Connection woken = idle("woken", 1);
-        idle("rests", 1);
-        woken.setUnread(true);
-        Connection next = open("new", 1);
-        assertThat(events).containsExactly("rests closed");
-        next.setUnread(true);
-        assertThat(open("one too many", 2)).isNull();
-        assertThat(events).containsExactly("rests closed");
+        Connection unread = admitIdle("unread", 1);
+        admitIdle("idle", 1);
+        unread.setUnread(true);
+        Connection newConnection = admit("new", 1);
+        assertThat(events).containsExactly("idle closed");
+        newConnection.setUnread(true);
+        assertThat(admit("rejected", 2)).isNull();
+        assertThat(events).containsExactly("idle closed");
     }
 
-    /** All its requests are answered, so another caller needs its descriptor more. */
+    /** All requests of a lingering connection are answered, so closing it to free its descriptor loses none. */
     @Test
     void lingeringConnectionIsEvictedFirst() {
         table = table(3, 0, 0);
-        open("silent", 1);
-        now += SECOND;
-        idle("rests", 1);
-        Connection lingering = idle("lingers", 1);
-        table.drain(lingering, now);
-        open("new", 1);
-        assertThat(events).containsExactly("lingers closed");
+        admit("silent", 1);
+        nowMicros += SECOND_MICROS;
+        admitIdle("idle", 1);
+        Connection lingering = admitIdle("lingering", 1);
+        table.drain(lingering, nowMicros);
+        admit("new", 1);
+        assertThat(events).containsExactly("lingering closed");
     }
 
     @Test
-    void connectionThatWaitsForThisServerIsNotClosed() {
-        Connection partial = open("half", 1);
-        table.read(partial, now, false, 0, 5);
+    void connectionThatWaitsForTheServerDoesNotExpire() {
+        Connection partial = admit("partial", 1);
+        table.read(partial, nowMicros, false, 0, 5);
         partial.setUnread(true);
-        assertThat(expire(4 * SECOND)).isEmpty();
+        assertThat(expire(4 * SECOND_MICROS)).isEmpty();
         partial.setUnread(false);
-        assertThat(expire(2 * SECOND)).as("its time limit restarts").isEmpty();
-        assertThat(expire(SECOND)).containsExactly("half leaves");
-        Connection asked = open("asked", 1);
-        table.read(asked, now, true, 1, 0);
-        table.drain(asked, now);
-        assertThat(expire(5 * SECOND)).as("its answer is pending").containsExactly("half closed");
-        assertThat(asked.state()).isEqualTo(State.DRAINING);
+        assertThat(expire(2 * SECOND_MICROS)).as("the time limit restarts").isEmpty();
+        assertThat(expire(SECOND_MICROS)).containsExactly("partial drained");
+        Connection draining = admit("draining", 1);
+        table.read(draining, nowMicros, true, 1, 0);
+        table.drain(draining, nowMicros);
+        assertThat(expire(5 * SECOND_MICROS)).as("a request is still open").containsExactly("partial closed");
+        assertThat(draining.state()).isEqualTo(State.DRAINING);
     }
 
     @Test
-    void idleTimeoutMayBeSetAtRunTime() {
-        idle("a", 1);
-        assertThat(expire(60 * SECOND)).isEmpty();
-        table.closeIdle(SECOND);
-        assertThat(table.nextExpiryMicros()).isLessThan(now);
-        assertThat(expire(0)).containsExactly("a leaves");
-        assertThat(expire(SECOND)).containsExactly("a closed");
-        table.closeIdle(0);
-        idle("b", 1);
-        assertThat(expire(60 * SECOND)).isEmpty();
+    void idleTimeoutCanBeSetAtRunTime() {
+        admitIdle("a", 1);
+        assertThat(expire(60 * SECOND_MICROS)).isEmpty();
+        table.limitIdleTime(SECOND_MICROS);
+        assertThat(table.nextExpiryMicros()).isLessThan(nowMicros);
+        assertThat(expire(0)).containsExactly("a drained");
+        assertThat(expire(SECOND_MICROS)).containsExactly("a closed");
+        table.limitIdleTime(0);
+        admitIdle("b", 1);
+        assertThat(expire(60 * SECOND_MICROS)).isEmpty();
     }
 
-    /** 19,000 limits that end at once are dealt with in parts. */
+    /** The time limits of 19,000 connections end at once; each call of expire handles at most 100 of them. */
     @Test
     void expiryIsBoundedPerIteration() {
-        table = table(19_000, 0, SECOND);
+        table = table(19_000, 0, SECOND_MICROS);
         for (int i = 0; i < 19_000; i++) {
-            idle("c", i % 50);
+            admitIdle("c", i % 50);
         }
-        now += SECOND;
+        nowMicros += SECOND_MICROS;
         for (int iteration = 1; iteration <= 190; iteration++) {
-            assertThat(table.nextExpiryMicros()).isLessThanOrEqualTo(now);
-            assertThat(table.expire(now, 100)).isEqualTo(100);
+            assertThat(table.nextExpiryMicros()).isLessThanOrEqualTo(nowMicros);
+            assertThat(table.expire(nowMicros, 100)).isEqualTo(100);
             assertThat(table.count(State.IDLE)).isEqualTo(19_000 - 100 * iteration);
         }
-        assertThat(events).hasSize(19_000).containsOnly("c leaves");
-        assertThat(table.nextExpiryMicros()).isEqualTo(now + SECOND);
-        now += SECOND;
+        assertThat(events).hasSize(19_000).containsOnly("c drained");
+        assertThat(table.nextExpiryMicros()).isEqualTo(nowMicros + SECOND_MICROS);
+        nowMicros += SECOND_MICROS;
         for (int iteration = 1; iteration <= 190; iteration++) {
-            assertThat(table.nextExpiryMicros()).isLessThanOrEqualTo(now);
-            assertThat(table.expire(now, 100)).isEqualTo(100);
+            assertThat(table.nextExpiryMicros()).isLessThanOrEqualTo(nowMicros);
+            assertThat(table.expire(nowMicros, 100)).isEqualTo(100);
             assertThat(table.size()).isEqualTo(19_000 - 100 * iteration);
         }
         assertThat(table.nextExpiryMicros()).isEqualTo(Long.MAX_VALUE);
@@ -184,95 +186,99 @@
 
     @Test
     void evictsSilentThenPartialThenIdleOfTheLargestSource() {
-        idle("lone", 1);
-        idle("first of many", 2);
-        idle("second of many", 2);
-        Connection partial = open("half", 3);
-        table.read(partial, now, false, 0, 5);
-        now += SECOND / 2;
-        open("new", 4);
-        assertThat(events).containsExactly("half closed");
-        open("newer", 5);
-        assertThat(events).as("the new one is still within the grace").endsWith("first of many closed");
-        now += SECOND / 2;
-        open("newest", 6);
+        admitIdle("single", 1);
+        admitIdle("first of many", 2);
+        admitIdle("second of many", 2);
+        Connection partial = admit("partial", 3);
+        table.read(partial, nowMicros, false, 0, 5);
+        nowMicros += SECOND_MICROS / 2;
+        admit("new", 4);
+        assertThat(events).containsExactly("partial closed");
+        admit("newer", 5);
+        assertThat(events).as("the connection 'new' is still within the grace").endsWith("first of many closed");
+        nowMicros += SECOND_MICROS / 2;
+        admit("newest", 6);
         assertThat(events).endsWith("new closed");
         assertThat(table.counters().evicted()).isEqualTo(3);
     }
 
     @Test
-    void connectionWithAnOpenRequestIsNeverEvicted() {
+    void connectionWithOpenRequestIsNeverEvicted() {
         for (int i = 0; i < 4; i++) {
-            Connection connection = open("asks", 1);
-            table.read(connection, now, true, 1, i % 2 * 5);
+            Connection connection = admit("awaiting", 1);
+            table.read(connection, nowMicros, true, 1, i % 2 * 5);
         }
-        now += 2 * SECOND;
-        assertThat(open("new", 2)).isNull();
+        nowMicros += 2 * SECOND_MICROS;
+        assertThat(admit("new", 2)).isNull();
         assertThat(events).isEmpty();
         assertThat(table.counters().rejected()).isOne();
     }
 
     @Test
-    void sourceAtItsLimitEvictsOneOfItsOwn() {
+    void sourceAtItsLimitEvictsItsLongestIdleConnection() {
         table = table(100, 2, 0);
-        idle("a1", 1);
-        Connection asking = open("a2", 1);
-        table.read(asking, now, true, 1, 0);
-        assertThat(open("a3", 1)).isNotNull();
+        admitIdle("a1", 1);
+        Connection awaiting = admit("a2", 1);
+        table.read(awaiting, nowMicros, true, 1, 0);
+        assertThat(admit("a3", 1)).isNotNull();
         assertThat(events).containsExactly("a1 closed");
-        assertThat(open("a4", 1)).as("none of its own is idle").isNull();
-        assertThat(open("b1", 2)).isNotNull();
+        assertThat(admit("a4", 1))
+                .as("the source has no idle connection to evict")
+                .isNull();
+        assertThat(admit("b1", 2)).isNotNull();
         assertThat(Arrays.toString(table.counters().fields())).contains("refused_source, 1");
     }
 
     @Test
-    void partialMessagesOfAllConnectionsAreBounded() {
+    void drainsOldestPartialMessagesAboveTheMemoryLimit() {
         table = table(100, 0, 0);
-        List<Connection> all = new ArrayList<>();
+        List<Connection> connections = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            all.add(open("c" + i, i));
-            table.read(all.get(i), now, false, 0, 100);
+            connections.add(admit("c" + i, i));
+            table.read(connections.get(i), nowMicros, false, 0, 100);
         }
         assertThat(events).isEmpty();
-        Connection last = open("last", 10);
-        table.read(last, now, false, 0, 150);
-        assertThat(events).containsExactly("c0 leaves", "c1 leaves");
+        Connection last = admit("last", 10);
+        table.read(last, nowMicros, false, 0, 150);
+        assertThat(events).containsExactly("c0 drained", "c1 drained");
         assertThat(table.partialBytes()).isEqualTo(950);
     }
 
-    /** Every partial message is buffered until it is whole, which it never is here. */
+    /** Each connection sends part of a message and never completes it, so every part stays buffered. */
     @Test
-    void partialMessagesOfManyConnectionsStayWithinTheBound() {
+    void partialMessagesOf19000ConnectionsStayWithinTheMemoryLimit() {
         table = table(19_000, 0, 0);
         for (int i = 0; i < 19_000; i++) {
-            Connection connection = open("c", i % 100);
-            table.read(connection, now, false, 0, 40);
+            Connection connection = admit("c", i % 100);
+            table.read(connection, nowMicros, false, 0, 40);
             assertThat(table.partialBytes()).isLessThanOrEqualTo(1_000);
         }
-        assertThat(events).hasSize(19_000 - 25).containsOnly("c leaves");
-        expire(SECOND);
+        assertThat(events).hasSize(19_000 - 25).containsOnly("c drained");
+        expire(SECOND_MICROS);
         assertThat(events)
-                .as("connections that do not close are cut off")
+                .as("lingering connections whose clients do not close are closed")
                 .hasSize(100)
                 .containsOnly("c closed");
     }
 
     @Test
-    void acceptsAreRateLimited() {
-        assertThat(table.pauseAfterAccept(now)).as("a burst of two").isZero();
-        assertThat(table.pauseAfterAccept(now)).isEqualTo(SECOND / 100);
-        assertThat(table.pauseAfterAccept(now)).isEqualTo(2 * SECOND / 100);
-        assertThat(table.pauseAfterAccept(now + 10 * SECOND)).isZero();
+    void limitsAcceptRateAfterBurst() {
+        assertThat(table.pauseAfterAccept(nowMicros))
+                .as("the burst allows two accepts")
+                .isZero();
+        assertThat(table.pauseAfterAccept(nowMicros)).isEqualTo(SECOND_MICROS / 100);
+        assertThat(table.pauseAfterAccept(nowMicros)).isEqualTo(2 * SECOND_MICROS / 100);
+        assertThat(table.pauseAfterAccept(nowMicros + 10 * SECOND_MICROS)).isZero();
     }
 
     @Test
-    void clockSetBackKeepsTheOrder() {
-        table = table(100, 0, SECOND);
-        idle("a", 1);
-        now -= 30 * SECOND;
-        idle("b", 1);
-        now += 31 * SECOND;
-        assertThat(expire(0)).containsExactly("a leaves", "b leaves");
-        assertThat(expire(SECOND)).containsExactly("a closed", "b closed");
+    void clockSetBackDoesNotReorderTimeLimits() {
+        table = table(100, 0, SECOND_MICROS);
+        admitIdle("a", 1);
+        nowMicros -= 30 * SECOND_MICROS;
+        admitIdle("b", 1);
+        nowMicros += 31 * SECOND_MICROS;
+        assertThat(expire(0)).containsExactly("a drained", "b drained");
+        assertThat(expire(SECOND_MICROS)).containsExactly("a closed", "b closed");
     }
 }
