--- a/server/src/main/java/wheatspread/config/OperatorConfig.java
+++ b/server/src/main/java/wheatspread/config/OperatorConfig.java
@@ -96,7 +96,7 @@
         ConnectionLimits defaults = DEFAULT.connections;
         return new ConnectionLimits(
                 0,
-                fields.integer("max_per_source", defaults.maxPerSource(), 0, 1 << 20),
+                fields.integer("max_per_source", defaults.maxConnectionsPerSource(), 0, 1 << 20),
                 fields.integer("accepts_per_s", defaults.acceptsPerSecond(), 0, 1_000_000),
                 fields.integer("accept_burst", defaults.acceptBurst(), 1, 1_000_000),
                 fields.micros("first_request_ms", defaults.firstByteTimeoutMicros(), 10),
@@ -128,7 +128,7 @@
         ConnectionLimits common = connections;
         return new ConnectionLimits(
                 uwsgi.maxConnections(),
-                common.maxPerSource(),
+                common.maxConnectionsPerSource(),
                 common.acceptsPerSecond(),
                 common.acceptBurst(),
                 common.firstByteTimeoutMicros(),
--- a/server/src/main/java/wheatspread/connections/ConnectionLimits.java
+++ b/server/src/main/java/wheatspread/connections/ConnectionLimits.java
@@ -4,7 +4,7 @@
  * The limits for the connections of one front.
  *
  * @param maxConnections maximum number of simultaneous connections
- * @param maxPerSource maximum number of simultaneous connections from one source address; 0 for no
+ * @param maxConnectionsPerSource maximum number of simultaneous connections from one source address; 0 for no
  *     limit other than {@code maxConnections}
  * @param acceptsPerSecond sustained rate of accepted connections; 0 for no limit
  * @param acceptBurst number of connections that may be accepted at once after a pause
@@ -22,7 +22,7 @@
  */
 public record ConnectionLimits(
         int maxConnections,
-        int maxPerSource,
+        int maxConnectionsPerSource,
         int acceptsPerSecond,
         int acceptBurst,
         long firstByteTimeoutMicros,
@@ -44,7 +44,7 @@
     public static ConnectionLimits defaults(int maxConnections) {
         return new ConnectionLimits(
                 maxConnections,
-                0, // maxPerSource
+                0, // maxConnectionsPerSource
                 0, // acceptsPerSecond
                 1_000, // acceptBurst
                 2_000_000, // firstByteTimeoutMicros
@@ -61,7 +61,7 @@
     public ConnectionLimits withMaxConnections(int connections) {
         return new ConnectionLimits(
                 connections,
-                maxPerSource,
+                maxConnectionsPerSource,
                 acceptsPerSecond,
                 acceptBurst,
                 firstByteTimeoutMicros,
--- a/server/src/main/java/wheatspread/connections/ConnectionTable.java
+++ b/server/src/main/java/wheatspread/connections/ConnectionTable.java
@@ -68,8 +68,8 @@
      * identifies the source, see {@code Listener.sourceOf}.
      */
     public Connection admit(ConnectionActions actions, long sourceAddress, long nowMicros) {
-        if (limits.maxPerSource() > 0
-                && sources.connectionsOf(sourceAddress) >= limits.maxPerSource()
+        if (limits.maxConnectionsPerSource() > 0
+                && sources.connectionsOf(sourceAddress) >= limits.maxConnectionsPerSource()
                 && !evictIdleOf(sourceAddress)) {
             counters.countRejectedSource();
             return null;
--- a/server/src/test/java/wheatspread/connections/ConnectionTableFixture.java
+++ b/server/src/test/java/wheatspread/connections/ConnectionTableFixture.java
@@ -21,11 +21,11 @@
     protected int expiryChanges;
     protected ConnectionTable table = table(4, 0, 0);
 
-    protected ConnectionTable table(int maxConnections, int maxPerSource, long idleTimeoutMicros) {
+    protected ConnectionTable table(int maxConnections, int maxConnectionsPerSource, long idleTimeoutMicros) {
         return new ConnectionTable(
                 new ConnectionLimits(
                         maxConnections,
-                        maxPerSource,
+                        maxConnectionsPerSource,
                         100,
                         2,
                         2 * SECOND_MICROS,
