--- a/server/src/main/java/wheatspread/scheduling/IterationBudget.java
+++ b/server/src/main/java/wheatspread/scheduling/IterationBudget.java
@@ -1,17 +1,18 @@
 package wheatspread.scheduling;
 
 /**
- * What one event-loop iteration may spend on new requests.
+ * The limits of the work that one event-loop iteration does for new requests, timers and time limits.
  *
- * @param maxBytes bytes read from callers
- * @param maxRequests whole requests read
- * @param maxReadMicros time spent on reading
- * @param recentUseMicros a connection that was used within this many microseconds does not count as idle
- * @param readsPerIdleRead one idle connection is read after this many others, so that a busy server reads
- *     idle connections too
- * @param burstThreshold how many idle connections that wait to be read at once make a reconnect burst, see
+ * @param maxBytes maximum number of bytes read from clients
+ * @param maxRequests maximum number of whole requests read
+ * @param maxReadMicros maximum time spent on reading, in microseconds
+ * @param recentUseMicros a connection last used within this many microseconds does not count as idle
+ * @param readsPerIdleRead at least one of this many consecutive reads is of an idle connection if any waits,
+ *     so that a busy server reads idle connections too
+ * @param burstThreshold number of idle connections waiting to be read at which a reconnect burst starts, see
  *     {@link ReconnectBurstLimiter}
- * @param maxExpirations timers, and connections past a limit, that an iteration deals with
+ * @param maxExpirations maximum number of timers, and likewise of connections past a time limit, handled per
+ *     iteration
  */
 public record IterationBudget(
         int maxBytes,
@@ -21,6 +22,13 @@
         int readsPerIdleRead,
         int burstThreshold,
         int maxExpirations) {
-    /** What holds unless the operator's file says otherwise. */
-    public static final IterationBudget DEFAULT = new IterationBudget(256 * 1024, 128, 4_000, 5_000_000, 8, 64, 16);
+    /** The budget that applies unless the operator's file sets another. */
+    public static final IterationBudget DEFAULT = new IterationBudget(
+            256 * 1024, // maxBytes
+            128, // maxRequests
+            4_000, // maxReadMicros
+            5_000_000, // recentUseMicros
+            8, // readsPerIdleRead
+            64, // burstThreshold
+            16); // maxExpirations
 }
--- a/server/src/main/java/wheatspread/scheduling/PendingRead.java
+++ b/server/src/main/java/wheatspread/scheduling/PendingRead.java
@@ -1,46 +1,46 @@
 package wheatspread.scheduling;
 
 /**
- * A connection that may have something to read, as a node of {@link ReadScheduler}'s queues. Subclasses know
- * the connection; the scheduler alone changes the node.
+ * A connection that may have input to read, and a node of the queues of {@link ReadScheduler}. Subclasses
+ * provide access to the connection; only the scheduler changes the node. Used on the event loop only.
  */
 public abstract class PendingRead {
     private PendingRead next;
     private boolean idle;
     private int queue = ReadScheduler.NOT_QUEUED;
 
-    /** Whether it waits to be read. */
+    /** Returns whether the connection is in a queue of the scheduler. */
     public final boolean isQueued() {
         return queue != ReadScheduler.NOT_QUEUED;
     }
 
-    /** Whether the connection counted as idle when it was queued last. */
+    /** Returns whether the connection counted as idle when it was last queued. */
     public final boolean wasIdle() {
         return idle;
     }
 
-    /** Whether requests are open on the connection. */
+    /** Returns whether the connection has requests that are not answered yet. */
     protected abstract boolean hasOpenRequests();
 
-    /** When the connection was used last. */
+    /** Returns the time of last use in microseconds, by the clock that the scheduler is called with. */
     protected abstract long lastUsedMicros();
 
-    final void enqueued(int inQueue, boolean asIdle) {
-        queue = inQueue;
-        idle = asIdle;
+    final void markQueued(int queue, boolean idle) {
+        this.queue = queue;
+        this.idle = idle;
     }
 
-    final void dequeued() {
+    final void markDequeued() {
         queue = ReadScheduler.NOT_QUEUED;
         next = null;
     }
 
-    /** The next one in the same queue; null for the last one. */
+    /** Returns the next node in the same queue; null for the last node. */
     final PendingRead next() {
         return next;
     }
 
-    final void linkNext(PendingRead following) {
-        next = following;
+    final void linkNext(PendingRead next) {
+        this.next = next;
     }
 }
--- a/server/src/main/java/wheatspread/scheduling/ReadScheduler.java
+++ b/server/src/main/java/wheatspread/scheduling/ReadScheduler.java
@@ -1,10 +1,11 @@
 package wheatspread.scheduling;
 
 /**
- * Decides which connections are read in an event-loop iteration, in what order, and when the iteration has
- * read enough. Connections with open requests come first, then recently used ones, then idle ones, each in
- * the order in which they became ready. Idle connections get a small share of every iteration whatever the
- * others do. It does no I/O and reads no clock; used on the event loop only.
+ * Decides which connections are read in an event-loop iteration, in what order, and when the read budget of
+ * the iteration is spent. Connections with open requests are read first, then recently used connections, then
+ * idle connections, each group in the order in which they became ready. Idle connections are guaranteed one
+ * in {@link IterationBudget#readsPerIdleRead} reads, whatever the load of the others. The scheduler does no
+ * I/O and reads no clock. Used on the event loop only.
  */
 public final class ReadScheduler {
     static final int NOT_QUEUED = -1;
@@ -12,31 +13,31 @@
     private static final int WITH_OPEN_REQUESTS = 0;
     private static final int RECENTLY_USED = 1;
     private static final int IDLE = 2;
-    private static final int QUEUES = 3;
+    private static final int QUEUE_COUNT = 3;
 
     private final IterationBudget budget;
-    private final PendingRead[] first = new PendingRead[QUEUES];
-    private final PendingRead[] last = new PendingRead[QUEUES];
-    private final int[] sizes = new int[QUEUES];
+    private final PendingRead[] first = new PendingRead[QUEUE_COUNT];
+    private final PendingRead[] last = new PendingRead[QUEUE_COUNT];
+    private final int[] sizes = new int[QUEUE_COUNT];
     private long iterationStartMicros;
     private int bytesRead;
     private int requestsRead;
     private int connectionsRead;
     private int readsSinceIdleRead;
     private long exhaustedIterations;
-    private long idleReads;
+    private long idleConnectionsQueued;
 
     public ReadScheduler(IterationBudget budget) {
         this.budget = budget;
     }
 
-    /** Queues a connection that has something to read, unless it is queued already. */
+    /** Queues a connection that has input to read; does nothing if it is queued already. */
     public void add(PendingRead ready, long nowMicros) {
         if (ready.isQueued()) {
             return;
         }
-        int queue = queueFor(ready, nowMicros);
-        ready.enqueued(queue, queue == IDLE);
+        int queue = selectQueueFor(ready, nowMicros);
+        ready.markQueued(queue, queue == IDLE);
         if (last[queue] == null) {
             first[queue] = ready;
         } else {
@@ -44,17 +45,17 @@
         }
         last[queue] = ready;
         sizes[queue]++;
-        idleReads += queue == IDLE ? 1 : 0;
+        idleConnectionsQueued += queue == IDLE ? 1 : 0;
     }
 
-    private int queueFor(PendingRead ready, long nowMicros) {
+    private int selectQueueFor(PendingRead ready, long nowMicros) {
         if (ready.hasOpenRequests()) {
             return WITH_OPEN_REQUESTS;
         }
         return ready.lastUsedMicros() > nowMicros - budget.recentUseMicros() ? RECENTLY_USED : IDLE;
     }
 
-    /** Starts an iteration with its whole budget. */
+    /** Starts an iteration and resets its budget. */
     public void beginIteration(long nowMicros) {
         iterationStartMicros = nowMicros;
         bytesRead = 0;
@@ -62,15 +63,15 @@
         connectionsRead = 0;
     }
 
-    /** Charges the budget with what was read from the connection taken last. */
+    /** Charges the budget for bytes and whole requests read from a connection. */
     public void recordRead(int bytes, int requests) {
         bytesRead += bytes;
         requestsRead += requests;
     }
 
     /**
-     * Takes the next connection to read out of its queue; returns null if there is none or the budget is
-     * spent. An iteration reads at least one connection.
+     * Removes the next connection to read from its queue and returns it. Returns null if no connection waits or
+     * the budget is spent; the first connection of an iteration is returned regardless of the budget.
      */
     public PendingRead take(long nowMicros) {
         if (isEmpty()) {
@@ -81,7 +82,7 @@
             return null;
         }
         connectionsRead++;
-        return removeFirst(selectQueue());
+        return removeFirst(selectNextQueue());
     }
 
     private boolean isBudgetSpent(long nowMicros) {
@@ -90,7 +91,7 @@
                 || nowMicros - iterationStartMicros >= budget.maxReadMicros();
     }
 
-    private int selectQueue() {
+    private int selectNextQueue() {
         int queue = WITH_OPEN_REQUESTS;
         while (first[queue] == null) {
             queue++;
@@ -110,33 +111,33 @@
         if (first[queue] == null) {
             last[queue] = null;
         }
-        ready.dequeued();
+        ready.markDequeued();
         sizes[queue]--;
         return ready;
     }
 
-    /** Whether no connection waits to be read. */
+    /** Returns whether no connection waits to be read. */
     public boolean isEmpty() {
         return size() == 0;
     }
 
-    /** How many connections wait to be read. */
+    /** Returns the number of connections that wait to be read. */
     public int size() {
         return sizes[WITH_OPEN_REQUESTS] + sizes[RECENTLY_USED] + sizes[IDLE];
     }
 
-    /** How many idle connections wait to be read. */
+    /** Returns the number of idle connections that wait to be read. */
     public int idleWaiting() {
         return sizes[IDLE];
     }
 
-    /** How many iterations spent their budget before everything was read. */
+    /** Returns the number of iterations since the start whose budget was spent while connections still waited. */
     public long exhaustedIterations() {
         return exhaustedIterations;
     }
 
-    /** How many times an idle connection was queued. */
+    /** Returns how many times since the start an idle connection was queued. */
     public long idleReads() {
-        return idleReads;
+        return idleConnectionsQueued;
     }
 }
--- a/server/src/main/java/wheatspread/scheduling/ReconnectBurstLimiter.java
+++ b/server/src/main/java/wheatspread/scheduling/ReconnectBurstLimiter.java
@@ -4,33 +4,37 @@
 
 /**
  * Limits the requests of idle connections that become active at the same time, so that they do not displace
- * the requests of steady callers from the admission queue. While a burst lasts, only a window of such
- * requests may be in flight; the others are rejected at once with a time to retry after. The window follows
- * additive increase and multiplicative decrease (D. Chiu and R. Jain, "Analysis of the Increase and Decrease
- * Algorithms for Congestion Avoidance in Computer Networks", 1989): one more for each request that was
- * served, half as many after a rejection. It does no I/O and reads no clock; used on the event loop only.
+ * the requests of steadily active clients from the admission queue. During a burst the number of such requests
+ * in flight is limited to a window; further requests are rejected immediately with a retry-after. The window
+ * follows additive increase and multiplicative decrease (D. Chiu and R. Jain, "Analysis of the Increase and
+ * Decrease Algorithms for Congestion Avoidance in Computer Networks", 1989): it grows by 1 for each request
+ * that was served and is halved after a rejection for lack of capacity. The limiter does no I/O and reads no
+ * clock. Used on the event loop only.
  */
 public final class ReconnectBurstLimiter {
-    private static final int MIN_WINDOW = 4;
-    private static final int INITIAL_WINDOW = 16;
-    private static final int MAX_WINDOW = 512;
-    /** Rejections within this time count as one congestion signal, since a smaller window takes effect late. */
+    private static final int MIN_WINDOW_REQUESTS = 4;
+    private static final int INITIAL_WINDOW_REQUESTS = 16;
+    private static final int MAX_WINDOW_REQUESTS = 512;
+    /**
+     * Rejections within this interval count as a single congestion signal, because a smaller window takes effect
+     * only after the requests in flight have ended.
+     */
     private static final long DECREASE_INTERVAL_MICROS = 200_000;
-    /** The earliest retry, as a fraction of the latest one. */
-    private static final int EARLIEST_RETRY_FRACTION = 4;
+    /** The latest retry-after divided by this is the earliest. */
+    private static final int MIN_RETRY_AFTER_DIVISOR = 4;
 
     private final int burstThreshold;
     private final SplittableRandom random;
-    private boolean burst;
-    private double window = INITIAL_WINDOW;
+    private boolean inBurst;
+    private double windowRequests = INITIAL_WINDOW_REQUESTS;
     private int inFlight;
-    private long decreasedAtMicros = Long.MIN_VALUE / 2;
+    private long lastDecreaseMicros = Long.MIN_VALUE / 2;
     private long bursts;
     private long rejections;
 
     /**
-     * A burst starts once {@code burstThreshold} idle connections wait to be read; the seed spreads the
-     * retries of rejected requests.
+     * Creates a limiter. A burst starts when {@code burstThreshold} idle connections wait to be read; the seed
+     * determines the random retry-after times of rejected requests.
      */
     public ReconnectBurstLimiter(int burstThreshold, long seed) {
         this.burstThreshold = burstThreshold;
@@ -38,18 +42,19 @@
     }
 
     /**
-     * Decides whether a request read from an idle connection may go on to the core, while {@code idleWaiting}
-     * further idle connections wait to be read. An admitted request must be given back by {@link #completed}.
+     * Decides whether a request read from an idle connection may be submitted to the core, while
+     * {@code idleWaiting} further idle connections wait to be read. For each admitted request {@link #completed}
+     * must be called once when it ends.
      */
     public boolean tryAdmit(int idleWaiting) {
-        if (!burst && idleWaiting >= burstThreshold) {
-            burst = true;
+        if (!inBurst && idleWaiting >= burstThreshold) {
+            inBurst = true;
             bursts++;
-            window = INITIAL_WINDOW;
-        } else if (burst && idleWaiting == 0 && inFlight == 0) {
-            burst = false;
+            windowRequests = INITIAL_WINDOW_REQUESTS;
+        } else if (inBurst && idleWaiting == 0 && inFlight == 0) {
+            inBurst = false;
         }
-        if (burst && inFlight >= (int) window) {
+        if (inBurst && inFlight >= (int) windowRequests) {
             rejections++;
             return false;
         }
@@ -57,38 +62,41 @@
         return true;
     }
 
-    /** An admitted request has ended. */
+    /** Records the end of an admitted request; {@code served} is whether it succeeded. */
     public void completed(boolean served) {
         inFlight--;
-        if (burst && served) {
-            window = Math.min(MAX_WINDOW, window + 1);
+        if (inBurst && served) {
+            windowRequests = Math.min(MAX_WINDOW_REQUESTS, windowRequests + 1);
         }
     }
 
-    /** The server rejected a request for lack of capacity, whichever caller it came from. */
+    /** Records that the server rejected a request of any client for lack of capacity. */
     public void rejected(long nowMicros) {
-        if (burst && nowMicros - decreasedAtMicros >= DECREASE_INTERVAL_MICROS) {
-            decreasedAtMicros = nowMicros;
-            window = Math.max(MIN_WINDOW, window / 2);
+        if (inBurst && nowMicros - lastDecreaseMicros >= DECREASE_INTERVAL_MICROS) {
+            lastDecreaseMicros = nowMicros;
+            windowRequests = Math.max(MIN_WINDOW_REQUESTS, windowRequests / 2);
         }
     }
 
-    /** When a rejected request should be retried: uniformly between a quarter of the latest time and that. */
+    /**
+     * Returns the retry-after of a rejected request, drawn uniformly between a quarter of {@code maxMicros} and
+     * {@code maxMicros}; 0 if {@code maxMicros} is 0.
+     */
     public long retryAfterMicros(long maxMicros) {
         if (maxMicros == 0) {
             return 0;
         }
-        long minMicros = maxMicros / EARLIEST_RETRY_FRACTION;
+        long minMicros = maxMicros / MIN_RETRY_AFTER_DIVISOR;
         return minMicros + random.nextLong(Math.max(1, maxMicros - minMicros));
     }
 
-    /** How many requests may be in flight while a burst lasts. */
+    /** Returns the number of requests of idle connections that may be in flight during a burst. */
     public int window() {
-        return (int) window;
+        return (int) windowRequests;
     }
 
-    /** What is logged, as alternating names and values. */
+    /** Returns the log fields as alternating names and values. */
     public Object[] fields() {
-        return new Object[] {"crowds", bursts, "crowd_turned_away", rejections, "crowd_window", (int) window};
+        return new Object[] {"crowds", bursts, "crowd_turned_away", rejections, "crowd_window", (int) windowRequests};
     }
 }
--- a/server/src/main/java/wheatspread/scheduling/package-info.java
+++ b/server/src/main/java/wheatspread/scheduling/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The order and the amount of reading in an event-loop iteration, and the limit for bursts of reconnecting
- * callers. It owns the queues of readable connections and the burst window. It does not know sockets, clocks,
- * protocols or what becomes of a request.
+ * Schedules the reads of an event-loop iteration and limits bursts of requests from reconnecting clients. The
+ * package owns the queues of readable connections and the burst window. It does not depend on sockets, clocks,
+ * protocols or the processing of requests.
  */
 package wheatspread.scheduling;
--- a/server/src/test/java/wheatspread/scheduling/ReadSchedulerTest.java
+++ b/server/src/test/java/wheatspread/scheduling/ReadSchedulerTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 class ReadSchedulerTest {
-    private static final long NOW = 100_000_000;
+    private static final long NOW_MICROS = 100_000_000;
 
     private final ReadScheduler scheduler =
             new ReadScheduler(new IterationBudget(10_000, 20, 4_000, 5_000_000, 4, 64, 10));
@@ -39,81 +39,84 @@
         }
     }
 
-    private void add(String name, int openRequests, long unusedMicros) {
-        scheduler.add(new FakeConnection(name, openRequests, NOW - unusedMicros), NOW);
+    private void queueConnection(String name, int openRequests, long unusedMicros) {
+        scheduler.add(new FakeConnection(name, openRequests, NOW_MICROS - unusedMicros), NOW_MICROS);
     }
 
-    private List<String> runIteration(int bytes, int requests, int micros) {
-        List<String> read = new ArrayList<>();
-        long now = NOW;
-        scheduler.beginIteration(now);
-        for (PendingRead ready = scheduler.take(now); ready != null; ready = scheduler.take(now)) {
+    /** Runs an iteration in which each read costs this much, and returns the names of the connections read. */
+    private List<String> runIteration(int bytesPerRead, int requestsPerRead, int microsPerRead) {
+        List<String> namesRead = new ArrayList<>();
+        long nowMicros = NOW_MICROS;
+        scheduler.beginIteration(nowMicros);
+        for (PendingRead ready = scheduler.take(nowMicros); ready != null; ready = scheduler.take(nowMicros)) {
             assertThat(ready.isQueued()).isFalse();
-            read.add(ready.toString());
-            scheduler.recordRead(bytes, requests);
-            now += micros;
+            namesRead.add(ready.toString());
+            scheduler.recordRead(bytesPerRead, requestsPerRead);
+            nowMicros += microsPerRead;
         }
-        return read;
+        return namesRead;
     }
 
     @Test
     void readsOpenRequestsThenRecentlyUsedThenIdle() {
-        add("idle", 0, 6_000_000);
-        add("recent", 0, 4_000_000);
-        add("awaits answer", 1, 60_000_000);
-        add("awaits answers", 3, 0);
+        queueConnection("idle", 0, 6_000_000);
+        queueConnection("recent", 0, 4_000_000);
+        queueConnection("awaits answer", 1, 60_000_000);
+        queueConnection("awaits answers", 3, 0);
         assertThat(runIteration(100, 1, 10)).containsExactly("awaits answer", "awaits answers", "recent", "idle");
         assertThat(scheduler.isEmpty()).isTrue();
     }
 
     @Test
-    void busyServerReadsIdleConnectionsNowAndThen() {
+    void readsOneIdleConnectionPerFourReadsUnderLoad() {
         for (int i = 0; i < 8; i++) {
-            add("busy" + i, 1, 0);
-            add("idle" + i, 0, 60_000_000);
+            queueConnection("busy" + i, 1, 0);
+            queueConnection("idle" + i, 0, 60_000_000);
         }
         assertThat(runIteration(100, 1, 10).subList(0, 8))
                 .containsExactly("busy0", "busy1", "busy2", "idle0", "busy3", "busy4", "busy5", "idle1");
     }
 
     @Test
-    void bytesRequestsAndTimeEndAnIterationAndTheRestStaysQueued() {
+    void byteRequestAndTimeBudgetsEndIterationAndKeepRestQueued() {
         for (int i = 0; i < 100; i++) {
-            add("" + i, 0, 0);
+            queueConnection("" + i, 0, 0);
         }
         assertThat(runIteration(4_000, 1, 1)).as("bytes").hasSize(3);
         assertThat(runIteration(1, 10, 1)).as("requests").hasSize(2);
         assertThat(runIteration(1, 1, 1_000)).as("time").hasSize(4);
-        assertThat(runIteration(1, 0, 10_000)).as("at least one").hasSize(1);
+        assertThat(runIteration(1, 0, 10_000))
+                .as("at least one connection per iteration")
+                .hasSize(1);
         assertThat(scheduler.exhaustedIterations()).isEqualTo(4);
         assertThat(scheduler.size()).isEqualTo(90);
         assertThat(runIteration(1, 1, 1)).startsWith("10").hasSize(20);
     }
 
     @Test
-    void queuedConnectionIsNotQueuedTwice() {
-        FakeConnection connection = new FakeConnection("connection", 0, NOW);
-        scheduler.add(connection, NOW);
-        scheduler.add(connection, NOW);
+    void doesNotQueueAQueuedConnectionAgain() {
+        FakeConnection connection = new FakeConnection("connection", 0, NOW_MICROS);
+        scheduler.add(connection, NOW_MICROS);
+        scheduler.add(connection, NOW_MICROS);
         assertThat(runIteration(1, 1, 1)).containsExactly("connection");
-        scheduler.add(connection, NOW);
+        scheduler.add(connection, NOW_MICROS);
         assertThat(scheduler.size()).isOne();
     }
 
-    /** Idle connections that become active at once keep no steady caller out of any iteration. */
+    /** Guards against delaying steadily active clients when 19,000 idle connections become active at once. */
     @Test
-    void reconnectBurstDelaysNoSteadyCaller() {
+    void reconnectBurstDoesNotDelaySteadyClients() {
         for (int i = 0; i < 19_000; i++) {
-            add("idle", 0, 60_000_000);
+            queueConnection("idle", 0, 60_000_000);
         }
-        int idleRead = 0;
+        int idleConnectionsRead = 0;
         for (int round = 0; round < 100; round++) {
-            add("steady", 0, 1_000);
-            add("steady", 2, 1_000);
-            List<String> read = runIteration(300, 1, 20);
-            assertThat(read).startsWith("steady", "steady").hasSize(20);
-            idleRead += read.size() - 2;
+            queueConnection("steady", 0, 1_000);
+            queueConnection("steady", 2, 1_000);
+            List<String> namesRead = runIteration(300, 1, 20);
+            assertThat(namesRead).startsWith("steady", "steady").hasSize(20);
+            idleConnectionsRead += namesRead.size() - 2;
         }
-        assertThat(scheduler.size()).isEqualTo(19_000 - idleRead);
+        assertThat(scheduler.size()).isEqualTo(19_000 - idleConnectionsRead);
     }
 }
