--- a/server/src/main/java/wheatspread/transport/ClientChannel.java
+++ b/server/src/main/java/wheatspread/transport/ClientChannel.java
@@ -12,30 +12,32 @@
 import wheatspread.scheduling.PendingRead;
 
 /**
- * Sits between the event loop and a caller's channel: write events pass at once, read events wait until the
- * read scheduler takes them. While a read waits over an iteration, the selector does not watch the channel
- * for input, or it would report the same input in every iteration. Used on the event loop only.
+ * Intercepts the I/O events of a client's channel. Write events are passed on immediately; read events are
+ * deferred until the read scheduler selects the channel. While a read is deferred beyond an iteration, the
+ * selector does not watch the channel for input, because it would report the same input in every iteration.
+ * Used on the event loop only.
  */
 public abstract class ClientChannel extends PendingRead implements IoHandle, IoRegistration {
     protected final IoHandle handle;
     private final EventLoopScheduler scheduler;
     private final Connection connection;
     private IoRegistration registration;
-    /** The events that the channel wants from the selector. */
-    private IoOps wanted;
-    /** The last event that has input to read. */
-    private IoEvent event;
+    /** The operations that the channel wants the selector to watch; null before it submits the first. */
+    private IoOps requestedOps;
+    /** The last event that reported input. */
+    private IoEvent readEvent;
 
     private boolean readsPaused;
 
     protected ClientChannel(IoHandle handle, EventLoopScheduler scheduler) {
         this.handle = handle;
         this.scheduler = scheduler;
-        connection = scheduler.registering();
+        connection = scheduler.connectionBeingRegistered();
     }
 
-    final IoRegistration registered(IoRegistration real) {
-        registration = real;
+    /** Sets the selector's registration and returns the one that the channel is to use. */
+    final IoRegistration wrapRegistration(IoRegistration selectorRegistration) {
+        registration = selectorRegistration;
         return this;
     }
 
@@ -50,23 +52,23 @@
     }
 
     @Override
-    public final void handle(IoRegistration real, IoEvent ready) {
+    public final void handle(IoRegistration selectorRegistration, IoEvent ready) {
         if (!reads(ready)) {
-            handle.handle(real, ready);
+            handle.handle(selectorRegistration, ready);
             return;
         }
-        event = ready;
+        readEvent = ready;
         if (!isQueued()) {
             connection.setUnread(true);
-            scheduler.ready(this);
+            scheduler.queueRead(this);
         }
-        IoEvent rest = withoutReading(ready);
-        if (rest != null) {
-            handle.handle(real, rest);
+        IoEvent remaining = withoutReading(ready);
+        if (remaining != null) {
+            handle.handle(selectorRegistration, remaining);
         }
     }
 
-    /** Reads now: the read scheduler has taken it. */
+    /** Performs the deferred read, after the read scheduler has taken the channel from its queue. */
     final void read() {
         connection.setUnread(false);
         connection.setCountsAsIdle(false);
@@ -74,36 +76,36 @@
         if (readsPaused) {
             readsPaused = false;
             if (registration.isValid()) {
-                registration.submit(wanted);
+                registration.submit(requestedOps);
             }
         }
         if (registration.isValid()) {
-            handle.handle(registration, event);
+            handle.handle(registration, readEvent);
         }
     }
 
-    /** Stops watching for input, since the read has to wait for a further iteration. */
+    /** Stops watching for input while the read is deferred to a later iteration. */
     final void pauseReads() {
-        if (!readsPaused && registration.isValid() && wanted != null) {
+        if (!readsPaused && registration.isValid() && requestedOps != null) {
             readsPaused = true;
-            registration.submit(withoutReadInterest(wanted));
+            registration.submit(withoutReadInterest(requestedOps));
         }
     }
 
-    /** Whether an event has input to read. */
+    /** Returns whether an event reports input to read. */
     protected abstract boolean reads(IoEvent ready);
 
-    /** The rest of an event without its input; null if nothing is left. */
+    /** Returns the event without its input operations; null if no operation remains. */
     protected abstract IoEvent withoutReading(IoEvent ready);
 
-    /** What the channel wants from the selector, without input. */
+    /** Returns the operations without those that watch for input. */
     protected abstract IoOps withoutReadInterest(IoOps ops);
 
-    // ---- the registration, as the channel sees it ----
+    // ---- IoRegistration, used by the channel ----
 
     @Override
     public final long submit(IoOps ops) {
-        wanted = ops;
+        requestedOps = ops;
         return registration.submit(readsPaused ? withoutReadInterest(ops) : ops);
     }
 
@@ -122,7 +124,7 @@
         return registration.cancel();
     }
 
-    // ---- the handle, as the selector sees it ----
+    // ---- IoHandle, used by the selector ----
 
     @Override
     public final void registered() {
@@ -139,11 +141,11 @@
         try {
             handle.close();
         } catch (Exception e) {
-            throw new IllegalStateException(e); // the handles of channels throw none
+            throw new IllegalStateException(e); // Netty's channel handles do not throw from close
         }
     }
 
-    /** For the JDK's selectors, whose channels look at the selector's own record of what they want. */
+    /** The implementation for the JDK's selectors, whose channels check the operations registered there. */
     static final class Nio extends ClientChannel implements NioIoHandle {
         Nio(IoHandle handle, EventLoopScheduler scheduler) {
             super(handle, scheduler);
--- a/server/src/main/java/wheatspread/transport/ClientChannelHandler.java
+++ b/server/src/main/java/wheatspread/transport/ClientChannelHandler.java
@@ -16,37 +16,38 @@
 import wheatspread.core.Reply;
 
 /**
- * The only handler of a caller's channel. A protocol's subclass reads messages out of the bytes; the bytes of
- * a partial message are buffered here, and only as long as there is one, since thousands of connections may
- * be idle.
+ * The only handler of a client's channel. A protocol's subclass reads messages from the bytes received. This
+ * class buffers the bytes of a partial message, and holds a buffer only while there is a partial message,
+ * because thousands of connections may be idle.
  *
- * <p>A connection ends by a lingering close: the pending answers are written, the output is shut, and what
- * still arrives is read and discarded until the caller closes too. A close over unread bytes would reset the
- * connection (RFC 1122, 4.2.2.13), and a reset destroys answers that the caller has not read yet.
+ * <p>A connection ends by a lingering close: the pending answers are written, the output is shut, and bytes
+ * received after that are read and discarded until the client closes. A close while received bytes are unread
+ * would reset the connection (RFC 1122, 4.2.2.13), and a reset destroys answers that the client has not read
+ * yet.
  *
- * <p>Used on the event loop only. The {@link Listener} registers the channel; the channel's own close, whoever
- * causes it, releases the buffer.
+ * <p>Used on the event loop only. The {@link Listener} registers the channel. The buffer is released when the
+ * channel becomes inactive, whichever side closed it.
  */
 public abstract class ClientChannelHandler extends ChannelInboundHandlerAdapter implements ConnectionActions {
     protected final Listener listener;
     protected ChannelHandlerContext ctx;
-    /** The beginning of a partial message; null if there is none. */
+    /** The received part of a partial message; null if there is none. */
     private ByteBuf buffered;
 
     private Connection connection;
     private Phase phase = Phase.OPEN;
-    /** The caller has shut its output; it may still read. */
+    /** Whether the client has shut its output; it may still read answers. */
     private boolean inputShutdown;
-    /** The progress of the lingering close; null before it begins. */
-    private LingeringClose lingering;
+    /** The state of the lingering close; null before it begins. */
+    private LingeringClose lingeringClose;
 
-    /** How far a connection has come towards its end. */
+    /** The phases of a connection's shutdown. */
     private enum Phase {
         /** Requests are read. */
         OPEN,
-        /** No more requests are read; the open ones are answered. */
+        /** No more requests are read, and the open requests are answered. */
         DRAINING,
-        /** Everything is answered: the answers are written, the output is shut, and input is discarded. */
+        /** Every request is answered: the answers are written, the output is shut, and input is discarded. */
         LINGERING
     }
 
@@ -58,42 +59,42 @@
         return connection;
     }
 
-    /** Attaches the connection that the table admitted; before the channel is registered. */
+    /** Sets the connection that the table admitted. Must be called before the channel is registered. */
     final void attach(Connection admitted) {
         connection = admitted;
     }
 
     /**
-     * Reads the whole messages and returns their number. Bytes that it leaves are buffered and come again in
-     * front of the next ones.
+     * Reads the whole messages in {@code bytes} and returns their number. Unread bytes are buffered and passed
+     * again at the next call, in front of the bytes received since.
      */
     protected abstract int readMessages(ByteBuf bytes);
 
-    /** How many requests wait for their answers. */
+    /** Returns the number of requests that wait for their answers. */
     protected abstract int openRequests();
 
-    /** The caller has disconnected, so nobody is left to receive an answer. */
+    /** Cancels the open requests, because the client has disconnected and can receive no answer. */
     protected abstract void clientDisconnected();
 
-    /** About how many bytes of a partial message the protocol itself buffers. */
+    /** Returns approximately how many bytes of a partial message the protocol buffers in addition. */
     protected int extraBufferedBytes() {
         return 0;
     }
 
-    /** Whether the protocol takes more requests now; the channel is not read while it does not. */
+    /** Returns whether the protocol accepts more requests now; the channel is not read while it does not. */
     protected boolean acceptsMoreRequests() {
         return true;
     }
 
     /**
-     * The caller has shut its output while requests are open. By default that counts as a disconnect; a
-     * protocol whose callers cancel requests explicitly still answers them.
+     * Called when the client shuts its output while requests are open. The default treats this as a disconnect;
+     * a protocol whose clients cancel requests explicitly overrides it and answers the requests.
      */
     protected void clientInputEnded() {
         clientDisconnected();
     }
 
-    // ---- the channel ----
+    // ---- channel events ----
 
     @Override
     public final void handlerAdded(ChannelHandlerContext context) {
@@ -144,16 +145,16 @@
             return;
         }
         int size = bytes.readableBytes();
-        ByteBuf all = bytes;
+        ByteBuf unread = bytes;
         if (buffered != null) {
-            all = buffered.writeBytes(bytes);
+            unread = buffered.writeBytes(bytes);
         }
-        int messages = readMessages(all);
+        int messages = readMessages(unread);
         listener.recordRead(size, messages);
-        if (phase != Phase.OPEN || !all.isReadable()) {
+        if (phase != Phase.OPEN || !unread.isReadable()) {
             releaseBuffer();
         } else if (buffered == null) {
-            buffered = Unpooled.buffer(all.readableBytes()).writeBytes(all);
+            buffered = Unpooled.buffer(unread.readableBytes()).writeBytes(unread);
         } else {
             buffered.discardSomeReadBytes();
         }
@@ -161,7 +162,7 @@
         updateReading();
     }
 
-    /** Reads the buffer again, where the protocol left whole messages in it. */
+    /** Reads messages from the buffer again, after the protocol left whole messages in it. */
     protected final void readBuffered() {
         if (buffered != null && phase == Phase.OPEN) {
             readBytes(Unpooled.EMPTY_BUFFER);
@@ -179,7 +180,7 @@
         return (buffered == null ? 0 : buffered.capacity()) + extraBufferedBytes();
     }
 
-    /** Whether a part of a message has been received. */
+    /** Returns whether a part of a message has been received. */
     protected final boolean hasPartialMessage() {
         return partialBytes() > 0;
     }
@@ -190,7 +191,11 @@
         updateReading();
     }
 
-    /** Pauses reads from a caller that does not read its answers, since they would fill the memory. */
+    /**
+     * Pauses reads from a client that does not read its answers, because its pending answers would take up ever
+     * more memory, and resumes them when it does. Starts the lingering close of a draining connection once no
+     * request is open.
+     */
     protected final void updateReading() {
         if (phase != Phase.LINGERING) {
             boolean reading = phase == Phase.OPEN && ctx.channel().isWritable() && acceptsMoreRequests();
@@ -202,48 +207,51 @@
             }
         }
         if (phase == Phase.DRAINING && openRequests() == 0) {
-            linger();
+            startLingering();
         }
     }
 
-    // ---- the end ----
+    // ---- lingering close ----
 
-    private void linger() {
+    private void startLingering() {
         phase = Phase.LINGERING;
-        lingering = new LingeringClose();
-        ctx.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(this::allWritten);
+        lingeringClose = new LingeringClose();
+        ctx.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(this::handleAnswersFlushed);
         if (!inputShutdown && ctx.channel().isOpen()) {
             ctx.channel().config().setAutoRead(true);
         }
     }
 
-    /** Every answer has been handed to the system, or cannot be. */
-    private void allWritten(Future<?> result) {
+    /**
+     * Shuts the output once the operating system has taken every answer. Closes the channel if a write failed or
+     * the channel cannot be shut in one direction only.
+     */
+    private void handleAnswersFlushed(Future<?> result) {
         if (!result.isSuccess() || !(ctx.channel() instanceof DuplexChannel channel)) {
             ctx.close();
             return;
         }
         channel.shutdownOutput();
-        lingering.outputShutDown();
+        lingeringClose.markOutputShutDown();
         closeIfDone();
     }
 
     private void closeIfDone() {
-        if (inputShutdown && lingering.isOutputShutDown()) {
+        if (inputShutdown && lingeringClose.isOutputShutDown()) {
             ctx.close();
         }
     }
 
     private void discard(int bytes) {
         listener.recordRead(bytes, 0);
-        if (lingering != null && !lingering.mayDiscard(bytes)) {
+        if (lingeringClose != null && !lingeringClose.mayDiscard(bytes)) {
             ctx.close();
         }
     }
 
     @Override
     public final boolean madeWriteProgress() {
-        return lingering.madeProgress(pendingWriteBytes());
+        return lingeringClose.madeProgress(pendingWriteBytes());
     }
 
     @Override
@@ -260,11 +268,11 @@
         if (cause instanceof IOException || phase != Phase.OPEN) {
             context.close();
         } else {
-            drain(); // a fault in one message must not lose the answers to others
+            drain(); // an exception in one message must not lose the answers to other requests
         }
     }
 
-    // ---- decisions of the connection table ----
+    // ---- ConnectionActions, called by the connection table ----
 
     @Override
     public final void drain() {
@@ -291,8 +299,8 @@
     }
 
     /**
-     * Returns whether the burst limiter rejects a request that was just read, since it is part of a reconnect
-     * burst. A rejected request has been answered, with a time to retry after.
+     * Returns whether the burst limiter rejects the request that was just read as part of a reconnect burst. A
+     * rejected request has been answered through {@code reply} with a retry-after.
      */
     protected final boolean rejectedByBurstLimiter(Core core, int requestClass, Reply reply) {
         EventLoopScheduler scheduler = listener.scheduler();
@@ -304,12 +312,15 @@
         return true;
     }
 
-    /** Whether the burst limiter counts the request being read; {@link #requestEnded} has to get that back. */
+    /**
+     * Returns whether the burst limiter counts the request being read; the result must be passed to
+     * {@link #requestEnded} when the request ends.
+     */
     protected final boolean isBurstAdmission() {
         return listener.scheduler().isReadingIdle();
     }
 
-    /** A request that the burst limiter did not reject has ended. */
+    /** Reports the end of a request that the burst limiter did not reject, to the limiter and the listener. */
     protected final void requestEnded(boolean burstAdmission, Answer.Kind kind) {
         if (burstAdmission) {
             listener.scheduler().burstLimiter().completed(kind == Answer.Kind.SERVED);
@@ -319,12 +330,12 @@
         }
     }
 
-    /** Writes an answer. */
+    /** Writes and flushes bytes to the client; takes ownership of the buffer. */
     protected final void write(ByteBuf bytes) {
         ctx.writeAndFlush(bytes, ctx.voidPromise());
     }
 
-    /** An answer was written, so fewer requests are open. */
+    /** Updates the connection's state after an answer was written and the number of open requests changed. */
     protected final void answerWritten() {
         listener.answered(this);
         updateReading();
--- a/server/src/main/java/wheatspread/transport/EpollTransport.java
+++ b/server/src/main/java/wheatspread/transport/EpollTransport.java
@@ -19,14 +19,14 @@
 import io.netty.channel.unix.Socket;
 import java.io.IOException;
 
-/** Linux's epoll, by Netty's native library. */
+/** The transport on Linux's epoll, through Netty's native library. */
 final class EpollTransport implements Transport {
-    /** The length of an address and the address itself, as the native library writes them. */
+    /** The native library writes one length byte and an address of up to 26 bytes. */
     private static final int ADDRESS_BYTES = 1 + 26;
 
     private EpollTransport() {}
 
-    /** Null if the native library is missing or does not load on this machine. */
+    /** Returns the transport; null if the native library is missing or does not load on this machine. */
     static Transport ifAvailable() {
         try {
             return Epoll.isAvailable() ? new EpollTransport() : null;
@@ -81,11 +81,11 @@
 
     @Override
     public ClientChannel deferReads(IoHandle handle, EventLoopScheduler scheduler) {
-        return new Deferring(handle, scheduler);
+        return new EpollClientChannel(handle, scheduler);
     }
 
-    private static final class Deferring extends ClientChannel implements EpollIoHandle {
-        Deferring(IoHandle handle, EventLoopScheduler scheduler) {
+    private static final class EpollClientChannel extends ClientChannel implements EpollIoHandle {
+        EpollClientChannel(IoHandle handle, EventLoopScheduler scheduler) {
             super(handle, scheduler);
         }
 
@@ -107,7 +107,7 @@
 
         @Override
         protected IoOps withoutReadInterest(IoOps ops) {
-            // epoll reports errors in any case; with no event at all Netty would remove the descriptor
+            // EPOLLERR is reported in any case, but with an empty event set Netty would remove the descriptor
             return ((EpollIoOps) ops)
                     .without(EpollIoOps.EPOLLIN)
                     .without(EpollIoOps.EPOLLRDHUP)
--- a/server/src/main/java/wheatspread/transport/EventLoopScheduler.java
+++ b/server/src/main/java/wheatspread/transport/EventLoopScheduler.java
@@ -21,16 +21,22 @@
 import wheatspread.timers.TimerWheel;
 
 /**
- * Orders the work of each event-loop iteration. First comes what the selector reports for the kernel, the
- * records service and the listeners, and writes to callers; then expired timers, with the decisions and
- * answers that follow from all this; then new requests, as {@link ReadScheduler} orders them and within its
- * budget, with what follows from them; last the connections past a time limit. What an iteration leaves
- * unread stays in the sockets. All methods run on the event loop.
+ * Orders the work of each event-loop iteration into phases:
+ *
+ * <ol>
+ *   <li>I/O events of the kernel, the records service and the listeners, and writes to clients;
+ *   <li>expired timers, and then the tasks that follow from both, such as decisions and answers;
+ *   <li>reads of new requests, in the order and within the budget of {@link ReadScheduler}, and the tasks that
+ *       follow from them;
+ *   <li>tasks for the end of the iteration, such as closing connections past a time limit.
+ * </ol>
+ *
+ * <p>Input that an iteration does not read stays in the sockets. All methods run on the event loop.
  */
 public final class EventLoopScheduler implements IoHandlerFactory {
-    /** How many channels that have to wait are taken from the selector's watch in one iteration. */
-    private static final int MAX_PAUSED_PER_ITERATION = 1_024;
-    /** Tasks, and tasks added by tasks, in one phase of an iteration; the next phase runs the rest. */
+    /** Bounds per iteration the number of channels for which the selector stops watching for input. */
+    private static final int MAX_CHANNELS_PAUSED_PER_ITERATION = 1_024;
+    /** Bounds the tasks run in one phase, including tasks added by tasks; the next phase runs the rest. */
     private static final int MAX_TASKS_PER_PHASE = 256;
 
     private static final long NANOS_PER_MICRO = 1_000;
@@ -43,19 +49,19 @@
     private final TimerWheel timerWheel = new TimerWheel(monotonicMicros());
     private final Deque<Runnable> tasks = new ArrayDeque<>();
     private final Deque<Runnable> endTasks = new ArrayDeque<>();
-    /** Channels that wait to be read while the selector may still watch them for input. */
-    private final List<ClientChannel> unpaused = new ArrayList<>();
+    /** The queued channels that the selector may still watch for input. */
+    private final List<ClientChannel> unpausedChannels = new ArrayList<>();
 
-    private final IterationTimes times = new IterationTimes();
+    private final IterationTimes iterationTimes = new IterationTimes();
     private final ReconnectBurstLimiter burstLimiter;
-    /** Unix time, by which connections record their last use. */
+    /** The clock by which connections record their last use; by default Unix time. Microseconds. */
     private LongSupplier connectionClock = () -> System.currentTimeMillis() * MICROS_PER_MILLI;
-    /** The connection whose channel is being registered; null for any other channel. */
-    private Connection registering;
-    /** Whether the connection being read was idle. */
+    /** The connection whose channel is being registered; null while no client's channel is. */
+    private Connection connectionBeingRegistered;
+    /** Whether the connection being read counted as idle when it was queued. */
     private boolean readingIdle;
 
-    /** The seed spreads the retries of requests that the burst limiter rejects. */
+    /** The seed determines the random retry-after times of requests that the burst limiter rejects. */
     public EventLoopScheduler(Transport transport, IterationBudget budget, long seed, EventLog log) {
         this.transport = transport;
         this.budget = budget;
@@ -82,44 +88,47 @@
     }
 
     public IterationTimes times() {
-        return times;
+        return iterationTimes;
     }
 
-    /** The timers of the loop, whose clock is {@link #monotonicMicros}. */
+    /** Returns the timers of the loop, which run by {@link #monotonicMicros}. */
     public TimerWheel timerWheel() {
         return timerWheel;
     }
 
-    /** The monotonic time of the timers, in microseconds. */
+    /** Returns the monotonic time in microseconds, with an arbitrary origin; not Unix time. */
     public static long monotonicMicros() {
         return System.nanoTime() / NANOS_PER_MICRO;
     }
 
-    /** Runs a task after what is being read, in the same iteration. */
+    /**
+     * Queues a task to run after the current read or event, in the same iteration unless
+     * {@value #MAX_TASKS_PER_PHASE} tasks per phase run before it.
+     */
     public void runInIteration(Runnable task) {
         tasks.add(task);
     }
 
-    /** Runs a task once at the end of an iteration, after everything that callers wait for. */
+    /** Queues a task to run at the end of the iteration, after the work that clients wait for. */
     void runAtEnd(Runnable task) {
         endTasks.add(task);
     }
 
-    /** Registers the channel of a caller's connection, so that its reads are scheduled. */
+    /** Runs the registration of a client's channel so that the read scheduler defers its reads. */
     void register(Connection connection, Runnable registration) {
-        registering = connection;
+        connectionBeingRegistered = connection;
         try {
             registration.run();
         } finally {
-            registering = null;
+            connectionBeingRegistered = null;
         }
     }
 
-    Connection registering() {
-        return registering;
+    Connection connectionBeingRegistered() {
+        return connectionBeingRegistered;
     }
 
-    /** Sets whether the connection being read was idle. */
+    /** Sets whether the connection being read counted as idle when it was queued. */
     void setReadingIdle(boolean idle) {
         readingIdle = idle;
     }
@@ -129,8 +138,8 @@
     }
 
     /**
-     * Whether a request that was just read may go on. The burst limiter decides on those of idle connections;
-     * what it admits has to be given back to it.
+     * Returns whether a request that was just read may be submitted. The burst limiter decides about requests of
+     * idle connections; each request that it admits must be reported to {@link ReconnectBurstLimiter#completed}.
      */
     boolean tryAdmit() {
         return !readingIdle || burstLimiter.tryAdmit(readScheduler.idleWaiting());
@@ -140,9 +149,9 @@
         return burstLimiter;
     }
 
-    void ready(ClientChannel channel) {
+    void queueRead(ClientChannel channel) {
         readScheduler.add(channel, connectionClock.getAsLong());
-        unpaused.add(channel);
+        unpausedChannels.add(channel);
     }
 
     @Override
@@ -166,7 +175,7 @@
         }
     }
 
-    /** Runs a task and logs what it throws, since a fault in one task must not end the loop. */
+    /** Runs a task and logs any exception, because an exception in one task must not end the loop. */
     public void runSafely(Runnable task) {
         try {
             task.run();
@@ -175,7 +184,7 @@
         }
     }
 
-    private void readCallers() {
+    private void readClients() {
         readScheduler.beginIteration(monotonicMicros());
         for (PendingRead ready = readScheduler.take(monotonicMicros());
                 ready != null;
@@ -184,23 +193,23 @@
             runSafely(channel::read);
         }
         readingIdle = false;
-        pauseWaitingReads();
+        pauseQueuedChannels();
     }
 
-    private void pauseWaitingReads() {
-        int kept = 0;
-        int paused = 0;
-        for (ClientChannel channel : unpaused) {
-            if (channel.isQueued() && paused++ < MAX_PAUSED_PER_ITERATION) {
+    private void pauseQueuedChannels() {
+        int keptCount = 0;
+        int pausedCount = 0;
+        for (ClientChannel channel : unpausedChannels) {
+            if (channel.isQueued() && pausedCount++ < MAX_CHANNELS_PAUSED_PER_ITERATION) {
                 channel.pauseReads();
             } else if (channel.isQueued()) {
-                unpaused.set(kept++, channel);
+                unpausedChannels.set(keptCount++, channel);
             }
         }
-        unpaused.subList(kept, unpaused.size()).clear();
+        unpausedChannels.subList(keptCount, unpausedChannels.size()).clear();
     }
 
-    /** The transport's own handler, followed by the phases of an iteration. */
+    /** Runs the transport's I/O handler and then the other phases of an iteration. */
     private final class IterationHandler implements IoHandler {
         private final IoHandler selector;
         private final WaitContext waitContext = new WaitContext();
@@ -212,30 +221,30 @@
 
         @Override
         public int run(IoHandlerContext context) {
-            // between two iterations the loop runs its own tasks
+            // Netty's event loop runs its own tasks between two calls of this method
             long loopTasksNanos = lastIterationEndNanos == 0 ? 0 : System.nanoTime() - lastIterationEndNanos;
             waitContext.begin(context);
-            int handled = selector.run(waitContext);
+            int handledEvents = selector.run(waitContext);
             long startNanos = System.nanoTime();
             timerWheel.expire(startNanos / NANOS_PER_MICRO, budget.maxExpirations());
             runTasks();
             if (!readScheduler.isEmpty()) {
-                readCallers();
+                readClients();
                 runTasks();
             }
             runEndTasks();
             lastIterationEndNanos = System.nanoTime();
-            times.add(loopTasksNanos + waitContext.activeNanos() + lastIterationEndNanos - startNanos);
-            return handled;
+            iterationTimes.add(loopTasksNanos + waitContext.activeNanos() + lastIterationEndNanos - startNanos);
+            return handledEvents;
         }
 
         @Override
         public IoRegistration register(IoHandle handle) throws Exception {
-            if (registering == null) {
+            if (connectionBeingRegistered == null) {
                 return selector.register(handle);
             }
-            ClientChannel caller = transport.deferReads(handle, EventLoopScheduler.this);
-            return caller.registered(selector.register((IoHandle) caller));
+            ClientChannel channel = transport.deferReads(handle, EventLoopScheduler.this);
+            return channel.wrapRegistration(selector.register((IoHandle) channel));
         }
 
         @Override
@@ -264,13 +273,13 @@
         }
     }
 
-    /** How long the selector may wait: until the next task of the loop or the next timer of the wheel. */
+    /** Limits the selector's wait to the next scheduled task of the loop or the next timer of the wheel. */
     private final class WaitContext implements IoHandlerContext {
         private IoHandlerContext context;
         private long activeNanos;
 
-        void begin(IoHandlerContext ofLoop) {
-            context = ofLoop;
+        void begin(IoHandlerContext loopContext) {
+            context = loopContext;
             activeNanos = 0;
         }
 
@@ -290,7 +299,8 @@
             if (timerMicros != Long.MAX_VALUE) {
                 delayNanos = Math.min(delayNanos, Math.max(0, timerMicros * NANOS_PER_MICRO - nanoTime));
             }
-            // a selector that waits in milliseconds would spin through the last one before every timer
+            // with a shorter wait, a selector that waits in whole milliseconds would spin through the last millisecond
+            // before every timer
             return delayNanos > 0 ? Math.max(delayNanos, transport.minWaitNanos()) : delayNanos;
         }
 
--- a/server/src/main/java/wheatspread/transport/Front.java
+++ b/server/src/main/java/wheatspread/transport/Front.java
@@ -1,10 +1,10 @@
 package wheatspread.transport;
 
-/** A protocol on the sockets that a {@link Listener} accepts. */
+/** The protocol of the connections that a {@link Listener} accepts. */
 public interface Front {
-    /** Creates the handler of a new connection. */
+    /** Creates the channel handler of a new connection. Event loop only. */
     ClientChannelHandler newHandler(Listener listener);
 
-    /** The bytes that a rejected connection gets, where the limits say that it gets an answer. */
+    /** Returns the bytes written to a rejected connection if the limits' {@code rejection} is ANSWER. */
     byte[] rejectionBytes();
 }
--- a/server/src/main/java/wheatspread/transport/IterationTimes.java
+++ b/server/src/main/java/wheatspread/transport/IterationTimes.java
@@ -1,15 +1,15 @@
 package wheatspread.transport;
 
 /**
- * A histogram of how long event-loop iterations took, without their waiting, in powers of two, and the longest
- * one. Used on the event loop only.
+ * Records the durations of event-loop iterations, without the time spent waiting for events: a histogram with
+ * bucket limits at powers of two microseconds, and the longest duration. Used on the event loop only.
  */
 public final class IterationTimes {
-    private static final int BUCKETS = 40;
+    private static final int BUCKET_COUNT = 40;
     private static final long NANOS_PER_MICRO = 1_000;
     private static final double LOGGED_QUANTILE = 0.99;
 
-    private final long[] counts = new long[BUCKETS];
+    private final long[] counts = new long[BUCKET_COUNT];
     private long iterations;
     private long busyNanos;
     private long longestNanos;
@@ -21,7 +21,7 @@
         longestNanos = Math.max(longestNanos, nanos);
     }
 
-    /** What is logged, as alternating names and values; resets the longest iteration. */
+    /** Returns the log fields as alternating names and values, and resets the longest duration. */
     public Object[] fields() {
         return new Object[] {
             "count",
@@ -39,19 +39,22 @@
         return iterations;
     }
 
-    /** The time of all iterations together. */
+    /** Returns the sum of the durations of all iterations since the start, in microseconds. */
     public long busyMicros() {
         return busyNanos / NANOS_PER_MICRO;
     }
 
-    /** The longest iteration since the last call. */
+    /** Returns the longest duration since the last call, in microseconds, and resets it. */
     public long takeLongestMicros() {
         long longestMicros = longestNanos / NANOS_PER_MICRO;
         longestNanos = 0;
         return longestMicros;
     }
 
-    /** A time, rounded up to a power of two, that this fraction of the iterations did not exceed. */
+    /**
+     * Returns the duration in microseconds, rounded up to a power of two, that {@code fraction} of the iterations
+     * did not exceed.
+     */
     public long quantileMicros(double fraction) {
         long remaining = (long) Math.ceil(fraction * iterations);
         for (int i = 0; i < counts.length; i++) {
--- a/server/src/main/java/wheatspread/transport/LingeringClose.java
+++ b/server/src/main/java/wheatspread/transport/LingeringClose.java
@@ -1,18 +1,18 @@
 package wheatspread.transport;
 
-/** The progress of one lingering close; exists only while a connection ends. */
+/** The state of the lingering close of one connection; allocated only when the close begins. */
 final class LingeringClose {
-    /** A caller that sends more after the last answer is cut off. */
+    /** A client that sends more than this after the last answer is disconnected. */
     private static final int MAX_DISCARDED_BYTES = 256 * 1024;
-    /** How often a caller that takes its answers slowly gets the time limit again. */
-    private static final int MAX_EXTENSIONS = 4;
+    /** The time limit of a client that reads its answers slowly is restarted at most this many times. */
+    private static final int MAX_TIMEOUT_EXTENSIONS = 4;
 
     private boolean outputShutDown;
     private int discardedBytes;
     private int extensions;
     private long lastPendingBytes = Long.MAX_VALUE;
 
-    void outputShutDown() {
+    void markOutputShutDown() {
         outputShutDown = true;
     }
 
@@ -20,15 +20,18 @@
         return outputShutDown;
     }
 
-    /** Counts input that is discarded; returns whether the caller may send more. */
+    /** Counts discarded input and returns whether the client may send more. */
     boolean mayDiscard(int bytes) {
         discardedBytes += bytes;
         return discardedBytes <= MAX_DISCARDED_BYTES;
     }
 
-    /** Returns whether fewer bytes are pending than at the last call, which extends the time limit. */
+    /**
+     * Returns whether fewer bytes are pending than at the last call, in which case the time limit is extended;
+     * false once the extensions are used up.
+     */
     boolean madeProgress(long pendingBytes) {
-        boolean progress = pendingBytes > 0 && pendingBytes < lastPendingBytes && extensions++ < MAX_EXTENSIONS;
+        boolean progress = pendingBytes > 0 && pendingBytes < lastPendingBytes && extensions++ < MAX_TIMEOUT_EXTENSIONS;
         lastPendingBytes = pendingBytes;
         return progress;
     }
--- a/server/src/main/java/wheatspread/transport/Listener.java
+++ b/server/src/main/java/wheatspread/transport/Listener.java
@@ -31,26 +31,26 @@
 import wheatspread.logging.EventLog;
 
 /**
- * A listening socket with the connections it accepted. Its {@link ConnectionTable} decides which ones are
- * admitted, evicted or past a time limit; this class carries that out on the sockets. It also bounds the
- * memory of unread answers, and notifies callers when the server drains.
+ * A listening socket and the connections it accepted. The {@link ConnectionTable} decides which connections are
+ * admitted, evicted or past a time limit; this class performs these decisions on the sockets. It also bounds
+ * the memory of unread answers, and notifies clients when the server drains.
  *
  * <p>Except for {@link #listen}, all methods run on the event loop. {@link #drainAll} drains the connections and
- * {@link #closeAll} closes those that are left.
+ * {@link #closeAll} closes the remaining ones.
  */
 public final class Listener {
     private static final int WRITE_LOW_WATERMARK_BYTES = 64 * 1024;
     private static final int WRITE_HIGH_WATERMARK_BYTES = 128 * 1024;
     private static final WriteBufferWaterMark WRITE_WATERMARKS =
             new WriteBufferWaterMark(WRITE_LOW_WATERMARK_BYTES, WRITE_HIGH_WATERMARK_BYTES);
-    /** How often unread answers are checked while any caller is above the high watermark. */
+    /** The interval of checks of unread answers while any client is above the high watermark. */
     private static final long STALLED_CHECK_INTERVAL_MICROS = 100_000;
-    /** How long to stop accepting after an accept failed, as when no file descriptor is left. */
+    /** The pause after a failed accept, for example when the process has no free file descriptor. */
     private static final long ACCEPT_RETRY_DELAY_MICROS = 100_000;
-    /** The size of one read; most requests take less. */
-    private static final int READ_BYTES = 4 * 1024;
+    /** The buffer size of one read; most requests are smaller. */
+    private static final int READ_BUFFER_BYTES = 4 * 1024;
 
-    private static final int ACCEPT_BACKLOG = 1_024;
+    private static final int MAX_ACCEPT_BACKLOG_CONNECTIONS = 1_024;
 
     private final EventLoop loop;
     private final EventLoopScheduler scheduler;
@@ -58,14 +58,17 @@
     private final Front front;
     private final ConnectionTable table;
     private final EventLog log;
-    /** Callers above the high watermark of unread answers. */
-    private final Set<ClientChannelHandler> stalled = new LinkedHashSet<>();
-    /** Shared by all connections, each of which has one read per iteration. */
-    private final RecvByteBufAllocator.ExtendedHandle readHandle = (RecvByteBufAllocator.ExtendedHandle)
-            new FixedRecvByteBufAllocator(READ_BYTES).maxMessagesPerRead(1).newHandle();
-
-    private ServerChannel listening;
-    /** An inherited socket on which nothing is accepted yet. */
+    /** The handlers of clients above the high watermark of unread answers. */
+    private final Set<ClientChannelHandler> stalledHandlers = new LinkedHashSet<>();
+    /** The read allocator shared by all connections, each of which is read once per iteration. */
+    private final RecvByteBufAllocator.ExtendedHandle readHandle =
+            (RecvByteBufAllocator.ExtendedHandle) new FixedRecvByteBufAllocator(READ_BUFFER_BYTES)
+                    .maxMessagesPerRead(1)
+                    .newHandle();
+
+    /** The socket that accepts connections; null before {@link #listen} or {@link #acceptHeld}. */
+    private ServerChannel listeningSocket;
+    /** An inherited socket that does not accept connections yet; null if there is none. */
     private ServerChannel inheritedSocket;
 
     private boolean inherited;
@@ -75,7 +78,7 @@
     private boolean stalledCheckScheduled;
     private boolean draining;
 
-    /** Creates a listener that accepts nothing yet. */
+    /** Creates a listener without a listening socket. */
     public Listener(
             EventLoop loop,
             EventLoopScheduler scheduler,
@@ -91,20 +94,21 @@
         table = new ConnectionTable(limits, clock.nowMicros(), this::startExpiryTimer);
     }
 
-    /** The connections; to be used on the event loop only. */
+    /** Returns the table of the accepted connections. */
     public ConnectionTable table() {
         return table;
     }
 
     /**
-     * Binds the address and starts to accept; fails if it cannot be bound. Waits for the event loop, so it must
-     * not be called on it. Returns the address that was bound.
+     * Binds the address, starts to accept connections and returns the bound address. Throws an
+     * IllegalStateException if the address cannot be bound. Blocks until the event loop has bound the address, so
+     * it must not be called on the event loop.
      */
     public InetSocketAddress listen(InetSocketAddress address) {
         ChannelFuture binding = new Bootstrap()
                 .group(loop)
                 .channel(scheduler.transport().serverChannel())
-                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, MAX_ACCEPT_BACKLOG_CONNECTIONS)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .handler(new Acceptor())
                 .bind(address)
@@ -113,14 +117,14 @@
             throw new IllegalStateException(
                     "cannot listen on " + address + ": " + binding.cause().getMessage());
         }
-        listening = (ServerChannel) binding.channel();
-        return (InetSocketAddress) listening.localAddress();
+        listeningSocket = (ServerChannel) binding.channel();
+        return (InetSocketAddress) listeningSocket.localAddress();
     }
 
     /**
-     * Takes a listening socket that the process inherited as descriptor {@code fd}; accepts nothing until
-     * {@link #acceptHeld}. Processes with the same socket share one accept queue, so one accepts what the
-     * other leaves there. Returns the address.
+     * Takes over a listening socket that the process inherited as descriptor {@code fd} and returns its address.
+     * No connection is accepted before {@link #acceptHeld}. Processes that share the socket also
+     * share its accept queue, so each can accept connections that the other has not accepted.
      */
     public InetSocketAddress holdListeningSocket(int fd) {
         try {
@@ -129,16 +133,16 @@
             inheritedSocket = channel;
             inherited = true;
             return (InetSocketAddress) channel.localAddress();
-        } catch (IOException | RuntimeException e) { // Netty throws the system's errors, checked or not
+        } catch (IOException | RuntimeException e) { // Netty reports system errors by either
             throw new IllegalStateException("cannot accept on descriptor " + fd + ": " + e.getMessage(), e);
         }
     }
 
-    /** Starts to accept on the inherited socket. */
+    /** Starts to accept connections on the socket taken over by {@link #holdListeningSocket}. */
     public void acceptHeld() {
-        listening = inheritedSocket;
+        listeningSocket = inheritedSocket;
         inheritedSocket = null;
-        loop.register(listening).addListener(result -> {
+        loop.register(listeningSocket).addListener(result -> {
             if (!result.isSuccess()) {
                 log.error("accept_failed", "error", result.cause());
             }
@@ -152,7 +156,7 @@
             Channel channel = (Channel) message;
             long pauseMicros = table.pauseAfterAccept(clock.nowMicros());
             if (pauseMicros > 0) {
-                pauseAccepting(pauseMicros); // further connections wait in the accept queue
+                pauseAccepting(pauseMicros); // meanwhile connections wait in the operating system's accept queue
             }
             accept(channel);
         }
@@ -164,27 +168,27 @@
         }
 
         private void pauseAccepting(long pauseMicros) {
-            if (listening != null && listening.config().isAutoRead()) {
-                listening.config().setAutoRead(false);
-                clock.schedule(pauseMicros, () -> listening.config().setAutoRead(!stopped));
+            if (listeningSocket != null && listeningSocket.config().isAutoRead()) {
+                listeningSocket.config().setAutoRead(false);
+                clock.schedule(pauseMicros, () -> listeningSocket.config().setAutoRead(!stopped));
             }
         }
     }
 
-    /** Admits or rejects a channel that was accepted, here or by something else on the same event loop. */
+    /** Admits or rejects an accepted channel, whether this listener or other code on its event loop accepted it. */
     public void accept(Channel channel) {
-        ClientChannelHandler caller = front.newHandler(this);
-        Connection connection = table.admit(caller, sourceOf(channel.remoteAddress()), clock.nowMicros());
+        ClientChannelHandler handler = front.newHandler(this);
+        Connection connection = table.admit(handler, sourceOf(channel.remoteAddress()), clock.nowMicros());
         if (connection == null) {
             reject(channel);
             return;
         }
-        caller.attach(connection);
+        handler.attach(connection);
         channel.config().setOption(ChannelOption.TCP_NODELAY, true);
         channel.config().setOption(ChannelOption.ALLOW_HALF_CLOSURE, true);
         channel.config().setWriteBufferWaterMark(WRITE_WATERMARKS);
         channel.config().setRecvByteBufAllocator(() -> readHandle);
-        channel.pipeline().addLast(caller);
+        channel.pipeline().addLast(handler);
         scheduler.register(
                 connection,
                 () -> loop.register(channel).addListener(result -> {
@@ -196,8 +200,8 @@
     }
 
     private void reject(Channel channel) {
-        Rejection refusal = table.limits().rejection();
-        if (refusal == Rejection.ANSWER) {
+        Rejection rejection = table.limits().rejection();
+        if (rejection == Rejection.ANSWER) {
             channel.pipeline().addLast(new ChannelInboundHandlerAdapter() {
                 @Override
                 public void channelActive(ChannelHandlerContext context) {
@@ -208,13 +212,13 @@
             loop.register(channel);
             return;
         }
-        if (refusal == Rejection.RESET) {
+        if (rejection == Rejection.RESET) {
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
         }
         channel.unsafe().closeForcibly();
     }
 
-    /** The number that identifies a source: its IPv4 address, or the network part of its IPv6 address. */
+    /** Returns the number of a source: its IPv4 address or the network part of its IPv6 address; 0 for others. */
     static long sourceOf(SocketAddress remote) {
         if (!(remote instanceof InetSocketAddress socket)) {
             return 0;
@@ -224,40 +228,40 @@
         return address instanceof Inet4Address ? 0xFFFF_FFFFL << 32 | bytes.getInt() & 0xFFFF_FFFFL : bytes.getLong();
     }
 
-    /** Creates the handler of a connection on a channel that the caller opens: for warm-up and tests. */
+    /** Admits a connection whose channel the method's caller creates, for warm-up and tests; returns its handler. */
     public ClientChannelHandler newEmbeddedHandler(long sourceAddress) {
-        ClientChannelHandler caller = front.newHandler(this);
-        caller.attach(table.admit(caller, sourceAddress, clock.nowMicros()));
-        return caller;
+        ClientChannelHandler handler = front.newHandler(this);
+        handler.attach(table.admit(handler, sourceAddress, clock.nowMicros()));
+        return handler;
     }
 
-    // ---- events of connections ----
+    // ---- connection events ----
 
-    void opened(ClientChannelHandler caller) {
+    void opened(ClientChannelHandler handler) {
         if (draining) {
-            caller.notifyDraining();
+            handler.notifyDraining();
         }
     }
 
-    void closed(ClientChannelHandler caller) {
-        stalled.remove(caller);
-        table.closed(caller.connection());
+    void closed(ClientChannelHandler handler) {
+        stalledHandlers.remove(handler);
+        table.closed(handler.connection());
     }
 
     void recordRead(int bytes, int requests) {
         scheduler.readScheduler().recordRead(bytes, requests);
     }
 
-    void read(ClientChannelHandler caller, boolean wholeMessages, int partialBytes) {
-        table.read(caller.connection(), clock.nowMicros(), wholeMessages, caller.openRequests(), partialBytes);
+    void read(ClientChannelHandler handler, boolean wholeMessages, int partialBytes) {
+        table.read(handler.connection(), clock.nowMicros(), wholeMessages, handler.openRequests(), partialBytes);
     }
 
-    void answered(ClientChannelHandler caller) {
-        table.answered(caller.connection(), clock.nowMicros(), caller.openRequests());
+    void answered(ClientChannelHandler handler) {
+        table.answered(handler.connection(), clock.nowMicros(), handler.openRequests());
     }
 
-    void draining(ClientChannelHandler caller) {
-        table.drain(caller.connection(), clock.nowMicros());
+    void draining(ClientChannelHandler handler) {
+        table.drain(handler.connection(), clock.nowMicros());
     }
 
     EventLoopScheduler scheduler() {
@@ -274,12 +278,12 @@
 
     // ---- time limits ----
 
-    /** Closes connections that are idle for so many microseconds; 0 for the configured limit only. */
+    /** Limits the time that connections may be idle, see {@link ConnectionTable#limitIdleTime}. */
     public void closeIdle(long timeoutMicros) {
         table.limitIdleTime(timeoutMicros);
     }
 
-    /** Starts the one timer for all connections, which expires when the first limit ends. */
+    /** Sets the single timer of all connections to the end of the first time limit, unless it fires before. */
     private void startExpiryTimer() {
         long nextExpiryMicros = table == null ? Long.MAX_VALUE : table.nextExpiryMicros();
         if (nextExpiryMicros < expiryTimerMicros) {
@@ -296,13 +300,13 @@
 
     private void expire() {
         if (expiryTimer != null) {
-            expiryTimer.cancel(); // started while the last round expired connections
+            expiryTimer.cancel(); // set while the previous call expired connections
             expiryTimer = null;
         }
         expiryTimerMicros = Long.MAX_VALUE;
-        int max = scheduler.budget().maxExpirations();
-        if (table.expire(clock.nowMicros(), max) >= max && table.nextExpiryMicros() <= clock.nowMicros()) {
-            expiryTimerMicros = 0; // the rest follows in the next iteration, after what callers wait for
+        int maxChecks = scheduler.budget().maxExpirations();
+        if (table.expire(clock.nowMicros(), maxChecks) >= maxChecks && table.nextExpiryMicros() <= clock.nowMicros()) {
+            expiryTimerMicros = 0; // the next iteration expires the rest, after the work that clients wait for
             scheduler.runAtEnd(this::expire);
         } else {
             startExpiryTimer();
@@ -311,29 +315,29 @@
 
     // ---- unread answers ----
 
-    void writabilityChanged(ClientChannelHandler caller, boolean isStalled) {
+    void writabilityChanged(ClientChannelHandler handler, boolean isStalled) {
         if (!isStalled) {
-            stalled.remove(caller);
-        } else if (stalled.add(caller) && !stalledCheckScheduled) {
+            stalledHandlers.remove(handler);
+        } else if (stalledHandlers.add(handler) && !stalledCheckScheduled) {
             stalledCheckScheduled = true;
             clock.schedule(STALLED_CHECK_INTERVAL_MICROS, this::closeStalled);
         }
     }
 
-    /** Bounds the memory of unread answers by closing the callers with most of them. */
+    /** Bounds the memory of unread answers by closing the connections with the most unread bytes. */
     private void closeStalled() {
-        long unreadBytes = stalled.stream()
+        long unreadBytes = stalledHandlers.stream()
                 .mapToLong(ConnectionActions::bytesUntilWritable)
                 .sum();
         while (unreadBytes > table.limits().maxPendingWriteBytes()) {
-            ClientChannelHandler worst = stalled.stream()
+            ClientChannelHandler mostUnread = stalledHandlers.stream()
                     .max(Comparator.comparingLong(ConnectionActions::bytesUntilWritable))
                     .orElseThrow();
-            unreadBytes -= worst.bytesUntilWritable();
-            stalled.remove(worst);
-            table.closeStalled(worst.connection());
+            unreadBytes -= mostUnread.bytesUntilWritable();
+            stalledHandlers.remove(mostUnread);
+            table.closeStalled(mostUnread.connection());
         }
-        stalledCheckScheduled = !stalled.isEmpty();
+        stalledCheckScheduled = !stalledHandlers.isEmpty();
         if (stalledCheckScheduled) {
             clock.schedule(STALLED_CHECK_INTERVAL_MICROS, this::closeStalled);
         }
@@ -341,54 +345,54 @@
 
     // ---- shutdown ----
 
-    /** Notifies every caller, now or when it connects, that its connection is draining. */
+    /** Notifies every client that the server is draining; clients that connect later are notified on connecting. */
     public void notifyDraining() {
         draining = true;
         table.forEach(ConnectionActions::notifyDraining);
     }
 
     /**
-     * Stops accepting. Connections in the accept queue are accepted first: closing the socket would reset
-     * them, and lose the requests that they carry. An inherited socket stays open until the process ends,
-     * since the JDK closes the standard streams, and so the log, together with the descriptor it inherited;
-     * connections in its queue are left to the other process.
+     * Stops accepting connections. Connections in the accept queue are accepted first, because closing the
+     * socket would reset them and lose their requests. An inherited socket stays open until the process ends,
+     * because the JDK closes the standard streams, and with them the log, together with the inherited
+     * descriptor; connections in its queue are left to the other process.
      */
     public void stopListening() {
         if (stopped) {
             return;
         }
         stopped = true;
-        if (listening != null && inherited) {
-            listening.config().setAutoRead(false);
-        } else if (listening != null) { // null if another listener failed to bind first
+        if (listeningSocket != null && inherited) {
+            listeningSocket.config().setAutoRead(false);
+        } else if (listeningSocket != null) { // null if another listener failed to bind before this one
             try {
-                scheduler.transport().acceptAll(listening);
+                scheduler.transport().acceptAll(listeningSocket);
             } catch (IOException e) {
                 log.warn("accept_failed", "error", e.getMessage());
             }
-            listening.close();
+            listeningSocket.close();
         }
     }
 
-    /** Stops accepting and drains every connection; {@link #isEmpty} shows when that is done. */
+    /** Stops accepting and drains every connection; {@link #isEmpty} returns true once all have closed. */
     public void drainAll() {
         stopListening();
         table.forEach(ConnectionActions::drain);
     }
 
-    /** Whether no connection is left. */
+    /** Returns whether the listener has no connection. */
     public boolean isEmpty() {
         return table.size() == 0;
     }
 
-    /** The bytes that wait to be written, over all connections. */
+    /** Returns the bytes that wait to be written, summed over all connections. */
     public long pendingWriteBytes() {
         long[] totalBytes = {0};
-        table.forEach(caller -> totalBytes[0] += caller.pendingWriteBytes());
+        table.forEach(connection -> totalBytes[0] += connection.pendingWriteBytes());
         return totalBytes[0];
     }
 
-    /** Closes every connection that is left at once. */
+    /** Closes every connection immediately, even if answers are pending. */
     public void closeAll() {
         table.forEach(ConnectionActions::close);
     }
--- a/server/src/main/java/wheatspread/transport/NioListenSocket.java
+++ b/server/src/main/java/wheatspread/transport/NioListenSocket.java
@@ -6,16 +6,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A listening socket on the JDK's selectors whose accept queue can be emptied before it closes. */
+/** A listening socket on the JDK's selectors whose accept queue can be drained before it is closed. */
 public final class NioListenSocket extends NioServerSocketChannel {
-    /** Called by Netty by reflection. */
+    /** Creates an unbound socket; Netty calls this constructor by reflection. */
     public NioListenSocket() {}
 
-    NioListenSocket(ServerSocketChannel handedOver) {
-        super(handedOver);
+    NioListenSocket(ServerSocketChannel inherited) {
+        super(inherited);
     }
 
-    /** See {@link Transport#acceptAll}. */
+    /** Implements {@link Transport#acceptAll}. */
     void acceptAll() throws IOException {
         List<Object> accepted = new ArrayList<>();
         try {
@@ -25,7 +25,7 @@
             }
         } catch (IOException e) {
             throw e;
-        } catch (Exception e) { // Netty throws the system's errors, checked or not
+        } catch (Exception e) { // Netty reports system errors by checked or unchecked exceptions
             throw new IOException(e);
         }
     }
--- a/server/src/main/java/wheatspread/transport/Transport.java
+++ b/server/src/main/java/wheatspread/transport/Transport.java
@@ -11,7 +11,7 @@
 import java.io.IOException;
 import java.nio.channels.ServerSocketChannel;
 
-/** The implementation of sockets: the JDK's selectors, or Linux's epoll where its native library loads. */
+/** The socket implementation: the JDK's selectors, or Linux's epoll if its native library loads. */
 public interface Transport {
     String name();
 
@@ -21,46 +21,51 @@
 
     /**
      * Wraps a listening socket that this process inherited as descriptor {@code fd} in a channel that is not
-     * registered yet; fails if it is no listening socket or the transport cannot use it.
+     * registered yet. Throws an IOException if the descriptor is not a listening socket or the transport cannot
+     * use it.
      */
     default ServerChannel adoptListeningSocket(int fd) throws IOException {
-        throw new IOException("transport " + name() + " takes no listening socket that is handed over");
+        throw new IOException("transport " + name() + " cannot use an inherited listening socket");
     }
 
     /**
-     * Accepts every connection in the system's accept queue, as a read of the channel does; on the event loop
-     * only. Fails with the error of the last accept, if there is one.
+     * Accepts every connection in the operating system's accept queue and passes it to the channel's pipeline.
+     * Event loop only. Throws the exception of the first accept that fails.
      */
     default void acceptAll(ServerChannel listening) throws IOException {
-        throw new IOException("transport " + name() + " has no listening sockets");
+        throw new IOException("transport " + name() + " does not support listening sockets");
     }
 
-    /** The shortest time it can wait, in nanoseconds; for anything shorter it does not wait at all. */
+    /** Returns the shortest time in nanoseconds that the selector can wait; it returns at once for less. */
     long minWaitNanos();
 
     Class<? extends Channel> clientChannel();
 
-    /** Needed for membership only. */
+    /** Returns the class of datagram channels, which only cluster membership uses. */
     default Class<? extends DatagramChannel> datagramChannel() {
-        throw new UnsupportedOperationException("transport " + name() + " has no datagrams");
+        throw new UnsupportedOperationException("transport " + name() + " does not support datagrams");
     }
 
-    /** Wraps the handle of a caller's channel so that reads wait for the read scheduler. */
+    /** Wraps the handle of a client's channel so that reads wait for the read scheduler. */
     ClientChannel deferReads(IoHandle handle, EventLoopScheduler scheduler);
 
-    /** The transport with a name: {@code nio}, {@code epoll}, or {@code auto} for epoll where it works. */
+    /**
+     * Returns the transport {@code nio} or {@code epoll}; any other name, such as {@code auto}, selects epoll if
+     * it is available and nio otherwise. Throws an IllegalStateException if epoll is named and not available.
+     */
     static Transport named(String name) {
         if (name.equals("nio")) {
             return new Nio();
         }
         Transport epoll = EpollTransport.ifAvailable();
         if (epoll == null && name.equals("epoll")) {
-            throw new IllegalStateException("transport epoll does not work here");
+            throw new IllegalStateException(
+                    "transport epoll is not available: its native library is missing or does not load");
         }
         return epoll == null ? new Nio() : epoll;
     }
 
-    /** The JDK's selectors. */
+    /** The transport on the JDK's selectors. */
     final class Nio implements Transport {
         @Override
         public String name() {
@@ -82,11 +87,12 @@
             return NioListenSocket.class;
         }
 
-        /** The JDK can use descriptor 0 only, as the channel it inherited. */
+        /** Accepts descriptor 0 only: the JDK gives access to an inherited socket only there. */
         @Override
         public ServerChannel adoptListeningSocket(int fd) throws IOException {
             if (fd != 0 || !(System.inheritedChannel() instanceof ServerSocketChannel inherited)) {
-                throw new IOException("descriptor " + fd + " is no listening socket that nio can take");
+                throw new IOException("transport nio cannot use descriptor " + fd
+                        + ": expected descriptor 0 to be a listening socket");
             }
             return new NioListenSocket(inherited);
         }
--- a/server/src/test/java/wheatspread/transport/ListenerTest.java
+++ b/server/src/test/java/wheatspread/transport/ListenerTest.java
@@ -17,7 +17,7 @@
 import wheatspread.scheduling.IterationBudget;
 
 class ListenerTest {
-    private static final int MEGABYTE = 1024 * 1024;
+    private static final int MEBIBYTE_BYTES = 1024 * 1024;
 
     private final FakeClock clock = new FakeClock(100_000_000, Runnable::run);
     private final List<String> events = new ArrayList<>();
@@ -26,7 +26,7 @@
     private final Listener listener = new Listener(
             null, scheduler, clock, new ThreeByteFront(), ConnectionLimits.defaults(100), EventLog.lines(events::add));
 
-    /** A protocol whose messages are three bytes; each has to be answered by hand. */
+    /** A protocol with messages of three bytes, which a test answers by calling {@code answerRequest}. */
     private final class ThreeByteFront implements Front {
         @Override
         public ClientChannelHandler newHandler(Listener owner) {
@@ -50,7 +50,7 @@
         protected int readMessages(ByteBuf bytes) {
             int messages = 0;
             if (bytes.getByte(bytes.readerIndex()) == '!') {
-                throw new IllegalStateException("a fault of the front");
+                throw new IllegalStateException("simulated fault of the front");
             }
             for (; bytes.readableBytes() >= 3; messages++) {
                 events.add(bytes.readCharSequence(3, StandardCharsets.US_ASCII).toString());
@@ -66,21 +66,21 @@
 
         @Override
         protected void clientDisconnected() {
-            events.add("gone with " + openRequests);
+            events.add("disconnected with open requests: " + openRequests);
         }
 
         @Override
         public void notifyDraining() {
-            events.add("last call");
+            events.add("notified");
         }
 
-        private void answerOne() {
+        private void answerRequest() {
             openRequests--;
             answerWritten();
         }
     }
 
-    private EmbeddedChannel open() {
+    private EmbeddedChannel openChannel() {
         return new EmbeddedChannel(listener.newEmbeddedHandler(1));
     }
 
@@ -89,8 +89,8 @@
     }
 
     @Test
-    void partialMessageIsBufferedOnlyUntilItIsWhole() {
-        EmbeddedChannel channel = open();
+    void buffersPartialMessageOnlyUntilItIsComplete() {
+        EmbeddedChannel channel = openChannel();
         receive(channel, "abcde");
         assertThat(listener.table().partialBytes()).isPositive();
         receive(channel, "fgh");
@@ -101,45 +101,45 @@
     }
 
     @Test
-    void drainingConnectionReadsNoMoreAndClosesOnceAllIsAnswered() {
-        EmbeddedChannel channel = open();
-        ThreeByteHandler caller = channel.pipeline().get(ThreeByteHandler.class);
+    void drainingConnectionStopsReadingAndClosesAfterLastAnswer() {
+        EmbeddedChannel channel = openChannel();
+        ThreeByteHandler handler = channel.pipeline().get(ThreeByteHandler.class);
         receive(channel, "abcd");
-        caller.drain();
+        handler.drain();
         assertThat(channel.config().isAutoRead()).isFalse();
         assertThat(listener.table().partialBytes()).isZero();
         receive(channel, "efghi");
         assertThat(channel.isOpen()).isTrue();
-        caller.answerOne();
+        handler.answerRequest();
         assertThat(channel.isOpen()).isFalse();
-        assertThat(events).containsExactly("abc", "gone with 0");
+        assertThat(events).containsExactly("abc", "disconnected with open requests: 0");
         assertThat(listener.table().size()).isZero();
     }
 
-    /** A fault in one message must not lose the answers to others. */
+    /** An exception while one message is read must not lose the answers to earlier requests. */
     @Test
-    void faultInAMessageDrainsItsConnection() {
-        EmbeddedChannel channel = open();
-        ThreeByteHandler caller = channel.pipeline().get(ThreeByteHandler.class);
+    void exceptionInMessageDrainsItsConnection() {
+        EmbeddedChannel channel = openChannel();
+        ThreeByteHandler handler = channel.pipeline().get(ThreeByteHandler.class);
         receive(channel, "abc");
         receive(channel, "!");
         assertThat(channel.isOpen()).isTrue();
         receive(channel, "def");
-        caller.answerOne();
+        handler.answerRequest();
         assertThat(channel.isOpen()).isFalse();
         assertThat(events)
                 .hasSize(3)
-                .contains("abc", "gone with 0")
+                .contains("abc", "disconnected with open requests: 0")
                 .anyMatch(line -> line.startsWith("caller_connection_failed"));
     }
 
-    /** Bounds the memory of answers that callers do not read. */
+    /** Guards against unbounded memory for answers that clients do not read. */
     @Test
-    void callerWithMostUnreadAnswersIsClosed() {
+    void closesConnectionWithMostUnreadAnswers() {
         List<EmbeddedChannel> channels = new ArrayList<>();
         for (int size : new int[] {3, 9, 5}) {
-            EmbeddedChannel channel = open();
-            channel.write(Unpooled.wrappedBuffer(new byte[size * MEGABYTE])); // not flushed, so it stays pending
+            EmbeddedChannel channel = openChannel();
+            channel.write(Unpooled.wrappedBuffer(new byte[size * MEBIBYTE_BYTES])); // not flushed, so it stays pending
             channels.add(channel);
         }
         clock.fireAll();
@@ -148,35 +148,35 @@
     }
 
     @Test
-    void connectionOpenedWhileDrainingIsNotifiedToo() {
-        open();
+    void notifiesConnectionOpenedWhileDraining() {
+        openChannel();
         listener.notifyDraining();
-        assertThat(events).containsExactly("last call");
-        open();
+        assertThat(events).containsExactly("notified");
+        openChannel();
         assertThat(events).hasSize(2);
     }
 
-    /** One timer serves all limits, whatever the number of connections. */
+    /** Guards against a timer per connection: the listener keeps one timer for all time limits. */
     @Test
     void connectionsShareOneTimer() {
         for (int i = 0; i < 100; i++) {
-            receive(open(), "abc");
+            receive(openChannel(), "abc");
             clock.advanceWithoutFiring(1_000);
         }
         assertThat(clock.pendingCount()).isLessThanOrEqualTo(1);
     }
 
     @Test
-    void sourcesDifferByAddressOrNetwork() throws Exception {
-        long one = source("127.0.0.1");
-        assertThat(one).isEqualTo(source("127.0.0.1")).isNotEqualTo(source("127.0.0.2"));
-        assertThat(source("2001:db8::1"))
-                .isEqualTo(source("2001:db8::2"))
-                .isNotEqualTo(source("2001:db9::1"))
-                .isNotEqualTo(one);
+    void identifiesSourcesByIpv4AddressOrIpv6Network() throws Exception {
+        long loopbackSource = sourceOf("127.0.0.1");
+        assertThat(loopbackSource).isEqualTo(sourceOf("127.0.0.1")).isNotEqualTo(sourceOf("127.0.0.2"));
+        assertThat(sourceOf("2001:db8::1"))
+                .isEqualTo(sourceOf("2001:db8::2"))
+                .isNotEqualTo(sourceOf("2001:db9::1"))
+                .isNotEqualTo(loopbackSource);
     }
 
-    private static long source(String address) throws Exception {
+    private static long sourceOf(String address) throws Exception {
         return Listener.sourceOf(new InetSocketAddress(InetAddress.getByName(address), 1));
     }
 }
--- a/server/src/test/java/wheatspread/transport/TransportTest.java
+++ b/server/src/test/java/wheatspread/transport/TransportTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The channels that clients of other services get from their transport. */
+/** Checks the client channels that a transport provides for connections to other services. */
 class TransportTest {
-    /** Small writes that the system delays would be lost with a reset. */
+    /** A small write that the operating system delays (Nagle's algorithm) would be lost if the connection is reset. */
     @ParameterizedTest
     @ValueSource(strings = {"nio", "auto"})
     void clientChannelsDoNotDelaySmallWrites(String name) throws Exception {
