--- a/lab/src/main/java/wheatspread/lab/memory/MemoryTransport.java
+++ b/lab/src/main/java/wheatspread/lab/memory/MemoryTransport.java
@@ -61,12 +61,12 @@
         }
 
         @Override
-        protected boolean reads(IoEvent ready) {
+        protected boolean hasInput(IoEvent ready) {
             return true;
         }
 
         @Override
-        protected IoEvent withoutReading(IoEvent ready) {
+        protected IoEvent withoutInput(IoEvent ready) {
             return null;
         }
 
--- a/server/src/main/java/wheatspread/daemon/FrontListeners.java
+++ b/server/src/main/java/wheatspread/daemon/FrontListeners.java
@@ -49,7 +49,7 @@
 
     private InetSocketAddress bindFront(Listener listener, InetSocketAddress address) {
         boolean inherits = listener == platformListener && inheritedDescriptor >= 0;
-        return inherits ? listener.holdListeningSocket(inheritedDescriptor) : listen(listener, address);
+        return inherits ? listener.adoptInheritedSocket(inheritedDescriptor) : listen(listener, address);
     }
 
     private static InetSocketAddress listen(Listener listener, InetSocketAddress address) {
@@ -88,7 +88,7 @@
     /** Accepts connections of an inherited socket; until the process serves, the earlier process accepts them. */
     void acceptInherited() {
         if (inheritedDescriptor >= 0) {
-            platformListener.acceptHeld();
+            platformListener.acceptOnInheritedSocket();
         }
     }
 
@@ -101,7 +101,7 @@
 
     /** Closes the connections of the fronts that were idle for so long. */
     void closeIdle(long idleMicros) {
-        addresses.keySet().forEach(listener -> listener.closeIdle(idleMicros));
+        addresses.keySet().forEach(listener -> listener.limitIdleTime(idleMicros));
     }
 
     /** Closes all listeners, that of the operators' endpoint too. */
--- a/server/src/main/java/wheatspread/transport/ClientChannel.java
+++ b/server/src/main/java/wheatspread/transport/ClientChannel.java
@@ -53,7 +53,7 @@
 
     @Override
     public final void handle(IoRegistration selectorRegistration, IoEvent ready) {
-        if (!reads(ready)) {
+        if (!hasInput(ready)) {
             handle.handle(selectorRegistration, ready);
             return;
         }
@@ -62,7 +62,7 @@
             connection.setUnread(true);
             scheduler.queueRead(this);
         }
-        IoEvent remaining = withoutReading(ready);
+        IoEvent remaining = withoutInput(ready);
         if (remaining != null) {
             handle.handle(selectorRegistration, remaining);
         }
@@ -93,10 +93,10 @@
     }
 
     /** Returns whether an event reports input to read. */
-    protected abstract boolean reads(IoEvent ready);
+    protected abstract boolean hasInput(IoEvent ready);
 
     /** Returns the event without its input operations; null if no operation remains. */
-    protected abstract IoEvent withoutReading(IoEvent ready);
+    protected abstract IoEvent withoutInput(IoEvent ready);
 
     /** Returns the operations without those that watch for input. */
     protected abstract IoOps withoutReadInterest(IoOps ops);
@@ -157,12 +157,12 @@
         }
 
         @Override
-        protected boolean reads(IoEvent event) {
+        protected boolean hasInput(IoEvent event) {
             return ((NioIoEvent) event).ops().contains(NioIoOps.READ);
         }
 
         @Override
-        protected IoEvent withoutReading(IoEvent event) {
+        protected IoEvent withoutInput(IoEvent event) {
             return ((NioIoEvent) event).ops().contains(NioIoOps.WRITE) ? new Event(NioIoOps.WRITE) : null;
         }
 
--- a/server/src/main/java/wheatspread/transport/EpollTransport.java
+++ b/server/src/main/java/wheatspread/transport/EpollTransport.java
@@ -95,12 +95,12 @@
         }
 
         @Override
-        protected boolean reads(IoEvent event) {
+        protected boolean hasInput(IoEvent event) {
             return ((EpollIoEvent) event).ops().contains(EpollIoOps.EPOLLIN);
         }
 
         @Override
-        protected IoEvent withoutReading(IoEvent event) {
+        protected IoEvent withoutInput(IoEvent event) {
             EpollIoOps ops = ((EpollIoEvent) event).ops();
             return ops.contains(EpollIoOps.EPOLLOUT) ? new Event(EpollIoOps.EPOLLOUT) : null;
         }
--- a/server/src/main/java/wheatspread/transport/Listener.java
+++ b/server/src/main/java/wheatspread/transport/Listener.java
@@ -66,7 +66,7 @@
                     .maxMessagesPerRead(1)
                     .newHandle();
 
-    /** The socket that accepts connections; null before {@link #listen} or {@link #acceptHeld}. */
+    /** The socket that accepts connections; null before {@link #listen} or {@link #acceptOnInheritedSocket}. */
     private ServerChannel listeningSocket;
     /** An inherited socket that does not accept connections yet; null if there is none. */
     private ServerChannel inheritedSocket;
@@ -123,10 +123,10 @@
 
     /**
      * Takes over a listening socket that the process inherited as descriptor {@code fd} and returns its address.
-     * No connection is accepted before {@link #acceptHeld}. Processes that share the socket also
+     * No connection is accepted before {@link #acceptOnInheritedSocket}. Processes that share the socket also
      * share its accept queue, so each can accept connections that the other has not accepted.
      */
-    public InetSocketAddress holdListeningSocket(int fd) {
+    public InetSocketAddress adoptInheritedSocket(int fd) {
         try {
             ServerChannel channel = scheduler.transport().adoptListeningSocket(fd);
             channel.pipeline().addLast(new Acceptor());
@@ -138,8 +138,8 @@
         }
     }
 
-    /** Starts to accept connections on the socket taken over by {@link #holdListeningSocket}. */
-    public void acceptHeld() {
+    /** Starts to accept connections on the socket taken over by {@link #adoptInheritedSocket}. */
+    public void acceptOnInheritedSocket() {
         listeningSocket = inheritedSocket;
         inheritedSocket = null;
         loop.register(listeningSocket).addListener(result -> {
@@ -279,7 +279,7 @@
     // ---- time limits ----
 
     /** Limits the time that connections may be idle, see {@link ConnectionTable#limitIdleTime}. */
-    public void closeIdle(long timeoutMicros) {
+    public void limitIdleTime(long timeoutMicros) {
         table.limitIdleTime(timeoutMicros);
     }
 
