--- a/server/src/main/java/wheatspread/jsonrpc/InvalidParameterException.java
+++ b/server/src/main/java/wheatspread/jsonrpc/InvalidParameterException.java
@@ -1,18 +1,18 @@
 package wheatspread.jsonrpc;
 
-/** A parameter of a request is missing, has the wrong type or is out of range. */
+/** Thrown if a parameter of a request is missing, has the wrong type or is out of range. */
 final class InvalidParameterException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final String parameter;
 
-    /** {@code problem} continues a sentence that begins with the name of the parameter. */
+    /** Creates an exception whose message is the parameter's name followed by {@code problem}, a predicate. */
     InvalidParameterException(String parameter, String problem) {
         super(parameter + " " + problem);
         this.parameter = parameter;
     }
 
-    /** The parameter's name on the wire. */
+    /** Returns the parameter's name on the wire. */
     String parameter() {
         return parameter;
     }
--- a/server/src/main/java/wheatspread/jsonrpc/RequestReader.java
+++ b/server/src/main/java/wheatspread/jsonrpc/RequestReader.java
@@ -11,32 +11,32 @@
 import wheatspread.core.InboundRequest;
 
 /**
- * Converts the parameters of a JSON-RPC call into an {@link InboundRequest} and checks them. Immutable: a
- * reload of the settings makes a new one.
+ * Checks the parameters of a JSON-RPC call and converts them into an {@link InboundRequest}. Immutable: each
+ * reload of the settings creates a new reader.
  */
 final class RequestReader {
     private static final int MAX_BODY_BYTES = 2 * 1024;
     private static final int MAX_KEY_CHARS = 256;
-    private static final double MAX_BALANCER = Integer.MAX_VALUE;
+    private static final double MAX_BALANCER_NUMBER = Integer.MAX_VALUE;
     private static final double MAX_MEMORY_KB = 2_000;
     private static final double MICROS_PER_MILLI = 1_000;
-    /** How far an arrival time may lie ahead of this machine's clock. */
+    /** The maximum by which an arrival time may be ahead of this machine's clock. */
     private static final double MAX_ARRIVAL_AHEAD_MS = 1_000;
-    /** The largest plausible timeout or cost, as a multiple of the deadline of the request's class. */
-    private static final double MAX_DEADLINES = 10;
+    /** The maximum client timeout and expected work, as a multiple of the deadline of the request class. */
+    private static final double MAX_DEADLINE_MULTIPLE = 10;
 
     private final DeploymentSettings settings;
     private final Map<String, Integer> classIndexes;
 
     RequestReader(DeploymentSettings settings) {
         this.settings = settings;
-        classIndexes = indexes(settings.classes());
+        classIndexes = indexByName(settings.classes());
     }
 
-    private static Map<String, Integer> indexes(List<String> names) {
-        Map<String, Integer> map = new HashMap<>();
-        names.forEach(name -> map.put(name, map.size()));
-        return map;
+    private static Map<String, Integer> indexByName(List<String> names) {
+        Map<String, Integer> indexes = new HashMap<>();
+        names.forEach(name -> indexes.put(name, indexes.size()));
+        return indexes;
     }
 
     /** Returns whether a method is the name of a request class. */
@@ -44,7 +44,10 @@
         return classIndexes.containsKey(method);
     }
 
-    /** {@code nowMicros} is Unix time. */
+    /**
+     * Reads a request of the class named {@code method}, for which {@link #isRequestClass} must be true.
+     * {@code nowMicros} is Unix time. Throws an InvalidParameterException if a parameter is missing or invalid.
+     */
     InboundRequest read(String method, JSONObject params, long nowMicros) {
         int classIndex = classIndexes.get(method);
         String attemptId = text(params, RpcWireNames.ATTEMPT_ID);
@@ -52,11 +55,11 @@
             throw new InvalidParameterException(RpcWireNames.ATTEMPT_ID, "is not 16 hex digits");
         }
         RequestClass requestClass = settings.settings().classes().get(classIndex);
-        // implausible figures would distort the service time estimates and the scheduler's virtual time
-        double maxMillis = MAX_DEADLINES * requestClass.deadlineMicros() / MICROS_PER_MILLI;
+        // values above the maxima would distort the service time estimates and the scheduler's virtual time
+        double maxMillis = MAX_DEADLINE_MULTIPLE * requestClass.deadlineMicros() / MICROS_PER_MILLI;
         double maxArrivalMillis = nowMicros / MICROS_PER_MILLI + MAX_ARRIVAL_AHEAD_MS;
         long arrivalMicros = Math.round(number(params, RpcWireNames.ARRIVAL_MS, 0, maxArrivalMillis)) * 1000;
-        // where a deployment's callers send no timeout, the deadline of the request's class holds
+        // a request without a client timeout is bounded by the deadline of its request class
         boolean hasClientTimeout = params.has(RpcWireNames.CLIENT_TIMEOUT_MS);
         long timeoutMicros = hasClientTimeout
                 ? micros(number(params, RpcWireNames.CLIENT_TIMEOUT_MS, 0, maxMillis))
@@ -64,7 +67,7 @@
         boolean retry = optionalNumber(params, RpcWireNames.RETRY, 1) > 0;
         double memoryKb = number(params, RpcWireNames.MEMORY_KB, 0, MAX_MEMORY_KB);
         long expectedWorkMicros = micros(optionalNumber(params, RpcWireNames.EXPECTED_WORK_MS, maxMillis));
-        optionalNumber(params, RpcWireNames.BALANCER, MAX_BALANCER);
+        optionalNumber(params, RpcWireNames.BALANCER, MAX_BALANCER_NUMBER);
         if (optionalNumber(params, RpcWireNames.PRIORITY_RANK, 1) >= 1) {
             throw new InvalidParameterException(RpcWireNames.PRIORITY_RANK, "is out of range");
         }
@@ -98,7 +101,7 @@
         return params.has(name) ? number(params, name, 0, max) : 0;
     }
 
-    /** Keys are kept for a while, so their length is bounded. */
+    /** Reads an idempotency or cache key; its length is bounded because keys are retained after the request. */
     private static String key(JSONObject params, String name) {
         String key = text(params, name);
         if (key.isEmpty() || key.length() > MAX_KEY_CHARS) {
--- a/server/src/main/java/wheatspread/jsonrpc/RpcConnection.java
+++ b/server/src/main/java/wheatspread/jsonrpc/RpcConnection.java
@@ -13,31 +13,31 @@
 import wheatspread.transport.ClientChannelHandler;
 import wheatspread.transport.Listener;
 
-/** One caller's connection: reads JSON-RPC lines, submits the requests to the core and writes the answers. */
+/** A JSON-RPC connection: reads lines, submits the requests to the core and writes the answers. Event loop only. */
 final class RpcConnection extends ClientChannelHandler {
-    /** By default the parser accepts unquoted names and ignores what follows the object. */
-    private static final JSONParserConfiguration STRICT = new JSONParserConfiguration().withStrictMode(true);
+    /** Without strict mode the parser accepts unquoted names and ignores text after the object. */
+    private static final JSONParserConfiguration STRICT_PARSING = new JSONParserConfiguration().withStrictMode(true);
 
     private static final int MAX_OPEN_REQUESTS = 32;
     private static final long MICROS_PER_MILLI = 1_000;
-    /** The JSON text of an id that is missing or unreadable. */
-    private static final String NO_ID = "null";
+    /** The JSON text used in answers to messages whose id is missing or neither a number nor a string. */
+    private static final String NULL_ID = "null";
 
     private final RpcFront front;
-    /** The open requests as a linked list, the newest first; there are too few to need an index. */
+    /** The open requests as a linked list, the newest first; at most {@value #MAX_OPEN_REQUESTS}, so not indexed. */
     private OpenRequest newest;
 
     private int openRequests;
 
-    /** A request without an answer yet. */
+    /** A request that is not answered yet. */
     private static final class OpenRequest {
-        /** The JSON text of its id. */
+        /** The JSON text of the request's id. */
         private final String id;
 
         private final String attemptId;
         private final boolean burstAdmission;
         private OpenRequest older;
-        /** Null until the core has accepted the request. */
+        /** The core's ticket; null until {@code submit} has returned. */
         private Long ticket;
 
         OpenRequest(String id, String attemptId, boolean burstAdmission, OpenRequest older) {
@@ -53,7 +53,7 @@
         this.front = front;
     }
 
-    // ---- the connection ----
+    // ---- connection ----
 
     @Override
     protected int openRequests() {
@@ -71,9 +71,10 @@
     }
 
     /**
-     * A caller cancels requests explicitly; the end of its output alone cancels nothing, so running requests
-     * are answered and waiting ones are rejected at once. Whether the caller still reads shows on the next
-     * write: one that has closed altogether resets the connection, and the write after that fails.
+     * Rejects the queued requests and lets the running ones finish. A client cancels requests explicitly, so the
+     * end of its output does not cancel running requests. Writing the draining notification twice detects a
+     * client that has closed completely: its system answers the first write with a reset, and the second write
+     * fails.
      */
     @Override
     protected void clientInputEnded() {
@@ -93,7 +94,7 @@
         write("{\"jsonrpc\":\"2.0\",\"method\":\"" + RpcWireNames.CONNECTION_DRAINING + "\"}\n");
     }
 
-    /** Takes whole lines; the beginning of a further one is left in {@code bytes}. */
+    /** Reads whole lines; a partial line is left in {@code bytes}. */
     @Override
     protected int readMessages(ByteBuf bytes) {
         int lines = 0;
@@ -101,8 +102,8 @@
             int length = bytes.bytesBefore((byte) '\n');
             if ((length < 0 ? bytes.readableBytes() : length) > RpcFront.MAX_LINE_BYTES) {
                 String message = "line over " + RpcFront.MAX_LINE_BYTES + " bytes";
-                writeError(NO_ID, RpcWireNames.PARSE_ERROR, message, null);
-                drain(); // the rest of the line may be arbitrarily long
+                writeError(NULL_ID, RpcWireNames.PARSE_ERROR, message, null);
+                drain(); // the remainder of the line may be arbitrarily long
                 return lines;
             }
             if (length < 0) {
@@ -129,6 +130,7 @@
         return request;
     }
 
+    /** Removes a request from the list of open requests; does nothing if it is not in the list. */
     private void remove(OpenRequest ended) {
         OpenRequest newer = null;
         OpenRequest request = newest;
@@ -152,14 +154,14 @@
     private void handleLine(String line) {
         JSONObject message;
         try {
-            message = new JSONObject(line, STRICT);
+            message = new JSONObject(line, STRICT_PARSING);
         } catch (JSONException | StackOverflowError e) {
-            writeError(NO_ID, RpcWireNames.PARSE_ERROR, "not a JSON object", null);
+            writeError(NULL_ID, RpcWireNames.PARSE_ERROR, "not a JSON object", null);
             return;
         }
-        Object givenId = message.opt(RpcWireNames.ID);
-        boolean readableId = givenId instanceof Number || givenId instanceof String;
-        String id = readableId ? JSONObject.valueToString(givenId) : NO_ID;
+        Object rawId = message.opt(RpcWireNames.ID);
+        boolean hasValidId = rawId instanceof Number || rawId instanceof String;
+        String id = hasValidId ? JSONObject.valueToString(rawId) : NULL_ID;
         JSONObject params = message.optJSONObject(RpcWireNames.PARAMS);
         if (!(message.opt(RpcWireNames.METHOD) instanceof String method)) {
             writeError(id, RpcWireNames.INVALID_REQUEST, "method is missing or not a string", null);
@@ -171,8 +173,8 @@
             handleCancel(message, params);
         } else if (!front.requestReader().isRequestClass(method)) {
             writeError(id, RpcWireNames.METHOD_NOT_FOUND, "no such method", null);
-        } else if (id.equals(NO_ID) || find(id) != null) {
-            writeError(NO_ID, RpcWireNames.INVALID_REQUEST, "id is missing or in use", null);
+        } else if (id.equals(NULL_ID) || find(id) != null) {
+            writeError(NULL_ID, RpcWireNames.INVALID_REQUEST, "id is missing or in use", null);
         } else if (params == null) {
             writeError(id, RpcWireNames.INVALID_PARAMS, "params is missing or not an object", null);
         } else {
@@ -248,28 +250,29 @@
     }
 
     /**
-     * Cancels a request, which a caller names by the request's id in a notification:
-     * {@code "params":{"id":55}}. The attempt id, which the protocol leaves open, is accepted as well.
+     * Cancels an open request. The client's notification identifies it by the request's id, as in
+     * {@code "params":{"id":55}}, or by its attempt id. The protocol does not specify which of the two, so both
+     * are accepted. Unknown ids are ignored.
      */
     private void handleCancel(JSONObject message, JSONObject params) {
         Object attemptId = params == null ? null : params.opt(RpcWireNames.ATTEMPT_ID);
         Object id = params == null || params.opt(RpcWireNames.ID) == null
                 ? message.opt(RpcWireNames.ID)
                 : params.opt(RpcWireNames.ID);
-        OpenRequest canceled = id == null ? null : find(JSONObject.valueToString(id));
+        OpenRequest cancelled = id == null ? null : find(JSONObject.valueToString(id));
         for (OpenRequest request = newest; request != null; request = request.older) {
-            canceled = request.attemptId.equals(attemptId) ? request : canceled;
+            cancelled = request.attemptId.equals(attemptId) ? request : cancelled;
         }
-        if (canceled != null) {
-            remove(canceled);
-            requestEnded(canceled.burstAdmission, Answer.Kind.FAILED);
-            front.core().cancel(canceled.ticket);
+        if (cancelled != null) {
+            remove(cancelled);
+            requestEnded(cancelled.burstAdmission, Answer.Kind.FAILED);
+            front.core().cancel(cancelled.ticket);
         }
     }
 
-    private static void addFeedback(JSONObject to, double feedback) {
+    private static void addFeedback(JSONObject target, double feedback) {
         if (!Double.isNaN(feedback)) {
-            to.put(RpcWireNames.LOAD_FEEDBACK, feedback);
+            target.put(RpcWireNames.LOAD_FEEDBACK, feedback);
         }
     }
 
--- a/server/src/main/java/wheatspread/jsonrpc/RpcFront.java
+++ b/server/src/main/java/wheatspread/jsonrpc/RpcFront.java
@@ -10,14 +10,14 @@
 import wheatspread.transport.Listener;
 
 /**
- * The platform's protocol: JSON-RPC 2.0, one message per line. Holds what all its connections share; used on
- * the event loop only.
+ * The platform's protocol, JSON-RPC 2.0 with one message per line. Holds the state that its connections share.
+ * Used on the event loop only.
  */
 public final class RpcFront implements Front {
-    /** The longest line: a body of 2 KiB in base64 and its fields take under 4 KiB. */
+    /** The maximum length of a line; a body of 2 KiB in base64 and the other fields take less than 4 KiB. */
     static final int MAX_LINE_BYTES = 16 * 1024;
 
-    /** When a caller that has shut its output is notified once more that its connection is draining. */
+    /** The delay before a client that has shut its output is notified a second time that it is draining. */
     static final long HALF_CLOSE_REMINDER_MICROS = 50_000;
 
     private static final int CONNECTION_REJECTED_RETRY_AFTER_MS = 1_000;
@@ -25,10 +25,10 @@
     private final Core core;
     private final Clock clock;
     private RequestReader requestReader;
-    /** The phase of the process's lifecycle; null where the method {@code stats} is off. */
+    /** Returns the process's lifecycle phase; null if the method {@code stats} is disabled. */
     private Supplier<String> lifecyclePhase;
 
-    /** Submits requests to {@code core}, whose settings it reads them by. */
+    /** Creates a front that submits requests to {@code core} and reads them by the core's settings. */
     public RpcFront(Core core, Clock clock) {
         this.core = core;
         this.clock = clock;
@@ -56,11 +56,12 @@
     }
 
     /**
-     * Switches on the method {@code stats}, by which a fleet's supervisor sees whether a server has proven
-     * itself. The platform knows no such method, so it is off by default.
+     * Enables the method {@code stats}, which a fleet's supervisor calls to verify a server. It is disabled by
+     * default because it is not part of the platform's protocol. {@code lifecyclePhase} is called on the event
+     * loop.
      */
-    public void enableStats(Supplier<String> phaseOfProcess) {
-        lifecyclePhase = phaseOfProcess;
+    public void enableStats(Supplier<String> lifecyclePhase) {
+        this.lifecyclePhase = lifecyclePhase;
     }
 
     @Override
@@ -76,7 +77,7 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Reads further requests by the classes of reloaded settings; on the loop's thread. */
+    /** Uses reloaded settings for the requests read from now. Event loop only. */
     public void retune(DeploymentSettings settings) {
         requestReader = new RequestReader(settings);
     }
--- a/server/src/main/java/wheatspread/jsonrpc/RpcWireNames.java
+++ b/server/src/main/java/wheatspread/jsonrpc/RpcWireNames.java
@@ -1,9 +1,9 @@
 package wheatspread.jsonrpc;
 
 /**
- * The names and numbers of the platform's JSON-RPC protocol, each under the name that the code uses for what
- * it means. They are fixed by the protocol: rename the constants, never their values. The methods that carry
- * requests are the names of the deployment's request classes.
+ * The names and numbers of the platform's JSON-RPC protocol. Each constant has the name of its meaning in the
+ * code. The protocol fixes the values: constants may be renamed, but their values must not change. The methods
+ * that carry requests are the names of the deployment's request classes.
  */
 final class RpcWireNames {
     // ---- JSON-RPC 2.0 ----
@@ -17,32 +17,32 @@
 
     // ---- methods and notifications ----
 
-    /** Asks whether the server is healthy. */
+    /** The health check. */
     static final String HEALTH_CHECK = "check";
-    /** Asks for the server's counters; answered only where the deployment switches it on. */
+    /** Returns the server's counters; answered only if enabled, see {@link RpcFront#enableStats}. */
     static final String STATS = "stats";
-    /** Cancels a request; a notification from the caller. */
+    /** Cancels a request; a notification from the client. */
     static final String CANCEL = "interrupt";
-    /** Announces that the connection is draining, as HTTP/2's GOAWAY does; a notification to the caller. */
+    /** Announces that the connection is draining, as HTTP/2's GOAWAY does; a notification to the client. */
     static final String CONNECTION_DRAINING = "lastCall";
 
     // ---- parameters of a request ----
 
     /** The id of the attempt: 16 hexadecimal digits. */
     static final String ATTEMPT_ID = "txn";
-    /** When the request reached the machine: Unix time in milliseconds. */
+    /** The time when the request arrived at the machine: Unix time in milliseconds. */
     static final String ARRIVAL_MS = "door";
-    /** How long after its arrival the caller stops waiting: milliseconds. */
+    /** The client's timeout, counted from the arrival time: milliseconds. */
     static final String CLIENT_TIMEOUT_MS = "limit";
     /** Positive if the attempt is a retry. */
     static final String RETRY = "second";
-    /** The memory that the run is expected to hold: KiB. */
+    /** The expected memory use of the run: KiB. */
     static final String MEMORY_KB = "ram";
-    /** The processor time that the run is expected to take: milliseconds. */
+    /** The expected processor time of the run: milliseconds. */
     static final String EXPECTED_WORK_MS = "cpu";
     /** The number of the balancer that forwards the request; checked and ignored. */
     static final String BALANCER = "lb";
-    /** The priority rank of the caller, from 0 to below 1; checked and ignored. */
+    /** The priority rank of the client, from 0 to below 1; checked and ignored. */
     static final String PRIORITY_RANK = "standing";
     /** The idempotency key. */
     static final String IDEMPOTENCY_KEY = "unique";
@@ -55,9 +55,9 @@
 
     // ---- fields of results and of errors' data ----
 
-    /** How long the caller should wait before it retries: milliseconds. */
+    /** The retry-after: milliseconds. */
     static final String RETRY_AFTER_MS = "later";
-    /** 1 if the request should not be retried on any server. */
+    /** The value is 1 if the request should not be retried on any server. */
     static final String DO_NOT_RETRY = "giveup";
     /** The load feedback. */
     static final String LOAD_FEEDBACK = "feedback";
@@ -67,7 +67,7 @@
     static final String LIFECYCLE_PHASE = "phase";
     /** The number of requests without an answer. */
     static final String OPEN_REQUESTS = "open";
-    /** How long until the server is warm: milliseconds. */
+    /** The time until the warm-up ends: milliseconds. */
     static final String WARM_IN_MS = "warm_in_ms";
 
     // ---- error codes ----
@@ -76,7 +76,7 @@
     static final int INVALID_REQUEST = -32600;
     static final int METHOD_NOT_FOUND = -32601;
     static final int INVALID_PARAMS = -32602;
-    /** The request never ran. */
+    /** The request was rejected and never ran. */
     static final int REJECTED = -32066;
     /** The request failed, and may have run. */
     static final int FAILED = -32000;
--- a/server/src/test/java/wheatspread/jsonrpc/RpcWireNamesTest.java
+++ b/server/src/test/java/wheatspread/jsonrpc/RpcWireNamesTest.java
@@ -8,9 +8,9 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** The names on the wire are the protocol's, whatever the code calls them. */
+/** Guards against changing a value on the wire when a constant is renamed or added. */
 class RpcWireNamesTest {
-    private static final Map<String, Object> NAMES = Map.ofEntries(
+    private static final Map<String, Object> EXPECTED_VALUES = Map.ofEntries(
             Map.entry("ID", "id"),
             Map.entry("METHOD", "method"),
             Map.entry("PARAMS", "params"),
@@ -50,13 +50,13 @@
             Map.entry("CONFLICT", -32002));
 
     @Test
-    void everyConstantHasItsWireName() throws IllegalAccessException {
+    void constantsHaveTheValuesFixedByTheProtocol() throws IllegalAccessException {
         Map<String, Object> constants = new TreeMap<>();
         for (Field field : RpcWireNames.class.getDeclaredFields()) {
             if (!field.isSynthetic() && Modifier.isStatic(field.getModifiers())) {
                 constants.put(field.getName(), field.get(null));
             }
         }
-        assertThat(constants).isEqualTo(new TreeMap<>(NAMES));
+        assertThat(constants).isEqualTo(new TreeMap<>(EXPECTED_VALUES));
     }
 }
