--- a/server/src/main/java/wheatspread/uwsgi/InvalidVarException.java
+++ b/server/src/main/java/wheatspread/uwsgi/InvalidVarException.java
@@ -1,12 +1,12 @@
 package wheatspread.uwsgi;
 
-/** A var of a request is missing or unreadable. */
+/** Thrown if a uwsgi var of a request is missing or invalid. */
 final class InvalidVarException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final String varName;
 
-    /** {@code problem} continues a sentence that begins with the name of the var. */
+    /** Creates an exception whose message is the var's name followed by {@code problem}, a predicate. */
     InvalidVarException(String varName, String problem) {
         super(varName + " " + problem);
         this.varName = varName;
--- a/server/src/main/java/wheatspread/uwsgi/UwsgiConnection.java
+++ b/server/src/main/java/wheatspread/uwsgi/UwsgiConnection.java
@@ -8,35 +8,38 @@
 import wheatspread.transport.ClientChannelHandler;
 import wheatspread.transport.Listener;
 
-/** One uwsgi connection: submits its requests to the core and writes the responses in the requests' order. */
+/**
+ * A uwsgi connection: reads packets, submits the requests to the core and writes the responses in the order of
+ * the requests. Event loop only.
+ */
 final class UwsgiConnection extends ClientChannelHandler {
-    /** How many requests may wait for their answers; no more is read while they do. */
+    /** The connection is not read while this many requests wait for their answers. */
     private static final int MAX_OPEN_REQUESTS = 32;
 
     private static final long MICROS_PER_SECOND = 1_000_000;
 
     private final UwsgiFront front;
     /** The pending responses as a linked list, in the order of their requests. */
-    private PendingResponse first;
+    private PendingResponse firstPending;
 
-    private PendingResponse last;
+    private PendingResponse lastPending;
     private int openRequests;
-    /** Decodes the request that has begun; null while there is none. */
+    /** The decoder of the request being received; null if no part of a request has been received. */
     private UwsgiDecoder decoder;
-    /** The server is draining: the connection closes after the pending responses. */
+    /** Whether the server is draining; if so, the connection closes after the pending responses. */
     private boolean serverDraining;
 
     private boolean hasResponded;
-    /** Reading stopped with whole requests possibly left in the buffer. */
-    private boolean stoppedReading;
+    /** Whether reading stopped at the limit of open requests, with whole requests possibly left in the buffer. */
+    private boolean stoppedAtRequestLimit;
 
-    /** One response that is not written yet. */
+    /** A response that is not written yet. */
     private static final class PendingResponse {
-        /** Null until the core has accepted the request. */
+        /** The core's ticket; null until {@code submit} has returned, or if the request is not submitted. */
         private Long ticket;
 
         private boolean burstAdmission;
-        /** Null until the request is answered. */
+        /** The encoded response; null until the request is answered. */
         private ByteBuf bytes;
 
         private PendingResponse next;
@@ -47,7 +50,7 @@
         this.front = front;
     }
 
-    // ---- the connection ----
+    // ---- connection ----
 
     @Override
     protected int openRequests() {
@@ -61,9 +64,9 @@
 
     @Override
     protected void clientDisconnected() {
-        PendingResponse pending = first;
-        first = null;
-        last = null;
+        PendingResponse pending = firstPending;
+        firstPending = null;
+        lastPending = null;
         openRequests = 0;
         for (; pending != null; pending = pending.next) {
             if (pending.bytes != null) {
@@ -78,17 +81,20 @@
     @Override
     public void notifyDraining() {
         serverDraining = true;
-        drainIfDone();
+        drainIfIdle();
     }
 
-    /** uwsgi cannot announce draining, so a caller that connects meanwhile still gets its first response. */
-    private void drainIfDone() {
+    /**
+     * Drains the connection once it is idle while the server is draining. uwsgi cannot announce draining, so a
+     * client that connects during the drain still gets its first response.
+     */
+    private void drainIfIdle() {
         if (serverDraining && hasResponded && openRequests == 0 && !hasPartialMessage()) {
             drain();
         }
     }
 
-    /** Stops at the limit of open requests; what the caller has sent beyond it stays buffered. */
+    /** Reads whole requests up to the limit of open requests; further bytes are left in {@code bytes}. */
     @Override
     protected int readMessages(ByteBuf bytes) {
         int requests = 0;
@@ -112,7 +118,7 @@
                 handleRequest(pending, (UwsgiDecoder.Request) message);
             }
         }
-        stoppedReading = bytes.isReadable() && openRequests >= MAX_OPEN_REQUESTS;
+        stoppedAtRequestLimit = bytes.isReadable() && openRequests >= MAX_OPEN_REQUESTS;
         if (!bytes.isReadable() && decoder != null && !decoder.awaitsBody()) {
             decoder = null;
         }
@@ -122,12 +128,12 @@
     private PendingResponse addPending() {
         PendingResponse pending = new PendingResponse();
         openRequests++;
-        if (last == null) {
-            first = pending;
+        if (lastPending == null) {
+            firstPending = pending;
         } else {
-            last.next = pending;
+            lastPending.next = pending;
         }
-        last = pending;
+        lastPending = pending;
         return pending;
     }
 
@@ -145,11 +151,11 @@
             UwsgiEncoder.write(
                     new UwsgiPacket(UwsgiPacket.PING_MODIFIER, front.core().healthy() ? 1 : 0, Map.of()), pong);
             pending.bytes = pong;
-            writeReady();
+            writeReadyResponses();
         } else if (!front.config().healthPath().isEmpty()
                 && front.config().healthPath().equals(VarsReader.path(vars))) {
-            boolean well = front.core().healthy();
-            respond(pending, well ? "200 OK" : "503 Service Unavailable", text(well ? "well" : "ill"), "");
+            boolean healthy = front.core().healthy();
+            respond(pending, healthy ? "200 OK" : "503 Service Unavailable", text(healthy ? "well" : "ill"), "");
         } else {
             try {
                 InboundRequest inbound = front.varsReader()
@@ -191,39 +197,39 @@
         }
     }
 
-    /** Rounded up and at least 1, since a rejected caller must not retry at once. */
+    /** Rounds up to whole seconds, at least 1, because a rejected client must not retry immediately. */
     private static long retryAfterSeconds(long retryAfterMicros) {
         return Math.max(1, (retryAfterMicros + MICROS_PER_SECOND - 1) / MICROS_PER_SECOND);
     }
 
-    private static byte[] text(String text) {
-        return (text + "\n").getBytes(StandardCharsets.UTF_8);
+    private static byte[] text(String line) {
+        return (line + "\n").getBytes(StandardCharsets.UTF_8);
     }
 
     private void respond(PendingResponse pending, String status, byte[] body, String headers) {
         boolean lastResponse = isDraining() || serverDraining;
-        byte[] head = ("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length + "\r\n" + headers
+        byte[] header = ("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length + "\r\n" + headers
                         + (lastResponse ? "Connection: close\r\n" : "") + "\r\n")
                 .getBytes(StandardCharsets.ISO_8859_1);
-        ByteBuf response = ctx.alloc().buffer(head.length + body.length);
-        pending.bytes = response.writeBytes(head).writeBytes(body);
-        writeReady();
+        ByteBuf response = ctx.alloc().buffer(header.length + body.length);
+        pending.bytes = response.writeBytes(header).writeBytes(body);
+        writeReadyResponses();
     }
 
-    /** Writes responses in the order of their requests; one that is ready early waits for those before it. */
-    private void writeReady() {
-        while (first != null && first.bytes != null) {
-            ctx.write(first.bytes, ctx.voidPromise());
-            first = first.next;
-            last = first == null ? null : last;
+    /** Writes the pending responses in order, up to the first request that is not answered yet. */
+    private void writeReadyResponses() {
+        while (firstPending != null && firstPending.bytes != null) {
+            ctx.write(firstPending.bytes, ctx.voidPromise());
+            firstPending = firstPending.next;
+            lastPending = firstPending == null ? null : lastPending;
             openRequests--;
             hasResponded = true;
         }
         ctx.flush();
         answerWritten();
-        drainIfDone();
-        if (stoppedReading && openRequests < MAX_OPEN_REQUESTS) {
-            stoppedReading = false;
+        drainIfIdle();
+        if (stoppedAtRequestLimit && openRequests < MAX_OPEN_REQUESTS) {
+            stoppedAtRequestLimit = false;
             front.clock().runAfterTurn(this::readBuffered);
         }
     }
--- a/server/src/main/java/wheatspread/uwsgi/UwsgiDecoder.java
+++ b/server/src/main/java/wheatspread/uwsgi/UwsgiDecoder.java
@@ -6,9 +6,10 @@
 import java.util.Map;
 
 /**
- * Decodes a packet and, if {@code CONTENT_LENGTH} states one, the body after it. The result is a whole
- * request, or {@link Malformed}, after which the connection carries no more requests, since the start of the
- * next one is unknown. A connection has a decoder only while a request is being read.
+ * Decodes a packet and the body of {@code CONTENT_LENGTH} bytes after it, if that var is present. The result is
+ * a {@link Request} or {@link Malformed}. After a malformed packet the connection must not be read further,
+ * because the start of the next request is unknown. A connection has a decoder only while a request is being
+ * read.
  */
 final class UwsgiDecoder {
     private final int maxVarsBytes;
@@ -16,12 +17,12 @@
     /** The packet whose body has not been read; null between requests. */
     private UwsgiPacket packet;
 
-    private int bodyLength;
+    private int bodyBytes;
 
     /** A packet and its body. */
     record Request(UwsgiPacket packet, byte[] body) {}
 
-    /** What was read is no request; {@code tooLarge} if it only exceeds a limit. */
+    /** Input that is not a request; {@code tooLarge} if it is well-formed but exceeds a limit. */
     record Malformed(String problem, boolean tooLarge) {}
 
     UwsgiDecoder(int maxVarsBytes, int maxBodyBytes) {
@@ -29,12 +30,12 @@
         this.maxBodyBytes = maxBodyBytes;
     }
 
-    /** Whether the vars of a request have been read and its body has not. */
+    /** Returns whether the vars of a request have been read and its body has not. */
     boolean awaitsBody() {
         return packet != null;
     }
 
-    /** Returns the next {@link Request}, {@link Malformed}, or null if the request is not whole yet. */
+    /** Returns the next {@link Request}, {@link Malformed}, or null if the request is incomplete. */
     Object decode(ByteBuf in) {
         if (packet == null) {
             Malformed malformed = readPacket(in);
@@ -42,26 +43,26 @@
                 return malformed;
             }
         }
-        if (in.readableBytes() < bodyLength) {
+        if (in.readableBytes() < bodyBytes) {
             return null;
         }
-        byte[] body = new byte[bodyLength];
+        byte[] body = new byte[bodyBytes];
         in.readBytes(body);
         Request request = new Request(packet, body);
         packet = null;
         return request;
     }
 
-    /** Reads a packet, if it is whole; returns what is wrong with it, or null. */
+    /** Reads a packet if it is complete. Returns the error if it is malformed, otherwise null. */
     private Malformed readPacket(ByteBuf in) {
         if (in.readableBytes() < UwsgiPacket.HEADER_BYTES) {
             return null;
         }
-        int size = in.getUnsignedShortLE(in.readerIndex() + 1);
-        if (size > maxVarsBytes) {
-            return new Malformed("vars of " + size + " bytes are over " + maxVarsBytes, true);
+        int varsBytes = in.getUnsignedShortLE(in.readerIndex() + 1);
+        if (varsBytes > maxVarsBytes) {
+            return new Malformed("vars of " + varsBytes + " bytes are over " + maxVarsBytes, true);
         }
-        if (in.readableBytes() < UwsgiPacket.HEADER_BYTES + size) {
+        if (in.readableBytes() < UwsgiPacket.HEADER_BYTES + varsBytes) {
             return null;
         }
         int modifier1 = in.readUnsignedByte();
@@ -70,7 +71,7 @@
         if (modifier1 != UwsgiPacket.REQUEST_MODIFIER && modifier1 != UwsgiPacket.PING_MODIFIER) {
             return new Malformed("unknown modifier " + modifier1, false);
         }
-        Map<String, String> vars = readVars(in.readSlice(size));
+        Map<String, String> vars = readVars(in.readSlice(varsBytes));
         if (vars == null) {
             return new Malformed("a var runs over the end of its packet", false);
         }
@@ -78,15 +79,15 @@
         if (!length.matches("\\d{0,9}")) {
             return new Malformed("CONTENT_LENGTH is not a length", false);
         }
-        bodyLength = length.isEmpty() ? 0 : Integer.parseInt(length);
-        if (bodyLength > maxBodyBytes) {
-            return new Malformed("a body of " + bodyLength + " bytes is over " + maxBodyBytes, true);
+        bodyBytes = length.isEmpty() ? 0 : Integer.parseInt(length);
+        if (bodyBytes > maxBodyBytes) {
+            return new Malformed("a body of " + bodyBytes + " bytes is over " + maxBodyBytes, true);
         }
         packet = new UwsgiPacket(modifier1, modifier2, vars);
         return null;
     }
 
-    /** Returns the vars; null if one runs over the end of the packet. */
+    /** Returns the vars in the order received; null if a var extends beyond the end of the packet. */
     private static Map<String, String> readVars(ByteBuf in) {
         Map<String, String> vars = new LinkedHashMap<>();
         while (in.isReadable()) {
@@ -104,9 +105,9 @@
         if (in.readableBytes() < 2) {
             return null;
         }
-        int size = in.readUnsignedShortLE();
-        return in.readableBytes() < size
+        int textBytes = in.readUnsignedShortLE();
+        return in.readableBytes() < textBytes
                 ? null
-                : in.readCharSequence(size, StandardCharsets.ISO_8859_1).toString();
+                : in.readCharSequence(textBytes, StandardCharsets.ISO_8859_1).toString();
     }
 }
--- a/server/src/main/java/wheatspread/uwsgi/UwsgiEncoder.java
+++ b/server/src/main/java/wheatspread/uwsgi/UwsgiEncoder.java
@@ -4,11 +4,11 @@
 import io.netty.handler.codec.EncoderException;
 import java.nio.charset.StandardCharsets;
 
-/** Encodes packets: the size between the two modifiers, and sizes in little-endian order. */
+/** Encodes uwsgi packets. The size of the vars is between the two modifiers; sizes are little-endian. */
 public final class UwsgiEncoder {
     private UwsgiEncoder() {}
 
-    /** Writes a packet; its vars have to fit the 16 bits of its size. */
+    /** Writes a packet; throws an EncoderException if its vars exceed {@value UwsgiPacket#MAX_VARS_BYTES} bytes. */
     public static void write(UwsgiPacket packet, ByteBuf out) {
         int start = out.writerIndex();
         out.writeByte(packet.modifier1()).writeShortLE(0).writeByte(packet.modifier2());
@@ -16,11 +16,12 @@
             writeText(name, out);
             writeText(value, out);
         });
-        int size = out.writerIndex() - start - UwsgiPacket.HEADER_BYTES;
-        if (size > UwsgiPacket.MAX_VARS_BYTES) {
-            throw new EncoderException("vars of " + size + " bytes do not fit a packet");
+        int varsBytes = out.writerIndex() - start - UwsgiPacket.HEADER_BYTES;
+        if (varsBytes > UwsgiPacket.MAX_VARS_BYTES) {
+            throw new EncoderException(
+                    "vars of " + varsBytes + " bytes exceed the maximum of " + UwsgiPacket.MAX_VARS_BYTES + " bytes");
         }
-        out.setShortLE(start + 1, size);
+        out.setShortLE(start + 1, varsBytes);
     }
 
     private static void writeText(String text, ByteBuf out) {
--- a/server/src/main/java/wheatspread/uwsgi/UwsgiFront.java
+++ b/server/src/main/java/wheatspread/uwsgi/UwsgiFront.java
@@ -11,8 +11,8 @@
 import wheatspread.transport.Listener;
 
 /**
- * The uwsgi protocol, on the same core and under the same rules as the platform's protocol. Holds what all its
- * connections share; used on the event loop only.
+ * The uwsgi protocol. Its requests go to the same core and are subject to the same admission rules as those of
+ * the platform's protocol. Holds the state that its connections share. Used on the event loop only.
  */
 public final class UwsgiFront implements Front {
     private final Core core;
@@ -21,7 +21,10 @@
     private VarsReader varsReader;
     private long lastJobId;
 
-    /** The seed only keeps the ids of this front's jobs apart from those of an earlier process. */
+    /**
+     * Creates a front that submits requests to {@code core}. The seed determines the first job id; it should
+     * differ between processes, so that job ids are not repeated.
+     */
     public UwsgiFront(Core core, Clock clock, UwsgiConfig config, long seed) {
         this.core = core;
         this.clock = clock;
@@ -58,12 +61,12 @@
                 .getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    /** Reads further requests by the classes of reloaded settings; on the loop's thread. */
+    /** Uses reloaded settings for the requests read from now. Event loop only. */
     public void retune(DeploymentSettings settings) {
         varsReader = newVarsReader(settings);
     }
 
-    /** A reader for these settings that continues the job ids of this front. */
+    /** Creates a reader for these settings that continues this front's sequence of job ids. */
     private VarsReader newVarsReader(DeploymentSettings settings) {
         return new VarsReader(settings, config, () -> String.format("%016x", ++lastJobId));
     }
--- a/server/src/main/java/wheatspread/uwsgi/VarsReader.java
+++ b/server/src/main/java/wheatspread/uwsgi/VarsReader.java
@@ -11,8 +11,8 @@
 import wheatspread.core.InboundRequest;
 
 /**
- * Converts the vars of a uwsgi packet into an {@link InboundRequest}; what they leave out comes from the
- * defaults of the path's route. Immutable: a reload of the settings makes a new one.
+ * Checks the vars of a uwsgi packet and converts them into an {@link InboundRequest}. Missing vars are replaced
+ * by the defaults of the path's route. Immutable: each reload of the settings creates a new reader.
  */
 final class VarsReader {
     private static final double MAX_MEMORY_KB = 2_000;
@@ -30,14 +30,17 @@
         routes = new Routes(config.routes(), config.defaults());
     }
 
-    /** The path of a request, without its query. */
+    /** Returns the path of a request without its query; empty if no var carries a path. */
     static String path(Map<String, String> vars) {
         String uri = vars.getOrDefault(UwsgiWireNames.PATH, vars.getOrDefault(UwsgiWireNames.PATH_AND_QUERY, ""));
-        int query = uri.indexOf('?');
-        return query < 0 ? uri : uri.substring(0, query);
+        int queryStart = uri.indexOf('?');
+        return queryStart < 0 ? uri : uri.substring(0, queryStart);
     }
 
-    /** {@code nowMicros} is Unix time, which also is the arrival time: a packet carries none. */
+    /**
+     * Reads a request. {@code nowMicros} is Unix time; it is used as the arrival time because packets carry none.
+     * Throws an InvalidVarException if a var is missing or invalid.
+     */
     InboundRequest read(Map<String, String> vars, byte[] body, long nowMicros) {
         Defaults defaults = routes.find(path(vars));
         UwsgiConfig.Vars names = config.vars();
@@ -85,9 +88,9 @@
         return value == null || value.isEmpty() ? null : value;
     }
 
-    private static int index(Map<String, String> vars, String name, List<String> known, int defaultIndex) {
+    private static int index(Map<String, String> vars, String name, List<String> knownValues, int defaultIndex) {
         String value = text(vars, name);
-        int index = value == null ? defaultIndex : known.indexOf(value);
+        int index = value == null ? defaultIndex : knownValues.indexOf(value);
         if (index < 0) {
             throw new InvalidVarException(name, value == null ? "is missing and has no default" : "is unknown");
         }
--- a/server/src/main/java/wheatspread/uwsgi/package-info.java
+++ b/server/src/main/java/wheatspread/uwsgi/package-info.java
@@ -1,6 +1,7 @@
 /**
  * The uwsgi protocol: decodes packets, converts them to requests, and writes answers as HTTP responses in the
- * order of the requests. It owns the wire names of that protocol, the routes and the pending responses of each
- * connection. It does not know how requests are scheduled, nor how connections are accepted and limited.
+ * order of the requests. The package owns the wire names of that protocol, the routes and the pending responses
+ * of each connection. It does not depend on how requests are scheduled or how connections are accepted and
+ * limited.
  */
 package wheatspread.uwsgi;
--- a/server/src/test/java/wheatspread/uwsgi/RoutesTest.java
+++ b/server/src/test/java/wheatspread/uwsgi/RoutesTest.java
@@ -12,7 +12,7 @@
 import wheatspread.config.UwsgiConfig.Route;
 
 class RoutesTest {
-    /** Route n has request class n as its default; no route gives -1. */
+    /** The request class of route n is n, so that a test can tell which route was found; without a route it is -1. */
     private static final List<String> ROUTES = List.of(
             "prefix /",
             "prefix /a/",
@@ -35,22 +35,22 @@
         "q, -1",
         "/a/x.pngx, 3"
     })
-    void findsTheRouteThatNginxFinds(String path, int classIndex) {
+    void findsRouteByNginxPrecedence(String path, int classIndex) {
         List<Route> routes = ROUTES.stream()
                 .map(text -> route(text.split(" "), ROUTES.indexOf(text)))
                 .toList();
         assertThat(new Routes(routes, defaults(-1)).find(path).requestClass()).isEqualTo(classIndex);
     }
 
-    /** Regular expressions nested in a prefix that takes precedence over regular expressions still apply. */
+    /** Nested regular expressions apply even in a prefix that takes precedence over regular expressions. */
     @ParameterizedTest
     @CsvSource({"/a/x, 2", "/a/in/y, 3", "/a/in/x, 2", "/a/y, 1", "/b/x, 4", "/b/y, 5", "/b/in/x, 4", "/b/in/y, 6"})
-    void searchesNestedRoutesOfTheLongestPrefix(String path, int classIndex) {
-        Route inA = route("regex x$".split(" "), 2);
+    void searchesNestedRoutesOfLongestPrefix(String path, int classIndex) {
+        Route regexInA = route("regex x$".split(" "), 2);
         Route prefixInA = route("prefix /a/in/".split(" "), 3);
         Route prefixInB = route("prefix /b/in/".split(" "), 6);
         List<Route> routes = List.of(
-                new Route(Match.PREFIX_FIRST, "/a/", null, defaults(1), List.of(inA, prefixInA)),
+                new Route(Match.PREFIX_FIRST, "/a/", null, defaults(1), List.of(regexInA, prefixInA)),
                 route("regex x$".split(" "), 4),
                 new Route(Match.PREFIX, "/b/", null, defaults(5), List.of(prefixInB)));
         assertThat(new Routes(routes, defaults(-1)).find(path).requestClass()).isEqualTo(classIndex);
--- a/server/src/test/java/wheatspread/uwsgi/UwsgiWireNamesTest.java
+++ b/server/src/test/java/wheatspread/uwsgi/UwsgiWireNamesTest.java
@@ -8,9 +8,9 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** The names on the wire are the protocols', whatever the code calls them. */
+/** Guards against changing a value on the wire when a constant is renamed or added. */
 class UwsgiWireNamesTest {
-    private static final Map<String, Object> NAMES = Map.of(
+    private static final Map<String, Object> EXPECTED_VALUES = Map.of(
             "CONTENT_LENGTH", "CONTENT_LENGTH",
             "PATH", "PATH_INFO",
             "PATH_AND_QUERY", "REQUEST_URI",
@@ -19,13 +19,13 @@
             "RETRY_AFTER_HEADER", "Retry-After");
 
     @Test
-    void everyConstantHasItsWireName() throws IllegalAccessException {
+    void constantsHaveTheValuesFixedByTheProtocols() throws IllegalAccessException {
         Map<String, Object> constants = new TreeMap<>();
         for (Field field : UwsgiWireNames.class.getDeclaredFields()) {
             if (!field.isSynthetic() && Modifier.isStatic(field.getModifiers())) {
                 constants.put(field.getName(), field.get(null));
             }
         }
-        assertThat(constants).isEqualTo(new TreeMap<>(NAMES));
+        assertThat(constants).isEqualTo(new TreeMap<>(EXPECTED_VALUES));
     }
 }
