--- a/server/src/main/java/wheatspread/daemon/CounterReporter.java
+++ b/server/src/main/java/wheatspread/daemon/CounterReporter.java
@@ -76,7 +76,7 @@
                     "exhausted",
                     scheduler.readScheduler().exhaustedIterations(),
                     "sleepers",
-                    scheduler.readScheduler().idleReads(),
+                    scheduler.readScheduler().idleConnectionsQueued(),
                     "timers",
                     scheduler.timerWheel().size()
                 }));
--- a/server/src/main/java/wheatspread/daemon/ReloadApplier.java
+++ b/server/src/main/java/wheatspread/daemon/ReloadApplier.java
@@ -64,9 +64,9 @@
         kernel.moveTo(next.kernel());
         records.moveTo(next.records());
         announceClient.moveTo(next.announce());
-        platform.retune(deployment);
+        platform.applySettings(deployment);
         if (uwsgi != null) {
-            uwsgi.retune(deployment);
+            uwsgi.applySettings(deployment);
         }
         log.info("classes_reloaded", "classes", deployment.classes());
     }
--- a/server/src/main/java/wheatspread/jsonrpc/RpcFront.java
+++ b/server/src/main/java/wheatspread/jsonrpc/RpcFront.java
@@ -78,7 +78,7 @@
     }
 
     /** Uses reloaded settings for the requests read from now. Event loop only. */
-    public void retune(DeploymentSettings settings) {
+    public void applySettings(DeploymentSettings settings) {
         requestReader = new RequestReader(settings);
     }
 }
--- a/server/src/main/java/wheatspread/scheduling/ReadScheduler.java
+++ b/server/src/main/java/wheatspread/scheduling/ReadScheduler.java
@@ -137,7 +137,7 @@
     }
 
     /** Returns how many times since the start an idle connection was queued. */
-    public long idleReads() {
+    public long idleConnectionsQueued() {
         return idleConnectionsQueued;
     }
 }
--- a/server/src/main/java/wheatspread/uwsgi/UwsgiFront.java
+++ b/server/src/main/java/wheatspread/uwsgi/UwsgiFront.java
@@ -62,7 +62,7 @@
     }
 
     /** Uses reloaded settings for the requests read from now. Event loop only. */
-    public void retune(DeploymentSettings settings) {
+    public void applySettings(DeploymentSettings settings) {
         varsReader = newVarsReader(settings);
     }
 
