--- a/server/src/main/java/wheatspread/connections/ConnectionLimits.java
+++ b/server/src/main/java/wheatspread/connections/ConnectionLimits.java
@@ -14,7 +14,7 @@
  * @param lingerTimeoutMicros time limit in microseconds for a lingering connection whose client reads none of
  *     its pending answers
  * @param evictionGraceMicros time in microseconds after which a connection without a whole message is evicted
- *     before idle ones
+ *     before idle connections
  * @param maxPartialBytes maximum bytes of partial messages, summed over all connections
  * @param maxPendingWriteBytes maximum bytes of answers that stalled clients have not read, summed over all
  *     connections
--- a/server/src/main/java/wheatspread/connections/ConnectionTable.java
+++ b/server/src/main/java/wheatspread/connections/ConnectionTable.java
@@ -6,14 +6,14 @@
 
 /**
  * Tracks the connections of one front. It decides which connections are admitted, which have exceeded a time
- * limit, and which are evicted in favour of new ones. It reads no clock and accesses no channel directly: it
+ * limit, and which are evicted in favour of new connections. It reads no clock and accesses no channel directly: it
  * acts on connections through {@link ConnectionActions}. Each state has a list ordered by time, and all
  * connections in a list have the same time limit, so only the heads of the lists have to be checked.
- * Therefore a connection needs no timer of its own, and using it again only moves it to the end of a list.
+ * Therefore a connection needs no timer, and using it again only moves it to the end of a list.
  * Used on the event loop only.
  */
 public final class ConnectionTable {
-    /** Bounds the search for a connection to evict: at most this many unevictable ones are skipped. */
+    /** Bounds the search for a connection to evict: at most this many unevictable connections are skipped. */
     private static final int MAX_SKIPPED_CONNECTIONS = 64;
 
     private final ConnectionLimits limits;
@@ -125,7 +125,7 @@
             return close(idle);
         }
         // A connection flood can fill the table within the grace. The newest connection may carry a request or a
-        // health check, while the older ones have sent nothing yet.
+        // health check, while the older connections have sent nothing yet.
         Connection young = firstEvictable(State.NEW);
         young = young == null ? firstEvictable(State.PARTIAL_MESSAGE) : young;
         if (young != null) {
--- a/server/src/main/java/wheatspread/transport/ClientChannel.java
+++ b/server/src/main/java/wheatspread/transport/ClientChannel.java
@@ -22,7 +22,7 @@
     private final EventLoopScheduler scheduler;
     private final Connection connection;
     private IoRegistration registration;
-    /** The operations that the channel wants the selector to watch; null before it submits the first. */
+    /** The operations that the channel submitted last; null before the first submit. */
     private IoOps requestedOps;
     /** The last event that reported input. */
     private IoEvent readEvent;
@@ -35,7 +35,7 @@
         connection = scheduler.connectionBeingRegistered();
     }
 
-    /** Sets the selector's registration and returns the one that the channel is to use. */
+    /** Sets the selector's registration and returns the registration for the channel, which is this object. */
     final IoRegistration wrapRegistration(IoRegistration selectorRegistration) {
         registration = selectorRegistration;
         return this;
--- a/server/src/main/java/wheatspread/transport/Listener.java
+++ b/server/src/main/java/wheatspread/transport/Listener.java
@@ -36,7 +36,7 @@
  * the memory of unread answers, and notifies clients when the server drains.
  *
  * <p>Except for {@link #listen}, all methods run on the event loop. {@link #drainAll} drains the connections and
- * {@link #closeAll} closes the remaining ones.
+ * {@link #closeAll} closes the remaining connections.
  */
 public final class Listener {
     private static final int WRITE_LOW_WATERMARK_BYTES = 64 * 1024;
