--- a/server/src/main/java/wheatspread/daemon/FrontListeners.java
+++ b/server/src/main/java/wheatspread/daemon/FrontListeners.java
@@ -53,7 +53,7 @@
 
     private InetSocketAddress bindFront(Listener listener, InetSocketAddress address) {
         boolean inherits = listener == platformListener && inheritedDescriptor >= 0;
-        return inherits ? listener.holdListeningSocket(inheritedDescriptor) : listen(listener, address);
+        return inherits ? listener.adoptInheritedSocket(inheritedDescriptor) : listen(listener, address);
     }
 
     private static InetSocketAddress listen(Listener listener, InetSocketAddress address) {
@@ -94,7 +94,7 @@
      */
     void acceptInherited() {
         if (inheritedDescriptor >= 0) {
-            platformListener.acceptHeld();
+            platformListener.acceptOnInheritedSocket();
         }
     }
 
@@ -107,7 +107,7 @@
 
     /** Closes the connections of the fronts that have been idle for at least {@code idleMicros}. */
     void closeIdle(long idleMicros) {
-        addresses.keySet().forEach(listener -> listener.closeIdle(idleMicros));
+        addresses.keySet().forEach(listener -> listener.limitIdleTime(idleMicros));
     }
 
     /** Drains all listeners, including that of the operators' endpoint. */
