--- a/server/src/main/java/wheatspread/store/AuxiliaryFiles.java
+++ b/server/src/main/java/wheatspread/store/AuxiliaryFiles.java
@@ -11,14 +11,14 @@
 import wheatspread.logging.EventLog;
 
 /**
- * The files of the folder that are not part of the log: checkpoints, files to be deleted, and damaged files
- * that are kept for an operator. Their sizes count as used space. For the writer's thread alone.
+ * Tracks the files of the folder that are not part of the log: checkpoints, files scheduled for deletion, and
+ * damaged files that are kept for an operator. Their sizes count as used space. Confined to the writer thread.
  */
 final class AuxiliaryFiles {
     private final Disk disk;
     private final EventLog log;
     private final Set<String> toDelete = new LinkedHashSet<>();
-    private final Set<String> toSetAside = new LinkedHashSet<>();
+    private final Set<String> toRename = new LinkedHashSet<>();
     private final Map<String, Long> sizes = new TreeMap<>();
 
     AuxiliaryFiles(StoreContext context) {
@@ -26,49 +26,49 @@
         log = context.log();
     }
 
-    /** Counts a file with the size that it has on the disk. */
+    /** Counts a file with its current size on disk. */
     void measure(String name) throws IOException {
         try (DiskFile file = disk.open(name)) {
             sizes.put(name, file.size());
         }
     }
 
-    /** Counts a file. */
+    /** Counts a file with a known size. */
     void add(String name, long bytes) {
         sizes.put(name, bytes);
     }
 
-    /** Files that may not be there are to be deleted before any other job is run. */
+    /** Schedules files for deletion before any other job runs. A file that does not exist is skipped. */
     void delete(Collection<String> names) {
         toDelete.addAll(names);
     }
 
     /** Schedules a compacted segment for deletion, or for renaming if it is damaged. */
-    void retire(Segment rewritten) {
-        String name = rewritten.name().toString();
-        (rewritten.isDamaged() ? toSetAside : toDelete).add(name);
-        add(name, rewritten.validBytes());
-        if (rewritten.isDamaged()) {
+    void retire(Segment segment) {
+        String name = segment.name().toString();
+        (segment.isDamaged() ? toRename : toDelete).add(name);
+        add(name, segment.validBytes());
+        if (segment.isDamaged()) {
             log.warn("store_set_aside", "file", name + SegmentName.DAMAGED_SUFFIX);
         }
     }
 
-    /** Whether there is anything to delete or set aside. */
+    /** Returns whether a file is scheduled for deletion or renaming. */
     boolean hasPending() {
-        return !toDelete.isEmpty() || !toSetAside.isEmpty();
+        return !toDelete.isEmpty() || !toRename.isEmpty();
     }
 
-    /** A job that deletes and sets aside what is to be. */
-    DeleteJob deletion() {
-        Set<String> all = new LinkedHashSet<>(toDelete);
-        all.addAll(toSetAside);
-        return new DeleteJob(disk, all, toSetAside);
+    /** Creates a job that deletes or renames all scheduled files. */
+    DeleteJob createDeleteJob() {
+        Set<String> scheduled = new LinkedHashSet<>(toDelete);
+        scheduled.addAll(toRename);
+        return new DeleteJob(disk, scheduled, toRename);
     }
 
-    /** A job of {@link #deletion} is complete. */
+    /** Removes the files of a completed job of {@link #createDeleteJob} from the schedule, and updates the sizes. */
     void completed(DeleteJob deletion) {
         toDelete.removeAll(deletion.names());
-        toSetAside.removeAll(deletion.damagedFiles());
+        toRename.removeAll(deletion.damagedFiles());
         for (String name : deletion.names()) {
             sizes.remove(name);
         }
@@ -81,7 +81,7 @@
         }
     }
 
-    /** The size of all of them. */
+    /** Returns the total size of the counted files. */
     long bytes() {
         long bytes = 0;
         for (long size : sizes.values()) {
--- a/server/src/main/java/wheatspread/store/BackgroundLoop.java
+++ b/server/src/main/java/wheatspread/store/BackgroundLoop.java
@@ -4,23 +4,23 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * The background thread: runs the steps of one maintenance job at a time, within the rate of {@link
- * StoreSettings#compactBytesPerS}. It ends when {@link WriterQueue} is closed.
+ * The loop of the background thread: runs the steps of one maintenance job at a time, limited to {@link
+ * StoreSettings#compactionBytesPerSecond}. It ends when {@link WriterQueue} is closed.
  */
 final class BackgroundLoop implements Runnable {
     private final WriterQueue queue;
     private final StoreSettings settings;
-    private final Store.Clock time;
+    private final Store.Clock clock;
 
-    BackgroundLoop(WriterQueue queue, StoreSettings settings, Store.Clock time) {
+    BackgroundLoop(WriterQueue queue, StoreSettings settings, Store.Clock clock) {
         this.queue = queue;
         this.settings = settings;
-        this.time = time;
+        this.clock = clock;
     }
 
     @Override
     public void run() {
-        RateLimiter rateLimiter = new RateLimiter(settings.compactionBytesPerSecond(), time.nanos());
+        RateLimiter rateLimiter = new RateLimiter(settings.compactionBytesPerSecond(), clock.nanos());
         for (MaintenanceJob job = queue.awaitJob(); job != null; job = queue.awaitJob()) {
             IOException failure = null;
             try {
@@ -30,16 +30,16 @@
             } catch (IOException e) {
                 failure = e;
             } catch (RuntimeException e) {
-                failure = new IOException("a fault in the program: " + e, e);
+                failure = new IOException("unexpected exception in a maintenance job: " + e, e);
             }
             queue.finishJob(new WriterQueue.FinishedJob(job, failure));
         }
     }
 
-    /** Runs a job to its end; false if the store closes before. */
+    /** Runs all steps of a job; returns false if the store is closed first. */
     private boolean runSteps(MaintenanceJob job, RateLimiter rateLimiter) throws IOException {
         while (job.step()) {
-            LockSupport.parkNanos(rateLimiter.delayNanosAfter(job.bytesMoved(), time.nanos()));
+            LockSupport.parkNanos(rateLimiter.delayNanosAfter(job.bytesMoved(), clock.nanos()));
             if (queue.isClosing()) {
                 return false;
             }
--- a/server/src/main/java/wheatspread/store/CheckpointJob.java
+++ b/server/src/main/java/wheatspread/store/CheckpointJob.java
@@ -7,9 +7,9 @@
 import wheatspread.disk.DiskFile;
 
 /**
- * Writes a checkpoint of the index, one of its tables at a time while writes go on (a fuzzy checkpoint): an
- * entry may be older or newer than the place of the log that the checkpoint names, and replaying the log from
- * that place corrects it. The background thread calls {@link #step}, the writer's thread the rest.
+ * Writes a checkpoint of the index, one table at a time, while writes continue (a fuzzy checkpoint): an entry
+ * may be older or newer than the log position that the checkpoint records, and replaying the log from that
+ * position corrects it. The background thread calls {@link #step}, the writer thread all other methods.
  */
 final class CheckpointJob extends MaintenanceJob {
     private static final int MAX_FRAME_ENTRIES = 4_096;
@@ -22,27 +22,33 @@
     private final long nowMillis;
     private final boolean requiresWriterSync;
     private final Format.CheckpointEnd.Builder end = Format.CheckpointEnd.newBuilder();
-    private DiskFile out;
+    private DiskFile output;
     private int table = -1;
     private long entries;
     private long writtenBytes;
     private boolean done;
 
     /**
-     * Begins.
+     * Creates a job that has written nothing yet.
      *
-     * @param segment all of the log before this number and offset is in the index
-     * @param requiresWriterSync whether the writer has to sync, and then {@link #publish}
+     * @param segment the index contains all of the log before this segment number and {@code offset}
+     * @param requiresWriterSync whether the writer must sync and then call {@link #publish}
      */
     CheckpointJob(
-            Disk disk, SegmentCatalog catalog, long number, int segment, int offset, long nowMillis, boolean waits) {
+            Disk disk,
+            SegmentCatalog catalog,
+            long number,
+            int segment,
+            int offset,
+            long nowMillis,
+            boolean requiresWriterSync) {
         this.disk = disk;
         this.catalog = catalog;
         this.name = Layout.checkpointName(number);
         this.segment = segment;
         this.offset = offset;
         this.nowMillis = nowMillis;
-        this.requiresWriterSync = waits;
+        this.requiresWriterSync = requiresWriterSync;
         catalog.suspectedLosses().save(end);
     }
 
@@ -51,7 +57,7 @@
         resetBytesMoved();
         if (table < 0) {
             disk.delete(name + SegmentName.TEMPORARY_SUFFIX);
-            out = disk.create(name + SegmentName.TEMPORARY_SUFFIX);
+            output = disk.create(name + SegmentName.TEMPORARY_SUFFIX);
             write(Checkpoints.preamble());
             write(Checkpoints.frame(
                     Format.CheckpointFrame.newBuilder()
@@ -63,7 +69,7 @@
                             .build(),
                     false));
         } else if (table < Index.TABLES) {
-            table(table);
+            writeTable(table);
         } else {
             finish();
             return false;
@@ -72,31 +78,31 @@
         return true;
     }
 
-    private void table(int which) throws IOException {
+    private void writeTable(int tableIndex) throws IOException {
         Format.CheckpointEntries.Builder[] chunk = {Format.CheckpointEntries.newBuilder()};
-        IOException[] failed = new IOException[1];
-        catalog.index().copy(which, (hash, at, length, expiry) -> {
+        IOException[] failure = new IOException[1];
+        catalog.index().copy(tableIndex, (hash, location, length, expiry) -> {
             chunk[0].addHashes(hash)
-                    .addFiles(Index.file(at))
-                    .addOffsets(Index.offset(at))
+                    .addFiles(Index.file(location))
+                    .addOffsets(Index.offset(location))
                     .addLengths(length)
                     .addExpiries(expiry);
-            if (chunk[0].getHashesCount() == MAX_FRAME_ENTRIES && failed[0] == null) {
+            if (chunk[0].getHashesCount() == MAX_FRAME_ENTRIES && failure[0] == null) {
                 try {
-                    flush(chunk[0]);
+                    writeEntries(chunk[0]);
                 } catch (IOException e) {
-                    failed[0] = e;
+                    failure[0] = e;
                 }
                 chunk[0] = Format.CheckpointEntries.newBuilder();
             }
         });
-        if (failed[0] != null) {
-            throw failed[0];
+        if (failure[0] != null) {
+            throw failure[0];
         }
-        flush(chunk[0]);
+        writeEntries(chunk[0]);
     }
 
-    private void flush(Format.CheckpointEntries.Builder chunk) throws IOException {
+    private void writeEntries(Format.CheckpointEntries.Builder chunk) throws IOException {
         if (chunk.getHashesCount() > 0) {
             entries += chunk.getHashesCount();
             write(Checkpoints.frame(
@@ -105,14 +111,14 @@
     }
 
     private void finish() throws IOException {
-        for (Segment one : catalog.snapshot()) {
+        for (Segment logSegment : catalog.snapshot()) {
             Format.CheckpointEnd.File.Builder file = Format.CheckpointEnd.File.newBuilder()
-                    .setId(one.id())
-                    .setName(one.name().toString())
-                    .setLatestExpiryMs(one.latestExpiryMillis())
-                    .setRecords(one.recordCount());
-            if (one.cutOffset() != SegmentScan.NO_CUT) {
-                file.setCut(one.cutOffset());
+                    .setId(logSegment.id())
+                    .setName(logSegment.name().toString())
+                    .setLatestExpiryMs(logSegment.latestExpiryMillis())
+                    .setRecords(logSegment.recordCount());
+            if (logSegment.cutOffset() != SegmentScan.NO_CUT) {
+                file.setCut(logSegment.cutOffset());
             }
             end.addFiles(file);
         }
@@ -121,8 +127,8 @@
                         .setEnd(end.setEntries(entries))
                         .build(),
                 true));
-        out.sync();
-        out.close();
+        output.sync();
+        output.close();
         done = true;
         if (!requiresWriterSync) {
             publish();
@@ -130,9 +136,9 @@
     }
 
     /**
-     * Gives the file its name. Entries may belong to writes that were acknowledged without a sync: then the writer
-     * syncs them first. No other thread may, because the operating system reports a failed write-back once per open
-     * file, and the writer has to see it.
+     * Renames the file to its final name. If entries may belong to writes that were acknowledged without a sync, the
+     * writer must sync those writes first. No other thread may do so, because the operating system reports a failed
+     * write-back only once per open file, and the writer must receive that error.
      */
     void publish() throws IOException {
         disk.rename(name + SegmentName.TEMPORARY_SUFFIX, name);
@@ -145,7 +151,7 @@
 
     private void write(ByteBuffer bytes) throws IOException {
         int size = bytes.remaining();
-        out.append(bytes);
+        output.append(bytes);
         writtenBytes += size;
         addBytesMoved(size);
     }
@@ -162,11 +168,11 @@
     @Override
     List<String> abort() {
         try {
-            if (out != null && !done) {
-                out.close();
+            if (output != null && !done) {
+                output.close();
             }
         } catch (IOException e) {
-            // what it held is deleted next
+            // the file is deleted next
         }
         return List.of(name + SegmentName.TEMPORARY_SUFFIX, name);
     }
--- a/server/src/main/java/wheatspread/store/CheckpointProgress.java
+++ b/server/src/main/java/wheatspread/store/CheckpointProgress.java
@@ -1,8 +1,8 @@
 package wheatspread.store;
 
 /**
- * The newest checkpoint, and how far the log has grown since the last checkpoint was started. For the writer's
- * thread alone.
+ * Tracks the newest checkpoint, and how many bytes the log has grown since the last checkpoint was started.
+ * Confined to the writer thread.
  */
 final class CheckpointProgress {
     private long loggedBytes;
@@ -15,21 +15,21 @@
         changed = recovered.replayedRecords() > 0;
     }
 
-    /** The log grew by this many bytes. */
-    void logged(long bytes) {
+    /** Counts bytes that were appended to the log. */
+    void countLogged(long bytes) {
         loggedBytes += bytes;
         changed = true;
     }
 
-    /** Begins a checkpoint, and returns its number. */
+    /** Starts a checkpoint and returns its number. */
     long start() {
         loggedBytes = 0;
         changed = false;
         return ++number;
     }
 
-    /** The checkpoint could not be written: the next one is due at once. */
-    void failed(StoreSettings settings) {
+    /** Records that a checkpoint could not be written; the next one is due immediately. */
+    void markFailed(StoreSettings settings) {
         loggedBytes = settings.checkpointIntervalBytes();
     }
 
@@ -37,23 +37,23 @@
         return loggedBytes >= settings.checkpointIntervalBytes();
     }
 
-    /** Whether the log holds anything newer than the start of the last checkpoint. */
+    /** Returns whether the log has changed since the last checkpoint was started. */
     boolean hasChanges() {
         return changed;
     }
 
-    /** The file of the newest checkpoint; null if there is none. */
+    /** Returns the file name of the newest checkpoint, or null if there is none. */
     String newest() {
         return newest;
     }
 
-    /** A checkpoint is complete and durable. */
-    void completed(String name) {
+    /** Records that a checkpoint is complete and durable. */
+    void markCompleted(String name) {
         newest = name;
     }
 
-    /** A checkpoint was found when the folder was opened; numbers go on from it. */
-    void found(String name) {
+    /** Records the checkpoint that was found when the folder was opened. Later checkpoints continue its numbers. */
+    void restore(String name) {
         newest = name;
         number = Layout.checkpointNumber(name);
     }
--- a/server/src/main/java/wheatspread/store/Checkpoints.java
+++ b/server/src/main/java/wheatspread/store/Checkpoints.java
@@ -14,7 +14,7 @@
 import wheatspread.disk.DiskFile;
 
 /**
- * Reads and frames checkpoint files, which hold the index as of one place of the log. A checkpoint that is
+ * Reads and frames checkpoint files, which contain the index as of one position in the log. A checkpoint that is
  * incomplete or damaged is ignored, since the log contains everything. Stateless.
  */
 final class Checkpoints {
@@ -33,7 +33,7 @@
                 .flip();
     }
 
-    /** One frame of a checkpoint; the last one is followed by its size in 4 bytes. */
+    /** Encodes a frame of a checkpoint; the last frame is followed by its size in 4 bytes. */
     static ByteBuffer frame(Format.CheckpointFrame frame, boolean last) {
         ByteBuffer bytes = ByteBuffer.allocate(RecordFraming.frameBytes(frame.getSerializedSize()) + (last ? 4 : 0));
         RecordFraming.write(ByteBuffer.wrap(frame.toByteArray()), bytes);
@@ -43,15 +43,15 @@
         return bytes.flip();
     }
 
-    /** What is known of a file that is not read again. */
+    /** Metadata of a segment that the checkpoint recorded, so that the file need not be read again. */
     record KnownSegment(long latestExpiryMs, long records, int cut) {}
 
-    /** The seed of a checkpoint, for a store in which no segment has a readable header. */
-    static long seedOf(Disk disk, String name, LongSupplier otherwise) throws IOException {
+    /** Returns the hash seed of a checkpoint, for a store without a readable segment header. */
+    static long seedOf(Disk disk, String name, LongSupplier fallback) throws IOException {
         try (DiskFile file = disk.open(name)) {
             ReadWindow window = new ReadWindow(file, file.size());
-            Format.CheckpointFrame head = hasPreamble(window) ? read(window, PREAMBLE_BYTES) : null;
-            return head != null && head.hasHead() ? head.getHead().getSeed() : otherwise.getAsLong();
+            Format.CheckpointFrame head = hasPreamble(window) ? readFrame(window, PREAMBLE_BYTES) : null;
+            return head != null && head.hasHead() ? head.getHead().getSeed() : fallback.getAsLong();
         }
     }
 
@@ -60,16 +60,16 @@
                 && window.bytesAt(0, PREAMBLE_BYTES).slice(0, PREAMBLE_BYTES).equals(preamble());
     }
 
-    /** The frame at a place, or null. */
-    private static Format.CheckpointFrame read(ReadWindow window, long at) throws IOException {
-        ByteBuffer head = window.bytesAt(at, RecordFraming.HEADER_BYTES);
+    /** Reads the frame at an offset; returns null if it is incomplete or damaged. */
+    private static Format.CheckpointFrame readFrame(ReadWindow window, long position) throws IOException {
+        ByteBuffer head = window.bytesAt(position, RecordFraming.HEADER_BYTES);
         if (head.remaining() < RecordFraming.HEADER_BYTES
                 || head.getInt(0) < 0
                 || head.getInt(0) > RecordFraming.MAX_BODY_BYTES) {
             return null;
         }
         ByteBuffer[] body = new ByteBuffer[1];
-        if (RecordFraming.read(window.bytesAt(at, RecordFraming.HEADER_BYTES + head.getInt(0)), body)
+        if (RecordFraming.read(window.bytesAt(position, RecordFraming.HEADER_BYTES + head.getInt(0)), body)
                 != RecordFraming.Found.COMPLETE) {
             return null;
         }
@@ -80,8 +80,8 @@
         }
     }
 
-    /** Fills the index of a catalog, which must be empty; null if the checkpoint does not hold. */
-    static Loaded load(Disk disk, String name, SegmentCatalog into) throws IOException {
+    /** Fills the empty index of a catalog; returns null if the checkpoint is incomplete, damaged or does not match. */
+    static Loaded load(Disk disk, String name, SegmentCatalog catalog) throws IOException {
         try (DiskFile file = disk.open(name)) {
             long size = file.size();
             ByteBuffer tail = ByteBuffer.allocate(4);
@@ -90,37 +90,37 @@
             if (size < PREAMBLE_BYTES + 4 || !hasPreamble(window)) {
                 return null;
             }
-            long endAt = size - 4 - Integer.toUnsignedLong(tail.getInt(0));
-            Format.CheckpointFrame end = endAt >= PREAMBLE_BYTES ? read(window, endAt) : null;
-            Format.CheckpointFrame head = read(window, PREAMBLE_BYTES);
+            long endOffset = size - 4 - Integer.toUnsignedLong(tail.getInt(0));
+            Format.CheckpointFrame end = endOffset >= PREAMBLE_BYTES ? readFrame(window, endOffset) : null;
+            Format.CheckpointFrame head = readFrame(window, PREAMBLE_BYTES);
             if (end == null
                     || !end.hasEnd()
                     || head == null
                     || !head.hasHead()
-                    || head.getHead().getSeed() != into.seed()) {
+                    || head.getHead().getSeed() != catalog.seed()) {
                 return null;
             }
-            Loaded loaded = new Loaded(head.getHead(), into);
-            if (!loaded.files(end.getEnd())) {
+            Loaded loaded = new Loaded(head.getHead(), catalog);
+            if (!loaded.resolveSegments(end.getEnd())) {
                 return null;
             }
-            // an entry takes 28 bytes here, so that no wrong number asks for more than the file has
-            into.index().reserve((int) Math.min(end.getEnd().getEntries(), size / 28));
+            // an entry takes 28 bytes of the file, which bounds the allocation if the count is wrong
+            catalog.index().reserve((int) Math.min(end.getEnd().getEntries(), size / 28));
             long entries = 0;
-            long at = PREAMBLE_BYTES + RecordFraming.frameBytes(head.getSerializedSize());
-            while (at < endAt) {
-                Format.CheckpointFrame some = read(window, at);
-                if (some == null || !some.hasEntries()) {
+            long position = PREAMBLE_BYTES + RecordFraming.frameBytes(head.getSerializedSize());
+            while (position < endOffset) {
+                Format.CheckpointFrame frame = readFrame(window, position);
+                if (frame == null || !frame.hasEntries()) {
                     return null;
                 }
-                entries += some.getEntries().getHashesCount();
-                if (!loaded.entries(some.getEntries(), into.index())) {
+                entries += frame.getEntries().getHashesCount();
+                if (!loaded.addEntries(frame.getEntries(), catalog.index())) {
                     return null;
                 }
-                at += RecordFraming.frameBytes(some.getSerializedSize());
+                position += RecordFraming.frameBytes(frame.getSerializedSize());
             }
-            into.suspectedLosses().load(end.getEnd());
-            return at == endAt && entries == end.getEnd().getEntries() ? loaded : null;
+            catalog.suspectedLosses().load(end.getEnd());
+            return position == endOffset && entries == end.getEnd().getEntries() ? loaded : null;
         }
     }
 
@@ -140,59 +140,60 @@
             this.catalog = catalog;
         }
 
-        /** Finds today's files; false if one is gone or too short. */
-        private boolean files(Format.CheckpointEnd end) {
+        /** Maps the recorded segments to current ones; returns false if a segment is missing or too short. */
+        private boolean resolveSegments(Format.CheckpointEnd end) {
             for (Format.CheckpointEnd.File file : end.getFilesList()) {
                 SegmentName name = SegmentName.parse(file.getName());
-                Segment now = null;
-                for (Segment one : catalog.chain()) {
-                    if (one.name().equals(name) || name != null && one.name().replaces(name)) {
-                        now = one;
+                Segment current = null;
+                for (Segment segment : catalog.chain()) {
+                    if (segment.name().equals(name)
+                            || name != null && segment.name().replaces(name)) {
+                        current = segment;
                     }
                 }
-                if (now == null) {
+                if (current == null) {
                     return false;
                 }
                 names.put(file.getId(), name);
-                if (now.name().equals(name)) {
-                    ids.put(file.getId(), now.id());
+                if (current.name().equals(name)) {
+                    ids.put(file.getId(), current.id());
                     known.put(
                             name,
                             new KnownSegment(
                                     file.getLatestExpiryMs(),
                                     file.getRecords(),
                                     file.hasCut() ? file.getCut() : SegmentScan.NO_CUT));
-                    if (name.first() == segment && now.validBytes() < offset) {
+                    if (name.first() == segment && current.validBytes() < offset) {
                         return false;
                     }
                 } else {
-                    ids.put(file.getId(), STALE_ID_BASE + now.id());
-                    stale.add(now.id());
+                    ids.put(file.getId(), STALE_ID_BASE + current.id());
+                    stale.add(current.id());
                 }
             }
             return true;
         }
 
-        private boolean entries(Format.CheckpointEntries some, Index index) {
-            int count = some.getHashesCount();
-            if (some.getFilesCount() != count
-                    || some.getOffsetsCount() != count
-                    || some.getLengthsCount() != count
-                    || some.getExpiriesCount() != count) {
+        private boolean addEntries(Format.CheckpointEntries chunk, Index index) {
+            int count = chunk.getHashesCount();
+            if (chunk.getFilesCount() != count
+                    || chunk.getOffsetsCount() != count
+                    || chunk.getLengthsCount() != count
+                    || chunk.getExpiriesCount() != count) {
                 return false;
             }
             for (int i = 0; i < count; i++) {
-                SegmentName name = names.get(some.getFiles(i));
+                SegmentName name = names.get(chunk.getFiles(i));
                 if (name == null) {
                     return false;
                 }
-                // newer entries are replayed from the log, whose records may be damaged
-                if (SuspectedLosses.compare(name.first(), some.getOffsets(i), segment, offset) < 0) {
+                // newer entries are added when the log is replayed, because their records may be damaged
+                if (SuspectedLosses.compareLocations(name.first(), chunk.getOffsets(i), segment, offset) < 0) {
                     index.add(
-                            some.getHashes(i),
-                            Index.location(ids.get(some.getFiles(i)), some.getOffsets(i)),
-                            some.getLengths(i),
-                            some.getExpiries(i));
+                            chunk.getHashes(i),
+                            Index.location(ids.get(chunk.getFiles(i)), chunk.getOffsets(i)),
+                            chunk.getLengths(i),
+                            chunk.getExpiries(i));
                 }
             }
             return true;
@@ -206,46 +207,51 @@
             return known.get(name);
         }
 
-        /** Whether a file need not be read. */
+        /** Returns whether the checkpoint contains all records of a segment, so that it need not be read. */
         boolean covers(SegmentName name) {
             return known.containsKey(name) && name.last() < segment;
         }
 
-        /** Whether all that a rewritten file holds stood before the checkpoint's place. */
+        /** Returns whether all records of a compacted segment precede the checkpoint's log position. */
         boolean precedesCheckpoint(SegmentName name) {
             return name.last() < segment;
         }
 
-        /** Whether entries point to files that this one was written in place of. */
-        boolean isStale(Segment one) {
-            return stale.contains(one.id());
+        /** Returns whether entries still point to segments that this segment replaced. */
+        boolean isStale(Segment segment) {
+            return stale.contains(segment.id());
         }
 
         /**
-         * Points an entry of this hash to where compaction has moved its record. Which one of several does
-         * not matter: each is moved, or taken away in the end.
+         * Points a stale entry with this hash to the location to which compaction moved its record. If several
+         * entries are stale, any of them may be chosen: each is moved, or removed in the end.
+         *
+         * @return whether there was a stale entry
          */
-        boolean repoint(Index index, Segment now, long hash, long to, int length, int expiry) {
+        boolean repoint(Index index, Segment current, long hash, long to, int length, int expiry) {
             long[] from = new long[1];
-            index.find(hash, (h, at, l, e) -> from[0] = Index.file(at) == STALE_ID_BASE + now.id() ? at : from[0]);
+            index.find(
+                    hash,
+                    (h, location, l, e) ->
+                            from[0] = Index.file(location) == STALE_ID_BASE + current.id() ? location : from[0]);
             return from[0] != 0 && index.move(hash, from[0], to, length, expiry);
         }
 
-        /** Takes away what still points to a file that is gone: compaction found it dead. */
+        /** Removes entries that still point to a replaced segment: compaction dropped their records as dead. */
         void removeStaleEntries(Index index) {
             if (stale.isEmpty()) {
                 return;
             }
             for (int table = 0; table < Index.TABLES; table++) {
-                LongArrayList gone = new LongArrayList();
-                index.copy(table, (hash, at, length, expiry) -> {
-                    if (Index.file(at) >= STALE_ID_BASE) {
-                        gone.addLong(hash);
-                        gone.addLong(at);
+                LongArrayList staleEntries = new LongArrayList();
+                index.copy(table, (hash, location, length, expiry) -> {
+                    if (Index.file(location) >= STALE_ID_BASE) {
+                        staleEntries.addLong(hash);
+                        staleEntries.addLong(location);
                     }
                 });
-                for (int i = 0; i < gone.size(); i += 2) {
-                    index.remove(gone.getLong(i), gone.getLong(i + 1));
+                for (int i = 0; i < staleEntries.size(); i += 2) {
+                    index.remove(staleEntries.getLong(i), staleEntries.getLong(i + 1));
                 }
             }
         }
--- a/server/src/main/java/wheatspread/store/CompactionJob.java
+++ b/server/src/main/java/wheatspread/store/CompactionJob.java
@@ -12,13 +12,13 @@
 import wheatspread.disk.DiskFile;
 
 /**
- * Compacts a run of segments: copies their live records into one new segment that replaces them. The new file
- * gets its name only once all of it is synced, and the old files stay until every index entry points to the new
- * one. After a crash at any point the folder holds the old files, the new file, or both, and each of these has
- * the same content.
+ * Compacts a run of segments: copies their live records into a new segment that replaces them. The new file is
+ * renamed to its final name only after it is synced completely, and the old files are kept until every index entry
+ * points to the new file. After a crash at any point the folder contains the old files, the new file, or both, and
+ * each alternative has the same content.
  *
- * <p>The background thread calls {@link #step}, the writer's thread the rest. The job holds the old segments
- * open from its creation until {@link #releaseRun}, or {@link #abort} after a failure.
+ * <p>The background thread calls {@link #step}, the writer thread all other methods. The job keeps the old
+ * segments open from its creation until {@link #releaseRun}, or {@link #abort} after a failure.
  */
 final class CompactionJob extends MaintenanceJob {
     private static final int GROUP_BYTES = 64 << 10;
@@ -27,7 +27,7 @@
     private static final int MAX_MOVES_PER_INSTALL = 2_000;
     private static final int MAX_GROUP_RECORDS = 4_096;
 
-    /** The parameters of a compaction beside its segments. */
+    /** The parameters of a compaction other than its input segments. */
     record Parameters(
             SegmentName name,
             long mark,
@@ -36,11 +36,11 @@
             long nowMillis,
             long lossUntilMillis) {}
 
-    /** A record that has been copied into the group at {@code place}. */
-    private record CopiedRecord(long hash, long from, int place, int length, int expiry) {}
+    /** A record that has been copied into the current group at {@code groupOffset}. */
+    private record CopiedRecord(long hash, long from, int groupOffset, int length, int expiry) {}
 
-    /** Keys lost to damage at a place of an old file; the record of the loss stands at {@code place}. */
-    private record Loss(LongArrayList hashes, boolean all, int place, long from) {}
+    /** Keys lost to damage at location {@code from} of an input; the loss is recorded at {@code recordOffset}. */
+    private record Loss(LongArrayList hashes, boolean allKeys, int recordOffset, long from) {}
 
     private final Disk disk;
     private final SegmentCatalog catalog;
@@ -52,10 +52,10 @@
     private final LongArrayList moves = new LongArrayList();
     private final List<Loss> losses = new ArrayList<>();
     private final LongArrayList expired = new LongArrayList();
-    private DiskFile out;
+    private DiskFile output;
     private long writtenBytes;
     private long syncedBytes;
-    private int input = -1;
+    private int inputIndex = -1;
     private SegmentScan scan;
     private long records;
     private long latestExpiryMillis;
@@ -73,7 +73,7 @@
         run.forEach(Segment::acquire);
     }
 
-    /** Leaves out the records of suspected losses. */
+    /** Sets whether records of suspected losses are dropped. */
     void dropSuspectedLosses(boolean drop) {
         dropsSuspectedLosses = drop;
     }
@@ -88,71 +88,71 @@
         if (!started) {
             started = true;
             disk.delete(newName());
-            out = disk.create(newName());
+            output = disk.create(newName());
             write(FileHeader.write(parameters.name(), catalog.seed(), parameters.mark(), parameters.nowMillis()));
             group.startGroup(MAX_GROUP_RECORDS);
             return true;
         }
         while (bytesMoved() < STEP_BYTES) {
-            if (scan == null && !nextInput()) {
+            if (scan == null && !openNextInput()) {
                 finish();
                 return false;
             }
             long before = scan.bytesRead();
-            SegmentScan.Step step = scan.nextOffset();
+            SegmentScan.Step step = scan.advance();
             addBytesMoved(scan.bytesRead() - before);
             switch (step) {
-                case RECORD -> record(scan);
-                case DAMAGE -> damage();
+                case RECORD -> copyRecord(scan);
+                case DAMAGE -> recordDamage();
                 case END -> scan = null;
                 default -> {}
             }
             if (group.size() >= GROUP_BYTES || group.records() == MAX_GROUP_RECORDS) {
-                flush();
+                flushGroup();
             }
         }
         return true;
     }
 
-    private boolean nextInput() throws IOException {
-        input++;
-        if (input >= run.size()) {
+    private boolean openNextInput() throws IOException {
+        inputIndex++;
+        if (inputIndex >= run.size()) {
             return false;
         }
-        Segment one = run.get(input);
-        scan = new SegmentScan(one.file(), one.name(), 0, one.cutOffset(), false);
+        Segment segment = run.get(inputIndex);
+        scan = new SegmentScan(segment.file(), segment.name(), 0, segment.cutOffset(), false);
         return true;
     }
 
-    private void record(SegmentScan at) {
-        Format.Record record = at.record();
+    private void copyRecord(SegmentScan input) {
+        Format.Record record = input.record();
         switch (record.getKind()) {
             case PUT -> {
-                long hash = catalog.hash(at);
-                long from = Index.location(run.get(input).id(), (int) at.offset());
+                long hash = catalog.hash(input);
+                long from = Index.location(run.get(inputIndex).id(), (int) input.offset());
                 long expires = record.getExpiresMs();
                 if (SegmentCatalog.hasExpired(expires, parameters.nowMillis())) {
-                    // an older value must not come back, whether or not this one has been counted out
+                    // an older value must not reappear, whether or not the expiry sweep has removed this entry
                     expired.addLong(hash);
                     expired.addLong(from);
-                    delete(at);
+                    copyTombstone(input);
                 } else if (catalog.index().has(hash, from)) {
-                    int place = group.add(hash, record);
+                    int groupOffset = group.add(hash, record);
                     pending.add(new CopiedRecord(
-                            hash, from, place, group.length(place), SegmentCatalog.expirySeconds(expires)));
+                            hash, from, groupOffset, group.length(groupOffset), SegmentCatalog.expirySeconds(expires)));
                     records++;
                     latestExpiryMillis =
                             Math.max(latestExpiryMillis, expires == 0 ? Segment.NEVER_EXPIRES_MILLIS : expires);
                 }
             }
-            case DELETE -> delete(at);
+            case DELETE -> copyTombstone(input);
             case CUT -> {
-                Map<Integer, Integer> kept = new TreeMap<>();
+                Map<Integer, Integer> keptCuts = new TreeMap<>();
                 record.getCutsList().stream()
                         .filter(cut -> parameters.cutsNeeded().contains(cut.getSegment()))
-                        .forEach(cut -> kept.put(cut.getSegment(), cut.getLength()));
-                if (!kept.isEmpty()) {
-                    group.add(0, GroupEncoder.cuts(kept));
+                        .forEach(cut -> keptCuts.put(cut.getSegment(), cut.getLength()));
+                if (!keptCuts.isEmpty()) {
+                    group.add(0, GroupEncoder.cuts(keptCuts));
                 }
             }
             case DOUBT -> {
@@ -165,40 +165,42 @@
         }
     }
 
-    /** A tombstone is kept while an older segment may still hold the key. */
-    private void delete(SegmentScan at) {
+    /** Copies a tombstone, unless no older segment can still contain an unexpired record of the key. */
+    private void copyTombstone(SegmentScan input) {
         if (!parameters.canDropTombstones()) {
-            group.add(catalog.hash(at), at.record().getKey().toByteArray(), null, 0);
+            group.add(catalog.hash(input), input.record().getKey().toByteArray(), null, 0);
         }
     }
 
-    private void damage() {
-        Segment segment = run.get(input);
+    private void recordDamage() {
+        Segment segment = run.get(inputIndex);
         segment.markDamaged();
-        LongArrayList lost = new LongArrayList();
-        scan.lostHashes().forEachOrderedLong(lost::addLong);
-        int place = group.add(0, GroupEncoder.suspectedLoss(lost, scan.lostAll(), parameters.lossUntilMillis()));
-        pendingLosses.add(new Loss(lost, scan.lostAll(), place, Index.location(segment.id(), (int) scan.offset())));
+        LongArrayList lostHashes = new LongArrayList();
+        scan.lostHashes().forEachOrderedLong(lostHashes::addLong);
+        int groupOffset =
+                group.add(0, GroupEncoder.suspectedLoss(lostHashes, scan.lostAll(), parameters.lossUntilMillis()));
+        pendingLosses.add(
+                new Loss(lostHashes, scan.lostAll(), groupOffset, Index.location(segment.id(), (int) scan.offset())));
     }
 
-    private void flush() throws IOException {
+    private void flushGroup() throws IOException {
         if (group.records() > 0) {
             ByteBuffer bytes = group.end(parameters.mark(), (int) writtenBytes, (int) writtenBytes);
             int base = (int) writtenBytes + group.groupFrameBytes();
-            for (CopiedRecord one : pending) {
-                moves.addLong(one.hash());
-                moves.addLong(one.from());
-                moves.addLong(base + one.place());
-                moves.addLong((long) one.length() << 32 | one.expiry() & 0xFFFF_FFFFL);
+            for (CopiedRecord copied : pending) {
+                moves.addLong(copied.hash());
+                moves.addLong(copied.from());
+                moves.addLong(base + copied.groupOffset());
+                moves.addLong((long) copied.length() << 32 | copied.expiry() & 0xFFFF_FFFFL);
             }
-            for (Loss one : pendingLosses) {
-                losses.add(new Loss(one.hashes(), one.all(), base + one.place(), one.from()));
+            for (Loss loss : pendingLosses) {
+                losses.add(new Loss(loss.hashes(), loss.allKeys(), base + loss.recordOffset(), loss.from()));
             }
             pending.clear();
             pendingLosses.clear();
             write(bytes);
             if (writtenBytes - syncedBytes >= SYNC_INTERVAL_BYTES) {
-                out.sync();
+                output.sync();
                 syncedBytes = writtenBytes;
             }
         }
@@ -207,16 +209,16 @@
 
     private void write(ByteBuffer bytes) throws IOException {
         int size = bytes.remaining();
-        out.append(bytes);
+        output.append(bytes);
         writtenBytes += size;
         addBytesMoved(size);
     }
 
     private void finish() throws IOException {
-        flush();
+        flushGroup();
         write(GroupEncoder.seal(parameters.mark(), (int) writtenBytes));
-        out.sync();
-        mayHaveFinalName = true; // from here on the file may have its name, whatever a failure says
+        output.sync();
+        mayHaveFinalName = true; // the rename may take effect even if it reports a failure
         disk.rename(newName(), parameters.name().toString());
         disk.syncNames();
     }
@@ -224,24 +226,26 @@
     @Override
     boolean install() {
         if (result == null) {
-            result = new Segment(catalog.newId(), parameters.name(), out, writtenBytes);
+            result = new Segment(catalog.newId(), parameters.name(), output, writtenBytes);
             result.setRecords(records, latestExpiryMillis);
             catalog.register(result);
             synchronized (catalog.index()) {
-                losses.forEach(one -> catalog.recordLoss(
-                        one.hashes(),
-                        one.all(),
+                losses.forEach(loss -> catalog.recordLoss(
+                        loss.hashes(),
+                        loss.allKeys(),
                         parameters.lossUntilMillis(),
-                        one.from(),
+                        loss.from(),
                         parameters.name().first(),
-                        one.place()));
+                        loss.recordOffset()));
             }
             for (int i = 0; i < expired.size(); i += 2) {
                 catalog.index().remove(expired.getLong(i), expired.getLong(i + 1));
             }
         }
         synchronized (catalog.index()) {
-            for (int left = MAX_MOVES_PER_INSTALL; left > 0 && installed < moves.size(); left--, installed += 4) {
+            for (int remaining = MAX_MOVES_PER_INSTALL;
+                    remaining > 0 && installed < moves.size();
+                    remaining--, installed += 4) {
                 long packed = moves.getLong(installed + 3);
                 long to = Index.location(result.id(), (int) moves.getLong(installed + 2));
                 if (catalog.index()
@@ -258,7 +262,7 @@
         return false;
     }
 
-    /** The files it was made of: to be deleted, or renamed if they are damaged. */
+    /** Returns the input segments, which must be deleted, or renamed if they are damaged. */
     List<Segment> run() {
         return run;
     }
@@ -270,23 +274,23 @@
     @Override
     List<String> abort() {
         try {
-            if (out != null) {
-                out.close();
+            if (output != null) {
+                output.close();
             }
         } catch (IOException e) {
-            // what it held is deleted next
+            // the file is deleted next
         }
         releaseRun();
         return mayHaveFinalName ? List.of(newName(), parameters.name().toString()) : List.of(newName());
     }
 
-    /** Lets the old files be closed. */
+    /** Releases the input segments, so that their files can be closed. */
     void releaseRun() {
-        for (Segment one : run) {
+        for (Segment segment : run) {
             try {
-                one.release();
+                segment.release();
             } catch (IOException e) {
-                // it was only read
+                // the file was only read
             }
         }
     }
--- a/server/src/main/java/wheatspread/store/CompactionPlanner.java
+++ b/server/src/main/java/wheatspread/store/CompactionPlanner.java
@@ -10,8 +10,8 @@
 
 /**
  * Chooses runs of neighbouring sealed segments with {@link CompactionPolicy} and creates the jobs that compact
- * them. A run never spans a gap, because the new segment would claim the numbers of a lost file. For the
- * writer's thread alone.
+ * them. A run never spans a gap, because the new segment would cover the numbers of a lost file.
+ * Confined to the writer thread.
  */
 final class CompactionPlanner {
     private final Disk disk;
@@ -20,7 +20,7 @@
     private final SegmentCatalog catalog;
     private final SegmentWriter writer;
     private final CompactionPolicy policy;
-    /** The numbers before which files are missing. */
+    /** The numbers of segments whose predecessor is missing. */
     private final Set<Integer> gaps;
 
     CompactionPlanner(StoreContext context, Collection<Integer> gaps, SegmentWriter writer) {
@@ -33,56 +33,56 @@
         this.gaps = new HashSet<>(gaps);
     }
 
-    /** Runs may span gaps from now on: the caller accepts the loss. */
+    /** Lets later runs span gaps, after the operator has accepted the loss. */
     void acceptGaps() {
         gaps.clear();
     }
 
-    /** The compaction with the best ratio of benefit to cost; null if none is due. */
+    /** Returns the compaction with the best ratio of benefit to cost, or null if none is due. */
     CompactionJob choose(long nowMillis, long usedBytes) {
-        boolean pressed = policy.isUnderPressure(usedBytes);
-        for (List<Segment> part : sealedRuns()) {
-            List<CompactionPolicy.Candidate> candidates = part.stream()
-                    .map(one ->
-                            new CompactionPolicy.Candidate(one.validBytes(), one.liveBytes(), one.latestExpiryMillis()))
+        boolean underPressure = policy.isUnderPressure(usedBytes);
+        for (List<Segment> sealed : sealedRuns()) {
+            List<CompactionPolicy.Candidate> candidates = sealed.stream()
+                    .map(segment -> new CompactionPolicy.Candidate(
+                            segment.validBytes(), segment.liveBytes(), segment.latestExpiryMillis()))
                     .toList();
-            CompactionPolicy.Run run = policy.choose(candidates, nowMillis, pressed);
+            CompactionPolicy.Run run = policy.choose(candidates, nowMillis, underPressure);
             if (run != null) {
-                return compaction(part.subList(run.from(), run.to() + 1), nowMillis);
+                return compaction(sealed.subList(run.from(), run.to() + 1), nowMillis);
             }
         }
         return null;
     }
 
-    /** Neighbours that are not written to any more and between which none is lost. */
+    /** Returns runs of neighbouring segments without the active segment, split where a segment is missing. */
     private List<List<Segment>> sealedRuns() {
         List<List<Segment>> runs = new ArrayList<>();
         List<Segment> run = new ArrayList<>();
-        for (Segment one : catalog.chain()) {
-            if (gaps.contains(one.name().first()) && !run.isEmpty()) {
+        for (Segment segment : catalog.chain()) {
+            if (gaps.contains(segment.name().first()) && !run.isEmpty()) {
                 runs.add(run);
                 run = new ArrayList<>();
             }
-            if (one != writer.active()) {
-                run.add(one);
+            if (segment != writer.active()) {
+                run.add(segment);
             }
         }
         runs.add(run);
         return runs;
     }
 
-    /** Neighbours from a number on whose living records make about one segment; empty if there are none. */
+    /** Returns neighbouring segments, starting at a number, whose live records fill about one segment; may be empty. */
     List<Segment> nextRun(int from) {
-        for (List<Segment> part : sealedRuns()) {
+        for (List<Segment> sealed : sealedRuns()) {
             List<Segment> run = new ArrayList<>();
             long live = 0;
-            for (Segment one : part) {
-                if (one.name().first() >= from) {
-                    live += one.liveBytes();
+            for (Segment segment : sealed) {
+                if (segment.name().first() >= from) {
+                    live += segment.liveBytes();
                     if (!run.isEmpty() && live > settings.segmentBytes()) {
                         return run;
                     }
-                    run.add(one);
+                    run.add(segment);
                 }
             }
             if (!run.isEmpty()) {
@@ -92,12 +92,15 @@
         return List.of();
     }
 
-    /** A job that rewrites a run of neighbours as one segment. */
+    /** Creates a job that compacts a run of neighbouring segments into a single segment. */
     CompactionJob compaction(List<Segment> run, long nowMillis) {
         int first = run.get(0).name().first();
         int last = run.get(run.size() - 1).name().last();
-        int generation =
-                run.stream().mapToInt(one -> one.name().generation()).max().orElse(0) + 1;
+        int generation = run.stream()
+                        .mapToInt(segment -> segment.name().generation())
+                        .max()
+                        .orElse(0)
+                + 1;
         return new CompactionJob(
                 disk,
                 catalog,
@@ -111,12 +114,12 @@
                         settings.lossUntilMillis(nowMillis)));
     }
 
-    /** The segments before a number whose cuts are still needed: a rewritten one has a seal. */
+    /** Returns the segments before a number whose cuts are still needed; compacted segments have a seal instead. */
     private Set<Integer> originalsBefore(int first) {
         Set<Integer> numbers = new HashSet<>();
-        for (Segment one : catalog.chain()) {
-            if (one.name().isOriginal() && one.name().first() < first) {
-                numbers.add(one.name().first());
+        for (Segment segment : catalog.chain()) {
+            if (segment.name().isOriginal() && segment.name().first() < first) {
+                numbers.add(segment.name().first());
             }
         }
         return numbers;
--- a/server/src/main/java/wheatspread/store/DeleteJob.java
+++ b/server/src/main/java/wheatspread/store/DeleteJob.java
@@ -8,35 +8,35 @@
 import wheatspread.disk.Disk;
 
 /**
- * Deletes files that are no longer needed, and renames damaged ones so that an operator can look at them. The
- * background thread calls {@link #step}, the writer's thread the rest.
+ * Deletes files that are no longer needed, and renames damaged files so that an operator can inspect them. The
+ * background thread calls {@link #step}, the writer thread all other methods.
  */
 final class DeleteJob extends MaintenanceJob {
     private final Disk disk;
-    private final Deque<String> left;
+    private final Deque<String> remaining;
     private final List<String> names;
     private final Collection<String> damagedFiles;
 
     DeleteJob(Disk disk, Collection<String> names, Collection<String> damagedFiles) {
         this.disk = disk;
         this.names = List.copyOf(names);
-        this.left = new ArrayDeque<>(names);
+        this.remaining = new ArrayDeque<>(names);
         this.damagedFiles = List.copyOf(damagedFiles);
     }
 
     @Override
     boolean step() throws IOException {
-        if (left.isEmpty()) {
+        if (remaining.isEmpty()) {
             disk.syncNames();
             return false;
         }
-        String name = left.peek();
+        String name = remaining.peek();
         if (!damagedFiles.contains(name)) {
             disk.delete(name);
         } else if (disk.list().contains(name)) {
             disk.rename(name, name + SegmentName.DAMAGED_SUFFIX);
         }
-        left.poll();
+        remaining.poll();
         return true;
     }
 
@@ -53,7 +53,7 @@
         return false;
     }
 
-    /** To be tried again, all of it. */
+    /** Returns all files, so that every deletion is retried. */
     @Override
     List<String> abort() {
         return names;
--- a/server/src/main/java/wheatspread/store/DiskSpace.java
+++ b/server/src/main/java/wheatspread/store/DiskSpace.java
@@ -5,8 +5,8 @@
 import wheatspread.logging.EventLog;
 
 /**
- * The space that a store uses and may still use: rejects writes near its limit ({@link StoreSettings#maxStoreBytes})
- * and while the disk is nearly full. For the writer's thread.
+ * Tracks the space that a store uses and may still use: writes are rejected near the limit ({@link
+ * StoreSettings#maxStoreBytes}) and while the disk is nearly full. Confined to the writer thread.
  */
 final class DiskSpace {
     private static final long DISK_CHECK_INTERVAL_MILLIS = 1_000;
@@ -31,22 +31,22 @@
         this.state = state;
     }
 
-    /** All files, with what is being written beside them. */
+    /** Returns the bytes of all files, including the output of the current job. */
     long usedBytes() {
         return catalog.usedBytes() + jobs.outputBytes() + files.bytes();
     }
 
-    /** Whether this many bytes may be taken in all, beside the reserve. */
+    /** Returns whether a total of this many bytes, plus the reserve, is within the limit. */
     boolean hasRoomFor(long bytes) {
         return bytes + settings.reserveBytes() <= settings.maxStoreBytes();
     }
 
-    /** Has the next {@link #check} ask the disk. */
+    /** Makes the next {@link #check} query the free space of the disk. */
     void checkDiskNext(long nowMillis) {
         lastDiskCheckMillis = nowMillis - DISK_CHECK_INTERVAL_MILLIS;
     }
 
-    /** Checks whether there is space, and logs a change. */
+    /** Updates whether there is space for writes, and logs a change. */
     void check(long nowMillis) {
         if (nowMillis - lastDiskCheckMillis >= DISK_CHECK_INTERVAL_MILLIS) {
             lastDiskCheckMillis = nowMillis;
@@ -71,7 +71,7 @@
         try {
             diskHasRoom = disk.free() >= settings.minFreeBytes();
         } catch (IOException e) {
-            diskHasRoom = true; // the next write shows
+            diskHasRoom = true; // the next write reports the failure
         }
     }
 }
--- a/server/src/main/java/wheatspread/store/ExpirySweep.java
+++ b/server/src/main/java/wheatspread/store/ExpirySweep.java
@@ -1,7 +1,7 @@
 package wheatspread.store;
 
 /**
- * Removes expired entries from the index, a part of one table at a time, so that the writer is held up for
+ * Removes expired entries from the index, a part of a table at a time, so that a sweep delays the writer for
  * about as long as a group takes.
  */
 final class ExpirySweep {
@@ -19,16 +19,16 @@
         counters = context.counters();
     }
 
-    /** Sweeps the next part, if it is time to. */
+    /** Sweeps the next part if {@link #INTERVAL_MILLIS} have passed since the last sweep. */
     void run(long nowMillis) {
         if (nowMillis - lastSweepMillis < INTERVAL_MILLIS && nowMillis >= lastSweepMillis) {
             return;
         }
         lastSweepMillis = nowMillis;
-        int nowS = (int) Math.min(0xFFFF_FFFFL, nowMillis / 1000);
+        int nowSeconds = (int) Math.min(0xFFFF_FFFFL, nowMillis / 1000);
         synchronized (catalog.index()) {
-            cell = catalog.index().sweep(table, cell, CELLS_PER_SWEEP, nowS, (hash, at, length, expiry) -> {
-                catalog.subtractLiveBytes(at, length);
+            cell = catalog.index().sweep(table, cell, CELLS_PER_SWEEP, nowSeconds, (hash, location, length, expiry) -> {
+                catalog.subtractLiveBytes(location, length);
                 counters.countExpired();
             });
             if (cell == 0) {
--- a/server/src/main/java/wheatspread/store/FileHeader.java
+++ b/server/src/main/java/wheatspread/store/FileHeader.java
@@ -9,10 +9,11 @@
 import wheatspread.disk.DiskFile;
 
 /**
- * The header of a segment: the same block twice, so that a segment survives one damaged block. Stateless.
+ * Reads and writes the header of a segment, which contains the same block twice, so that the header remains readable
+ * if one block is damaged. Stateless.
  */
 final class FileHeader {
-    /** Bytes before the first group. */
+    /** The length of the header, which is the offset of the first group. */
     static final int HEADER_BYTES = 256;
 
     static final int VERSION = 1;
@@ -21,7 +22,7 @@
 
     private FileHeader() {}
 
-    /** A random mark for a new file, with which each of its groups starts; 0 stands for none. */
+    /** Draws a mark for a new file, which is repeated in each of its groups; never 0, which stands for no mark. */
     static long newMark(LongSupplier random) {
         long drawn = random.getAsLong();
         return drawn == 0 ? 1 : drawn;
@@ -36,33 +37,32 @@
                 .setMark(mark)
                 .setCreatedMs(createdMillis)
                 .build();
-        ByteBuffer all = ByteBuffer.allocate(HEADER_BYTES);
-        for (int at = 0; at < HEADER_BYTES; at += BLOCK_BYTES) {
-            all.position(at).put(MAGIC).putInt(VERSION);
-            RecordFraming.write(ByteBuffer.wrap(header.toByteArray()), all);
+        ByteBuffer bytes = ByteBuffer.allocate(HEADER_BYTES);
+        for (int blockOffset = 0; blockOffset < HEADER_BYTES; blockOffset += BLOCK_BYTES) {
+            bytes.position(blockOffset).put(MAGIC).putInt(VERSION);
+            RecordFraming.write(ByteBuffer.wrap(header.toByteArray()), bytes);
         }
-        return all.clear();
+        return bytes.clear();
     }
 
     /**
-     * The header, or null if neither block is complete.
+     * Returns the header, or null if neither block is complete.
      *
-     * @throws StoreException if the file is of a version that this program does not know, or of another
-     *     name
+     * @throws StoreException if the format version is not supported, or the header names another file
      */
     static Format.SegmentHeader read(DiskFile file, SegmentName name) throws IOException {
-        ByteBuffer all = ByteBuffer.allocate(HEADER_BYTES);
-        file.read(all, 0);
-        all.flip();
+        ByteBuffer bytes = ByteBuffer.allocate(HEADER_BYTES);
+        file.read(bytes, 0);
+        bytes.flip();
         int[] versions = new int[2];
-        for (int i = 0; i < 2 && all.limit() >= (i + 1) * BLOCK_BYTES; i++) {
-            ByteBuffer block = all.slice(i * BLOCK_BYTES, BLOCK_BYTES);
+        for (int i = 0; i < 2 && bytes.limit() >= (i + 1) * BLOCK_BYTES; i++) {
+            ByteBuffer block = bytes.slice(i * BLOCK_BYTES, BLOCK_BYTES);
             byte[] magic = new byte[MAGIC.length];
             block.get(magic);
             versions[i] = Arrays.equals(magic, MAGIC) ? block.getInt() : 0;
             ByteBuffer[] body = new ByteBuffer[1];
             if (versions[i] == VERSION && RecordFraming.read(block, body) == RecordFraming.Found.COMPLETE) {
-                return checked(parse(body[0], name), name);
+                return requireName(parse(body[0], name), name);
             }
         }
         if (versions[0] != 0 && versions[0] == versions[1] && versions[0] != VERSION) {
@@ -79,10 +79,11 @@
         }
     }
 
-    private static Format.SegmentHeader checked(Format.SegmentHeader header, SegmentName name) throws StoreException {
-        SegmentName own = new SegmentName(header.getFirst(), header.getLast(), header.getGeneration());
-        if (!own.equals(name)) {
-            throw MisplacedSegmentException.renamed(name, own);
+    private static Format.SegmentHeader requireName(Format.SegmentHeader header, SegmentName name)
+            throws StoreException {
+        SegmentName nameInHeader = new SegmentName(header.getFirst(), header.getLast(), header.getGeneration());
+        if (!nameInHeader.equals(name)) {
+            throw MisplacedSegmentException.renamed(name, nameInHeader);
         }
         return header;
     }
--- a/server/src/main/java/wheatspread/store/GroupCommit.java
+++ b/server/src/main/java/wheatspread/store/GroupCommit.java
@@ -7,11 +7,11 @@
 import wheatspread.logging.EventLog;
 
 /**
- * Group commit: many writes share one sync (D. DeWitt et al., "Implementation Techniques for Main Memory
- * Database Systems", SIGMOD 1984). After a failed disk operation the segment is abandoned, since a later sync
- * of the same file proves nothing (A. Rebello et al., "Can Applications Recover from fsync Failures?", USENIX
- * ATC 2020), and writes are rejected until a new segment exists that records where the failed one ends; {@link
- * WriteState} spaces out the attempts. For the writer's thread alone.
+ * Implements group commit: many writes share a sync (D. DeWitt et al., "Implementation Techniques for Main Memory
+ * Database Systems", SIGMOD 1984). After a failed disk operation the segment is abandoned, since a later successful
+ * sync of the same file does not prove that the data is durable (A. Rebello et al., "Can Applications Recover from
+ * fsync Failures?", USENIX ATC 2020), and writes are rejected until a new segment exists that records where the failed
+ * segment ends; {@link WriteState} delays the attempts to create it. Confined to the writer thread.
  */
 final class GroupCommit {
     private final StoreSettings settings;
@@ -32,7 +32,7 @@
         index = new IndexUpdate(context.catalog());
     }
 
-    /** Writes a group, and sets the outcome of each of its writes. */
+    /** Writes a group and sets the outcome of each write. */
     void commit(List<Write> writes, long nowMillis) {
         List<Write> admitted = admit(writes);
         if (admitted.isEmpty()) {
@@ -42,27 +42,27 @@
             index.prepare(admitted);
             writer.reserve(admitted.stream().mapToLong(Write::maxFrameBytes).sum());
         } catch (IOException e) {
-            failed("open", e, nowMillis);
-            endAll(admitted, Store.Outcome.REFUSED, e);
+            handleFailure("open", e, nowMillis);
+            completeAll(admitted, Store.Outcome.REFUSED, e);
             return;
         }
         long base;
         try {
             base = writer.append(admitted, nowMillis);
         } catch (IOException e) {
-            failed("write", e, nowMillis);
-            endAll(admitted, Store.Outcome.IN_DOUBT, e);
+            handleFailure("write", e, nowMillis);
+            completeAll(admitted, Store.Outcome.IN_DOUBT, e);
             return;
         }
         index.apply(admitted, writer.active(), base);
         counters.countWrites(admitted.size());
     }
 
-    private static void endAll(List<Write> writes, Store.Outcome outcome, IOException e) {
-        writes.forEach(write -> write.complete(outcome, "the disk fails: " + e.getMessage()));
+    private static void completeAll(List<Write> writes, Store.Outcome outcome, IOException e) {
+        writes.forEach(write -> write.complete(outcome, "disk I/O failed: " + e.getMessage()));
     }
 
-    /** The writes that are admitted; the others are rejected. */
+    /** Returns the admitted writes and completes all others as rejected. */
     private List<Write> admit(List<Write> writes) {
         List<Write> admitted = new ArrayList<>(writes.size());
         long used = space.usedBytes();
@@ -71,7 +71,7 @@
             long size = write.maxFrameBytes();
             if (state.mustRecover() || mode == WriteState.Mode.FULL && !write.isDeletion()) {
                 write.complete(
-                        Store.Outcome.REFUSED, mode == WriteState.Mode.FULL ? "the disk is full" : "the disk fails");
+                        Store.Outcome.REFUSED, mode == WriteState.Mode.FULL ? "the disk is full" : "disk I/O failed");
             } else if (!write.isDeletion() && !space.hasRoomFor(used + size)) {
                 state.setHasRoom(false);
                 write.complete(Store.Outcome.REFUSED, "the store is full");
@@ -84,13 +84,13 @@
         return admitted;
     }
 
-    /** Syncs what was written where the settings ask for a sync at intervals and one is due. */
+    /** Syncs the active segment if {@link StoreSettings.Sync#INTERVAL} is set and a sync is due. */
     void syncIfDue(long nowMillis) {
         if (syncsAtIntervals() && nowMillis - writer.lastSyncMillis() >= settings.syncIntervalMillis()) {
             try {
                 writer.sync(nowMillis);
             } catch (IOException e) {
-                failed("sync", e, nowMillis);
+                handleFailure("sync", e, nowMillis);
             }
         }
     }
@@ -99,45 +99,45 @@
         return writer.isDirty() && settings.sync() == StoreSettings.Sync.INTERVAL;
     }
 
-    /** After a failure: a new segment, if another attempt is due. */
+    /** After a failure, creates a new segment if an attempt is due. */
     void recoverIfDue(long nowMillis) {
         if (!state.mayRetry(nowMillis)) {
             return;
         }
         try {
             writer.resume(nowMillis);
-            state.recovered();
+            state.markRecovered();
             space.checkDiskNext(nowMillis);
             log.info("store_writes_again", "failures", state.failures());
         } catch (IOException e) {
-            failed("recover", e, nowMillis);
+            handleFailure("recover", e, nowMillis);
         }
     }
 
-    /** When a sync or another attempt to recover is due; {@link Long#MAX_VALUE} if neither will be. */
+    /** Returns when a sync or a recovery attempt is due, or {@link Long#MAX_VALUE} if neither is pending. */
     long nextDueMillis(long nowMillis) {
         long syncDue = syncsAtIntervals() ? writer.lastSyncMillis() + settings.syncIntervalMillis() : Long.MAX_VALUE;
         return Math.min(syncDue, Math.max(nowMillis, state.retryAtMillis()));
     }
 
-    /** Seals what is written; false if the disk failed. */
+    /** Seals the active segment; returns false if the disk failed. */
     boolean seal(long nowMillis) {
         try {
             writer.seal();
             return true;
         } catch (IOException e) {
-            failed("seal", e, nowMillis);
+            handleFailure("seal", e, nowMillis);
             return false;
         }
     }
 
-    private void failed(String doing, IOException e, long nowMillis) {
-        state.failed(nowMillis, e instanceof Disk.DiskFullException);
+    private void handleFailure(String operation, IOException e, long nowMillis) {
+        state.markFailed(nowMillis, e instanceof Disk.DiskFullException);
         counters.countFailure();
         log.error(
                 "store_write_failed",
                 "doing",
-                doing,
+                operation,
                 "reason",
                 e.toString(),
                 "retry_ms",
--- a/server/src/main/java/wheatspread/store/GroupEncoder.java
+++ b/server/src/main/java/wheatspread/store/GroupEncoder.java
@@ -11,11 +11,11 @@
 import org.agrona.collections.LongArrayList;
 
 /**
- * Encodes one group: a frame that describes the group, and the frames of its records. One buffer is used for
- * one group after another. For one thread.
+ * Encodes a group: a frame that describes the group, followed by the frames of its records. The buffer is reused
+ * for successive groups. Not thread-safe.
  */
 final class GroupEncoder {
-    /** More than a group's own frame takes without its hashes. */
+    /** An upper bound of the size of a group's descriptor frame without its hashes. */
     private static final int GROUP_FRAME_RESERVE_BYTES = 64;
 
     private static final int MAX_RETAINED_BUFFER_BYTES = 4 << 20;
@@ -37,7 +37,7 @@
         end = start;
     }
 
-    /** Bytes of the records so far. */
+    /** Returns the bytes of the record frames added so far. */
     int size() {
         return end - start;
     }
@@ -46,7 +46,7 @@
         return hashes.size();
     }
 
-    /** One record for all, so that they are there together or not at all. */
+    /** Creates a single record for all cuts, so that either all of them are stored or none. */
     static Format.Record cuts(Map<Integer, Integer> cuts) {
         Format.Record.Builder record = Format.Record.newBuilder().setKind(Format.Record.Kind.CUT);
         cuts.forEach((segment, length) ->
@@ -54,8 +54,8 @@
         return record.build();
     }
 
-    static Format.Record suspectedLoss(LongArrayList hashes, boolean all, long untilMillis) {
-        Format.Doubt.Builder loss = Format.Doubt.newBuilder().setAll(all).setUntilMs(untilMillis);
+    static Format.Record suspectedLoss(LongArrayList hashes, boolean allKeys, long untilMillis) {
+        Format.Doubt.Builder loss = Format.Doubt.newBuilder().setAll(allKeys).setUntilMs(untilMillis);
         hashes.forEachOrderedLong(loss::addHashes);
         return Format.Record.newBuilder()
                 .setKind(Format.Record.Kind.DOUBT)
@@ -66,14 +66,14 @@
     /**
      * Adds a record.
      *
-     * @param hash of its key, 0 if it has none
-     * @return the offset of its frame behind the group's own
+     * @param hash the hash of its key, or 0 if it has no key
+     * @return the offset of its frame, relative to the end of the descriptor frame
      */
     int add(long hash, Format.Record record) {
         return frame(hash, record.getSerializedSize(), record::writeTo);
     }
 
-    /** Adds a PUT, or a DELETE if the value is null; field by field, which is several times as fast. */
+    /** Adds a PUT, or a DELETE if the value is null. Encodes field by field, which is several times as fast. */
     int add(long hash, byte[] key, byte[] value, long expiresMs) {
         int kind = value == null ? Format.Record.Kind.DELETE_VALUE : Format.Record.Kind.PUT_VALUE;
         boolean hasValue = value != null && value.length > 0;
@@ -83,38 +83,40 @@
                 + (expiresMs != 0
                         ? CodedOutputStream.computeFixed64Size(Format.Record.EXPIRES_MS_FIELD_NUMBER, expiresMs)
                         : 0);
-        return frame(hash, size, to -> {
-            to.writeEnum(Format.Record.KIND_FIELD_NUMBER, kind);
+        return frame(hash, size, output -> {
+            output.writeEnum(Format.Record.KIND_FIELD_NUMBER, kind);
             if (key.length > 0) {
-                to.writeByteArray(Format.Record.KEY_FIELD_NUMBER, key);
+                output.writeByteArray(Format.Record.KEY_FIELD_NUMBER, key);
             }
             if (hasValue) {
-                to.writeByteArray(Format.Record.VALUE_FIELD_NUMBER, value);
+                output.writeByteArray(Format.Record.VALUE_FIELD_NUMBER, value);
             }
             if (expiresMs != 0) {
-                to.writeFixed64(Format.Record.EXPIRES_MS_FIELD_NUMBER, expiresMs);
+                output.writeFixed64(Format.Record.EXPIRES_MS_FIELD_NUMBER, expiresMs);
             }
         });
     }
 
-    /** The length of the frame that {@link #add} wrote at this place. */
-    int length(int at) {
-        return RecordFraming.frameBytes(ByteBuffer.wrap(bytes).getInt(start + at));
+    /** Returns the length of the frame at an offset that {@link #add} returned. */
+    int length(int groupOffset) {
+        return RecordFraming.frameBytes(ByteBuffer.wrap(bytes).getInt(start + groupOffset));
     }
 
     /**
      * Ends the group.
      *
-     * @param at where it is going to stand
-     * @param synced what was on the disk before it
+     * @param fileOffset the offset in the file at which the group is appended
+     * @param syncedBytes the length of the file that was synced before
      */
-    ByteBuffer end(long mark, int at, int synced) {
+    ByteBuffer end(long mark, int fileOffset, int syncedBytes) {
         int hashBytes = Long.BYTES * hashes.size();
-        // what is 0 is left out, as everywhere in a protobuf message
+        // protobuf omits fields with the value 0
         int groupSize = CodedOutputStream.computeFixed64Size(Format.Group.MARK_FIELD_NUMBER, mark)
-                + (at != 0 ? CodedOutputStream.computeFixed32Size(Format.Group.AT_FIELD_NUMBER, at) : 0)
+                + (fileOffset != 0 ? CodedOutputStream.computeFixed32Size(Format.Group.AT_FIELD_NUMBER, fileOffset) : 0)
                 + (size() != 0 ? CodedOutputStream.computeFixed32Size(Format.Group.LENGTH_FIELD_NUMBER, size()) : 0)
-                + (synced != 0 ? CodedOutputStream.computeFixed32Size(Format.Group.SYNCED_FIELD_NUMBER, synced) : 0)
+                + (syncedBytes != 0
+                        ? CodedOutputStream.computeFixed32Size(Format.Group.SYNCED_FIELD_NUMBER, syncedBytes)
+                        : 0)
                 + (hashBytes != 0
                         ? CodedOutputStream.computeTagSize(Format.Group.HASHES_FIELD_NUMBER)
                                 + CodedOutputStream.computeUInt32SizeNoTag(hashBytes)
@@ -125,72 +127,73 @@
                 + CodedOutputStream.computeUInt32SizeNoTag(groupSize)
                 + groupSize;
         groupFrameBytes = RecordFraming.frameBytes(size);
-        frameAt(start - groupFrameBytes, size, to -> {
-            to.writeEnum(Format.Record.KIND_FIELD_NUMBER, Format.Record.Kind.GROUP_VALUE);
-            to.writeTag(Format.Record.GROUP_FIELD_NUMBER, WireFormat.WIRETYPE_LENGTH_DELIMITED);
-            to.writeUInt32NoTag(groupSize);
-            to.writeFixed64(Format.Group.MARK_FIELD_NUMBER, mark);
-            if (at != 0) {
-                to.writeFixed32(Format.Group.AT_FIELD_NUMBER, at);
+        frameAt(start - groupFrameBytes, size, output -> {
+            output.writeEnum(Format.Record.KIND_FIELD_NUMBER, Format.Record.Kind.GROUP_VALUE);
+            output.writeTag(Format.Record.GROUP_FIELD_NUMBER, WireFormat.WIRETYPE_LENGTH_DELIMITED);
+            output.writeUInt32NoTag(groupSize);
+            output.writeFixed64(Format.Group.MARK_FIELD_NUMBER, mark);
+            if (fileOffset != 0) {
+                output.writeFixed32(Format.Group.AT_FIELD_NUMBER, fileOffset);
             }
             if (size() != 0) {
-                to.writeFixed32(Format.Group.LENGTH_FIELD_NUMBER, size());
+                output.writeFixed32(Format.Group.LENGTH_FIELD_NUMBER, size());
             }
-            if (synced != 0) {
-                to.writeFixed32(Format.Group.SYNCED_FIELD_NUMBER, synced);
+            if (syncedBytes != 0) {
+                output.writeFixed32(Format.Group.SYNCED_FIELD_NUMBER, syncedBytes);
             }
             if (hashBytes != 0) {
-                to.writeTag(Format.Group.HASHES_FIELD_NUMBER, WireFormat.WIRETYPE_LENGTH_DELIMITED);
-                to.writeUInt32NoTag(hashBytes);
+                output.writeTag(Format.Group.HASHES_FIELD_NUMBER, WireFormat.WIRETYPE_LENGTH_DELIMITED);
+                output.writeUInt32NoTag(hashBytes);
                 for (int i = 0; i < hashes.size(); i++) {
-                    to.writeFixed64NoTag(hashes.getLong(i));
+                    output.writeFixed64NoTag(hashes.getLong(i));
                 }
             }
         });
         return ByteBuffer.wrap(bytes, start - groupFrameBytes, groupFrameBytes + size());
     }
 
-    /** Bytes of the group's own frame, once it has ended. */
+    /** Returns the length of the descriptor frame; valid after {@link #end}. */
     int groupFrameBytes() {
         return groupFrameBytes;
     }
 
-    /** The last frame of a file. */
-    static ByteBuffer seal(long mark, int at) {
+    /** Encodes the seal, which is the last frame of a complete segment. */
+    static ByteBuffer seal(long mark, int fileOffset) {
         Format.Record record = Format.Record.newBuilder()
                 .setKind(Format.Record.Kind.SEAL)
-                .setSeal(Format.Seal.newBuilder().setMark(mark).setAt(at))
+                .setSeal(Format.Seal.newBuilder().setMark(mark).setAt(fileOffset))
                 .build();
         ByteBuffer frame = ByteBuffer.allocate(RecordFraming.frameBytes(record.getSerializedSize()));
         RecordFraming.write(ByteBuffer.wrap(record.toByteArray()), frame);
         return frame.flip();
     }
 
-    /** Writes a body whose size is already known. */
+    /** Writes the body of a frame, whose size is already known. */
     @FunctionalInterface
     private interface Body {
-        void to(CodedOutputStream to) throws IOException;
+        void writeTo(CodedOutputStream output) throws IOException;
     }
 
     private int frame(long hash, int size, Body body) {
         hashes.addLong(hash);
-        int at = end;
+        int bufferOffset = end;
         end += RecordFraming.frameBytes(size);
         if (end > bytes.length) {
             bytes = Arrays.copyOf(bytes, Math.max(end, bytes.length * 2));
         }
-        frameAt(at, size, body);
-        return at - start;
+        frameAt(bufferOffset, size, body);
+        return bufferOffset - start;
     }
 
-    private void frameAt(int at, int size, Body body) {
+    private void frameAt(int bufferOffset, int size, Body body) {
         try {
-            CodedOutputStream to = CodedOutputStream.newInstance(bytes, at + RecordFraming.HEADER_BYTES, size);
-            body.to(to);
-            to.checkNoSpaceLeft();
+            CodedOutputStream output =
+                    CodedOutputStream.newInstance(bytes, bufferOffset + RecordFraming.HEADER_BYTES, size);
+            body.writeTo(output);
+            output.checkNoSpaceLeft();
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // an array has no disk
+            throw new UncheckedIOException(e); // cannot occur: the stream writes to an array
         }
-        RecordFraming.close(bytes, at, size, checksum);
+        RecordFraming.writeHeader(bytes, bufferOffset, size, checksum);
     }
 }
--- a/server/src/main/java/wheatspread/store/Index.java
+++ b/server/src/main/java/wheatspread/store/Index.java
@@ -4,18 +4,18 @@
 
 /**
  * Maps the hash of a key to the location of its record. Several keys may have the same hash; the caller compares the
- * keys in the log. An ordered table with open addressing (O. Amble and D.
- * E. Knuth, "Ordered hash tables", The Computer Journal 17, 1974): the place asked for grows with the hash,
- * so that the entries of a table stand sorted, a search ends at the first greater one, and a deletion
- * closes its gap. An entry is three longs in one array, and nothing else is kept for a key.
+ * keys in the log. The implementation is an ordered hash table with open addressing (O. Amble and D. E. Knuth,
+ * "Ordered hash tables", The Computer Journal 17, 1974): the home cell increases with the hash, so that the
+ * entries of a table are sorted, a search ends at the first greater hash, and a deletion closes its gap. An entry
+ * is three longs in an array; nothing else is stored for a key.
  *
- * <p>The table is 64 tables by the upper bits of the hash, each grown by a quarter when it is four fifths
- * full: no moment needs much more memory than the entries, between 30 and 39 bytes each. Every method holds
- * the lock of the object, for a time that does not grow with the number of entries but for {@link #copy},
- * which takes one of the 64 tables at a time.
+ * <p>The index is split into 64 tables by the upper bits of the hash; each grows by a quarter when it is four
+ * fifths full. So growing never needs much more memory than the entries, which take between 30 and 39 bytes each.
+ * Every method holds the lock of the object. The time it is held does not grow with the number of entries, except
+ * in {@link #copy}, which copies one of the 64 tables at a time.
  */
 public final class Index {
-    /** Tables; what {@link #copy} and {@link #sweep} go by. */
+    /** The number of tables, which {@link #copy} and {@link #sweep} process separately. */
     public static final int TABLES = 64;
 
     private static final int TABLE_BITS = 6;
@@ -28,42 +28,42 @@
     private final Table[] tables = new Table[TABLES];
     private int size;
 
-    /** An empty index. */
+    /** Creates an empty index. */
     public Index() {
         for (int i = 0; i < TABLES; i++) {
             tables[i] = new Table();
         }
     }
 
-    /** Takes entries one by one. */
+    /** Receives entries. */
     @FunctionalInterface
     public interface EntryConsumer {
         /**
-         * @param location the file's id in the upper 32 bits, the frame's offset in the lower ones
-         * @param length of the frame in bytes
-         * @param expiry seconds since 1970, 0 for never
+         * @param location the segment id in the upper 32 bits, the offset of the frame in the lower 32 bits
+         * @param length the length of the frame in bytes
+         * @param expiry seconds since 1970, or 0 if the record never expires
          */
-        void entry(long hash, long at, int length, int expiry);
+        void entry(long hash, long location, int length, int expiry);
     }
 
-    /** The place of a frame in one long; the id of a file is 1 or more. */
+    /** Packs a segment id, which is 1 or more, and the offset of a frame into a location. */
     public static long location(int file, int offset) {
         return (long) file << 32 | offset & 0xFFFF_FFFFL;
     }
 
-    public static int file(long at) {
-        return (int) (at >>> 32);
+    public static int file(long location) {
+        return (int) (location >>> 32);
     }
 
-    public static int offset(long at) {
-        return (int) at;
+    public static int offset(long location) {
+        return (int) location;
     }
 
     public synchronized int size() {
         return size;
     }
 
-    /** Bytes of heap that the entries take. */
+    /** Returns the bytes of heap that the tables occupy. */
     public synchronized long bytes() {
         long bytes = 0;
         for (Table table : tables) {
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Makes room for so many entries, of an empty index: entries that come sorted would else crowd the lower
-     * part of each table as it grows.
+     * Allocates space for a number of entries in an empty index. Without it, entries that are added in sorted order
+     * would cluster in the lower part of each table as it grows.
      */
     public synchronized void reserve(int entries) {
         double mean = entries / (double) TABLES;
@@ -86,13 +86,13 @@
         }
     }
 
-    /** Adds an entry, whether or not there is one with this hash. */
-    public synchronized void add(long hash, long at, int length, int expiry) {
-        table(hash).add(hash, at, pack(length, expiry));
+    /** Adds an entry, even if an entry with this hash exists. */
+    public synchronized void add(long hash, long location, int length, int expiry) {
+        table(hash).add(hash, location, pack(length, expiry));
         size++;
     }
 
-    /** Moves the entry of this hash and location to another location; returns whether there was one. */
+    /** Moves the entry of this hash and location to another location; returns whether it existed. */
     public synchronized boolean move(long hash, long from, long to, int length, int expiry) {
         Table table = table(hash);
         int cell = table.find(hash, from);
@@ -104,10 +104,10 @@
         return true;
     }
 
-    /** Removes the entry of this hash and location; returns whether there was one. */
-    public synchronized boolean remove(long hash, long at) {
+    /** Removes the entry of this hash and location; returns whether it existed. */
+    public synchronized boolean remove(long hash, long location) {
         Table table = table(hash);
-        int cell = table.find(hash, at);
+        int cell = table.find(hash, location);
         if (cell < 0) {
             return false;
         }
@@ -116,60 +116,61 @@
         return true;
     }
 
-    /** Whether there is an entry of this hash at this place. */
-    public synchronized boolean has(long hash, long at) {
-        return table(hash).find(hash, at) >= 0;
+    /** Returns whether there is an entry of this hash and location. */
+    public synchronized boolean has(long hash, long location) {
+        return table(hash).find(hash, location) >= 0;
     }
 
-    /** Gives every entry of this hash, and returns how many there are. */
-    public synchronized int find(long hash, EntryConsumer to) {
+    /** Passes every entry of this hash to a consumer, and returns their number. */
+    public synchronized int find(long hash, EntryConsumer consumer) {
         Table table = table(hash);
         int found = 0;
         for (int cell = table.first(hash); table.hasHashAt(cell, hash); cell += LONGS_PER_ENTRY) {
-            to.entry(hash, table.cells[cell + 1], length(table.cells[cell + 2]), expiry(table.cells[cell + 2]));
+            consumer.entry(hash, table.cells[cell + 1], length(table.cells[cell + 2]), expiry(table.cells[cell + 2]));
             found++;
         }
         return found;
     }
 
-    /** Gives every entry of one table, sorted by hash. */
-    public void copy(int table, EntryConsumer to) {
+    /** Passes every entry of a table, sorted by hash, to a consumer, which runs without the lock. */
+    public void copy(int table, EntryConsumer consumer) {
         long[] cells;
         synchronized (this) {
             cells = tables[table].cells.clone();
         }
         for (int cell = 0; cell < cells.length; cell += LONGS_PER_ENTRY) {
             if (cells[cell + 1] != 0) {
-                to.entry(cells[cell], cells[cell + 1], length(cells[cell + 2]), expiry(cells[cell + 2]));
+                consumer.entry(cells[cell], cells[cell + 1], length(cells[cell + 2]), expiry(cells[cell + 2]));
             }
         }
     }
 
     /**
-     * Removes the expired entries among some cells of one table and passes them to {@code gone}.
+     * Removes the expired entries among some cells of a table and passes them to {@code removed}.
      *
-     * @param from the cell to start at, as the last call returned it; 0 at first
-     * @param now seconds since 1970
-     * @return the cell to go on with, or 0 when the table has been gone through
+     * @param from the cell to start at: the result of the last call, or 0 for a new pass
+     * @param cells the maximum number of cells to examine
+     * @param nowSeconds seconds since 1970
+     * @return the cell to continue with, or 0 at the end of the table
      */
-    public synchronized int sweep(int table, int from, int cells, int now, EntryConsumer gone) {
-        Table all = tables[table];
+    public synchronized int sweep(int table, int from, int cells, int nowSeconds, EntryConsumer removed) {
+        Table swept = tables[table];
         int cell = from;
-        for (int left = cells; left > 0 && cell < all.cells.length; left--) {
-            int expiry = expiry(all.cells[cell + 2]);
-            if (all.cells[cell + 1] != 0 && expiry != 0 && Integer.compareUnsigned(expiry, now) <= 0) {
-                gone.entry(all.cells[cell], all.cells[cell + 1], length(all.cells[cell + 2]), expiry);
-                int capacity = all.capacity;
-                all.remove(cell); // what follows has moved up
+        for (int remaining = cells; remaining > 0 && cell < swept.cells.length; remaining--) {
+            int expiry = expiry(swept.cells[cell + 2]);
+            if (swept.cells[cell + 1] != 0 && expiry != 0 && Integer.compareUnsigned(expiry, nowSeconds) <= 0) {
+                removed.entry(swept.cells[cell], swept.cells[cell + 1], length(swept.cells[cell + 2]), expiry);
+                int capacity = swept.capacity;
+                swept.remove(cell); // the next entry has moved into this cell
                 size--;
-                if (all.capacity != capacity) {
+                if (swept.capacity != capacity) {
                     return 0;
                 }
             } else {
                 cell += LONGS_PER_ENTRY;
             }
         }
-        return cell < all.cells.length ? cell : 0;
+        return cell < swept.cells.length ? cell : 0;
     }
 
     private Table table(long hash) {
@@ -188,7 +189,7 @@
         return (int) packed;
     }
 
-    /** Entries sorted by their hash as an unsigned number; a cell whose place is 0 is free. */
+    /** Entries sorted by their hash as an unsigned number; a cell whose location is 0 is free. */
     private static final class Table {
         private int capacity;
         private int used;
@@ -200,10 +201,11 @@
 
         private void allocate(int wanted) {
             capacity = wanted;
-            cells = new long[LONGS_PER_ENTRY * (wanted + 16 + wanted / 64)]; // the last ones run over the end
+            // the cells after the capacity take entries that overflow from the last home cells
+            cells = new long[LONGS_PER_ENTRY * (wanted + 16 + wanted / 64)];
         }
 
-        /** The cell that a hash asks for; it grows with the hash. */
+        /** Returns the preferred cell of a hash, which increases with the hash. */
         private int homeCell(long hash) {
             return (int) ((hash << TABLE_BITS >>> 32) * capacity >>> 32) * LONGS_PER_ENTRY;
         }
@@ -212,7 +214,7 @@
             return cell < cells.length && cells[cell + 1] != 0 && cells[cell] == hash;
         }
 
-        /** The first cell that is free or whose hash is not less. */
+        /** Returns the first cell that is free or whose hash is not less. */
         int first(long hash) {
             int cell = homeCell(hash);
             while (cell < cells.length && cells[cell + 1] != 0 && Long.compareUnsigned(cells[cell], hash) < 0) {
@@ -221,26 +223,26 @@
             return cell;
         }
 
-        int find(long hash, long at) {
+        int find(long hash, long location) {
             for (int cell = first(hash); hasHashAt(cell, hash); cell += LONGS_PER_ENTRY) {
-                if (cells[cell + 1] == at) {
+                if (cells[cell + 1] == location) {
                     return cell;
                 }
             }
             return -1;
         }
 
-        void add(long hash, long at, long packed) {
+        void add(long hash, long location, long packed) {
             if (used + 1 > capacity * MAX_LOAD_FACTOR) {
                 resize((int) Math.ceil(capacity * GROWTH_FACTOR));
             }
-            while (!insert(hash, at, packed)) {
+            while (!insert(hash, location, packed)) {
                 resize((int) Math.ceil(capacity * GROWTH_FACTOR));
             }
             used++;
         }
 
-        private boolean insert(long hash, long at, long packed) {
+        private boolean insert(long hash, long location, long packed) {
             int cell = first(hash);
             int free = cell;
             while (free < cells.length && cells[free + 1] != 0) {
@@ -251,14 +253,14 @@
             }
             System.arraycopy(cells, cell, cells, cell + LONGS_PER_ENTRY, free - cell);
             cells[cell] = hash;
-            cells[cell + 1] = at;
+            cells[cell + 1] = location;
             cells[cell + 2] = packed;
             return true;
         }
 
         void remove(int cell) {
             int end = cell + LONGS_PER_ENTRY;
-            // entries that are not in their home cell move up by one
+            // entries that are not in their home cell move forward by one cell
             while (end < cells.length && cells[end + 1] != 0 && homeCell(cells[end]) < end) {
                 end += LONGS_PER_ENTRY;
             }
@@ -280,7 +282,7 @@
             }
         }
 
-        /** The old cells are sorted: each new one stands behind the one before. */
+        /** Inserts the old cells in their sorted order; returns false if the new table overflows. */
         private boolean refill(long[] old) {
             int end = 0;
             for (int cell = 0; cell < old.length; cell += LONGS_PER_ENTRY) {
--- a/server/src/main/java/wheatspread/store/IndexUpdate.java
+++ b/server/src/main/java/wheatspread/store/IndexUpdate.java
@@ -7,8 +7,8 @@
 
 /**
  * Applies a group of writes to the index. Before the group is appended, {@link #prepare} finds the entry that
- * each write replaces, which may have to read records; once the group is durable, {@link #apply} changes the
- * entries under one lock. For the writer's thread alone.
+ * each write replaces, which may read records from disk; once the group is durable, {@link #apply} changes the
+ * entries under a single lock. Confined to the writer thread.
  */
 final class IndexUpdate {
     private final SegmentCatalog catalog;
@@ -17,7 +17,7 @@
         this.catalog = catalog;
     }
 
-    /** Finds the entries that the writes replace. */
+    /** Sets in each write its hash and the entry that it replaces. */
     void prepare(List<Write> writes) throws IOException {
         for (Write write : writes) {
             long hash = catalog.hash(write.key());
@@ -26,13 +26,13 @@
     }
 
     /**
-     * The place of a key's entry; 0 if it has none. Keys with equal hashes are distinguished by reading their
-     * records.
+     * Returns the location of a key's entry, or 0 if it has none. Keys with equal hashes are distinguished by
+     * reading their records.
      */
     private long entryOf(long hash, byte[] key) throws IOException {
         LongArrayList found = new LongArrayList(2, 0);
-        catalog.index().find(hash, (h, at, length, expiry) -> {
-            found.addLong(at);
+        catalog.index().find(hash, (h, location, length, expiry) -> {
+            found.addLong(location);
             found.addLong(length);
         });
         for (int i = 0; i < found.size(); i += 2) {
@@ -43,7 +43,7 @@
         return 0;
     }
 
-    /** Points the index to a group that is held; its places count from {@code base} in {@code segment}. */
+    /** Points the index to an appended group, whose record frames start at offset {@code base} of {@code segment}. */
     void apply(List<Write> writes, Segment segment, long base) {
         synchronized (catalog.index()) {
             for (int i = 0; i < writes.size(); i++) {
@@ -53,16 +53,16 @@
         }
     }
 
-    private void apply(List<Write> writes, int place, Segment segment, long base) {
-        Write write = writes.get(place);
-        long at = Index.location(segment.id(), (int) (base + write.groupOffset()));
+    private void apply(List<Write> writes, int position, Segment segment, long base) {
+        Write write = writes.get(position);
+        long location = Index.location(segment.id(), (int) (base + write.groupOffset()));
         long[] old = new long[2];
-        catalog.index().find(write.hash(), (hash, there, length, expiry) -> {
-            boolean earlier = Index.file(there) == segment.id()
-                    && Index.offset(there) >= base
-                    && isSameKey(write, writes, place, (int) (Index.offset(there) - base));
-            if (there == write.replacedLocation() || earlier) {
-                old[0] = there;
+        catalog.index().find(write.hash(), (hash, existing, length, expiry) -> {
+            boolean earlier = Index.file(existing) == segment.id()
+                    && Index.offset(existing) >= base
+                    && isSameKey(write, writes, position, (int) (Index.offset(existing) - base));
+            if (existing == write.replacedLocation() || earlier) {
+                old[0] = existing;
                 old[1] = length;
             }
         });
@@ -79,15 +79,15 @@
         int expiry = SegmentCatalog.expirySeconds(write.expiresMillis());
         segment.countRecord(write.expiresMillis());
         segment.addLiveBytes(SegmentCatalog.liveBytesOf(write.frameBytes()));
-        if (old[0] == 0 || !catalog.index().move(write.hash(), old[0], at, write.frameBytes(), expiry)) {
-            catalog.index().add(write.hash(), at, write.frameBytes(), expiry);
+        if (old[0] == 0 || !catalog.index().move(write.hash(), old[0], location, write.frameBytes(), expiry)) {
+            catalog.index().add(write.hash(), location, write.frameBytes(), expiry);
         }
     }
 
-    /** Whether the earlier write of this group that stands at a place has the same key. */
-    private static boolean isSameKey(Write write, List<Write> writes, int before, int at) {
+    /** Returns whether the earlier write of this group at {@code groupOffset} has the same key. */
+    private static boolean isSameKey(Write write, List<Write> writes, int before, int groupOffset) {
         for (int i = before - 1; i >= 0; i--) {
-            if (writes.get(i).groupOffset() == at) {
+            if (writes.get(i).groupOffset() == groupOffset) {
                 return Arrays.equals(writes.get(i).key(), write.key());
             }
         }
--- a/server/src/main/java/wheatspread/store/Layout.java
+++ b/server/src/main/java/wheatspread/store/Layout.java
@@ -6,15 +6,14 @@
 import java.util.TreeMap;
 
 /**
- * What the names in a store's folder mean: which files make up the log, and which are left over from work
- * that a crash cut short. Reads no file.
+ * The interpretation of the file names in a store's folder: which files form the log, and which remain from an
+ * interrupted operation. Reads no file.
  *
- * @param chain the files of the log in its order, disjoint
- * @param gaps the numbers before which some are missing: a file was lost
- * @param checkpoints their names, the newest first
- * @param leftovers what is to be deleted: files that others were written in place of, and those not
- *     finished
- * @param damagedFiles damaged files that are kept for the operator
+ * @param chain the segments of the log in order; they do not overlap
+ * @param gaps the first numbers of segments whose predecessor is missing because a file was lost
+ * @param checkpoints the names of the checkpoints, newest first
+ * @param leftovers the files to delete: replaced segments and incomplete files
+ * @param damagedFiles the damaged files that are kept for the operator
  */
 record Layout(
         List<SegmentName> chain,
@@ -32,7 +31,11 @@
         return Long.parseLong(name.substring(0, name.indexOf('.')));
     }
 
-    /** @throws StoreException if two files hold the same numbers and neither replaces the other */
+    /**
+     * Classifies the names of a folder.
+     *
+     * @throws StoreException if two segments contain the same numbers and neither replaces the other
+     */
     static Layout of(Collection<String> names) throws StoreException {
         List<SegmentName> segments = new ArrayList<>();
         TreeMap<Long, String> checkpoints = new TreeMap<>();
@@ -51,25 +54,25 @@
             }
         }
         List<SegmentName> chain = new ArrayList<>();
-        for (SegmentName one : segments) {
-            if (segments.stream().anyMatch(other -> other.replaces(one))) {
-                leftovers.add(one.toString());
+        for (SegmentName candidate : segments) {
+            if (segments.stream().anyMatch(other -> other.replaces(candidate))) {
+                leftovers.add(candidate.toString());
             } else {
-                chain.add(one);
+                chain.add(candidate);
             }
         }
         chain.sort(SegmentName.LOG_ORDER);
         List<Integer> gaps = new ArrayList<>();
-        int next = 1;
+        int expectedFirst = 1;
         for (int i = 0; i < chain.size(); i++) {
-            SegmentName one = chain.get(i);
-            if (i > 0 && one.overlaps(chain.get(i - 1))) {
-                throw new OverlappingSegmentsException(chain.get(i - 1), one);
+            SegmentName segment = chain.get(i);
+            if (i > 0 && segment.overlaps(chain.get(i - 1))) {
+                throw new OverlappingSegmentsException(chain.get(i - 1), segment);
             }
-            if (one.first() != next) {
-                gaps.add(one.first());
+            if (segment.first() != expectedFirst) {
+                gaps.add(segment.first());
             }
-            next = one.last() + 1;
+            expectedFirst = segment.last() + 1;
         }
         return new Layout(
                 List.copyOf(chain),
@@ -79,7 +82,7 @@
                 List.copyOf(damagedFiles));
     }
 
-    /** The number that the next segment gets. */
+    /** Returns the number of the next new segment. */
     int nextNumber() {
         return chain.isEmpty() ? 1 : chain.get(chain.size() - 1).last() + 1;
     }
--- a/server/src/main/java/wheatspread/store/LogStructuredStore.java
+++ b/server/src/main/java/wheatspread/store/LogStructuredStore.java
@@ -12,10 +12,10 @@
  * Log-Structured Hash Table for Fast Key/Value Data", 2010). {@link GroupCommit} writes, {@link RecordReader}
  * reads, {@link MaintenanceJobs} runs checkpoints, compactions and deletions.
  *
- * <p>Threads: the writer's thread calls {@link #commit}, {@link #tick} and the methods that end a job; another
+ * <p>Threads: the writer thread calls {@link #commit}, {@link #tick} and the methods that complete a job; another
  * thread runs the steps of the job that {@link #nextJob} returned; any thread may call {@link #get} and {@link
- * #stats}. It reads no clock: the caller passes the time. Whoever opens it calls {@link #close}, or {@link
- * #closeFiles} to leave the files as they are.
+ * #stats}. The class reads no clock: the caller passes the time. The owner calls {@link #close}, or {@link
+ * #closeFiles} to leave the files unchanged.
  */
 final class LogStructuredStore implements Closeable {
     private static final long TICK_INTERVAL_MILLIS = 50;
@@ -53,11 +53,11 @@
     }
 
     /**
-     * Opens a folder, for this process alone.
+     * Opens a folder and locks it for this process.
      *
-     * @param purpose unless it is to work, nothing may be written, and no job run
-     * @throws Disk.TakenException if another process has it
-     * @throws StoreException if it holds what this program must not work on
+     * @param purpose unless it is READ_WRITE, the caller must not write or run jobs
+     * @throws Disk.FolderLockedException if the folder is already locked
+     * @throws StoreException if the folder contains files that this program cannot or must not use
      */
     static LogStructuredStore open(
             Disk disk,
@@ -88,40 +88,40 @@
         for (String name : layout.damagedFiles()) {
             files.measure(name);
         }
-        List<String> found = layout.checkpoints(); // the newest first
+        List<String> found = layout.checkpoints(); // newest first
         if (!found.isEmpty()) {
-            checkpoints.found(found.get(0));
+            checkpoints.restore(found.get(0));
             files.measure(found.get(0));
             files.delete(found.subList(1, found.size()));
         }
     }
 
-    /** Rewrites what is left of damaged files at once. */
+    /** Compacts damaged segments immediately, which keeps their intact records. */
     private void salvage(List<Segment> damaged, long nowMillis) {
-        for (Segment one : damaged) {
+        for (Segment segment : damaged) {
             try {
-                jobs.salvage(one, nowMillis);
+                jobs.salvage(segment, nowMillis);
             } catch (IOException e) {
-                continue; // it is logged, and nothing is lost: the next start finds what this one did
+                continue; // the failure is logged and the segment is unchanged, so the next start retries
             }
         }
     }
 
     // ---- writing and reading
 
-    /** Writes a group, and sets the outcome of each of its writes. */
+    /** Writes a group and sets the outcome of each write. */
     void commit(List<Write> writes, long nowMillis) {
         commits.commit(writes, nowMillis);
     }
 
-    /** What the store holds for a key. */
+    /** Returns the value of a key, or why there is none. */
     Store.ReadResult get(byte[] key, long nowMillis) throws IOException {
         return reader.get(key, nowMillis);
     }
 
-    // ---- upkeep
+    // ---- maintenance
 
-    /** Does what is due, in steps that delay the next group about as long as a group takes. */
+    /** Runs due work, limited so that it delays the next group by about the time that a group takes. */
     void tick(long nowMillis) {
         commits.recoverIfDue(nowMillis);
         commits.syncIfDue(nowMillis);
@@ -132,49 +132,49 @@
         space.check(nowMillis);
     }
 
-    /** Whether there is work that {@link #tick} should be called for without delay. */
+    /** Returns whether {@link #tick} has more work and should be called without delay. */
     boolean isBusy() {
         return jobs.isInstalling();
     }
 
-    /** When to call {@link #tick} next, at the latest. */
+    /** Returns the latest time for the next call of {@link #tick}. */
     long nextTickMillis(long nowMillis) {
         return Math.min(nowMillis + TICK_INTERVAL_MILLIS, commits.nextDueMillis(nowMillis));
     }
 
-    /** What should be done beside the writing now, or null. One job at a time. */
+    /** Starts the next maintenance job, or returns null if none is due or a job is running. */
     MaintenanceJob nextJob(long nowMillis) {
         return jobs.next(nowMillis, space::usedBytes, !state.mustRecover());
     }
 
-    /** The job has come to its end on its thread; the writer's part of it follows. */
+    /** Records that all steps of the job are done, so that its result can be installed. */
     void jobDone() throws IOException {
-        jobs.stepsDone();
+        jobs.startInstalling();
     }
 
-    /** Goes on with the writer's part of a job. */
+    /** Continues installing the result of the job. */
     void install() {
         jobs.install();
     }
 
-    /** The job failed. Files that it may have left are deleted before another job starts. */
+    /** Records that the job failed. Its incomplete files are deleted before another job starts. */
     void jobFailed(IOException e, long nowMillis) {
-        jobs.failed(e, nowMillis);
+        jobs.handleFailure(e, nowMillis);
     }
 
-    /** Rewrites everything now, in runs that make a segment each; the caller waits. */
+    /** Compacts the whole log synchronously, in runs whose live records fill about one segment each. */
     void compactNow(long nowMillis, boolean acceptLoss) throws IOException {
         jobs.compactNow(nowMillis, acceptLoss);
     }
 
-    /** Drops the suspected losses: the caller accepts the loss. */
+    /** Drops the suspected losses, after the operator has accepted the loss. */
     void acceptLoss() {
         synchronized (catalog.index()) {
             catalog.suspectedLosses().clear();
         }
     }
 
-    // ---- what it holds
+    // ---- state
 
     Recovery.Report recovered() {
         return recovered;
@@ -203,9 +203,9 @@
         }
     }
 
-    // ---- the end
+    // ---- closing
 
-    /** Seals what is written and leaves a checkpoint, so that the next start has nothing to read. */
+    /** Seals the active segment and writes a checkpoint, so that the next start need not replay the log. */
     void finish(long nowMillis) {
         jobs.cancel("the store is closed", nowMillis);
         if (state.mustRecover() || !checkpoints.hasChanges() || !commits.seal(nowMillis)) {
@@ -214,12 +214,12 @@
         try {
             jobs.checkpointNow(nowMillis);
         } catch (IOException e) {
-            return; // it is logged, and nothing is lost: the next start finds what this one did
+            return; // the failure is logged; the next start replays the log instead
         }
     }
 
     /**
-     * Seals what is written, and closes every file; what was acknowledged is there whether or not it fails.
+     * Seals the active segment and closes every file. Acknowledged writes are kept even if this fails.
      */
     @Override
     public void close() throws IOException {
@@ -232,10 +232,10 @@
         }
     }
 
-    /** Closes every file as it is. */
+    /** Closes every file without changing it. */
     void closeFiles() throws IOException {
-        for (Segment one : List.copyOf(catalog.chain())) {
-            one.retire();
+        for (Segment segment : List.copyOf(catalog.chain())) {
+            segment.retire();
         }
         lock.close();
     }
--- a/server/src/main/java/wheatspread/store/MaintenanceJob.java
+++ b/server/src/main/java/wheatspread/store/MaintenanceJob.java
@@ -3,14 +3,13 @@
 import java.io.IOException;
 
 /**
- * Maintenance work that one thread does step by step ({@link #step}) and the writer's thread completes ({@link
- * #install}). At any time only one thread uses a job; {@link WriterQueue} hands it over.
+ * Maintenance work whose steps run on the background thread ({@link #step}) and whose result is installed by the
+ * writer thread ({@link #install}). Only one thread uses a job at any time; {@link WriterQueue} transfers it.
  */
 abstract class MaintenanceJob {
-    /** Bytes read and written by the last piece. */
     private long bytesMoved;
 
-    /** Bytes read and written by the last {@link #step}. */
+    /** Returns the bytes read and written by the last {@link #step}. */
     final long bytesMoved() {
         return bytesMoved;
     }
@@ -23,17 +22,17 @@
         bytesMoved += bytes;
     }
 
-    /** Does a piece; false when all is done. */
+    /** Runs the next step; returns false when all steps are done. */
     abstract boolean step() throws IOException;
 
-    /** Ends it on the writer's thread, a piece at a time; false when all is done. */
+    /** Installs the next part of the result, on the writer thread; returns false when all parts are installed. */
     abstract boolean install();
 
-    /** Gives up what it holds, after a failure; the names that must be deleted before any other job. */
+    /** Releases the files of the job after a failure; returns the names to delete before any other job starts. */
     abstract java.util.List<String> abort();
 
     abstract String kind();
 
-    /** Bytes that it takes on the disk beside the files of the log. */
+    /** Returns the bytes that the job has written to files that are not part of the log yet. */
     abstract long outputBytes();
 }
--- a/server/src/main/java/wheatspread/store/MaintenanceJobs.java
+++ b/server/src/main/java/wheatspread/store/MaintenanceJobs.java
@@ -8,9 +8,9 @@
 
 /**
  * Schedules maintenance jobs, one at a time: deletions first, then a checkpoint if one is due, then
- * compactions. For the writer's thread alone, which starts a job and installs its result; another thread runs
- * the steps. After a failure it waits with exponential backoff, and files that the failed job may have left are
- * deleted before another job starts.
+ * compactions. Confined to the writer thread, which starts a job and installs its result; another thread runs
+ * the steps. After a failure the next job is delayed with exponential backoff, and incomplete files of the failed
+ * job are deleted before it starts.
  */
 final class MaintenanceJobs {
     private static final long MIN_RETRY_DELAY_MILLIS = 500;
@@ -25,9 +25,9 @@
     private final CheckpointProgress checkpoints;
     private final AuxiliaryFiles files;
     private final StoreStats.Counters counters;
-    /** The current job; null if there is none. */
+    /** The current job, or null if there is none. */
     private MaintenanceJob currentJob;
-    /** The steps of the job are done, and what it made is being installed. */
+    /** Whether the steps of the job are done and its result is being installed. */
     private boolean installing;
 
     private long retryAtMillis;
@@ -50,56 +50,56 @@
         this.files = files;
     }
 
-    // ---- what is to be done ----
+    // ---- scheduling ----
 
-    /** Starts the job that is due, if there is one and none is running; null otherwise. */
+    /** Starts the job that is due; returns null if none is due or a job is running. */
     MaintenanceJob next(long nowMillis, LongSupplier usedBytes, boolean mayCheckpoint) {
         if (currentJob != null || nowMillis < retryAtMillis) {
             return null;
         }
         if (files.hasPending()) {
-            currentJob = files.deletion();
+            currentJob = files.createDeleteJob();
         } else if (checkpoints.isDue(settings) && mayCheckpoint) {
-            currentJob = checkpoint(nowMillis);
+            currentJob = startCheckpoint(nowMillis);
         } else {
             currentJob = compactions.choose(nowMillis, usedBytes.getAsLong());
         }
         return currentJob;
     }
 
-    /** A checkpoint of all that has been acknowledged so far. */
-    private CheckpointJob checkpoint(long nowMillis) {
-        boolean waits = settings.sync() != StoreSettings.Sync.GROUP;
+    /** Creates a checkpoint of all writes acknowledged so far. */
+    private CheckpointJob startCheckpoint(long nowMillis) {
+        boolean requiresWriterSync = settings.sync() != StoreSettings.Sync.GROUP;
         long number = checkpoints.start();
         return new CheckpointJob(
-                disk, catalog, number, writer.currentNumber(), writer.currentOffset(), nowMillis, waits);
+                disk, catalog, number, writer.currentNumber(), writer.currentOffset(), nowMillis, requiresWriterSync);
     }
 
-    /** Whether what a job made is being installed. */
+    /** Returns whether the result of a job is being installed. */
     boolean isInstalling() {
         return installing;
     }
 
-    /** Bytes that the current job has written to files that are not counted yet. */
+    /** Returns the bytes that the current job has written to files that are not counted elsewhere yet. */
     long outputBytes() {
         return currentJob == null ? 0 : currentJob.outputBytes();
     }
 
-    // ---- at once, on the caller's thread ----
+    // ---- synchronous jobs on the caller's thread ----
 
-    /** Writes a checkpoint; the caller waits. */
+    /** Writes a checkpoint synchronously. */
     void checkpointNow(long nowMillis) throws IOException {
-        currentJob = checkpoint(nowMillis);
+        currentJob = startCheckpoint(nowMillis);
         runNow(nowMillis);
     }
 
-    /** Compacts a damaged segment, with a record of the suspected losses in place of what is lost. */
+    /** Compacts a damaged segment synchronously; records of suspected losses replace the lost records. */
     void salvage(Segment damaged, long nowMillis) throws IOException {
         currentJob = compactions.compaction(List.of(damaged), nowMillis);
         runNow(nowMillis);
     }
 
-    /** Rewrites everything, in runs that make a segment each; the caller waits. */
+    /** Compacts the whole log synchronously, in runs whose live records fill about one segment each. */
     void compactNow(long nowMillis, boolean acceptLoss) throws IOException {
         if (acceptLoss) {
             compactions.acceptGaps();
@@ -116,20 +116,20 @@
         }
     }
 
-    /** Runs the job on this thread, and the deletions that follow from it; a job that failed has been aborted. */
+    /** Runs the current job and the deletions that it requires on this thread; a job that fails is aborted. */
     private void runNow(long nowMillis) throws IOException {
         try {
             runSteps(currentJob);
-            stepsDone();
+            startInstalling();
             while (installing) {
                 install();
             }
-            DeleteJob deletion = files.deletion();
+            DeleteJob deletion = files.createDeleteJob();
             runSteps(deletion);
             files.completed(deletion);
         } catch (IOException e) {
             if (currentJob != null) {
-                failed(e, nowMillis);
+                handleFailure(e, nowMillis);
             }
             throw e;
         }
@@ -141,10 +141,10 @@
         }
     }
 
-    // ---- how a job ends ----
+    // ---- completion ----
 
-    /** The steps of the job are done; the writer's part of it follows. */
-    void stepsDone() throws IOException {
+    /** Starts installing the result of the job, whose steps are done. */
+    void startInstalling() throws IOException {
         if (currentJob instanceof CheckpointJob checkpoint && checkpoint.requiresWriterSync()) {
             if (writer.active() != null && writer.isDirty()) {
                 writer.sync(writer.lastSyncMillis());
@@ -154,7 +154,7 @@
         installing = true;
     }
 
-    /** Goes on with the writer's part of a job. */
+    /** Installs the next part of the result, and completes the job after the last part. */
     void install() {
         if (currentJob.install()) {
             return;
@@ -162,20 +162,20 @@
         installing = false;
         retryDelayMillis = 0;
         if (currentJob instanceof CompactionJob compaction) {
-            completed(compaction);
+            completeCompaction(compaction);
         } else if (currentJob instanceof CheckpointJob checkpoint) {
-            completed(checkpoint);
+            completeCheckpoint(checkpoint);
         } else {
             files.completed((DeleteJob) currentJob);
         }
         currentJob = null;
     }
 
-    private void completed(CheckpointJob checkpoint) {
+    private void completeCheckpoint(CheckpointJob checkpoint) {
         if (checkpoints.newest() != null) {
             files.delete(List.of(checkpoints.newest()));
         }
-        checkpoints.completed(checkpoint.name());
+        checkpoints.markCompleted(checkpoint.name());
         files.add(checkpoint.name(), checkpoint.outputBytes());
         counters.countCheckpoint();
         log.info(
@@ -188,40 +188,40 @@
                 checkpoint.outputBytes());
     }
 
-    private void completed(CompactionJob compaction) {
-        long before = 0;
-        for (Segment one : compaction.run()) {
-            before += one.validBytes();
-            files.retire(one);
-            writer.forgetCut(one.name());
+    private void completeCompaction(CompactionJob compaction) {
+        long inputBytes = 0;
+        for (Segment segment : compaction.run()) {
+            inputBytes += segment.validBytes();
+            files.retire(segment);
+            writer.forgetCut(segment.name());
             try {
-                one.retire();
+                segment.retire();
             } catch (IOException e) {
-                log.warn("store_close_failed", "file", one.name(), "reason", e.toString());
+                log.warn("store_close_failed", "file", segment.name(), "reason", e.toString());
             }
         }
         compaction.releaseRun();
-        checkpoints.logged(compaction.outputBytes());
-        counters.countCompaction(before);
+        checkpoints.countLogged(compaction.outputBytes());
+        counters.countCompaction(inputBytes);
         log.info(
                 "store_compacted",
                 "file",
                 compaction.result().name(),
                 "from_bytes",
-                before,
+                inputBytes,
                 "to_bytes",
                 compaction.outputBytes());
     }
 
-    /** Aborts the current job, if there is one. */
-    void cancel(String why, long nowMillis) {
+    /** Aborts the current job, if any. */
+    void cancel(String reason, long nowMillis) {
         if (currentJob != null) {
-            failed(new IOException(why), nowMillis);
+            handleFailure(new IOException(reason), nowMillis);
         }
     }
 
-    /** The job failed. Files that it may have left are deleted before another job starts. */
-    void failed(IOException reason, long nowMillis) {
+    /** Aborts the failed job. Its incomplete files are deleted before another job starts. */
+    void handleFailure(IOException reason, long nowMillis) {
         counters.countFailure();
         retryDelayMillis = Math.min(MAX_RETRY_DELAY_MILLIS, Math.max(MIN_RETRY_DELAY_MILLIS, retryDelayMillis * 2));
         retryAtMillis = nowMillis + retryDelayMillis;
@@ -237,7 +237,7 @@
             files.delete(currentJob.abort());
         }
         if (currentJob instanceof CheckpointJob) {
-            checkpoints.failed(settings);
+            checkpoints.markFailed(settings);
         }
         installing = false;
         currentJob = null;
--- a/server/src/main/java/wheatspread/store/MisplacedSegmentException.java
+++ b/server/src/main/java/wheatspread/store/MisplacedSegmentException.java
@@ -1,6 +1,6 @@
 package wheatspread.store;
 
-/** A segment does not belong where it is: it was renamed, or it is a file of another store. */
+/** Thrown if a segment was renamed, or belongs to another store. */
 public final class MisplacedSegmentException extends StoreException {
     private static final long serialVersionUID = 1L;
 
@@ -8,12 +8,12 @@
         super(file.toString(), message, null);
     }
 
-    /** The header names another file. */
+    /** Creates the exception for a segment whose header names another file. */
     static MisplacedSegmentException renamed(SegmentName file, SegmentName nameInHeader) {
-        return new MisplacedSegmentException(file, "file " + file + " says of itself that it is " + nameInHeader);
+        return new MisplacedSegmentException(file, "file " + file + " was renamed: its header names " + nameInHeader);
     }
 
-    /** The header has another hash seed than the segments before it. */
+    /** Creates the exception for a segment whose hash seed differs from that of the segments before it. */
     static MisplacedSegmentException ofAnotherStore(SegmentName file) {
         return new MisplacedSegmentException(file, "file " + file + " belongs to another store");
     }
--- a/server/src/main/java/wheatspread/store/OfflineTools.java
+++ b/server/src/main/java/wheatspread/store/OfflineTools.java
@@ -9,114 +9,121 @@
 import wheatspread.logging.EventLog;
 
 /**
- * Tools for a store that no process has open. Each call locks the folder, and closes it again. Times are
- * milliseconds since 1970.
+ * Tools for a store that no process has open. Each call locks the folder, opens the store and closes it again.
+ * Times are milliseconds since 1970.
  */
 public final class OfflineTools {
     private static final SecureRandom RANDOM = new SecureRandom();
 
     private OfflineTools() {}
 
-    /** A file of the log. */
+    /**
+     * The state of a segment.
+     *
+     * @param cutOffset the offset in bytes at which a later segment states that this one ends, or -1
+     */
     public record SegmentInspection(
             String name, long bytes, long liveBytes, long records, long latestExpiryMillis, int cutOffset) {}
 
     /**
-     * What a store holds.
+     * The state of a store.
      *
-     * @param findings what is not as it was written, one line each; empty if nothing is wrong
-     * @param damages places where acknowledged writes are lost
+     * @param findings the log lines of the inspection, one per problem; empty if there is none
+     * @param damages the number of places at which acknowledged writes are lost
+     * @param cutBytes the bytes of torn writes that were never acknowledged
      */
     public record Inspection(
             List<SegmentInspection> files, StoreStats stats, List<String> findings, long damages, long cutBytes) {}
 
-    /** An entry that lives. */
+    /** An unexpired entry; {@code expiresMillis} is 0 if it never expires. */
     public record Entry(byte[] key, byte[] value, long expiresMillis) {}
 
-    /** The content according to the newest checkpoint and the log behind it. Read-only. */
+    /** Inspects the newest checkpoint and the log after it. Read-only. */
     public static Inspection stat(Disk disk, long nowMillis) throws IOException {
-        return look(disk, nowMillis, Recovery.Purpose.READ_ONLY);
+        return inspect(disk, nowMillis, Recovery.Purpose.READ_ONLY);
     }
 
     /** Reads and verifies every frame of every file. Read-only. */
     public static Inspection check(Disk disk, long nowMillis) throws IOException {
-        return look(disk, nowMillis, Recovery.Purpose.VERIFY);
+        return inspect(disk, nowMillis, Recovery.Purpose.VERIFY);
     }
 
-    private static Inspection look(Disk disk, long nowMillis, Recovery.Purpose purpose) throws IOException {
+    private static Inspection inspect(Disk disk, long nowMillis, Recovery.Purpose purpose) throws IOException {
         List<String> findings = new ArrayList<>();
-        LogStructuredStore log = LogStructuredStore.open(
+        LogStructuredStore store = LogStructuredStore.open(
                 disk, StoreSettings.DEFAULT, EventLog.lines(findings::add), RANDOM::nextLong, nowMillis, purpose);
         try {
-            List<SegmentInspection> files = log.catalog().chain().stream()
-                    .map(one -> new SegmentInspection(
-                            one.name().toString(),
-                            one.validBytes(),
-                            one.liveBytes(),
-                            one.recordCount(),
-                            one.latestExpiryMillis(),
-                            one.cutOffset()))
+            List<SegmentInspection> files = store.catalog().chain().stream()
+                    .map(segment -> new SegmentInspection(
+                            segment.name().toString(),
+                            segment.validBytes(),
+                            segment.liveBytes(),
+                            segment.recordCount(),
+                            segment.latestExpiryMillis(),
+                            segment.cutOffset()))
                     .toList();
             return new Inspection(
                     files,
-                    log.stats(),
+                    store.stats(),
                     findings,
-                    log.recovered().damages(),
-                    log.recovered().cutBytes());
+                    store.recovered().damages(),
+                    store.recovered().cutBytes());
         } finally {
-            log.closeFiles();
+            store.closeFiles();
         }
     }
 
-    /** Gives every entry that lives, in no order, and returns how many could not be read. Changes nothing. */
-    public static long dump(Disk disk, long nowMillis, Consumer<Entry> to) throws IOException {
-        LogStructuredStore log = LogStructuredStore.open(
+    /** Passes every unexpired entry, in no order, to a consumer; returns how many could not be read. Read-only. */
+    public static long dump(Disk disk, long nowMillis, Consumer<Entry> consumer) throws IOException {
+        LogStructuredStore store = LogStructuredStore.open(
                 disk, StoreSettings.DEFAULT, EventLog.NONE, RANDOM::nextLong, nowMillis, Recovery.Purpose.READ_ONLY);
         try {
             long[] unread = new long[1];
             for (int table = 0; table < Index.TABLES; table++) {
-                List<long[]> places = new ArrayList<>();
-                log.catalog().index().copy(table, (hash, at, length, expiry) -> places.add(new long[] {at, length}));
-                for (long[] place : places) {
+                List<long[]> entries = new ArrayList<>();
+                store.catalog()
+                        .index()
+                        .copy(table, (hash, location, length, expiry) -> entries.add(new long[] {location, length}));
+                for (long[] entry : entries) {
                     Format.Record record = SegmentCatalog.read(
-                            log.catalog().byId(Index.file(place[0])), Index.offset(place[0]), (int) place[1]);
+                            store.catalog().byId(Index.file(entry[0])), Index.offset(entry[0]), (int) entry[1]);
                     if (record == null) {
                         unread[0]++;
                     } else if (!SegmentCatalog.hasExpired(record.getExpiresMs(), nowMillis)) {
-                        to.accept(new Entry(
+                        consumer.accept(new Entry(
                                 record.getKey().toByteArray(), record.getValue().toByteArray(), record.getExpiresMs()));
                     }
                 }
             }
             return unread[0];
         } finally {
-            log.closeFiles();
+            store.closeFiles();
         }
     }
 
     /**
-     * Rewrites the log without what is dead, and the index with it.
+     * Rewrites the log without dead records, and writes a new checkpoint.
      *
-     * @param acceptLoss drops the suspected losses: a key that was lost to damage is then absent, and an older value
-     *     of it counts again
+     * @param acceptLoss whether to drop the suspected losses: a key whose newest write was lost to damage is then
+     *     absent, or has its older value again
      */
     public static Inspection compact(
             Disk disk, StoreSettings settings, long nowMillis, boolean acceptLoss, EventLog events) throws IOException {
-        LogStructuredStore log = LogStructuredStore.open(
+        LogStructuredStore store = LogStructuredStore.open(
                 disk, settings, events, RANDOM::nextLong, nowMillis, Recovery.Purpose.READ_WRITE);
-        boolean done = false;
+        boolean completed = false;
         try {
             if (acceptLoss) {
-                log.acceptLoss();
+                store.acceptLoss();
             }
-            log.compactNow(nowMillis, acceptLoss);
-            log.finish(nowMillis);
-            done = true;
+            store.compactNow(nowMillis, acceptLoss);
+            store.finish(nowMillis);
+            completed = true;
         } finally {
-            if (done) {
-                log.close();
+            if (completed) {
+                store.close();
             } else {
-                log.closeFiles();
+                store.closeFiles();
             }
         }
         return stat(disk, nowMillis);
--- a/server/src/main/java/wheatspread/store/OverlappingSegmentsException.java
+++ b/server/src/main/java/wheatspread/store/OverlappingSegmentsException.java
@@ -1,6 +1,6 @@
 package wheatspread.store;
 
-/** Two segments hold the same part of the log, and neither was written in place of the other. */
+/** Thrown if two segments contain the same part of the log, and neither replaces the other. */
 public final class OverlappingSegmentsException extends StoreException {
     private static final long serialVersionUID = 1L;
 
@@ -14,7 +14,7 @@
         earlierFile = earlier.toString();
     }
 
-    /** The name of the other file, which comes first in the log. */
+    /** Returns the name of the other file, which precedes {@link #file} in the log. */
     public String earlierFile() {
         return earlierFile;
     }
--- a/server/src/main/java/wheatspread/store/RateLimiter.java
+++ b/server/src/main/java/wheatspread/store/RateLimiter.java
@@ -1,7 +1,7 @@
 package wheatspread.store;
 
 /**
- * Limits the rate of work that is done in steps: computes how long to wait after each. For one thread. No
+ * Limits the rate of work that is done in steps by computing a delay after each step. Not thread-safe. Reads no
  * clock: the caller passes the time.
  */
 final class RateLimiter {
@@ -10,14 +10,14 @@
     private final double nanosPerByte;
     private long freeAtNanos;
 
-    RateLimiter(long bytesPerS, long now) {
-        nanosPerByte = 1e9 / bytesPerS;
-        freeAtNanos = now;
+    RateLimiter(long bytesPerSecond, long nowNanos) {
+        nanosPerByte = 1e9 / bytesPerSecond;
+        freeAtNanos = nowNanos;
     }
 
-    /** Counts a step that has been done, and returns how many nanoseconds to wait. */
-    long delayNanosAfter(long bytes, long now) {
-        freeAtNanos = Math.max(freeAtNanos, now - MAX_DELAY_NANOS / 10) + (long) (bytes * nanosPerByte);
-        return Math.min(MAX_DELAY_NANOS, Math.max(0, freeAtNanos - now));
+    /** Counts a completed step, and returns the delay before the next step in nanoseconds. */
+    long delayNanosAfter(long bytes, long nowNanos) {
+        freeAtNanos = Math.max(freeAtNanos, nowNanos - MAX_DELAY_NANOS / 10) + (long) (bytes * nanosPerByte);
+        return Math.min(MAX_DELAY_NANOS, Math.max(0, freeAtNanos - nowNanos));
     }
 }
--- a/server/src/main/java/wheatspread/store/ReadWindow.java
+++ b/server/src/main/java/wheatspread/store/ReadWindow.java
@@ -5,8 +5,8 @@
 import wheatspread.disk.DiskFile;
 
 /**
- * Reads a file from its start to its end through one buffer, which grows with the longest frame. For one
- * thread; does not close the file.
+ * Reads a file sequentially through a buffer, which grows to the length of the longest frame. Not thread-safe;
+ * does not close the file.
  */
 final class ReadWindow {
     private static final int DEFAULT_BUFFER_BYTES = 256 << 10;
@@ -17,31 +17,31 @@
     private long bufferOffset;
     private long bytesRead;
 
-    /** @param end the offset at which reading stops, even if the file is longer */
-    ReadWindow(DiskFile file, long end) {
+    /** @param endOffset the offset at which reading stops, even if the file is longer */
+    ReadWindow(DiskFile file, long endOffset) {
         this.file = file;
-        this.endOffset = end;
+        this.endOffset = endOffset;
     }
 
     long endOffset() {
         return endOffset;
     }
 
-    /** Bytes read from the file so far. */
+    /** Returns the bytes read from the file so far. */
     long bytesRead() {
         return bytesRead;
     }
 
-    /** The bytes from an offset on: at least {@code minBytes} of them, or all up to the end. */
-    ByteBuffer bytesAt(long at, int minBytes) throws IOException {
-        long wanted = Math.max(0, Math.min(minBytes, endOffset - at));
-        if (at < bufferOffset || at + wanted > bufferOffset + buffer.limit()) {
-            int size = (int) Math.max(wanted, Math.min(DEFAULT_BUFFER_BYTES, Math.max(0, endOffset - at)));
+    /** Returns the bytes at an offset: at least {@code minBytes}, or fewer if the end is nearer. */
+    ByteBuffer bytesAt(long offset, int minBytes) throws IOException {
+        long requiredBytes = Math.max(0, Math.min(minBytes, endOffset - offset));
+        if (offset < bufferOffset || offset + requiredBytes > bufferOffset + buffer.limit()) {
+            int size = (int) Math.max(requiredBytes, Math.min(DEFAULT_BUFFER_BYTES, Math.max(0, endOffset - offset)));
             buffer = buffer.capacity() >= size ? buffer.clear().limit(size) : ByteBuffer.allocate(size);
-            bytesRead += file.read(buffer, at);
+            bytesRead += file.read(buffer, offset);
             buffer.flip();
-            bufferOffset = at;
+            bufferOffset = offset;
         }
-        return buffer.slice((int) (at - bufferOffset), buffer.limit() - (int) (at - bufferOffset));
+        return buffer.slice((int) (offset - bufferOffset), buffer.limit() - (int) (offset - bufferOffset));
     }
 }
--- a/server/src/main/java/wheatspread/store/RecordFraming.java
+++ b/server/src/main/java/wheatspread/store/RecordFraming.java
@@ -4,17 +4,17 @@
 import java.util.zip.CRC32C;
 
 /**
- * The frame around a record: length of the body (4 bytes, big endian), CRC32C (Castagnoli polynomial, RFC 3720)
- * of length and body (4 bytes), body. A frame is complete or it does not count; a file that ends within its
- * last frame is torn, any other mismatch is damage. Stateless, no I/O.
+ * Reads and writes the frame around a record: length of the body (4 bytes, big endian), CRC32C (Castagnoli
+ * polynomial, RFC 3720) of length and body (4 bytes), body. An incomplete frame is ignored as a whole; a file that
+ * ends within its last frame is torn, and any other mismatch is damage. Stateless, no I/O.
  */
 public final class RecordFraming {
-    /** Bytes before a body. */
+    /** The length of the header of a frame. */
     public static final int HEADER_BYTES = 8;
-    /** The longest body; a length beyond it can only be damage. */
+    /** The maximum length of a body; a greater length in a header is damage. */
     public static final int MAX_BODY_BYTES = 16 << 20;
 
-    /** What was found at a position. */
+    /** The result of reading a frame. */
     public enum Found {
         COMPLETE,
         END,
@@ -24,35 +24,36 @@
 
     private RecordFraming() {}
 
-    /** The length in bytes of the frame around a body of this length. */
-    public static int frameBytes(int body) {
-        return HEADER_BYTES + body;
+    /** Returns the length in bytes of the frame around a body of {@code bodyBytes}. */
+    public static int frameBytes(int bodyBytes) {
+        return HEADER_BYTES + bodyBytes;
     }
 
-    /** Writes a frame round the bytes from {@code body}'s position to its limit, which are read. */
+    /** Writes a frame around the remaining bytes of {@code body}, which are consumed. */
     public static void write(ByteBuffer body, ByteBuffer to) {
         int length = body.remaining();
         if (length > MAX_BODY_BYTES) {
-            throw new IllegalArgumentException("a record of " + length + " bytes is over " + MAX_BODY_BYTES);
+            throw new IllegalArgumentException(
+                    "record of " + length + " bytes exceeds the limit of " + MAX_BODY_BYTES + " bytes");
         }
         to.putInt(length).putInt(checksum(length, body.duplicate())).put(body);
     }
 
     /**
-     * Completes a frame in place: writes the header before a body that is already there. {@code scratch} is
-     * overwritten.
+     * Completes a frame in place by writing the header at {@code offset}, before the existing body. {@code scratch}
+     * is overwritten.
      */
-    static void close(byte[] bytes, int at, int length, CRC32C scratch) {
-        ByteBuffer head = ByteBuffer.wrap(bytes, at, HEADER_BYTES).putInt(length);
+    static void writeHeader(byte[] bytes, int offset, int length, CRC32C scratch) {
+        ByteBuffer head = ByteBuffer.wrap(bytes, offset, HEADER_BYTES).putInt(length);
         scratch.reset();
-        scratch.update(bytes, at, Integer.BYTES);
-        scratch.update(bytes, at + HEADER_BYTES, length);
+        scratch.update(bytes, offset, Integer.BYTES);
+        scratch.update(bytes, offset + HEADER_BYTES, length);
         head.putInt((int) scratch.getValue());
     }
 
     /**
-     * Looks at the position of {@code from}, which holds all that the file still has. Only where a frame is
-     * COMPLETE is the position moved behind it, and {@code body} set to its body (a view, not a copy).
+     * Reads the frame at the position of {@code from}, which contains the rest of the file. Only if the frame is
+     * COMPLETE, the position is moved past it and {@code body[0]} is set to its body (a view, not a copy).
      */
     public static Found read(ByteBuffer from, ByteBuffer[] body) {
         if (!from.hasRemaining()) {
@@ -61,26 +62,26 @@
         if (from.remaining() < HEADER_BYTES) {
             return Found.TORN;
         }
-        int at = from.position();
-        int length = from.getInt(at);
+        int offset = from.position();
+        int length = from.getInt(offset);
         if (length < 0 || length > MAX_BODY_BYTES) {
             return Found.DAMAGED;
         }
         if (from.remaining() - HEADER_BYTES < length) {
             return Found.TORN;
         }
-        ByteBuffer view = from.slice(at + HEADER_BYTES, length);
-        if (checksum(length, view.duplicate()) != from.getInt(at + 4)) {
+        ByteBuffer view = from.slice(offset + HEADER_BYTES, length);
+        if (checksum(length, view.duplicate()) != from.getInt(offset + 4)) {
             return Found.DAMAGED;
         }
-        from.position(at + HEADER_BYTES + length);
+        from.position(offset + HEADER_BYTES + length);
         body[0] = view;
         return Found.COMPLETE;
     }
 
     /**
-     * The length counts too, or a damaged one could frame other bytes whose checksum happens to stand
-     * there.
+     * Computes the checksum of a frame. It includes the length, because a damaged length could otherwise frame
+     * other bytes that happen to match the checksum.
      */
     private static int checksum(int length, ByteBuffer body) {
         CRC32C crc = new CRC32C();
--- a/server/src/main/java/wheatspread/store/RecordReader.java
+++ b/server/src/main/java/wheatspread/store/RecordReader.java
@@ -6,8 +6,8 @@
 import wheatspread.logging.EventLog;
 
 /**
- * Looks up keys. Any thread may read: the index is locked only while the places of a key are taken from it,
- * and their segments are held open until they have been read.
+ * Looks up keys. Any thread may call it: the index is locked only while the locations of a key are collected, and
+ * their segments are kept open until the records have been read.
  */
 final class RecordReader {
     private final SegmentCatalog catalog;
@@ -18,55 +18,58 @@
         log = context.log();
     }
 
-    /** The location of a record, and whether a newer one may have been lost. */
-    private record Place(Segment segment, int offset, int length, boolean inDoubt) {}
+    /** The location of a record in an acquired segment, and whether a newer record may have been lost. */
+    private record Location(Segment segment, int offset, int length, boolean inDoubt) {}
 
-    /** What the store holds for a key. */
+    /** Returns the value of a key, or why there is none. */
     Store.ReadResult get(byte[] key, long nowMillis) throws IOException {
         long hash = catalog.hash(key);
-        List<Place> found = new ArrayList<>(1);
+        List<Location> found = new ArrayList<>(1);
         boolean absentInDoubt;
         synchronized (catalog.index()) {
-            catalog.index().find(hash, (h, at, length, expiry) -> found.add(hold(at, length, nowMillis)));
+            catalog.index()
+                    .find(
+                            hash,
+                            (h, indexLocation, length, expiry) -> found.add(acquire(indexLocation, length, nowMillis)));
             absentInDoubt = catalog.suspectedLosses().suspectsAbsentKey(hash, nowMillis);
         }
-        Store.ReadResult got = null;
-        for (Place place : found) {
+        Store.ReadResult result = null;
+        for (Location location : found) {
             try {
-                if (got == null) {
-                    got = read(key, place, nowMillis);
+                if (result == null) {
+                    result = read(key, location, nowMillis);
                 }
             } finally {
-                place.segment().release();
+                location.segment().release();
             }
         }
-        return got != null ? got : absentInDoubt ? Store.ReadResult.DOUBTFUL : Store.ReadResult.ABSENT;
+        return result != null ? result : absentInDoubt ? Store.ReadResult.DOUBTFUL : Store.ReadResult.ABSENT;
     }
 
-    private Place hold(long at, int length, long nowMillis) {
-        Segment segment = catalog.byId(Index.file(at));
+    private Location acquire(long indexLocation, int length, long nowMillis) {
+        Segment segment = catalog.byId(Index.file(indexLocation));
         segment.acquire();
-        int offset = Index.offset(at);
+        int offset = Index.offset(indexLocation);
         boolean inDoubt = catalog.suspectedLosses().suspectsEntry(segment.name().first(), offset, nowMillis);
-        return new Place(segment, offset, length, inDoubt);
+        return new Location(segment, offset, length, inDoubt);
     }
 
-    /** The result for a key from the record at a location; null if the record has another key. */
-    private Store.ReadResult read(byte[] key, Place place, long nowMillis) throws IOException {
-        Format.Record there = SegmentCatalog.read(place.segment(), place.offset(), place.length());
-        if (there == null) {
-            log.error("store_damage", "file", place.segment().name(), "at", place.offset(), "keys", 1);
+    /** Reads the record at a location; returns null if the record has another key. */
+    private Store.ReadResult read(byte[] key, Location location, long nowMillis) throws IOException {
+        Format.Record record = SegmentCatalog.read(location.segment(), location.offset(), location.length());
+        if (record == null) {
+            log.error("store_damage", "file", location.segment().name(), "at", location.offset(), "keys", 1);
             return Store.ReadResult.DOUBTFUL;
         }
-        if (!SegmentCatalog.isKey(there, key)) {
+        if (!SegmentCatalog.isKey(record, key)) {
             return null;
         }
-        if (SegmentCatalog.hasExpired(there.getExpiresMs(), nowMillis)) {
-            return place.inDoubt() ? Store.ReadResult.DOUBTFUL : Store.ReadResult.ABSENT;
+        if (SegmentCatalog.hasExpired(record.getExpiresMs(), nowMillis)) {
+            return location.inDoubt() ? Store.ReadResult.DOUBTFUL : Store.ReadResult.ABSENT;
         }
         return new Store.ReadResult(
-                place.inDoubt() ? Store.ReadResult.Kind.DOUBTFUL : Store.ReadResult.Kind.VALUE,
-                there.getValue().toByteArray(),
-                there.getExpiresMs());
+                location.inDoubt() ? Store.ReadResult.Kind.DOUBTFUL : Store.ReadResult.Kind.VALUE,
+                record.getValue().toByteArray(),
+                record.getExpiresMs());
     }
 }
--- a/server/src/main/java/wheatspread/store/Recovery.java
+++ b/server/src/main/java/wheatspread/store/Recovery.java
@@ -13,9 +13,9 @@
 import wheatspread.logging.EventLog;
 
 /**
- * Rebuilds the index from the files when a store is opened: the newest usable checkpoint, and the log behind
- * it. Acknowledged writes are kept, torn writes that were never acknowledged are cut off, and keys of damaged
- * records become suspected losses. For the thread that opens the store.
+ * Rebuilds the index from the files when a store is opened: loads the newest usable checkpoint and
+ * replays the log after it. Acknowledged writes are kept, torn writes that were never acknowledged are cut off, and
+ * keys of damaged records become suspected losses. Confined to the thread that opens the store.
  */
 final class Recovery {
     private final Disk disk;
@@ -36,12 +36,12 @@
     private long damages;
     private long replayed;
 
-    /** What the store is opened for. */
+    /** The purpose for which the store is opened. */
     enum Purpose {
         READ_WRITE,
-        /** For inspection: every file stays as it is. */
+        /** Inspection; no file is changed. */
         READ_ONLY,
-        /** As READ_ONLY, and the log is read completely, without a checkpoint. */
+        /** Like READ_ONLY, but reads the whole log instead of a checkpoint. */
         VERIFY
     }
 
@@ -53,7 +53,11 @@
         this.purpose = purpose;
     }
 
-    /** @throws StoreException if the folder holds what this program must not work on */
+    /**
+     * Opens the files and rebuilds the index.
+     *
+     * @throws StoreException if the folder contains files that this program cannot or must not use
+     */
     void run(LongSupplier random) throws IOException {
         layout = Layout.of(disk.list());
         if (purpose == Purpose.READ_WRITE) {
@@ -64,7 +68,7 @@
         }
         List<DiskFile> files = new ArrayList<>();
         try {
-            open(files, random);
+            openSegments(files, random);
         } catch (IOException | RuntimeException e) {
             for (DiskFile file : files) {
                 file.close();
@@ -73,7 +77,7 @@
         }
     }
 
-    private void open(List<DiskFile> files, LongSupplier random) throws IOException {
+    private void openSegments(List<DiskFile> files, LongSupplier random) throws IOException {
         Long seed = null;
         for (SegmentName name : layout.chain()) {
             DiskFile file = disk.open(name.toString());
@@ -85,58 +89,59 @@
             seed = header != null ? Long.valueOf(header.getSeed()) : seed;
         }
         for (String name : layout.checkpoints()) {
-            SegmentCatalog fresh = catalog(seed != null ? seed : Checkpoints.seedOf(disk, name, random), files);
-            checkpoint = Checkpoints.load(disk, name, fresh);
+            SegmentCatalog newCatalog =
+                    createCatalog(seed != null ? seed : Checkpoints.seedOf(disk, name, random), files);
+            checkpoint = Checkpoints.load(disk, name, newCatalog);
             if (checkpoint == null) {
                 log.warn("store_checkpoint_unusable", "file", name);
             } else if (purpose == Purpose.VERIFY) {
                 checkpoint = null;
             } else {
-                catalog = fresh;
+                catalog = newCatalog;
                 break;
             }
         }
         if (catalog == null) {
-            catalog = catalog(seed != null ? seed : random.getAsLong(), files);
+            catalog = createCatalog(seed != null ? seed : random.getAsLong(), files);
         }
         replay();
         countLiveBytes();
         if (newest != null && purpose == Purpose.READ_WRITE) {
-            newest.file().sync(); // a reader may see it from now on, and its seal is trusted
+            newest.file().sync(); // readers may see its records, and its seal is trusted from now on
         }
     }
 
-    private SegmentCatalog catalog(long seed, List<DiskFile> files) throws IOException {
-        SegmentCatalog fresh = new SegmentCatalog(seed);
+    private SegmentCatalog createCatalog(long seed, List<DiskFile> files) throws IOException {
+        SegmentCatalog newCatalog = new SegmentCatalog(seed);
         for (int i = 0; i < files.size(); i++) {
-            fresh.append(new Segment(
-                    fresh.newId(),
+            newCatalog.append(new Segment(
+                    newCatalog.newId(),
                     layout.chain().get(i),
                     files.get(i),
                     files.get(i).size()));
         }
-        return fresh;
+        return newCatalog;
     }
 
     private void replay() throws IOException {
         List<Segment> chain = catalog.chain();
         int last = chain.size() - 1;
         while (last >= 0 && hasNoAcknowledgedGroup(chain.get(last))) {
-            Segment one = chain.get(last--);
-            if (one.validBytes() > FileHeader.HEADER_BYTES) {
+            Segment unused = chain.get(last--);
+            if (unused.validBytes() > FileHeader.HEADER_BYTES) {
                 log.warn(
                         "store_torn_tail",
                         "file",
-                        one.name(),
+                        unused.name(),
                         "at",
                         FileHeader.HEADER_BYTES,
                         "bytes",
-                        one.validBytes() - FileHeader.HEADER_BYTES);
-                cutBytes += one.validBytes() - FileHeader.HEADER_BYTES;
+                        unused.validBytes() - FileHeader.HEADER_BYTES);
+                cutBytes += unused.validBytes() - FileHeader.HEADER_BYTES;
             }
-            one.setCutOffset(0);
-            one.setValidBytes(0);
-            pendingCuts.put(one.name().first(), 0);
+            unused.setCutOffset(0);
+            unused.setValidBytes(0);
+            pendingCuts.put(unused.name().first(), 0);
             emptySegments++;
         }
         collectCuts(last);
@@ -153,20 +158,20 @@
         }
     }
 
-    /** Whether nothing in it was ever acknowledged: the file is there, and its first group is not. */
+    /** Returns whether no write of a segment was ever acknowledged, because its first group is incomplete. */
     private boolean hasNoAcknowledgedGroup(Segment segment) throws IOException {
         if (!segment.name().isOriginal() || checkpoint != null && checkpoint.covers(segment.name())) {
             return false;
         }
         SegmentScan scan = new SegmentScan(segment.file(), segment.name(), 0, SegmentScan.NO_CUT, true);
-        SegmentScan.Step step = scan.nextOffset();
+        SegmentScan.Step step = scan.advance();
         while (step == SegmentScan.Step.GROUP) {
-            step = scan.nextOffset();
+            step = scan.advance();
         }
         return step == SegmentScan.Step.END && !scan.sealed();
     }
 
-    /** The end of a segment without a seal is recorded in the first group of a later segment. */
+    /** Reads where segments without a seal end, which is recorded in the first group of a later segment. */
     private void collectCuts(int last) throws IOException {
         for (int i = 0; i <= last; i++) {
             Segment segment = catalog.chain().get(i);
@@ -174,23 +179,23 @@
                 continue;
             }
             SegmentScan scan = new SegmentScan(segment.file(), segment.name(), 0, SegmentScan.NO_CUT, true);
-            SegmentScan.Step step = scan.nextOffset();
+            SegmentScan.Step step = scan.advance();
             while (step == SegmentScan.Step.GROUP
                     || step == SegmentScan.Step.RECORD && scan.record().getKind() == Format.Record.Kind.CUT) {
                 if (step == SegmentScan.Step.RECORD) {
                     scan.record().getCutsList().forEach(cut -> cuts.put(cut.getSegment(), cut.getLength()));
                 }
-                step = scan.nextOffset();
+                step = scan.advance();
             }
         }
     }
 
     private void replay(Segment segment, boolean isNewest) throws IOException {
         long from = 0;
-        boolean again = false;
+        boolean hasStaleEntries = false;
         if (checkpoint != null) {
             Checkpoints.KnownSegment known = checkpoint.known(segment.name());
-            again = checkpoint.isStale(segment);
+            hasStaleEntries = checkpoint.isStale(segment);
             if (known != null) {
                 segment.setRecords(known.records(), known.latestExpiryMs());
                 segment.setCutOffset(known.cut());
@@ -200,19 +205,19 @@
                         segment.cutOffset() == SegmentScan.NO_CUT ? segment.validBytes() : segment.cutOffset());
                 return;
             }
-            from = known != null && !again ? checkpoint.offset() : 0;
+            from = known != null && !hasStaleEntries ? checkpoint.offset() : 0;
         }
         Integer cut = segment.name().isOriginal() ? cuts.get(segment.name().first()) : null;
         if (cut != null && !isNewest) {
             segment.setCutOffset(cut);
         }
         SegmentScan scan = new SegmentScan(segment.file(), segment.name(), from, segment.cutOffset(), isNewest);
-        for (SegmentScan.Step step = scan.nextOffset(); step != SegmentScan.Step.END; step = scan.nextOffset()) {
+        for (SegmentScan.Step step = scan.advance(); step != SegmentScan.Step.END; step = scan.advance()) {
             if (step == SegmentScan.Step.RECORD) {
                 replayed++;
-                apply(segment, scan, again);
+                apply(segment, scan, hasStaleEntries);
             } else if (step == SegmentScan.Step.DAMAGE) {
-                damage(segment, scan);
+                recordDamage(segment, scan);
             }
         }
         readBytes += scan.bytesRead();
@@ -238,7 +243,7 @@
         }
     }
 
-    private void damage(Segment segment, SegmentScan scan) {
+    private void recordDamage(Segment segment, SegmentScan scan) {
         damages++;
         segment.markDamaged();
         log.error(
@@ -259,23 +264,25 @@
                 offset);
     }
 
-    private void apply(Segment segment, SegmentScan scan, boolean again) throws IOException {
+    private void apply(Segment segment, SegmentScan scan, boolean hasStaleEntries) throws IOException {
         Format.Record record = scan.record();
-        long at = Index.location(segment.id(), (int) scan.offset());
+        long recordLocation = Index.location(segment.id(), (int) scan.offset());
         switch (record.getKind()) {
             case PUT -> {
                 segment.countRecord(record.getExpiresMs());
                 long hash = catalog.hash(scan);
-                boolean living = !SegmentCatalog.hasExpired(record.getExpiresMs(), nowMillis);
+                boolean isLive = !SegmentCatalog.hasExpired(record.getExpiresMs(), nowMillis);
                 int expiry = SegmentCatalog.expirySeconds(record.getExpiresMs());
-                if (again && checkpoint.repoint(catalog.index(), segment, hash, at, scan.frameBytes(), expiry)) {
+                if (hasStaleEntries
+                        && checkpoint.repoint(
+                                catalog.index(), segment, hash, recordLocation, scan.frameBytes(), expiry)) {
                     return;
                 }
-                if (!(again && checkpoint.precedesCheckpoint(segment.name()))) {
-                    put(hash, record.getKey().toByteArray(), at, scan.frameBytes(), expiry, living);
+                if (!(hasStaleEntries && checkpoint.precedesCheckpoint(segment.name()))) {
+                    applyWrite(hash, record.getKey().toByteArray(), recordLocation, scan.frameBytes(), expiry, isLive);
                 }
             }
-            case DELETE -> put(catalog.hash(scan), record.getKey().toByteArray(), at, 0, 0, false);
+            case DELETE -> applyWrite(catalog.hash(scan), record.getKey().toByteArray(), recordLocation, 0, 0, false);
             case DOUBT -> {
                 Format.Doubt loss = record.getDoubt();
                 if (!SegmentCatalog.hasExpired(loss.getUntilMs(), nowMillis)) {
@@ -285,7 +292,7 @@
                             hashes,
                             loss.getAll(),
                             loss.getUntilMs(),
-                            at,
+                            recordLocation,
                             segment.name().first(),
                             (int) scan.offset());
                 }
@@ -294,31 +301,33 @@
         }
     }
 
-    /** A write of a key: replaces an older entry, and is ignored if there is a newer one. */
-    private void put(long hash, byte[] key, long at, int length, int expiry, boolean living) throws IOException {
-        long there = 0;
-        List<long[]> found = new ArrayList<>(1);
-        catalog.index().find(hash, (h, place, size, e) -> found.add(new long[] {place, size}));
-        for (long[] one : found) {
-            if (catalog.byId(Index.file(one[0])) != null && catalog.hasKey(one[0], (int) one[1], key)) {
-                if (!catalog.isBefore(one[0], at)) {
+    /** Applies a write of a key: it replaces an older entry, and is ignored if there is a newer entry. */
+    private void applyWrite(long hash, byte[] key, long recordLocation, int length, int expiry, boolean isLive)
+            throws IOException {
+        long existing = 0;
+        List<long[]> candidates = new ArrayList<>(1);
+        catalog.index().find(hash, (h, location, size, e) -> candidates.add(new long[] {location, size}));
+        for (long[] candidate : candidates) {
+            if (catalog.byId(Index.file(candidate[0])) != null
+                    && catalog.hasKey(candidate[0], (int) candidate[1], key)) {
+                if (!catalog.isBefore(candidate[0], recordLocation)) {
                     return;
                 }
-                there = one[0];
+                existing = candidate[0];
             }
         }
-        if (there != 0 && living) {
-            catalog.index().move(hash, there, at, length, expiry);
-        } else if (there != 0) {
-            catalog.index().remove(hash, there);
-        } else if (living) {
-            catalog.index().add(hash, at, length, expiry);
+        if (existing != 0 && isLive) {
+            catalog.index().move(hash, existing, recordLocation, length, expiry);
+        } else if (existing != 0) {
+            catalog.index().remove(hash, existing);
+        } else if (isLive) {
+            catalog.index().add(hash, recordLocation, length, expiry);
         }
     }
 
     private void countLiveBytes() {
         for (int table = 0; table < Index.TABLES; table++) {
-            catalog.index().copy(table, (hash, at, length, expiry) -> catalog.addLiveBytes(at, length));
+            catalog.index().copy(table, (hash, location, length, expiry) -> catalog.addLiveBytes(location, length));
         }
     }
 
@@ -330,17 +339,17 @@
         return layout;
     }
 
-    /** The cuts that the next group has to record. */
+    /** Returns the cuts that the next group must record, as number and length in bytes of the segment. */
     TreeMap<Integer, Integer> pendingCuts() {
         return pendingCuts;
     }
 
-    /** Files in which something is lost. */
+    /** Returns the segments in which records were lost to damage. */
     List<Segment> damaged() {
-        return catalog.chain().stream().filter(one -> one.isDamaged()).toList();
+        return catalog.chain().stream().filter(segment -> segment.isDamaged()).toList();
     }
 
-    /** What was done, for the log and the tools. */
+    /** Returns a summary for the log and the tools. */
     Report report() {
         return new Report(
                 catalog.chain().size(),
@@ -354,11 +363,14 @@
     }
 
     /**
-     * @param keys that are held now
-     * @param replayedRecords of the log, behind the checkpoint
-     * @param cutBytes that were never acknowledged
-     * @param damages places where something was lost
-     * @param emptySegments segments that were created and hold no acknowledged group
+     * The summary of a recovery.
+     *
+     * @param keys the number of keys in the index
+     * @param replayedRecords the records replayed from the log after the checkpoint
+     * @param readBytes the bytes of the log that were read
+     * @param cutBytes the bytes of torn writes, which were never acknowledged
+     * @param damages the number of places at which records were lost
+     * @param emptySegments the segments that contain no acknowledged group
      */
     record Report(
             int segments,
--- a/server/src/main/java/wheatspread/store/Segment.java
+++ b/server/src/main/java/wheatspread/store/Segment.java
@@ -4,18 +4,15 @@
 import wheatspread.disk.DiskFile;
 
 /**
- * A file of the log and what is known of it.
+ * A file of the log with its metadata.
  *
- * <p>Owner: the writer's thread (while the folder is opened: the thread that opens it), which alone calls the
- * methods that change
- * the counters. Any thread may {@link #acquire} and {@link #release} the file; those and {@link #retire} hold the
- * object's lock.
- * Closing: the owner retires a segment, and the file is closed with the last reader's release. Invariant: a file
- * that is acquired
- * is open.
+ * <p>Owner: the writer thread, or during recovery the thread that opens the store. Only the owner calls the methods
+ * that change the counters. Any thread may {@link #acquire} and {@link #release} the file; those methods and {@link
+ * #retire} hold the object's lock. The owner retires a segment, and the file is closed with the release of the last
+ * reader. Invariant: an acquired file is open.
  */
 final class Segment {
-    /** A {@link #latestExpiryMillis} of this value: some record never expires. */
+    /** The value of {@link #latestExpiryMillis} if some record never expires. */
     static final long NEVER_EXPIRES_MILLIS = Long.MAX_VALUE;
 
     private final int id;
@@ -37,7 +34,7 @@
         this.validBytes = validBytes;
     }
 
-    /** The number by which index entries refer to this segment; unique while the store is open, 1 or more. */
+    /** Returns the number by which index entries refer to this segment: 1 or more, unique while the store is open. */
     int id() {
         return id;
     }
@@ -50,7 +47,7 @@
         return file;
     }
 
-    /** The offset at which a later segment says that this one ends, or {@link SegmentScan#NO_CUT}. */
+    /** Returns the offset at which this segment ends according to a later one, or {@link SegmentScan#NO_CUT}. */
     int cutOffset() {
         return cutOffset;
     }
@@ -60,7 +57,7 @@
         cutOffset = offset;
     }
 
-    /** The length of the part that counts; bytes behind it were never acknowledged. */
+    /** Returns the length of the valid part; bytes after it were never acknowledged. */
     long validBytes() {
         return validBytes;
     }
@@ -70,36 +67,36 @@
         validBytes = bytes;
     }
 
-    /** Bytes of the records that index entries point to, with their hashes in the group frames. */
+    /** Returns the bytes of records that index entries point to, including their hashes in the group frames. */
     long liveBytes() {
         return liveBytes;
     }
 
-    /** Changes {@link #liveBytes()} by a number that may be negative. */
+    /** Adds to {@link #liveBytes()}; {@code bytes} may be negative. */
     void addLiveBytes(long bytes) {
         liveBytes += bytes;
     }
 
-    /** Records that were written to the file, whether or not they are still current. */
+    /** Returns the number of records written to the file, including replaced ones. */
     long recordCount() {
         return recordCount;
     }
 
     /**
-     * When the last of all its records expires, in milliseconds since 1970, replaced ones included; 0 if it has
-     * none.
+     * Returns the latest expiry of its records, including replaced ones, in milliseconds since 1970; 0 if it has no
+     * records.
      */
     long latestExpiryMillis() {
         return latestExpiryMillis;
     }
 
-    /** Sets what a checkpoint or a compaction knows of the records. */
+    /** Sets the record count and the latest expiry, as a checkpoint or a compaction determined them. */
     void setRecords(long count, long latestExpiry) {
         recordCount = count;
         latestExpiryMillis = latestExpiry;
     }
 
-    /** Counts a record that was written; 0 for {@code expiresMillis} is never. */
+    /** Counts a written record; {@code expiresMillis} is 0 if it never expires. */
     void countRecord(long expiresMillis) {
         recordCount++;
         latestExpiryMillis = Math.max(latestExpiryMillis, expiresMillis == 0 ? NEVER_EXPIRES_MILLIS : expiresMillis);
@@ -110,12 +107,12 @@
         recordCount++;
     }
 
-    /** Whether all of its records have expired. */
+    /** Returns whether all of its records have expired. */
     boolean isExpired(long nowMillis) {
         return latestExpiryMillis <= nowMillis;
     }
 
-    /** Whether damage was found in it; such a file is kept under another name once it has been rewritten. */
+    /** Returns whether damage was found; such a file is renamed, not deleted, after its compaction. */
     boolean isDamaged() {
         return damaged;
     }
@@ -124,7 +121,7 @@
         damaged = true;
     }
 
-    /** Keeps the file open until it is released; false if it is closed already. */
+    /** Keeps the file open until {@link #release}; returns false if the segment is retired. */
     synchronized boolean acquire() {
         if (retired) {
             return false;
@@ -141,7 +138,7 @@
         }
     }
 
-    /** Closes the file as soon as no reader holds it open. */
+    /** Closes the file as soon as no reader has acquired it. */
     synchronized void retire() throws IOException {
         if (!retired) {
             retired = true;
--- a/server/src/main/java/wheatspread/store/SegmentCatalog.java
+++ b/server/src/main/java/wheatspread/store/SegmentCatalog.java
@@ -12,9 +12,9 @@
 import org.agrona.collections.LongArrayList;
 
 /**
- * The segments of the log in their order, the index over them, and the suspected losses. The writer's thread
- * changes it; what other threads read is guarded by the lock of {@link #index()}. The owner of the store closes
- * the segments. Invariant: the segments of the chain are disjoint and in the order of their numbers.
+ * Contains the segments of the log in order, the index over them, and the suspected losses. Only the writer thread
+ * changes it; state that other threads read is guarded by the lock of {@link #index()}. The owner of the store
+ * closes the segments. Invariant: the segments of the chain do not overlap and are ordered by their numbers.
  */
 final class SegmentCatalog {
     private final Index index = new Index();
@@ -30,28 +30,28 @@
         hasher = Hashing.polymurHash2_0(seed, seed ^ 0x9E3779B97F4A7C15L);
     }
 
-    /** The index; its lock also guards the chain and the suspected losses. */
+    /** Returns the index, whose lock also guards the chain and the suspected losses. */
     Index index() {
         return index;
     }
 
-    /** For threads that hold the lock of {@link #index()}. */
+    /** Returns the suspected losses; the caller must hold the lock of {@link #index()}. */
     SuspectedLosses suspectedLosses() {
         return suspectedLosses;
     }
 
-    /** The seed of the key hash, the same in all files of a store. */
+    /** Returns the seed of the key hash, which is the same in all files of a store. */
     long seed() {
         return seed;
     }
 
-    /** Never 0, which stands for none. */
+    /** Returns the hash of a key; never 0, which stands for no key. */
     long hash(byte[] key) {
         long hash = hasher.hashBytesToLong(key);
         return hash == 0 ? 1 : hash;
     }
 
-    /** The hash of a scanned record's key: from its group's frame, or computed if that frame is lost. */
+    /** Returns the hash of a scanned record's key: from the group frame, or computed if that frame is lost. */
     long hash(SegmentScan scan) {
         return scan.hash() != 0 ? scan.hash() : hash(scan.record().getKey().toByteArray());
     }
@@ -60,19 +60,19 @@
         return ++lastId;
     }
 
-    /** The files in the log's order; for the one thread that changes them. */
+    /** Returns the segments in log order; only for the thread that changes them. */
     List<Segment> chain() {
         return chain;
     }
 
-    /** The same for other threads. */
+    /** Returns a copy of the chain; for any thread. */
     List<Segment> snapshot() {
         synchronized (index) {
             return List.copyOf(chain);
         }
     }
 
-    /** The segment with an id; null if there is none. */
+    /** Returns the segment with an id, or null if there is none. */
     Segment byId(int id) {
         return byId.get(id);
     }
@@ -84,20 +84,20 @@
         }
     }
 
-    /** Registers a segment that entries may point to, before it is part of the chain. */
+    /** Registers a segment, so that entries can point to it before it is part of the chain. */
     void register(Segment segment) {
         synchronized (index) {
             byId.put(segment.id(), segment);
         }
     }
 
-    /** Puts one file in the place of a run of others, which no entry points to any more. */
-    void replace(List<Segment> run, Segment by) {
+    /** Replaces a run of segments, to which no entry points any more, by a compacted segment. */
+    void replace(List<Segment> run, Segment replacement) {
         synchronized (index) {
-            int place = chain.indexOf(run.get(0));
-            chain.subList(place, place + run.size()).clear();
-            chain.add(place, by);
-            run.forEach(one -> byId.remove(one.id()));
+            int position = chain.indexOf(run.get(0));
+            chain.subList(position, position + run.size()).clear();
+            chain.add(position, replacement);
+            run.forEach(segment -> byId.remove(segment.id()));
         }
     }
 
@@ -110,82 +110,84 @@
 
     long usedBytes() {
         long used = 0;
-        for (Segment one : chain) {
-            used += one.validBytes();
+        for (Segment segment : chain) {
+            used += segment.validBytes();
         }
         return used;
     }
 
     long liveBytes() {
         long live = 0;
-        for (Segment one : chain) {
-            live += one.liveBytes();
+        for (Segment segment : chain) {
+            live += segment.liveBytes();
         }
         return live;
     }
 
     /** Counts the bytes of an entry as live in its segment. */
-    void addLiveBytes(long at, long length) {
-        Segment segment = byId.get(Index.file(at));
+    void addLiveBytes(long location, long length) {
+        Segment segment = byId.get(Index.file(location));
         if (segment != null) {
             segment.addLiveBytes(liveBytesOf(length));
         }
     }
 
-    /** An entry is gone from a file. */
-    void subtractLiveBytes(long at, long length) {
-        Segment segment = byId.get(Index.file(at));
+    /** Subtracts the bytes of an entry from the live bytes of its segment. */
+    void subtractLiveBytes(long location, long length) {
+        Segment segment = byId.get(Index.file(location));
         if (segment != null) {
             segment.addLiveBytes(-liveBytesOf(length));
         }
     }
 
-    /** The bytes of a record, with its hash in the group's frame. */
+    /** Returns the bytes of a record frame plus its hash in the group frame. */
     static long liveBytesOf(long length) {
         return length + Long.BYTES;
     }
 
-    /** Whether one place of the log is before another; both in files that are known. */
-    boolean isBefore(long at, long other) {
-        return SuspectedLosses.compare(
-                        byId.get(Index.file(at)).name().first(),
-                        Index.offset(at),
+    /** Returns whether a log location precedes another; the segments of both must be registered. */
+    boolean isBefore(long location, long other) {
+        return SuspectedLosses.compareLocations(
+                        byId.get(Index.file(location)).name().first(),
+                        Index.offset(location),
                         byId.get(Index.file(other)).name().first(),
                         Index.offset(other))
                 < 0;
     }
 
     /**
-     * Takes it that newer writes of some keys, or of any key, stood at a place of the log.
+     * Records that newer writes of some keys, or of any key, may have been lost.
      *
-     * @param at up to there entries of the known keys go
-     * @param segment where the loss is, with {@code offset}
+     * @param hashes the hashes of the lost keys, whose entries up to {@code location} are removed
+     * @param allKeys whether writes of unknown keys were lost as well
+     * @param untilMillis when all lost writes will have expired; 0 if they never expire
+     * @param segment the number of the segment of the loss, which is at {@code offset} in it
      */
-    void recordLoss(LongArrayList hashes, boolean all, long untilMillis, long at, int segment, int offset) {
+    void recordLoss(LongArrayList hashes, boolean allKeys, long untilMillis, long location, int segment, int offset) {
         for (int i = 0; i < hashes.size(); i++) {
-            removeEntriesUpTo(hashes.getLong(i), at);
+            removeEntriesUpTo(hashes.getLong(i), location);
         }
-        suspectedLosses.addLosses(hashes, all, untilMillis, segment, offset);
+        suspectedLosses.addLosses(hashes, allKeys, untilMillis, segment, offset);
     }
 
-    /** Removes the entries of a hash that are at or before a location of the log. */
-    private void removeEntriesUpTo(long hash, long at) {
+    /** Removes the entries of a hash at or before a log location. */
+    private void removeEntriesUpTo(long hash, long location) {
         LongArrayList older = new LongArrayList(2, 0);
-        index.find(hash, (h, place, length, expiry) -> {
-            if (byId(Index.file(place)) == null || isBefore(place, at) || place == at) {
-                older.addLong(place);
-                subtractLiveBytes(place, length);
+        index.find(hash, (h, entry, length, expiry) -> {
+            if (byId(Index.file(entry)) == null || isBefore(entry, location) || entry == location) {
+                older.addLong(entry);
+                subtractLiveBytes(entry, length);
             }
         });
-        older.forEachOrderedLong(place -> index.remove(hash, place));
+        older.forEachOrderedLong(entry -> index.remove(hash, entry));
     }
 
-    /** Whether nothing that stands before this number can come back to life. */
+    /** Returns whether all records of segments before a number have expired, so that none can become live again. */
     boolean isExpiredBefore(int number, long nowMillis) {
-        return chain.stream().allMatch(one -> one.name().first() >= number || one.isExpired(nowMillis));
+        return chain.stream().allMatch(segment -> segment.name().first() >= number || segment.isExpired(nowMillis));
     }
 
-    /** The record at a place, or null if it is damaged. */
+    /** Reads the record at an offset; returns null if it is damaged. */
     static Format.Record read(Segment segment, int offset, int length) throws IOException {
         ByteBuffer bytes = ByteBuffer.allocate(length);
         segment.file().read(bytes, Integer.toUnsignedLong(offset));
@@ -201,12 +203,12 @@
     }
 
     /**
-     * Whether the key of an entry is this one. A damaged record counts as such: whatever its key was, its
-     * value is gone.
+     * Returns whether an entry has a key. A damaged record is treated as a match, because its value is lost
+     * whatever its key was.
      */
-    boolean hasKey(long at, int length, byte[] key) throws IOException {
-        Format.Record there = read(byId.get(Index.file(at)), Index.offset(at), length);
-        return there == null || isKey(there, key);
+    boolean hasKey(long location, int length, byte[] key) throws IOException {
+        Format.Record record = read(byId.get(Index.file(location)), Index.offset(location), length);
+        return record == null || isKey(record, key);
     }
 
     static boolean isKey(Format.Record record, byte[] key) {
@@ -214,12 +216,12 @@
                 && record.getKey().asReadOnlyByteBuffer().equals(ByteBuffer.wrap(key));
     }
 
-    /** Whether a time has passed; 0 is never. */
+    /** Returns whether a time has passed; 0 stands for never. */
     static boolean hasExpired(long untilMillis, long nowMillis) {
         return untilMillis != 0 && untilMillis <= nowMillis;
     }
 
-    /** Seconds since 1970 when something has expired for sure; 0 for never. */
+    /** Returns the expiry in seconds since 1970, rounded up; 0 stands for never. */
     static int expirySeconds(long expiresMs) {
         return expiresMs == 0 ? 0 : (int) Math.min(0xFFFF_FFFFL, expiresMs / 1000 + 1);
     }
--- a/server/src/main/java/wheatspread/store/SegmentScan.java
+++ b/server/src/main/java/wheatspread/store/SegmentScan.java
@@ -7,49 +7,52 @@
 import wheatspread.disk.DiskFile;
 
 /**
- * Reads one segment from an offset to its end, step by step, and distinguishes a torn write from damage. Each
- * group states up to which offset the file was synced when the group was written: a bad frame before that
- * offset is damage to an acknowledged write; a bad frame behind it is a torn write that was never acknowledged.
+ * Reads a segment step by step from an offset to its end, and distinguishes a torn write from damage. Each
+ * group states up to which offset the file was synced when the group was written: an invalid frame before that
+ * offset is damage to an acknowledged write; an invalid frame after it is a torn write that was never acknowledged.
  *
- * <p>For one thread. It does not own the file and does not close it.
+ * <p>Not thread-safe. Does not own the file and does not close it.
  */
 final class SegmentScan {
-    /** What the next step found; the fields are set accordingly. */
+    /** The result of {@link #advance}; the accessors return its details. */
     enum Step {
         /** A group starts at {@link #offset()}. */
         GROUP,
         /**
-         * {@link #record()} with {@link #hash()} stands at {@link #offset()}, a frame of {@link #frameBytes()}
+         * A record at {@link #offset()}: {@link #record()} with {@link #hash()} in a frame of {@link #frameBytes()}
          * bytes.
          */
         RECORD,
-        /** Records with {@link #lostHashes()} hashes, or any if {@link #lostAll()}, stood from {@link #offset()} on. */
+        /** Damage at {@link #offset()}: lost records of {@link #lostHashes()}, or of any key if {@link #lostAll()}. */
         DAMAGE,
-        /** Nothing follows; {@link #end()} states how it ends. */
+        /** The end of the segment; {@link #end()} states how it ends. */
         END
     }
 
     /** How a segment ends. */
     enum End {
-        /** With its seal: it is complete. */
+        /** With its seal; the segment is complete. */
         SEALED,
         /** At the offset that a later segment states. */
         CUT,
         /** After a complete group, without a seal. */
         UNSEALED,
-        /** Within a write that was never acknowledged, from {@link SegmentScan#offset()} on. */
+        /** Within a write that was never acknowledged, which starts at {@link SegmentScan#offset()}. */
         TORN,
-        /** It was never used: its header is incomplete, and nothing follows it. */
+        /** The segment was never used: its header is incomplete. */
         EMPTY
     }
 
-    /** No later segment states where this one ends. */
+    /** The cut of a segment whose end no later segment states. */
     static final int NO_CUT = -1;
 
     private static final int SEAL_BYTES = GroupEncoder.seal(1, 1).remaining();
-    /** A seal holds nothing that could be lost: with so many wrong bits it can still be nothing else. */
+    /**
+     * The maximum number of wrong bits in an accepted seal. A seal contains no data that could be lost, and other bytes
+     * do not match it this closely.
+     */
     private static final int MAX_WRONG_SEAL_BITS = 8;
-    /** Bytes between the start of a group's frame and its mark: head, kind, tag and length, tag. */
+    /** A lower bound of the length of a group's frame: header, kind, tag and length, and tagged fields. */
     private static final int MIN_GROUP_FRAME_BYTES = RecordFraming.HEADER_BYTES + 25;
 
     private final DiskFile file;
@@ -76,12 +79,12 @@
     private End end;
 
     /**
-     * Begins.
+     * Reads the header and checks whether the segment is sealed.
      *
-     * @param from the start of a group, or 0
-     * @param cut where the segment ends according to a later one, or {@link #NO_CUT}
-     * @param newest whether no segment is behind this one: only then can its end be torn
-     * @throws StoreException if the file's version is unknown or its name is another file's
+     * @param from the offset of a group at which to start, or 0
+     * @param cut the offset at which the segment ends according to a later segment, or {@link #NO_CUT}
+     * @param newest whether this is the last segment of the log; only then can its end be torn
+     * @throws StoreException if the format version is not supported or the header names another file
      */
     SegmentScan(DiskFile file, SegmentName name, long from, int cut, boolean newest) throws IOException {
         this.file = file;
@@ -92,11 +95,11 @@
         sealed = header != null && !this.cut && isSealed(size);
         long limit = sealed ? size - SEAL_BYTES : this.cut ? Math.min(cut, size) : size;
         window = new ReadWindow(file, limit);
-        // a rewritten file is synced before it has its name
+        // a compacted segment is synced before it is renamed to its final name
         durable = sealed || this.cut || !newest || !name.isOriginal();
         nextOffset = Math.max(from, FileHeader.HEADER_BYTES);
         groupEnd = nextOffset;
-        tailLost = this.cut && size < cut; // acknowledged once, and not there
+        tailLost = this.cut && size < cut; // acknowledged bytes are missing
         if (header == null && cut != 0) {
             ended = true;
             end = End.EMPTY;
@@ -105,7 +108,7 @@
         }
     }
 
-    /** Bytes read so far. */
+    /** Returns the bytes read so far. */
     long bytesRead() {
         return window.bytesRead();
     }
@@ -129,13 +132,13 @@
         return wrong <= MAX_WRONG_SEAL_BITS;
     }
 
-    /** Advances to the next group, record, damage or end; after END it returns END again. */
-    Step nextOffset() throws IOException {
+    /** Advances to the next group, record, damage or end; after END, returns END again. */
+    Step advance() throws IOException {
         if (ended) {
             return endOrLoss();
         }
         if (nextOffset >= window.endOffset()) {
-            return atEnd();
+            return reachEnd();
         }
         Format.Record found = readFrame(nextOffset);
         if (nextOffset < groupEnd) {
@@ -143,48 +146,48 @@
                             && (found.getKind() != Format.Record.Kind.GROUP)
                             && nextOffset + frameBytes <= groupEnd
                             && (!hashesKnown || recordIndex < hashes.size())
-                    ? recordStep(found)
-                    : badRecord();
+                    ? acceptRecord(found)
+                    : skipBadRecord();
         }
-        return found != null && isGroup(found, nextOffset) ? groupStep(found) : badGroup();
+        return found != null && isGroup(found, nextOffset) ? acceptGroup(found) : skipBadGroup();
     }
 
-    /** The offset in the file of what the last step found. */
+    /** Returns the offset in the file of the last result. */
     long offset() {
         return offset;
     }
 
-    /** The length of the frame that the last step found. */
+    /** Returns the length of the frame that the last step found. */
     int frameBytes() {
         return frameBytes;
     }
 
-    /** The hash of the found record's key; 0 if its group's list of hashes is lost or it has no key. */
+    /** Returns the hash of the record's key; 0 if the group's list of hashes is lost or the record has no key. */
     long hash() {
         return hash;
     }
 
-    /** The record that the last step found. */
+    /** Returns the record that the last step found. */
     Format.Record record() {
         return record;
     }
 
-    /** The hashes of the lost records' keys; changed by the next step. */
+    /** Returns the hashes of the lost records' keys; the next step overwrites the list. */
     LongArrayList lostHashes() {
         return lostHashes;
     }
 
-    /** Whether records of keys that are not known were lost. */
+    /** Returns whether records of unknown keys were lost. */
     boolean lostAll() {
         return lostAll;
     }
 
-    /** How the segment ends; null before {@link Step#END}. */
+    /** Returns how the segment ends; null before {@link Step#END}. */
     End end() {
         return end;
     }
 
-    private Step recordStep(Format.Record found) {
+    private Step acceptRecord(Format.Record found) {
         offset = nextOffset;
         record = found;
         hash = hashesKnown ? hashes.getLong(recordIndex) : 0;
@@ -193,7 +196,7 @@
         return Step.RECORD;
     }
 
-    private Step groupStep(Format.Record found) {
+    private Step acceptGroup(Format.Record found) {
         offset = nextOffset;
         hashes = new LongArrayList();
         found.getGroup().getHashesList().forEach(hashes::addLong);
@@ -204,13 +207,13 @@
         return Step.GROUP;
     }
 
-    private Step atEnd() {
+    private Step reachEnd() {
         ended = true;
         offset = window.endOffset();
-        boolean within = nextOffset < groupEnd && !cut;
-        end = sealed ? End.SEALED : cut ? End.CUT : within && !durable ? End.TORN : End.UNSEALED;
-        if (!cut && durable && (within || !sealed)) {
-            tailLost = true; // the rest of the file is gone
+        boolean endsWithinGroup = nextOffset < groupEnd && !cut;
+        end = sealed ? End.SEALED : cut ? End.CUT : endsWithinGroup && !durable ? End.TORN : End.UNSEALED;
+        if (!cut && durable && (endsWithinGroup || !sealed)) {
+            tailLost = true; // the end of the file is missing
         }
         return endOrLoss();
     }
@@ -222,26 +225,26 @@
         return lostAll ? Step.DAMAGE : Step.END;
     }
 
-    /** A bad frame within a group: what follows may be complete. */
-    private Step badRecord() throws IOException {
+    /** Handles an invalid frame within a group; the frames after it may be intact. */
+    private Step skipBadRecord() throws IOException {
         if (!wasDurable(nextOffset)) {
-            return torn();
+            return endTorn();
         }
         lostHashes.clear();
         lostAll = !hashesKnown;
         offset = nextOffset;
         ByteBuffer head = window.bytesAt(nextOffset, RecordFraming.HEADER_BYTES);
         int bodyLength = head.remaining() < RecordFraming.HEADER_BYTES ? -1 : head.getInt(0);
-        long behind = nextOffset + RecordFraming.HEADER_BYTES + bodyLength;
-        boolean lengthHolds = bodyLength >= 0
+        long nextFrame = nextOffset + RecordFraming.HEADER_BYTES + bodyLength;
+        boolean isLengthValid = bodyLength >= 0
                 && bodyLength <= RecordFraming.MAX_BODY_BYTES
-                && behind <= groupEnd
-                && (behind == groupEnd && recordIndex == hashes.size() - 1
-                        || behind < groupEnd && readFrame(behind) != null);
-        if (hashesKnown && lengthHolds && recordIndex < hashes.size()) {
+                && nextFrame <= groupEnd
+                && (nextFrame == groupEnd && recordIndex == hashes.size() - 1
+                        || nextFrame < groupEnd && readFrame(nextFrame) != null);
+        if (hashesKnown && isLengthValid && recordIndex < hashes.size()) {
             lostHashes.addLong(hashes.getLong(recordIndex));
             recordIndex++;
-            nextOffset = behind;
+            nextOffset = nextFrame;
             return Step.DAMAGE;
         }
         for (; hashesKnown && recordIndex < hashes.size(); recordIndex++) {
@@ -253,12 +256,12 @@
     }
 
     /**
-     * The frame that describes a group is bad: its records may be complete, but their number and hashes are
-     * unknown.
+     * Handles an invalid descriptor frame of a group: the records of the group may be intact, but their number and
+     * hashes are unknown.
      */
-    private Step badGroup() throws IOException {
+    private Step skipBadGroup() throws IOException {
         if (!wasDurable(nextOffset)) {
-            return torn();
+            return endTorn();
         }
         offset = nextOffset;
         lostHashes.clear();
@@ -273,7 +276,7 @@
             nextOffset = first;
             groupEnd = until;
             hashesKnown = false;
-            return nextOffset();
+            return advance();
         }
         lostAll = true;
         nextOffset = until;
@@ -281,78 +284,80 @@
         return Step.DAMAGE;
     }
 
-    private Step torn() {
+    private Step endTorn() {
         ended = true;
         end = End.TORN;
         offset = nextOffset;
         return Step.END;
     }
 
-    /** Whether complete frames, none of them a group's, fill the space between two offsets exactly. */
+    /** Returns whether the bytes between two offsets are complete frames, none of which describes a group. */
     private boolean isFrameSequence(long from, long to) throws IOException {
-        long place = from;
-        while (place < to) {
-            Format.Record found = readFrame(place);
+        long position = from;
+        while (position < to) {
+            Format.Record found = readFrame(position);
             if (found == null || found.getKind() == Format.Record.Kind.GROUP) {
                 return false;
             }
-            place += frameBytes;
+            position += frameBytes;
         }
-        return place == to;
+        return position == to;
     }
 
-    /** Whether the bytes at an offset were synced before something after them was written. */
-    private boolean wasDurable(long place) throws IOException {
+    /** Returns whether the bytes at an offset were synced before a later group was written. */
+    private boolean wasDurable(long position) throws IOException {
         if (durable) {
             return true;
         }
         if (syncedTo < 0) {
             syncedTo = 0;
-            for (long group = findNextGroup(place + 1); group < window.endOffset(); group = findNextGroup(group + 1)) {
+            for (long group = findNextGroup(position + 1);
+                    group < window.endOffset();
+                    group = findNextGroup(group + 1)) {
                 syncedTo = Math.max(syncedTo, readFrame(group).getGroup().getSynced());
             }
         }
-        return place < syncedTo;
+        return position < syncedTo;
     }
 
-    /** The offset of the next complete frame of a group, or the end. */
+    /** Returns the offset of the next intact frame that describes a group, or the end. */
     private long findNextGroup(long from) throws IOException {
-        for (long place = from; place + MIN_GROUP_FRAME_BYTES <= window.endOffset(); place++) {
-            ByteBuffer head = window.bytesAt(place, MIN_GROUP_FRAME_BYTES);
+        for (long position = from; position + MIN_GROUP_FRAME_BYTES <= window.endOffset(); position++) {
+            ByteBuffer head = window.bytesAt(position, MIN_GROUP_FRAME_BYTES);
             int bodyLength = head.getInt(0);
             if (bodyLength >= MIN_GROUP_FRAME_BYTES - RecordFraming.HEADER_BYTES
                     && bodyLength <= RecordFraming.MAX_BODY_BYTES
                     && head.get(RecordFraming.HEADER_BYTES) == 8
                     && head.get(RecordFraming.HEADER_BYTES + 1) == Format.Record.Kind.GROUP_VALUE) {
-                Format.Record found = readFrame(place);
-                if (found != null && isGroup(found, place)) {
-                    return place;
+                Format.Record found = readFrame(position);
+                if (found != null && isGroup(found, position)) {
+                    return position;
                 }
             }
         }
         return window.endOffset();
     }
 
-    private boolean isGroup(Format.Record found, long place) {
+    private boolean isGroup(Format.Record found, long position) {
         return found.getKind() == Format.Record.Kind.GROUP
                 && found.getGroup().getMark() == mark
-                && Integer.toUnsignedLong(found.getGroup().getAt()) == place;
+                && Integer.toUnsignedLong(found.getGroup().getAt()) == position;
     }
 
-    /** The record whose frame is complete at an offset, with {@link #frameBytes()} set; null if none does. */
-    private Format.Record readFrame(long place) throws IOException {
-        ByteBuffer head = window.bytesAt(place, RecordFraming.HEADER_BYTES);
+    /** Reads the record at an offset and sets {@link #frameBytes()}; returns null if the frame is invalid. */
+    private Format.Record readFrame(long position) throws IOException {
+        ByteBuffer head = window.bytesAt(position, RecordFraming.HEADER_BYTES);
         if (head.remaining() < RecordFraming.HEADER_BYTES) {
             return null;
         }
         int bodyLength = head.getInt(0);
         if (bodyLength < 0
                 || bodyLength > RecordFraming.MAX_BODY_BYTES
-                || place + RecordFraming.HEADER_BYTES + bodyLength > window.endOffset()) {
+                || position + RecordFraming.HEADER_BYTES + bodyLength > window.endOffset()) {
             return null;
         }
         ByteBuffer[] body = new ByteBuffer[1];
-        if (RecordFraming.read(window.bytesAt(place, RecordFraming.HEADER_BYTES + bodyLength), body)
+        if (RecordFraming.read(window.bytesAt(position, RecordFraming.HEADER_BYTES + bodyLength), body)
                 != RecordFraming.Found.COMPLETE) {
             return null;
         }
