--- a/server/src/main/java/wheatspread/store/SegmentWriter.java
+++ b/server/src/main/java/wheatspread/store/SegmentWriter.java
@@ -11,8 +11,8 @@
 
 /**
  * Appends groups to the newest segment of the log: creates segments, seals those that are full, and syncs.
- * For the writer's thread alone. The length of the active segment counts only groups whose append succeeded,
- * with its sync where the settings ask for one, so after a failure it is where {@link #abandon} cuts it.
+ * Confined to the writer thread. The length of the active segment includes only groups whose append, and sync if
+ * the settings require one, succeeded; after a failure {@link #abandon} cuts the segment at that length.
  */
 final class SegmentWriter {
     private final Disk disk;
@@ -23,15 +23,15 @@
     private final CheckpointProgress checkpoints;
     private final StoreStats.Counters counters;
     private final GroupEncoder group = new GroupEncoder();
-    /** Where segments without a seal end, to be recorded in the next group: number, length in bytes. */
+    /** The ends of segments without a seal, to be recorded in the next group: length in bytes by number. */
     private final TreeMap<Integer, Integer> pendingCuts;
 
     private Segment active;
-    /** Begins every group of the active segment. */
+    /** The mark of the active segment, which every group repeats. */
     private long mark;
-    /** The number that the next segment gets. */
+    /** The number of the next new segment. */
     private int nextNumber;
-    /** Something was appended since the last sync. */
+    /** Whether bytes were appended since the last sync. */
     private boolean dirty;
 
     private int syncedOffset;
@@ -49,27 +49,27 @@
         nextNumber = recovery.layout().nextNumber();
     }
 
-    /** The segment that is written to; null if there is none now. */
+    /** Returns the segment to which groups are appended, or null if there is none. */
     Segment active() {
         return active;
     }
 
-    /** The number of the segment that the next group goes to, as far as is known now. */
+    /** Returns the number of the active segment, or of the next one if none is active. */
     int currentNumber() {
         return active != null ? active.name().first() : nextNumber;
     }
 
-    /** Where in {@link #currentNumber} the next group goes to. */
+    /** Returns the offset of the next group in the segment {@link #currentNumber}. */
     int currentOffset() {
         return active != null ? (int) active.validBytes() : 0;
     }
 
-    /** Whether something was appended since the last sync. */
+    /** Returns whether bytes were appended since the last sync. */
     boolean isDirty() {
         return dirty;
     }
 
-    /** When the last sync was; milliseconds. */
+    /** Returns the time of the last sync in milliseconds since 1970. */
     long lastSyncMillis() {
         return lastSyncMillis;
     }
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Seals the active segment, if there is one; no later group goes to it. */
+    /** Seals the active segment, if any; later groups are appended to a new segment. */
     void seal() throws IOException {
         if (active == null) {
             return;
@@ -101,7 +101,7 @@
 
     private void create() throws IOException {
         SegmentName name = SegmentName.original(nextNumber);
-        disk.delete(name.toString()); // left by a creation that failed half-way
+        disk.delete(name.toString()); // an earlier creation may have failed midway
         DiskFile file = disk.create(name.toString());
         active = new Segment(catalog.newId(), name, file, FileHeader.HEADER_BYTES);
         catalog.append(active);
@@ -115,10 +115,9 @@
     }
 
     /**
-     * Appends the writes as one group, after the cuts that have to be recorded first, and notes in each write
-     * its place in the group.
+     * Appends the writes as a group, preceded by the pending cuts, and sets in each write its location in the group.
      *
-     * @return the offset in the active segment that the places in the group count from
+     * @return the offset in the active segment to which the locations in the group are relative
      */
     long append(List<Write> writes, long nowMillis) throws IOException {
         encode(writes);
@@ -131,7 +130,7 @@
             sync(start + size, nowMillis);
         }
         active.setValidBytes(start + size);
-        checkpoints.logged(size);
+        checkpoints.countLogged(size);
         counters.countGroup(size);
         pendingCuts.clear();
         return active.validBytes() - group.size();
@@ -148,20 +147,20 @@
         }
     }
 
-    /** Syncs all that was appended. */
+    /** Syncs all appended groups. */
     void sync(long nowMillis) throws IOException {
         sync((int) active.validBytes(), nowMillis);
     }
 
-    private void sync(int upTo, long nowMillis) throws IOException {
+    private void sync(int endOffset, long nowMillis) throws IOException {
         active.file().sync();
         counters.countSync();
         dirty = false;
-        syncedOffset = upTo;
+        syncedOffset = endOffset;
         lastSyncMillis = nowMillis;
     }
 
-    /** After {@link #abandon}: creates a segment that records where the failed one ends. */
+    /** After {@link #abandon}, creates a segment that records where the failed segment ends. */
     void resume(long nowMillis) throws IOException {
         if (active == null) {
             create();
@@ -171,7 +170,7 @@
         }
     }
 
-    /** A step on the disk failed: ends the active segment where its last acknowledged group does. */
+    /** After a disk failure, cuts the active segment at the end of its last acknowledged group. */
     void abandon() {
         if (active == null) {
             return;
@@ -187,7 +186,7 @@
         }
     }
 
-    /** Deletes a segment that holds nothing acknowledged, so that its number can be used again. */
+    /** Deletes a segment without acknowledged writes, so that its number can be reused. */
     private void discard(Segment failed) {
         int number = failed.name().first();
         failed.setValidBytes(0);
@@ -204,8 +203,8 @@
         }
     }
 
-    /** The segment has been compacted, so the place where it ended need not be recorded any more. */
-    void forgetCut(SegmentName rewritten) {
-        pendingCuts.remove(rewritten.isOriginal() ? rewritten.first() : -1);
+    /** Drops the pending cut of a compacted segment, which need not be recorded any more. */
+    void forgetCut(SegmentName compacted) {
+        pendingCuts.remove(compacted.isOriginal() ? compacted.first() : -1);
     }
 }
--- a/server/src/main/java/wheatspread/store/Store.java
+++ b/server/src/main/java/wheatspread/store/Store.java
@@ -11,39 +11,40 @@
 import wheatspread.logging.EventLog;
 
 /**
- * An embedded key-value store: keys and values are byte arrays with an expiry, kept in the files of one folder.
- * Callers never block: a write or a read is accepted or rejected at once, and its outcome is reported later
- * through the executor that was given to {@link #open}.
+ * An embedded key-value store: keys and values are byte arrays with an expiry, stored in the files of a folder.
+ * Callers never block: a write or a read is accepted or rejected immediately, and its outcome is reported later
+ * through the executor passed to {@link #open}.
  *
- * <p>Threads: the methods may be called from any thread. Three threads do the work: {@link WriterLoop} owns the
- * log, {@link ReaderLoop} looks up keys, {@link BackgroundLoop} runs checkpoints, compactions and deletions.
- * Whoever opens a store closes it; {@link #close} ends the threads and releases the folder. Invariant: a write
- * that was reported as {@link Outcome#HELD} is found by every later read, also after a crash, as far as {@link
- * StoreSettings#sync} promises.
+ * <p>Threads: the methods may be called from any thread. Three threads do the work: {@link WriterLoop} appends to
+ * the log, {@link ReaderLoop} looks up keys, {@link BackgroundLoop} runs checkpoints, compactions and deletions.
+ * The owner must close the store; {@link #close} ends the threads and unlocks the folder. Invariant: every later
+ * read finds a write that was reported as {@link Outcome#HELD}, even after a crash, as far as {@link
+ * StoreSettings#sync} guarantees.
  */
 public final class Store implements Closeable {
-    /** How a write ended. */
+    /** The outcome of an accepted write. */
     public enum Outcome {
-        /** The store holds it, as {@link StoreSettings#sync} promises. */
+        /** The write is stored, with the durability of {@link StoreSettings#sync}. */
         HELD,
-        /** It is certainly not there. */
+        /** The write is certainly not stored. */
         REFUSED,
-        /** The disk failed under it: it is not seen now, and may be there after a crash that comes soon. */
+        /** The disk failed during the write: reads do not return it now, but may after a crash in the near future. */
         IN_DOUBT
     }
 
-    /** Why a write or read was rejected. */
+    /** The reason why a write or read was rejected. */
     public enum Rejection {
-        /** As much as may wait waits already. */
+        /** The queue is full. */
         QUEUE_FULL,
         /** The store or its disk is full; deletions are still accepted. */
         FULL,
-        /** The disk fails; the store tries to come back by itself. */
+        /** A disk operation failed; the store retries on its own until writes succeed again. */
         FAILED,
-        /** Key and value are longer than a record may be. */
+        /** Key and value exceed {@link StoreSettings#maxRecordBytes}. */
         TOO_LONG,
-        /** It would expire later than the settings allow, or has expired. */
+        /** The expiry is in the past, or later than {@link StoreSettings#maxLifetimeMillis} allows. */
         BAD_EXPIRY,
+        /** The store is closed. */
         CLOSED
     }
 
@@ -54,21 +55,21 @@
     }
 
     /**
-     * What the store holds for a key.
+     * The result of a read.
      *
-     * @param value null unless there is one; for DOUBTFUL the last one known, if any
-     * @param expiresMillis since 1970; 0 is never
+     * @param value the value, or null; for DOUBTFUL the last known value, if any
+     * @param expiresMillis the expiry in milliseconds since 1970; 0 if it never expires
      */
     public record ReadResult(Kind kind, byte[] value, long expiresMillis) {
         static final ReadResult ABSENT = new ReadResult(Kind.ABSENT, null, 0);
         static final ReadResult DOUBTFUL = new ReadResult(Kind.DOUBTFUL, null, 0);
         static final ReadResult FAILED = new ReadResult(Kind.FAILED, null, 0);
 
-        /** Whether there is a value. */
+        /** Whether there is a value, or why there is none. */
         public enum Kind {
             VALUE,
             ABSENT,
-            /** A damaged record may have been the newest write of this key. */
+            /** A record that was lost to damage may have been the newest write of this key. */
             DOUBTFUL,
             /** The disk could not be read. */
             FAILED
@@ -89,17 +90,17 @@
             }
         };
 
-        /** Milliseconds since 1970, for what expires. */
+        /** Returns milliseconds since 1970, against which expiries are compared. */
         long nowMillis();
 
-        /** Nanoseconds from anywhere, for pauses. */
+        /** Returns nanoseconds since an arbitrary origin, for delays and durations. */
         long nanos();
     }
 
     private final StoreSettings settings;
-    private final Clock time;
+    private final Clock clock;
     private final EventLog log;
-    private final LogStructuredStore files;
+    private final LogStructuredStore logStore;
     private final WriterQueue queue;
     private final WriterLoop writer;
     private final ReaderLoop reader;
@@ -107,17 +108,17 @@
     private final Thread readerThread;
     private final Thread backgroundThread;
 
-    private Store(LogStructuredStore files, StoreSettings settings, Clock time, Executor callbacks, EventLog log) {
-        this.files = files;
+    private Store(LogStructuredStore logStore, StoreSettings settings, Clock clock, Executor callbacks, EventLog log) {
+        this.logStore = logStore;
         this.settings = settings;
-        this.time = time;
+        this.clock = clock;
         this.log = log;
-        queue = new WriterQueue(settings, time);
-        writer = new WriterLoop(files, queue, time, callbacks, log);
-        reader = new ReaderLoop(files, settings, time, callbacks, log);
+        queue = new WriterQueue(settings, clock);
+        writer = new WriterLoop(logStore, queue, clock, callbacks, log);
+        reader = new ReaderLoop(logStore, settings, clock, callbacks, log);
         writerThread = start(writer, "store-writer");
         readerThread = start(reader, "store-reader");
-        backgroundThread = start(new BackgroundLoop(queue, settings, time), "store-background");
+        backgroundThread = start(new BackgroundLoop(queue, settings, clock), "store-background");
     }
 
     private Thread start(Runnable loop, String name) {
@@ -130,19 +131,19 @@
     }
 
     /**
-     * Opens a folder; this reads the newest checkpoint and the log behind it, and may take seconds.
+     * Opens a folder. Reads the newest checkpoint and the log after it, which may take seconds.
      *
-     * @param callbacks runs the callbacks, several in one task; an event loop, for example
-     * @throws Disk.TakenException if another process has the folder
-     * @throws StoreException if it holds what this program must not work on
+     * @param callbacks runs the callbacks, several per task; for example an event loop
+     * @throws Disk.FolderLockedException if another process has locked the folder
+     * @throws StoreException if the folder contains files that this program cannot or must not use
      */
-    public static Store open(Disk disk, StoreSettings settings, Clock time, Executor callbacks, EventLog log)
+    public static Store open(Disk disk, StoreSettings settings, Clock clock, Executor callbacks, EventLog log)
             throws IOException {
         SecureRandom random = new SecureRandom();
-        long startNanos = time.nanos();
-        LogStructuredStore files = LogStructuredStore.open(
-                disk, settings, log, random::nextLong, time.nowMillis(), Recovery.Purpose.READ_WRITE);
-        Recovery.Report report = files.recovered();
+        long startNanos = clock.nanos();
+        LogStructuredStore logStore = LogStructuredStore.open(
+                disk, settings, log, random::nextLong, clock.nowMillis(), Recovery.Purpose.READ_WRITE);
+        Recovery.Report report = logStore.recovered();
         log.info(
                 "store_opened",
                 "keys",
@@ -160,107 +161,106 @@
                 "checkpoint",
                 report.fromCheckpoint(),
                 "ms",
-                (time.nanos() - startNanos) / 1_000_000);
-        return new Store(files, settings, time, callbacks, log);
+                (clock.nanos() - startNanos) / 1_000_000);
+        return new Store(logStore, settings, clock, callbacks, log);
     }
 
     /**
      * Writes a key.
      *
-     * @param expiresMillis since 1970; 0 for never
-     * @param done is called once, unless this returns a refusal
-     * @return null if it is accepted
+     * @param expiresMillis the expiry in milliseconds since 1970; 0 if the value never expires
+     * @param callback called once if the write is accepted
+     * @return null if the write is accepted
      */
-    public Rejection put(byte[] key, byte[] value, long expiresMs, WriteCallback done) {
-        return batch().put(key, value, expiresMs, done).send();
+    public Rejection put(byte[] key, byte[] value, long expiresMillis, WriteCallback callback) {
+        return batch().put(key, value, expiresMillis, callback).send();
     }
 
-    /** Deletes a key; as {@link #put}. A full store accepts deletions, since they free space. */
-    public Rejection delete(byte[] key, WriteCallback done) {
-        return batch().delete(key, done).send();
+    /** Deletes a key, like {@link #put}. A full store accepts deletions, because they free space. */
+    public Rejection delete(byte[] key, WriteCallback callback) {
+        return batch().delete(key, callback).send();
     }
 
-    /** An empty batch. */
+    /** Creates an empty batch. */
     public Batch batch() {
         return new Batch();
     }
 
     /**
-     * Writes that are accepted or rejected together, and that share a sync as far as a group reaches: for example all
-     * writes of one event-loop iteration. Each has its own outcome.
+     * Writes that are accepted or rejected together, and that share a sync if they fit into a group: for example all
+     * writes of an event-loop iteration. Each write has its own outcome.
      */
     public final class Batch {
-        private final List<Write> all = new ArrayList<>(1);
+        private final List<Write> writes = new ArrayList<>(1);
         private long bytes;
-        private boolean puts;
-        private Rejection wrong;
+        private boolean hasPuts;
+        private Rejection rejection;
 
         private Batch() {}
 
-        /** As {@link Store#put}. */
-        public Batch put(byte[] key, byte[] value, long expiresMs, WriteCallback done) {
-            long life = settings.maxLifetimeMillis();
-            long now = expiresMs == 0 && life == 0 ? 0 : time.nowMillis();
-            if (expiresMs < 0
-                    || expiresMs > 0 && expiresMs <= now
-                    || life > 0 && (expiresMs == 0 || expiresMs > now + life)) {
-                wrong = Rejection.BAD_EXPIRY;
+        /** Adds a write, like {@link Store#put}. */
+        public Batch put(byte[] key, byte[] value, long expiresMillis, WriteCallback callback) {
+            long maxLifetimeMillis = settings.maxLifetimeMillis();
+            long nowMillis = expiresMillis == 0 && maxLifetimeMillis == 0 ? 0 : clock.nowMillis();
+            if (expiresMillis < 0
+                    || expiresMillis > 0 && expiresMillis <= nowMillis
+                    || maxLifetimeMillis > 0 && (expiresMillis == 0 || expiresMillis > nowMillis + maxLifetimeMillis)) {
+                rejection = Rejection.BAD_EXPIRY;
             }
-            puts = true;
-            return add(new Write(key, value, expiresMs, done));
+            hasPuts = true;
+            return add(new Write(key, value, expiresMillis, callback));
         }
 
-        /** As {@link Store#delete}. */
-        public Batch delete(byte[] key, WriteCallback done) {
-            return add(new Write(key, null, 0, done));
+        /** Adds a deletion, like {@link Store#delete}. */
+        public Batch delete(byte[] key, WriteCallback callback) {
+            return add(new Write(key, null, 0, callback));
         }
 
         private Batch add(Write write) {
             if (write.size() > settings.maxRecordBytes()) {
-                wrong = Rejection.TOO_LONG;
+                rejection = Rejection.TOO_LONG;
             }
             bytes += write.size();
-            all.add(write);
+            writes.add(write);
             return this;
         }
 
-        /** Submits the writes; unless it returns null, none was accepted and no callback is called. */
+        /** Submits the writes. Returns null if they are accepted; otherwise no callback is called. */
         public Rejection send() {
-            if (wrong != null) {
-                return wrong;
+            if (rejection != null) {
+                return rejection;
             }
             WriteState.Mode mode = writer.mode();
             if (mode == WriteState.Mode.FAILED) {
                 return Rejection.FAILED;
             }
-            return puts && mode == WriteState.Mode.FULL ? Rejection.FULL : queue.add(all, bytes);
+            return hasPuts && mode == WriteState.Mode.FULL ? Rejection.FULL : queue.add(writes, bytes);
         }
     }
 
-    /** Reads a key; returns null if the read is accepted, and then {@code to} is called once. */
-    public Rejection get(byte[] key, Consumer<ReadResult> to) {
-        return reader.add(key, to);
+    /** Reads a key. Returns null if the read is accepted; then {@code callback} is called once. */
+    public Rejection get(byte[] key, Consumer<ReadResult> callback) {
+        return reader.add(key, callback);
     }
 
-    /** What the store holds and has done. Any thread. */
+    /** Returns the statistics of the store. May be called from any thread. */
     public StoreStats stats() {
-        return files.stats();
+        return logStore.stats();
     }
 
-    /** Writes and reads that wait, and writes that were rejected because the queue was full. */
-    public Waiting waiting() {
-        return queue.waiting(reader.waiting());
+    /** Returns the state of the queues. May be called from any thread. */
+    public QueueStats queueStats() {
+        return queue.stats(reader.pendingReads());
     }
 
-    /** See {@link #waiting}. */
-    public record Waiting(int writes, long bytes, int reads, long refused) {}
+    /** The pending writes with their bytes, the pending reads, and the writes rejected because the queue was full. */
+    public record QueueStats(int pendingWrites, long pendingBytes, int pendingReads, long rejectedWrites) {}
 
     /**
      * Completes all accepted writes and reads, writes a checkpoint and closes the files. Blocks, so it must not be
      * called on an event loop. Callbacks may run after it returns.
      *
-     * @throws IOException if the last file could not be ended well; what was acknowledged is there all the
-     *     same
+     * @throws IOException if the active segment could not be sealed; acknowledged writes are kept nevertheless
      */
     @Override
     public void close() throws IOException {
@@ -272,13 +272,13 @@
         reader.stop();
         join(readerThread);
         try {
-            files.finish(time.nowMillis());
+            logStore.finish(clock.nowMillis());
         } finally {
-            files.close();
+            logStore.close();
         }
     }
 
-    /** Ends the threads and releases the folder as a crash would: waiting writes and reads get no callback. */
+    /** Ends the threads and unlocks the folder as a crash would: pending writes and reads get no callback. */
     public void abandon() {
         queue.abandon();
         reader.abandon();
@@ -286,7 +286,7 @@
         join(backgroundThread);
         join(readerThread);
         try {
-            files.closeFiles();
+            logStore.closeFiles();
         } catch (IOException e) {
             log.warn("store_close_failed", "reason", e.toString());
         }
--- a/server/src/main/java/wheatspread/store/StoreContext.java
+++ b/server/src/main/java/wheatspread/store/StoreContext.java
@@ -5,9 +5,9 @@
 import wheatspread.logging.EventLog;
 
 /**
- * What the parts of one open store share.
+ * The dependencies that the components of an open store share.
  *
- * @param random draws the marks of segments
+ * @param random generates the marks of segments
  */
 record StoreContext(
         Disk disk,
--- a/server/src/main/java/wheatspread/store/StoreException.java
+++ b/server/src/main/java/wheatspread/store/StoreException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A folder that this program cannot or must not work on. The message is a sentence for the operator. */
+/** Thrown if a folder contains a file that this program cannot or must not use. The message is for the operator. */
 public abstract class StoreException extends IOException {
     private static final long serialVersionUID = 1L;
 
@@ -13,7 +13,7 @@
         this.file = file;
     }
 
-    /** The name of the file that the store was refused for, relative to its folder. */
+    /** Returns the name of the file that caused the exception, relative to the folder. */
     public final String file() {
         return file;
     }
--- a/server/src/main/java/wheatspread/store/StoreSettings.java
+++ b/server/src/main/java/wheatspread/store/StoreSettings.java
@@ -3,23 +3,26 @@
 import java.util.function.Consumer;
 
 /**
- * How a store works. Sizes are bytes, times milliseconds.
+ * The settings of a store. Sizes are in bytes, times in milliseconds.
  *
- * @param sync when what was written is made to last
- * @param syncIntervalMillis for {@link Sync#INTERVAL}: how much of what was acknowledged a crash of the machine may
- *     take
- * @param segmentBytes a file of the log is sealed at this size
- * @param maxStoreBytes limit of all files together; writes that exceed it are rejected until space is freed
- * @param minFreeBytes writes are rejected while the disk has less free space
- * @param maxRecordBytes the longest key with its value
- * @param maxQueuedRecords writes that may wait, and {@code maxQueuedBytes} for their sizes; the same number of
- *     reads
- * @param maxGroupRecords what is written and synced together at most, and {@code maxGroupBytes} for the sizes
- * @param compactionBytesPerSecond what compaction reads and writes a second at most
- * @param compactionMinDeadShare a run of segments is rewritten when this share of it is dead
- * @param compactionMaxWaitMillis a segment whose records will all have expired within this time is not compacted
- * @param checkpointIntervalBytes the index is written after so many bytes of log: what a start has to read at most
- * @param maxLifetimeMillis writes must expire within it; 0 is no bound. It bounds how long a suspected loss lasts
+ * @param sync when writes are synced and acknowledged
+ * @param syncIntervalMillis the interval of {@link Sync#INTERVAL}; a crash of the machine may lose the acknowledged
+ *     writes of an interval
+ * @param segmentBytes the size at which a segment is sealed
+ * @param maxStoreBytes the limit of all files together; writes that exceed it are rejected until space is freed
+ * @param minFreeBytes the free space of the disk below which writes are rejected
+ * @param maxRecordBytes the maximum length of a key and its value together
+ * @param maxQueuedRecords the maximum number of pending writes, and also of pending reads
+ * @param maxQueuedBytes the maximum bytes of pending writes
+ * @param maxGroupRecords the maximum number of writes that are appended and synced together
+ * @param maxGroupBytes the maximum bytes of writes that are appended and synced together
+ * @param compactionBytesPerSecond the maximum bytes that maintenance jobs read and write per second
+ * @param compactionMinDeadShare the share of dead bytes from which a run of segments is compacted
+ * @param compactionMaxWaitMillis a segment whose records all expire within this time is not compacted
+ * @param checkpointIntervalBytes the bytes of log after which a checkpoint is written, which bounds the replay at
+ *     start
+ * @param maxLifetimeMillis the maximum time until a write expires, which bounds how long a suspected loss lasts; 0
+ *     for no limit
  */
 public record StoreSettings(
         Sync sync,
@@ -37,7 +40,7 @@
         long compactionMaxWaitMillis,
         long checkpointIntervalBytes,
         long maxLifetimeMillis) {
-    /** When a write is acknowledged (its durability). */
+    /** When a write is acknowledged, which determines its durability. */
     public enum Sync {
         /** After the sync of its group: no acknowledged write is lost. */
         GROUP,
@@ -47,8 +50,8 @@
          */
         INTERVAL,
         /**
-         * After the write to the operating system, which writes it back at its own pace: survives a crash of the
-         * process.
+         * After the write to the operating system, which decides when to write it back: survives a crash of the
+         * process only.
          */
         NONE
     }
@@ -70,7 +73,7 @@
             32L << 20,
             0);
 
-    /** @throws IllegalArgumentException naming the value and what is allowed */
+    /** @throws IllegalArgumentException if a value is out of range; the message states the allowed range */
     public StoreSettings {
         requireInRange("sync_ms", syncIntervalMillis, 1, 60_000);
         requireInRange("segment_bytes", segmentBytes, 1 << 10, 1 << 30);
@@ -98,57 +101,57 @@
         }
     }
 
-    /** Space kept free below the limit, so that a compaction and a checkpoint are possible at any time. */
+    /** Returns the space kept free below the limit, so that a compaction and a checkpoint are always possible. */
     long reserveBytes() {
         return segmentBytes + segmentBytes / 2;
     }
 
-    /** When every record that could be lost now will have expired; 0 is never. */
+    /** Returns when every record that may be lost now will have expired; 0 stands for never. */
     long lossUntilMillis(long nowMillis) {
         return maxLifetimeMillis == 0 ? 0 : nowMillis + maxLifetimeMillis;
     }
 
-    /** A copy with another way to acknowledge writes; {@code everyMs} is for {@link Sync#INTERVAL}. */
-    public StoreSettings withSync(Sync other, long everyMs) {
+    /** Returns a copy with another sync mode; the interval applies to {@link Sync#INTERVAL}. */
+    public StoreSettings withSync(Sync newSync, long newIntervalMillis) {
         return with(draft -> {
-            draft.sync = other;
-            draft.syncMs = everyMs;
+            draft.sync = newSync;
+            draft.syncIntervalMillis = newIntervalMillis;
         });
     }
 
-    /** Records and groups become smaller where they would not fit a segment. */
-    public StoreSettings withSizes(int segment, long max, long checkpoint) {
-        int record = Math.min(maxRecordBytes, segment / 4);
+    /** Returns a copy with other sizes. Limits of records and groups are reduced to fit into a segment. */
+    public StoreSettings withSizes(int newSegmentBytes, long newMaxStoreBytes, long newCheckpointIntervalBytes) {
+        int newRecordBytes = Math.min(maxRecordBytes, newSegmentBytes / 4);
         return with(draft -> {
-            draft.segmentBytes = segment;
-            draft.maxBytes = max;
-            draft.recordBytes = record;
-            draft.groupBytes = Math.max(record, Math.min(maxGroupBytes, segment));
-            draft.checkpointBytes = checkpoint;
+            draft.segmentBytes = newSegmentBytes;
+            draft.maxStoreBytes = newMaxStoreBytes;
+            draft.maxRecordBytes = newRecordBytes;
+            draft.maxGroupBytes = Math.max(newRecordBytes, Math.min(maxGroupBytes, newSegmentBytes));
+            draft.checkpointIntervalBytes = newCheckpointIntervalBytes;
         });
     }
 
-    /** A copy with another rate, dead share and waiting time of compaction. */
-    public StoreSettings withCompaction(long bytesPerS, double deadShare, long waitMs) {
+    /** Returns a copy with another rate, minimum dead share and maximum wait of compaction. */
+    public StoreSettings withCompaction(long bytesPerSecond, double minDeadShare, long maxWaitMillis) {
         return with(draft -> {
-            draft.compactBytesPerS = bytesPerS;
-            draft.compactDeadShare = deadShare;
-            draft.compactWaitMs = waitMs;
+            draft.compactionBytesPerSecond = bytesPerSecond;
+            draft.compactionMinDeadShare = minDeadShare;
+            draft.compactionMaxWaitMillis = maxWaitMillis;
         });
     }
 
-    /** A copy with other bounds of the queue, and of the records in a group. */
-    public StoreSettings withQueue(int records, long bytes, int perGroup) {
+    /** Returns a copy with other limits of the queue, and of the records in a group. */
+    public StoreSettings withQueue(int maxRecords, long maxBytes, int newMaxGroupRecords) {
         return with(draft -> {
-            draft.queueRecords = records;
-            draft.queueBytes = bytes;
-            draft.groupRecords = perGroup;
+            draft.maxQueuedRecords = maxRecords;
+            draft.maxQueuedBytes = maxBytes;
+            draft.maxGroupRecords = newMaxGroupRecords;
         });
     }
 
-    /** A copy with another bound on expiry times; 0 is no bound. */
-    public StoreSettings withMaxLifetime(long ms) {
-        return with(draft -> draft.longestLifeMs = ms);
+    /** Returns a copy with another maximum lifetime; 0 for no limit. */
+    public StoreSettings withMaxLifetime(long lifetimeMillis) {
+        return with(draft -> draft.maxLifetimeMillis = lifetimeMillis);
     }
 
     private StoreSettings with(Consumer<Draft> change) {
@@ -157,59 +160,59 @@
         return draft.settings();
     }
 
-    /** A copy that may still be changed. */
+    /** A mutable copy of the settings. */
     private static final class Draft {
         private Sync sync;
-        private long syncMs;
+        private long syncIntervalMillis;
         private int segmentBytes;
-        private long maxBytes;
+        private long maxStoreBytes;
         private final long minFreeBytes;
-        private int recordBytes;
-        private int queueRecords;
-        private long queueBytes;
-        private int groupRecords;
-        private int groupBytes;
-        private long compactBytesPerS;
-        private double compactDeadShare;
-        private long compactWaitMs;
-        private long checkpointBytes;
-        private long longestLifeMs;
+        private int maxRecordBytes;
+        private int maxQueuedRecords;
+        private long maxQueuedBytes;
+        private int maxGroupRecords;
+        private int maxGroupBytes;
+        private long compactionBytesPerSecond;
+        private double compactionMinDeadShare;
+        private long compactionMaxWaitMillis;
+        private long checkpointIntervalBytes;
+        private long maxLifetimeMillis;
 
         Draft(StoreSettings from) {
             sync = from.sync;
-            syncMs = from.syncIntervalMillis;
+            syncIntervalMillis = from.syncIntervalMillis;
             segmentBytes = from.segmentBytes;
-            maxBytes = from.maxStoreBytes;
+            maxStoreBytes = from.maxStoreBytes;
             minFreeBytes = from.minFreeBytes;
-            recordBytes = from.maxRecordBytes;
-            queueRecords = from.maxQueuedRecords;
-            queueBytes = from.maxQueuedBytes;
-            groupRecords = from.maxGroupRecords;
-            groupBytes = from.maxGroupBytes;
-            compactBytesPerS = from.compactionBytesPerSecond;
-            compactDeadShare = from.compactionMinDeadShare;
-            compactWaitMs = from.compactionMaxWaitMillis;
-            checkpointBytes = from.checkpointIntervalBytes;
-            longestLifeMs = from.maxLifetimeMillis;
+            maxRecordBytes = from.maxRecordBytes;
+            maxQueuedRecords = from.maxQueuedRecords;
+            maxQueuedBytes = from.maxQueuedBytes;
+            maxGroupRecords = from.maxGroupRecords;
+            maxGroupBytes = from.maxGroupBytes;
+            compactionBytesPerSecond = from.compactionBytesPerSecond;
+            compactionMinDeadShare = from.compactionMinDeadShare;
+            compactionMaxWaitMillis = from.compactionMaxWaitMillis;
+            checkpointIntervalBytes = from.checkpointIntervalBytes;
+            maxLifetimeMillis = from.maxLifetimeMillis;
         }
 
         StoreSettings settings() {
             return new StoreSettings(
                     sync,
-                    syncMs,
+                    syncIntervalMillis,
                     segmentBytes,
-                    maxBytes,
+                    maxStoreBytes,
                     minFreeBytes,
-                    recordBytes,
-                    queueRecords,
-                    queueBytes,
-                    groupRecords,
-                    groupBytes,
-                    compactBytesPerS,
-                    compactDeadShare,
-                    compactWaitMs,
-                    checkpointBytes,
-                    longestLifeMs);
+                    maxRecordBytes,
+                    maxQueuedRecords,
+                    maxQueuedBytes,
+                    maxGroupRecords,
+                    maxGroupBytes,
+                    compactionBytesPerSecond,
+                    compactionMinDeadShare,
+                    compactionMaxWaitMillis,
+                    checkpointIntervalBytes,
+                    maxLifetimeMillis);
         }
     }
 }
--- a/server/src/main/java/wheatspread/store/StoreStats.java
+++ b/server/src/main/java/wheatspread/store/StoreStats.java
@@ -1,12 +1,14 @@
 package wheatspread.store;
 
 /**
- * What a store holds and has done since it was opened.
+ * Statistics of an open store.
  *
- * @param keys that are held, those not counted out yet that have expired just now
- * @param indexBytes of heap
- * @param usedBytes of all files, {@code liveBytes} of the records that count
- * @param suspectedKeys whose newest write is lost to damage; {@code allKeysSuspected} if their names are, too
+ * @param keys the number of index entries, including expired entries that have not been swept yet
+ * @param indexBytes the bytes of heap that the index occupies
+ * @param usedBytes the bytes of all files
+ * @param liveBytes the bytes of records that index entries point to
+ * @param suspectedKeys the number of keys whose newest write may be lost to damage
+ * @param allKeysSuspected whether any key may be affected, because the hashes are lost as well
  */
 public record StoreStats(
         int keys,
@@ -20,8 +22,8 @@
         Counters counters) {
 
     /**
-     * Counters that only increase while the store is open. The writer's thread changes them; {@link #copy} is for
-     * others.
+     * Counters that only increase while the store is open. Only the writer thread changes them; other threads read a
+     * {@link #copy}.
      */
     public static final class Counters {
         private long writes;
--- a/server/src/main/java/wheatspread/store/SuspectedLosses.java
+++ b/server/src/main/java/wheatspread/store/SuspectedLosses.java
@@ -5,15 +5,14 @@
 import org.agrona.collections.LongArrayList;
 
 /**
- * Keys whose newest write may have been lost to damage, by the hash of the key. Where the hashes are lost as
- * well, every key is suspected whose entry is older than the damage. A suspicion ends when everything that
- * could have been lost has expired.
+ * Tracks keys whose newest write may have been lost to damage, by the hash of the key. If the hashes are lost as
+ * well, every key whose entry is older than the damage is suspected. A suspicion ends when every write that could
+ * have been lost has expired.
  *
- * <p>Guarded by the lock of {@link SegmentCatalog#index()}. No I/O, no clock. Bounded by {@link #MAX_KEYS}:
- * beyond it, every older key is suspected.
+ * <p>Guarded by the lock of {@link SegmentCatalog#index()}. No I/O, no clock. Bounded by {@link #MAX_KEYS}.
  */
 final class SuspectedLosses {
-    /** With more keys than this, every older key is suspected. */
+    /** The maximum number of tracked keys; beyond it, every older key is suspected. */
     static final int MAX_KEYS = 100_000;
 
     private static final long NEVER_ENDS_MILLIS = Long.MAX_VALUE;
@@ -23,32 +22,32 @@
     private int lossOffset;
     private long allUntilMillis;
 
-    /** A key whose newest write may be lost; 0 for {@code untilMillis} is for good. */
-    void add(long hash, long untilMillis, int atSegment, int atOffset) {
+    /** Adds a key whose newest write may be lost. The suspicion ends at {@code untilMillis}, or never if it is 0. */
+    void add(long hash, long untilMillis, int segment, int offset) {
         if (keys.size() >= MAX_KEYS && !keys.containsKey(hash)) {
-            addAll(untilMillis, atSegment, atOffset);
+            addAll(untilMillis, segment, offset);
         } else {
             keys.merge(hash, untilMillis == 0 ? NEVER_ENDS_MILLIS : untilMillis, Math::max);
         }
     }
 
-    /** Any key's newest write may be lost that stood at this place of the log. */
-    void addAll(long untilMillis, int atSegment, int atOffset) {
-        if (compare(atSegment, atOffset, lossSegment, lossOffset) > 0 || allUntilMillis == 0) {
-            lossSegment = atSegment;
-            lossOffset = atOffset;
+    /** Records that writes of unknown keys may be lost at a log location. */
+    void addAll(long untilMillis, int segment, int offset) {
+        if (compareLocations(segment, offset, lossSegment, lossOffset) > 0 || allUntilMillis == 0) {
+            lossSegment = segment;
+            lossOffset = offset;
         }
         allUntilMillis = Math.max(allUntilMillis, untilMillis == 0 ? NEVER_ENDS_MILLIS : untilMillis);
     }
 
-    /** Whether a key that is not there may have been. */
+    /** Returns whether a key without an entry may have had a write that was lost. */
     boolean suspectsAbsentKey(long hash, long nowMillis) {
         return allUntilMillis > nowMillis || keys.get(hash) > nowMillis;
     }
 
-    /** Whether a key whose entry stands there may have been written again. */
-    boolean suspectsEntry(int atSegment, int atOffset, long nowMillis) {
-        return allUntilMillis > nowMillis && compare(atSegment, atOffset, lossSegment, lossOffset) < 0;
+    /** Returns whether a key whose entry is at a log location may have had a newer write that was lost. */
+    boolean suspectsEntry(int segment, int offset, long nowMillis) {
+        return allUntilMillis > nowMillis && compareLocations(segment, offset, lossSegment, lossOffset) < 0;
     }
 
     /** Removes suspicions that have ended. */
@@ -72,48 +71,48 @@
         return allUntilMillis != 0;
     }
 
-    /** Writes them into a checkpoint. */
-    void save(Format.CheckpointEnd.Builder to) {
-        for (Map.Entry<Long, Long> one : keys.entrySet()) {
-            to.addDoubts(Format.Doubt.newBuilder()
-                    .addHashes(one.getKey())
-                    .setUntilMs(one.getValue() == NEVER_ENDS_MILLIS ? 0 : one.getValue()));
+    /** Adds the suspected losses to the end of a checkpoint. */
+    void save(Format.CheckpointEnd.Builder end) {
+        for (Map.Entry<Long, Long> entry : keys.entrySet()) {
+            end.addDoubts(Format.Doubt.newBuilder()
+                    .addHashes(entry.getKey())
+                    .setUntilMs(entry.getValue() == NEVER_ENDS_MILLIS ? 0 : entry.getValue()));
         }
         if (allUntilMillis != 0) {
-            to.addDoubts(Format.Doubt.newBuilder()
+            end.addDoubts(Format.Doubt.newBuilder()
                     .setAll(true)
                     .setUntilMs(allUntilMillis == NEVER_ENDS_MILLIS ? 0 : allUntilMillis));
-            to.addDoubtSegments(lossSegment);
-            to.addDoubtOffsets(lossOffset);
+            end.addDoubtSegments(lossSegment);
+            end.addDoubtOffsets(lossOffset);
         }
     }
 
-    void load(Format.CheckpointEnd from) {
-        int all = 0;
-        for (Format.Doubt one : from.getDoubtsList()) {
-            if (one.getAll()) {
-                addAll(one.getUntilMs(), from.getDoubtSegments(all), from.getDoubtOffsets(all));
-                all++;
+    void load(Format.CheckpointEnd end) {
+        int lossIndex = 0;
+        for (Format.Doubt doubt : end.getDoubtsList()) {
+            if (doubt.getAll()) {
+                addAll(doubt.getUntilMs(), end.getDoubtSegments(lossIndex), end.getDoubtOffsets(lossIndex));
+                lossIndex++;
             }
-            for (long hash : one.getHashesList()) {
-                add(hash, one.getUntilMs(), 0, 0);
+            for (long hash : doubt.getHashesList()) {
+                add(hash, doubt.getUntilMs(), 0, 0);
             }
         }
     }
 
-    /** The lost keys of one place. */
-    void addLosses(LongArrayList lost, boolean all, long untilMillis, int atSegment, int atOffset) {
+    /** Adds the losses at a log location; a hash of 0 stands for no key and is skipped. */
+    void addLosses(LongArrayList lost, boolean allKeys, long untilMillis, int segment, int offset) {
         for (int i = 0; i < lost.size(); i++) {
             if (lost.getLong(i) != 0) {
-                add(lost.getLong(i), untilMillis, atSegment, atOffset);
+                add(lost.getLong(i), untilMillis, segment, offset);
             }
         }
-        if (all) {
-            addAll(untilMillis, atSegment, atOffset);
+        if (allKeys) {
+            addAll(untilMillis, segment, offset);
         }
     }
 
-    static int compare(int segment, int offset, int otherSegment, int otherOffset) {
+    static int compareLocations(int segment, int offset, int otherSegment, int otherOffset) {
         int order = Integer.compare(segment, otherSegment);
         return order != 0 ? order : Integer.compareUnsigned(offset, otherOffset);
     }
--- a/server/src/main/java/wheatspread/store/UnsupportedVersionException.java
+++ b/server/src/main/java/wheatspread/store/UnsupportedVersionException.java
@@ -1,6 +1,6 @@
 package wheatspread.store;
 
-/** A segment has a format version that this program does not read. */
+/** Thrown if a segment has a format version that this program does not support. */
 public final class UnsupportedVersionException extends StoreException {
     private static final long serialVersionUID = 1L;
 
@@ -16,12 +16,12 @@
         this.supportedVersion = supportedVersion;
     }
 
-    /** The version that the file has. */
+    /** Returns the format version of the file. */
     public int version() {
         return version;
     }
 
-    /** The version that this program reads. */
+    /** Returns the format version that this program supports. */
     public int supportedVersion() {
         return supportedVersion;
     }
--- a/server/src/main/java/wheatspread/store/Write.java
+++ b/server/src/main/java/wheatspread/store/Write.java
@@ -1,14 +1,14 @@
 package wheatspread.store;
 
 /**
- * A put or a deletion of one key on its way through the writer.
+ * A pending put or deletion of a key.
  *
- * <p>Handed over from the caller's thread to the writer's by {@link WriterQueue}, and from there to the callback's;
- * one thread at
- * a time uses it. Filled in that order: {@link #resolve}, {@link #setLocation}, {@link #complete}.
+ * <p>{@link WriterQueue} transfers it from the caller's thread to the writer thread, which passes it to the thread of
+ * the callback; only one thread uses it at any time. The writer calls {@link #resolve}, {@link #setLocation} and
+ * {@link #complete} in this order.
  */
 final class Write {
-    /** An upper bound of what a record takes beside its key and value: its frame and its hash in the group's frame. */
+    /** An upper bound of the overhead of a record: its frame header, its fields and its hash in the group frame. */
     private static final int MAX_OVERHEAD_BYTES = 64;
 
     private final byte[] key;
@@ -23,11 +23,11 @@
     private String reason;
 
     /**
-     * A write that waits.
+     * Creates a write without an outcome.
      *
-     * @param value null to delete
-     * @param expiresMillis since 1970; 0 is never
-     * @param callback is called with the outcome; may be null in a test
+     * @param value the value, or null to delete the key
+     * @param expiresMillis the expiry in milliseconds since 1970; 0 if it never expires
+     * @param callback called with the outcome; null only in tests
      */
     Write(byte[] key, byte[] value, long expiresMillis, Store.WriteCallback callback) {
         this.key = key;
@@ -40,7 +40,7 @@
         return key;
     }
 
-    /** Null to delete. */
+    /** Returns the value, or null for a deletion. */
     byte[] value() {
         return value;
     }
@@ -49,22 +49,22 @@
         return value == null;
     }
 
-    /** Milliseconds since 1970; 0 is never. */
+    /** Returns the expiry in milliseconds since 1970; 0 if it never expires. */
     long expiresMillis() {
         return expiresMillis;
     }
 
-    /** Bytes of key and value. */
+    /** Returns the bytes of key and value. */
     int size() {
         return key.length + (value == null ? 0 : value.length);
     }
 
-    /** Bytes that it takes in a file at most, with its frame and its part of the group's. */
+    /** Returns an upper bound of the bytes that the write takes in a file. */
     int maxFrameBytes() {
         return size() + MAX_OVERHEAD_BYTES;
     }
 
-    /** Sets the hash of the key, and the location of the entry that it replaces (0 for none). */
+    /** Sets the hash of the key, and the index location of the entry that the write replaces, or 0. */
     void resolve(long keyHash, long replaced) {
         hash = keyHash;
         replacedLocation = replaced;
@@ -74,18 +74,18 @@
         return hash;
     }
 
-    /** The index location of the entry that it replaces; 0 for none. */
+    /** Returns the index location of the entry that the write replaces; 0 if there is none. */
     long replacedLocation() {
         return replacedLocation;
     }
 
-    /** Sets where its frame stands in the group, and the length of that frame. */
+    /** Sets the offset of the frame in the group, and the length of the frame. */
     void setLocation(int offset, int bytes) {
         groupOffset = offset;
         frameBytes = bytes;
     }
 
-    /** The offset of its frame behind the group's own frame. */
+    /** Returns the offset of the frame, relative to the end of the group's descriptor frame. */
     int groupOffset() {
         return groupOffset;
     }
@@ -94,19 +94,19 @@
         return frameBytes;
     }
 
-    /** Sets the outcome; {@code why} is null unless it failed. */
-    void complete(Store.Outcome how, String why) {
-        outcome = how;
-        reason = why;
+    /** Sets the outcome; the reason is null unless the write failed. */
+    void complete(Store.Outcome newOutcome, String newReason) {
+        outcome = newOutcome;
+        reason = newReason;
     }
 
-    /** Null until it is complete. */
+    /** Returns the outcome, or null until the write is complete. */
     Store.Outcome outcome() {
         return outcome;
     }
 
     /** Calls the callback with the outcome. */
-    void notifyCaller() {
+    void invokeCallback() {
         callback.ended(outcome, reason);
     }
 }
--- a/server/src/main/java/wheatspread/store/WriteState.java
+++ b/server/src/main/java/wheatspread/store/WriteState.java
@@ -1,20 +1,20 @@
 package wheatspread.store;
 
 /**
- * Whether the store accepts writes. After a failure nothing is written until a new segment records where the
- * failed one ends; attempts at that are spaced out with exponential backoff. For the writer's thread. No I/O,
- * no clock; times are milliseconds.
+ * Tracks whether the store accepts writes. After a failure nothing is written until a new segment records where the
+ * failed segment ends; attempts to create it are delayed with exponential backoff. Confined to the writer thread. No
+ * I/O, no clock; times are milliseconds.
  */
 public final class WriteState {
     static final long MIN_RETRY_DELAY_MILLIS = 50;
     static final long MAX_RETRY_DELAY_MILLIS = 5_000;
 
-    /** What a writer may do now. */
+    /** Whether writes are accepted. */
     public enum Mode {
         OPEN,
-        /** The limit on space is reached, or the disk has too little free space. */
+        /** The size limit is reached, or the disk has too little free space; deletions are accepted. */
         FULL,
-        /** A write, a sync or a new file failed. */
+        /** A write, a sync or the creation of a file failed. */
         FAILED
     }
 
@@ -29,7 +29,7 @@
         return failed && !diskFull ? Mode.FAILED : failed || full ? Mode.FULL : Mode.OPEN;
     }
 
-    /** Whether the end of the failed segment has still to be recorded. */
+    /** Returns whether the end of a failed segment has not been recorded yet. */
     boolean mustRecover() {
         return failed;
     }
@@ -38,31 +38,31 @@
         return failures;
     }
 
-    void failed(long now, boolean spaceIsMissing) {
+    void markFailed(long nowMillis, boolean isDiskFull) {
         failures++;
         failed = true;
-        diskFull = spaceIsMissing;
+        diskFull = isDiskFull;
         retryDelayMillis =
                 retryDelayMillis == 0 ? MIN_RETRY_DELAY_MILLIS : Math.min(MAX_RETRY_DELAY_MILLIS, retryDelayMillis * 2);
-        retryAtMillis = now + retryDelayMillis;
+        retryAtMillis = nowMillis + retryDelayMillis;
     }
 
-    boolean mayRetry(long now) {
-        return failed && now >= retryAtMillis;
+    boolean mayRetry(long nowMillis) {
+        return failed && nowMillis >= retryAtMillis;
     }
 
-    /** When to try again, or a time that never comes. */
+    /** Returns when to retry, or {@link Long#MAX_VALUE} if nothing failed. */
     long retryAtMillis() {
         return failed ? retryAtMillis : Long.MAX_VALUE;
     }
 
-    void recovered() {
+    void markRecovered() {
         failed = false;
         diskFull = false;
         retryDelayMillis = 0;
     }
 
-    /** Sets whether there is space, as of the last check. */
+    /** Sets whether the last check found space for writes. */
     void setHasRoom(boolean hasRoom) {
         full = !hasRoom;
     }
--- a/server/src/main/java/wheatspread/store/WriterLoop.java
+++ b/server/src/main/java/wheatspread/store/WriterLoop.java
@@ -7,27 +7,26 @@
 import wheatspread.logging.EventLog;
 
 /**
- * The writer's thread: commits groups of writes, starts maintenance jobs and installs their results. It is the
- * only thread that appends to or syncs the active segment. It ends when {@link WriterQueue} is closed and
- * empty.
+ * The loop of the writer thread: commits groups of writes, starts maintenance jobs and installs their results. Only
+ * this thread appends to and syncs the active segment. The loop ends when {@link WriterQueue} is closed and empty.
  */
 final class WriterLoop implements Runnable {
-    private final LogStructuredStore files;
+    private final LogStructuredStore store;
     private final WriterQueue queue;
-    private final Store.Clock time;
+    private final Store.Clock clock;
     private final Executor callbacks;
     private final EventLog log;
     private volatile WriteState.Mode mode = WriteState.Mode.OPEN;
 
-    WriterLoop(LogStructuredStore files, WriterQueue queue, Store.Clock time, Executor callbacks, EventLog log) {
-        this.files = files;
+    WriterLoop(LogStructuredStore store, WriterQueue queue, Store.Clock clock, Executor callbacks, EventLog log) {
+        this.store = store;
         this.queue = queue;
-        this.time = time;
+        this.clock = clock;
         this.callbacks = callbacks;
         this.log = log;
     }
 
-    /** Whether writes are accepted, as of the last iteration. Any thread. */
+    /** Returns whether writes are accepted, as of the last iteration. May be called from any thread. */
     WriteState.Mode mode() {
         return mode;
     }
@@ -35,60 +34,61 @@
     @Override
     public void run() {
         List<Write> group = new ArrayList<>();
-        boolean last = false;
-        while (!last) {
-            last = queue.takeGroup(group, files.isBusy() ? 0 : files.nextTickMillis(time.nowMillis()));
+        boolean isLast = false;
+        while (!isLast) {
+            isLast = queue.takeGroup(group, store.isBusy() ? 0 : store.nextTickMillis(clock.nowMillis()));
             try {
                 runOnce(group);
             } catch (RuntimeException e) {
                 log.error("store_fault", "reason", e.toString());
                 group.stream()
                         .filter(write -> write.outcome() == null)
-                        .forEach(write -> write.complete(Store.Outcome.IN_DOUBT, "a fault in the program: " + e));
+                        .forEach(write -> write.complete(
+                                Store.Outcome.IN_DOUBT, "unexpected exception in the writer thread: " + e));
             }
-            notifyCallers(group);
+            invokeCallbacks(group);
             group.clear();
         }
     }
 
     private void runOnce(List<Write> group) {
         if (!group.isEmpty()) {
-            files.commit(group, time.nowMillis());
+            store.commit(group, clock.nowMillis());
         }
-        endJob();
-        files.tick(time.nowMillis());
-        mode = files.mode();
-        offerJob();
+        installFinishedJob();
+        store.tick(clock.nowMillis());
+        mode = store.mode();
+        offerNextJob();
     }
 
-    private void notifyCallers(List<Write> group) {
+    private void invokeCallbacks(List<Write> group) {
         if (!group.isEmpty()) {
             List<Write> completed = List.copyOf(group);
-            callbacks.execute(() -> completed.forEach(write -> write.notifyCaller()));
+            callbacks.execute(() -> completed.forEach(write -> write.invokeCallback()));
         }
     }
 
-    private void offerJob() {
+    private void offerNextJob() {
         if (queue.acceptsJob()) {
-            MaintenanceJob next = files.nextJob(time.nowMillis());
+            MaintenanceJob next = store.nextJob(clock.nowMillis());
             if (next != null) {
                 queue.offerJob(next);
             }
         }
     }
 
-    private void endJob() {
-        WriterQueue.FinishedJob done = queue.pollFinishedJob();
-        if (done == null) {
+    private void installFinishedJob() {
+        WriterQueue.FinishedJob finished = queue.pollFinishedJob();
+        if (finished == null) {
             return;
         }
         try {
-            if (done.failure() != null) {
-                throw done.failure();
+            if (finished.failure() != null) {
+                throw finished.failure();
             }
-            files.jobDone();
+            store.jobDone();
         } catch (IOException e) {
-            files.jobFailed(e, time.nowMillis());
+            store.jobFailed(e, clock.nowMillis());
         }
     }
 }
--- a/server/src/main/java/wheatspread/store/WriterQueue.java
+++ b/server/src/main/java/wheatspread/store/WriterQueue.java
@@ -6,63 +6,65 @@
 import java.util.List;
 
 /**
- * The queue between the threads of a store: writes that wait for the writer, and the maintenance job that the
- * writer offers to the background thread and gets back when its steps are done. One lock, the object's, guards
- * both, since the writer waits for either; it is never held over I/O. Any thread may call {@link #add}. Bounds:
- * {@link StoreSettings#maxQueuedRecords} and {@link StoreSettings#maxQueuedBytes}.
+ * The queue between the threads of a store: pending writes, and the maintenance job that the writer offers to the
+ * background thread and receives back when its steps are done. The object's lock guards both, because the writer
+ * waits for either; it is never held during I/O. Any thread may call {@link #add}. The queue is bounded by {@link
+ * StoreSettings#maxQueuedRecords} and {@link StoreSettings#maxQueuedBytes}.
  */
 final class WriterQueue {
     private static final long MAX_WAIT_MILLIS = 1_000;
 
     /**
-     * A job whose steps are over.
+     * A job whose steps are done.
      *
-     * @param failure null unless a step failed
+     * @param failure the exception of the step that failed, or null
      */
     record FinishedJob(MaintenanceJob job, IOException failure) {}
 
     private final StoreSettings settings;
-    private final Store.Clock time;
+    private final Store.Clock clock;
     private final Deque<Write> writes = new ArrayDeque<>();
-    private long waitingBytes;
+    private long pendingBytes;
     private int rejectedWrites;
     private boolean closing;
     private MaintenanceJob offered;
     private FinishedJob finished;
 
-    WriterQueue(StoreSettings settings, Store.Clock time) {
+    WriterQueue(StoreSettings settings, Store.Clock clock) {
         this.settings = settings;
-        this.time = time;
+        this.clock = clock;
     }
 
     // ---- writes ----
 
-    /** Accepts all of these writes, or none; returns null if they are accepted. */
+    /** Enqueues all writes of a batch, or none; returns null if they are accepted. */
     synchronized Store.Rejection add(List<Write> batch, long bytes) {
         if (closing) {
             return Store.Rejection.CLOSED;
         }
         if (writes.size() + batch.size() > settings.maxQueuedRecords()
-                || waitingBytes + bytes > settings.maxQueuedBytes()) {
+                || pendingBytes + bytes > settings.maxQueuedBytes()) {
             rejectedWrites += batch.size();
             return Store.Rejection.QUEUE_FULL;
         }
-        waitingBytes += bytes;
-        boolean idle = writes.isEmpty();
+        pendingBytes += bytes;
+        boolean wasEmpty = writes.isEmpty();
         writes.addAll(batch);
-        if (idle) {
+        if (wasEmpty) {
             notifyAll();
         }
         return null;
     }
 
     /**
-     * Waits until there is a write, a finished job, an end, or the time {@code dueMillis}, and takes what makes a
-     * group; true when it was the last.
+     * Waits until a write is pending, a job is finished, the queue is closed, or {@code dueMillis} is reached. Then
+     * moves pending writes, up to the limits of a group, into {@code group}.
+     *
+     * @return whether the queue is closed and empty
      */
     synchronized boolean takeGroup(List<Write> group, long dueMillis) {
-        while (writes.isEmpty() && !closing && finished == null && time.nowMillis() < dueMillis) {
-            await(this, Math.max(1, dueMillis - time.nowMillis()));
+        while (writes.isEmpty() && !closing && finished == null && clock.nowMillis() < dueMillis) {
+            await(this, Math.max(1, dueMillis - clock.nowMillis()));
         }
         long bytes = 0;
         while (!writes.isEmpty()
@@ -72,18 +74,18 @@
             bytes += next.size();
             group.add(next);
         }
-        waitingBytes -= bytes;
+        pendingBytes -= bytes;
         return closing && writes.isEmpty();
     }
 
-    /** What waits here, beside so many reads that wait elsewhere. */
-    synchronized Store.Waiting waiting(int reads) {
-        return new Store.Waiting(writes.size(), waitingBytes, reads, rejectedWrites);
+    /** Returns the state of this queue, combined with the number of pending reads. */
+    synchronized Store.QueueStats stats(int pendingReads) {
+        return new Store.QueueStats(writes.size(), pendingBytes, pendingReads, rejectedWrites);
     }
 
     // ---- the current job ----
 
-    /** Whether a job may be offered now: one at a time, and none at the end. */
+    /** Returns whether a job may be offered: no job is in progress and the queue is open. */
     synchronized boolean acceptsJob() {
         return !closing && offered == null && finished == null;
     }
@@ -94,7 +96,7 @@
         notifyAll();
     }
 
-    /** Waits for a job and returns it; null when the store closes. */
+    /** Waits for a job and returns it; returns null when the store is closed. */
     synchronized MaintenanceJob awaitJob() {
         while (offered == null && !closing) {
             await(this, MAX_WAIT_MILLIS);
@@ -102,27 +104,27 @@
         return closing ? null : offered;
     }
 
-    /** The steps of the offered job are over. */
+    /** Returns the offered job, whose steps are done, to the writer. */
     synchronized void finishJob(FinishedJob done) {
         offered = null;
         finished = done;
         notifyAll();
     }
 
-    /** The job whose steps are over, once; null if there is none. */
+    /** Removes and returns the finished job, or returns null if there is none. */
     synchronized FinishedJob pollFinishedJob() {
         FinishedJob done = finished;
         finished = null;
         return done;
     }
 
-    // ---- the end ----
+    // ---- closing ----
 
     synchronized boolean isClosing() {
         return closing;
     }
 
-    /** Takes nothing more; false if it was closed before. */
+    /** Rejects further writes and jobs; returns false if the queue was already closed. */
     synchronized boolean close() {
         boolean first = !closing;
         closing = true;
@@ -130,18 +132,19 @@
         return first;
     }
 
-    /** Takes nothing more, and drops what waits. */
+    /** Closes the queue and drops pending writes without calling their callbacks. */
     synchronized void abandon() {
         writes.clear();
         close();
     }
 
-    /** Waits on a monitor that the caller holds. */
-    static void await(Object monitor, long ms) {
+    /** Waits on a monitor that the caller holds, for at most a number of milliseconds. */
+    static void await(Object monitor, long millis) {
         try {
-            monitor.wait(ms);
+            monitor.wait(millis);
         } catch (InterruptedException e) {
-            Thread.currentThread().interrupt(); // nobody interrupts these threads: they end by close
+            // the threads of a store are never interrupted; they end when the store is closed
+            Thread.currentThread().interrupt();
         }
     }
 }
--- a/server/src/test/java/wheatspread/store/MaintenanceTest.java
+++ b/server/src/test/java/wheatspread/store/MaintenanceTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import wheatspread.disk.Disk;
 
-/** Space, ageing, compaction, and the settings of sync. */
+/** Tests of the space limit, expiry, compaction, checkpoints, and the sync modes. */
 class MaintenanceTest {
     private static final String TEXT = "x".repeat(100);
 
@@ -40,14 +40,14 @@
         assertThat(harness.log.mode()).isEqualTo(WriteState.Mode.FULL);
         assertThat(harness.events).anyMatch(line -> line.startsWith("store_full"));
         harness.assertExpectedValues(false);
-        int held = harness.heldWrites;
-        harness.commitGroup("key 1", null, 0, "key 2", null, 0); // what makes room is taken
-        assertThat(harness.heldWrites).isEqualTo(held + 2);
+        int heldBefore = harness.heldWrites;
+        harness.commitGroup("key 1", null, 0, "key 2", null, 0); // deletions are accepted, because they free space
+        assertThat(harness.heldWrites).isEqualTo(heldBefore + 2);
         harness.advance(601_000);
         harness.advance(10);
         assertThat(harness.log.mode()).isEqualTo(WriteState.Mode.OPEN);
         harness.commitGroup("key 1", "again", 0);
-        assertThat(harness.heldWrites).isEqualTo(held + 3);
+        assertThat(harness.heldWrites).isEqualTo(heldBefore + 3);
         assertThat(harness.log.stats().keys()).isEqualTo(1);
         harness.assertExpectedValues(false);
     }
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void expiredOverwriteNeverBringsTheOlderValueBack() throws IOException {
+    void expiredOverwriteDoesNotExposeTheOlderValue() throws IOException {
         StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 1);
         harness.open();
         harness.commitGroup("key", "old, and never expires", 0);
@@ -109,17 +109,17 @@
         }
         long syncs = harness.log.stats().counters().syncs();
         assertThat(syncs).isBetween(20L, 40L);
-        StoreHarness kept = harness.afterCrash(FaultyDisk.Unsynced.KEPT, 1);
-        kept.open();
-        kept.assertExpectedValues(true); // the process alone: nothing is lost
-        StoreHarness lost = harness.afterCrash(FaultyDisk.Unsynced.LOST, 1);
-        lost.open();
-        assertThat(lost.log.stats().keys()).isBetween(95, 100);
-        assertThat(lost.events).noneMatch(line -> line.startsWith("store_damage"));
+        StoreHarness processCrash = harness.afterCrash(FaultyDisk.Unsynced.KEPT, 1);
+        processCrash.open();
+        processCrash.assertExpectedValues(true); // only the process crashed, so nothing is lost
+        StoreHarness machineCrash = harness.afterCrash(FaultyDisk.Unsynced.LOST, 1);
+        machineCrash.open();
+        assertThat(machineCrash.log.stats().keys()).isBetween(95, 100);
+        assertThat(machineCrash.events).noneMatch(line -> line.startsWith("store_damage"));
     }
 
     @Test
-    void checkpointSavesReplayingTheLog() throws IOException {
+    void checkpointAvoidsReplayingTheLog() throws IOException {
         StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 1);
         harness.open();
         for (int i = 0; i < 200; i++) {
@@ -134,26 +134,26 @@
     }
 
     @Test
-    void keysWithEqualHashesAreKeptApart() throws IOException {
-        // two keys of the same hash, made so by the index itself: entries are distinguished by their keys
+    void keysWithEqualHashesAreDistinguished() throws IOException {
+        // simulates equal hashes by moving the entry of a key to the hash of another key
         StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 1);
         harness.open();
         harness.commitGroup("one", "first", 0);
         harness.commitGroup("other", "second", 0);
         Index index = harness.log.catalog().index();
         long hash = harness.log.catalog().hash(StoreHarness.bytes("one"));
-        long wrong = harness.log.catalog().hash(StoreHarness.bytes("other"));
-        long[] at = new long[3];
-        index.find(wrong, (h, place, length, expiry) -> {
-            at[0] = place;
-            at[1] = length;
+        long otherHash = harness.log.catalog().hash(StoreHarness.bytes("other"));
+        long[] entry = new long[3];
+        index.find(otherHash, (h, location, length, expiry) -> {
+            entry[0] = location;
+            entry[1] = length;
         });
-        index.remove(wrong, at[0]);
-        index.add(hash, at[0], (int) at[1], 0);
+        index.remove(otherHash, entry[0]);
+        index.add(hash, entry[0], (int) entry[1], 0);
         assertThat(harness.log.get(StoreHarness.bytes("one"), harness.nowMillis).value())
                 .isEqualTo(StoreHarness.bytes("first"));
         harness.commitGroup("one", "changed", 0);
-        assertThat(index.find(hash, (h, place, length, expiry) -> {})).isEqualTo(2);
+        assertThat(index.find(hash, (h, location, length, expiry) -> {})).isEqualTo(2);
         assertThat(harness.log.get(StoreHarness.bytes("one"), harness.nowMillis).value())
                 .isEqualTo(StoreHarness.bytes("changed"));
     }
@@ -166,33 +166,33 @@
         CompactionPolicy.Candidate full = new CompactionPolicy.Candidate(100_000, 99_000, never);
         CompactionPolicy.Candidate half = new CompactionPolicy.Candidate(100_000, 40_000, never);
         CompactionPolicy.Candidate dead = new CompactionPolicy.Candidate(100_000, 90_000, 5_000);
-        CompactionPolicy.Candidate soon = new CompactionPolicy.Candidate(100_000, 10_000, 5_600);
-        CompactionPolicy.Candidate tiny = new CompactionPolicy.Candidate(1_000, 700, never);
+        CompactionPolicy.Candidate expiresSoon = new CompactionPolicy.Candidate(100_000, 10_000, 5_600);
+        CompactionPolicy.Candidate small = new CompactionPolicy.Candidate(1_000, 700, never);
         assertThat(policy.choose(List.of(full, full), 5_000, false)).isNull();
         assertThat(policy.choose(List.of(full, half, full), 5_000, false)).isEqualTo(new CompactionPolicy.Run(1, 1));
         assertThat(policy.choose(List.of(half, full, dead, dead), 5_000, false))
                 .isEqualTo(new CompactionPolicy.Run(2, 3));
-        assertThat(policy.choose(List.of(full, soon), 5_000, false)).isNull();
-        assertThat(policy.choose(List.of(full, soon), 5_000, true)).isEqualTo(new CompactionPolicy.Run(1, 1));
-        assertThat(policy.choose(List.of(tiny, tiny, tiny, tiny, tiny, tiny, tiny), 5_000, false))
+        assertThat(policy.choose(List.of(full, expiresSoon), 5_000, false)).isNull();
+        assertThat(policy.choose(List.of(full, expiresSoon), 5_000, true)).isEqualTo(new CompactionPolicy.Run(1, 1));
+        assertThat(policy.choose(List.of(small, small, small, small, small, small, small), 5_000, false))
                 .isNull();
-        assertThat(policy.choose(List.of(tiny, tiny, tiny, tiny, tiny, tiny, tiny, tiny), 5_000, false))
+        assertThat(policy.choose(List.of(small, small, small, small, small, small, small, small), 5_000, false))
                 .isEqualTo(new CompactionPolicy.Run(0, 7));
     }
 
     @Test
     void retryDelayGrowsUpToItsMaximumAndIsResetByRecovery() {
         WriteState state = new WriteState();
-        state.failed(0, false);
+        state.markFailed(0, false);
         assertThat(state.mode()).isEqualTo(WriteState.Mode.FAILED);
         assertThat(state.mayRetry(49)).isFalse();
         assertThat(state.mayRetry(50)).isTrue();
         for (int i = 0; i < 20; i++) {
-            state.failed(0, true);
+            state.markFailed(0, true);
         }
         assertThat(state.retryAtMillis()).isEqualTo(WriteState.MAX_RETRY_DELAY_MILLIS);
         assertThat(state.mode()).isEqualTo(WriteState.Mode.FULL);
-        state.recovered();
+        state.markRecovered();
         assertThat(state.mode()).isEqualTo(WriteState.Mode.OPEN);
         RateLimiter rateLimiter = new RateLimiter(1_000_000, 0);
         assertThat(rateLimiter.delayNanosAfter(1_000, 0)).isEqualTo(1_000_000);
--- a/server/src/test/java/wheatspread/store/RecordFramingTest.java
+++ b/server/src/test/java/wheatspread/store/RecordFramingTest.java
@@ -13,7 +13,7 @@
 class RecordFramingTest {
     private static final List<String> BODIES = List.of("first", "", "a third one that is longer", "4");
 
-    private static ByteBuffer file() {
+    private static ByteBuffer createFile() {
         ByteBuffer file = ByteBuffer.allocate(200);
         BODIES.forEach(body -> RecordFraming.write(ByteBuffer.wrap(body.getBytes(StandardCharsets.UTF_8)), file));
         return file.flip();
@@ -30,26 +30,26 @@
     }
 
     @Test
-    void truncationAtEveryByteKeepsCompleteFramesAndReportsATornOne() {
-        ByteBuffer file = file();
+    void truncationKeepsCompleteFramesAndReportsATornFrame() {
+        ByteBuffer file = createFile();
         List<Integer> ends = new ArrayList<>(List.of(0));
         BODIES.forEach(body -> ends.add(ends.get(ends.size() - 1) + RecordFraming.frameBytes(body.length())));
         for (int cut = 0; cut <= file.limit(); cut++) {
             List<String> read = new ArrayList<>();
             Found found = readAll(file.slice(0, cut), read);
-            int length = cut;
-            int whole =
-                    (int) ends.stream().filter(end -> end > 0 && end <= length).count();
-            assertThat(read).as("cut at %d", cut).isEqualTo(BODIES.subList(0, whole));
+            int fileBytes = cut;
+            int completeFrames = (int)
+                    ends.stream().filter(end -> end > 0 && end <= fileBytes).count();
+            assertThat(read).as("cut at %d", cut).isEqualTo(BODIES.subList(0, completeFrames));
             assertThat(found).as("cut at %d", cut).isEqualTo(ends.contains(cut) ? Found.END : Found.TORN);
         }
     }
 
     @Test
     void flippedBitIsNeverReadAsAnotherRecord() {
-        int bits = file().limit() * 8;
+        int bits = createFile().limit() * 8;
         for (int bit = 0; bit < bits; bit++) {
-            ByteBuffer file = file();
+            ByteBuffer file = createFile();
             file.put(bit / 8, (byte) (file.get(bit / 8) ^ 1 << bit % 8));
             List<String> read = new ArrayList<>();
             Found found = readAll(file, read);
@@ -59,9 +59,9 @@
     }
 
     @Test
-    void tooLongBodyIsRejected() {
+    void rejectsBodyLongerThanTheLimit() {
         assertThatThrownBy(() -> RecordFraming.write(
                         ByteBuffer.allocate(RecordFraming.MAX_BODY_BYTES + 1), ByteBuffer.allocate(8)))
-                .hasMessageContaining("is over " + RecordFraming.MAX_BODY_BYTES);
+                .hasMessageContaining("exceeds the limit of " + RecordFraming.MAX_BODY_BYTES + " bytes");
     }
 }
--- a/server/src/test/java/wheatspread/store/StoreTest.java
+++ b/server/src/test/java/wheatspread/store/StoreTest.java
@@ -20,7 +20,7 @@
 import wheatspread.disk.FolderDisk;
 import wheatspread.logging.EventLog;
 
-/** The store with its threads, beside one that stands for the event loop. */
+/** Tests of the store with its threads; a single-threaded executor represents the event loop. */
 @Timeout(60)
 class StoreTest {
     private final ExecutorService loop = Executors.newSingleThreadExecutor();
@@ -28,33 +28,33 @@
     private Store store;
 
     @AfterEach
-    void end() throws IOException {
+    void closeStore() throws IOException {
         if (store != null) {
             store.close();
         }
         loop.shutdownNow();
     }
 
-    private Store open(Disk on, StoreSettings settings) throws IOException {
-        store = Store.open(on, settings, Store.Clock.SYSTEM, loop, EventLog.NONE);
+    private Store open(Disk disk, StoreSettings settings) throws IOException {
+        store = Store.open(disk, settings, Store.Clock.SYSTEM, loop, EventLog.NONE);
         return store;
     }
 
     private CompletableFuture<Store.Outcome> put(String key, String value) {
-        CompletableFuture<Store.Outcome> ended = new CompletableFuture<>();
+        CompletableFuture<Store.Outcome> outcomeFuture = new CompletableFuture<>();
         assertThat(store.put(
                         StoreHarness.bytes(key),
                         StoreHarness.bytes(value),
                         0,
-                        (outcome, reason) -> ended.complete(outcome)))
+                        (outcome, reason) -> outcomeFuture.complete(outcome)))
                 .isNull();
-        return ended;
+        return outcomeFuture;
     }
 
     private Store.ReadResult get(String key) {
-        CompletableFuture<Store.ReadResult> got = new CompletableFuture<>();
-        assertThat(store.get(StoreHarness.bytes(key), got::complete)).isNull();
-        return got.join();
+        CompletableFuture<Store.ReadResult> result = new CompletableFuture<>();
+        assertThat(store.get(StoreHarness.bytes(key), result::complete)).isNull();
+        return result.join();
     }
 
     @Test
@@ -81,11 +81,11 @@
         open(disk, StoreHarness.smallSettings().withQueue(100, 1 << 20, 100));
         put("read", "meanwhile").join();
         CountDownLatch stalled = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
+        CountDownLatch released = new CountDownLatch(1);
         disk.beforeSync = () -> {
             stalled.countDown();
             try {
-                goOn.await();
+                released.await();
             } catch (InterruptedException e) {
                 throw new AssertionError(e);
             }
@@ -93,39 +93,41 @@
         CompletableFuture<Store.Outcome> first = put("one", "x");
         stalled.await();
         long syncs = store.stats().counters().syncs();
-        List<CompletableFuture<Store.Outcome>> waiting = new ArrayList<>();
+        List<CompletableFuture<Store.Outcome>> pending = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            waiting.add(put("key " + i, "x"));
+            pending.add(put("key " + i, "x"));
         }
         assertThat(store.put(StoreHarness.bytes("k"), StoreHarness.bytes("v"), 0, (outcome, reason) -> {}))
                 .isEqualTo(Store.Rejection.QUEUE_FULL);
-        assertThat(store.waiting())
-                .isEqualTo(new Store.Waiting(100, store.waiting().bytes(), 0, 1));
+        assertThat(store.queueStats())
+                .isEqualTo(new Store.QueueStats(100, store.queueStats().pendingBytes(), 0, 1));
         assertThat(get("read").value()).isEqualTo(StoreHarness.bytes("meanwhile"));
         assertThat(get("one").kind()).isEqualTo(Store.ReadResult.Kind.ABSENT);
         assertThat(first).isNotDone();
-        goOn.countDown();
+        released.countDown();
         first.join();
-        waiting.forEach(one -> assertThat(one.join()).isEqualTo(Store.Outcome.HELD));
-        assertThat(store.stats().counters().syncs() - syncs).isLessThan(10); // many share one
+        pending.forEach(write -> assertThat(write.join()).isEqualTo(Store.Outcome.HELD));
+        assertThat(store.stats().counters().syncs() - syncs).isLessThan(10); // many writes share a sync
     }
 
     @Test
     void invalidWritesAndCallsAfterCloseAreRejectedImmediately() throws IOException {
         open(disk, StoreHarness.smallSettings().withMaxLifetime(10_000));
-        Store.WriteCallback none = (outcome, reason) -> {};
-        long now = System.currentTimeMillis();
-        assertThat(store.put(new byte[1], new byte[300], now + 5_000, none)).isEqualTo(Store.Rejection.TOO_LONG);
-        assertThat(store.put(new byte[1], new byte[3], 0, none)).isEqualTo(Store.Rejection.BAD_EXPIRY);
-        assertThat(store.put(new byte[1], new byte[3], now + 99_000, none)).isEqualTo(Store.Rejection.BAD_EXPIRY);
-        assertThat(store.put(new byte[1], new byte[3], now - 1, none)).isEqualTo(Store.Rejection.BAD_EXPIRY);
+        Store.WriteCallback ignored = (outcome, reason) -> {};
+        long nowMillis = System.currentTimeMillis();
+        assertThat(store.put(new byte[1], new byte[300], nowMillis + 5_000, ignored))
+                .isEqualTo(Store.Rejection.TOO_LONG);
+        assertThat(store.put(new byte[1], new byte[3], 0, ignored)).isEqualTo(Store.Rejection.BAD_EXPIRY);
+        assertThat(store.put(new byte[1], new byte[3], nowMillis + 99_000, ignored))
+                .isEqualTo(Store.Rejection.BAD_EXPIRY);
+        assertThat(store.put(new byte[1], new byte[3], nowMillis - 1, ignored)).isEqualTo(Store.Rejection.BAD_EXPIRY);
         store.close();
-        assertThat(store.delete(new byte[1], none)).isEqualTo(Store.Rejection.CLOSED);
+        assertThat(store.delete(new byte[1], ignored)).isEqualTo(Store.Rejection.CLOSED);
         assertThat(store.get(new byte[1], got -> {})).isEqualTo(Store.Rejection.CLOSED);
     }
 
     @Test
-    void failedWriteIsReportedAndTheStoreRecoversByItself() throws Exception {
+    void failedWriteIsInDoubtAndTheStoreRecovers() throws Exception {
         open(disk, StoreHarness.smallSettings());
         put("key", "old").join();
         synchronized (disk) {
@@ -133,30 +135,31 @@
         }
         assertThat(put("key", "new").join()).isEqualTo(Store.Outcome.IN_DOUBT);
         assertThat(get("key").value()).isEqualTo(StoreHarness.bytes("old"));
-        Store.Rejection refusal;
-        CompletableFuture<Store.Outcome> again = new CompletableFuture<>();
+        Store.Rejection rejection;
+        CompletableFuture<Store.Outcome> retried = new CompletableFuture<>();
         do {
-            refusal = store.put(StoreHarness.bytes("key"), StoreHarness.bytes("again"), 0, (o, r) -> again.complete(o));
-            assertThat(refusal).isIn(null, Store.Rejection.FAILED);
+            rejection =
+                    store.put(StoreHarness.bytes("key"), StoreHarness.bytes("again"), 0, (o, r) -> retried.complete(o));
+            assertThat(rejection).isIn(null, Store.Rejection.FAILED);
             Thread.onSpinWait();
-        } while (refusal != null);
-        assertThat(again.join()).isIn(Store.Outcome.HELD, Store.Outcome.REFUSED);
+        } while (rejection != null);
+        assertThat(retried.join()).isIn(Store.Outcome.HELD, Store.Outcome.REFUSED);
     }
 
     @Test
     void closeCompletesAcceptedWritesAndLeavesACheckpoint() throws IOException {
         open(disk, StoreHarness.smallSettings());
-        List<CompletableFuture<Store.Outcome>> taken = new ArrayList<>();
+        List<CompletableFuture<Store.Outcome>> accepted = new ArrayList<>();
         for (int i = 0; i < 500; i++) {
-            taken.add(put("key " + i, "x"));
+            accepted.add(put("key " + i, "x"));
         }
         store.close();
-        taken.forEach(one -> assertThat(one.join()).isEqualTo(Store.Outcome.HELD));
+        accepted.forEach(write -> assertThat(write.join()).isEqualTo(Store.Outcome.HELD));
         assertThat(disk.list()).anyMatch(name -> name.endsWith(".checkpoint"));
     }
 
     @Test
-    void errorThatEndsAThreadIsLoggedWithItsName() throws IOException {
+    void errorThatEndsAThreadIsLoggedWithTheThreadName() throws IOException {
         CompletableFuture<String> fault = new CompletableFuture<>();
         store = Store.open(disk, StoreHarness.smallSettings(), Store.Clock.SYSTEM, loop, EventLog.lines(line -> {
             if (line.startsWith("store_fault")) {
