--- a/server/src/test/java/wheatspread/store/CrashTest.java
+++ b/server/src/test/java/wheatspread/store/CrashTest.java
@@ -9,44 +9,45 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import wheatspread.disk.Disk;
 
-/** A crash or a failure at every place of a recorded history. */
+/** Crashes, and failures of disk operations, at every point of a fixed history: no acknowledged write is lost. */
 class CrashTest {
     private static final int HISTORY_ACTIONS = 130;
     private static final long HISTORY_SEED = 11;
 
-    private static StoreHarness healthy() throws IOException {
+    private static StoreHarness runHistoryWithoutFailure() throws IOException {
         StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 1);
         harness.runHistory(new Random(HISTORY_SEED), HISTORY_ACTIONS);
         return harness;
     }
 
     @FunctionalInterface
-    private interface Check {
-        void of(int place) throws IOException;
+    private interface CrashPointCheck {
+        void run(int crashPoint) throws IOException;
     }
 
-    /** Counts the places it is called at. */
-    private static Runnable each(Check check) {
-        int[] place = new int[1];
+    /** Returns a hook that passes the number of its previous calls to a check. */
+    private static Runnable atEachPoint(CrashPointCheck check) {
+        int[] crashPoint = new int[1];
         return () -> {
             try {
-                check.of(place[0]++);
+                check.run(crashPoint[0]++);
             } catch (IOException e) {
-                throw new AssertionError("at place " + place[0], e);
+                throw new AssertionError("at crash point " + crashPoint[0], e);
             }
         };
     }
 
-    private static StoreHarness recovered(StoreHarness at, FaultyDisk.Unsynced how, long seed) throws IOException {
-        StoreHarness other = at.afterCrash(how, seed);
-        other.open();
-        other.assertExpectedValues(true);
-        return other;
+    private static StoreHarness recoverAfterCrash(StoreHarness harness, FaultyDisk.Unsynced how, long seed)
+            throws IOException {
+        StoreHarness recovered = harness.afterCrash(how, seed);
+        recovered.open();
+        recovered.assertExpectedValues(true);
+        return recovered;
     }
 
-    /** What was found goes on to be a store: it takes writes, and holds them after another crash. */
+    /** Asserts that a recovered store accepts writes, and keeps them after another crash. */
     private static void assertStillUsable(StoreHarness harness, long seed) throws IOException {
-        recovered(harness, FaultyDisk.Unsynced.REORDERED, seed); // what was read is there for good
+        recoverAfterCrash(harness, FaultyDisk.Unsynced.REORDERED, seed); // values that were read stay readable
         harness.runActions(new Random(seed), 12);
         harness.assertExpectedValues(false);
         harness.restart(FaultyDisk.Unsynced.LOST, seed);
@@ -56,8 +57,8 @@
     }
 
     @Test
-    void historyCoversCompactionCheckpointAndExpiry() throws IOException {
-        StoreHarness harness = healthy();
+    void historyIncludesCompactionCheckpointAndExpiry() throws IOException {
+        StoreHarness harness = runHistoryWithoutFailure();
         harness.assertExpectedValues(false);
         assertThat(harness.refusedWrites + harness.uncertainWrites).isZero();
         assertThat(harness.events)
@@ -69,9 +70,9 @@
     @Test
     void crashAtEveryAppendedByteKeepsAcknowledgedWrites() throws IOException {
         StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 1);
-        harness.disk.atByte = each(place -> {
-            recovered(harness, FaultyDisk.Unsynced.KEPT, place);
-            recovered(harness, FaultyDisk.Unsynced.REORDERED, place);
+        harness.disk.atByte = atEachPoint(crashPoint -> {
+            recoverAfterCrash(harness, FaultyDisk.Unsynced.KEPT, crashPoint);
+            recoverAfterCrash(harness, FaultyDisk.Unsynced.REORDERED, crashPoint);
         });
         harness.runHistory(new Random(HISTORY_SEED), HISTORY_ACTIONS);
         assertThat(harness.disk.appended).isGreaterThan(8_000);
@@ -82,9 +83,9 @@
     void crashAtEveryDiskOperationKeepsAcknowledgedWrites(FaultyDisk.Unsynced how) throws IOException {
         StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 1);
         int seeds = how == FaultyDisk.Unsynced.REORDERED || how == FaultyDisk.Unsynced.PROCESS ? 4 : 1;
-        harness.disk.atStep = each(place -> {
+        harness.disk.atStep = atEachPoint(crashPoint -> {
             for (int seed = 0; seed < seeds; seed++) {
-                assertStillUsable(recovered(harness, how, seed), place);
+                assertStillUsable(recoverAfterCrash(harness, how, seed), crashPoint);
             }
         });
         harness.runHistory(new Random(HISTORY_SEED), HISTORY_ACTIONS);
@@ -94,39 +95,40 @@
     @Test
     void crashDuringRecoveryLosesNothing() throws IOException {
         StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 1);
-        harness.disk.atStep = each(place -> {
-            StoreHarness again = harness.afterCrash(
-                    place % 2 == 0 ? FaultyDisk.Unsynced.PROCESS : FaultyDisk.Unsynced.REORDERED, place);
-            again.disk.atStep =
-                    each(second -> assertStillUsable(recovered(again, FaultyDisk.Unsynced.REORDERED, second), place));
-            again.open();
-            again.commitGroup("key 1", "after the first crash", 0);
-            again.commitGroup("key 2", null, 0);
-            again.advance(10);
+        harness.disk.atStep = atEachPoint(crashPoint -> {
+            StoreHarness recovering = harness.afterCrash(
+                    crashPoint % 2 == 0 ? FaultyDisk.Unsynced.PROCESS : FaultyDisk.Unsynced.REORDERED, crashPoint);
+            recovering.disk.atStep = atEachPoint(secondPoint -> assertStillUsable(
+                    recoverAfterCrash(recovering, FaultyDisk.Unsynced.REORDERED, secondPoint), crashPoint));
+            recovering.open();
+            recovering.commitGroup("key 1", "after the first crash", 0);
+            recovering.commitGroup("key 2", null, 0);
+            recovering.advance(10);
         });
         harness.runHistory(new Random(HISTORY_SEED), HISTORY_ACTIONS / 2);
     }
 
-    private static void assertRecoversFromFailure(int at, boolean on, boolean space) throws IOException {
-        StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), at);
+    private static void assertRecoversFromFailure(int failedStep, boolean keepsFailing, boolean diskIsFull)
+            throws IOException {
+        StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), failedStep);
         harness.open();
-        harness.disk.failAtStep = at;
-        harness.disk.keepsFailing = on;
-        if (space) {
+        harness.disk.failAtStep = failedStep;
+        harness.disk.keepsFailing = keepsFailing;
+        if (diskIsFull) {
             harness.disk.failure = () -> new Disk.DiskFullException("planned", null);
         }
         harness.log.closeFiles();
         try {
             harness.runHistory(new Random(HISTORY_SEED), HISTORY_ACTIONS);
         } catch (IOException e) {
-            assertThat(e).hasMessage("planned"); // a start or an end that could not be: the next one can
-            harness.disk = harness.disk.restarted(FaultyDisk.Unsynced.KEPT, at);
+            assertThat(e).hasMessage("planned"); // opening or closing failed: the next start succeeds
+            harness.disk = harness.disk.restarted(FaultyDisk.Unsynced.KEPT, failedStep);
             harness.open();
             harness.assertExpectedValues(true);
             return;
         }
         harness.assertExpectedValues(false);
-        if (on) {
+        if (keepsFailing) {
             harness.commitGroup("key 1", "in doubt", 0);
             harness.commitGroup("key 1", "refused", 0);
             assertThat(harness.refusedWrites).isPositive();
@@ -135,20 +137,20 @@
         harness.advance(10_000);
         harness.advance(70_000);
         assertThat(harness.log.mode()).isEqualTo(WriteState.Mode.OPEN);
-        int before = harness.heldWrites;
+        int heldBefore = harness.heldWrites;
         harness.commitGroup("key 1", "it works again", 0);
-        assertThat(harness.heldWrites).isEqualTo(before + 1);
+        assertThat(harness.heldWrites).isEqualTo(heldBefore + 1);
         harness.assertExpectedValues(false);
-        harness.restart(FaultyDisk.Unsynced.REORDERED, at);
+        harness.restart(FaultyDisk.Unsynced.REORDERED, failedStep);
         harness.assertExpectedValues(true);
     }
 
     @Test
     void failureOfEveryDiskOperationLosesNothingAndIsReported() throws IOException {
-        int steps = healthy().disk.steps;
-        for (int at = 1; at <= steps; at++) {
-            assertRecoversFromFailure(at, false, false);
-            assertRecoversFromFailure(at, true, at % 2 == 0);
+        int steps = runHistoryWithoutFailure().disk.steps;
+        for (int step = 1; step <= steps; step++) {
+            assertRecoversFromFailure(step, false, false);
+            assertRecoversFromFailure(step, true, step % 2 == 0);
         }
     }
 }
--- a/server/src/test/java/wheatspread/store/DamageTest.java
+++ b/server/src/test/java/wheatspread/store/DamageTest.java
@@ -11,20 +11,21 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import wheatspread.disk.Disk;
 
-/** Files that are not as they were written. */
+/** Files that were damaged, truncated, deleted or replaced: the store never returns a wrong value. */
 class DamageTest {
-    /** A small store, ended well (with a checkpoint) or as a crash leaves it. */
-    private static StoreHarness store(boolean ended) throws IOException {
+    /** Creates a small store, closed regularly (with a checkpoint) or left as after a crash. */
+    private static StoreHarness createStore(boolean closed) throws IOException {
         StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 1);
         harness.runHistory(new Random(4), 110);
-        if (ended) {
+        if (closed) {
             harness.log.finish(harness.nowMillis);
             harness.log.close();
         }
         return harness;
     }
 
-    private static StoreHarness with(StoreHarness healthy, String name, byte[] bytes) throws IOException {
+    private static StoreHarness openWithReplacedFile(StoreHarness healthy, String name, byte[] bytes)
+            throws IOException {
         StoreHarness harness = healthy.afterCrash(FaultyDisk.Unsynced.KEPT, 1);
         harness.disk.replace(name, bytes);
         harness.open();
@@ -39,47 +40,47 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void flippedBitIsDetectedOrHarmless(boolean ended) throws IOException {
-        StoreHarness healthy = store(ended);
-        int found = 0;
+    void flippedBitIsDetectedOrHarmless(boolean closed) throws IOException {
+        StoreHarness healthy = createStore(closed);
+        int reported = 0;
         int flipped = 0;
         for (String name : healthy.disk.list()) {
             byte[] bytes = healthy.disk.bytes(name);
-            for (int at = 0; at < bytes.length; at++) {
-                byte[] wrong = bytes.clone();
-                wrong[at] ^= (byte) (1 << at % 8);
-                StoreHarness harness = with(healthy, name, wrong);
+            for (int offset = 0; offset < bytes.length; offset++) {
+                byte[] damaged = bytes.clone();
+                damaged[offset] ^= (byte) (1 << offset % 8);
+                StoreHarness harness = openWithReplacedFile(healthy, name, damaged);
                 // the last group before a crash cannot be distinguished from one that was never acknowledged
                 harness.assertNoWrongValues(isReported(harness)
                         && harness.events.stream().anyMatch(line -> line.startsWith("store_torn_tail")));
-                found += isReported(harness) ? 1 : 0;
+                reported += isReported(harness) ? 1 : 0;
                 flipped++;
             }
         }
         assertThat(flipped).isGreaterThan(2_000);
-        assertThat(found).isGreaterThan(flipped / 4);
+        assertThat(reported).isGreaterThan(flipped / 4);
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void truncatedFileNeverYieldsAWrongValue(boolean ended) throws IOException {
-        StoreHarness healthy = store(ended);
+    void truncatedFileNeverYieldsAWrongValue(boolean closed) throws IOException {
+        StoreHarness healthy = createStore(closed);
         for (String name : healthy.disk.list()) {
             byte[] bytes = healthy.disk.bytes(name);
             for (int length = 0; length < bytes.length; length++) {
-                StoreHarness harness = with(healthy, name, Arrays.copyOf(bytes, length));
+                StoreHarness harness = openWithReplacedFile(healthy, name, Arrays.copyOf(bytes, length));
                 SegmentName segment = SegmentName.parse(name);
-                boolean newest = !ended
+                boolean isNewest = !closed
                         && segment != null
                         && segment.isOriginal()
                         && segment.last() == Layout.of(healthy.disk.list()).nextNumber() - 1;
-                harness.assertNoWrongValues(newest);
+                harness.assertNoWrongValues(isNewest);
             }
         }
     }
 
     @Test
-    void damagedKeyIsDoubtfulUntilItIsRewrittenAndOtherKeysAreServed() throws IOException {
+    void damagedKeyIsDoubtfulUntilRewrittenAndOtherKeysStayReadable() throws IOException {
         StoreHarness healthy = new StoreHarness(StoreHarness.smallSettings().withMaxLifetime(60_000), 1);
         healthy.open();
         healthy.commitGroup("a", "old", 50_000);
@@ -87,9 +88,9 @@
         healthy.commitGroup("c", "behind it", 50_000);
         String name = SegmentName.original(1).toString();
         byte[] bytes = healthy.disk.bytes(name).clone();
-        int at = new String(bytes, java.nio.charset.StandardCharsets.ISO_8859_1).indexOf("newer");
-        bytes[at] ^= 1;
-        StoreHarness harness = with(healthy, name, bytes);
+        int valueOffset = new String(bytes, java.nio.charset.StandardCharsets.ISO_8859_1).indexOf("newer");
+        bytes[valueOffset] ^= 1;
+        StoreHarness harness = openWithReplacedFile(healthy, name, bytes);
         assertThat(harness.log.get(StoreHarness.bytes("a"), harness.nowMillis).kind())
                 .isEqualTo(Store.ReadResult.Kind.DOUBTFUL);
         assertThat(harness.log.get(StoreHarness.bytes("b"), harness.nowMillis).kind())
@@ -99,20 +100,20 @@
         assertThat(harness.log.get(StoreHarness.bytes("d"), harness.nowMillis).kind())
                 .isEqualTo(Store.ReadResult.Kind.ABSENT);
         assertThat(harness.disk.list()).contains(name + ".damaged");
-        harness.restart(FaultyDisk.Unsynced.LOST, 1); // the doubt lasts
+        harness.restart(FaultyDisk.Unsynced.LOST, 1); // the suspected loss is persistent
         assertThat(harness.log.get(StoreHarness.bytes("a"), harness.nowMillis).kind())
                 .isEqualTo(Store.ReadResult.Kind.DOUBTFUL);
         harness.commitGroup("a", "again", 50_000);
         assertThat(harness.log.get(StoreHarness.bytes("a"), harness.nowMillis).value())
                 .isEqualTo(StoreHarness.bytes("again"));
         harness.commitGroup("a", null, 0);
-        harness.nowMillis += 60_001; // whatever was lost has expired
+        harness.nowMillis += 60_001; // every write that could have been lost has expired
         assertThat(harness.log.get(StoreHarness.bytes("a"), harness.nowMillis).kind())
                 .isEqualTo(Store.ReadResult.Kind.ABSENT);
     }
 
     @Test
-    void lostSegmentMakesAllOlderKeysDoubtfulAndNoNewerOne() throws IOException {
+    void lostSegmentMakesOnlyOlderKeysDoubtful() throws IOException {
         StoreHarness healthy = new StoreHarness(StoreHarness.smallSettings(), 1);
         healthy.open();
         for (int i = 0; i < 60; i++) {
@@ -142,15 +143,15 @@
 
     @Test
     void unsupportedVersionAndSegmentOfAnotherStoreAreRejected() throws IOException {
-        StoreHarness healthy = store(false);
+        StoreHarness healthy = createStore(false);
         String name = healthy.disk.list().stream()
-                .filter(one -> SegmentName.parse(one) != null)
+                .filter(file -> SegmentName.parse(file) != null)
                 .findFirst()
                 .orElseThrow();
         byte[] bytes = healthy.disk.bytes(name).clone();
         bytes[11] = 2;
         bytes[FileHeader.HEADER_BYTES / 2 + 11] = 2;
-        assertThatThrownBy(() -> with(healthy, name, bytes))
+        assertThatThrownBy(() -> openWithReplacedFile(healthy, name, bytes))
                 .isInstanceOf(StoreException.class)
                 .hasMessageContaining("is of version 2; this program reads version 1")
                 .isInstanceOfSatisfying(UnsupportedVersionException.class, e -> {
@@ -174,7 +175,7 @@
 
     @Test
     void secondProcessCannotOpenTheFolder() throws IOException {
-        StoreHarness harness = store(false);
+        StoreHarness harness = createStore(false);
         assertThatThrownBy(harness::open).isInstanceOf(Disk.FolderLockedException.class);
     }
 }
--- a/server/src/test/java/wheatspread/store/FaultyDisk.java
+++ b/server/src/test/java/wheatspread/store/FaultyDisk.java
@@ -16,11 +16,11 @@
 import wheatspread.disk.DiskFile;
 
 /**
- * A disk in memory that counts each step, and fails, tears, fills up, stalls or crashes at any of them.
- * What was not synced when it crashes is kept, lost, or kept in part and out of order.
+ * An in-memory disk that counts each operation, and can fail, tear a write, run full, stall or crash at any of them.
+ * A crash keeps unsynced changes, loses them, or keeps a part of them out of order.
  */
 final class FaultyDisk implements Disk {
-    /** What a crash does with what was not synced; PROCESS is that of the process alone. */
+    /** The effect of a crash on unsynced changes; in PROCESS only the process crashes, so they stay unsynced. */
     enum Unsynced {
         KEPT,
         LOST,
@@ -28,18 +28,18 @@
         PROCESS
     }
 
-    /** A change of names, on files that another disk has copies of. */
-    private interface Change {
-        void to(Map<String, Node> names, UnaryOperator<Node> copies);
+    /** A change of file names, which can be replayed on the copies of another disk. */
+    private interface NameChange {
+        void apply(Map<String, Node> names, UnaryOperator<Node> copies);
     }
 
-    /** The machine is gone. */
+    /** Thrown when the simulated machine crashes, and by every operation after that. */
     static final class Crash extends Error {
         private static final long serialVersionUID = 1L;
     }
 
-    private static final int SECTOR = 64;
-    private static final Runnable NOTHING = () -> {};
+    private static final int SECTOR_BYTES = 64;
+    private static final Runnable NO_HOOK = () -> {};
 
     private static final class Node {
         private byte[] bytes = new byte[0];
@@ -48,84 +48,90 @@
 
     private final Map<String, Node> names = new TreeMap<>();
     private Map<String, Node> syncedNames = new TreeMap<>();
-    /** What was done to names since they were synced: any part of it may last. */
-    private final List<Change> unsyncedNames = new ArrayList<>();
+    /** The changes of names since the last {@link #syncNames}; a crash may keep any subset of them. */
+    private final List<NameChange> unsyncedNames = new ArrayList<>();
 
     private final Random random;
     private boolean locked;
     private boolean crashed;
 
+    /** The number of counted operations so far. */
     int steps;
+
+    /** The number of bytes appended to files. */
     long appended;
-    /** The step that fails, and how; 0 is none. */
+
+    /** The number of the operation that fails with {@link #failure}; 0 for none. */
     int failAtStep;
 
     Supplier<IOException> failure = () -> new IOException("planned");
-    /** From {@link #failAtStep} on every step fails. */
+    /** Whether every operation after {@link #failAtStep} fails, too. */
     boolean keepsFailing;
 
     int crashAtStep;
     long capacityBytes = Long.MAX_VALUE;
-    /** Runs before each step, and between any two bytes that are appended, with the disk as it is then. */
-    Runnable atStep = NOTHING;
+    /** Runs before each operation. */
+    Runnable atStep = NO_HOOK;
 
-    Runnable atByte = NOTHING;
+    /** Runs between any two appended bytes, with the bytes before it on the disk. */
+    Runnable atByte = NO_HOOK;
     /** Runs before each sync of a file. */
-    Runnable beforeSync = NOTHING;
+    Runnable beforeSync = NO_HOOK;
 
     FaultyDisk(long seed) {
         random = new Random(seed);
     }
 
-    /** What a new process finds after a crash, or after a process that just ended where all is kept. */
+    /** Returns the disk that a new process finds after a crash. */
     FaultyDisk restarted(Unsynced how, long seed) {
         FaultyDisk disk = new FaultyDisk(seed);
         Map<Node, Node> copied = new IdentityHashMap<>();
-        UnaryOperator<Node> copies = node -> copied.computeIfAbsent(node, one -> disk.after(one, how));
-        Map<String, Node> left = new TreeMap<>();
-        boolean all = how == Unsynced.KEPT || how == Unsynced.PROCESS;
-        (all ? names : syncedNames).forEach((name, node) -> left.put(name, copies.apply(node)));
+        UnaryOperator<Node> copies =
+                node -> copied.computeIfAbsent(node, original -> disk.copyAfterCrash(original, how));
+        Map<String, Node> remaining = new TreeMap<>();
+        boolean keepsNames = how == Unsynced.KEPT || how == Unsynced.PROCESS;
+        (keepsNames ? names : syncedNames).forEach((name, node) -> remaining.put(name, copies.apply(node)));
         if (how == Unsynced.REORDERED) {
             unsyncedNames.stream()
                     .filter(change -> disk.random.nextBoolean())
-                    .forEach(change -> change.to(left, copies));
+                    .forEach(change -> change.apply(remaining, copies));
         }
-        disk.names.putAll(left);
+        disk.names.putAll(remaining);
         if (how == Unsynced.PROCESS) {
             syncedNames.forEach((name, node) -> disk.syncedNames.put(name, copies.apply(node)));
             unsyncedNames.forEach(change -> disk.unsyncedNames.add(
-                    (names, further) -> change.to(names, node -> further.apply(copies.apply(node)))));
+                    (names, further) -> change.apply(names, node -> further.apply(copies.apply(node)))));
         } else {
-            disk.syncedNames = new TreeMap<>(left);
+            disk.syncedNames = new TreeMap<>(remaining);
         }
         return disk;
     }
 
-    private Node after(Node node, Unsynced how) {
-        Node after = new Node();
+    private Node copyAfterCrash(Node node, Unsynced how) {
+        Node copy = new Node();
         int length = node.bytes.length;
         if (how == Unsynced.LOST) {
             length = node.synced;
         } else if (how == Unsynced.REORDERED && length > node.synced) {
             length = node.synced + random.nextInt(length - node.synced + 1);
         }
-        after.bytes = Arrays.copyOf(node.bytes, length);
+        copy.bytes = Arrays.copyOf(node.bytes, length);
         if (how == Unsynced.REORDERED) {
-            for (int at = node.synced; at < length; at += SECTOR) {
+            for (int offset = node.synced; offset < length; offset += SECTOR_BYTES) {
                 if (random.nextBoolean()) {
-                    Arrays.fill(after.bytes, at, Math.min(length, at + SECTOR), (byte) 0);
+                    Arrays.fill(copy.bytes, offset, Math.min(length, offset + SECTOR_BYTES), (byte) 0);
                 }
             }
         }
-        after.synced = how == Unsynced.PROCESS ? node.synced : length;
-        return after;
+        copy.synced = how == Unsynced.PROCESS ? node.synced : length;
+        return copy;
     }
 
     byte[] bytes(String name) {
         return names.get(name).bytes;
     }
 
-    /** Puts other bytes in the place of a file's. */
+    /** Replaces the content of a file. */
     void replace(String name, byte[] bytes) {
         Node node = new Node();
         node.bytes = bytes;
@@ -153,8 +159,8 @@
         }
     }
 
-    private void change(Change change) {
-        change.to(names, UnaryOperator.identity());
+    private void applyChange(NameChange change) {
+        change.apply(names, UnaryOperator.identity());
         unsyncedNames.add(change);
     }
 
@@ -168,10 +174,10 @@
     public synchronized DiskFile create(String name) throws IOException {
         step();
         if (names.containsKey(name)) {
-            throw new IOException(name + " is there");
+            throw new IOException(name + " exists");
         }
         Node node = new Node();
-        change((all, copies) -> all.put(name, copies.apply(node)));
+        applyChange((target, copies) -> target.put(name, copies.apply(node)));
         return new File(node);
     }
 
@@ -179,7 +185,7 @@
     public synchronized DiskFile open(String name) throws IOException {
         requireNotCrashed();
         if (!names.containsKey(name)) {
-            throw new IOException(name + " is not there");
+            throw new IOException(name + " does not exist");
         }
         return new File(names.get(name));
     }
@@ -187,9 +193,9 @@
     @Override
     public synchronized void rename(String from, String to) throws IOException {
         step();
-        change((all, copies) -> {
-            if (all.containsKey(from)) {
-                all.put(to, all.remove(from));
+        applyChange((target, copies) -> {
+            if (target.containsKey(from)) {
+                target.put(to, target.remove(from));
             }
         });
     }
@@ -201,7 +207,7 @@
             return;
         }
         step();
-        change((all, copies) -> all.remove(name));
+        applyChange((target, copies) -> target.remove(name));
     }
 
     @Override
@@ -213,10 +219,10 @@
 
     @Override
     public synchronized long free() {
-        return capacityBytes == Long.MAX_VALUE ? capacityBytes : capacityBytes - used();
+        return capacityBytes == Long.MAX_VALUE ? capacityBytes : capacityBytes - usedBytes();
     }
 
-    private long used() {
+    private long usedBytes() {
         return names.values().stream().mapToLong(node -> node.bytes.length).sum();
     }
 
@@ -240,7 +246,7 @@
         @Override
         public void append(ByteBuffer bytes) throws IOException {
             synchronized (FaultyDisk.this) {
-                open();
+                requireOpen();
                 int size = bytes.remaining();
                 try {
                     step();
@@ -248,12 +254,12 @@
                     write(bytes, random.nextInt(size + 1));
                     throw e;
                 }
-                if (size > capacityBytes - used()) {
-                    write(bytes, (int) Math.max(0, capacityBytes - used()));
+                if (size > capacityBytes - usedBytes()) {
+                    write(bytes, (int) Math.max(0, capacityBytes - usedBytes()));
                     throw new DiskFullException("planned", null);
                 }
                 byte[] before = node.bytes;
-                for (int part = 1; part < size && atByte != NOTHING; part++) {
+                for (int part = 1; part < size && atByte != NO_HOOK; part++) {
                     write(bytes.duplicate(), part);
                     atByte.run();
                     node.bytes = before;
@@ -264,17 +270,17 @@
         }
 
         private void write(ByteBuffer bytes, int size) {
-            int at = node.bytes.length;
-            node.bytes = Arrays.copyOf(node.bytes, at + size);
-            bytes.get(node.bytes, at, size);
+            int offset = node.bytes.length;
+            node.bytes = Arrays.copyOf(node.bytes, offset + size);
+            bytes.get(node.bytes, offset, size);
         }
 
         @Override
-        public int read(ByteBuffer to, long at) throws IOException {
+        public int read(ByteBuffer to, long offset) throws IOException {
             synchronized (FaultyDisk.this) {
-                open();
-                int size = (int) Math.max(0, Math.min(to.remaining(), node.bytes.length - at));
-                to.put(node.bytes, (int) Math.min(at, node.bytes.length), size);
+                requireOpen();
+                int size = (int) Math.max(0, Math.min(to.remaining(), node.bytes.length - offset));
+                to.put(node.bytes, (int) Math.min(offset, node.bytes.length), size);
                 return size;
             }
         }
@@ -283,7 +289,7 @@
         public void sync() throws IOException {
             beforeSync.run();
             synchronized (FaultyDisk.this) {
-                open();
+                requireOpen();
                 step();
                 node.synced = node.bytes.length;
             }
@@ -292,12 +298,12 @@
         @Override
         public long size() throws IOException {
             synchronized (FaultyDisk.this) {
-                open();
+                requireOpen();
                 return node.bytes.length;
             }
         }
 
-        private void open() throws IOException {
+        private void requireOpen() throws IOException {
             requireNotCrashed();
             if (closed) {
                 throw new IOException("closed");
--- a/server/src/test/java/wheatspread/store/GroupEncoderTest.java
+++ b/server/src/test/java/wheatspread/store/GroupEncoderTest.java
@@ -11,7 +11,7 @@
 
 class GroupEncoderTest {
     @Property(tries = 200)
-    void handWrittenEncodingEqualsThatOfProtobuf(
+    void encodingEqualsThatOfTheProtobufLibrary(
             @ForAll byte[] key, @ForAll byte[] value, @ForAll @LongRange(min = 0) long expires, @ForAll long mark)
             throws Exception {
         GroupEncoder group = new GroupEncoder();
@@ -40,12 +40,12 @@
                         .setSynced(256)
                         .addAllHashes(List.of(7L, -9L)))
                 .build();
-        for (Format.Record one : List.of(head, put, delete)) {
+        for (Format.Record expected : List.of(head, put, delete)) {
             ByteBuffer[] body = new ByteBuffer[1];
             assertThat(RecordFraming.read(bytes, body)).isEqualTo(RecordFraming.Found.COMPLETE);
-            byte[] there = new byte[body[0].remaining()];
-            body[0].get(there);
-            assertThat(there).isEqualTo(one.toByteArray());
+            byte[] actual = new byte[body[0].remaining()];
+            body[0].get(actual);
+            assertThat(actual).isEqualTo(expected.toByteArray());
         }
         assertThat(bytes.hasRemaining()).isFalse();
     }
--- a/server/src/test/java/wheatspread/store/IndexTest.java
+++ b/server/src/test/java/wheatspread/store/IndexTest.java
@@ -11,10 +11,10 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** The index beside lists in a map. */
+/** Compares the index with a map of lists. */
 class IndexTest {
-    /** Hashes that meet in few places, some of them equal. */
-    private static long hash(Random random, int spread) {
+    /** Returns a hash that collides often: with few home cells, and sometimes with an equal hash. */
+    private static long collidingHash(Random random, int spread) {
         return random.nextInt(spread) * 0x0101_0101_0101L << random.nextInt(3) * 8 | random.nextInt(3);
     }
 
@@ -25,43 +25,43 @@
         TreeMap<Long, List<Long>> model = new TreeMap<>();
         int size = 0;
         for (int i = 1; i <= 2_000; i++) {
-            long hash = hash(random, spread);
-            List<Long> there = model.computeIfAbsent(hash, h -> new ArrayList<>());
+            long hash = collidingHash(random, spread);
+            List<Long> expected = model.computeIfAbsent(hash, h -> new ArrayList<>());
             boolean growing = i < 1_200;
-            if (there.isEmpty() || random.nextInt(10) < (growing ? 7 : 1)) {
+            if (expected.isEmpty() || random.nextInt(10) < (growing ? 7 : 1)) {
                 index.add(hash, Index.location(i, i), i, i);
-                there.add(Index.location(i, i));
+                expected.add(Index.location(i, i));
                 size++;
             } else if (random.nextBoolean()) {
-                long from = there.remove(random.nextInt(there.size()));
+                long from = expected.remove(random.nextInt(expected.size()));
                 assertThat(index.move(hash, from, Index.location(i, -i), i, i)).isTrue();
-                there.add(Index.location(i, -i));
+                expected.add(Index.location(i, -i));
             } else {
-                assertThat(index.remove(hash, there.remove(random.nextInt(there.size()))))
+                assertThat(index.remove(hash, expected.remove(random.nextInt(expected.size()))))
                         .isTrue();
                 size--;
             }
             List<Long> found = new ArrayList<>();
-            assertThat(index.find(hash, (h, at, length, expiry) -> found.add(at)))
-                    .isEqualTo(there.size());
-            assertThat(found).containsExactlyInAnyOrderElementsOf(there);
+            assertThat(index.find(hash, (h, location, length, expiry) -> found.add(location)))
+                    .isEqualTo(expected.size());
+            assertThat(found).containsExactlyInAnyOrderElementsOf(expected);
         }
         assertThat(index.size()).isEqualTo(size);
-        List<Long> all = new ArrayList<>();
+        List<Long> copiedHashes = new ArrayList<>();
         for (int table = 0; table < Index.TABLES; table++) {
-            index.copy(table, (hash, at, length, expiry) -> {
-                assertThat(model.get(hash)).contains(at);
-                assertThat(length).isEqualTo(Index.file(at));
-                all.add(hash);
+            index.copy(table, (hash, location, length, expiry) -> {
+                assertThat(model.get(hash)).contains(location);
+                assertThat(length).isEqualTo(Index.file(location));
+                copiedHashes.add(hash);
             });
         }
-        assertThat(all).hasSize(size).isSortedAccordingTo(Long::compareUnsigned);
+        assertThat(copiedHashes).hasSize(size).isSortedAccordingTo(Long::compareUnsigned);
         assertThat(index.move(1L << 60, 5, 6, 0, 0)).isFalse();
         assertThat(index.remove(1L << 60, 5)).isFalse();
     }
 
     @Test
-    void indexTakesLessThanFortyBytesAKeyAtAnySizeAndShrinks() {
+    void indexTakesLessThanFortyBytesPerKeyAndShrinks() {
         Index index = new Index();
         Random random = new Random(3);
         long[] hashes = new long[300_000];
@@ -86,14 +86,17 @@
         for (int i = 0; i < 10_000; i++) {
             index.add(random.nextLong(), Index.location(1, i), 100, i % 3 == 0 ? 0 : i);
         }
-        List<Integer> gone = new ArrayList<>();
+        List<Integer> removedExpiries = new ArrayList<>();
         for (int table = 0; table < Index.TABLES; table++) {
             int cell = 0;
             do {
-                cell = index.sweep(table, cell, 7, 5_000, (hash, at, length, expiry) -> gone.add(expiry));
+                cell = index.sweep(
+                        table, cell, 7, 5_000, (hash, location, length, expiry) -> removedExpiries.add(expiry));
             } while (cell != 0);
         }
-        assertThat(gone).allMatch(expiry -> expiry > 0 && expiry <= 5_000).hasSizeGreaterThan(3_300);
-        assertThat(index.size()).isEqualTo(10_000 - gone.size());
+        assertThat(removedExpiries)
+                .allMatch(expiry -> expiry > 0 && expiry <= 5_000)
+                .hasSizeGreaterThan(3_300);
+        assertThat(index.size()).isEqualTo(10_000 - removedExpiries.size());
     }
 }
--- a/server/src/test/java/wheatspread/store/StoreHarness.java
+++ b/server/src/test/java/wheatspread/store/StoreHarness.java
@@ -12,16 +12,16 @@
 import wheatspread.logging.EventLog;
 
 /**
- * A store without threads on a faulty disk, beside a map that says what it must hold: for each key the
- * value that is certain, and those that a crash may bring.
+ * Runs a store without threads on a faulty disk, together with a model of its content: for each key the acknowledged
+ * value, and the values that may be there instead after a crash.
  */
 final class StoreHarness {
-    /** No value. */
-    private static final StoredValue NOTHING = new StoredValue(null, 0);
+    /** The absence of a value. */
+    private static final StoredValue ABSENT = new StoredValue(null, 0);
 
     private record StoredValue(String value, long expiresMs) {
-        StoredValue at(long now) {
-            return value == null || expiresMs != 0 && expiresMs <= now ? NOTHING : this;
+        StoredValue asOf(long nowMillis) {
+            return value == null || expiresMs != 0 && expiresMs <= nowMillis ? ABSENT : this;
         }
     }
 
@@ -30,7 +30,7 @@
     LogStructuredStore log;
     long nowMillis = 1_000_000;
     final List<String> events = new ArrayList<>();
-    private final Map<String, StoredValue> certain = new TreeMap<>();
+    private final Map<String, StoredValue> acknowledged = new TreeMap<>();
     private final Map<String, List<StoredValue>> possible = new TreeMap<>();
     private final Random random = new Random(5);
     int heldWrites;
@@ -60,8 +60,8 @@
     }
 
     /**
-     * Commits triples of key, value and expiry (milliseconds from now, 0 for never) as one group; a null value
-     * deletes.
+     * Commits triples of key, value and expiry (milliseconds from now, 0 for never) as a group. A null value deletes
+     * the key.
      */
     void commitGroup(Object... triples) {
         List<Write> group = new ArrayList<>();
@@ -71,27 +71,27 @@
             possible.computeIfAbsent((String) triples[i], k -> new ArrayList<>())
                     .add(new StoredValue((String) triples[i + 1], expires));
         }
-        log.commit(group, nowMillis); // a crash leaves all of them possible
+        log.commit(group, nowMillis); // if the disk crashes here, each of them stays possible
         for (int i = 0; i < triples.length; i += 3) {
             Write write = group.get(i / 3);
             String key = (String) triples[i];
-            StoredValue what = new StoredValue((String) triples[i + 1], write.expiresMillis());
+            StoredValue written = new StoredValue((String) triples[i + 1], write.expiresMillis());
             switch (write.outcome()) {
                 case HELD -> {
                     heldWrites++;
-                    certain.put(key, what);
-                    possible.remove(key); // a failed one before it is void
+                    acknowledged.put(key, written);
+                    possible.remove(key); // supersedes earlier writes in doubt
                 }
                 case REFUSED -> {
                     refusedWrites++;
-                    possible.get(key).remove(what);
+                    possible.get(key).remove(written);
                 }
                 default -> uncertainWrites++;
             }
         }
     }
 
-    /** Advances the time, with the ticks and the jobs that are due. */
+    /** Advances the time by {@code ms} and 70 ticks of 10 ms, and runs the jobs that are due. */
     void advance(int ms) {
         nowMillis += ms;
         for (int i = 0; i < 70; i++) {
@@ -125,38 +125,38 @@
         }
     }
 
-    /** Another harness on the disk as a crash at this moment would leave it. */
+    /** Returns a harness, not opened yet, on the disk as a crash at this point would leave it. */
     StoreHarness afterCrash(FaultyDisk.Unsynced how, long seed) {
         StoreHarness other = new StoreHarness(settings, seed);
         other.disk = disk.restarted(how, seed);
         other.nowMillis = nowMillis;
-        other.certain.putAll(certain);
+        other.acknowledged.putAll(acknowledged);
         possible.forEach((key, values) -> other.possible.put(key, new ArrayList<>(values)));
         return other;
     }
 
-    /** Ends the process and starts another one on what the disk kept. */
+    /** Simulates a crash and opens the store again on the remaining disk content. */
     void restart(FaultyDisk.Unsynced how, long seed) throws IOException {
         disk = disk.restarted(how, seed);
         open();
     }
 
-    /** Looks up every key: what is certain must be there, or what a crash may have left in its place. */
+    /** Asserts that every key has its acknowledged value, or after a crash one of its possible values. */
     void assertExpectedValues(boolean afterCrash) throws IOException {
         for (String key : keys()) {
-            Store.ReadResult got = log.get(bytes(key), nowMillis);
-            assertThat(got.kind()).as(key).isIn(Store.ReadResult.Kind.VALUE, Store.ReadResult.Kind.ABSENT);
-            StoredValue there = got.value() == null
-                    ? NOTHING
-                    : new StoredValue(new String(got.value(), StandardCharsets.UTF_8), got.expiresMillis());
-            List<StoredValue> allowed =
-                    new ArrayList<>(List.of(certain.getOrDefault(key, NOTHING).at(nowMillis)));
+            Store.ReadResult result = log.get(bytes(key), nowMillis);
+            assertThat(result.kind()).as(key).isIn(Store.ReadResult.Kind.VALUE, Store.ReadResult.Kind.ABSENT);
+            StoredValue actual = result.value() == null
+                    ? ABSENT
+                    : new StoredValue(new String(result.value(), StandardCharsets.UTF_8), result.expiresMillis());
+            List<StoredValue> allowed = new ArrayList<>(
+                    List.of(acknowledged.getOrDefault(key, ABSENT).asOf(nowMillis)));
             if (afterCrash) {
-                possible.getOrDefault(key, List.of()).forEach(one -> allowed.add(one.at(nowMillis)));
+                possible.getOrDefault(key, List.of()).forEach(value -> allowed.add(value.asOf(nowMillis)));
             }
-            assertThat(there).as(key).isIn(allowed);
+            assertThat(actual).as(key).isIn(allowed);
             if (afterCrash) {
-                certain.put(key, there);
+                acknowledged.put(key, actual);
             }
         }
         if (afterCrash) {
@@ -164,37 +164,37 @@
         }
     }
 
-    /** Looks up every key of a damaged store: the newest value or a doubt, but never another value. */
+    /** Asserts that every key of a damaged store has its newest value or is doubtful. */
     void assertNoWrongValues(boolean lossAllowed) throws IOException {
         for (String key : keys()) {
-            Store.ReadResult got = log.get(bytes(key), nowMillis);
-            StoredValue must = certain.getOrDefault(key, NOTHING).at(nowMillis);
-            if (got.kind() == Store.ReadResult.Kind.VALUE) {
+            Store.ReadResult result = log.get(bytes(key), nowMillis);
+            StoredValue expected = acknowledged.getOrDefault(key, ABSENT).asOf(nowMillis);
+            if (result.kind() == Store.ReadResult.Kind.VALUE) {
                 if (!lossAllowed) {
-                    assertThat(new String(got.value(), StandardCharsets.UTF_8))
+                    assertThat(new String(result.value(), StandardCharsets.UTF_8))
                             .as(key)
-                            .isEqualTo(must.value());
+                            .isEqualTo(expected.value());
                 }
-            } else if (got.kind() == Store.ReadResult.Kind.ABSENT && !lossAllowed) {
-                assertThat(must).as(key).isEqualTo(NOTHING);
+            } else if (result.kind() == Store.ReadResult.Kind.ABSENT && !lossAllowed) {
+                assertThat(expected).as(key).isEqualTo(ABSENT);
             }
         }
     }
 
     List<String> keys() {
-        List<String> keys = new ArrayList<>(certain.keySet());
-        possible.keySet().stream().filter(key -> !certain.containsKey(key)).forEach(keys::add);
+        List<String> keys = new ArrayList<>(acknowledged.keySet());
+        possible.keySet().stream().filter(key -> !acknowledged.containsKey(key)).forEach(keys::add);
         keys.add("never written");
         return keys;
     }
 
-    /** A recorded history: writes, overwrites, deletions, expiries, checkpoints, compactions, restarts. */
+    /** Opens the store and runs a history of writes, overwrites, deletions, expiries, maintenance and restarts. */
     void runHistory(Random choices, int actions) throws IOException {
         open();
         runActions(choices, actions);
     }
 
-    /** The same on a store that is open. */
+    /** Runs random actions on an open store. */
     void runActions(Random choices, int actions) throws IOException {
         for (int i = 0; i < actions; i++) {
             switch (choices.nextInt(8)) {
@@ -229,7 +229,7 @@
         return "key " + choices.nextInt(25);
     }
 
-    static String value(Random choices, int turn) {
-        return "v" + turn + "-" + "x".repeat(choices.nextInt(90));
+    static String value(Random choices, int actionNumber) {
+        return "v" + actionNumber + "-" + "x".repeat(choices.nextInt(90));
     }
 }
--- a/server/src/test/java/wheatspread/store/StoreModelTest.java
+++ b/server/src/test/java/wheatspread/store/StoreModelTest.java
@@ -11,16 +11,16 @@
 import net.jqwik.api.stateful.Action;
 import net.jqwik.api.stateful.ActionSequence;
 
-/** Random sequences of actions on a store, compared with a map of its expected content. */
+/** Compares a store with a map of its expected content after random sequences of actions. */
 class StoreModelTest {
-    /** One action on a store. */
+    /** An action on a store, followed by a check of its content. */
     private interface StoreAction extends Action<StoreHarness> {
-        void to(StoreHarness harness) throws IOException;
+        void apply(StoreHarness harness) throws IOException;
 
         @Override
         default StoreHarness run(StoreHarness harness) {
             try {
-                to(harness);
+                apply(harness);
                 harness.assertExpectedValues(false);
             } catch (IOException e) {
                 throw new AssertionError(e);
@@ -33,15 +33,16 @@
     Arbitrary<ActionSequence<StoreHarness>> actions() {
         Arbitrary<String> keys = Arbitraries.integers().between(0, 9).map(n -> "key " + n);
         Arbitrary<String> values = Arbitraries.strings().alpha().ofMaxLength(200);
-        Arbitrary<Integer> lives = Arbitraries.integers().between(0, 4_000);
-        Arbitrary<Action<StoreHarness>> put = Combinators.combine(keys, values, lives)
-                .as((key, value, life) -> (StoreAction) harness -> harness.commitGroup(key, value, life));
-        Arbitrary<Action<StoreHarness>> several = Combinators.combine(keys, keys, values, lives)
-                .as((one, other, value, life) -> (StoreAction) harness ->
-                        harness.commitGroup(one, value, life, other, "b", 0, one, null, 0, other, value, life));
+        Arbitrary<Integer> lifetimes = Arbitraries.integers().between(0, 4_000);
+        Arbitrary<Action<StoreHarness>> put = Combinators.combine(keys, values, lifetimes)
+                .as((key, value, lifetimeMillis) ->
+                        (StoreAction) harness -> harness.commitGroup(key, value, lifetimeMillis));
+        Arbitrary<Action<StoreHarness>> overlappingGroup = Combinators.combine(keys, keys, values, lifetimes)
+                .as((key, otherKey, value, lifetimeMillis) -> (StoreAction) harness -> harness.commitGroup(
+                        key, value, lifetimeMillis, otherKey, "b", 0, key, null, 0, otherKey, value, lifetimeMillis));
         Arbitrary<Action<StoreHarness>> delete =
                 keys.map(key -> (StoreAction) harness -> harness.commitGroup(key, null, 0));
-        Arbitrary<Action<StoreHarness>> time =
+        Arbitrary<Action<StoreHarness>> timeStep =
                 Arbitraries.integers().between(0, 3_000).map(ms -> (StoreAction) harness -> harness.advance(ms));
         Arbitrary<Action<StoreHarness>> checkpoint = Arbitraries.just((StoreAction) harness -> {
             harness.log.finish(harness.nowMillis);
@@ -57,8 +58,8 @@
         });
         Arbitrary<Action<StoreHarness>> failure = Arbitraries.integers()
                 .between(1, 6)
-                .map(in -> (StoreAction) harness -> {
-                    harness.disk.failAtStep = harness.disk.steps + in;
+                .map(stepsAhead -> (StoreAction) harness -> {
+                    harness.disk.failAtStep = harness.disk.steps + stepsAhead;
                 });
         Arbitrary<Action<StoreHarness>> crash = Combinators.combine(
                         Arbitraries.of(FaultyDisk.Unsynced.class), Arbitraries.longs())
@@ -68,9 +69,9 @@
                 });
         return Arbitraries.sequences(Arbitraries.frequencyOf(
                 Tuple.of(8, put),
-                Tuple.of(3, several),
+                Tuple.of(3, overlappingGroup),
                 Tuple.of(3, delete),
-                Tuple.of(3, time),
+                Tuple.of(3, timeStep),
                 Tuple.of(1, checkpoint),
                 Tuple.of(2, compaction),
                 Tuple.of(1, failure),
--- a/server/src/test/java/wheatspread/store/StoredFormatCompatibilityTest.java
+++ b/server/src/test/java/wheatspread/store/StoredFormatCompatibilityTest.java
@@ -22,7 +22,7 @@
 import wheatspread.disk.FolderDisk;
 import wheatspread.logging.EventLog;
 
-/** A folder that an earlier release wrote is read, and what is written now has the same names and layout. */
+/** Guards the stored format: a folder written by an earlier release is read, and names and layout stay the same. */
 @Timeout(60)
 class StoredFormatCompatibilityTest {
     private static final Path STORED = Path.of("src/test/resources/compatibility/store/files");
@@ -32,7 +32,7 @@
             "00000003-00000003.0.log",
             "00000004-00000004.0.log",
             "00000005-00000005.0.log");
-    /** When the folder was written, in milliseconds since 1970. */
+    /** The time at which the folder was written, in milliseconds since 1970. */
     private static final long WRITTEN_MILLIS = 1_700_000_000_000L;
 
     private static final long NOW_MILLIS = WRITTEN_MILLIS + 180_000;
@@ -67,7 +67,7 @@
         return values;
     }
 
-    private static Store.Clock fixedTime() {
+    private static Store.Clock fixedClock() {
         return new Store.Clock() {
             @Override
             public long nowMillis() {
@@ -82,21 +82,21 @@
     }
 
     private Store open() throws IOException {
-        return Store.open(FolderDisk.of(folder), SETTINGS, fixedTime(), Runnable::run, EventLog.NONE);
+        return Store.open(FolderDisk.of(folder), SETTINGS, fixedClock(), Runnable::run, EventLog.NONE);
     }
 
     private static Store.ReadResult get(Store store, String key) {
-        CompletableFuture<Store.ReadResult> got = new CompletableFuture<>();
-        assertThat(store.get(bytes(key), got::complete)).isNull();
-        return got.join();
+        CompletableFuture<Store.ReadResult> result = new CompletableFuture<>();
+        assertThat(store.get(bytes(key), result::complete)).isNull();
+        return result.join();
     }
 
     private static void assertHoldsExpectedValues(Store store) {
         expectedValues().forEach((key, value) -> {
-            Store.ReadResult got = get(store, key);
-            assertThat(got.kind()).as(key).isEqualTo(Store.ReadResult.Kind.VALUE);
-            assertThat(got.value()).as(key).isEqualTo(bytes(value));
-            assertThat(got.expiresMillis())
+            Store.ReadResult result = get(store, key);
+            assertThat(result.kind()).as(key).isEqualTo(Store.ReadResult.Kind.VALUE);
+            assertThat(result.value()).as(key).isEqualTo(bytes(value));
+            assertThat(result.expiresMillis())
                     .as(key)
                     .isEqualTo("expires late".equals(key) ? WRITTEN_MILLIS + 86_400_000 : 0);
         });
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void storedFolderIsReadKeyByKeyAndAgainAfterARestart() throws IOException {
+    void readsEveryStoredKeyBeforeAndAfterARestart() throws IOException {
         try (Store store = open()) {
             assertHoldsExpectedValues(store);
             CompletableFuture<Store.Outcome> written = new CompletableFuture<>();
@@ -129,22 +129,22 @@
     }
 
     @Test
-    void storedFolderIsCompleteAndUsesItsCheckpoint() throws IOException {
-        OfflineTools.Inspection look = OfflineTools.check(FolderDisk.of(folder), NOW_MILLIS);
-        assertThat(look.findings()).isEmpty();
-        assertThat(look.damages()).isZero();
-        assertThat(look.files())
+    void checksStoredFolderAndLoadsItsCheckpoint() throws IOException {
+        OfflineTools.Inspection inspection = OfflineTools.check(FolderDisk.of(folder), NOW_MILLIS);
+        assertThat(inspection.findings()).isEmpty();
+        assertThat(inspection.damages()).isZero();
+        assertThat(inspection.files())
                 .extracting(OfflineTools.SegmentInspection::name)
                 .containsExactlyElementsOf(STORED_NAMES.subList(1, STORED_NAMES.size()));
-        LogStructuredStore log = LogStructuredStore.open(
+        LogStructuredStore store = LogStructuredStore.open(
                 FolderDisk.of(folder), SETTINGS, EventLog.NONE, () -> 5, NOW_MILLIS, Recovery.Purpose.READ_WRITE);
-        assertThat(log.recovered().fromCheckpoint()).isTrue();
-        assertThat(log.recovered().replayedRecords()).isEqualTo(4);
-        log.closeFiles();
+        assertThat(store.recovered().fromCheckpoint()).isTrue();
+        assertThat(store.recovered().replayedRecords()).isEqualTo(4);
+        store.closeFiles();
     }
 
     @Test
-    void storedFolderIsDumpedAndCompactedWithoutLoss() throws IOException {
+    void compactsAndDumpsStoredFolderWithoutLoss() throws IOException {
         OfflineTools.compact(FolderDisk.of(folder), SETTINGS, NOW_MILLIS, false, EventLog.NONE);
         Map<String, String> dumped = new TreeMap<>();
         long unread = OfflineTools.dump(
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void namesOnDiskStay() throws IOException {
+    void fileNamesAreUnchanged() throws IOException {
         assertThat(FolderDisk.LOCK).isEqualTo("lock");
         assertThat(SegmentName.original(3)).hasToString(STORED_NAMES.get(2));
         assertThat(new SegmentName(1, 2, 2)).hasToString(STORED_NAMES.get(1));
@@ -173,7 +173,7 @@
     }
 
     @Test
-    void magicNumbersAndVersionsStay() throws IOException {
+    void magicNumbersAndVersionsAreUnchanged() throws IOException {
         byte[] segmentStart =
                 ByteBuffer.allocate(12).put(bytes("wheatlog")).putInt(1).array();
         byte[] checkpointStart = ByteBuffer.allocate(16)
@@ -181,21 +181,21 @@
                 .putInt(1)
                 .putInt(0)
                 .array();
-        assertThat(start(FileHeader.write(SegmentName.original(1), 2, 3, 4).array(), 12))
+        assertThat(prefix(FileHeader.write(SegmentName.original(1), 2, 3, 4).array(), 12))
                 .isEqualTo(segmentStart);
         assertThat(Checkpoints.preamble().array()).isEqualTo(checkpointStart);
         for (String name : STORED_NAMES) {
             byte[] stored = Files.readAllBytes(STORED.resolve(name));
             boolean isCheckpoint = name.endsWith(".checkpoint");
-            assertThat(start(stored, isCheckpoint ? 16 : 12))
+            assertThat(prefix(stored, isCheckpoint ? 16 : 12))
                     .as(name)
                     .isEqualTo(isCheckpoint ? checkpointStart : segmentStart);
         }
     }
 
     @Test
-    void segmentHeaderIsWrittenByteForByteAsStored() throws IOException {
-        byte[] stored = start(Files.readAllBytes(STORED.resolve(STORED_NAMES.get(4))), FileHeader.HEADER_BYTES);
+    void writesSegmentHeaderIdenticalToTheStoredHeader() throws IOException {
+        byte[] stored = prefix(Files.readAllBytes(STORED.resolve(STORED_NAMES.get(4))), FileHeader.HEADER_BYTES);
         Format.SegmentHeader header;
         try (DiskFile file = FolderDisk.of(folder).open(STORED_NAMES.get(4))) {
             header = FileHeader.read(file, SegmentName.original(5));
@@ -205,7 +205,7 @@
                 .isEqualTo(stored);
     }
 
-    private static byte[] start(byte[] bytes, int length) {
+    private static byte[] prefix(byte[] bytes, int length) {
         return Arrays.copyOf(bytes, length);
     }
 }
