--- a/server/src/main/java/wheatspread/disk/Disk.java
+++ b/server/src/main/java/wheatspread/disk/Disk.java
@@ -5,40 +5,41 @@
 import java.util.List;
 
 /**
- * One folder of a file system. A test implementation can fail any step. Written bytes are durable only after {@link
- * DiskFile#sync}, and the creation, renaming or deletion of a file only after
- * {@link #syncNames}; until then a crash of the machine may keep it, lose it or keep a later one alone.
- * Everything may block. Methods may be called from any thread.
+ * A folder of a file system. A test implementation can fail any operation. Written bytes are durable only after {@link
+ * DiskFile#sync}, and the creation, renaming or deletion of a file only after {@link #syncNames}. Until then a crash
+ * of the machine may keep or lose each change, independently of their order. Every method may block, and may be called
+ * from any thread.
  */
 public interface Disk {
-    /** The names of all files, in no order. */
+    /** Returns the names of all files, in no order. */
     List<String> list() throws IOException;
 
-    /** A new file, empty and open to be appended to; a file of this name must not be there. */
+    /** Creates an empty file and opens it for appending; fails if a file of this name exists. */
     DiskFile create(String name) throws IOException;
 
-    /** A file that is there, to be read and synced. */
+    /** Opens an existing file for reading and syncing. */
     DiskFile open(String name) throws IOException;
 
-    /** Gives a file another name, at once; a file of that name is replaced. */
+    /** Renames a file atomically; replaces an existing file of the new name. */
     void rename(String from, String to) throws IOException;
 
-    /** Deletes a file; whoever has it open may go on reading. Does nothing if there is none. */
+    /** Deletes a file if it exists. The file can still be read through open {@link DiskFile}s. */
     void delete(String name) throws IOException;
 
+    /** Makes previous creations, renamings and deletions of files durable. */
     void syncNames() throws IOException;
 
-    /** Bytes that may still be written, as reported by the operating system. */
+    /** Returns the bytes that may still be written, as reported by the operating system. */
     long free() throws IOException;
 
     /**
      * Locks the folder for this process until the result is closed or the process ends.
      *
-     * @throws TakenException if another has it
+     * @throws FolderLockedException if the folder is already locked
      */
     Closeable lock() throws IOException;
 
-    /** The folder is in use. */
+    /** Thrown if the folder is locked by another process, or by another owner in this process. */
     final class FolderLockedException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -47,7 +48,7 @@
         }
     }
 
-    /** The disk is full; what was being written may stand there in part. */
+    /** Thrown if the disk is full; a part of the bytes may have been written. */
     final class DiskFullException extends IOException {
         private static final long serialVersionUID = 1L;
 
--- a/server/src/main/java/wheatspread/disk/FolderDisk.java
+++ b/server/src/main/java/wheatspread/disk/FolderDisk.java
@@ -14,9 +14,9 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of the file system. */
+/** A {@link Disk} on a folder of the file system. */
 public final class FolderDisk implements Disk {
-    /** The file whose lock keeps the folder; it holds the id of the process that has it. */
+    /** The name of the lock file, which contains the id of the process that holds the lock. */
     public static final String LOCK = "lock";
 
     private final Path folder;
@@ -25,16 +25,16 @@
         this.folder = folder;
     }
 
-    /** The folder, which is made if it isn't there. */
+    /** Opens a folder, and creates it if it does not exist. */
     public static FolderDisk make(Path folder) throws IOException {
         Files.createDirectories(folder);
         return new FolderDisk(folder);
     }
 
-    /** A folder that is there; nothing is made. */
+    /** Opens an existing folder; fails if it does not exist. */
     public static FolderDisk of(Path folder) throws IOException {
         if (!Files.isDirectory(folder)) {
-            throw new IOException(folder + " is no folder");
+            throw new IOException(folder + " is not a folder");
         }
         return new FolderDisk(folder);
     }
@@ -43,7 +43,7 @@
     public List<String> list() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.filter(Files::isRegularFile)
-                    .map(f -> f.getFileName().toString())
+                    .map(file -> file.getFileName().toString())
                     .toList();
         }
     }
@@ -59,7 +59,7 @@
 
     @Override
     public DiskFile open(String name) throws IOException {
-        // a file system may refuse to sync what was opened to be read alone
+        // some file systems refuse to sync a file that was opened read-only
         return new ChannelFile(
                 FileChannel.open(folder.resolve(name), StandardOpenOption.READ, StandardOpenOption.WRITE));
     }
@@ -131,16 +131,16 @@
         }
 
         @Override
-        public int read(ByteBuffer to, long at) throws IOException {
-            int all = 0;
-            while (to.hasRemaining()) {
-                int read = channel.read(to, at + all);
-                if (read < 0) {
+        public int read(ByteBuffer buffer, long offset) throws IOException {
+            int totalBytes = 0;
+            while (buffer.hasRemaining()) {
+                int readBytes = channel.read(buffer, offset + totalBytes);
+                if (readBytes < 0) {
                     break;
                 }
-                all += read;
+                totalBytes += readBytes;
             }
-            return all;
+            return totalBytes;
         }
 
         @Override
--- a/server/src/main/java/wheatspread/disk/package-info.java
+++ b/server/src/main/java/wheatspread/disk/package-info.java
@@ -1,8 +1,6 @@
 /**
- * One folder of a file system behind two interfaces, so that a test can stand in for it and fail any step. It owns
- * file handles,
- * the folder's lock file and the distinction between a full disk and another I/O error. It does not know what the
- * files hold, nor
- * when they must be synced.
+ * A folder of a file system behind two interfaces, so that a test can substitute it and fail any operation. The package
+ * owns file handles, the lock file of the folder, and the distinction between a full disk and other I/O errors. It does
+ * not know the content of the files, nor when they must be synced.
  */
 package wheatspread.disk;
