--- a/server/src/main/java/wheatspread/disk/FolderDisk.java
+++ b/server/src/main/java/wheatspread/disk/FolderDisk.java
@@ -17,7 +17,7 @@
 /** A {@link Disk} on a folder of the file system. */
 public final class FolderDisk implements Disk {
     /** The name of the lock file, which contains the id of the process that holds the lock. */
-    public static final String LOCK = "lock";
+    public static final String LOCK_FILE_NAME = "lock";
 
     private final Path folder;
 
@@ -89,7 +89,10 @@
     @Override
     public Closeable lock() throws IOException {
         FileChannel file = FileChannel.open(
-                folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.READ);
+                folder.resolve(LOCK_FILE_NAME),
+                StandardOpenOption.CREATE,
+                StandardOpenOption.WRITE,
+                StandardOpenOption.READ);
         FileLock lock;
         try {
             lock = file.tryLock();
@@ -99,7 +102,7 @@
         if (lock == null) {
             file.close();
             throw new FolderLockedException(folder + " is in use by process "
-                    + Files.readString(folder.resolve(LOCK)).strip());
+                    + Files.readString(folder.resolve(LOCK_FILE_NAME)).strip());
         }
         file.truncate(0)
                 .write(ByteBuffer.wrap((ProcessHandle.current().pid() + "\n").getBytes(StandardCharsets.US_ASCII)), 0);
--- a/server/src/main/java/wheatspread/store/Checkpoints.java
+++ b/server/src/main/java/wheatspread/store/Checkpoints.java
@@ -21,6 +21,7 @@
     static final int VERSION = 1;
     private static final byte[] MAGIC = "wheatchk".getBytes(StandardCharsets.US_ASCII);
     private static final int PREAMBLE_BYTES = 16;
+    /** Added to the segment id of stale entries, which point to a segment that compaction has replaced. */
     private static final int STALE_ID_BASE = 1 << 30;
 
     private Checkpoints() {}
--- a/server/src/main/java/wheatspread/store/CompactionJob.java
+++ b/server/src/main/java/wheatspread/store/CompactionJob.java
@@ -21,8 +21,8 @@
  * segments open from its creation until {@link #releaseRun}, or {@link #abort} after a failure.
  */
 final class CompactionJob extends MaintenanceJob {
-    private static final int GROUP_BYTES = 64 << 10;
-    private static final int STEP_BYTES = 128 << 10;
+    private static final int TARGET_GROUP_BYTES = 64 << 10;
+    private static final int MIN_STEP_BYTES = 128 << 10;
     private static final int SYNC_INTERVAL_BYTES = 1 << 20;
     private static final int MAX_MOVES_PER_INSTALL = 2_000;
     private static final int MAX_GROUP_RECORDS = 4_096;
@@ -93,7 +93,7 @@
             group.startGroup(MAX_GROUP_RECORDS);
             return true;
         }
-        while (bytesMoved() < STEP_BYTES) {
+        while (bytesMoved() < MIN_STEP_BYTES) {
             if (scan == null && !openNextInput()) {
                 finish();
                 return false;
@@ -107,7 +107,7 @@
                 case END -> scan = null;
                 default -> {}
             }
-            if (group.size() >= GROUP_BYTES || group.records() == MAX_GROUP_RECORDS) {
+            if (group.size() >= TARGET_GROUP_BYTES || group.records() == MAX_GROUP_RECORDS) {
                 flushGroup();
             }
         }
--- a/server/src/main/java/wheatspread/store/ExpirySweep.java
+++ b/server/src/main/java/wheatspread/store/ExpirySweep.java
@@ -6,7 +6,7 @@
  */
 final class ExpirySweep {
     private static final int CELLS_PER_SWEEP = 8_192;
-    private static final long INTERVAL_MILLIS = 10;
+    private static final long SWEEP_INTERVAL_MILLIS = 10;
 
     private final SegmentCatalog catalog;
     private final StoreStats.Counters counters;
@@ -19,9 +19,9 @@
         counters = context.counters();
     }
 
-    /** Sweeps the next part if {@link #INTERVAL_MILLIS} have passed since the last sweep. */
+    /** Sweeps the next part if {@link #SWEEP_INTERVAL_MILLIS} have passed since the last sweep. */
     void run(long nowMillis) {
-        if (nowMillis - lastSweepMillis < INTERVAL_MILLIS && nowMillis >= lastSweepMillis) {
+        if (nowMillis - lastSweepMillis < SWEEP_INTERVAL_MILLIS && nowMillis >= lastSweepMillis) {
             return;
         }
         lastSweepMillis = nowMillis;
--- a/server/src/test/java/wheatspread/store/StoredFormatCompatibilityTest.java
+++ b/server/src/test/java/wheatspread/store/StoredFormatCompatibilityTest.java
@@ -159,7 +159,7 @@
 
     @Test
     void fileNamesAreUnchanged() throws IOException {
-        assertThat(FolderDisk.LOCK).isEqualTo("lock");
+        assertThat(FolderDisk.LOCK_FILE_NAME).isEqualTo("lock");
         assertThat(SegmentName.original(3)).hasToString(STORED_NAMES.get(2));
         assertThat(new SegmentName(1, 2, 2)).hasToString(STORED_NAMES.get(1));
         assertThat(SegmentName.TEMPORARY_SUFFIX).isEqualTo(".new");
