--- a/server/src/main/java/wheatspread/transport/Listener.java
+++ b/server/src/main/java/wheatspread/transport/Listener.java
@@ -330,12 +330,12 @@
                 .mapToLong(ConnectionActions::bytesUntilWritable)
                 .sum();
         while (unreadBytes > table.limits().maxPendingWriteBytes()) {
-            ClientChannelHandler mostUnread = stalledHandlers.stream()
+            ClientChannelHandler largestBacklogHandler = stalledHandlers.stream()
                     .max(Comparator.comparingLong(ConnectionActions::bytesUntilWritable))
                     .orElseThrow();
-            unreadBytes -= mostUnread.bytesUntilWritable();
-            stalledHandlers.remove(mostUnread);
-            table.closeStalled(mostUnread.connection());
+            unreadBytes -= largestBacklogHandler.bytesUntilWritable();
+            stalledHandlers.remove(largestBacklogHandler);
+            table.closeStalled(largestBacklogHandler.connection());
         }
         stalledCheckScheduled = !stalledHandlers.isEmpty();
         if (stalledCheckScheduled) {
