--- a/server/src/test/java/wheatspread/daemon/StartTest.java
+++ b/server/src/test/java/wheatspread/daemon/StartTest.java
@@ -96,13 +96,14 @@
      */
     @Test
     void connectsToKernelAddressReloadedDuringWarmUp() throws Exception {
+        List<TestConnection> links = Collections.synchronizedList(new ArrayList<>());
         try (ServerSocket kernels = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             kernels.setSoTimeout(10_000);
             JSONObject json = new JSONObject(Files.readString(Path.of("src/test/resources/config.json")))
                     .put("listen", "127.0.0.1:0")
                     .put("kernel", "127.0.0.1:" + kernels.getLocalPort());
             Server server = server("127.0.0.1:0", LifeConfig.DEFAULT);
-            Thread kernel = new Thread(() -> bootEveryLink(kernels), "kernel");
+            Thread kernel = new Thread(() -> bootEveryLink(kernels, links), "kernel");
             kernel.setDaemon(true);
             kernel.start();
             Thread hangup = new Thread(() -> {
@@ -117,13 +118,22 @@
             await(() -> server.phase() == Phase.SERVING);
             assertThat(logged).noneMatch(line -> line.startsWith("kernel_link_failed"));
             server.kill();
+        } finally {
+            for (TestConnection link : List.copyOf(links)) {
+                link.close();
+            }
         }
     }
 
-    private static void bootEveryLink(ServerSocket kernels) {
+    /**
+     * Answers the handshake of every connection. Adds the connections to {@code links}: the garbage collector may close
+     * the socket of an unreferenced connection while the server still uses it.
+     */
+    private static void bootEveryLink(ServerSocket kernels, List<TestConnection> links) {
         try {
             while (true) {
                 TestConnection link = new TestConnection(kernels.accept());
+                links.add(link);
                 link.readLine();
                 link.writeLine("{\"type\":\"BOOTED\",\"state\":\"WARM\",\"took\":5}");
             }
