--- a/server/src/main/java/wheatspread/nginx/ConfParser.java
+++ b/server/src/main/java/wheatspread/nginx/ConfParser.java
@@ -8,30 +8,30 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads a file of nginx's configuration language, with what it includes, into directives. */
+/** Parses a file in the configuration language of nginx, including the files that it includes, into directives. */
 final class ConfParser {
-    private static final int DEEPEST_INCLUDE = 10;
+    private static final int MAX_INCLUDE_DEPTH = 10;
 
     private final String file;
     private final Path folder;
     private final String text;
     private final int depth;
-    private int at;
+    private int position;
     private int line = 1;
 
-    /** The text is none that nginx would read; the message starts with file and line. */
-    static final class BadConf extends RuntimeException {
+    /** The file is not a valid nginx configuration; the message starts with file and line. */
+    static final class InvalidConfException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        BadConf(String message) {
+        InvalidConfException(String message) {
             super(message);
         }
     }
 
-    /** A word, quoted or not, or one of the three signs. */
-    private record Token(int line, String text, boolean sign) {
+    /** A word, quoted or not, or a delimiter: a brace or a semicolon. */
+    private record Token(int line, String text, boolean isDelimiter) {
         boolean is(String other) {
-            return sign && text.equals(other);
+            return isDelimiter && text.equals(other);
         }
     }
 
@@ -47,59 +47,60 @@
     }
 
     private static List<Directive> parse(Path file, int depth) {
-        if (depth > DEEPEST_INCLUDE) {
-            throw new BadConf(file + ":1: includes go round in a circle");
+        if (depth > MAX_INCLUDE_DEPTH) {
+            throw new InvalidConfException(
+                    file + ":1: includes are nested more than " + MAX_INCLUDE_DEPTH + " deep, probably in a cycle");
         }
         try {
             String text = Files.readString(file, StandardCharsets.UTF_8);
             Path folder = file.getParent() == null ? Path.of("") : file.getParent();
             return new ConfParser(file.toString(), folder, text, depth).block(null);
         } catch (IOException e) {
-            throw new BadConf(file + ":1: cannot be read: " + e.getMessage());
+            throw new InvalidConfException(file + ":1: cannot be read: " + e.getMessage());
         }
     }
 
-    /** The directives up to the sign that closes their block, or to the end of the file. */
+    /** Parses directives up to the end of the block, or of the file if {@code opening} is null. */
     private List<Directive> block(Token opening) {
-        List<Directive> found = new ArrayList<>();
+        List<Directive> directives = new ArrayList<>();
         for (Token token = next(); token != null; token = next()) {
             if (token.is("}") && opening != null) {
-                return found;
+                return directives;
             }
-            if (token.sign()) {
-                throw bad(token.line(), "unexpected \"" + token.text() + "\"");
+            if (token.isDelimiter()) {
+                throw invalid(token.line(), "unexpected \"" + token.text() + "\", expected a directive");
             }
-            directive(token, found);
+            directive(token, directives);
         }
         if (opening != null) {
-            throw bad(opening.line(), "this block is not closed");
+            throw invalid(opening.line(), "block is not closed by \"}\"");
         }
-        return found;
+        return directives;
     }
 
-    private void directive(Token name, List<Directive> into) {
+    private void directive(Token name, List<Directive> directives) {
         List<String> args = new ArrayList<>();
         Token token = next();
-        while (token != null && !token.sign()) {
+        while (token != null && !token.isDelimiter()) {
             args.add(token.text());
             token = next();
         }
         if (token == null || token.is("}")) {
-            throw bad(name.line(), "\"" + name.text() + "\" is not ended by \";\" or a block");
+            throw invalid(name.line(), "\"" + name.text() + "\" is not followed by \";\" or a block");
         }
         List<Directive> block = token.is("{") ? block(token) : null;
         if (name.text().equals("include") && block == null && args.size() == 1) {
-            include(name, args.get(0), into);
+            include(name, args.get(0), directives);
         } else {
-            into.add(new Directive(file, name.line(), name.text(), List.copyOf(args), block));
+            directives.add(new Directive(file, name.line(), name.text(), List.copyOf(args), block));
         }
     }
 
-    private void include(Token name, String mask, List<Directive> into) {
-        Path path = folder.resolve(mask);
-        boolean many = path.getFileName().toString().matches(".*[*?\\[].*");
-        if (!many) {
-            into.addAll(parse(path, depth + 1));
+    private void include(Token name, String pattern, List<Directive> directives) {
+        Path path = folder.resolve(pattern);
+        boolean isPattern = path.getFileName().toString().matches(".*[*?\\[].*");
+        if (!isPattern) {
+            directives.addAll(parse(path, depth + 1));
             return;
         }
         List<Path> files = new ArrayList<>();
@@ -107,48 +108,49 @@
                 path.toAbsolutePath().getParent(), path.getFileName().toString())) {
             stream.forEach(files::add);
         } catch (IOException e) {
-            throw bad(name.line(), "cannot include " + mask + ": " + e.getMessage());
+            throw invalid(name.line(), "cannot include " + pattern + ": " + e.getMessage());
         }
         files.sort(null);
-        files.forEach(one -> into.addAll(parse(one, depth + 1)));
+        files.forEach(included -> directives.addAll(parse(included, depth + 1)));
     }
 
-    private BadConf bad(int where, String complaint) {
-        return new BadConf(file + ":" + where + ": " + complaint);
+    private InvalidConfException invalid(int atLine, String problem) {
+        return new InvalidConfException(file + ":" + atLine + ": " + problem);
     }
 
-    // ---- words ----
+    // ---- tokens ----
 
+    /** Returns the next token; null at the end of the file. */
     private Token next() {
         skipBlanks();
-        if (at >= text.length()) {
+        if (position >= text.length()) {
             return null;
         }
-        char c = text.charAt(at);
-        int start = line;
+        char c = text.charAt(position);
+        int startLine = line;
         if (c == '{' || c == '}' || c == ';') {
-            at++;
-            return new Token(start, String.valueOf(c), true);
+            position++;
+            return new Token(startLine, String.valueOf(c), true);
         }
-        return new Token(start, c == '"' || c == '\'' ? quoted(c) : bare(), false);
+        return new Token(startLine, c == '"' || c == '\'' ? quoted(c) : unquoted(), false);
     }
 
     private void skipBlanks() {
-        while (at < text.length()) {
-            char c = text.charAt(at);
+        while (position < text.length()) {
+            char c = text.charAt(position);
             if (c == '#') {
-                int end = text.indexOf('\n', at);
-                at = end < 0 ? text.length() : end;
+                int end = text.indexOf('\n', position);
+                position = end < 0 ? text.length() : end;
             } else if (Character.isWhitespace(c)) {
-                step();
+                nextChar();
             } else {
                 return;
             }
         }
     }
 
-    private char step() {
-        char c = text.charAt(at++);
+    private char nextChar() {
+        char c = text.charAt(position++);
         if (c == '\n') {
             line++;
         }
@@ -156,43 +158,45 @@
     }
 
     private String quoted(char quote) {
-        int start = line;
-        step();
+        int startLine = line;
+        nextChar();
         StringBuilder word = new StringBuilder();
-        while (at < text.length()) {
-            char c = step();
+        while (position < text.length()) {
+            char c = nextChar();
             if (c == quote) {
                 return word.toString();
             }
-            if (c == '\\' && at < text.length() && (text.charAt(at) == quote || text.charAt(at) == '\\')) {
-                c = step();
+            if (c == '\\'
+                    && position < text.length()
+                    && (text.charAt(position) == quote || text.charAt(position) == '\\')) {
+                c = nextChar();
             }
             word.append(c);
         }
-        throw bad(start, "this quote is not closed");
+        throw invalid(startLine, "quoted word is not closed by " + quote);
     }
 
-    /** A word without quotes; a variable's name may hold braces, and a backslash keeps the sign behind it. */
-    private String bare() {
+    /** Reads an unquoted word. The name of a variable may be in braces; a backslash escapes the next character. */
+    private String unquoted() {
         StringBuilder word = new StringBuilder();
-        while (at < text.length()) {
-            char c = text.charAt(at);
+        while (position < text.length()) {
+            char c = text.charAt(position);
             boolean variable = c == '{' && word.length() > 0 && word.charAt(word.length() - 1) == '$';
             if (variable) {
-                int end = text.indexOf('}', at);
+                int end = text.indexOf('}', position);
                 if (end < 0) {
-                    throw bad(line, "this variable's name is not closed");
+                    throw invalid(line, "name of a variable is not closed by \"}\"");
                 }
-                word.append(text, at, end + 1);
-                at = end + 1;
+                word.append(text, position, end + 1);
+                position = end + 1;
                 continue;
             }
             if (Character.isWhitespace(c) || c == ';' || c == '{') {
                 break;
             }
-            word.append(step());
-            if (c == '\\' && at < text.length()) {
-                word.append(step());
+            word.append(nextChar());
+            if (c == '\\' && position < text.length()) {
+                word.append(nextChar());
             }
         }
         return word.toString();
--- a/server/src/main/java/wheatspread/nginx/Directive.java
+++ b/server/src/main/java/wheatspread/nginx/Directive.java
@@ -2,12 +2,13 @@
 
 import java.util.List;
 
-/** One directive with its place; {@code block} is null where it ends in a semicolon. */
+/** A directive of a configuration; {@code block} is null if the directive ends with a semicolon. */
 record Directive(String file, int line, String name, List<String> args, List<Directive> block) {
-    String place() {
+    String location() {
         return file + ":" + line;
     }
 
+    /** Returns an argument; empty if there are fewer. */
     String arg(int index) {
         return index < args.size() ? args.get(index) : "";
     }
--- a/server/src/main/java/wheatspread/nginx/Importer.java
+++ b/server/src/main/java/wheatspread/nginx/Importer.java
@@ -14,14 +14,15 @@
 import wheatspread.config.UwsgiConfig.Vars;
 
 /**
- * Turns the upstream and location blocks of an nginx configuration into an operator's file for the one server
- * among them that listens on a given address. What has no place there is reported with file and line.
+ * Converts the upstream and location blocks of an nginx configuration to an operator's file for the upstream server
+ * with a given address. Directives without a counterpart are reported with file and line.
  */
 public final class Importer {
-    private static final Map<String, String> MATCHES =
+    private static final Map<String, String> MATCH_BY_MODIFIER =
             Map.of("=", "exact", "^~", "prefix_first", "~", "regex", "~*", "regex_any_case");
-    /** Vars that nginx's own list passes on; they reach the front as they are. */
-    private static final Set<String> STANDARD = Set.of(
+
+    /** The vars of nginx's file uwsgi_params, which need no setting in the operator's file. */
+    private static final Set<String> STANDARD_VARS = Set.of(
             "QUERY_STRING",
             "REQUEST_METHOD",
             "CONTENT_TYPE",
@@ -39,66 +40,73 @@
             "SCRIPT_NAME",
             "HTTP_HOST");
 
-    private static final Set<String> INHERITED =
+    private static final Set<String> INHERITED_DIRECTIVES =
             Set.of("uwsgi_read_timeout", "uwsgi_send_timeout", "client_max_body_size");
-    private static final Set<String> CARRIED =
+    private static final Set<String> SUPPORTED_DIRECTIVES =
             Set.of("uwsgi_param", "uwsgi_read_timeout", "uwsgi_send_timeout", "client_max_body_size");
     private static final Pattern TIME = Pattern.compile("(\\d+)(ms|s|m|h|d|)");
     private static final Pattern SIZE = Pattern.compile("(\\d{1,9})([kKmMgG]?)");
-    private static final Map<String, Long> UNITS =
+    private static final Map<String, Long> MILLIS_BY_UNIT =
             Map.of("ms", 1L, "s", 1_000L, "", 1_000L, "m", 60_000L, "h", 3_600_000L, "d", 86_400_000L);
-    private static final long LONGEST_MS = 3_600_000;
-    private static final int LARGEST_BODY = 1 << 20;
+    private static final long MAX_TIME_MS = 3_600_000;
+    private static final int MAX_BODY_BYTES = 1 << 20;
 
     private final List<String> report = new ArrayList<>();
     private final Map<String, Directive> upstreams = new LinkedHashMap<>();
     private final JSONArray routes = new JSONArray();
+    /** Directives that have been handled or reported, by a key that identifies the report. */
     private final Map<String, Directive> seen = new HashMap<>();
+
     private String listen;
-    private Directive chosen;
-    private long sendTimeout;
-    private long bodySize = -1;
-    private long keepalive;
-    private long mostConnections;
+    private Directive selectedServer;
+    private long sendTimeoutMillis;
+    private long bodyBytes = -1;
+    private long keepaliveMillis;
+    private long maxConnections;
 
-    /** What an enclosing block hands down to a location. */
+    /** The directives that a location inherits from its enclosing block, and the list of its routes. */
     private record Scope(Map<String, Directive> inherited, List<Directive> params, JSONArray routes) {}
 
     private Importer(String listen) {
         this.listen = listen;
     }
 
-    /** The operator's file, and what could not be carried over, a line each. */
+    /** The operator's file, and a line for each directive that could not be converted. */
     public record Result(JSONObject file, List<String> report) {}
 
-    /** {@code listen} picks the server by its address; where it is null, the first that is up is taken. */
+    /**
+     * Converts a configuration.
+     *
+     * @param listen the address of the server in the upstream blocks; null for the first one that is not down
+     * @throws IllegalArgumentException if the file is invalid or no location passes requests to that server
+     */
     public static Result read(Path file, String listen) {
         try {
             Importer importer = new Importer(listen);
-            List<Directive> all = ConfParser.parse(file);
-            importer.collectUpstreams(all);
-            importer.walk(all, new Scope(Map.of(), List.of(), importer.routes));
+            List<Directive> directives = ConfParser.parse(file);
+            importer.collectUpstreams(directives);
+            importer.convertBlock(directives, new Scope(Map.of(), List.of(), importer.routes));
             return new Result(importer.operatorFile(file), List.copyOf(importer.report));
-        } catch (ConfParser.BadConf e) {
+        } catch (ConfParser.InvalidConfException e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
     }
 
-    private void complain(Directive about, String complaint) {
-        report.add(about.place() + ": " + about.name() + ": " + complaint);
+    private void report(Directive directive, String problem) {
+        report.add(directive.location() + ": " + directive.name() + ": " + problem);
     }
 
     private JSONObject operatorFile(Path file) {
-        if (chosen == null) {
-            throw new IllegalArgumentException(file + ":1: no location passes to "
-                    + (listen == null ? "a server that this program could be" : listen));
+        if (selectedServer == null) {
+            throw new IllegalArgumentException(file + ":1: no location passes requests to "
+                    + (listen == null ? "a server that has a TCP address and is not down" : listen));
         }
         JSONObject uwsgi = new JSONObject().put("listen", listen).put("routes", routes);
-        putPositive(uwsgi, "max_connections", Math.min(4096, mostConnections));
-        putPositive(uwsgi, "read_timeout_ms", sendTimeout);
-        putPositive(uwsgi, "idle_timeout_ms", keepalive);
-        if (bodySize >= 0) {
-            uwsgi.put("max_body", bodySize);
+        putPositive(uwsgi, "max_connections", Math.min(4096, maxConnections));
+        putPositive(uwsgi, "read_timeout_ms", sendTimeoutMillis);
+        putPositive(uwsgi, "idle_timeout_ms", keepaliveMillis);
+        if (bodyBytes >= 0) {
+            uwsgi.put("max_body", bodyBytes);
         }
         return new JSONObject().put("uwsgi", uwsgi);
     }
@@ -112,45 +120,45 @@
     // ---- upstreams ----
 
     private void collectUpstreams(List<Directive> block) {
-        for (Directive d : block) {
-            if (d.name().equals("upstream") && d.block() != null) {
-                upstreams.put(d.arg(0), d);
-            } else if (d.name().equals("http") && d.block() != null) {
-                collectUpstreams(d.block());
+        for (Directive directive : block) {
+            if (directive.name().equals("upstream") && directive.block() != null) {
+                upstreams.put(directive.arg(0), directive);
+            } else if (directive.name().equals("http") && directive.block() != null) {
+                collectUpstreams(directive.block());
             }
         }
     }
 
-    /** Whether the server this program is stands behind the target of a pass; takes it up where it does. */
-    private boolean passesHere(Directive pass) {
+    /** Returns whether a pass leads to the selected server; selects a server if none is selected yet. */
+    private boolean passesToSelectedServer(Directive pass) {
         String target = pass.arg(0);
         if (target.contains("$") || target.startsWith("unix:") || target.contains("://")) {
-            complain(pass, target + " is no fixed TCP address or upstream");
+            report(pass, target + " is neither a fixed TCP address nor the name of an upstream");
             return false;
         }
         Directive upstream = upstreams.get(target);
         if (upstream == null) {
-            boolean here = choose(pass, target, List.of());
-            if (!here && !target.equals(listen)) {
-                complain(pass, target + " is another server than " + listen);
+            boolean selected = selectServer(pass, target, List.of());
+            if (!selected && !target.equals(listen)) {
+                report(pass, target + " is not the converted server " + listen);
             }
-            return here;
+            return selected;
         }
         for (Directive server : upstream.block()) {
             boolean down = server.args().contains("down");
-            if (server.name().equals("server") && !down && choose(server, server.arg(0), server.args())) {
-                upstream(upstream);
+            if (server.name().equals("server") && !down && selectServer(server, server.arg(0), server.args())) {
+                convertUpstream(upstream);
                 return true;
             }
         }
-        complain(pass, "upstream " + target + " has no server " + (listen == null ? "that is up" : listen));
+        report(pass, "upstream " + target + " has no server " + (listen == null ? "that is not down" : listen));
         return false;
     }
 
-    private boolean choose(Directive from, String address, List<String> options) {
+    private boolean selectServer(Directive from, String address, List<String> options) {
         if (!address.matches("[^:]+:\\d{1,5}|\\[[0-9a-fA-F:]+\\]:\\d{1,5}")) {
             if (listen == null || listen.equals(address)) {
-                complain(from, address + " is not host:port");
+                report(from, address + " is not a TCP address; expected host:port");
             }
             return false;
         }
@@ -158,108 +166,111 @@
             return false;
         }
         listen = address;
-        if (chosen != from) {
-            chosen = from;
-            options.stream().skip(1).forEach(option -> serverOption(from, option));
+        if (selectedServer != from) {
+            selectedServer = from;
+            options.stream().skip(1).forEach(option -> convertServerOption(from, option));
         }
         return true;
     }
 
-    private void serverOption(Directive server, String option) {
+    private void convertServerOption(Directive server, String option) {
         if (option.matches("max_conns=\\d{1,9}")) {
-            mostConnections = Long.parseLong(option.substring("max_conns=".length()));
+            maxConnections = Long.parseLong(option.substring("max_conns=".length()));
         } else {
-            once(server, option + " says how the proxy chooses; it stays there");
+            reportOnce(server, option + " configures load balancing in the proxy; it is not converted");
         }
     }
 
-    private void upstream(Directive upstream) {
+    private void convertUpstream(Directive upstream) {
         if (seen.put("upstream " + upstream.arg(0), upstream) != null) {
             return;
         }
-        for (Directive d : upstream.block()) {
-            if (d.name().equals("keepalive_timeout")) {
-                keepalive = time(d);
-            } else if (!d.name().equals("server")) {
-                complain(d, "says how the proxy chooses or keeps connections; it stays there");
+        for (Directive directive : upstream.block()) {
+            if (directive.name().equals("keepalive_timeout")) {
+                keepaliveMillis = timeMillis(directive);
+            } else if (!directive.name().equals("server")) {
+                report(directive, "configures load balancing or connections in the proxy; it is not converted");
             }
         }
     }
 
     // ---- locations ----
 
-    private void walk(List<Directive> block, Scope outer) {
+    private void convertBlock(List<Directive> block, Scope outer) {
         Scope scope = scope(block, outer, outer.routes());
-        for (Directive d : block) {
-            if (d.name().equals("location") && d.block() != null) {
-                location(d, scope);
-            } else if (Set.of("http", "server").contains(d.name()) && d.block() != null) {
-                walk(d.block(), scope);
-            } else if (!CARRIED.contains(d.name())
-                    && (d.name().startsWith("uwsgi_")
-                            || Set.of("rewrite", "return", "if", "set").contains(d.name()))) {
-                complain(d, "has no counterpart in the recipe server");
+        for (Directive directive : block) {
+            if (directive.name().equals("location") && directive.block() != null) {
+                convertLocation(directive, scope);
+            } else if (Set.of("http", "server").contains(directive.name()) && directive.block() != null) {
+                convertBlock(directive.block(), scope);
+            } else if (!SUPPORTED_DIRECTIVES.contains(directive.name())
+                    && (directive.name().startsWith("uwsgi_")
+                            || Set.of("rewrite", "return", "if", "set").contains(directive.name()))) {
+                report(directive, "has no counterpart in the recipe server");
             }
         }
     }
 
-    /** As nginx inherits: a value goes down unless it is set again, the params only where none are set. */
+    /** Inherits as nginx does: a block overrides single values, but its params replace all inherited ones. */
     private static Scope scope(List<Directive> block, Scope outer, JSONArray routes) {
         Map<String, Directive> inherited = new HashMap<>(outer.inherited());
         List<Directive> params = new ArrayList<>();
-        for (Directive d : block) {
-            if (INHERITED.contains(d.name())) {
-                inherited.put(d.name(), d);
-            } else if (d.name().equals("uwsgi_param")) {
-                params.add(d);
+        for (Directive directive : block) {
+            if (INHERITED_DIRECTIVES.contains(directive.name())) {
+                inherited.put(directive.name(), directive);
+            } else if (directive.name().equals("uwsgi_param")) {
+                params.add(directive);
             }
         }
         return new Scope(inherited, params.isEmpty() ? outer.params() : params, routes);
     }
 
-    /** Every location becomes a route, since one that leads elsewhere has its part in the precedence too. */
-    private void location(Directive location, Scope outer) {
-        JSONObject route = route(location, outer.routes());
+    /** Converts a location, even one that passes to another server, since it takes part in the precedence. */
+    private void convertLocation(Directive location, Scope outer) {
+        JSONObject route = addRoute(location, outer.routes());
         if (route == null) {
             return;
         }
         JSONArray nested = new JSONArray();
         Scope scope = scope(location.block(), outer, nested);
         Directive pass = null;
-        for (Directive d : location.block()) {
-            if (d.name().equals("uwsgi_pass")) {
-                pass = d;
-            } else if (d.name().equals("location") && d.block() != null) {
-                location(d, scope);
-            } else if (!CARRIED.contains(d.name())) {
-                complain(d, "has no counterpart in the recipe server");
+        for (Directive directive : location.block()) {
+            if (directive.name().equals("uwsgi_pass")) {
+                pass = directive;
+            } else if (directive.name().equals("location") && directive.block() != null) {
+                convertLocation(directive, scope);
+            } else if (!SUPPORTED_DIRECTIVES.contains(directive.name())) {
+                report(directive, "has no counterpart in the recipe server");
             }
         }
-        if (pass != null && passesHere(pass)) {
-            fill(route, scope);
+        if (pass != null && passesToSelectedServer(pass)) {
+            setParameters(route, scope);
         }
         if (!nested.isEmpty()) {
             route.put("routes", nested);
         }
     }
 
-    /** Adds the route of a location to its level; null where its form or its place is taken or unknown. */
-    private JSONObject route(Directive location, JSONArray level) {
-        boolean modified = location.args().size() == 2;
-        String path = location.arg(modified ? 1 : 0);
-        String match = modified ? MATCHES.get(location.arg(0)) : "prefix";
+    /** Adds the route of a location to its level; returns null if the location is reported instead. */
+    private JSONObject addRoute(Directive location, JSONArray level) {
+        boolean hasModifier = location.args().size() == 2;
+        String path = location.arg(hasModifier ? 1 : 0);
+        String match = hasModifier ? MATCH_BY_MODIFIER.get(location.arg(0)) : "prefix";
         if (match == null || path.isEmpty() || location.args().size() > 2) {
-            complain(location, "unknown form: " + String.join(" ", location.args()));
+            report(
+                    location,
+                    "unknown form: " + String.join(" ", location.args())
+                            + "; expected a path with an optional modifier =, ^~, ~ or ~*");
             return null;
         }
         if (path.startsWith("@")) {
-            complain(location, path + " is named: only the proxy's own redirects lead there");
+            report(location, path + " is a named location, which only internal redirects of the proxy reach");
             return null;
         }
         for (Object other : level) {
             JSONObject earlier = (JSONObject) other;
             if (earlier.get("match").equals(match) && earlier.get("path").equals(path)) {
-                complain(location, "the same location stands before this one, which is left out");
+                report(location, "duplicates an earlier location; it is not converted");
                 return null;
             }
         }
@@ -268,37 +279,37 @@
         return route;
     }
 
-    private void fill(JSONObject route, Scope scope) {
-        scope.params().forEach(param -> param(param, route));
+    private void setParameters(JSONObject route, Scope scope) {
+        scope.params().forEach(param -> convertParam(param, route));
         Directive read = scope.inherited().get("uwsgi_read_timeout");
         if (read != null && !route.has("limit_ms")) {
-            putPositive(route, "limit_ms", time(read));
+            putPositive(route, "limit_ms", timeMillis(read));
         }
         Directive send = scope.inherited().get("uwsgi_send_timeout");
-        sendTimeout = Math.max(sendTimeout, send == null ? 0 : time(send));
+        sendTimeoutMillis = Math.max(sendTimeoutMillis, send == null ? 0 : timeMillis(send));
         Directive size = scope.inherited().get("client_max_body_size");
-        bodySize = Math.max(bodySize, size == null ? -1 : size(size));
+        bodyBytes = Math.max(bodyBytes, size == null ? -1 : sizeBytes(size));
     }
 
-    private void param(Directive param, JSONObject route) {
+    private void convertParam(Directive param, JSONObject route) {
         String name = param.arg(0);
         String value = param.arg(1);
         Vars vars = Vars.DEFAULT;
-        Map<String, String> words = Map.of(vars.requestClass(), "class", vars.tenant(), "tenant");
-        Map<String, String> numbers =
+        Map<String, String> textKeys = Map.of(vars.requestClass(), "class", vars.tenant(), "tenant");
+        Map<String, String> numberKeys =
                 Map.of(vars.timeout(), "limit_ms", vars.expectedWork(), "cpu_ms", vars.memory(), "ram_kb");
         boolean fixed = !value.contains("$");
-        if (fixed && words.containsKey(name)) {
-            route.put(words.get(name), value);
-        } else if (fixed && numbers.containsKey(name)) {
+        if (fixed && textKeys.containsKey(name)) {
+            route.put(textKeys.get(name), value);
+        } else if (fixed && numberKeys.containsKey(name)) {
             if (value.matches("\\d{1,9}(\\.\\d{1,9})?")) {
-                boolean whole = name.equals(vars.timeout());
+                boolean isInteger = name.equals(vars.timeout());
                 double number = Double.parseDouble(value);
-                route.put(numbers.get(name), whole ? (Object) Math.round(number) : (Object) number);
+                route.put(numberKeys.get(name), isInteger ? (Object) Math.round(number) : (Object) number);
             } else {
-                once(param, name + " is not a number: " + value);
+                reportOnce(param, name + " is not a number: " + value);
             }
-        } else if (!STANDARD.contains(name)
+        } else if (!STANDARD_VARS.contains(name)
                 && !Set.of(
                                 vars.requestClass(),
                                 vars.tenant(),
@@ -308,52 +319,59 @@
                                 vars.idempotencyKey(),
                                 vars.cacheKey())
                         .contains(name)) {
-            once(param, name + " means nothing to the recipe server");
+            reportOnce(param, name + " is not a parameter of the recipe server");
         }
     }
 
-    /** A param may serve many locations; one report of it is enough. */
-    private void once(Directive d, String complaint) {
-        if (seen.putIfAbsent(d.place() + " " + complaint, d) == null) {
-            complain(d, complaint);
+    /** Reports a problem only once for a directive that several locations inherit. */
+    private void reportOnce(Directive directive, String problem) {
+        if (seen.putIfAbsent(directive.location() + " " + problem, directive) == null) {
+            report(directive, problem);
         }
     }
 
     // ---- times and sizes ----
 
-    private long time(Directive d) {
-        Matcher parts = TIME.matcher(d.arg(0));
-        long total = 0;
+    /** Returns a time in milliseconds; 0 if it is invalid, which is reported. */
+    private long timeMillis(Directive directive) {
+        Matcher parts = TIME.matcher(directive.arg(0));
+        long totalMillis = 0;
         int end = 0;
-        while (end < d.arg(0).length()
+        while (end < directive.arg(0).length()
                 && parts.find(end)
                 && parts.start() == end
                 && parts.end() > end
                 && parts.group(1).length() < 10) {
-            total += Long.parseLong(parts.group(1)) * UNITS.get(parts.group(2));
+            totalMillis += Long.parseLong(parts.group(1)) * MILLIS_BY_UNIT.get(parts.group(2));
             end = parts.end();
         }
-        if (end != d.arg(0).length() || end == 0) {
-            once(d, "not a time: " + d.arg(0));
+        if (end != directive.arg(0).length() || end == 0) {
+            reportOnce(
+                    directive,
+                    "not a time: " + directive.arg(0) + "; expected numbers with a unit of ms, s, m, h or d");
             return 0;
         }
-        if (total > LONGEST_MS) {
-            once(d, d.arg(0) + " is cut to an hour, the longest there is");
+        if (totalMillis > MAX_TIME_MS) {
+            reportOnce(directive, directive.arg(0) + " is above " + MAX_TIME_MS + " ms; using the maximum");
         }
-        return Math.min(LONGEST_MS, total);
+        return Math.min(MAX_TIME_MS, totalMillis);
     }
 
-    private long size(Directive d) {
-        Matcher parts = SIZE.matcher(d.arg(0));
+    /** Returns a size in bytes; -1 if it is invalid, which is reported. nginx takes 0 as unlimited. */
+    private long sizeBytes(Directive directive) {
+        Matcher parts = SIZE.matcher(directive.arg(0));
         if (!parts.matches()) {
-            once(d, "not a size: " + d.arg(0));
+            reportOnce(
+                    directive,
+                    "not a size: " + directive.arg(0) + "; expected a number with an optional unit of k, m or g");
             return -1;
         }
-        long size = Long.parseLong(parts.group(1))
+        long bytes = Long.parseLong(parts.group(1))
                 << Map.of("", 0, "k", 10, "m", 20, "g", 30).get(parts.group(2).toLowerCase());
-        if (size == 0 || size > LARGEST_BODY) {
-            once(d, d.arg(0) + " is cut to " + LARGEST_BODY + " bytes, the most there is");
+        if (bytes == 0 || bytes > MAX_BODY_BYTES) {
+            reportOnce(
+                    directive, directive.arg(0) + " is not from 1 to " + MAX_BODY_BYTES + " bytes; using the maximum");
         }
-        return size == 0 ? LARGEST_BODY : Math.min(LARGEST_BODY, size);
+        return bytes == 0 ? MAX_BODY_BYTES : Math.min(MAX_BODY_BYTES, bytes);
     }
 }
--- a/server/src/test/java/wheatspread/nginx/ImporterTest.java
+++ b/server/src/test/java/wheatspread/nginx/ImporterTest.java
@@ -21,10 +21,12 @@
     Path folder;
 
     @Test
-    void locationsBecomeRoutesAndTheRestIsReported() throws IOException {
+    void convertsLocationsToRoutesAndReportsOtherDirectives() throws IOException {
         Importer.Result result = Importer.read(FOLDER.resolve("site.conf"), "10.0.0.2:3031");
-        JSONObject wanted = new JSONObject(Files.readString(FOLDER.resolve("site.json")));
-        assertThat(result.file().similar(wanted)).as(result.file().toString(1)).isTrue();
+        JSONObject expected = new JSONObject(Files.readString(FOLDER.resolve("site.json")));
+        assertThat(result.file().similar(expected))
+                .as(result.file().toString(1))
+                .isTrue();
         List<String> report = result.report().stream()
                 .map(line -> line.replace(FOLDER + "/", ""))
                 .toList();
@@ -32,7 +34,7 @@
     }
 
     @Test
-    void whatIsWrittenIsAnOperatorsFile() throws IOException {
+    void writesAValidOperatorFile() throws IOException {
         Path written = folder.resolve("operator.json");
         Files.writeString(
                 written, Importer.read(FOLDER.resolve("site.conf"), null).file().toString());
@@ -46,24 +48,24 @@
     }
 
     @Test
-    void withoutAnAddressTheFirstServerThatIsUpIsTaken() {
+    void selectsFirstServerThatIsNotDownWithoutAnAddress() {
         JSONObject file = Importer.read(FOLDER.resolve("site.conf"), null).file();
         assertThat(file.getJSONObject("uwsgi").get("listen")).isEqualTo("10.0.0.2:3031");
     }
 
     @Test
-    void whatIsNoConfigurationIsNamedWithItsLine() throws IOException {
-        fails("server {\n location / {", ":2: this block is not closed");
-        fails("a;\n}", ":2: unexpected \"}\"");
-        fails("a b", ":1: \"a\" is not ended by \";\" or a block");
-        fails("\na 'b;", ":2: this quote is not closed");
-        fails("include x.conf;", ":1: includes go round in a circle");
-        fails("http {}", ":1: no location passes to a server that this program could be");
+    void reportsLineOfInvalidConfiguration() throws IOException {
+        assertInvalid("server {\n location / {", ":2: block is not closed by \"}\"");
+        assertInvalid("a;\n}", ":2: unexpected \"}\", expected a directive");
+        assertInvalid("a b", ":1: \"a\" is not followed by \";\" or a block");
+        assertInvalid("\na 'b;", ":2: quoted word is not closed by '");
+        assertInvalid("include x.conf;", ":1: includes are nested more than 10 deep, probably in a cycle");
+        assertInvalid("http {}", ":1: no location passes requests to a server that has a TCP address and is not down");
     }
 
-    private void fails(String text, String complaint) throws IOException {
+    private void assertInvalid(String text, String message) throws IOException {
         Path file = folder.resolve("x.conf");
         Files.writeString(file, text);
-        assertThatThrownBy(() -> Importer.read(file, null)).hasMessageContaining("x.conf" + complaint);
+        assertThatThrownBy(() -> Importer.read(file, null)).hasMessageContaining("x.conf" + message);
     }
 }
