--- a/server/src/main/java/wheatspread/commands/BenchlinkCommand.java
+++ b/server/src/main/java/wheatspread/commands/BenchlinkCommand.java
@@ -5,11 +5,12 @@
 import picocli.CommandLine.Command;
 import wheatspread.sim.BenchLink;
 
-/** The decisions on the simulator's wire. */
+/** Runs the simulator's adapter. */
 @Command(
         name = "benchlink",
         mixinStandardHelpOptions = true,
-        description = "Puts the same decisions on the simulator's wire, on standard input and output.")
+        description =
+                "Speaks the simulator's protocol on standard input and output, with a server's admission control.")
 final class BenchlinkCommand implements Callable<Integer> {
     @Override
     public Integer call() throws IOException {
--- a/server/src/main/java/wheatspread/commands/CheckCommand.java
+++ b/server/src/main/java/wheatspread/commands/CheckCommand.java
@@ -16,13 +16,13 @@
 import wheatspread.config.FleetConfig;
 import wheatspread.config.JsonFields;
 
-/** Reads settings files and names each fault. */
+/** Checks settings files and reports every fault. */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
-        description = "Reads every settings file, names each fault with file and line, and starts nothing.",
+        description = "Checks the settings files and reports each fault with its file and line. Starts no server.",
         exitCodeListHeading = "%nExit codes:%n",
-        exitCodeList = {"0:Nothing is wrong.", "78:Something is."},
+        exitCodeList = {"0:The settings are valid.", "78:A settings file has a fault."},
         footerHeading = "%nExamples:%n",
         footer = {
             "  wheatspread check --config config.json deploy/uwsgi.json",
@@ -32,53 +32,61 @@
     @Spec
     private CommandSpec spec;
 
-    @Parameters(index = "0", arity = "0..1", paramLabel = "OPERATOR_FILE", description = "The operator's file.")
+    @Parameters(
+            index = "0",
+            arity = "0..1",
+            paramLabel = "OPERATOR_FILE",
+            description = "The operator's settings file.")
     private Path operatorFile;
 
-    @Option(names = "--config", paramLabel = "FILE", description = "In place of what GW_CONFIG names.")
+    @Option(names = "--config", paramLabel = "FILE", description = "The platform's settings file; overrides GW_CONFIG.")
     private Path config;
 
-    @Option(names = "--fleet", paramLabel = "FILE", description = "A fleet's file, with the files it names.")
+    @Option(
+            names = "--fleet",
+            paramLabel = "FILE",
+            description = "A fleet file, with the settings files of its members.")
     private Path fleet;
 
     @Override
     public Integer call() {
-        Map<String, String> environment = environment(config);
+        Map<String, String> environment = environmentWithConfig(config);
         ConfigProblems faults = new ConfigProblems();
         if (fleet != null) {
-            gather(faults, () -> FleetConfig.readFile(fleet).checkMembers(faults::add));
+            collectFaults(faults, () -> FleetConfig.readFile(fleet).checkMembers(faults::add));
         }
         if (operatorFile != null || environment.containsKey("GW_CONFIG") || fleet == null) {
-            gather(faults, () -> {
-                Configuration all = Configuration.load(environment, operatorFile);
-                new SfqAdmissionController(all.server().site().settings(), 1); // the module's own complaints
+            collectFaults(faults, () -> {
+                Configuration configuration = Configuration.load(environment, operatorFile);
+                // checks the settings that only the admission controller can check
+                new SfqAdmissionController(configuration.server().site().settings(), 1);
             });
         }
         PrintWriter out = spec.commandLine().getOut();
         faults.messages().forEach(out::println);
         if (faults.count() > faults.messages().size()) {
-            out.println("and " + (faults.count() - faults.messages().size()) + " more, which are not named");
+            out.println((faults.count() - faults.messages().size()) + " more faults are not shown");
         }
         out.println(
-                faults.isEmpty() ? "nothing is wrong" : faults.count() + (faults.count() == 1 ? " fault" : " faults"));
+                faults.isEmpty() ? "no faults found" : faults.count() + (faults.count() == 1 ? " fault" : " faults"));
         out.flush();
         return faults.isEmpty() ? ExitCodes.OK : ExitCodes.CONFIG;
     }
 
-    private static void gather(ConfigProblems faults, Runnable reading) {
+    private static void collectFaults(ConfigProblems faults, Runnable check) {
         try {
-            reading.run();
+            check.run();
         } catch (JsonFields.InvalidValueException e) {
             faults.addAll(e);
         } catch (IllegalArgumentException e) {
             faults.add("settings: " + e.getMessage());
         } catch (OutOfMemoryError e) {
-            faults.addAll(JsonFields.InvalidValueException.outOfMemory("what the settings ask for"));
+            faults.addAll(JsonFields.InvalidValueException.outOfMemory("the configuration"));
         }
     }
 
-    /** The environment, with another file in place of the one that GW_CONFIG names; null to leave it. */
-    static Map<String, String> environment(Path config) {
+    /** Returns the environment, with GW_CONFIG replaced by {@code config} unless that is null. */
+    static Map<String, String> environmentWithConfig(Path config) {
         Map<String, String> environment = new HashMap<>(System.getenv());
         if (config != null) {
             environment.put("GW_CONFIG", config.toString());
--- a/server/src/main/java/wheatspread/commands/CompletionCommand.java
+++ b/server/src/main/java/wheatspread/commands/CompletionCommand.java
@@ -6,11 +6,11 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** Prints what a shell needs to complete commands. */
+/** Prints a completion script for shells. */
 @Command(
         name = "completion",
         mixinStandardHelpOptions = true,
-        description = "Prints a script with which bash and zsh complete commands and options.",
+        description = "Prints a completion script for bash and zsh.",
         footerHeading = "%nExample:%n",
         footer = "  source <(wheatspread completion)")
 final class CompletionCommand implements Callable<Integer> {
--- a/server/src/main/java/wheatspread/commands/ExitCodes.java
+++ b/server/src/main/java/wheatspread/commands/ExitCodes.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine;
 import wheatspread.config.JsonFields;
 
-/** Exit codes, as in sysexits.h, and which fault ends with which. */
+/** The exit codes, which follow sysexits.h, and the exit code of each kind of exception. */
 final class ExitCodes {
     static final int OK = 0;
     static final int USAGE = 64;
@@ -15,22 +15,22 @@
     static final int TRY_LATER = 75;
     static final int CONFIG = 78;
 
-    /** Help's list of them. */
+    /** The list of exit codes in help texts. */
     static final String[] LIST = {
-        "0:All went well.",
-        "64:The command line is wrong.",
-        "65:An input is wrong.",
-        "66:An input cannot be read.",
-        "69:An address is taken, the kernel did not come up, or a fleet failed.",
-        "70:A fault in the program.",
-        "73:An output cannot be written.",
-        "75:It runs already, or is busy.",
-        "78:A settings file is wrong."
+        "0:Success.",
+        "64:The command line is invalid.",
+        "65:The input data is invalid.",
+        "66:An input file cannot be read.",
+        "69:An address is in use, the kernel did not become ready, or a fleet command failed.",
+        "70:Internal error.",
+        "73:An output file cannot be written.",
+        "75:The process is already running, or a resource is in use; try again later.",
+        "78:A settings file has a fault."
     };
 
     private ExitCodes() {}
 
-    /** A fault that ends the command with a message and no trace. */
+    /** Ends a command with a message and an exit code, without a stack trace. */
     static final class Failure extends RuntimeException {
         private static final long serialVersionUID = 1L;
         private final int code;
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Turns what a command threw into one message on standard error, and its exit code. */
+    /** Prints the message of an exception that a command threw on standard error; returns its exit code. */
     static int handle(Exception fault, CommandLine command, CommandLine.ParseResult parsed) {
         int code = fault instanceof Failure failure
                 ? failure.code
@@ -57,8 +57,8 @@
         return code;
     }
 
-    /** A wrong command line: what is wrong, and where help is. */
-    static int misused(CommandLine.ParameterException fault, String[] args) {
+    /** Prints what is wrong with a command line and how to get help; returns the exit code. */
+    static int handleUsageError(CommandLine.ParameterException fault, String[] args) {
         CommandLine command = fault.getCommandLine();
         command.getErr().println("wheatspread: " + fault.getMessage());
         command.getErr().println("Try '" + command.getCommandSpec().qualifiedName() + " --help'.");
--- a/server/src/main/java/wheatspread/commands/FleetCommand.java
+++ b/server/src/main/java/wheatspread/commands/FleetCommand.java
@@ -23,12 +23,12 @@
 import wheatspread.supervisor.FleetRunner;
 import wheatspread.supervisor.StatusFile;
 
-/** Starts, watches, rolls and replaces the servers of a fleet on this machine. */
+/** Manages the servers of a fleet on this machine. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
         synopsisSubcommandLabel = "COMMAND",
-        description = "Starts, watches, rolls and replaces the servers of a fleet on this machine.",
+        description = "Starts, monitors, updates and stops the servers of a fleet on this machine.",
         footerHeading = "%nExamples:%n",
         footer = {
             "  wheatspread fleet up deploy/fleet.json",
@@ -46,25 +46,25 @@
             FleetCommand.Detach.class
         })
 final class FleetCommand implements Callable<Integer> {
-    /** How long a supervisor may take to answer a command. */
-    private static final long ANSWER_MS = 5_000;
+    /** The time limit for the supervisor's answer to a command. */
+    private static final long ANSWER_TIMEOUT_MS = 5_000;
 
-    private static final long LOOK_MS = 200;
+    private static final long STATUS_POLL_INTERVAL_MS = 200;
 
     @Spec
     private CommandSpec spec;
 
     @Override
     public Integer call() {
-        throw new ParameterException(spec.commandLine(), "a command is missing");
+        throw new ParameterException(spec.commandLine(), "a command is required");
     }
 
-    /** What all of them take. */
-    abstract static class OnFile implements Callable<Integer> {
+    /** A command on a fleet, which its file names. */
+    abstract static class FleetFileCommand implements Callable<Integer> {
         @Spec
         CommandSpec spec;
 
-        @Parameters(index = "0", paramLabel = "FLEET_FILE", description = "The fleet's file; JSON with comments.")
+        @Parameters(index = "0", paramLabel = "FLEET_FILE", description = "The fleet's file, as JSON with comments.")
         Path file;
 
         FleetConfig config() {
@@ -75,14 +75,15 @@
             return spec.commandLine().getOut();
         }
 
-        /** Gives a command to the supervisor. */
-        JSONObject ask(FleetConfig config, JSONObject command) throws InterruptedException {
+        /** Sends a command to the supervisor and returns its answer. */
+        JSONObject sendCommand(FleetConfig config, JSONObject command) throws InterruptedException {
             try {
-                JSONObject answer = new CommandSpool(config.directory()).submit(command, ANSWER_MS);
+                JSONObject answer = new CommandSpool(config.directory()).submit(command, ANSWER_TIMEOUT_MS);
                 if (answer == null) {
                     throw new ExitCodes.Failure(
                             ExitCodes.TRY_LATER,
-                            "no supervisor answers for " + config.directory() + "; the command waits for one");
+                            "no supervisor answered within " + ANSWER_TIMEOUT_MS + " ms for " + config.directory()
+                                    + "; the command stays queued for the next supervisor");
                 } else if (answer.has("error")) {
                     throw new ExitCodes.Failure(ExitCodes.UNAVAILABLE, answer.getString("error"));
                 }
@@ -98,17 +99,17 @@
             name = "up",
             mixinStandardHelpOptions = true,
             description = {
-                "Runs the fleet's supervisor in the foreground, and starts every member.",
-                "It finds members that an earlier one started, and goes on with a roll that was under way.",
-                "SIGTERM or SIGINT takes the fleet down, SIGHUP reads the file again."
+                "Runs the fleet's supervisor in the foreground and starts every instance.",
+                "Adopts instances that an earlier supervisor started and resumes an interrupted rollout.",
+                "SIGTERM or SIGINT shuts the fleet down, SIGHUP reloads the file."
             },
             exitCodeListHeading = "%nExit codes:%n",
             exitCodeList = {
-                "0:The fleet is down, or was left alone.",
-                "75:Another supervisor has this fleet.",
-                "78:The fleet's file is wrong."
+                "0:The fleet was shut down, or the supervisor was detached.",
+                "75:Another supervisor is running for this fleet.",
+                "78:The fleet's file has a fault."
             })
-    static final class Up extends OnFile {
+    static final class Up extends FleetFileCommand {
         @Override
         public Integer call() throws IOException, InterruptedException {
             FleetConfig config = config();
@@ -127,8 +128,9 @@
                         "signals",
                         "HUP",
                         "reason",
-                        "the supervisor and all that it "
-                                + "starts hear no reload: start it with env --default-signal=HUP, or without nohup");
+                        "the supervisor was started with "
+                                + "SIGHUP ignored, so it and its instances cannot reload; start it with "
+                                + "env --default-signal=HUP, or without nohup");
             }
             try {
                 runner.run();
@@ -141,64 +143,72 @@
         }
     }
 
-    /** Rolls to another build, and waits for the end. */
+    /** Starts a rollout of another build and waits until it ends. */
     @Command(
             name = "roll",
             mixinStandardHelpOptions = true,
-            description = "Replaces the build that members run, a few at a time, and waits for the end of it.",
+            description = "Rolls out a build to the instances, a few at a time, and waits until the rollout ends.",
             exitCodeListHeading = "%nExit codes:%n",
             exitCodeList = {
-                "0:All of them run the new build.",
-                "69:It stopped, and says why; the old build serves where it was to roll back.",
-                "75:No supervisor answers."
+                "0:All selected instances run the new build.",
+                "69:The rollout stopped or was rolled back; the reason is printed.",
+                "75:No supervisor answered."
             })
-    static final class Roll extends OnFile {
-        @Option(names = "--to", required = true, paramLabel = "BUILD", description = "The build to run.")
+    static final class Roll extends FleetFileCommand {
+        @Option(names = "--to", required = true, paramLabel = "BUILD", description = "The label of the build.")
         private String to;
 
-        @Option(names = "--member", paramLabel = "NAME", description = "A member to roll; all without one.")
-        private List<String> names = List.of();
+        @Option(
+                names = "--member",
+                paramLabel = "NAME",
+                description = "An instance to update; may be repeated. Default: all.")
+        private List<String> instanceNames = List.of();
 
-        @Option(names = "--share", defaultValue = "1", description = "Of the fleet, in part (${DEFAULT-VALUE}).")
+        @Option(
+                names = "--share",
+                defaultValue = "1",
+                description = "The share of the fleet to update (${DEFAULT-VALUE}).")
         private double share;
 
-        @Option(names = "--no-wait", description = "Doesn't wait for the end.")
+        @Option(names = "--no-wait", description = "Does not wait until the rollout ends.")
         private boolean noWait;
 
         @Override
         public Integer call() throws IOException, InterruptedException {
             FleetConfig config = config();
             if (!(share > 0 && share <= 1)) {
-                throw new ParameterException(spec.commandLine(), "--share is " + share + ", not from 0 to 1");
+                throw new ParameterException(spec.commandLine(), "--share is " + share + "; allowed is above 0 to 1");
             }
-            int count = names.isEmpty()
+            int count = instanceNames.isEmpty()
                     ? (int) Math.max(1, Math.round(share * config.members().size()))
                     : 0;
-            long at = ask(
+            long startedAtMillis = sendCommand(
                             config,
                             new JSONObject()
                                     .put("do", "roll")
                                     .put("to", to)
-                                    .put("names", names)
+                                    .put("names", instanceNames)
                                     .put("count", count))
                     .getLong("at");
-            return noWait ? ExitCodes.OK : follow(new StatusFile(config.directory()), at);
+            return noWait ? ExitCodes.OK : followRollout(new StatusFile(config.directory()), startedAtMillis);
         }
 
-        private int follow(StatusFile file, long since) throws IOException, InterruptedException {
-            String told = "";
+        /** Prints the progress of the rollout until it ends; ignores a status written before {@code sinceMillis}. */
+        private int followRollout(StatusFile statusFile, long sinceMillis) throws IOException, InterruptedException {
+            String lastLine = "";
             while (true) {
-                JSONObject status = file.read();
-                JSONObject roll = status == null || status.getLong("at") < since ? null : status.optJSONObject("roll");
+                JSONObject status = statusFile.read();
+                JSONObject roll =
+                        status == null || status.getLong("at") < sinceMillis ? null : status.optJSONObject("roll");
                 if (roll != null) {
                     String line = roll.getString("status") + (roll.getBoolean("paused") ? " (paused)" : "")
                             + ": "
                             + roll.getJSONObject("steps").getInt("done") + " of " + roll.getInt("members");
-                    if (!line.equals(told)) {
+                    if (!line.equals(lastLine)) {
                         out().println(line);
                         out().flush();
                     }
-                    told = line;
+                    lastLine = line;
                     switch (roll.getString("status")) {
                         case "DONE" -> {
                             return ExitCodes.OK;
@@ -206,7 +216,7 @@
                         case "STOPPED", "ROLLED_BACK" ->
                             throw new ExitCodes.Failure(
                                     ExitCodes.UNAVAILABLE,
-                                    "the roll to "
+                                    "the rollout of build "
                                             + to + " "
                                             + (roll.getString("status").equals("STOPPED")
                                                     ? "stopped"
@@ -215,88 +225,88 @@
                         default -> {}
                     }
                 }
-                TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+                TimeUnit.MILLISECONDS.sleep(STATUS_POLL_INTERVAL_MS);
             }
         }
     }
 
-    /** Gives one command and waits for the answer to it, not for what comes of it. */
-    abstract static class Order extends OnFile {
-        abstract JSONObject order();
+    /** Sends one command to the supervisor and waits for its answer, but not for the effect of the command. */
+    abstract static class SupervisorCommand extends FleetFileCommand {
+        abstract JSONObject toJson();
 
         @Override
         public final Integer call() throws InterruptedException {
-            ask(config(), order());
+            sendCommand(config(), toJson());
             return ExitCodes.OK;
         }
     }
 
-    /** One that names a member. */
-    abstract static class MemberOrder extends Order {
-        @Parameters(index = "1", paramLabel = "NAME", description = "The member.")
+    /** A supervisor command on one instance. */
+    abstract static class InstanceCommand extends SupervisorCommand {
+        @Parameters(index = "1", paramLabel = "NAME", description = "The name of the instance.")
         private String name;
 
-        JSONObject order(String what) {
-            return new JSONObject().put("do", what).put("name", name);
+        JSONObject toJson(String commandName) {
+            return new JSONObject().put("do", commandName).put("name", name);
         }
     }
 
-    /** Stops a roll. */
+    /** Stops a rollout. */
     @Command(
             name = "stop-roll",
             mixinStandardHelpOptions = true,
-            description = "Stops a roll where it stands; members keep the build they have.")
-    static final class StopRoll extends Order {
+            description = "Stops a rollout; every instance keeps its present build.")
+    static final class StopRoll extends SupervisorCommand {
         @Override
-        JSONObject order() {
+        JSONObject toJson() {
             return new JSONObject().put("do", "stop-roll");
         }
     }
 
-    /** Takes a member out. */
+    /** Drains an instance. */
     @Command(
             name = "drain",
             mixinStandardHelpOptions = true,
-            description = "Gives a member its notice; it leaves and stays away until it is started.")
-    static final class Drain extends MemberOrder {
+            description = "Drains and stops an instance until it is started again.")
+    static final class Drain extends InstanceCommand {
         @Override
-        JSONObject order() {
-            return order("drain");
+        JSONObject toJson() {
+            return toJson("drain");
         }
     }
 
-    /** Takes a member in again. */
+    /** Starts an instance. */
     @Command(
             name = "start",
             mixinStandardHelpOptions = true,
-            description = "Starts a member that was drained, or that is held since it ended too often.")
-    static final class Start extends MemberOrder {
+            description = "Starts an instance that was drained, or that is held after too many exits.")
+    static final class Start extends InstanceCommand {
         @Override
-        JSONObject order() {
-            return order("start");
+        JSONObject toJson() {
+            return toJson("start");
         }
     }
 
-    /** Takes the fleet down. */
+    /** Shuts the fleet down. */
     @Command(
             name = "down",
             mixinStandardHelpOptions = true,
-            description = "Gives every member its notice; the supervisor ends once all have left.")
-    static final class Down extends Order {
+            description = "Drains and stops every instance, after which the supervisor exits.")
+    static final class Down extends SupervisorCommand {
         @Override
-        JSONObject order() {
+        JSONObject toJson() {
             return new JSONObject().put("do", "down");
         }
     }
 
-    /** Ends the supervisor alone. */
+    /** Stops the supervisor, but not the instances. */
     @Command(
             name = "detach",
             mixinStandardHelpOptions = true,
-            description = "Ends the supervisor and leaves the members running, to replace it by another.")
-    static final class Detach extends Order {
+            description = "Stops the supervisor without its instances, so that another supervisor can adopt them.")
+    static final class Detach extends SupervisorCommand {
         @Override
-        JSONObject order() {
+        JSONObject toJson() {
             return new JSONObject().put("do", "detach");
         }
     }
--- a/server/src/main/java/wheatspread/commands/MembersCommand.java
+++ b/server/src/main/java/wheatspread/commands/MembersCommand.java
@@ -22,18 +22,18 @@
 import picocli.CommandLine.ScopeType;
 import picocli.CommandLine.Spec;
 
-/** The fleet as one of its servers sees it. */
+/** Shows the cluster membership as one server reports it. */
 @Command(
         name = "members",
         mixinStandardHelpOptions = true,
         description = {
-            "Shows the fleet as one server sees it, in a table that refreshes; q or Ctrl-C ends it.",
-            "Without a terminal, or with --once, it prints the table and ends."
+            "Shows the cluster view of one server in a table that refreshes until q or Ctrl-C is pressed.",
+            "Prints the table once if there is no terminal or with --once."
         },
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:The server is in a view that stands and suspects nobody.",
-            "69:It is not, or does not answer, or has no membership."
+            "0:The server is in a view with a reachable quorum, and no member is suspected.",
+            "69:There is no such view, or the server does not answer or has no cluster membership."
         },
         footerHeading = "%nExamples:%n",
         footer = {
@@ -41,7 +41,7 @@
             "  wheatspread members --door 127.0.0.1:7500 form"
         })
 final class MembersCommand implements Callable<Integer> {
-    private static final Duration PATIENCE = Duration.ofSeconds(2);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
     private static final String ROW = "%-16s %-22s %-10s %-10s %8s %-24s %s";
 
     @Spec
@@ -52,133 +52,147 @@
             paramLabel = "HOST:PORT",
             required = true,
             scope = ScopeType.INHERIT,
-            description = "The operators' door of any server (its key control).")
-    private String door;
+            description = "The control address of any server (its setting control).")
+    private String controlAddress;
 
-    @Option(names = "--once", description = "Prints it once.")
+    @Option(names = "--once", description = "Prints the table once.")
     private boolean once;
 
-    @Option(names = "--json", description = "Prints what the server tells, once.")
+    @Option(names = "--json", description = "Prints the answer of the server once, as JSON.")
     private boolean json;
 
     @Override
     public Integer call() throws IOException {
-        JSONObject told = members();
+        JSONObject status = fetchStatus();
         if (json) {
-            spec.commandLine().getOut().println(told.toString(1));
+            spec.commandLine().getOut().println(status.toString(1));
         } else if (once || System.console() == null) {
-            table(told).forEach(line -> spec.commandLine().getOut().println(line.toString()));
+            table(status).forEach(line -> spec.commandLine().getOut().println(line.toString()));
         } else {
-            Screen.show(() -> table(members()));
+            Screen.show(() -> table(fetchStatus()));
         }
         spec.commandLine().getOut().flush();
-        return isWell(told) ? ExitCodes.OK : ExitCodes.UNAVAILABLE;
+        return isHealthy(status) ? ExitCodes.OK : ExitCodes.UNAVAILABLE;
     }
 
-    /** Founds the fleet anew, where its quorum is gone for good. */
+    /** Forms the cluster anew after the permanent loss of its quorum. */
     @Command(
             name = "form",
             mixinStandardHelpOptions = true,
             description = {
-                "Has a seed found the fleet anew with all that it hears, in no view or in one that",
-                "does not stand. Only for a fleet that has lost more than half of its servers for good: behind a",
-                "cut it makes a second fleet, which gives way when the cut heals."
+                "Orders a seed to form the cluster anew with all servers that it can reach and that have no quorum.",
+                "Use it only after the permanent loss of more than half of the servers: during a network partition",
+                "it forms a second cluster, which is dissolved when the partition heals."
             },
             exitCodeListHeading = "%nExit codes:%n",
-            exitCodeList = {"0:It begins.", "69:The server refuses, and says why."})
+            exitCodeList = {
+                "0:The server has started to form the cluster.",
+                "69:The server rejected the request; the reason is printed."
+            })
     int form() throws IOException {
-        HttpResponse<String> answer = ask("POST", "/_members/form");
-        if (answer.statusCode() != 200) {
+        HttpResponse<String> response = sendRequest("POST", "/_members/form");
+        if (response.statusCode() != 200) {
             throw new ExitCodes.Failure(
-                    ExitCodes.UNAVAILABLE, door + " refuses: " + answer.body().strip());
+                    ExitCodes.UNAVAILABLE,
+                    controlAddress + " rejected the request: " + response.body().strip());
         }
-        spec.commandLine().getOut().println(door + " founds a new epoch; see members --door " + door);
+        spec.commandLine()
+                .getOut()
+                .println(controlAddress + " is forming the cluster in a new epoch; follow it with members --door "
+                        + controlAddress);
         spec.commandLine().getOut().flush();
         return ExitCodes.OK;
     }
 
-    private JSONObject members() throws IOException {
-        HttpResponse<String> answer = ask("GET", "/_members");
-        if (answer.statusCode() == 404) {
+    private JSONObject fetchStatus() throws IOException {
+        HttpResponse<String> response = sendRequest("GET", "/_members");
+        if (response.statusCode() == 404) {
             throw new ExitCodes.Failure(
                     ExitCodes.UNAVAILABLE,
-                    door + " has no membership: its operator's file lacks " + "the key membership");
+                    controlAddress
+                            + " has no cluster membership: the key membership is missing from its operator's file");
         }
         try {
-            return new JSONObject(answer.body());
+            return new JSONObject(response.body());
         } catch (JSONException e) {
             throw new ExitCodes.Failure(
                     ExitCodes.UNAVAILABLE,
-                    door + " answers " + answer.statusCode() + " with what is no list of members");
+                    controlAddress + " answered with status " + response.statusCode()
+                            + " and a body that is not a JSON object; expected the members");
         }
     }
 
-    private HttpResponse<String> ask(String method, String path) throws IOException {
+    private HttpResponse<String> sendRequest(String method, String path) throws IOException {
         try {
             return HttpClient.newBuilder()
-                    .connectTimeout(PATIENCE)
+                    .connectTimeout(REQUEST_TIMEOUT)
                     .version(HttpClient.Version.HTTP_1_1)
                     .build()
                     .send(
-                            HttpRequest.newBuilder(URI.create("http://" + door + path))
-                                    .timeout(PATIENCE)
+                            HttpRequest.newBuilder(URI.create("http://" + controlAddress + path))
+                                    .timeout(REQUEST_TIMEOUT)
                                     .method(method, HttpRequest.BodyPublishers.noBody())
                                     .build(),
                             HttpResponse.BodyHandlers.ofString());
         } catch (ConnectException | HttpTimeoutException e) {
-            throw new ExitCodes.Failure(ExitCodes.UNAVAILABLE, door + " does not answer");
+            throw new ExitCodes.Failure(
+                    ExitCodes.UNAVAILABLE,
+                    controlAddress + " refused the connection or did not answer within " + REQUEST_TIMEOUT.toSeconds()
+                            + " s");
         } catch (IllegalArgumentException e) {
-            throw new ExitCodes.Failure(ExitCodes.USAGE, "--door is no HOST:PORT: " + door);
+            throw new ExitCodes.Failure(ExitCodes.USAGE, "--door is " + controlAddress + "; expected HOST:PORT");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
         }
     }
 
-    private static boolean isWell(JSONObject told) {
-        boolean well = told.getBoolean("stands");
-        for (Object one : told.getJSONArray("members")) {
-            well &= ((JSONObject) one).getJSONArray("suspected_by").isEmpty();
+    private static boolean isHealthy(JSONObject status) {
+        boolean healthy = status.getBoolean("stands");
+        for (Object member : status.getJSONArray("members")) {
+            healthy &= ((JSONObject) member).getJSONArray("suspected_by").isEmpty();
         }
-        return well;
+        return healthy;
     }
 
-    /** The lines of the table. */
-    static List<AttributedString> table(JSONObject told) {
+    /** Returns the lines of the table, one for each member below a header. */
+    static List<AttributedString> table(JSONObject status) {
         List<AttributedString> lines = new ArrayList<>();
-        boolean stands = told.getBoolean("stands");
-        JSONArray members = told.getJSONArray("members");
-        String state = stands ? "stands" : told.getBoolean("in") ? "OLD: " + told.getString("why_not") : "not in it";
+        boolean quorumReachable = status.getBoolean("stands");
+        JSONArray members = status.getJSONArray("members");
+        String state = quorumReachable
+                ? "stands"
+                : status.getBoolean("in") ? "OLD: " + status.getString("why_not") : "not in it";
         lines.add(Screen.styled(
-                stands ? -1 : AttributedStyle.RED,
-                "cluster " + told.getString("cluster")
-                        + ", server " + told.getString("name") + ", view " + told.getLong("epoch") + "."
-                        + told.getLong("number") + " of " + members.length() + " (" + state + "), distrust of itself "
-                        + told.getInt("distrust")));
+                quorumReachable ? -1 : AttributedStyle.RED,
+                "cluster " + status.getString("cluster")
+                        + ", server " + status.getString("name") + ", view " + status.getLong("epoch") + "."
+                        + status.getLong("number") + " of " + members.length() + " (" + state + "), distrust of itself "
+                        + status.getInt("distrust")));
         lines.add(new AttributedString(
                 String.format(ROW, "MEMBER", "ADDRESS", "ZONE", "BUILD", "SUSP ms", "SUSPECTED BY", "MISSED BY")));
-        for (Object each : members) {
-            JSONObject one = (JSONObject) each;
-            String suspected = one.getJSONArray("suspected_by").join(" ").replace("\"", "");
-            String missed = one.getJSONArray("missed_by").join(" ").replace("\"", "");
+        for (Object element : members) {
+            JSONObject member = (JSONObject) element;
+            String suspected = member.getJSONArray("suspected_by").join(" ").replace("\"", "");
+            String missed = member.getJSONArray("missed_by").join(" ").replace("\"", "");
             int color = !missed.isEmpty() ? AttributedStyle.RED : !suspected.isEmpty() ? AttributedStyle.YELLOW : -1;
             lines.add(Screen.styled(
                     color,
                     String.format(
                                     ROW,
-                                    one.getString("name"),
-                                    one.getString("address"),
-                                    dash(one.getString("zone")),
-                                    dash(one.getString("build")),
-                                    one.getLong("suspected_ms") == 0 ? "-" : one.get("suspected_ms"),
-                                    dash(suspected),
-                                    dash(missed))
+                                    member.getString("name"),
+                                    member.getString("address"),
+                                    dashIfEmpty(member.getString("zone")),
+                                    dashIfEmpty(member.getString("build")),
+                                    member.getLong("suspected_ms") == 0 ? "-" : member.get("suspected_ms"),
+                                    dashIfEmpty(suspected),
+                                    dashIfEmpty(missed))
                             .stripTrailing()));
         }
         return lines;
     }
 
-    private static String dash(String text) {
+    private static String dashIfEmpty(String text) {
         return text.isEmpty() ? "-" : text;
     }
 }
--- a/server/src/main/java/wheatspread/commands/ServeCommand.java
+++ b/server/src/main/java/wheatspread/commands/ServeCommand.java
@@ -23,21 +23,21 @@
 import wheatspread.logging.RepeatLimit;
 import wheatspread.logging.StructuredLog;
 
-/** Runs one server until it is told to leave. */
+/** Runs one server until it has drained. */
 @Command(
         name = "serve",
         mixinStandardHelpOptions = true,
         description = {
-            "Runs one server. GW_CONFIG names its configuration; GW_NAME and GW_LISTEN go over it.",
-            "SIGTERM drains it, SIGHUP reads the configuration again, a second SIGINT asks a drain to hurry."
+            "Runs one server. GW_CONFIG names its settings file; GW_NAME and GW_LISTEN override its settings.",
+            "SIGTERM or SIGINT drains it, a second SIGINT ends the grace period, SIGHUP reloads the settings."
         },
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:It left in order.",
-            "69:An address is taken, or the kernel did not come up.",
-            "70:Its event loop ended.",
-            "75:The lock is held: this server runs already.",
-            "78:A settings file is wrong."
+            "0:The server drained.",
+            "69:An address is in use, or the kernel did not become ready.",
+            "70:The event loop ended unexpectedly.",
+            "75:Another process holds the lock file: this server is already running.",
+            "78:A settings file has a fault."
         },
         footerHeading = "%nExample:%n",
         footer = "  GW_CONFIG=config.json wheatspread serve deploy/uwsgi.json")
@@ -46,45 +46,51 @@
             index = "0",
             arity = "0..1",
             paramLabel = "OPERATOR_FILE",
-            description = "Second front, limits, log and life of the process; JSON with comments.")
+            description = "Settings of the uwsgi front, limits, log and process files, as JSON with comments.")
     private Path operatorFile;
 
     @Option(
             names = "--ready-file",
             paramLabel = "FILE",
-            description = "Is there while the server takes work; goes over life.ready_file.")
+            description = "Exists while the server accepts requests; overrides life.ready_file.")
     private Path readyFile;
 
     @Option(
             names = "--lock-file",
             paramLabel = "FILE",
-            description = "Locked while the process lives; goes over life.lock_file.")
+            description = "Locked while the process runs; overrides life.lock_file.")
     private Path lockFile;
 
     @Option(
             names = "--report-file",
             paramLabel = "FILE",
-            description = "Gets the report of the drain; goes over life.report_file.")
+            description = "Receives the report of the drain; overrides life.report_file.")
     private Path reportFile;
 
-    @Option(names = "--mark", paramLabel = "TEXT", defaultValue = "", description = "Stands in the lock file.")
+    @Option(
+            names = "--mark",
+            paramLabel = "TEXT",
+            defaultValue = "",
+            description = "Text that is written to the lock file.")
     private String mark;
 
-    @Option(names = "--stats", description = "Answers the method stats, as the key of that name does.")
+    @Option(names = "--stats", description = "Enables the method stats; overrides the key stats.")
     private boolean stats;
 
     @Override
     public Integer call() throws InterruptedException {
-        Configuration all = Configuration.load(System.getenv(), operatorFile);
-        ServerConfig config = all.server();
-        OperatorConfig operator = all.operator()
+        Configuration configuration = Configuration.load(System.getenv(), operatorFile);
+        ServerConfig config = configuration.server();
+        OperatorConfig operator = configuration
+                .operator()
                 .with(
-                        all.operator().life().with(readyFile, lockFile, reportFile),
-                        stats || all.operator().stats());
-        LogConfig told = operator.log();
-        LogSetup.configureOutput(told.json(), told.level(), config.name());
+                        configuration.operator().life().with(readyFile, lockFile, reportFile),
+                        stats || configuration.operator().stats());
+        LogConfig logConfig = operator.log();
+        LogSetup.configureOutput(logConfig.json(), logConfig.level(), config.name());
         EventLog log = new StructuredLog(
-                new RepeatLimit(told.maxRepeats(), told.repeatWindowMicros()), () -> System.nanoTime() / 1_000);
+                new RepeatLimit(logConfig.maxRepeats(), logConfig.repeatWindowMicros()),
+                () -> System.nanoTime() / 1_000);
         try {
             return serve(config, operator, mark, log, server -> {});
         } finally {
@@ -92,15 +98,15 @@
         }
     }
 
-    /** From the settings to the exit code; {@code whenListening} hears of a server that listens. */
+    /** Runs a server and returns its exit code; {@code onListening} is called if the server has bound its listeners. */
     static int serve(
-            ServerConfig config, OperatorConfig operator, String mark, EventLog log, Consumer<Server> whenListening)
+            ServerConfig config, OperatorConfig operator, String mark, EventLog log, Consumer<Server> onListening)
             throws InterruptedException {
         Server server;
         try {
-            server = started(config, operator, mark, log, whenListening);
+            server = start(config, operator, mark, log, onListening);
         } catch (OutOfMemoryError e) {
-            throw JsonFields.InvalidValueException.outOfMemory("what the settings ask for");
+            throw JsonFields.InvalidValueException.outOfMemory("the configuration");
         }
         int code = server.awaitStopped();
         if (code == Server.EXIT_EVENT_LOOP_ENDED) {
@@ -109,9 +115,9 @@
         return code;
     }
 
-    /** A server that listens, or that a notice to leave has kept from it. */
-    private static Server started(
-            ServerConfig config, OperatorConfig operator, String mark, EventLog log, Consumer<Server> whenListening) {
+    /** Starts a server; it does not listen if a signal drained it during the start. */
+    private static Server start(
+            ServerConfig config, OperatorConfig operator, String mark, EventLog log, Consumer<Server> onListening) {
         Server server;
         try {
             server = new Server(config, operator, (loop, turns) -> new EventLoopClock(turns), log);
@@ -125,11 +131,11 @@
         } catch (IOException e) {
             throw new ExitCodes.Failure(ExitCodes.CANNOT_CREATE, e.toString());
         }
-        listenToSignals(server, log);
+        installSignalHandlers(server, log);
         server.warmUp();
         try {
             if (server.start()) {
-                whenListening.accept(server);
+                onListening.accept(server);
             }
         } catch (IllegalStateException e) {
             throw new ExitCodes.Failure(ExitCodes.UNAVAILABLE, e.getMessage());
@@ -137,21 +143,23 @@
         return server;
     }
 
-    /** From here on a notice to leave finds somebody, in every phase. */
-    private static void listenToSignals(Server server, EventLog log) {
+    /** Installs the signal handlers before the warm-up, so that a drain signal is handled in every phase. */
+    private static void installSignalHandlers(Server server, EventLog log) {
         AtomicBoolean interrupted = new AtomicBoolean();
-        boolean heard = SignalHandlers.handle("TERM", () -> server.signal(Event.DRAIN));
-        // at a terminal the second Ctrl-C means that somebody waits
+        boolean effective = SignalHandlers.handle("TERM", () -> server.signal(Event.DRAIN));
+        // a second Ctrl-C ends the grace period of the drain
         SignalHandlers.handle(
                 "INT", () -> server.signal(interrupted.getAndSet(true) ? Event.DRAIN_IMMEDIATELY : Event.DRAIN));
-        heard &= SignalHandlers.handle("HUP", () -> server.reload(() -> ServerConfig.fromEnvironment(System.getenv())));
-        if (!heard) { // every reload, or the notice, would pass unseen
+        effective &=
+                SignalHandlers.handle("HUP", () -> server.reload(() -> ServerConfig.fromEnvironment(System.getenv())));
+        if (!effective) { // reload or drain signals would be lost without this event
             log.error(
                     "signal_ignored",
                     "signals",
                     "TERM or HUP",
                     "reason",
-                    "started by a process that " + "ignores it, as nohup does; start it with env --default-signal=HUP");
+                    "the process was started with the signal ignored, as by nohup, and will not receive it; "
+                            + "start it with env --default-signal=HUP");
         }
     }
 }
--- a/server/src/main/java/wheatspread/commands/ShowConfigCommand.java
+++ b/server/src/main/java/wheatspread/commands/ShowConfigCommand.java
@@ -14,47 +14,51 @@
 import wheatspread.config.Configuration;
 import wheatspread.config.SettingsSource;
 
-/** Prints what holds. */
+/** Prints the effective settings and their origins. */
 @Command(
         name = "show-config",
         mixinStandardHelpOptions = true,
-        description = "Prints every setting that holds, with where its value comes from: FILE:LINE, a variable, "
-                + "or default.",
+        description = "Prints every effective setting with the origin of its value: FILE:LINE, an environment "
+                + "variable, or default.",
         footerHeading = "%nExample:%n",
         footer = "  wheatspread show-config --config config.json deploy/uwsgi.json")
 final class ShowConfigCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
 
-    @Parameters(index = "0", arity = "0..1", paramLabel = "OPERATOR_FILE", description = "The operator's file.")
+    @Parameters(
+            index = "0",
+            arity = "0..1",
+            paramLabel = "OPERATOR_FILE",
+            description = "The operator's settings file.")
     private Path operatorFile;
 
-    @Option(names = "--config", paramLabel = "FILE", description = "In place of what GW_CONFIG names.")
+    @Option(names = "--config", paramLabel = "FILE", description = "The platform's settings file; overrides GW_CONFIG.")
     private Path config;
 
-    @Option(names = "--json", description = "As a JSON list.")
+    @Option(names = "--json", description = "Prints the settings as a JSON list.")
     private boolean json;
 
     @Override
     public Integer call() {
-        List<SettingsSource> sources = Configuration.load(CheckCommand.environment(config), operatorFile)
+        List<SettingsSource> sources = Configuration.load(CheckCommand.environmentWithConfig(config), operatorFile)
                 .sources();
         PrintWriter out = spec.commandLine().getOut();
         JSONArray list = new JSONArray();
         for (SettingsSource source : sources) {
-            int widest = source.settings().stream()
-                    .mapToInt(one -> one.key().length())
+            int keyWidth = source.settings().stream()
+                    .mapToInt(setting -> setting.key().length())
                     .max()
                     .orElse(0);
-            for (SettingsSource.Setting one : source.settings()) {
+            for (SettingsSource.Setting setting : source.settings()) {
                 if (json) {
                     list.put(new JSONObject()
                             .put("file", source.file())
-                            .put("key", one.key())
-                            .put("value", one.value())
-                            .put("origin", one.origin()));
+                            .put("key", setting.key())
+                            .put("value", setting.value())
+                            .put("origin", setting.origin()));
                 } else {
-                    out.printf("%-" + widest + "s  %s  (%s)%n", one.key(), one.value(), one.origin());
+                    out.printf("%-" + keyWidth + "s  %s  (%s)%n", setting.key(), setting.value(), setting.origin());
                 }
             }
         }
--- a/server/src/main/java/wheatspread/commands/StatusCommand.java
+++ b/server/src/main/java/wheatspread/commands/StatusCommand.java
@@ -10,87 +10,91 @@
 import picocli.CommandLine.Option;
 import wheatspread.supervisor.StatusFile;
 
-/** A table of the fleet in the terminal. */
+/** Shows the instances of the fleet in a table. */
 @Command(
         name = "status",
         mixinStandardHelpOptions = true,
         description = {
-            "Shows the fleet in a table that refreshes; q or Ctrl-C ends it.",
-            "Without a terminal, or with --once, it prints the table and ends."
+            "Shows the fleet in a table that refreshes until q or Ctrl-C is pressed.",
+            "Prints the table once if there is no terminal or with --once."
         },
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:Every member is in service.",
-            "69:Some are not, or the status is stale.",
-            "75:No supervisor has run here."
+            "0:Every instance is in service.",
+            "69:An instance is not in service, or the status is stale.",
+            "75:No supervisor has run for this fleet."
         })
-final class StatusCommand extends FleetCommand.OnFile {
+final class StatusCommand extends FleetCommand.FleetFileCommand {
     private static final String ROW = "%-14s %-9s %-10s %4s %8s %9s %9s %8s %8s %6s";
 
-    @Option(names = "--once", description = "Prints it once.")
+    @Option(names = "--once", description = "Prints the table once.")
     private boolean once;
 
-    @Option(names = "--json", description = "Prints the supervisor's own status, once.")
+    @Option(names = "--json", description = "Prints the status once, as JSON.")
     private boolean json;
 
     @Override
     public Integer call() throws IOException {
-        StatusFile file = new StatusFile(config().directory());
-        JSONObject status = file.read();
+        StatusFile statusFile = new StatusFile(config().directory());
+        JSONObject status = statusFile.read();
         if (status == null) {
-            throw new ExitCodes.Failure(ExitCodes.TRY_LATER, "no supervisor has run for this fleet");
+            throw new ExitCodes.Failure(
+                    ExitCodes.TRY_LATER,
+                    "no supervisor has run for the fleet of " + file + ": its directory has no status file");
         }
         if (json) {
             out().println(status.toString(1));
         } else if (once || System.console() == null) {
             table(status, System.currentTimeMillis()).forEach(line -> out().println(line.toString()));
         } else {
-            Screen.show(() -> table(file.read(), System.currentTimeMillis()));
+            Screen.show(() -> table(statusFile.read(), System.currentTimeMillis()));
         }
         out().flush();
-        return inService(status, System.currentTimeMillis()) ? ExitCodes.OK : ExitCodes.UNAVAILABLE;
+        return isFleetInService(status, System.currentTimeMillis()) ? ExitCodes.OK : ExitCodes.UNAVAILABLE;
     }
 
-    private static boolean isStale(JSONObject status, long now) {
-        return now - status.getLong("at") > StatusFile.STALE_AFTER_MILLIS;
+    private static boolean isStale(JSONObject status, long nowMillis) {
+        return nowMillis - status.getLong("at") > StatusFile.STALE_AFTER_MILLIS;
     }
 
-    private static boolean inService(JSONObject status, long now) {
-        boolean all = !isStale(status, now);
-        for (Object told : status.getJSONArray("members")) {
-            JSONObject one = (JSONObject) told;
-            all &= !one.getBoolean("wanted") || one.getString("state").equals("UP") && !one.getBoolean("stale");
+    private static boolean isFleetInService(JSONObject status, long nowMillis) {
+        boolean inService = !isStale(status, nowMillis);
+        for (Object element : status.getJSONArray("members")) {
+            JSONObject instance = (JSONObject) element;
+            inService &= !instance.getBoolean("wanted")
+                    || instance.getString("state").equals("UP") && !instance.getBoolean("stale");
         }
-        return all;
+        return inService;
     }
 
-    /** The lines of the table. */
-    static List<AttributedString> table(JSONObject status, long now) {
+    /** Returns the lines of the table, one for each instance below a header. */
+    static List<AttributedString> table(JSONObject status, long nowMillis) {
         List<AttributedString> lines = new ArrayList<>();
-        long age = now - status.getLong("at");
+        long ageMillis = nowMillis - status.getLong("at");
         lines.add(Screen.styled(
-                isStale(status, now) ? AttributedStyle.RED : -1,
-                isStale(status, now)
-                        ? "no supervisor has written for " + age / 1_000 + " s; what follows is old"
+                isStale(status, nowMillis) ? AttributedStyle.RED : -1,
+                isStale(status, nowMillis)
+                        ? "no supervisor has written the status for " + ageMillis / 1_000 + " s; the table is stale"
                         : "supervisor " + status.getLong("pid")
-                                + (status.getBoolean("going_down") ? ", going down" : "")));
+                                + (status.getBoolean("going_down") ? ", shutting down" : "")));
         JSONObject roll = status.optJSONObject("roll");
         if (roll != null) {
-            boolean bad = !roll.getString("reason").isEmpty();
+            boolean failed = !roll.getString("reason").isEmpty();
             lines.add(Screen.styled(
-                    bad ? AttributedStyle.RED : AttributedStyle.CYAN,
-                    "roll to "
+                    failed ? AttributedStyle.RED : AttributedStyle.CYAN,
+                    "rollout of build "
                             + roll.getString("to")
                             + ": " + roll.getString("status") + (roll.getBoolean("paused") ? ", paused" : "") + ", "
                             + roll.getJSONObject("steps").getInt("done") + " of " + roll.getInt("members") + ", "
-                            + roll.getLong("took_ms") / 1_000 + " s" + (bad ? "; " + roll.getString("reason") : "")));
+                            + roll.getLong("took_ms") / 1_000 + " s"
+                            + (failed ? "; " + roll.getString("reason") : "")));
         }
         lines.add(new AttributedString(String.format(
                 ROW, "MEMBER", "STATE", "BUILD", "GEN", "PID", "SINCE s", "HEARD ms", "SERVED", "REFUSED", "EXIT")));
-        for (Object told : status.getJSONArray("members")) {
-            JSONObject one = (JSONObject) told;
-            String state = one.getString("state");
-            boolean stale = one.getBoolean("stale");
+        for (Object element : status.getJSONArray("members")) {
+            JSONObject instance = (JSONObject) element;
+            String state = instance.getString("state");
+            boolean stale = instance.getBoolean("stale");
             int color = stale || state.equals("HELD") || state.equals("UNWELL")
                     ? AttributedStyle.RED
                     : state.equals("UP") ? AttributedStyle.GREEN : AttributedStyle.YELLOW;
@@ -98,16 +102,16 @@
                     color,
                     String.format(
                             ROW,
-                            one.getString("name"),
+                            instance.getString("name"),
                             stale ? state + "?" : state,
-                            one.getString("build"),
-                            one.getInt("generation"),
-                            one.getLong("pid") == 0 ? "-" : one.get("pid"),
-                            one.getLong("in_state_ms") / 1_000,
-                            one.getLong("heard_ms") < 0 ? "never" : one.get("heard_ms"),
-                            one.opt("served") == null ? "-" : one.get("served"),
-                            one.opt("refused") == null ? "-" : one.get("refused"),
-                            one.opt("last_code") == null ? "-" : one.get("last_code"))));
+                            instance.getString("build"),
+                            instance.getInt("generation"),
+                            instance.getLong("pid") == 0 ? "-" : instance.get("pid"),
+                            instance.getLong("in_state_ms") / 1_000,
+                            instance.getLong("heard_ms") < 0 ? "never" : instance.get("heard_ms"),
+                            instance.opt("served") == null ? "-" : instance.get("served"),
+                            instance.opt("refused") == null ? "-" : instance.get("refused"),
+                            instance.opt("last_code") == null ? "-" : instance.get("last_code"))));
         }
         return lines;
     }
--- a/server/src/main/java/wheatspread/commands/StoreCommand.java
+++ b/server/src/main/java/wheatspread/commands/StoreCommand.java
@@ -24,12 +24,12 @@
 import wheatspread.store.StoreSettings;
 import wheatspread.store.WriteState;
 
-/** Tools for a store that no process has open. */
+/** Offline tools for a store that no process has open. */
 @Command(
         name = "store",
         mixinStandardHelpOptions = true,
         synopsisSubcommandLabel = "COMMAND",
-        description = "Looks at a store's folder, checks it, or makes it smaller. No process may have it open.",
+        description = "Inspects, checks or compacts a store's folder, which no process may have open.",
         footerHeading = "%nExamples:%n",
         footer = {
             "  wheatspread store check /var/lib/wheatspread/keys",
@@ -48,18 +48,18 @@
 
     @Override
     public Integer call() {
-        throw new ParameterException(spec.commandLine(), "a command is missing");
+        throw new ParameterException(spec.commandLine(), "a command is required");
     }
 
-    /** What all of them share. */
-    abstract static class OnFolder implements Callable<Integer> {
+    /** A command on the folder of a store; subclasses implement {@link #run}. */
+    abstract static class FolderCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
         @Parameters(index = "0", paramLabel = "FOLDER", description = "The store's folder.")
         private Path folder;
 
-        abstract int on(Disk disk, PrintWriter out) throws IOException;
+        abstract int run(Disk disk, PrintWriter out) throws IOException;
 
         @Override
         public Integer call() {
@@ -71,7 +71,7 @@
                 throw new ExitCodes.Failure(ExitCodes.NO_INPUT, e.getMessage());
             }
             try {
-                return on(disk, out);
+                return run(disk, out);
             } catch (Disk.FolderLockedException e) {
                 throw new ExitCodes.Failure(ExitCodes.TRY_LATER, e.getMessage());
             } catch (IOException e) {
@@ -85,44 +85,50 @@
     @Command(
             name = "check",
             mixinStandardHelpOptions = true,
-            description = "Reads every record of every file and tells what is not as it was written.",
+            description = "Reads every record of every file and reports damage.",
             exitCodeListHeading = "%nExit codes:%n",
             exitCodeList = {
-                "0:Nothing is lost.",
-                "65:Something is, or the folder holds what this program cannot read.",
-                "66:There is no such folder.",
-                "75:A process has it open."
+                "0:No damage was found.",
+                "65:A file is damaged or cannot be read.",
+                "66:The folder does not exist.",
+                "75:A process has the store open."
             })
-    static final class Check extends OnFolder {
-        @Option(names = "--json", description = "For programs.")
+    static final class Check extends FolderCommand {
+        @Option(names = "--json", description = "Prints the result as JSON.")
         private boolean json;
 
         @Override
-        int on(Disk disk, PrintWriter out) throws IOException {
-            OfflineTools.Inspection look = OfflineTools.check(disk, System.currentTimeMillis());
+        int run(Disk disk, PrintWriter out) throws IOException {
+            OfflineTools.Inspection inspection = OfflineTools.check(disk, System.currentTimeMillis());
             if (json) {
-                out.println(json(look).toString(1));
+                out.println(json(inspection).toString(1));
             } else {
-                look.findings().forEach(out::println);
-                out.println(look.files().size() + " files, " + look.stats().keys() + " keys, "
-                        + (look.damages() == 0 ? "nothing is lost" : look.damages() + " places are damaged"));
+                inspection.findings().forEach(out::println);
+                out.println(inspection.files().size() + " files, "
+                        + inspection.stats().keys() + " keys, "
+                        + (inspection.damages() == 0
+                                ? "no damage found"
+                                : inspection.damages() + " places are damaged"));
             }
-            return look.damages() == 0 ? CommandLine.ExitCode.OK : ExitCodes.DATA;
+            return inspection.damages() == 0 ? CommandLine.ExitCode.OK : ExitCodes.DATA;
         }
     }
 
-    @Command(name = "stat", mixinStandardHelpOptions = true, description = "Tells what the store holds, file by file.")
-    static final class Stat extends OnFolder {
-        @Option(names = "--json", description = "For programs.")
+    @Command(
+            name = "stat",
+            mixinStandardHelpOptions = true,
+            description = "Prints the size and the number of records of each file.")
+    static final class Stat extends FolderCommand {
+        @Option(names = "--json", description = "Prints the result as JSON.")
         private boolean json;
 
         @Override
-        int on(Disk disk, PrintWriter out) throws IOException {
-            OfflineTools.Inspection look = OfflineTools.stat(disk, System.currentTimeMillis());
+        int run(Disk disk, PrintWriter out) throws IOException {
+            OfflineTools.Inspection inspection = OfflineTools.stat(disk, System.currentTimeMillis());
             if (json) {
-                out.println(json(look).toString(1));
+                out.println(json(inspection).toString(1));
             } else {
-                print(look, out);
+                print(inspection, out);
             }
             return ExitCodes.OK;
         }
@@ -132,39 +138,40 @@
             name = "dump",
             mixinStandardHelpOptions = true,
             description = {
-                "Prints every key that lives as a line of JSON: key, value and expires_ms;",
-                "what is no text stands as key64 and value64."
+                "Prints every live key as a line of JSON with key, value and expires_ms.",
+                "Keys and values that are not UTF-8 are printed in Base64 as key64 and value64."
             },
             exitCodeListHeading = "%nExit codes:%n",
-            exitCodeList = {"0:All were read.", "65:Some could not be."})
-    static final class Dump extends OnFolder {
-        @Option(names = "--prefix", paramLabel = "TEXT", description = "Only keys that begin so.")
+            exitCodeList = {"0:All records were read.", "65:Some records could not be read."})
+    static final class Dump extends FolderCommand {
+        @Option(names = "--prefix", paramLabel = "TEXT", description = "Prints only keys with this prefix.")
         private String prefix = "";
 
-        @Option(names = "--keys", description = "Without the values.")
+        @Option(names = "--keys", description = "Omits the values.")
         private boolean keysOnly;
 
         @Override
-        int on(Disk disk, PrintWriter out) throws IOException {
-            byte[] begin = prefix.getBytes(StandardCharsets.UTF_8);
-            long unread = OfflineTools.dump(disk, System.currentTimeMillis(), entry -> {
-                if (entry.key().length >= begin.length
-                        && java.util.Arrays.equals(begin, 0, begin.length, entry.key(), 0, begin.length)) {
+        int run(Disk disk, PrintWriter out) throws IOException {
+            byte[] prefixBytes = prefix.getBytes(StandardCharsets.UTF_8);
+            long unreadable = OfflineTools.dump(disk, System.currentTimeMillis(), entry -> {
+                if (entry.key().length >= prefixBytes.length
+                        && java.util.Arrays.equals(
+                                prefixBytes, 0, prefixBytes.length, entry.key(), 0, prefixBytes.length)) {
                     JSONObject line = new JSONObject();
-                    text(line, "key", entry.key());
+                    putBytes(line, "key", entry.key());
                     if (!keysOnly) {
-                        text(line, "value", entry.value());
+                        putBytes(line, "value", entry.value());
                     }
                     out.println(line.put("expires_ms", entry.expiresMillis()));
                 }
             });
-            if (unread > 0) {
-                throw new ExitCodes.Failure(ExitCodes.DATA, unread + " records could not be read");
+            if (unreadable > 0) {
+                throw new ExitCodes.Failure(ExitCodes.DATA, unreadable + " records could not be read");
             }
             return ExitCodes.OK;
         }
 
-        private static void text(JSONObject line, String name, byte[] bytes) {
+        private static void putBytes(JSONObject line, String name, byte[] bytes) {
             try {
                 line.put(
                         name,
@@ -181,18 +188,18 @@
     @Command(
             name = "compact",
             mixinStandardHelpOptions = true,
-            description = "Rewrites the files without what has expired or was overwritten.")
-    static final class Compact extends OnFolder {
+            description = "Rewrites the files without expired and overwritten records.")
+    static final class Compact extends FolderCommand {
         @Option(
                 names = "--accept-loss",
                 description = {
-                    "Forgets what damage has put in doubt:",
-                    "keys that it took are then absent, and older values of them count again."
+                    "Accepts the loss of damaged records:",
+                    "lost keys become absent, and older values of lost writes become valid again."
                 })
         private boolean acceptLoss;
 
         @Override
-        int on(Disk disk, PrintWriter out) throws IOException {
+        int run(Disk disk, PrintWriter out) throws IOException {
             print(
                     OfflineTools.compact(
                             disk,
@@ -205,24 +212,26 @@
         }
     }
 
-    private static void print(OfflineTools.Inspection look, PrintWriter out) {
+    private static void print(OfflineTools.Inspection inspection, PrintWriter out) {
         out.printf("%-34s %12s %12s %10s%n", "file", "bytes", "live bytes", "records");
-        for (OfflineTools.SegmentInspection file : look.files()) {
+        for (OfflineTools.SegmentInspection file : inspection.files()) {
             out.printf("%-34s %12d %12d %10d%n", file.name(), file.bytes(), file.liveBytes(), file.records());
         }
-        out.println(look.stats().keys() + " keys, " + look.stats().usedBytes() + " bytes, "
-                + look.stats().liveBytes() + " of them live");
-        if (look.stats().allKeysSuspected() || look.stats().suspectedKeys() > 0) {
+        out.println(inspection.stats().keys() + " keys, " + inspection.stats().usedBytes() + " bytes, "
+                + inspection.stats().liveBytes() + " of them live");
+        if (inspection.stats().allKeysSuspected() || inspection.stats().suspectedKeys() > 0) {
             out.println(
-                    look.stats().allKeysSuspected()
-                            ? "keys are in doubt; which, is not known"
-                            : look.stats().suspectedKeys() + " keys are in doubt");
+                    inspection.stats().allKeysSuspected()
+                            ? "all keys are in doubt: damage may hide newer writes of any key"
+                            : inspection.stats().suspectedKeys()
+                                    + " keys are in doubt: damage may hide newer writes of them");
         }
     }
 
-    private static JSONObject json(OfflineTools.Inspection look) {
+    private static JSONObject json(OfflineTools.Inspection inspection) {
         JSONArray files = new JSONArray();
-        look.files()
+        inspection
+                .files()
                 .forEach(file -> files.put(new JSONObject()
                         .put("name", file.name())
                         .put("bytes", file.bytes())
@@ -230,14 +239,14 @@
                         .put("records", file.records())));
         return new JSONObject()
                 .put("files", files)
-                .put("keys", look.stats().keys())
-                .put("used_bytes", look.stats().usedBytes())
-                .put("live_bytes", look.stats().liveBytes())
-                .put("doubtful_keys", look.stats().suspectedKeys())
-                .put("all_in_doubt", look.stats().allKeysSuspected())
-                .put("mode", look.stats().mode() == WriteState.Mode.OPEN ? "open" : "full")
-                .put("damages", look.damages())
-                .put("cut_bytes", look.cutBytes())
-                .put("findings", new JSONArray(look.findings()));
+                .put("keys", inspection.stats().keys())
+                .put("used_bytes", inspection.stats().usedBytes())
+                .put("live_bytes", inspection.stats().liveBytes())
+                .put("doubtful_keys", inspection.stats().suspectedKeys())
+                .put("all_in_doubt", inspection.stats().allKeysSuspected())
+                .put("mode", inspection.stats().mode() == WriteState.Mode.OPEN ? "open" : "full")
+                .put("damages", inspection.damages())
+                .put("cut_bytes", inspection.cutBytes())
+                .put("findings", new JSONArray(inspection.findings()));
     }
 }
--- a/server/src/main/java/wheatspread/commands/TrainCommand.java
+++ b/server/src/main/java/wheatspread/commands/TrainCommand.java
@@ -13,31 +13,32 @@
 import wheatspread.logging.StructuredLog;
 
 /**
- * Starts a server, lets it warm up, listen and leave, so that the build can archive the classes which a
- * start loads ({@code -XX:ArchiveClassesAtExit}). What goes wrong is told and no failure: a server starts
- * without an archive too.
+ * Starts a server, warms it up, binds its listeners and drains it, so that the build can archive the classes that
+ * are loaded at a start ({@code -XX:ArchiveClassesAtExit}). Errors are printed but do not fail the command, since a
+ * server can start without an archive.
  */
 @Command(
         name = "train",
         hidden = true,
         mixinStandardHelpOptions = true,
-        description = "Starts a server and ends it, for the build's class-data archive.")
+        description = "Starts and drains a server to record the class-data archive of the build.")
 final class TrainCommand implements Callable<Integer> {
-    @Parameters(index = "0", paramLabel = "CONFIG", description = "A platform configuration.")
+    @Parameters(index = "0", paramLabel = "CONFIG", description = "The platform's settings file.")
     private Path config;
 
     @Override
     public Integer call() {
         try {
-            Wheatspread.prepared(new ServeCommand()).parseArgs("--stats");
-            Configuration all =
+            Wheatspread.commandLine(new ServeCommand()).parseArgs("--stats");
+            Configuration configuration =
                     Configuration.load(Map.of("GW_CONFIG", config.toString(), "GW_LISTEN", "127.0.0.1:0"), null);
-            LogSetup.configureOutput(false, "error", all.server().name());
+            LogSetup.configureOutput(false, "error", configuration.server().name());
             EventLog log = new StructuredLog(new RepeatLimit(1, 1), () -> 0);
-            ServeCommand.serve(all.server(), all.operator(), "", log, server -> server.signal(Event.DRAIN));
+            ServeCommand.serve(
+                    configuration.server(), configuration.operator(), "", log, server -> server.signal(Event.DRAIN));
             LogSetup.flush();
         } catch (Exception e) {
-            System.err.println("wheatspread: no training: " + e);
+            System.err.println("wheatspread: training run failed; the class-data archive may be incomplete: " + e);
         }
         return ExitCodes.OK;
     }
--- a/server/src/main/java/wheatspread/commands/Wheatspread.java
+++ b/server/src/main/java/wheatspread/commands/Wheatspread.java
@@ -13,7 +13,7 @@
         mixinStandardHelpOptions = true,
         version = "wheatspread 0.1.0",
         synopsisSubcommandLabel = "COMMAND",
-        description = "A recipe server that decides for itself what it takes.",
+        description = "A recipe server with admission control.",
         footerHeading = "%nExamples:%n",
         footer = {
             "  GW_CONFIG=config.json wheatspread serve deploy/uwsgi.json",
@@ -38,27 +38,28 @@
 
     /** Runs the command that the first argument names, and exits with its code. */
     public static void main(String[] args) {
-        // a server's start pays for no other command's options
-        CommandLine line = args.length > 0 && args[0].equals("serve") ? prepared(new ServeCommand()) : commands();
-        String[] left =
+        // registering the other commands would slow the start of a server
+        CommandLine line = args.length > 0 && args[0].equals("serve") ? commandLine(new ServeCommand()) : commands();
+        String[] commandArgs =
                 line.getCommand() instanceof ServeCommand ? java.util.Arrays.copyOfRange(args, 1, args.length) : args;
-        System.exit(line.execute(left));
+        System.exit(line.execute(commandArgs));
     }
 
-    /** All commands, as {@code main} runs them. */
+    /** Returns the command line with all commands. */
     static CommandLine commands() {
-        return prepared(new Wheatspread());
+        return commandLine(new Wheatspread());
     }
 
-    static CommandLine prepared(Object command) {
+    /** Returns a command line that maps exceptions to exit codes. */
+    static CommandLine commandLine(Object command) {
         return new CommandLine(command)
                 .setExecutionExceptionHandler(ExitCodes::handle)
-                .setParameterExceptionHandler(ExitCodes::misused)
+                .setParameterExceptionHandler(ExitCodes::handleUsageError)
                 .setExitCodeExceptionMapper(e -> ExitCodes.SOFTWARE);
     }
 
     @Override
     public Integer call() {
-        throw new ParameterException(spec.commandLine(), "a command is missing");
+        throw new ParameterException(spec.commandLine(), "a command is required");
     }
 }
--- a/server/src/test/java/wheatspread/commands/CommandsTest.java
+++ b/server/src/test/java/wheatspread/commands/CommandsTest.java
@@ -23,30 +23,30 @@
     private String out;
     private String err;
 
-    private int run(String... words) {
-        StringWriter told = new StringWriter();
-        StringWriter complained = new StringWriter();
+    private int run(String... args) {
+        StringWriter output = new StringWriter();
+        StringWriter errors = new StringWriter();
         CommandLine line = Wheatspread.commands();
-        line.setOut(new PrintWriter(told)).setErr(new PrintWriter(complained));
-        int code = line.execute(words);
-        out = told.toString();
-        err = complained.toString();
+        line.setOut(new PrintWriter(output)).setErr(new PrintWriter(errors));
+        int code = line.execute(args);
+        out = output.toString();
+        err = errors.toString();
         return code;
     }
 
-    private Path file(String name, String text) throws IOException {
+    private Path writeFile(String name, String text) throws IOException {
         return Files.writeString(dir.resolve(name), text);
     }
 
     @Test
-    void everyFaultOfEveryFileIsNamedWithItsPlace() throws IOException {
-        Path config = file(
+    void checkReportsEveryFaultWithFileAndLine() throws IOException {
+        Path config = writeFile(
                 "config.json",
                 Files.readString(CONFIG)
                         .replace("\"127.0.0.1:9\", \"records\"", "\"nowhere\", \"records\"")
                         .replace("\"Halt\": \"suspend\"", "\"Halt\": \"melt\""));
-        Path operator = file("operator.json", """
-            // what an operator wrote
+        Path operator = writeFile("operator.json", """
+            // a comment
             {
               "transport": "pigeon",
               "uwsgi": {"listen": "127.0.0.1:0", "max_body": "big", "defaults": {"class": "soup"}, },
@@ -75,14 +75,14 @@
     }
 
     @Test
-    void whatIsNoJsonIsToldWithItsLine() throws IOException {
+    void checkReportsLineOfInvalidJson() throws IOException {
         for (String text :
                 new String[] {"{\n \"report_s\": 1,\n \"report_s\": 2}", "{\n\n  \"log\" 3}", "{\n\n", "{}\n\n[]"}) {
             assertThat(run(
                             "check",
                             "--config",
                             CONFIG.toString(),
-                            file("bad.json", text).toString()))
+                            writeFile("bad.json", text).toString()))
                     .isEqualTo(ExitCodes.CONFIG);
             assertThat(out).startsWith(dir.resolve("bad.json") + ":3: ").endsWith("1 fault\n");
         }
@@ -96,8 +96,8 @@
     }
 
     @Test
-    void whatHoldsIsShownWithWhereItComesFrom() throws IOException {
-        Path operator = file("operator.json", "{\n# nobody reads it\n\"report_s\": 7}");
+    void showConfigPrintsSettingsWithOrigins() throws IOException {
+        Path operator = writeFile("operator.json", "{\n# a comment\n\"report_s\": 7}");
         assertThat(run("show-config", "--config", CONFIG.toString(), operator.toString()))
                 .isZero();
         assertThat(out)
@@ -109,13 +109,13 @@
     }
 
     @Test
-    void exitCodesTellWhatWentWrong() throws IOException {
+    void exitCodesDistinguishErrors() throws IOException {
         assertThat(run("fly")).isEqualTo(ExitCodes.USAGE);
         assertThat(err).contains("Try 'wheatspread --help'");
         assertThat(run()).isEqualTo(ExitCodes.USAGE);
         assertThat(run("fleet")).isEqualTo(ExitCodes.USAGE);
         assertThat(run("import-nginx", dir.resolve("none").toString(), "x")).isEqualTo(ExitCodes.NO_INPUT);
-        Path conf = file("bad.conf", "location { ");
+        Path conf = writeFile("bad.conf", "location { ");
         assertThat(run("import-nginx", conf.toString(), dir.resolve("x").toString()))
                 .isEqualTo(ExitCodes.DATA);
         assertThat(run("--help")).isZero();
@@ -124,18 +124,18 @@
         assertThat(out).contains("complete -F _complete_wheatspread");
     }
 
-    private Path fleet() throws IOException {
+    private Path fleetFile() throws IOException {
         Files.copy(CONFIG, dir.resolve("member.json"));
-        return file("fleet.json", """
+        return writeFile("fleet.json", """
             {"dir": "run", "build": "v1", "builds": {"v1": {"command": ["{java}", "serve"]}},
              "config": "member.json", "members": [{"name": "n1", "listen": "127.0.0.1:7001"}]}
             """);
     }
 
     @Test
-    void aFleetsFileIsCheckedWithThoseItNames() throws IOException {
-        assertThat(run("check", "--fleet", fleet().toString())).isZero();
-        Path bad = file("bad.json", """
+    void checksFleetFileAndFilesOfMembers() throws IOException {
+        assertThat(run("check", "--fleet", fleetFile().toString())).isZero();
+        Path bad = writeFile("bad.json", """
             {"dir": "run", "build": "v3", "builds": {"v1": {"command": []}, "v2": {"comand": ["x"]}},
              "config": "none.json",
              "roll": {"out_share": 2},
@@ -154,8 +154,8 @@
     }
 
     @Test
-    void theStatusTellsWhatIsOldAndACommandWaitsForASupervisor() throws Exception {
-        Path fleet = fleet();
+    void statusReportsStaleDataAndCommandsAreQueuedWithoutSupervisor() throws Exception {
+        Path fleet = fleetFile();
         assertThat(run("fleet", "status", fleet.toString())).isEqualTo(ExitCodes.TRY_LATER);
         Files.createDirectories(dir.resolve("run"));
         JSONObject member = new JSONObject()
@@ -179,7 +179,7 @@
         assertThat(out).contains("supervisor 5").containsPattern("n1 +UP +v1 +3 +77 +5 +120 +9");
         Files.writeString(dir.resolve("run/status.json"), status.put("at", 1).toString());
         assertThat(run("fleet", "status", fleet.toString())).isEqualTo(ExitCodes.UNAVAILABLE);
-        assertThat(out).contains("what follows is old");
+        assertThat(out).contains("no supervisor has written the status for ", " s; the table is stale");
         assertThat(new CommandSpool(dir.resolve("run")).submit(new JSONObject().put("do", "down"), 0))
                 .isNull();
         assertThat(dir.resolve("run/commands")).isDirectoryContaining("glob:**.json");
--- a/server/src/test/java/wheatspread/commands/StoreCommandTest.java
+++ b/server/src/test/java/wheatspread/commands/StoreCommandTest.java
@@ -30,7 +30,7 @@
     private String err;
 
     @BeforeEach
-    void fill() throws IOException {
+    void fillStore() throws IOException {
         StoreSettings settings = StoreSettings.DEFAULT.withSizes(4_096, 1 << 20, 4_096);
         Store store = Store.open(FolderDisk.make(folder), settings, Store.Clock.SYSTEM, Runnable::run, EventLog.NONE);
         for (int i = 0; i < 300; i++) {
@@ -45,28 +45,29 @@
     }
 
     private int run(String... args) {
-        StringWriter told = new StringWriter();
-        StringWriter complained = new StringWriter();
-        CommandLine line = Wheatspread.commands().setOut(new PrintWriter(told)).setErr(new PrintWriter(complained));
+        StringWriter output = new StringWriter();
+        StringWriter errors = new StringWriter();
+        CommandLine line =
+                Wheatspread.commands().setOut(new PrintWriter(output)).setErr(new PrintWriter(errors));
         int code =
                 line.execute(Stream.concat(Stream.of("store"), Stream.of(args)).toArray(String[]::new));
-        out = told.toString();
-        err = complained.toString();
+        out = output.toString();
+        err = errors.toString();
         return code;
     }
 
     private Path longestLog() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
-            return files.filter(one -> one.toString().endsWith(".log"))
-                    .max(Comparator.comparingLong(one -> one.toFile().length()))
+            return files.filter(file -> file.toString().endsWith(".log"))
+                    .max(Comparator.comparingLong(file -> file.toFile().length()))
                     .orElseThrow();
         }
     }
 
     @Test
-    void tellsWhatItHoldsAndMakesItSmaller() throws IOException {
+    void checksDumpsAndCompactsStore() throws IOException {
         assertThat(run("check", folder.toString())).isZero();
-        assertThat(out).contains("31 keys, nothing is lost");
+        assertThat(out).contains("31 keys, no damage found");
         assertThat(run("dump", folder.toString(), "--prefix", "key 7")).isZero();
         assertThat(new org.json.JSONObject(out).toMap())
                 .isEqualTo(Map.of("key", "key 7", "value", "value 277", "expires_ms", 0));
@@ -81,7 +82,7 @@
     }
 
     @Test
-    void findsDamageAndChangesNothingUntilItIsTold() throws IOException {
+    void checkReportsDamageWithoutWritingAndCompactAcceptsLoss() throws IOException {
         byte[] bytes = Files.readAllBytes(longestLog());
         bytes[bytes.length / 2] ^= 4;
         Files.write(longestLog(), bytes);
@@ -93,11 +94,11 @@
     }
 
     @Test
-    void refusesWhatIsInUseOrIsNoStore() throws IOException {
-        Closeable taken = FolderDisk.of(folder).lock();
+    void rejectsStoreInUseAndMissingFolder() throws IOException {
+        Closeable lock = FolderDisk.of(folder).lock();
         assertThat(run("stat", folder.toString())).isEqualTo(75);
         assertThat(err).contains("is in use by process").doesNotContain("\tat ");
-        taken.close();
+        lock.close();
         assertThat(run("stat", folder.resolve("no").toString())).isEqualTo(66);
         assertThat(run("stat")).isEqualTo(64);
         assertThat(List.of(err.split("\n"))).hasSizeLessThan(4);
--- a/server/src/test/java/wheatspread/config/SettingsAtSizeTest.java
+++ b/server/src/test/java/wheatspread/config/SettingsAtSizeTest.java
@@ -94,7 +94,7 @@
     @Timeout(value = 60, unit = TimeUnit.SECONDS)
     void largeSettingsFitIntoTheDeployedHeap() throws Exception {
         assertThat(run("-Xmx48m", config(tenants(TENANTS)), "check", operator().toString()))
-                .containsExactly("nothing is wrong", "exit 0");
+                .containsExactly("no faults found", "exit 0");
     }
 
     @ParameterizedTest
