--- a/server/src/main/java/wheatspread/logging/EventLayout.java
+++ b/server/src/main/java/wheatspread/logging/EventLayout.java
@@ -12,13 +12,13 @@
 /**
  * Formats an event as one line. JSON: {@code
  * {"at":"2026-12-01T10:00:00.123Z","level":"INFO","event":"phase",...}}; text: the same as
- * {@code name=value}, separated by blanks. Every line names the server, if its name is known.
+ * {@code name=value}, separated by spaces. Every line contains the name of the server, if it is known.
  */
 final class EventLayout extends LayoutBase<ILoggingEvent> {
     private final boolean json;
     private final String server;
 
-    /** {@code server} names the process; null where there is no name. */
+    /** {@code server} is the name of the server in every line; null for none. */
     EventLayout(boolean json, String server) {
         this.json = json;
         this.server = server;
--- a/server/src/main/java/wheatspread/logging/EventLog.java
+++ b/server/src/main/java/wheatspread/logging/EventLog.java
@@ -5,14 +5,14 @@
 import java.util.function.Consumer;
 
 /**
- * The log of events for operators: an event has a name that can be searched for, and fields in place of
- * sentences. Names are words joined by underscores and never change their meaning; docs/operating/log.md lists
- * them. Nothing is logged per request.
+ * The log of events for operators. An event has a name that can be searched for, and fields instead of a sentence.
+ * Names are words joined by underscores, and their meaning never changes; docs/operating/log.md lists them. Nothing is
+ * logged per request.
  */
 public interface EventLog {
     /**
-     * The severity of an event: INFO for normal operation, WARN for what operators should look into, ERROR for
-     * a fault.
+     * The severity of an event: INFO for normal operation, WARN for a condition that operators should examine,
+     * ERROR for a fault.
      */
     enum Level {
         DEBUG,
@@ -39,7 +39,7 @@
         log(Level.ERROR, event, fields);
     }
 
-    /** A log that passes on events formatted by {@link #line}, for tests and for programs that process them. */
+    /** Returns a log that passes events, formatted by {@link #line}, to a receiver such as a test. */
     static EventLog lines(Consumer<String> receiver) {
         return (level, event, fields) -> receiver.accept(line(event, fields));
     }
--- a/server/src/main/java/wheatspread/logging/LogSetup.java
+++ b/server/src/main/java/wheatspread/logging/LogSetup.java
@@ -14,15 +14,15 @@
 
 /**
  * Configures Logback without a configuration file, which would load an XML parser at start-up. Lines are
- * written to standard error by a separate thread, since whoever reads them must not block the event loop by
- * reading slowly. Lines beyond a queue of {@link #MAX_QUEUED_LINES} are dropped.
+ * written to standard error by a separate thread, so that a slow reader of standard error does not block the event
+ * loop. Lines beyond a queue of {@link #MAX_QUEUED_LINES} are dropped.
  */
 public final class LogSetup extends ContextAwareBase implements Configurator {
     private static final int MAX_QUEUED_LINES = 1_024;
-    /** How long {@link #flush} waits for queued lines. */
+    /** The time limit of {@link #flush} for writing queued lines. */
     private static final int FLUSH_TIMEOUT_MS = 500;
 
-    /** Called by Logback at its start; the configuration holds until the first call of {@link #configureOutput}. */
+    /** Called by Logback at its start; the configuration applies until the first call of {@link #configureOutput}. */
     @Override
     public ExecutionStatus configure(LoggerContext context) {
         configure(context, false, "info", null);
@@ -30,7 +30,7 @@
     }
 
     /**
-     * Configures the format, the lowest level, and the server's name in every line; null for no name.
+     * Configures the format and the lowest level of lines, and the server's name in every line; null for no name.
      */
     public static void configureOutput(boolean json, String level, String server) {
         configure((LoggerContext) LoggerFactory.getILoggerFactory(), json, level, server);
@@ -60,12 +60,12 @@
         queue.addAppender(console);
         queue.start();
         Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
-        root.setLevel(Level.WARN); // for libraries
+        root.setLevel(Level.WARN); // applies to libraries
         root.addAppender(queue);
         context.getLogger("wheatspread").setLevel(Level.toLevel(level));
     }
 
-    /** Writes the queued lines and stops the log; called last in a process. */
+    /** Writes the queued lines and stops the log; called before the process exits. */
     public static void flush() {
         ((LoggerContext) LoggerFactory.getILoggerFactory()).stop();
     }
--- a/server/src/main/java/wheatspread/logging/RepeatLimit.java
+++ b/server/src/main/java/wheatspread/logging/RepeatLimit.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 
 /**
- * A rate limit for each event name: beyond the limit of a window events are only counted, and the count is
- * written with the first event of a later window. A peer that causes the same fault a thousand times a second
- * must neither fill the disk nor hide other events. It reads no clock and is not thread-safe.
+ * A rate limit for each event name. Events beyond the limit of a window are only counted, and the count is logged with
+ * the first event of a later window. Therefore a peer that causes the same fault a thousand times a second neither
+ * fills the disk nor hides other events. This class reads no clock and is not thread-safe.
  */
 public final class RepeatLimit {
-    /** How many names have a count of their own; others share one, since peers may influence names. */
+    /** The maximum number of names with a separate count. Others share a count, since peers may influence names. */
     private static final int MAX_NAMES = 256;
 
     /** The name under which events beyond {@link #MAX_NAMES} are counted. */
@@ -23,7 +23,7 @@
 
     private static final class Count {
         private long windowStartMicros;
-        private int written;
+        private int logged;
         private long suppressed;
     }
 
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Decides whether an event is written now: returns -1 if not, else how many events of its name have been
-     * suppressed since the last one that was written.
+     * Decides whether to log an event. Returns -1 to suppress it, else the number of events of its name that have been
+     * suppressed since the last logged one.
      */
     public long admit(String event, long nowMicros) {
         if (maxEvents == 0) {
@@ -43,15 +43,15 @@
         }
         String name = counts.size() < MAX_NAMES || counts.containsKey(event) ? event : OTHER_NAMES;
         Count count = counts.computeIfAbsent(name, key -> new Count());
-        if (nowMicros - count.windowStartMicros >= windowMicros || count.written == 0) {
+        if (nowMicros - count.windowStartMicros >= windowMicros || count.logged == 0) {
             count.windowStartMicros = nowMicros;
-            count.written = 0;
+            count.logged = 0;
         }
-        if (count.written >= maxEvents) {
+        if (count.logged >= maxEvents) {
             count.suppressed++;
             return SUPPRESSED;
         }
-        count.written++;
+        count.logged++;
         long suppressed = count.suppressed;
         count.suppressed = 0;
         return suppressed;
--- a/server/src/main/java/wheatspread/logging/StructuredLog.java
+++ b/server/src/main/java/wheatspread/logging/StructuredLog.java
@@ -6,8 +6,8 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * The event log on SLF4J: the event's name is the message, its fields are key-value pairs. Thread-safe; a
- * thread that logs does not wait for I/O, since {@link LogSetup} configures an asynchronous appender.
+ * The event log on SLF4J: the message is the event's name, and the key-value pairs are its fields. Thread-safe; logging
+ * does not block on I/O, since {@link LogSetup} configures an asynchronous appender.
  */
 public final class StructuredLog implements EventLog {
     private final Logger logger = LoggerFactory.getLogger("wheatspread");
--- a/server/src/main/java/wheatspread/logging/package-info.java
+++ b/server/src/main/java/wheatspread/logging/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The event log: names with fields in place of sentences, as text or JSON, rate-limited by event name. It owns
- * the format of lines and the set-up of Logback. It does not know which events there are.
+ * The event log: event names with fields, as text or JSON, with a rate limit for each name. This package defines the
+ * format of lines and configures Logback. It is independent of the set of events.
  */
 package wheatspread.logging;
--- a/server/src/test/java/wheatspread/logging/LoggingTest.java
+++ b/server/src/test/java/wheatspread/logging/LoggingTest.java
@@ -15,25 +15,26 @@
 
 class LoggingTest {
     @Test
-    void eventsBeyondTheLimitAreOnlyCounted() {
+    void countsButDoesNotAdmitEventsBeyondTheLimit() {
         RepeatLimit limit = new RepeatLimit(3, 1_000);
         for (int i = 0; i < 10; i++) {
             assertThat(limit.admit("a", i)).isEqualTo(i < 3 ? 0 : -1);
         }
-        assertThat(limit.admit("b", 10)).isZero(); // another name has its own count
+        assertThat(limit.admit("b", 10)).isZero(); // every name has a separate count
         assertThat(limit.admit("a", 1_000)).isEqualTo(7);
         assertThat(limit.admit("a", 1_001)).isZero();
         assertThat(new RepeatLimit(0, 1).admit("a", 0)).isZero();
     }
 
     @Test
-    void namesInfluencedByPeersDoNotFillTheMemory() {
+    void limitsTheNumberOfNamesWithASeparateCount() {
         RepeatLimit limit = new RepeatLimit(1, 1_000);
-        int written = 0;
+        int admitted = 0;
         for (int i = 0; i < 10_000; i++) {
-            written += limit.admit("name " + i, 1) >= 0 ? 1 : 0;
+            admitted += limit.admit("name " + i, 1) >= 0 ? 1 : 0;
         }
-        assertThat(written).isEqualTo(257); // the last one is shared by all others
+        assertThat(admitted)
+                .isEqualTo(257); // one event for each of 256 names, and one for the shared count of all others
     }
 
     @Test
