--- a/server/src/main/java/wheatspread/config/ConfigProblem.java
+++ b/server/src/main/java/wheatspread/config/ConfigProblem.java
@@ -4,26 +4,26 @@
 import java.util.Map;
 
 /**
- * One fault in the settings.
+ * A fault in the settings.
  *
- * @param file the file it is in; null where the settings come from no file
- * @param line the line that the key is on; 0 if it is not known
+ * @param file the file with the fault; null if the settings do not come from a file
+ * @param line the line of the key; 0 if it is unknown
  * @param key the path of the faulty key; null if the fault is not about one key
  * @param value the faulty value as text; null if there is none
  * @param allowed the allowed values; null if the message alone says what is wrong
- * @param message the whole text that operators see
+ * @param message the complete message, with file, line and key if they are known
  */
 public record ConfigProblem(String file, int line, String key, String value, String allowed, String message) {
-    /** A message shows only the beginning of a longer value. */
-    private static final int MAX_SHOWN_CHARS = 64;
+    /** Messages shorten values that are longer than this. */
+    private static final int MAX_VALUE_CHARS = 64;
 
-    /** A fault that is not about one key. */
+    /** Creates a fault that does not concern a single key. */
     static ConfigProblem general(String message) {
         return new ConfigProblem(null, 0, null, null, null, message);
     }
 
-    /** A value as messages show it. */
-    static String shown(Object value) {
+    /** Returns the text of a value for messages: shortened, and only the type of an object or list. */
+    static String format(Object value) {
         if (value instanceof Map) {
             return "an object";
         }
@@ -31,8 +31,8 @@
             return "a list";
         }
         String text = String.valueOf(value);
-        return text.length() <= MAX_SHOWN_CHARS
+        return text.length() <= MAX_VALUE_CHARS
                 ? text
-                : text.substring(0, MAX_SHOWN_CHARS) + "... (" + text.length() + " characters)";
+                : text.substring(0, MAX_VALUE_CHARS) + "... (" + text.length() + " characters)";
     }
 }
--- a/server/src/main/java/wheatspread/config/ConfigProblems.java
+++ b/server/src/main/java/wheatspread/config/ConfigProblems.java
@@ -4,62 +4,62 @@
 import java.util.List;
 
 /**
- * Faults in the settings, in the order in which they were found. The first ones are kept and the others only
- * counted, so that a file with a fault in each of its lines takes no memory for them.
+ * Faults in the settings, in the order in which they were found. The first {@link #MAX_KEPT} are kept and the others
+ * only counted, which bounds the memory for a file with a fault in every line.
  */
 public final class ConfigProblems {
-    /** How many faults are kept. */
+    /** The maximum number of faults that are kept. */
     public static final int MAX_KEPT = 100;
 
-    private final List<ConfigProblem> messages = new ArrayList<>();
+    private final List<ConfigProblem> kept = new ArrayList<>();
     private long dropped;
 
-    /** Adds a fault that is not about one key. */
+    /** Adds a fault that does not concern a single key. */
     public void add(String message) {
         add(ConfigProblem.general(message));
     }
 
-    /** Adds a fault; one with the message of a kept one is not counted again. */
+    /** Adds a fault, unless a kept fault has the same message. */
     void add(ConfigProblem problem) {
-        if (messages.size() >= MAX_KEPT) {
+        if (kept.size() >= MAX_KEPT) {
             dropped++;
-        } else if (messages.stream().noneMatch(other -> other.message().equals(problem.message()))) {
-            messages.add(problem);
+        } else if (kept.stream().noneMatch(other -> other.message().equals(problem.message()))) {
+            kept.add(problem);
         }
     }
 
-    /** Adds the faults that another file has. */
+    /** Adds the faults of another file. */
     public void addAll(JsonFields.InvalidValueException invalid) {
         invalid.problems().forEach(this::add);
         dropped += invalid.count() - invalid.problems().size();
     }
 
     public boolean isEmpty() {
-        return messages.isEmpty();
+        return kept.isEmpty();
     }
 
-    /** The kept faults. */
+    /** Returns the kept faults. */
     List<ConfigProblem> problems() {
-        return List.copyOf(messages);
+        return List.copyOf(kept);
     }
 
-    /** The messages of the kept faults. */
+    /** Returns the messages of the kept faults. */
     public List<String> messages() {
-        return messages.stream().map(ConfigProblem::message).toList();
+        return kept.stream().map(ConfigProblem::message).toList();
     }
 
-    /** The message of the first fault, and how many others there are; only if there is one. */
+    /** Returns the message of the first fault and the number of the others; there must be at least one. */
     String summary() {
-        String first = messages.get(0).message();
+        String first = kept.get(0).message();
         if (count() == 1) {
             return first;
         }
-        String named = dropped == 0 ? "them all" : "the first " + messages.size();
-        return first + " (and " + (count() - 1) + " more; 'check' names " + named + ")";
+        String listed = dropped == 0 ? "all of them" : "the first " + kept.size();
+        return first + " (and " + (count() - 1) + " more; 'check' lists " + listed + ")";
     }
 
-    /** How many faults there are, including those that are not kept. */
+    /** Returns the number of faults, including those that are not kept. */
     public long count() {
-        return messages.size() + dropped;
+        return kept.size() + dropped;
     }
 }
--- a/server/src/main/java/wheatspread/config/Configuration.java
+++ b/server/src/main/java/wheatspread/config/Configuration.java
@@ -7,49 +7,55 @@
 import wheatspread.core.DeploymentSettings;
 
 /**
- * All settings of one server: the platform's and the operator's file, each checked by itself and against the
- * other.
+ * All settings of one server: those of the platform's and of the operator's file, each checked separately and against
+ * the other.
  *
- * @param sources the files, with the settings that hold and their origins
+ * @param sources the files, with the effective settings and their origins
  */
 public record Configuration(ServerConfig server, OperatorConfig operator, List<SettingsSource> sources) {
-    /** Descriptors for kernel, announce service, listeners, the JVM's files and callers about to be closed. */
+    /** Descriptors for kernel, announce service, listeners, the JVM's files and clients that are being disconnected. */
     private static final int RESERVED_SOCKETS = 32;
-    /** The fraction of all descriptors for connections to the records service: one in so many. */
-    private static final int RECORDS_FRACTION = 8;
+    /** Connections to the records service may use the number of descriptors divided by this. */
+    private static final int RECORDS_DIVISOR = 8;
 
     private static final int MAX_RECORDS_CONNECTIONS = 40;
 
-    /** How many connections the records client may open, given the number of descriptors. */
+    /** Returns the maximum number of connections to the records service, given the number of descriptors. */
     public static int maxRecordsConnections(int sockets) {
-        return Math.min(MAX_RECORDS_CONNECTIONS, sockets / RECORDS_FRACTION);
+        return Math.min(MAX_RECORDS_CONNECTIONS, sockets / RECORDS_DIVISOR);
     }
 
-    /** How many connections the platform's protocol may have; fails if the settings leave it none. */
+    /**
+     * Returns the maximum number of connections of the platform's protocol.
+     *
+     * @throws JsonFields.InvalidValueException if the settings leave no connection for it
+     */
     public static int maxPlatformConnections(ServerConfig server, OperatorConfig operator) {
         int sockets = server.maxSockets() - RESERVED_SOCKETS - maxRecordsConnections(server.maxSockets());
         if (operator.maxConnections() > sockets) {
-            throw new JsonFields.InvalidValueException(
-                    "connections.max is " + operator.maxConnections() + ", and limits.sockets leaves " + sockets);
+            throw new JsonFields.InvalidValueException("connections.max is " + operator.maxConnections()
+                    + "; with limits.sockets of " + server.maxSockets() + ", allowed is up to " + sockets);
         }
         sockets = operator.maxConnections() > 0 ? operator.maxConnections() : sockets;
         sockets -= operator.uwsgi() == null ? 0 : operator.uwsgi().maxConnections();
         if (sockets < 1) {
             throw new JsonFields.InvalidValueException(
-                    "uwsgi.max_connections leaves no sockets to the platform's front");
+                    "uwsgi.max_connections is " + operator.uwsgi().maxConnections()
+                            + ", which leaves no connections for the platform's protocol; allowed is up to "
+                            + (operator.uwsgi().maxConnections() + sockets - 1));
         }
         return sockets;
     }
 
     /**
-     * Reads and checks everything; {@code operatorFile} is null if there is none. All problems, in whichever
-     * file, are in the one exception.
+     * Reads and checks all settings; {@code operatorFile} is null if there is none. The faults of both files are
+     * thrown in one exception.
      */
     public static Configuration load(Map<String, String> environment, Path operatorFile) {
         try {
             return loadAll(environment, operatorFile);
         } catch (OutOfMemoryError e) {
-            throw JsonFields.InvalidValueException.outOfMemory("what the settings ask for");
+            throw JsonFields.InvalidValueException.outOfMemory("the configuration");
         }
     }
 
@@ -60,7 +66,8 @@
         String file = environment.get("GW_CONFIG");
         DeploymentSettings site = null;
         if (file == null) {
-            problems.add("GW_CONFIG is missing from the environment");
+            problems.add(
+                    "GW_CONFIG is missing from the environment; expected the path of the platform's settings file");
         } else {
             JsonFields fields = null;
             try {
--- a/server/src/main/java/wheatspread/config/FleetConfig.java
+++ b/server/src/main/java/wheatspread/config/FleetConfig.java
@@ -13,11 +13,11 @@
 import wheatspread.fleet.FleetPlan;
 
 /**
- * A fleet's file: its members, the builds they run, and how they are checked, started and updated.
+ * The settings of a fleet: its members, their builds, and the policies for health checks, starts and rollouts.
  *
  * @param directory the directory of the fleet's state, logs and marker files
- * @param builds by label, how a process of each build is started
- * @param checkIntervalMicros the time between two health checks of a member, in microseconds
+ * @param builds the commands of the builds, by label
+ * @param checkIntervalMicros the interval between health checks of a member, in microseconds
  * @param checkTimeoutMicros the time limit of a health check, in microseconds
  */
 public record FleetConfig(
@@ -37,13 +37,13 @@
 
     /** A member, the address of its platform protocol, and the file that its {@code GW_CONFIG} names. */
     public record MemberConfig(String name, InetSocketAddress listen, Path config) {
-        /** The address as in {@code GW_LISTEN}. */
+        /** Returns the address in the form of {@code GW_LISTEN}. */
         public String listenText() {
             return listen.getHostString() + ":" + listen.getPort();
         }
     }
 
-    /** Reads and checks a file, whose paths are relative to its directory. */
+    /** Reads and checks a file; paths in it are relative to its directory. */
     public static FleetConfig readFile(Path file) {
         return read(file, JsonFile.read(file));
     }
@@ -71,8 +71,8 @@
                 checks.integer("bad_after", 3, 1, 1_000),
                 checks.micros("hung_ms", 15_000_000, 0),
                 start.micros("settle_ms", 2_000_000, 10),
-                rolling(fields.object("roll", true)),
-                backoff(fields.object("restarts", true)));
+                rolloutPolicy(fields.object("roll", true)),
+                backoffPolicy(fields.object("restarts", true)));
         FleetConfig config = new FleetConfig(
                 file,
                 root.resolve(fields.text("dir", "fleet")),
@@ -88,13 +88,13 @@
 
     private static Map<String, Build> builds(JsonFields fields, Path root) {
         Map<String, Build> builds = new LinkedHashMap<>();
-        JsonFields all = fields.object("builds", false);
-        for (String label : all.keys()) {
-            JsonFields build = all.object(label, false);
+        JsonFields buildFields = fields.object("builds", false);
+        for (String label : buildFields.keys()) {
+            JsonFields build = buildFields.object(label, false);
             build.requireKnownKeys(Set.of("command", "environment"));
             List<String> command = new ArrayList<>(build.textList("command"));
             if (command.isEmpty()) {
-                build.report("command", "names no program", null);
+                build.report("command", "is empty; expected a program and its arguments", null);
             }
             command.replaceAll(word -> word.replace("{dir}", root.toString())
                     .replace(
@@ -107,7 +107,7 @@
             builds.put(label, new Build(label, command, environment));
         }
         if (builds.isEmpty() && fields.has("builds")) {
-            fields.report("builds", "names no build", null);
+            fields.report("builds", "is empty; expected at least one build", null);
         }
         return builds;
     }
@@ -120,30 +120,33 @@
             member.requireKnownKeys(Set.of("name", "listen", "config"));
             String name = member.text("name");
             if (!name.matches("[A-Za-z0-9][A-Za-z0-9_-]{0,63}")) {
-                member.report("name", "is no name: " + name + "; allowed are up to 64 letters, digits, - and _", null);
+                member.report(
+                        "name",
+                        "is not a valid name: " + name + "; allowed are up to 64 letters, digits, - and _",
+                        null);
             }
             InetSocketAddress listen = ServerConfig.address(member, "listen");
             String config = member.text("config", defaultConfig).replace("{name}", name);
             if (config.isEmpty()) {
-                member.report("config", "is missing, here and for the fleet", null);
+                member.report("config", "is missing; set it for the member or for the fleet", null);
             }
             for (String key : List.of("name " + name, "listen " + listen)) {
                 if (taken.putIfAbsent(key, name) != null && listen.getPort() != 0) {
                     member.report(
                             key.substring(0, key.indexOf(' ')),
-                            "is that of another member too: " + key.substring(key.indexOf(' ') + 1),
+                            "is already used by member " + taken.get(key) + ": " + key.substring(key.indexOf(' ') + 1),
                             null);
                 }
             }
             members.add(new MemberConfig(name, listen, root.resolve(config)));
         }
         if (members.isEmpty()) {
-            fields.report("members", "names nobody", null);
+            fields.report("members", "is empty; expected at least one member", null);
         }
         return members;
     }
 
-    private static FleetPlan.RolloutPolicy rolling(JsonFields fields) {
+    private static FleetPlan.RolloutPolicy rolloutPolicy(JsonFields fields) {
         fields.requireKnownKeys(Set.of(
                 "out_share",
                 "out_most",
@@ -164,7 +167,7 @@
                 fields.flag("roll_back", true));
     }
 
-    private static FleetPlan.BackoffPolicy backoff(JsonFields fields) {
+    private static FleetPlan.BackoffPolicy backoffPolicy(JsonFields fields) {
         fields.requireKnownKeys(Set.of(
                 "first_ms",
                 "factor",
@@ -185,12 +188,12 @@
                 fields.micros("hold_ms", 300_000_000, 0));
     }
 
-    /** Checks the members' own files, each once, and passes on the messages of their faults. */
+    /** Checks each distinct settings file of the members and passes the messages of its faults to {@code messages}. */
     public void checkMembers(Consumer<String> messages) {
         members.stream().map(MemberConfig::config).distinct().forEach(path -> {
             try {
                 if (!Files.isReadable(path)) {
-                    throw new JsonFields.InvalidValueException(path + " cannot be read");
+                    throw new JsonFields.InvalidValueException(path + " is missing or not readable");
                 }
                 ServerConfig.read(ServerConfig.fields(path, Map.of("GW_NAME", "checked", "GW_LISTEN", "127.0.0.1:0")));
             } catch (JsonFields.InvalidValueException e) {
--- a/server/src/main/java/wheatspread/config/JsonFields.java
+++ b/server/src/main/java/wheatspread/config/JsonFields.java
@@ -8,9 +8,9 @@
 import java.util.function.Supplier;
 
 /**
- * Typed access to one JSON object of a message or a settings file. A fault is reported with the path of its
- * key. In a message the first fault is thrown. In a file all faults are collected, reading goes on with a
- * substitute value for each, and {@link #throwIfInvalid} throws them together.
+ * Typed access to a JSON object of a message or a settings file. A fault is reported with the path of its key. The
+ * first fault of a message is thrown. The faults of a file are collected: reading continues with a substitute value
+ * after each, and {@link #throwIfInvalid} throws them together.
  */
 public final class JsonFields {
     private static final int MAX_TIME_MS = 3_600_000;
@@ -43,36 +43,35 @@
             count = 1;
         }
 
-        /** The settings, which {@code subject} names, do not fit into the heap of this process. */
+        /** Creates the exception for settings, named by {@code subject}, that do not fit into the heap. */
         public static InvalidValueException outOfMemory(String subject) {
-            return new InvalidValueException(subject + " takes more memory than is left of a heap of "
+            return new InvalidValueException(subject + " needs more memory than is left of the heap of "
                     + (Runtime.getRuntime().maxMemory() >> 20) + " MiB");
         }
 
-        /** Several faults; the message is that of the first one and states how many others there are. */
+        /** Creates an exception with several faults; the message is that of the first and the number of the others. */
         InvalidValueException(ConfigProblems found) {
             super(found.summary());
             problems = found.problems();
             count = found.count();
         }
 
-        /** The faults; of very many the first ones. */
+        /** Returns the first {@link ConfigProblems#MAX_KEPT} faults. */
         public List<ConfigProblem> problems() {
             return problems;
         }
 
-        /** The messages of {@link #problems}. */
         public List<String> messages() {
             return problems.stream().map(ConfigProblem::message).toList();
         }
 
-        /** How many faults there are, including those that {@link #problems} leaves out. */
+        /** Returns the number of faults, including those that {@link #problems} omits. */
         public long count() {
             return count;
         }
     }
 
-    /** The fields of an object in a message, which {@code path} names. */
+    /** Returns the fields of an object in a message; {@code path} is its name in errors. */
     public static JsonFields of(Object value, String path) {
         JsonFields object = of(value, path, null);
         if (object == null) {
@@ -81,7 +80,7 @@
         return object;
     }
 
-    /** Returns null if the value is no object. */
+    /** Returns null if the value is not an object. */
     @SuppressWarnings("unchecked")
     private static JsonFields of(Object value, String path, SettingsSource source) {
         return value instanceof Map<?, ?> map ? new JsonFields((Map<String, Object>) map, path, source) : null;
@@ -91,12 +90,12 @@
         return new JsonFields(map, "", source);
     }
 
-    /** The file that the object is in; null for a message. */
+    /** Returns the file that contains the object; null for a message. */
     public SettingsSource source() {
         return source;
     }
 
-    /** Throws the collected faults of the file, if there are any; called once all of it has been read. */
+    /** Throws the collected faults of the file, if there are any; called after the whole file has been read. */
     public void throwIfInvalid() {
         if (source != null) {
             source.throwIfInvalid();
@@ -111,29 +110,29 @@
         }
     }
 
-    /** Reports a fault of a key; where faults are collected, returns the substitute value. */
+    /** Reports a fault of a key; throws it for a message, returns the substitute value for a file. */
     <T> T report(String name, String problem, T substitute) {
         return report(name, problem, null, substitute);
     }
 
-    /** Reports a fault of a key, with the allowed values where they are known. */
+    /** Reports a fault of a key with the allowed values, which may be null. */
     <T> T report(String name, String problem, String allowed, T substitute) {
         if (source == null) {
             throw invalidValue(name, problem, allowed);
         }
-        source.report(key(name), shownOrNull(name), allowed, problem);
+        source.report(key(name), formatOrNull(name), allowed, problem);
         return substitute;
     }
 
     private InvalidValueException invalidValue(String name, String problem, String allowed) {
         String key = key(name);
         return new InvalidValueException(
-                new ConfigProblem(null, 0, key, shownOrNull(name), allowed, key + " " + problem));
+                new ConfigProblem(null, 0, key, formatOrNull(name), allowed, key + " " + problem));
     }
 
-    private String shownOrNull(String name) {
+    private String formatOrNull(String name) {
         Object value = map.get(name);
-        return value == null ? null : ConfigProblem.shown(value);
+        return value == null ? null : ConfigProblem.format(value);
     }
 
     private <T> T recordSetting(String name, T value) {
@@ -143,27 +142,27 @@
         return value;
     }
 
-    /** Records a text that operators see in place of the elements of a large list. */
-    void summary(String name, String text) {
+    /** Records the text that show-config prints instead of the elements of a large list. */
+    void recordSummary(String name, String text) {
         recordSetting(name, text);
     }
 
-    /** The line of the file that this object begins on; 0 if it is not known. */
+    /** Returns the line of the file on which this object begins; 0 if it is unknown. */
     int line() {
         return source == null ? 0 : source.line(path);
     }
 
-    /** The value as a message ends with it; empty if there is none. */
-    private String shownValue(String name) {
+    /** Returns the value as the end of a message; empty if there is no value. */
+    private String valueSuffix(String name) {
         Object value = map.get(name);
-        return value == null ? "" : ": " + ConfigProblem.shown(value);
+        return value == null ? "" : ": " + ConfigProblem.format(value);
     }
 
-    /** The object under a key; an empty one if it is optional and absent. */
+    /** Returns the object of a key; an empty object if the key is optional and absent. */
     public JsonFields object(String name, boolean optional) {
         JsonFields inner = of(map.get(name), key(name), source);
         if (inner == null && (!optional || has(name))) {
-            report(name, "is not an object" + shownValue(name), null);
+            report(name, "is missing or not an object" + valueSuffix(name), null);
         }
         return inner == null ? new JsonFields(Map.of(), key(name), source) : inner;
     }
@@ -176,19 +175,19 @@
         return map.get(name);
     }
 
-    /** A number, which must be there. */
+    /** Returns a required number. */
     public double number(String name) {
         if (map.get(name) instanceof Number n) {
             return recordSetting(name, n.doubleValue());
         }
-        return report(name, "is missing or not a number" + shownValue(name), 1.0);
+        return report(name, "is missing or not a number" + valueSuffix(name), 1.0);
     }
 
     public double number(String name, double defaultValue) {
         return has(name) ? number(name) : recordSetting(name, defaultValue);
     }
 
-    /** A number within bounds; the default if the key is absent. */
+    /** Returns a number from {@code min} to {@code max}; the default if the key is absent. */
     public double number(String name, double defaultValue, double min, double max) {
         if (has(name) && !(map.get(name) instanceof Number)) {
             String allowed = min + " to " + max;
@@ -199,14 +198,14 @@
             return value;
         }
         String allowed = min + " to " + max;
-        return report(name, "is " + value + ", not from " + allowed, allowed, defaultValue);
+        return report(name, "is " + value + "; allowed is " + allowed, allowed, defaultValue);
     }
 
     private String notANumber(String name, String allowed) {
-        return "is missing or not a number" + shownValue(name) + "; allowed is " + allowed;
+        return "is missing or not a number" + valueSuffix(name) + "; allowed is " + allowed;
     }
 
-    /** An integer, which must be there. */
+    /** Returns a required integer. */
     public long integer(String name) {
         double value = number(name);
         Object parsed = map.get(name);
@@ -216,7 +215,7 @@
         return parsed instanceof Number ? report(name, "is not an integer: " + value, 1L) : 1;
     }
 
-    /** An integer within bounds; the default if the key is absent. */
+    /** Returns an integer from {@code min} to {@code max}; the default if the key is absent. */
     public int integer(String name, int defaultValue, int min, int max) {
         if (has(name) && !(map.get(name) instanceof Number)) {
             String allowed = min + " to " + max;
@@ -227,10 +226,10 @@
             return (int) value;
         }
         String allowed = min + " to " + max;
-        return report(name, "is " + value + ", not from " + allowed, allowed, defaultValue);
+        return report(name, "is " + value + "; allowed is " + allowed, allowed, defaultValue);
     }
 
-    /** A time in microseconds that the file gives in whole milliseconds, from {@code minMillis} to an hour. */
+    /** Returns a time in microseconds, given in the file in whole milliseconds from {@code minMillis} to one hour. */
     public long micros(String name, long defaultMicros, int minMillis) {
         int defaultMillis = (int) (defaultMicros / MICROS_PER_MILLI);
         return integer(name, defaultMillis, minMillis, MAX_TIME_MS) * (long) MICROS_PER_MILLI;
@@ -240,12 +239,12 @@
         return integer(name);
     }
 
-    /** A time in microseconds that the message or file gives in milliseconds. */
+    /** Returns a required time in microseconds, given in milliseconds. */
     public long millisAsMicros(String name) {
         return Math.round(number(name) * MICROS_PER_MILLI);
     }
 
-    /** The same; the default, in microseconds, if the key is absent. */
+    /** Returns a time in microseconds, given in milliseconds; the default, in microseconds, if the key is absent. */
     public long millisAsMicros(String name, long defaultMicros) {
         if (has(name)) {
             return millisAsMicros(name);
@@ -257,7 +256,7 @@
         return map.get(name) == Boolean.TRUE;
     }
 
-    /** True or false; the default if the key is absent. */
+    /** Returns true or false; the default if the key is absent. */
     public boolean flag(String name, boolean defaultValue) {
         Object value = map.get(name);
         if (value == null) {
@@ -265,22 +264,22 @@
         }
         return value instanceof Boolean flag
                 ? recordSetting(name, flag)
-                : report(name, "is neither true nor false" + shownValue(name), "true, false", defaultValue);
+                : report(name, "is neither true nor false" + valueSuffix(name), "true, false", defaultValue);
     }
 
-    /** A text, which must be there. */
+    /** Returns a required text. */
     public String text(String name) {
         if (map.get(name) instanceof String text) {
             return recordSetting(name, text);
         }
-        return report(name, "is missing or not text" + shownValue(name), "");
+        return report(name, "is missing or not text" + valueSuffix(name), "");
     }
 
     public String text(String name, String defaultValue) {
         return has(name) ? text(name) : recordSetting(name, defaultValue);
     }
 
-    /** The value that a word stands for. */
+    /** Returns the value for the keyword in a required text; reports an unknown keyword. */
     public <T> T oneOf(String name, Map<String, T> words) {
         String word = text(name);
         T known = words.get(word);
@@ -288,7 +287,7 @@
             String allowed = new TreeSet<>(words.keySet()).toString();
             report(
                     name,
-                    "is an unknown word: " + ConfigProblem.shown(word) + "; allowed are " + allowed,
+                    "is an unknown word: " + ConfigProblem.format(word) + "; allowed are " + allowed,
                     allowed,
                     null);
         }
@@ -299,20 +298,20 @@
         return has(name) ? oneOf(name, words) : recordSetting(name, defaultValue);
     }
 
-    /** A list of texts; empty if the key is absent. */
+    /** Returns a list of texts; empty if the key is absent. */
     public List<String> textList(String name) {
         List<String> texts = new ArrayList<>();
         for (Object element : list(name)) {
             texts.add(
                     element instanceof String text
                             ? text
-                            : report(name, "holds what is not text: " + ConfigProblem.shown(element), ""));
+                            : report(name, "has an element that is not text: " + ConfigProblem.format(element), ""));
         }
         recordSetting(name, texts);
         return texts;
     }
 
-    /** The list under a key; empty if the key is absent. */
+    /** Returns the list of a key; empty if the key is absent. */
     @SuppressWarnings("unchecked")
     public List<Object> list(String name) {
         Object value = map.get(name);
@@ -322,10 +321,10 @@
         if (value instanceof List<?> list) {
             return (List<Object>) list;
         }
-        return report(name, "is not a list" + shownValue(name), List.of());
+        return report(name, "is not a list" + valueSuffix(name), List.of());
     }
 
-    /** The objects of a list, each with its path. */
+    /** Returns the fields of each object in a list; empty if the key is absent. */
     public List<JsonFields> objects(String name) {
         List<JsonFields> objects = new ArrayList<>();
         int index = 0;
@@ -333,7 +332,7 @@
             String elementName = name + "[" + index++ + "]";
             JsonFields inner = of(element, key(elementName), source);
             if (inner == null) {
-                report(elementName, "is not an object: " + ConfigProblem.shown(element), null);
+                report(elementName, "is not an object: " + ConfigProblem.format(element), null);
             } else {
                 objects.add(inner);
             }
@@ -342,8 +341,8 @@
     }
 
     /**
-     * The reader that has read the large list under a key: the one that read it from the stream of the file,
-     * or a new one, which reads it now, if the list is in memory.
+     * Returns the reader that has read the large list of a key: either the reader that read it while the file was
+     * parsed, or a new reader that reads it here, if the list is in memory.
      */
     <R extends ListReader> R largeList(String name, Class<R> type, Supplier<R> newReader) {
         if (type.isInstance(map.get(name))) {
@@ -360,19 +359,19 @@
         return reader;
     }
 
-    /** Passes an element of a large list to its reader. */
+    /** Passes an element of a large list to its reader; reports an element that is not an object. */
     static void read(Object element, String path, SettingsSource source, int index, ListReader reader) {
         JsonFields fields = of(element, path, source);
         if (fields != null) {
             reader.read(index, fields);
             return;
         }
-        String shown = ConfigProblem.shown(element);
-        String problem = "is not an object: " + shown;
+        String text = ConfigProblem.format(element);
+        String problem = "is not an object: " + text;
         if (source == null) {
-            throw new InvalidValueException(new ConfigProblem(null, 0, path, shown, null, path + " " + problem));
+            throw new InvalidValueException(new ConfigProblem(null, 0, path, text, null, path + " " + problem));
         }
-        source.report(path, shown, null, problem);
+        source.report(path, text, null, problem);
     }
 
     /** Creates the exception for a fault of a key; {@code problem} continues a sentence that begins with the key. */
@@ -380,7 +379,7 @@
         return invalidValue(name, problem, null);
     }
 
-    /** Reports every other key, since a misspelt key must not count as an absent one. */
+    /** Reports every other key, since a misspelt optional key would otherwise be ignored. */
     public void requireKnownKeys(Set<String> keys) {
         for (String name : keys()) {
             if (!keys.contains(name)) {
--- a/server/src/main/java/wheatspread/config/JsonFile.java
+++ b/server/src/main/java/wheatspread/config/JsonFile.java
@@ -24,22 +24,22 @@
 
 /**
  * Parses a settings file: JSON with comments, trailing commas and unquoted names. A duplicate key is a fault,
- * since one of the two would be ignored. The file is parsed as a stream: its large lists go element by element
- * to their {@link ListReader}, and only the rest becomes a tree of maps, whose size is bounded.
+ * since one of the two values would be ignored. The file is parsed as a stream: its large lists are passed element by
+ * element to their {@link ListReader}, and only the rest becomes a tree of maps of limited size.
  */
 public final class JsonFile {
     static final long MAX_FILE_BYTES = 16L << 20;
-    /** The longest text; the parser rejects a longer one before its key is known. */
+    /** The maximum length of a text; the parser rejects a longer text before its key is known. */
     private static final int MAX_TEXT_CHARS = 128 << 10;
 
     private static final int MAX_KEY_CHARS = 1_024;
     /**
-     * The largest tree of maps, as estimated: that of the file without its large lists, and that of one
-     * element of such a list.
+     * The maximum estimated memory of a tree of maps: of the file without its large lists, and of a single element of
+     * such a list.
      */
     private static final int MAX_TREE_BYTES = 4 << 20;
-    /** The memory of a value in the tree besides its text: entry, path and line; rounded up. */
-    private static final int VALUE_BYTES = 128;
+    /** The estimated memory of a value in the tree without its text: entry, path and line; rounded up. */
+    private static final int VALUE_OVERHEAD_BYTES = 128;
 
     private static final JsonFactory FACTORY = new JsonFactoryBuilder()
             .enable(JsonReadFeature.ALLOW_JAVA_COMMENTS)
@@ -67,17 +67,18 @@
         this.lists = lists;
     }
 
-    /** Parses the object in a file; its faults name file, line and key. */
+    /** Parses the JSON object in a file; faults name file, line and key. */
     public static JsonFields read(Path file) {
         return read(file, Map.of());
     }
 
-    /** The same, where new readers read the large lists under the keys of {@code lists}. */
+    /** Parses a file whose large lists, given by their keys, are read by new readers from {@code lists}. */
     static JsonFields read(Path file, Map<String, Supplier<? extends ListReader>> lists) {
         try {
             BasicFileAttributes before = Files.readAttributes(file, BasicFileAttributes.class);
             if (before.size() > MAX_FILE_BYTES) {
-                throw new JsonFields.InvalidValueException(file + " is longer than " + MAX_FILE_BYTES + " bytes");
+                throw new JsonFields.InvalidValueException(
+                        file + " has " + before.size() + " bytes; allowed are up to " + MAX_FILE_BYTES);
             }
             JsonFields fields;
             try (Reader text = Files.newBufferedReader(file)) {
@@ -87,13 +88,13 @@
             return fields;
         } catch (IOException e) {
             throw new JsonFields.InvalidValueException(file + " cannot be read: "
-                    + (e instanceof NoSuchFileException ? "there is no such file" : e.toString()));
+                    + (e instanceof NoSuchFileException ? "the file does not exist" : e.toString()));
         } catch (OutOfMemoryError e) {
             throw JsonFields.InvalidValueException.outOfMemory(file.toString());
         }
     }
 
-    /** The same for a text in memory; {@code name} takes the place of the file in messages. */
+    /** Parses a text in memory; {@code name} replaces the file name in messages. */
     public static JsonFields read(String name, String text) {
         try {
             return parse(name, new StringReader(text), Map.of());
@@ -102,14 +103,14 @@
         }
     }
 
-    /** Fails if the file was written while it was read: the result may be half the old and half the new one. */
+    /** Fails if the file changed while it was read, since the result may mix the old and the new content. */
     private static void requireUnchanged(Path file, BasicFileAttributes before) throws IOException {
         BasicFileAttributes after = Files.readAttributes(file, BasicFileAttributes.class);
         boolean sameFile = before.isRegularFile() && Objects.equals(before.fileKey(), after.fileKey());
         if (sameFile
                 && (before.size() != after.size() || !before.lastModifiedTime().equals(after.lastModifiedTime()))) {
             throw new JsonFields.InvalidValueException(
-                    file + " was changed while it was read; write it aside and rename it");
+                    file + " was changed while it was read; write changes to another file and rename that");
         }
     }
 
@@ -122,8 +123,8 @@
             }
             Map<String, Object> map = new JsonFile(parser, source, lists).object("");
             if (parser.nextToken() != null) {
-                throw new JsonFields.InvalidValueException(
-                        name + ":" + parser.currentTokenLocation().getLineNr() + ": something follows the object");
+                throw new JsonFields.InvalidValueException(name + ":"
+                        + parser.currentTokenLocation().getLineNr() + ": unexpected text after the JSON object");
             }
             return JsonFields.of(map, source);
         } catch (JsonProcessingException e) {
@@ -188,23 +189,25 @@
 
     private String text() throws IOException {
         String text = parser.getText();
-        charge(text.length());
+        addTreeBytes(text.length());
         return text;
     }
 
     private void recordKey(String key) {
-        charge(VALUE_BYTES + key.length());
+        addTreeBytes(VALUE_OVERHEAD_BYTES + key.length());
         source.recordLine(key, parser.currentTokenLocation().getLineNr());
     }
 
-    /** Adds to the size of the tree. */
-    private void charge(int bytes) {
+    /** Adds to the estimated size of the tree and fails if it exceeds {@link #MAX_TREE_BYTES}. */
+    private void addTreeBytes(int bytes) {
         treeBytes += bytes;
         if (treeBytes > MAX_TREE_BYTES) {
             throw new JsonFields.InvalidValueException(source.file() + ":"
-                    + parser.currentTokenLocation().getLineNr() + ": the settings take over " + MAX_TREE_BYTES
-                    + " bytes up to here; only "
-                    + (lists.isEmpty() ? "other files" : String.join(", ", lists.keySet())) + " may be large");
+                    + parser.currentTokenLocation().getLineNr() + ": the settings up to this line need more than "
+                    + MAX_TREE_BYTES
+                    + " bytes of memory; only "
+                    + (lists.isEmpty() ? "lists of other files" : String.join(", ", lists.keySet()))
+                    + " may need more");
         }
     }
 }
--- a/server/src/main/java/wheatspread/config/LifeConfig.java
+++ b/server/src/main/java/wheatspread/config/LifeConfig.java
@@ -5,16 +5,16 @@
 import java.util.Set;
 
 /**
- * What a supervisor needs from a process. Paths are null if nothing is to be written.
+ * The settings of the server process for its supervisor. The path of a file that is not written is null.
  *
- * @param readyFile exists from the moment the server is healthy until it starts to drain
- * @param lockFile is locked while the process runs and holds its process id; a second process ends at once
- * @param reportFile gets the report of the graceful shutdown
- * @param kernelTimeoutMicros how long the kernel may take to come up before the process ends, in microseconds; 0 for no
- *     limit
+ * @param readyFile a file that exists while the server is healthy and not draining
+ * @param lockFile a file that is locked while the process runs and contains its process id; a second process exits
+ * @param reportFile a file for the report of the graceful shutdown
+ * @param kernelTimeoutMicros the time limit for the kernel to become ready, after which the process exits, in
+ *     microseconds; 0 for no limit
  */
 public record LifeConfig(Path readyFile, Path lockFile, Path reportFile, long kernelTimeoutMicros) {
-    /** The defaults, which hold on the platform. */
+    /** The defaults, which apply on the platform. */
     public static final LifeConfig DEFAULT = new LifeConfig(null, null, null, 0);
 
     static LifeConfig read(JsonFields fields) {
@@ -31,11 +31,11 @@
         try {
             return text.isEmpty() ? null : Path.of(text);
         } catch (InvalidPathException e) {
-            return fields.report(key, "is no path: " + text, null);
+            return fields.report(key, "is not a valid path: " + text, null);
         }
     }
 
-    /** These settings with the overrides of the command line; null for no override. */
+    /** Returns these settings with the overrides of the command line; null for no override. */
     public LifeConfig with(Path ready, Path lock, Path report) {
         return new LifeConfig(
                 ready == null ? readyFile : ready,
--- a/server/src/main/java/wheatspread/config/ListReader.java
+++ b/server/src/main/java/wheatspread/config/ListReader.java
@@ -1,13 +1,13 @@
 package wheatspread.config;
 
 /**
- * Converts a list that may be large into its final form, element by element, so that only one element at a
- * time is in memory as it was parsed. A reader reads one list.
+ * Converts a large list to its final form element by element, so that the parsed form of only one element is in memory.
+ * Each reader reads a single list.
  */
 interface ListReader {
-    /** How many elements the list may have. */
+    /** Returns the maximum number of elements. */
     int maxElements();
 
-    /** Reads the next element, which must not be kept; nor must the lines of its problems. */
+    /** Reads the next element. Neither the element nor the lines of its faults may be kept after the call. */
     void read(int index, JsonFields element);
 }
--- a/server/src/main/java/wheatspread/config/LogConfig.java
+++ b/server/src/main/java/wheatspread/config/LogConfig.java
@@ -4,11 +4,11 @@
 import java.util.Set;
 
 /**
- * How the log is written.
+ * The format, the level and the rate limit of the log.
  *
- * @param json whether lines are JSON objects or text
- * @param level the lowest level that is written
- * @param maxRepeats how many events of one name are written within the window; 0 for all
+ * @param json true for lines of JSON, false for lines of text
+ * @param level the lowest level that is logged
+ * @param maxRepeats the maximum number of events of one name within the window; 0 for no limit
  * @param repeatWindowMicros the length of the window in microseconds
  */
 public record LogConfig(boolean json, String level, int maxRepeats, long repeatWindowMicros) {
--- a/server/src/main/java/wheatspread/config/MembershipConfig.java
+++ b/server/src/main/java/wheatspread/config/MembershipConfig.java
@@ -8,11 +8,11 @@
 import wheatspread.peers.PeerAddress;
 
 /**
- * The operator's file, the part on cluster membership, which is off if its key is absent. No address has a
- * default.
+ * The settings of cluster membership in the operator's file. Membership is disabled if its key is absent. Addresses
+ * have no defaults.
  *
- * @param cluster the name of the cluster; messages from others are ignored
- * @param advertise where other servers reach this one
+ * @param cluster the name of the cluster; messages of other clusters are ignored
+ * @param advertise the address at which other servers reach this server
  * @param seeds the advertised addresses of the servers that bootstrap the cluster and answer join requests
  * @param zone the availability zone of this server; empty for none
  */
@@ -24,12 +24,15 @@
         fields.requireKnownKeys(Set.of("cluster", "listen", "advertise", "seeds", "zone"));
         String cluster = text(fields, "cluster", fields.text("cluster"));
         if (cluster.isBlank() && fields.has("cluster")) {
-            fields.report("cluster", "is empty; give the fleet a name", null);
+            fields.report("cluster", "is blank; expected the name of the cluster", null);
         }
         String listen = address(fields, "listen", fields.text("listen"));
         boolean anyAddress = listen.startsWith("0.0.0.0:");
         if (anyAddress && !fields.has("advertise")) {
-            fields.report("advertise", "is missing; with listen on all addresses it says which one others use", null);
+            fields.report(
+                    "advertise",
+                    "is missing; it is required if listen is 0.0.0.0, and names the address for other servers",
+                    null);
         }
         String advertise = anyAddress || fields.has("advertise")
                 ? address(fields, "advertise", fields.text("advertise", listen))
@@ -38,9 +41,9 @@
         if (seeds.isEmpty() || seeds.size() > Membership.MAX_SEEDS || new HashSet<>(seeds).size() < seeds.size()) {
             fields.report(
                     "seeds",
-                    "holds " + seeds.size() + " addresses; allowed are 1 to "
+                    "has " + seeds.size() + " addresses; allowed are 1 to "
                             + Membership.MAX_SEEDS
-                            + " different ones, best 3 or 5",
+                            + " different addresses, recommended are 3 or 5",
                     null);
         }
         seeds.forEach(seed -> address(fields, "seeds", seed));
@@ -51,16 +54,16 @@
     private static String text(JsonFields fields, String key, String text) {
         return text.length() <= MAX_TEXT_CHARS
                 ? text
-                : fields.report(key, "has " + text.length() + " characters; allowed are " + MAX_TEXT_CHARS, "");
+                : fields.report(key, "has " + text.length() + " characters; allowed are up to " + MAX_TEXT_CHARS, "");
     }
 
-    /** Host names are not resolved: that would block the event loop. */
+    /** Checks an address. Host names are rejected, since resolving them would block the event loop. */
     private static String address(JsonFields fields, String key, String text) {
         if (PeerAddress.isValid(text)) {
             return text;
         }
         return fields.has(key)
-                ? fields.report(key, "is no IPv4 address and port, as 10.0.0.7:7400: " + text, "127.0.0.1:1")
+                ? fields.report(key, "is not an IPv4 address and port such as 10.0.0.7:7400: " + text, "127.0.0.1:1")
                 : "127.0.0.1:1";
     }
 }
--- a/server/src/main/java/wheatspread/config/OperatorConfig.java
+++ b/server/src/main/java/wheatspread/config/OperatorConfig.java
@@ -9,17 +9,19 @@
 import wheatspread.scheduling.IterationBudget;
 
 /**
- * The operator's file: the uwsgi protocol, limits of connections, and the budget of event-loop iterations.
- * What is absent has its default. Times are microseconds here and milliseconds in the file.
+ * The settings in the operator's file: the uwsgi protocol, the limits of connections, the budget of event-loop
+ * iterations, and the process. Absent keys have defaults. Times are in microseconds here and in milliseconds in the
+ * file.
  *
- * @param uwsgi null if the uwsgi protocol is off
- * @param maxConnections of all protocols together; 0 for as many as the descriptors allow
+ * @param uwsgi the settings of the uwsgi protocol; null if it is disabled
+ * @param maxConnections the maximum number of client connections of all protocols; 0 for the number that the
+ *     descriptors allow
  * @param connections the limits of every protocol's connections, except for their number
  * @param iterationBudget the budget of an event-loop iteration
  * @param transport {@code nio}, {@code epoll} or {@code auto}
- * @param reportSeconds how often counters are logged; 0 for at the end only
- * @param stats whether the method {@code stats} is on
- * @param membership null if this server is in no cluster
+ * @param reportSeconds the interval at which counters are logged, in seconds; 0 to log them only at the end
+ * @param stats whether the method {@code stats} is enabled
+ * @param membership the settings of cluster membership; null if it is disabled
  */
 public record OperatorConfig(
         UwsgiConfig uwsgi,
@@ -32,7 +34,7 @@
         LifeConfig life,
         boolean stats,
         MembershipConfig membership) {
-    /** The defaults, which hold without a file, as on the platform. */
+    /** The defaults, which apply without a file, as on the platform. */
     public static final OperatorConfig DEFAULT = new OperatorConfig(
             null,
             0,
@@ -45,16 +47,16 @@
             false,
             null);
 
-    private static final Map<String, Rejection> REFUSALS =
+    private static final Map<String, Rejection> REJECTIONS =
             Map.of("close", Rejection.CLOSE, "reset", Rejection.RESET, "answer", Rejection.ANSWER);
     private static final Map<String, String> TRANSPORTS = Map.of("nio", "nio", "epoll", "epoll", "auto", "auto");
 
-    /** Reads and checks a file; {@code site} is the deployment that it names classes and tenants of. */
+    /** Reads and checks a file; {@code site} is the deployment that defines its request classes and tenants. */
     public static OperatorConfig readFile(Path file, DeploymentSettings site) {
         return read(fields(file, site), site);
     }
 
-    /** The fields of the file; {@code site} may be null. */
+    /** Returns the fields of the file; {@code site} may be null, so that names are not checked. */
     static JsonFields fields(Path file, DeploymentSettings site) {
         return JsonFile.read(file, Map.of("uwsgi.routes", () -> new RouteReader(site)));
     }
@@ -106,7 +108,7 @@
                 fields.micros("to_speak_ms", defaults.evictionGraceMicros(), 0),
                 fields.integer("max_partial_kb", (int) (defaults.maxPartialBytes() >> 10), 64, 1 << 20) * 1024L,
                 fields.integer("max_waiting_kb", (int) (defaults.maxPendingWriteBytes() >> 10), 256, 1 << 20) * 1024L,
-                fields.oneOf("refused", REFUSALS, defaults.rejection()));
+                fields.oneOf("refused", REJECTIONS, defaults.rejection()));
     }
 
     private static IterationBudget iterationBudget(JsonFields fields) {
@@ -123,7 +125,7 @@
                 fields.integer("expiring", defaults.maxExpirations(), 1, 100_000));
     }
 
-    /** The limits of uwsgi connections. */
+    /** Returns the limits of uwsgi connections; there must be settings of the uwsgi protocol. */
     public ConnectionLimits uwsgiLimits() {
         ConnectionLimits common = connections;
         return new ConnectionLimits(
@@ -141,7 +143,7 @@
                 common.rejection());
     }
 
-    /** This configuration with other settings for the process and for {@code stats}. */
+    /** Returns this configuration with other settings for the process and for {@code stats}. */
     public OperatorConfig with(LifeConfig otherLife, boolean otherStats) {
         return new OperatorConfig(
                 uwsgi,
--- a/server/src/main/java/wheatspread/config/RouteReader.java
+++ b/server/src/main/java/wheatspread/config/RouteReader.java
@@ -12,12 +12,12 @@
 import wheatspread.core.DeploymentSettings;
 
 /**
- * Reads the list of routes. A route inherits what it leaves out from the defaults of the protocol, which may
- * come after the routes in the file, so routes are completed once the whole file has been read.
+ * Reads the list of routes. A route inherits absent keys from the defaults of the protocol, which may follow the routes
+ * in the file, so routes are completed after the whole file has been read.
  */
 final class RouteReader implements ListReader {
     private static final int MAX_ROUTES = 1 << 16;
-    private static final int MAX_SHOWN_NAMES = 8;
+    private static final int MAX_LISTED_NAMES = 8;
     private static final Set<String> KEYS =
             Set.of("match", "path", "class", "tenant", "limit_ms", "cpu_ms", "ram_kb", "routes");
     private static final Map<String, Match> MATCHES = Map.of(
@@ -31,7 +31,7 @@
             Match.REGEX,
             "regex_any_case",
             Match.REGEX_ANY_CASE);
-    /** Marks what a route leaves out. */
+    /** Marks a value that a route does not set. */
     private static final int INHERITED = -2;
 
     private static final Defaults ALL_INHERITED = new Defaults(INHERITED, INHERITED, INHERITED, INHERITED, INHERITED);
@@ -39,7 +39,7 @@
     private final DeploymentSettings site;
     private final List<Route> routes = new ArrayList<>();
 
-    /** {@code site} may be null: names of classes and tenants are not checked then. */
+    /** If {@code site} is null, names of request classes and tenants are not checked. */
     RouteReader(DeploymentSettings site) {
         this.site = site;
     }
@@ -74,18 +74,20 @@
                 default -> null;
             };
         } catch (PatternSyntaxException e) {
-            return fields.report("path", "is no regular expression: " + e.getDescription() + ": " + path, null);
+            return fields.report(
+                    "path", "is not a valid regular expression: " + e.getDescription() + ": " + path, null);
         } catch (StackOverflowError e) {
-            return fields.report("path", "is a regular expression with too many brackets in brackets", null);
+            return fields.report(
+                    "path", "is a regular expression that is nested too deeply: " + ConfigProblem.format(path), null);
         }
     }
 
-    /** How many routes there are, not counting nested ones. */
+    /** Returns the number of routes, without nested ones. */
     int size() {
         return routes.size();
     }
 
-    /** The routes, completed by the defaults that they inherit. */
+    /** Returns the routes with inherited values filled in. */
     List<Route> routes(Defaults inherited) {
         return complete(routes, inherited);
     }
@@ -109,7 +111,7 @@
                 fields.memoryKb() == INHERITED ? inherited.memoryKb() : fields.memoryKb());
     }
 
-    /** Reads the defaults of missing parameters; absent keys are inherited. */
+    /** Reads the defaults of absent request parameters; absent keys are inherited. */
     static Defaults defaults(JsonFields fields, Defaults inherited, DeploymentSettings site) {
         return new Defaults(
                 index(fields, "class", site == null ? null : site.classes(), inherited.requestClass()),
@@ -117,11 +119,13 @@
                 fields.has("limit_ms")
                         ? fields.integer("limit_ms", 0, 0, 3_600_000) * 1000L
                         : inherited.timeoutMicros(),
-                fields.has("cpu_ms") ? Math.round(positive(fields, "cpu_ms") * 1000) : inherited.expectedWorkMicros(),
-                fields.has("ram_kb") ? positive(fields, "ram_kb") : inherited.memoryKb());
+                fields.has("cpu_ms")
+                        ? Math.round(nonNegative(fields, "cpu_ms") * 1000)
+                        : inherited.expectedWorkMicros(),
+                fields.has("ram_kb") ? nonNegative(fields, "ram_kb") : inherited.memoryKb());
     }
 
-    private static double positive(JsonFields fields, String key) {
+    private static double nonNegative(JsonFields fields, String key) {
         double value = fields.number(key);
         return value >= 0 && value < 1e6
                 ? value
@@ -135,12 +139,12 @@
         int index = names.indexOf(fields.text(key));
         return index >= 0
                 ? index
-                : fields.report(key, "is none of " + shown(names) + ": " + fields.text(key), defaultIndex);
+                : fields.report(key, "is none of " + listedNames(names) + ": " + fields.text(key), defaultIndex);
     }
 
-    private static String shown(List<String> names) {
-        return names.size() <= MAX_SHOWN_NAMES
+    private static String listedNames(List<String> names) {
+        return names.size() <= MAX_LISTED_NAMES
                 ? names.toString()
-                : names.subList(0, MAX_SHOWN_NAMES) + " and " + (names.size() - MAX_SHOWN_NAMES) + " more";
+                : names.subList(0, MAX_LISTED_NAMES) + " and " + (names.size() - MAX_LISTED_NAMES) + " more";
     }
 }
--- a/server/src/main/java/wheatspread/config/ServerConfig.java
+++ b/server/src/main/java/wheatspread/config/ServerConfig.java
@@ -9,16 +9,16 @@
 
 /**
  * The platform's settings of a server: addresses, limits, the seed, and the request classes and tenants of its
- * deployment. What a deployment may leave out, and what its absence means, is in
- * {@code docs/design/deployments.md}.
+ * deployment. {@code docs/design/deployments.md} lists the optional settings of a deployment and the meaning of their
+ * absence.
  *
- * @param records where the records service is; null if the deployment has none, since no class calls it
- * @param announce where the announce service is; null if the deployment has none
- * @param control where the operators' endpoint listens ({@code control}, {@code GW_CONTROL}); null for none
+ * @param records the address of the records service; null if the deployment has none because no class calls it
+ * @param announce the address of the announce service; null if the deployment has none
+ * @param control the address of the operators' endpoint ({@code control}, {@code GW_CONTROL}); null for none
  * @param inheritedDescriptor the descriptor of an inherited listening socket for {@code listen}
- *     ({@code GW_INHERITED_FD}); -1 if the server binds its own
+ *     ({@code GW_INHERITED_FD}); -1 if the server binds the socket itself
  * @param sharedDirectory the directory in which the processes of an upgrade share the idempotency keys that either ran
- *     ({@code sharedDirectory}; {@code $TMPDIR} if a socket is inherited); null for none
+ *     ({@code shared}; {@code $TMPDIR} if a socket is inherited); null for none
  */
 public record ServerConfig(
         String name,
@@ -34,20 +34,21 @@
         int inheritedDescriptor,
         Path sharedDirectory) {
     private static final int DEFAULT_STOP_MS = 3_000;
-    private static final int DEFAULT_SOCKETS = 1_024;
+    private static final int DEFAULT_MAX_SOCKETS = 1_024;
     /** The key that {@code GW_INHERITED_FD} overrides. */
-    static final String INHERITED = "inherited_fd";
+    static final String INHERITED_DESCRIPTOR_KEY = "inherited_fd";
 
     /** Reads the file that {@code GW_CONFIG} names; {@code GW_NAME} and {@code GW_LISTEN} override it. */
     public static ServerConfig fromEnvironment(Map<String, String> environment) {
         String file = environment.get("GW_CONFIG");
         if (file == null) {
-            throw new JsonFields.InvalidValueException("GW_CONFIG is missing from the environment");
+            throw new JsonFields.InvalidValueException(
+                    "GW_CONFIG is missing from the environment; expected the path of the platform's settings file");
         }
         return read(fields(Path.of(file), environment));
     }
 
-    /** The fields of the file, with those that the environment overrides. */
+    /** Returns the fields of the file with the overrides of the environment. */
     static JsonFields fields(Path file, Map<String, String> environment) {
         JsonFields fields =
                 JsonFile.read(file, Map.of("settings." + SettingsReader.TENANTS, () -> new TenantReader(true)));
@@ -60,7 +61,7 @@
         String inherited = environment.get("GW_INHERITED_FD");
         if (inherited != null) {
             Object fd = inherited.strip().matches("\\d{1,9}") ? (Object) Integer.valueOf(inherited.strip()) : inherited;
-            fields.override(INHERITED, fd, "GW_INHERITED_FD");
+            fields.override(INHERITED_DESCRIPTOR_KEY, fd, "GW_INHERITED_FD");
             String tmp = environment.get("TMPDIR");
             if (tmp != null && !tmp.isBlank() && !fields.has("shared")) {
                 fields.override("shared", Path.of(tmp, "wheatspread-shared").toString(), "TMPDIR");
@@ -69,7 +70,7 @@
         return fields;
     }
 
-    /** This configuration with the addresses of kernel, records service and announce service of another one. */
+    /** Returns this configuration with the addresses of kernel, records and announce service of another one. */
     public ServerConfig withAddressesOf(ServerConfig other) {
         return new ServerConfig(
                 name,
@@ -87,8 +88,8 @@
     }
 
     /**
-     * Checks the file of a reload: it must not lack the address of a service that the server uses, although
-     * the address is optional at the start.
+     * Checks the file of a reload: it must contain the address of every service that the server uses, although the
+     * address is optional at the start.
      */
     public void requireNoServiceRemoved(ServerConfig next) {
         requireNotRemoved("records", records, next.records);
@@ -97,7 +98,8 @@
 
     private static void requireNotRemoved(String key, InetSocketAddress before, InetSocketAddress after) {
         if (before != null && after == null) {
-            throw new JsonFields.InvalidValueException(key + " is missing, and this server has used " + before);
+            throw new JsonFields.InvalidValueException(key + " is missing; this server uses the service at " + before
+                    + ", which a reload must not remove");
         }
     }
 
@@ -113,35 +115,35 @@
                 addressOrNone(fields, "announce"),
                 seed(fields),
                 fields.integer("stop_ms", DEFAULT_STOP_MS, 100, 600_000) * 1000L,
-                limits.integer("sockets", DEFAULT_SOCKETS, 64, 1 << 20),
+                limits.integer("sockets", DEFAULT_MAX_SOCKETS, 64, 1 << 20),
                 site,
                 addressOrNone(fields, "control"),
-                fields.integer(INHERITED, -1, -1, 1 << 20),
+                fields.integer(INHERITED_DESCRIPTOR_KEY, -1, -1, 1 << 20),
                 fields.has("shared") ? Path.of(fields.text("shared")) : null);
         fields.throwIfInvalid();
         return config;
     }
 
-    /** The deployment's settings alone, for the checks of the operator's file; null if they are faulty. */
+    /** Returns only the deployment's settings, for the checks of the operator's file; null if they have a fault. */
     static DeploymentSettings siteOf(JsonFields fields) {
         try {
             return fields.has("settings") ? site(fields.object("settings", false)) : null;
         } catch (IllegalArgumentException e) {
-            return null; // the whole file is read next, which reports the faults
+            return null; // the caller has the faults from reading the whole file
         }
     }
 
     private static DeploymentSettings site(JsonFields settings) {
         TenantReader tenants =
                 settings.largeList(SettingsReader.TENANTS, TenantReader.class, () -> new TenantReader(true));
-        settings.summary(SettingsReader.TENANTS, tenants.summary());
+        settings.recordSummary(SettingsReader.TENANTS, tenants.summary());
         DeploymentSettings site = new DeploymentSettings(
                 SettingsReader.read(settings, tenants),
                 SettingsReader.names(settings, "Lanes"),
                 tenants.names(),
                 SettingsReader.gauges(settings));
         if (site.classes().isEmpty()) {
-            settings.report("Lanes", "names no class of requests", null);
+            settings.report("Lanes", "is empty; expected at least one request class", null);
         }
         return site;
     }
@@ -154,7 +156,7 @@
         }
     }
 
-    /** The records service's address, which is required if a class of the deployment calls it. */
+    /** Returns the address of the records service, which is required if a class of the deployment calls it. */
     private static InetSocketAddress records(JsonFields fields, DeploymentSettings site) {
         boolean calls = site.settings().dependency().kind() != DependencyKind.NONE
                 && site.settings().classes().stream().anyMatch(RequestClass::callsDependency);
@@ -165,7 +167,7 @@
         return fields.has(key) ? address(fields, key) : null;
     }
 
-    /** An address as {@code host:port}; the host is an IP address, since there is no DNS. */
+    /** Returns an address given as {@code host:port}; the host is an IP address, since there is no DNS. */
     static InetSocketAddress address(JsonFields fields, String key) {
         String text = fields.text(key);
         int colon = text.lastIndexOf(':');
--- a/server/src/main/java/wheatspread/config/SettingsReader.java
+++ b/server/src/main/java/wheatspread/config/SettingsReader.java
@@ -13,7 +13,7 @@
 import wheatspread.admission.RequestClass;
 import wheatspread.admission.ServerLimits;
 
-/** Reads the settings of admission, which are the same in the simulator's messages and in a server's file. */
+/** Reads the admission settings, which have the same form in the simulator's messages and in a server's file. */
 public final class SettingsReader {
     private static final Map<String, Idempotency> IDEMPOTENCY = Map.of(
             "idempotent",
@@ -41,12 +41,12 @@
 
     private SettingsReader() {}
 
-    /** The settings in a message, whose tenants have no names. */
+    /** Reads the settings in a message, where tenants have no names. */
     public static AdmissionSettings read(JsonFields info) {
         return read(info, info.largeList(TENANTS, TenantReader.class, () -> new TenantReader(false)));
     }
 
-    /** The settings with tenants that have been read already. */
+    /** Reads the settings except for the tenants, which have been read already. */
     static AdmissionSettings read(JsonFields info, TenantReader tenants) {
         JsonFields family = info.object("FamilyInfo", false);
         JsonFields rules = info.object("Rules", false);
@@ -103,24 +103,24 @@
                 classFields.number("Worth", 1),
                 classFields.number("LateWorth", 0),
                 classFields.millisAsMicros("Window", 0),
-                nth(family, "ClassCalls", index) == Boolean.TRUE,
-                nth(family, "ClassSkipWorth", index) instanceof Number n ? n.doubleValue() : 0);
+                elementOrNull(family, "ClassCalls", index) == Boolean.TRUE,
+                elementOrNull(family, "ClassSkipWorth", index) instanceof Number n ? n.doubleValue() : 0);
     }
 
-    private static Object nth(JsonFields fields, String name, int index) {
+    private static Object elementOrNull(JsonFields fields, String name, int index) {
         List<Object> list = fields.list(name);
         return index < list.size() ? list.get(index) : null;
     }
 
-    /** The names of the gauges, in the order in which readings come. */
+    /** Returns the names of the gauges, in the order of their readings. */
     public static List<String> gauges(JsonFields info) {
         List<String> names = new ArrayList<>();
         info.object("FamilyInfo", false).list("Gauges").forEach(gauge -> names.add(String.valueOf(gauge)));
         return names;
     }
 
-    /** The names listed under a key, as those of classes are. */
-    static List<String> names(JsonFields info, String list) {
-        return info.objects(list).stream().map(element -> element.text("Name")).toList();
+    /** Returns the names of the objects in a list, such as the request classes. */
+    static List<String> names(JsonFields info, String key) {
+        return info.objects(key).stream().map(element -> element.text("Name")).toList();
     }
 }
--- a/server/src/main/java/wheatspread/config/SettingsSource.java
+++ b/server/src/main/java/wheatspread/config/SettingsSource.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 
 /**
- * The file that settings come from: the line of each key, the faults found, and the settings that hold with
- * their origins. A whole file is read before its faults are thrown, so that all of them are. In a large list,
- * the lines of an element are known while it is read, and only the first elements are recorded as settings.
+ * The source file of settings: the line of each key, the faults, and the effective settings with their origins. The
+ * whole file is read before its faults are thrown, so that they are reported together. The lines of an element of a
+ * large list are known only while it is read, and only the first elements of the list are recorded as settings.
  */
 public final class SettingsSource {
-    /** How many elements of a large list are recorded one by one. */
+    /** The maximum number of elements of a large list that are recorded as settings. */
     static final int MAX_RECORDED_ELEMENTS = 32;
-    /** A longer message is cut. */
+    /** Longer messages are truncated. */
     private static final int MAX_MESSAGE_CHARS = 1_000;
 
     private final String file;
@@ -21,25 +21,25 @@
     private final Map<String, Integer> elementLines = new HashMap<>();
     private final ConfigProblems problems = new ConfigProblems();
     private final Map<String, Setting> settings = new LinkedHashMap<>();
-    /** By key, the variable or option whose value replaces that of the file. */
+    /** The environment variable or option that overrides the file, by key. */
     private final Map<String, String> overrides = new LinkedHashMap<>();
 
     private boolean inElement;
     private boolean recording = true;
 
-    /** One value that holds, and where it comes from: {@code FILE:LINE}, a variable, or {@code default}. */
+    /** An effective value and its origin: {@code FILE:LINE}, an environment variable, or {@code default}. */
     public record Setting(String key, Object value, String origin) {}
 
     SettingsSource(String file) {
         this.file = file;
     }
 
-    /** The name of the file, as it was given. */
+    /** Returns the name of the file as it was given. */
     public String file() {
         return file;
     }
 
-    /** The keys from now on belong to an element of a large list. */
+    /** Begins an element of a large list, to which the following keys belong. */
     void beginElement(int index) {
         inElement = true;
         recording = index < MAX_RECORDED_ELEMENTS;
@@ -52,23 +52,23 @@
         elementLines.clear();
     }
 
-    /** Records the line that a key is on. */
+    /** Records the line of a key. */
     void recordLine(String key, int line) {
         (inElement ? elementLines : lines).put(key, line);
     }
 
-    /** Records that a variable or an option replaces the value of a key. */
+    /** Records that an environment variable or an option overrides a key. */
     void recordOverride(String key, String origin) {
         overrides.put(key, origin);
     }
 
-    /** The line that a key is on; 0 if it is not known. */
+    /** Returns the line of a key; 0 if it is unknown. */
     int line(String key) {
         Integer line = elementLines.get(key);
         return line == null ? lines.getOrDefault(key, 0) : line;
     }
 
-    /** The location of a key, or of the nearest enclosing object that is in the file. */
+    /** Returns the location of a key, or of the nearest enclosing object that is in the file. */
     String location(String key) {
         if (overrides.containsKey(key)) {
             return overrides.get(key);
@@ -99,21 +99,21 @@
         problems.add(new ConfigProblem(file, nearestLine(key), key, value, allowed, message));
     }
 
-    /** Whether what is read now is to be recorded as a setting that holds. */
+    /** Returns whether settings are recorded; false for later elements of a large list. */
     boolean recordsSettings() {
         return recording;
     }
 
-    void recordSetting(String key, Object value, boolean given) {
-        settings.put(key, new Setting(key, value, given ? location(key) : "default"));
+    void recordSetting(String key, Object value, boolean isInFile) {
+        settings.put(key, new Setting(key, value, isInFile ? location(key) : "default"));
     }
 
-    /** The messages of the faults; of very many the first ones. */
+    /** Returns the messages of the first {@link ConfigProblems#MAX_KEPT} faults. */
     public List<String> messages() {
         return problems.messages();
     }
 
-    /** The settings that hold, in the order in which they were read. */
+    /** Returns the effective settings, in the order in which they were read. */
     public List<Setting> settings() {
         return List.copyOf(settings.values());
     }
--- a/server/src/main/java/wheatspread/config/TenantReader.java
+++ b/server/src/main/java/wheatspread/config/TenantReader.java
@@ -5,9 +5,9 @@
 import wheatspread.admission.TenantList;
 import wheatspread.core.NameTable;
 
-/** Reads the list of tenants, the quotas into one array and the names into one table. */
+/** Reads the list of tenants into an array of quotas and a table of names. */
 final class TenantReader implements ListReader {
-    /** The longest name, in bytes of UTF-8. */
+    /** The maximum length of a name in UTF-8. */
     static final int MAX_NAME_BYTES = 1_024;
 
     private static final double MAX_QUOTA_PER_SECOND = 1e9;
@@ -17,14 +17,14 @@
     private final NameTable.Builder names = new NameTable.Builder();
     private double[] quotas = new double[8];
     private int size;
-    /** By name, the element that it was read from and the line of that element. */
+    /** The index of the element that a name was read from, by index of the name; {@link #lines} has its line. */
     private int[] elements = new int[8];
 
     private int[] lines = new int[8];
-    private int distinct;
+    private int nameCount;
     private NameTable built;
 
-    /** {@code named} is whether tenants have names: in the simulator's messages they have none. */
+    /** {@code named} is false for the simulator's messages, where tenants have no names. */
     TenantReader(boolean named) {
         this.named = named;
     }
@@ -41,53 +41,55 @@
         }
         quotas[size++] = element.number("QuotaPerS", 0, 0, MAX_QUOTA_PER_SECOND);
         if (named) {
-            name(index, element);
+            readName(index, element);
         }
     }
 
-    private void name(int index, JsonFields element) {
+    private void readName(int index, JsonFields element) {
         String name = element.text("Name");
         if (!(element.get("Name") instanceof String)) {
             return; // text() has reported it
         }
         byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
-        int first = names.indexOf(name);
+        int firstIndex = names.indexOf(name);
         if (bytes.length < 1 || bytes.length > MAX_NAME_BYTES) {
             element.report("Name", "has " + bytes.length + " bytes; allowed are 1 to " + MAX_NAME_BYTES, null);
         } else if (!new String(bytes, StandardCharsets.UTF_8).equals(name)) {
-            element.report("Name", "holds half a character, a surrogate without its pair", null);
-        } else if (first >= 0) {
+            element.report("Name", "contains an unpaired surrogate, which has no UTF-8 encoding", null);
+        } else if (firstIndex >= 0) {
             element.report(
-                    "Name", "is told twice, first by element " + elements[first] + place(first) + ": " + name, null);
+                    "Name",
+                    "is already used by element " + elements[firstIndex] + lineSuffix(firstIndex) + ": " + name,
+                    null);
         } else {
             try {
-                add(index, element, name);
-            } catch (IllegalArgumentException e) { // names made to have one hash code
-                element.report("Name", "cannot be held: " + e.getMessage(), null);
+                addName(index, element, name);
+            } catch (IllegalArgumentException e) { // too many names with the same hash code
+                element.report("Name", "cannot be stored: " + e.getMessage(), null);
             }
         }
     }
 
-    private String place(int first) {
-        return lines[first] > 0 ? " on line " + lines[first] : "";
+    private String lineSuffix(int firstIndex) {
+        return lines[firstIndex] > 0 ? " on line " + lines[firstIndex] : "";
     }
 
-    private void add(int index, JsonFields element, String name) {
-        if (distinct == elements.length) {
-            elements = Arrays.copyOf(elements, distinct + distinct / 2);
-            lines = Arrays.copyOf(lines, distinct + distinct / 2);
+    private void addName(int index, JsonFields element, String name) {
+        if (nameCount == elements.length) {
+            elements = Arrays.copyOf(elements, nameCount + nameCount / 2);
+            lines = Arrays.copyOf(lines, nameCount + nameCount / 2);
         }
         names.add(name);
-        elements[distinct] = index;
-        lines[distinct++] = element.line();
+        elements[nameCount] = index;
+        lines[nameCount++] = element.line();
     }
 
-    /** The tenants by index. */
+    /** Returns the tenants by index. */
     TenantList tenants() {
         return TenantList.ofQuotas(Arrays.copyOf(quotas, size));
     }
 
-    /** The names by the same index, unless there were faults. */
+    /** Returns the names; indexes are those of the tenants if there were no faults. */
     NameTable names() {
         if (built == null) {
             built = names.build();
@@ -95,7 +97,7 @@
         return built;
     }
 
-    /** What operators see in place of each tenant. */
+    /** Returns the text that show-config prints instead of the tenants. */
     String summary() {
         double min = size == 0 ? 0 : quotas[0];
         double max = min;
--- a/server/src/main/java/wheatspread/config/UwsgiConfig.java
+++ b/server/src/main/java/wheatspread/config/UwsgiConfig.java
@@ -7,8 +7,8 @@
 import wheatspread.core.DeploymentSettings;
 
 /**
- * The operator's file, the part on uwsgi: address and limits, the names of the vars that carry a request's
- * parameters, and the defaults of missing ones. Times are microseconds here and milliseconds in the file.
+ * The settings of the uwsgi protocol in the operator's file: address and limits, the names of the vars with a request's
+ * parameters, and the defaults of absent parameters. Times are in microseconds here and in milliseconds in the file.
  */
 public record UwsgiConfig(
         InetSocketAddress listen,
@@ -34,7 +34,7 @@
             "routes");
     private static final Set<String> DEFAULT_KEYS = Set.of("class", "tenant", "limit_ms", "cpu_ms", "ram_kb");
 
-    /** The names of the vars that carry a request's parameters. */
+    /** The names of the vars with a request's parameters. */
     public record Vars(
             String requestClass,
             String tenant,
@@ -54,11 +54,11 @@
                 "RECIPE_ITEM");
     }
 
-    /** The defaults of missing parameters; an index of -1 and a timeout of 0 mean that there is no default. */
+    /** The defaults of absent parameters; an index of -1 and a timeout of 0 mean that there is no default. */
     public record Defaults(
             int requestClass, int tenant, long timeoutMicros, long expectedWorkMicros, double memoryKb) {}
 
-    /** How a path is matched, as by the location forms of nginx. */
+    /** The ways to match a path, which correspond to the modifiers of nginx locations. */
     public enum Match {
         EXACT,
         PREFIX,
@@ -69,7 +69,7 @@
 
     /**
      * The defaults of requests whose path matches; {@code pattern} is null unless it is a regular expression.
-     * Nested routes are searched if this one matches; they inherit nothing from it.
+     * Nested routes are searched if this route matches; they inherit nothing from it.
      */
     public record Route(Match match, String path, Pattern pattern, Defaults defaults, List<Route> routes) {}
 
@@ -91,7 +91,7 @@
         defaultFields.requireKnownKeys(DEFAULT_KEYS);
         Defaults defaults = RouteReader.defaults(defaultFields, none, site);
         RouteReader routes = fields.largeList("routes", RouteReader.class, () -> new RouteReader(site));
-        fields.summary("routes", routes.size() + " routes");
+        fields.recordSummary("routes", routes.size() + " routes");
         return new UwsgiConfig(
                 ServerConfig.address(fields, "listen"),
                 fields.integer("max_connections", 256, 1, 1 << 20),
--- a/server/src/test/java/wheatspread/commands/CommandsTest.java
+++ b/server/src/test/java/wheatspread/commands/CommandsTest.java
@@ -64,7 +64,7 @@
                         operator + ":4: uwsgi.defaults.class is none of [stew, save]: soup",
                         operator + ":4: uwsgi.max_body is missing or not a number: big; allowed is 0 to 1048576",
                         operator + ":5: log.format is an unknown word: xml; allowed are [json, text]",
-                        operator + ":5: log.repeats is -1, not from 0 to 1000000",
+                        operator + ":5: log.repeats is -1; allowed is 0 to 1000000",
                         "7 faults");
         assertThat(run("check", "--config", CONFIG.toString())).isZero();
         assertThat(run("show-config", "--config", config.toString())).isEqualTo(ExitCodes.CONFIG);
@@ -92,7 +92,7 @@
                         CONFIG.toString(),
                         dir.resolve("none.json").toString()))
                 .isEqualTo(ExitCodes.CONFIG);
-        assertThat(out).contains("none.json cannot be read: there is no such file");
+        assertThat(out).contains("none.json cannot be read: the file does not exist");
     }
 
     @Test
@@ -146,11 +146,11 @@
         assertThat(out)
                 .contains(
                         "bad.json:1: build is none of [v1, v2]: v3",
-                        "bad.json:1: builds.v1.command names no program",
+                        "bad.json:1: builds.v1.command is empty; expected a program and its arguments",
                         "builds.v2.comand is an unknown key",
-                        "bad.json:3: roll.out_share is 2.0, not from 0.0 to 1.0",
-                        "bad.json:4: members[1].name is no name: n 1",
-                        "members[1].listen is that of another member too");
+                        "bad.json:3: roll.out_share is 2.0; allowed is 0.0 to 1.0",
+                        "bad.json:4: members[1].name is not a valid name: n 1",
+                        "members[1].listen is already used by member n1: ");
     }
 
     @Test
--- a/server/src/test/java/wheatspread/config/ConfigProblemTest.java
+++ b/server/src/test/java/wheatspread/config/ConfigProblemTest.java
@@ -7,10 +7,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** A fault carries file, line, key, value and allowed values beside its message. */
+/** Checks that a fault has the file, line, key, value and allowed values in addition to its message. */
 class ConfigProblemTest {
     @Test
-    void faultsOfAFileAreTyped() {
+    void reportsFaultsOfAFileWithLocationAndAllowedValues() {
         JsonFields fields = JsonFile.read("a.json", "{\n\"count\": 9,\n\"mode\": \"odd\",\n\"other\": 1}");
         fields.requireKnownKeys(Set.of("count", "mode"));
         fields.integer("count", 1, 1, 5);
@@ -26,7 +26,8 @@
                                 "1",
                                 "[count, mode]",
                                 "a.json:4: other is an unknown key; known are [count, mode]"),
-                        new ConfigProblem("a.json", 2, "count", "9", "1 to 5", "a.json:2: count is 9, not from 1 to 5"),
+                        new ConfigProblem(
+                                "a.json", 2, "count", "9", "1 to 5", "a.json:2: count is 9; allowed is 1 to 5"),
                         new ConfigProblem(
                                 "a.json",
                                 3,
@@ -38,12 +39,12 @@
     }
 
     @Test
-    void faultOfAMessageHasNoFile() {
+    void reportsFaultOfAMessageWithoutFileAndLine() {
         JsonFields fields = JsonFields.of(Map.of("share", 2), "message");
         JsonFields.InvalidValueException invalid =
                 catchThrowableOfType(JsonFields.InvalidValueException.class, () -> fields.number("share", 0.5, 0, 1));
         assertThat(invalid.problems())
                 .containsExactly(new ConfigProblem(
-                        null, 0, "message.share", "2", "0.0 to 1.0", "message.share is 2.0, not from 0.0 to 1.0"));
+                        null, 0, "message.share", "2", "0.0 to 1.0", "message.share is 2.0; allowed is 0.0 to 1.0"));
     }
 }
--- a/server/src/test/java/wheatspread/config/ConfigTest.java
+++ b/server/src/test/java/wheatspread/config/ConfigTest.java
@@ -19,10 +19,11 @@
     private static final Path PLATFORM = Path.of("src/test/resources/config.json");
     private static final Path OPERATOR = Path.of("src/test/resources/operator.json");
 
-    private static Map<String, Object> changed(Path file, String pointer, String key, String value) throws IOException {
+    private static Map<String, Object> withValue(Path file, String pointer, String key, String value)
+            throws IOException {
         JSONObject json = new JSONObject(Files.readString(file));
-        Object at = pointer.isEmpty() ? json : new JSONPointer(pointer).queryFrom(json);
-        ((JSONObject) at).put(key, JSONObject.stringToValue(value));
+        Object parent = pointer.isEmpty() ? json : new JSONPointer(pointer).queryFrom(json);
+        ((JSONObject) parent).put(key, JSONObject.stringToValue(value));
         return json.toMap();
     }
 
@@ -34,27 +35,27 @@
                 "|listen|127.0.0.1:70000|listen is not host:port",
                 "|records|null|records is missing or not text",
                 "|stop_ms|soon|stop_ms is missing or not a number",
-                "|stop_ms|5|stop_ms is 5, not from 100",
+                "|stop_ms|5|stop_ms is 5; allowed is 100",
                 "|seed|xyz|seed is not up to 16 hex digits",
-                "|settings|3|settings is not an object",
+                "|settings|3|settings is missing or not an object: 3",
                 "/limits|sockets|8|limits.sockets is 8",
                 "/settings/FamilyInfo|Halt|melt|settings.FamilyInfo.Halt is an unknown word: melt",
                 "/settings/FamilyInfo|MemoryKb|much|settings.FamilyInfo.MemoryKb is missing or not a number",
                 "/settings/Lanes/1|Deadline|null|settings.Lanes[1].Deadline is missing or not a number",
                 "/settings/Lanes/0|Name|7|settings.Lanes[0].Name is missing or not text"
             })
-    void faultyPlatformKeyIsNamed(String pointer, String key, String value, String message) throws IOException {
-        Map<String, Object> fields = changed(PLATFORM, pointer == null ? "" : pointer, key, value);
+    void reportsFaultOfPlatformKey(String pointer, String key, String value, String message) throws IOException {
+        Map<String, Object> fields = withValue(PLATFORM, pointer == null ? "" : pointer, key, value);
         assertThatThrownBy(() -> ServerConfig.read(JsonFields.of(fields, "")))
                 .isInstanceOf(JsonFields.InvalidValueException.class)
                 .hasMessageContaining(message);
     }
 
-    /** Guards against a start that ends for want of an address which nothing at this site would use. */
+    /** Guards against a start that fails because an address is missing that the deployment does not use. */
     @Test
-    void deploymentWithoutCallsNeedsNeitherRecordsNorAnnounceService() throws IOException {
+    void recordsAndAnnounceServiceAreOptionalWithoutDependencyCalls() throws IOException {
         JSONObject fields = new JSONObject(Files.readString(PLATFORM));
-        ServerConfig calling = ServerConfig.read(JsonFields.of(fields.toMap(), ""));
+        ServerConfig configWithRecords = ServerConfig.read(JsonFields.of(fields.toMap(), ""));
         fields.remove("records");
         fields.remove("announce");
         fields.getJSONObject("settings").getJSONObject("FamilyInfo").put("DependsOn", "silent");
@@ -67,9 +68,9 @@
                 .put("ClassCalls", List.of(false, false));
         assertThat(ServerConfig.read(JsonFields.of(fields.toMap(), "")).records())
                 .isNull();
-        assertThatThrownBy(() -> calling.requireNoServiceRemoved(config))
+        assertThatThrownBy(() -> configWithRecords.requireNoServiceRemoved(config))
                 .isInstanceOf(JsonFields.InvalidValueException.class)
-                .hasMessageContaining("records is missing, and this server has used");
+                .hasMessageContaining("records is missing; this server uses the service at ");
     }
 
     @ParameterizedTest
@@ -78,24 +79,24 @@
             value = {
                 "/uwsgi|listen|null|uwsgi.listen is missing or not text",
                 "/uwsgi|max_conections|3|uwsgi.max_conections is an unknown key",
-                "/uwsgi|max_body|-1|uwsgi.max_body is -1, not from 0",
+                "/uwsgi|max_body|-1|uwsgi.max_body is -1; allowed is 0",
                 "/uwsgi|read_timeout_ms|1.5|uwsgi.read_timeout_ms is not an integer",
                 "/uwsgi/defaults|class|soup|uwsgi.defaults.class is none of [stew, save]: soup",
                 "/uwsgi/defaults|ram_kb|-2|uwsgi.defaults.ram_kb is out of range",
                 "/uwsgi/routes/1|match|like|uwsgi.routes[1].match is an unknown word: like",
                 "/uwsgi/routes/1|tenant|east|uwsgi.routes[1].tenant is none of [north, south]: east"
             })
-    void faultyOperatorKeyIsNamed(String pointer, String key, String value, String message) throws IOException {
-        ServerConfig config = ServerConfig.read(JsonFields.of(changed(PLATFORM, "", "name", "w1"), ""));
+    void reportsFaultOfOperatorKey(String pointer, String key, String value, String message) throws IOException {
+        ServerConfig config = ServerConfig.read(JsonFields.of(withValue(PLATFORM, "", "name", "w1"), ""));
         JsonFields fields =
-                JsonFields.of(changed(OPERATOR, pointer, key, value), "").object("uwsgi", false);
+                JsonFields.of(withValue(OPERATOR, pointer, key, value), "").object("uwsgi", false);
         assertThatThrownBy(() -> UwsgiConfig.read(fields, config.site()))
                 .isInstanceOf(JsonFields.InvalidValueException.class)
                 .hasMessageContaining(message);
     }
 
     @Test
-    void deployedOperatorFileIsReadAndRoutesInheritItsDefaults() throws IOException {
+    void readsDeployedOperatorFileAndRoutesInheritItsDefaults() throws IOException {
         JSONObject platform = new JSONObject(Files.readString(PLATFORM));
         String[] classes = {"recipe-page", "search", "ingredients", "save-plan"};
         JSONObject lane =
@@ -116,57 +117,58 @@
     }
 
     @Test
-    void faultsOfTheOperatorFileNameKeyAndAllowedValues() throws Exception {
+    void reportsFaultsOfOperatorFileWithKeyAndAllowedValues() throws Exception {
         JSONObject platform = new JSONObject(Files.readString(PLATFORM));
         ServerConfig config = ServerConfig.read(JsonFields.of(platform.toMap(), ""));
-        Map<String, String> complaints = Map.of(
-                "{'connections': {'max_per_source': -1}}", "connections.max_per_source is -1, not from 0 to 1048576",
+        Map<String, String> messages = Map.of(
+                "{'connections': {'max_per_source': -1}}", "connections.max_per_source is -1; allowed is 0 to 1048576",
                 "{'connections': {'idle_ms': 5}}", "connections.idle_ms is an unknown key; known are [accept_burst",
                 "{'connections': {'refused': 'maybe'}}", "connections.refused is an unknown word: maybe",
                 "{'turns': {'read_us': 'much'}}", "turns.read_us is missing or not a number",
                 "{'transport': 'pigeon'}", "transport is an unknown word: pigeon",
-                "{'turns': {'expiring': 0}}", "turns.expiring is 0, not from 1 to 100000",
+                "{'turns': {'expiring': 0}}", "turns.expiring is 0; allowed is 1 to 100000",
                 "{'upstream': {}}",
                         "upstream is an unknown key; known are [connections, life, log, membership, report_s");
-        for (var one : complaints.entrySet()) {
+        for (var entry : messages.entrySet()) {
             Path file = Files.writeString(
-                    Files.createTempFile("operator", ".json"), one.getKey().replace('\'', '"'));
+                    Files.createTempFile("operator", ".json"), entry.getKey().replace('\'', '"'));
             assertThatThrownBy(() -> OperatorConfig.readFile(file, config.site()))
-                    .hasMessageStartingWith(file + ":1: " + one.getValue());
+                    .hasMessageStartingWith(file + ":1: " + entry.getValue());
             Files.delete(file);
         }
     }
 
     @Test
-    void membershipIsOffWithoutItsKeyAndHasNoDefaultAddress() throws Exception {
+    void membershipIsDisabledWithoutItsKeyAndRequiresAddresses() throws Exception {
         ServerConfig config = ServerConfig.read(JsonFields.of(new JSONObject(Files.readString(PLATFORM)).toMap(), ""));
         assertThat(OperatorConfig.DEFAULT.membership()).isNull();
         assertThat(readOperator("{}", config).membership()).isNull();
-        String whole = "'cluster': 'k', 'listen': '127.0.0.1:7400', 'seeds': ['127.0.0.1:7400']";
-        assertThat(readOperator("{'membership': {" + whole + "}}", config).membership())
+        String requiredKeys = "'cluster': 'k', 'listen': '127.0.0.1:7400', 'seeds': ['127.0.0.1:7400']";
+        assertThat(readOperator("{'membership': {" + requiredKeys + "}}", config)
+                        .membership())
                 .isEqualTo(new MembershipConfig(
                         "k",
                         new InetSocketAddress("127.0.0.1", 7400),
                         "127.0.0.1:7400",
                         List.of("127.0.0.1:7400"),
                         ""));
-        Map<String, String> complaints = Map.of(
+        Map<String, String> messages = Map.of(
                 "{'membership': {}}",
                 "membership.cluster is missing or not text",
                 "{'membership': true}",
-                "membership is not an object: true",
+                "membership is missing or not an object: true",
                 "{'membership': {'cluster': 'k', 'seeds': ['127.0.0.1:1']}}",
                 "membership.listen is missing or not text",
                 "{'membership': {'cluster': 'k', 'listen': 'here:1', 'seeds': ['127.0.0.1:1']}}",
-                "membership.listen is no IPv4 address and port, as 10.0.0.7:7400: here:1",
+                "membership.listen is not an IPv4 address and port such as 10.0.0.7:7400: here:1",
                 "{'membership': {'cluster': 'k', 'listen': '0.0.0.0:1', 'seeds': ['127.0.0.1:1']}}",
-                "membership.advertise is missing; with listen on all addresses",
+                "membership.advertise is missing; it is required if listen is 0.0.0.0",
                 "{'membership': {'cluster': 'k', 'listen': '127.0.0.1:1'}}",
-                "membership.seeds holds 0 addresses; allowed are 1 to 32",
-                "{'membership': {" + whole + ", 'port': 5}}",
+                "membership.seeds has 0 addresses; allowed are 1 to 32",
+                "{'membership': {" + requiredKeys + ", 'port': 5}}",
                 "membership.port is an unknown key; known are [advertise, cluster, listen, seeds, zone]");
-        for (var one : complaints.entrySet()) {
-            assertThatThrownBy(() -> readOperator(one.getKey(), config)).hasMessageContaining(one.getValue());
+        for (var entry : messages.entrySet()) {
+            assertThatThrownBy(() -> readOperator(entry.getKey(), config)).hasMessageContaining(entry.getValue());
         }
     }
 
