--- a/server/src/test/java/wheatspread/config/SettingsAtSizeTest.java
+++ b/server/src/test/java/wheatspread/config/LargeSettingsTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
-import static wheatspread.AtSize.TENANTS;
-import static wheatspread.AtSize.tenants;
+import static wheatspread.LargeSettings.TENANTS;
+import static wheatspread.LargeSettings.tenants;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -21,23 +21,23 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import wheatspread.AtSize;
+import wheatspread.LargeSettings;
 import wheatspread.admission.Tenant;
 import wheatspread.config.UwsgiConfig.Defaults;
 
 /** Tests valid and invalid settings with the largest numbers of tenants and routes that operators plan for. */
-class SettingsAtSizeTest {
+class LargeSettingsTest {
     private static final int ROUTES = 16_000;
 
     @TempDir
     private Path dir;
 
     private Path writeConfig(Stream<String> tenantObjects) throws IOException {
-        return Files.writeString(dir.resolve("config.json"), AtSize.config(tenantObjects));
+        return Files.writeString(dir.resolve("config.json"), LargeSettings.config(tenantObjects));
     }
 
     private Path writeConfig(String tenantList) throws IOException {
-        return Files.writeString(dir.resolve("config.json"), AtSize.config(tenantList));
+        return Files.writeString(dir.resolve("config.json"), LargeSettings.config(tenantList));
     }
 
     private Path writeOperatorFile() throws IOException {
@@ -114,7 +114,7 @@
 
     /** Runs the program and returns the lines of its output, followed by its exit code. */
     private static List<String> run(String heap, Path config, String... args) throws Exception {
-        Process process = AtSize.process(heap, config, args).start();
+        Process process = LargeSettings.process(heap, config, args).start();
         List<String> output = new ArrayList<>(
                 new String(process.getInputStream().readAllBytes()).lines().toList());
         output.add("exit " + process.waitFor());
--- a/server/src/test/java/wheatspread/daemon/ReloadAtSizeTest.java
+++ b/server/src/test/java/wheatspread/daemon/ReloadAtSizeTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import wheatspread.AtSize;
+import wheatspread.LargeSettings;
 import wheatspread.config.JsonFields;
 import wheatspread.config.ServerConfig;
 import wheatspread.logging.EventLog;
@@ -42,7 +42,7 @@
     @Test
     @Timeout(60)
     void appliesOrRejectsEachConcurrentReload() throws Exception {
-        String completeConfig = AtSize.config(AtSize.tenants(AtSize.TENANTS));
+        String completeConfig = LargeSettings.config(LargeSettings.tenants(LargeSettings.TENANTS));
         Path validFile = config("good.json", completeConfig);
         Path truncatedFile = config("cut.json", completeConfig.substring(0, completeConfig.length() / 2));
         try (ServerFixture fixture = new ServerFixture()) {
@@ -118,10 +118,10 @@
             Thread kernel = new Thread(() -> bootEveryLink(kernels), "kernel");
             kernel.setDaemon(true);
             kernel.start();
-            String completeConfig = AtSize.config(AtSize.tenants(AtSize.TENANTS))
+            String completeConfig = LargeSettings.config(LargeSettings.tenants(LargeSettings.TENANTS))
                     .replace("\"kernel\": \"127.0.0.1:9\"", "\"kernel\": \"127.0.0.1:" + kernels.getLocalPort() + "\"");
             Path file = config("config.json", completeConfig);
-            Process process = AtSize.process("-Xmx48m", file, "serve").start();
+            Process process = LargeSettings.process("-Xmx48m", file, "serve").start();
             try (BufferedReader log = process.inputReader()) {
                 await(log, "to=SERVING");
                 for (int i = 0; i < 10; i++) {
