--- a/server/src/test/java/wheatspread/PackagesTest.java
+++ b/server/src/test/java/wheatspread/PackagesTest.java
@@ -16,48 +16,53 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** How the packages may know each other. */
+/** Checks the dependencies between the packages, and that the deploy file lists the packages. */
 class PackagesTest {
     private static final Path ROOT = Path.of("src/main/java/wheatspread");
-    private static final Pattern USE = Pattern.compile("\\bwheatspread\\.([a-z.]+)\\.[A-Z]");
+    private static final Pattern QUALIFIED_TYPE = Pattern.compile("\\bwheatspread\\.([a-z.]+)\\.[A-Z]");
 
-    private static Map<String, Set<String>> imports() throws IOException {
-        Map<String, Set<String>> imports = new TreeMap<>();
+    /** Returns the packages that each package uses, by package name without the common prefix. */
+    private static Map<String, Set<String>> usedPackages() throws IOException {
+        Map<String, Set<String>> used = new TreeMap<>();
         try (Stream<Path> files = Files.walk(ROOT)) {
-            for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
-                String own = ROOT.relativize(file.getParent()).toString().replace('/', '.');
-                Matcher uses = USE.matcher(Files.readString(file));
-                Set<String> of = imports.computeIfAbsent(own, name -> new TreeSet<>());
+            for (Path file :
+                    files.filter(path -> path.toString().endsWith(".java")).toList()) {
+                String packageName =
+                        ROOT.relativize(file.getParent()).toString().replace('/', '.');
+                Matcher uses = QUALIFIED_TYPE.matcher(Files.readString(file));
+                Set<String> usedByPackage = used.computeIfAbsent(packageName, name -> new TreeSet<>());
                 while (uses.find()) {
-                    if (!uses.group(1).equals(own)) {
-                        of.add(uses.group(1));
+                    if (!uses.group(1).equals(packageName)) {
+                        usedByPackage.add(uses.group(1));
                     }
                 }
             }
         }
-        return imports;
+        return used;
     }
 
     @Test
-    void noneImportsInACircle() throws IOException {
-        Map<String, Set<String>> left = imports();
-        assertThat(left).containsKeys("admission", "core", "daemon", "uwsgi");
-        List<String> order = new ArrayList<>();
-        while (!left.isEmpty()) {
-            List<String> free = left.keySet().stream()
-                    .filter(name -> order.containsAll(left.get(name)))
+    void packageDependenciesHaveNoCycle() throws IOException {
+        Map<String, Set<String>> remaining = usedPackages();
+        assertThat(remaining).containsKeys("admission", "core", "daemon", "uwsgi");
+        List<String> sorted = new ArrayList<>();
+        while (!remaining.isEmpty()) {
+            List<String> next = remaining.keySet().stream()
+                    .filter(name -> sorted.containsAll(remaining.get(name)))
                     .toList();
-            assertThat(free).as("packages in a circle: %s", left).isNotEmpty();
-            order.addAll(free);
-            free.forEach(left::remove);
+            assertThat(next)
+                    .as("packages with a cyclic dependency: %s", remaining)
+                    .isNotEmpty();
+            sorted.addAll(next);
+            next.forEach(remaining::remove);
         }
     }
 
     @Test
-    void theCoreKnowsNoWire() throws IOException {
-        assertThat(imports().get("core")).containsExactly("admission", "logging");
-        assertThat(imports().get("admission")).isEmpty();
-        assertThat(imports().get("admission.sfq")).containsExactly("admission", "heap");
+    void coreUsesNoProtocolOrNetworkClasses() throws IOException {
+        assertThat(usedPackages().get("core")).containsExactly("admission", "logging");
+        assertThat(usedPackages().get("admission")).isEmpty();
+        assertThat(usedPackages().get("admission.sfq")).containsExactly("admission", "heap");
         try (Stream<Path> files = Files.list(ROOT.resolve("core"))) {
             for (Path file : files.toList()) {
                 assertThat(Files.readString(file))
@@ -68,9 +73,9 @@
     }
 
     @Test
-    void theDeployFileListsEveryServerPackage() throws IOException {
+    void deployFileListsEveryServerPackage() throws IOException {
         String deploy = Files.readString(Path.of("../deploy/balancer.toml"));
-        for (String name : imports().keySet()) {
+        for (String name : usedPackages().keySet()) {
             if (!Set.of("admission", "sim").contains(name.split("\\.")[0])) {
                 assertThat(deploy).contains("\"server/src/main/java/wheatspread/" + name.replace('.', '/') + "\"");
             }
--- a/server/src/test/java/wheatspread/WithdrawnWordsTest.java
+++ b/server/src/test/java/wheatspread/WithdrawnWordsTest.java
@@ -16,42 +16,42 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Holds identifiers and file names to the terms of {@code docs/GLOSSARY.md}. */
+/** Checks that identifiers and file names contain no word that {@code docs/GLOSSARY.md} lists as withdrawn. */
 class WithdrawnWordsTest {
     private static final Path GLOSSARY = Path.of("../docs/GLOSSARY.md");
     private static final Path ROOT = Path.of("src/main/java/wheatspread");
     private static final Pattern TABLE_ROW = Pattern.compile("(?m)^\\| `?([a-z.]+)`? \\|");
     private static final Pattern NOT_CODE = Pattern.compile(
             "(?s)/\\*.*?\\*/|//[^\\n]*|\"\"\".*?\"\"\"|\"(?:\\\\.|[^\"\\\\\\n])*\"|'(?:\\\\.|[^'\\\\])+'");
-    /** Withdrawn only at the begin of a name: {@code MOST_BYTES} is, {@code AT_MOST_ONCE} is not. */
+    /** Words withdrawn only at the beginning of a name: in {@code MOST_BYTES}, but not in {@code AT_MOST_ONCE}. */
     private static final Set<String> PREFIXES = Set.of("most", "least");
 
     private static final Pattern IDENTIFIER = Pattern.compile("[A-Za-z_$][A-Za-z0-9_$]*");
     private static final Pattern WORD = Pattern.compile("[A-Z]?[a-z]+|[A-Z]+(?![a-z])");
 
     @Test
-    void finishedPackagesUseNoWithdrawnWord() throws IOException {
+    void finishedPackagesContainNoWithdrawnWord() throws IOException {
         Set<String> withdrawn = firstColumn("## Withdrawn words");
         assertThat(withdrawn).contains("told", "door", "knock");
-        Set<String> passedOver = firstColumn("## Packages that are not finished");
-        passedOver.addAll(firstColumn("## Files that map names"));
-        assertThat(violations(withdrawn, passedOver)).isEmpty();
+        Set<String> excluded = firstColumn("## Packages that are not finished");
+        excluded.addAll(firstColumn("## Files that map names"));
+        assertThat(violations(withdrawn, excluded)).isEmpty();
     }
 
     @Test
-    void findsWordsInsideIdentifiersButNotInTextOrComments() {
+    void findsWordsInIdentifiersButNotInLiteralsOrComments() {
         assertThat(words("int mostTold; boolean atLeast; /* door */ String s = \"knock\"; // crowd\nMOST_TRIES"))
                 .contains("most", "told", "tries")
                 .doesNotContain("least")
                 .doesNotContain("door", "knock", "crowd");
     }
 
-    private static List<String> violations(Set<String> withdrawn, Set<String> passedOver) throws IOException {
+    private static List<String> violations(Set<String> withdrawn, Set<String> excluded) throws IOException {
         List<String> violations = new ArrayList<>();
         for (Path file : sources()) {
             String packageName = ROOT.relativize(file.getParent()).toString().replace('/', '.');
             String fileName = ROOT.relativize(file).toString().replace('/', '.').replace(".java", "");
-            if (passedOver.contains(packageName) || passedOver.contains(fileName.toLowerCase(Locale.ROOT))) {
+            if (excluded.contains(packageName) || excluded.contains(fileName.toLowerCase(Locale.ROOT))) {
                 continue;
             }
             Set<String> found = words(file.getFileName().toString() + " " + Files.readString(file));
@@ -71,7 +71,7 @@
         }
     }
 
-    /** The words of all identifiers of a source text, in lower case. */
+    /** Returns the words of all identifiers in a source text, in lower case. */
     private static Set<String> words(String source) {
         String code = NOT_CODE.matcher(source).replaceAll(" ");
         Set<String> words = new TreeSet<>();
@@ -88,6 +88,7 @@
         return words;
     }
 
+    /** Returns the first column of the table below a heading of the glossary, without its title. */
     private static Set<String> firstColumn(String heading) throws IOException {
         String page = Files.readString(GLOSSARY);
         int from = page.indexOf(heading);
