--- a/server/src/main/java/wheatspread/commands/MembersCommand.java
+++ b/server/src/main/java/wheatspread/commands/MembersCommand.java
@@ -33,7 +33,7 @@
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             "0:The server is in a view with a reachable quorum, and no member is suspected.",
-            "69:There is no such view, or the server does not answer or has no cluster membership."
+            "69:The quorum is unreachable, a member is suspected, the server does not answer, or it has no membership."
         },
         footerHeading = "%nExamples:%n",
         footer = {
@@ -81,8 +81,8 @@
             mixinStandardHelpOptions = true,
             description = {
                 "Orders a seed to form the cluster anew with all servers that it can reach and that have no quorum.",
-                "Use it only after the permanent loss of more than half of the servers: during a network partition",
-                "it forms a second cluster, which is dissolved when the partition heals."
+                "Use it only after the permanent loss of more than half of the servers. During a network partition "
+                        + "it forms a second cluster, which is dissolved when the partition heals."
             },
             exitCodeListHeading = "%nExit codes:%n",
             exitCodeList = {
