--- a/Makefile
+++ b/Makefile
@@ -1,30 +1,30 @@
 .PHONY: build test demo lint format run adapter measure clean
 
-build:           ## the jars of server and lab, without tests
+build:           ## builds the jars of server and lab without running tests
 	mvn -q -DskipTests package
 
-test:            ## tests and lint, as CI runs them
+test:            ## runs the tests and the lint checks, as CI does
 	mvn -B verify
 
-demo: build      ## one server with everybody round it played, a few requests, and the line to ask it yourself
+demo: build      ## runs one server with simulated peers, sends a few requests, and prints a command to send more
 	java -jar lab/target/wheatspread-lab.jar demo
 
-lint:            ## format and style alone; the compiler's warnings are errors in every build
+lint:            ## checks only format and style; compiler warnings are errors in every build
 	mvn -q spotless:check checkstyle:check
 
-format:          ## lays the sources out as lint wants them
+format:          ## formats the sources as lint requires
 	mvn -q spotless:apply
 
-run: build       ## one server; GW_CONFIG names its configuration, FRONT an operator's file
+run: build       ## runs one server; GW_CONFIG names its configuration file, FRONT an operator's file
 	$$(sed -n 's/^run = "exec \(.*\)"$$/\1/p' deploy/balancer.toml) $(FRONT)
 
-adapter: build   ## the decisions on the simulator's wire, on standard input and output
+adapter: build   ## runs the simulator's adapter on standard input and output
 	$$(sed -n 's/^sim = "exec \(.*\)"$$/\1/p' deploy/balancer.toml)
 
-clean:
+clean:           ## deletes all build output
 	mvn -q clean
 
-measure: build   ## the measurements, some twenty minutes
+measure: build   ## runs the measurements, which takes some twenty minutes
 	java -jar lab/target/wheatspread-lab.jar idle
 	java -jar lab/target/wheatspread-lab.jar crowd
 	java -jar lab/target/wheatspread-lab.jar bench --name idle-structures
