--- a/lab/src/main/java/wheatspread/lab/HollowCommand.java
+++ b/lab/src/main/java/wheatspread/lab/HollowCommand.java
@@ -34,7 +34,7 @@
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         try (HollowHost host = new HollowHost(loops, cluster, seeds, seed)) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
-                System.out.println(host.carryOut(HollowOrder.fromLine(line)).toLine());
+                System.out.println(host.execute(HollowOrder.fromLine(line)).toLine());
             }
         }
         return 0;
--- a/lab/src/main/java/wheatspread/lab/ScaleCommand.java
+++ b/lab/src/main/java/wheatspread/lab/ScaleCommand.java
@@ -103,7 +103,7 @@
         private static final long serialVersionUID = 1L;
 
         FaultWords() {
-            super(FaultKind.words());
+            super(FaultKind.optionNames());
         }
     }
 
@@ -115,7 +115,7 @@
             check();
             if (faults != null) {
                 chosen = faults.stream()
-                        .map(FaultKind::named)
+                        .map(FaultKind::fromOptionName)
                         .collect(Collectors.toCollection(() -> EnumSet.noneOf(FaultKind.class)));
             }
         } catch (IllegalArgumentException e) {
@@ -166,7 +166,7 @@
                 continue;
             }
             ScaleStep.Result result =
-                    new ScaleStep(settings, hollow, hollow == largest, deadline, ScaleCommand::progress).play();
+                    new ScaleStep(settings, hollow, hollow == largest, deadline, ScaleCommand::progress).run();
             report.put("step " + hollow, result.figures());
             result.points()
                     .forEach((name, value) ->
@@ -180,7 +180,7 @@
                         .map(one -> new Series.Point(one.getKey(), one.getValue()))
                         .toList())));
         if (check > 0 && Instant.now().plus(LEAST).isBefore(deadline)) {
-            JSONObject checked = new HollowCheck(settings, check).play();
+            JSONObject checked = new HollowCheck(settings, check).run();
             report.put("hollow beside real", checked);
             progress("hollow beside real: " + checked);
         }
--- a/lab/src/main/java/wheatspread/lab/scale/FaultKind.java
+++ b/lab/src/main/java/wheatspread/lab/scale/FaultKind.java
@@ -4,35 +4,37 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The faults that the rig plays, in the order in which it plays them. */
+/** The faults that a scale run injects, in the order in which it injects them. */
 public enum FaultKind {
-    /** One hollow server ends without a word. */
+    /** One hollow server crashes: it closes its sockets without notifying its peers. */
     CRASH(30, false),
-    /** {@link #RACK_SIZE} hollow servers of one zone end at the same time. */
+    /** {@link #RACK_SIZE} hollow servers of one zone crash at the same time. */
     RACK(45, false),
-    /** Restarts at the rate of a usual day. */
+    /** Members restart at {@link #DAILY_RESTARTS_PER_SECOND}. */
     RESTARTS_DAILY(60, true),
-    /** Restarts at sixty times that rate, as in a release. */
+    /** Members restart at sixty times the daily rate, as during a release. */
     RESTARTS_RELEASE(60, false),
-    /** Every link loses a fifth of its messages. */
+    /** Every link loses 20% of its messages. */
     LOSS20(45, false),
-    /** All servers of one zone, an eighth of the fleet, end at the same time. */
+    /** All servers of one zone, an eighth of the fleet, crash at the same time. */
     ZONE(60, false),
-    /** All that were ended so far are started again. */
+    /** All members that the run has crashed so far start again at the same time. */
     RETURN(60, false),
-    /** Two halves of the fleet do not hear each other for a while, then they do. The second may be one larger. */
+    /**
+     * A network partition separates the fleet into two halves, then heals. The second half may be one member larger.
+     */
     HALVES(60, false);
 
-    /** Servers of a rack. */
+    /** Number of servers in a rack. */
     static final int RACK_SIZE = 20;
-    /** Restarts a day that the operators plan with. */
-    static final double RESTARTS_A_DAY = 2_300;
-    /** Restarts a second of a usual day. */
-    static final double DAILY_RATE = RESTARTS_A_DAY / 86_400;
-    /** Restarts a second in a release. */
-    static final double RELEASE_RATE = 60 * DAILY_RATE;
-    /** The share of messages that each link loses in {@link #LOSS20}. */
-    static final double LOSS = 0.2;
+    /** Restarts per day that the operators plan for. */
+    static final double RESTARTS_PER_DAY = 2_300;
+    /** Restarts per second on an ordinary day. */
+    static final double DAILY_RESTARTS_PER_SECOND = RESTARTS_PER_DAY / 86_400;
+    /** Restarts per second during a release. */
+    static final double RELEASE_RESTARTS_PER_SECOND = 60 * DAILY_RESTARTS_PER_SECOND;
+    /** Share of messages that each link loses in {@link #LOSS20}, from 0 to 1. */
+    static final double LOSS_SHARE = 0.2;
 
     private final int limitSeconds;
     private final boolean largestStepOnly;
@@ -42,31 +44,34 @@
         this.largestStepOnly = largestStepOnly;
     }
 
-    /** How long one view on all is waited for, from when {@code view_s} counts. */
+    /**
+     * Longest wait in seconds for all members to install the same view; {@code view_s} counts from the same instant.
+     */
     int limitSeconds() {
         return limitSeconds;
     }
 
-    /** Whether it lasts too long to be played at every size. */
+    /** Whether the fault takes too long to be injected at every fleet size. */
     boolean largestStepOnly() {
         return largestStepOnly;
     }
 
-    /** Its name in options, reports and series. */
-    public String word() {
+    /** The name of this fault in options, reports and series. */
+    public String optionName() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** The fault of that name; throws {@link IllegalArgumentException} with those that there are. */
-    public static FaultKind named(String word) {
+    /** Returns the fault of that name; throws {@link IllegalArgumentException} listing the known names otherwise. */
+    public static FaultKind fromOptionName(String optionName) {
         return Arrays.stream(values())
-                .filter(one -> one.word().equals(word))
+                .filter(kind -> kind.optionName().equals(optionName))
                 .findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("unknown fault " + word + "; known are " + words()));
+                .orElseThrow(() ->
+                        new IllegalArgumentException("unknown fault " + optionName + "; known are " + optionNames()));
     }
 
-    /** All names in the order of play. */
-    public static List<String> words() {
-        return Arrays.stream(values()).map(FaultKind::word).toList();
+    /** All names, in the order in which the faults are injected. */
+    public static List<String> optionNames() {
+        return Arrays.stream(values()).map(FaultKind::optionName).toList();
     }
 }
--- a/lab/src/main/java/wheatspread/lab/scale/FaultyLinks.java
+++ b/lab/src/main/java/wheatspread/lab/scale/FaultyLinks.java
@@ -4,29 +4,29 @@
 import wheatspread.peers.LinkFilter;
 
 /**
- * The links of one hollow member under the faults that hold. Messages are dropped where they are received, so that
- * sending them costs what it costs on a lossy network; those to members without a filter are dropped by the sender.
- * Faults are set by any thread, messages pass on the event loop's.
+ * Applies the current link faults to the messages of one hollow member. The receiver drops messages, so that sending
+ * them costs as much as on a lossy network; the sender drops messages to members without a filter. Any thread may set
+ * the faults; messages are filtered on the event loop's thread.
  */
 final class FaultyLinks implements LinkFilter {
-    private final String own;
+    private final String ownAddress;
     private final RandomGenerator random;
     private volatile LinkFaults faults = LinkFaults.NONE;
 
-    /** The links of the member that advertises the address {@code own}. */
-    FaultyLinks(String own, RandomGenerator random) {
-        this.own = own;
+    /** {@code ownAddress} is the address that the member advertises. */
+    FaultyLinks(String ownAddress, RandomGenerator random) {
+        this.ownAddress = ownAddress;
         this.random = random;
     }
 
-    void set(LinkFaults now) {
-        faults = now;
+    void set(LinkFaults newFaults) {
+        faults = newFaults;
     }
 
     @Override
     public boolean sends(String to) {
-        LinkFaults now = faults;
-        return !now.unfiltered().contains(to) || passes(now, to);
+        LinkFaults current = faults;
+        return !current.unfiltered().contains(to) || passes(current, to);
     }
 
     @Override
@@ -34,8 +34,9 @@
         return passes(faults, from);
     }
 
-    private boolean passes(LinkFaults now, String other) {
-        boolean cut = now.side().contains(own) != now.side().contains(other);
-        return !cut && (now.loss() == 0 || random.nextDouble() >= now.loss());
+    private boolean passes(LinkFaults current, String other) {
+        boolean partitioned =
+                current.side().contains(ownAddress) != current.side().contains(other);
+        return !partitioned && (current.loss() == 0 || random.nextDouble() >= current.loss());
     }
 }
--- a/lab/src/main/java/wheatspread/lab/scale/HollowCheck.java
+++ b/lab/src/main/java/wheatspread/lab/scale/HollowCheck.java
@@ -8,8 +8,8 @@
 import org.json.JSONObject;
 
 /**
- * Hollow servers checked against real ones: a fleet of real servers alone, without load, and one of as many hollow
- * servers alone. What a real server spends besides membership is told by the same servers without it.
+ * Compares hollow servers with real ones: measures a fleet of real servers without load and a fleet of as many hollow
+ * servers. The same real servers without membership give the resources that a real server uses besides membership.
  */
 public final class HollowCheck {
     private static final double FORM_SECONDS = 60;
@@ -24,38 +24,38 @@
         this.servers = servers;
     }
 
-    /** Figures of a member in each of the fleets, and how they differ. */
-    public JSONObject play() throws IOException, InterruptedException {
-        Map<String, Double> without = withoutMembership();
-        Map<String, Double> real = play(0, servers);
-        Map<String, Double> hollow = play(servers, 0);
+    /** Measures each of the fleets; returns the figures per member and their differences. */
+    public JSONObject run() throws IOException, InterruptedException {
+        Map<String, Double> withoutMembership = measureWithoutMembership();
+        Map<String, Double> real = measure(0, servers);
+        Map<String, Double> hollow = measure(servers, 0);
         return new JSONObject()
                 .put("servers", servers)
-                .put("real_without_membership", without)
+                .put("real_without_membership", withoutMembership)
                 .put("real", real)
                 .put("hollow", hollow)
                 .put("real_less_hollow", difference(real, hollow))
-                .put("real_less_real_without_membership", difference(real, without));
+                .put("real_less_real_without_membership", difference(real, withoutMembership));
     }
 
-    private static Map<String, Double> difference(Map<String, Double> from, Map<String, Double> what) {
+    private static Map<String, Double> difference(Map<String, Double> minuend, Map<String, Double> subtrahend) {
         Map<String, Double> difference = new LinkedHashMap<>();
-        from.forEach((name, value) -> difference.put(name, value - what.get(name)));
+        minuend.forEach((name, value) -> difference.put(name, value - subtrahend.get(name)));
         return difference;
     }
 
-    /** The same real servers that know nothing of each other: what membership is added to. */
-    private Map<String, Double> withoutMembership() throws IOException, InterruptedException {
+    /** Measures the real servers with membership turned off, as the baseline to which membership adds its cost. */
+    private Map<String, Double> measureWithoutMembership() throws IOException, InterruptedException {
         try (RealServers real = new RealServers(settings, servers)) {
             real.rig().start();
             TimeUnit.MILLISECONDS.sleep(Math.round(WARM_SECONDS * 1e3));
-            double[] before = real.processorSeconds();
-            long begun = System.nanoTime();
+            double[] secondsBefore = real.processorSeconds();
+            long startNanos = System.nanoTime();
             TimeUnit.MILLISECONDS.sleep(Math.round(WATCH_SECONDS * 1e3));
-            double used = Arrays.stream(real.processorSeconds()).sum()
-                    - Arrays.stream(before).sum();
+            double usedSeconds = Arrays.stream(real.processorSeconds()).sum()
+                    - Arrays.stream(secondsBefore).sum();
             Map<String, Double> figures = new LinkedHashMap<>();
-            figures.put("cpu_percent", 100 * used / ((System.nanoTime() - begun) / 1e9) / servers);
+            figures.put("cpu_percent", 100 * usedSeconds / ((System.nanoTime() - startNanos) / 1e9) / servers);
             figures.put("bytes_per_s", 0.0);
             figures.put("messages_per_s", 0.0);
             figures.put("resident_bytes", real.residentBytes());
@@ -64,7 +64,7 @@
         }
     }
 
-    private Map<String, Double> play(int hollow, int real) throws IOException, InterruptedException {
+    private Map<String, Double> measure(int hollow, int real) throws IOException, InterruptedException {
         try (ScaleFleet fleet = new ScaleFleet(settings, hollow, real)) {
             fleet.start();
             fleet.startNext(servers);
@@ -74,15 +74,15 @@
             new ObservationWindow(fleet).watch(WARM_SECONDS);
             ObservationWindow window = new ObservationWindow(fleet);
             window.watch(WATCH_SECONDS);
-            JSONObject told = window.figures();
-            boolean ofReal = real > 0;
+            JSONObject windowFigures = window.figures();
+            boolean realOnly = real > 0;
             Map<String, Double> figures = new LinkedHashMap<>();
-            figures.put("cpu_percent", told.getDouble(ofReal ? "real_cpu_percent" : "hollow_cpu_percent"));
-            figures.put("bytes_per_s", told.getDouble(ofReal ? "real_bytes_per_s" : "bytes_per_s"));
-            figures.put("messages_per_s", told.getDouble(ofReal ? "real_messages_per_s" : "messages_per_s"));
+            figures.put("cpu_percent", windowFigures.getDouble(realOnly ? "real_cpu_percent" : "hollow_cpu_percent"));
+            figures.put("bytes_per_s", windowFigures.getDouble(realOnly ? "real_bytes_per_s" : "bytes_per_s"));
+            figures.put("messages_per_s", windowFigures.getDouble(realOnly ? "real_messages_per_s" : "messages_per_s"));
             figures.put(
-                    "resident_bytes", ofReal ? fleet.real().residentBytes() : fleet.hollowResidentBytes() / servers);
-            figures.put("heap_bytes", ofReal ? fleet.real().liveHeapBytes() : fleet.hollowLiveHeapBytes() / servers);
+                    "resident_bytes", realOnly ? fleet.real().residentBytes() : fleet.hollowResidentBytes() / servers);
+            figures.put("heap_bytes", realOnly ? fleet.real().liveHeapBytes() : fleet.hollowLiveHeapBytes() / servers);
             return figures;
         }
     }
--- a/lab/src/main/java/wheatspread/lab/scale/HollowHost.java
+++ b/lab/src/main/java/wheatspread/lab/scale/HollowHost.java
@@ -17,20 +17,20 @@
 import wheatspread.transport.EventLoopScheduler;
 import wheatspread.transport.Transport;
 
-/** The hollow servers of one process, on a few of the program's own event loops. One thread calls it. */
+/** The hollow servers of one process, on a few event loops of the server's own kind. One thread calls the methods. */
 public final class HollowHost implements AutoCloseable {
-    /** A real server takes about this long from its end to its next start; microseconds. */
+    /** Time from the end of a member to its next start; a real server takes about as long. */
     private static final long RESTART_MICROS = 1_000_000;
 
-    private final List<Lane> lanes = new ArrayList<>();
-    private int next;
+    private final List<LoopMembers> loops = new ArrayList<>();
+    private int nextLoop;
 
-    /** One event loop with its members; all but the loop itself is used on the loop's thread alone. */
-    private static final class Lane {
+    /** One event loop with its members. All fields but the loop itself are used only on the loop's thread. */
+    private static final class LoopMembers {
         final MultiThreadIoEventLoopGroup group;
         final EventLoop loop;
         final EventLoopClock clock;
-        final HollowMember.Surroundings around;
+        final HollowMember.Context context;
         final Map<String, HollowMember> members = new HashMap<>();
         final Set<String> removed = new HashSet<>();
         LinkFaults faults = LinkFaults.NONE;
@@ -38,17 +38,18 @@
         long sentBytes;
         long overRate;
 
-        Lane(Transport transport, String cluster, List<String> seeds, long seed) {
-            EventLoopScheduler turns = new EventLoopScheduler(transport, IterationBudget.DEFAULT, seed, EventLog.NONE);
-            group = new MultiThreadIoEventLoopGroup(1, turns);
+        LoopMembers(Transport transport, String cluster, List<String> seeds, long seed) {
+            EventLoopScheduler scheduler =
+                    new EventLoopScheduler(transport, IterationBudget.DEFAULT, seed, EventLog.NONE);
+            group = new MultiThreadIoEventLoopGroup(1, scheduler);
             loop = group.next();
-            clock = new EventLoopClock(turns);
-            around = new HollowMember.Surroundings(cluster, seeds, transport, loop, clock, seed);
+            clock = new EventLoopClock(scheduler);
+            context = new HollowMember.Context(cluster, seeds, transport, loop, clock, seed);
         }
 
         Future<Void> start(MemberSpec spec) {
-            HollowMember member = new HollowMember(spec, around, removed::addAll);
-            member.links(faults);
+            HollowMember member = new HollowMember(spec, context, removed::addAll);
+            member.setLinkFaults(faults);
             members.put(spec.name(), member);
             return member.open();
         }
@@ -57,62 +58,65 @@
             HollowMember member = members.get(name);
             if (member != null) {
                 member.close();
-                ended(member);
+                remove(member);
             }
         }
 
-        void restart(MemberSpec later, boolean clean) {
-            HollowMember member = members.get(later.name());
+        void restart(MemberSpec next, boolean clean) {
+            HollowMember member = members.get(next.name());
             if (member == null) {
                 return;
             }
             if (clean) {
                 member.leave(() -> {
-                    ended(member);
-                    startLater(later);
+                    remove(member);
+                    startAfterDelay(next);
                 });
             } else {
-                crash(later.name());
-                startLater(later);
+                crash(next.name());
+                startAfterDelay(next);
             }
         }
 
-        private void startLater(MemberSpec later) {
-            clock.schedule(RESTART_MICROS, () -> start(later));
+        private void startAfterDelay(MemberSpec next) {
+            clock.schedule(RESTART_MICROS, () -> start(next));
         }
 
-        /** What it has sent stays in the sums. */
-        private void ended(HollowMember member) {
+        /** Removes the member and keeps its counters in the totals of this loop. */
+        private void remove(HollowMember member) {
             members.remove(member.spec().name());
-            sent += member.counts().sent();
-            sentBytes += member.counts().sentBytes();
-            overRate += member.counts().overRate();
+            sent += member.counters().sent();
+            sentBytes += member.counters().sentBytes();
+            overRate += member.counters().overRate();
         }
 
-        void links(LinkFaults now) {
-            faults = now;
-            members.values().forEach(one -> one.links(now));
+        void setLinkFaults(LinkFaults newFaults) {
+            faults = newFaults;
+            members.values().forEach(member -> member.setLinkFaults(newFaults));
         }
     }
 
-    /** {@code seeds} are the addresses at which members ask for a view; {@code seed} is for the random sources. */
-    public HollowHost(int loops, String cluster, List<String> seeds, long seed) {
+    /**
+     * {@code seeds} are the addresses from which joining members request a view; {@code seed} seeds the random
+     * sources.
+     */
+    public HollowHost(int loopCount, String cluster, List<String> seeds, long seed) {
         Transport transport = Transport.named("auto");
-        for (int i = 0; i < loops; i++) {
-            lanes.add(new Lane(transport, cluster, seeds, seed));
+        for (int i = 0; i < loopCount; i++) {
+            loops.add(new LoopMembers(transport, cluster, seeds, seed));
         }
     }
 
-    /** Carries an order out and reports. */
-    public HollowReport carryOut(HollowOrder order) {
+    /** Executes an order and returns a report taken after it. */
+    public HollowReport execute(HollowOrder order) {
         if (order instanceof HollowOrder.Start start) {
             start(start.members());
         } else if (order instanceof HollowOrder.Crash crash) {
-            onEach(lane -> crash.names().forEach(lane::crash));
+            runOnEachLoop(loopMembers -> crash.names().forEach(loopMembers::crash));
         } else if (order instanceof HollowOrder.Restart restart) {
-            onEach(lane -> lane.restart(restart.next(), restart.clean()));
+            runOnEachLoop(loopMembers -> loopMembers.restart(restart.next(), restart.clean()));
         } else if (order instanceof HollowOrder.Links links) {
-            onEach(lane -> lane.links(links.faults()));
+            runOnEachLoop(loopMembers -> loopMembers.setLinkFaults(links.faults()));
         }
         return report();
     }
@@ -120,33 +124,34 @@
     private void start(List<MemberSpec> members) {
         List<Future<Void>> opening = new ArrayList<>();
         for (MemberSpec spec : members) {
-            Lane lane = lanes.get(next++ % lanes.size());
-            opening.add(lane.loop
-                    .submit(() -> lane.start(spec))
+            LoopMembers loopMembers = loops.get(nextLoop++ % loops.size());
+            opening.add(loopMembers
+                    .loop
+                    .submit(() -> loopMembers.start(spec))
                     .syncUninterruptibly()
                     .getNow());
         }
         opening.forEach(Future::syncUninterruptibly);
     }
 
-    private void onEach(Consumer<Lane> task) {
+    private void runOnEachLoop(Consumer<LoopMembers> task) {
         List<Future<?>> done = new ArrayList<>();
-        lanes.forEach(lane -> done.add(lane.loop.submit(() -> task.accept(lane))));
+        loops.forEach(loopMembers -> done.add(loopMembers.loop.submit(() -> task.accept(loopMembers))));
         done.forEach(Future::syncUninterruptibly);
     }
 
     private HollowReport report() {
-        Tally tally = new Tally();
-        onEach(lane -> {
-            synchronized (tally) {
-                tally.add(lane);
+        ReportTotals totals = new ReportTotals();
+        runOnEachLoop(loopMembers -> {
+            synchronized (totals) {
+                totals.add(loopMembers);
             }
         });
-        return tally.report();
+        return totals.report();
     }
 
-    /** Sums over the lanes. */
-    private static final class Tally {
+    /** Totals over the event loops of the process. */
+    private static final class ReportTotals {
         private final Map<String, Integer> views = new LinkedHashMap<>();
         private final Set<String> removed = new HashSet<>();
         private int alive;
@@ -157,24 +162,24 @@
         private long sentBytes;
         private long overRate;
 
-        void add(Lane lane) {
-            sent += lane.sent;
-            sentBytes += lane.sentBytes;
-            overRate += lane.overRate;
-            for (HollowMember one : lane.members.values()) {
-                alive += one.isLeaving() ? 0 : 1;
-                outside += one.isIn() ? 0 : 1;
-                old += one.isIn() && one.isOld() ? 1 : 0;
-                distrusting += one.distrusts() ? 1 : 0;
-                sent += one.counts().sent();
-                sentBytes += one.counts().sentBytes();
-                overRate += one.counts().overRate();
-                if (one.view() != null) {
-                    views.merge(one.view().toString(), 1, Integer::sum);
+        void add(LoopMembers loopMembers) {
+            sent += loopMembers.sent;
+            sentBytes += loopMembers.sentBytes;
+            overRate += loopMembers.overRate;
+            for (HollowMember member : loopMembers.members.values()) {
+                alive += member.isLeaving() ? 0 : 1;
+                outside += member.isInView() ? 0 : 1;
+                old += member.isInView() && member.isViewStale() ? 1 : 0;
+                distrusting += member.hasRaisedLocalHealth() ? 1 : 0;
+                sent += member.counters().sent();
+                sentBytes += member.counters().sentBytes();
+                overRate += member.counters().overRate();
+                if (member.view() != null) {
+                    views.merge(member.view().toString(), 1, Integer::sum);
                 }
             }
-            removed.addAll(lane.removed);
-            lane.removed.clear();
+            removed.addAll(loopMembers.removed);
+            loopMembers.removed.clear();
         }
 
         HollowReport report() {
@@ -184,6 +189,6 @@
 
     @Override
     public void close() {
-        lanes.forEach(lane -> lane.group.shutdownGracefully());
+        loops.forEach(loopMembers -> loopMembers.group.shutdownGracefully());
     }
 }
--- a/lab/src/main/java/wheatspread/lab/scale/HollowMember.java
+++ b/lab/src/main/java/wheatspread/lab/scale/HollowMember.java
@@ -19,12 +19,12 @@
 import wheatspread.transport.Transport;
 
 /**
- * One hollow server: the program's own membership on sockets of its own, and nothing else of a server. All methods
- * but the constructor and {@link #open} are called on its event loop's thread.
+ * One hollow server: the server's own membership code on separate sockets, without the other parts of a server. All
+ * methods but the constructor and {@link #open} are called on the thread of the member's event loop.
  */
 final class HollowMember implements EventLog {
-    /** A member that leaves and is not let go ends after this long; microseconds. */
-    private static final long LEAVE_MICROS = 6_000_000;
+    /** A leaving member closes after this time even if no view without it was installed. */
+    private static final long LEAVE_TIMEOUT_MICROS = 6_000_000;
 
     private final MemberSpec spec;
     private final PeerTransport peers;
@@ -32,30 +32,31 @@
     private final Clock clock;
     private final Consumer<Set<String>> removed;
     private ViewKey view;
-    private boolean in;
-    private Runnable whenLeft;
+    private boolean inView;
+    private Runnable afterLeave;
     private boolean closed;
 
-    /** What a member shares with the others of its loop. */
-    record Surroundings(
-            String cluster, List<String> seeds, Transport transport, EventLoop loop, Clock clock, long seed) {}
+    /** What the members of one event loop share. */
+    record Context(String cluster, List<String> seeds, Transport transport, EventLoop loop, Clock clock, long seed) {}
 
-    /** {@code removed} hears of members that went from a view and not by themselves. */
-    HollowMember(MemberSpec spec, Surroundings around, Consumer<Set<String>> removed) {
+    /**
+     * {@code removed} receives members that a new view no longer contains although they did not leave by themselves.
+     */
+    HollowMember(MemberSpec spec, Context context, Consumer<Set<String>> removed) {
         this.spec = spec;
         this.removed = removed;
-        clock = around.clock();
-        long drawn = around.seed() * 31 + spec.start() + spec.name().hashCode();
-        links = new FaultyLinks(spec.address(), new SplittableRandom(~drawn));
+        clock = context.clock();
+        long memberSeed = context.seed() * 31 + spec.start() + spec.name().hashCode();
+        links = new FaultyLinks(spec.address(), new SplittableRandom(~memberSeed));
         peers = new PeerTransport(
-                around.cluster(),
+                context.cluster(),
                 PeerAddress.parse(spec.address()),
                 new Member(new MemberId(spec.name(), spec.start()), spec.address(), spec.zone(), "hollow", 0),
-                around.seeds(),
-                around.transport(),
-                around.loop(),
+                context.seeds(),
+                context.transport(),
+                context.loop(),
                 clock,
-                new SplittableRandom(drawn),
+                new SplittableRandom(memberSeed),
                 this);
         peers.setLinkFilter(links);
     }
@@ -73,49 +74,50 @@
         peers.close();
     }
 
-    /** Leaves the fleet, ends, and runs {@code then}. */
-    void leave(Runnable then) {
-        whenLeft = then;
+    /** Leaves the fleet, closes the sockets, and runs {@code task} afterwards. */
+    void leave(Runnable task) {
+        afterLeave = task;
         peers.leave();
-        clock.schedule(LEAVE_MICROS, this::left);
+        clock.schedule(LEAVE_TIMEOUT_MICROS, this::finishLeave);
     }
 
-    private void left() {
+    private void finishLeave() {
         if (!closed) {
             close();
-            whenLeft.run();
+            afterLeave.run();
         }
     }
 
-    /** Whether it is on its way out. */
+    /** Whether this member has begun to leave. */
     boolean isLeaving() {
-        return whenLeft != null;
+        return afterLeave != null;
     }
 
-    void links(LinkFaults faults) {
+    void setLinkFaults(LinkFaults faults) {
         links.set(faults);
     }
 
-    PeerCounters counts() {
+    PeerCounters counters() {
         return peers.counters();
     }
 
-    /** The view that holds here; null before the first. */
+    /** The installed view; null before the first view is installed. */
     ViewKey view() {
         return view;
     }
 
-    boolean isIn() {
-        return in;
+    /** Whether the installed view contains this member. */
+    boolean isInView() {
+        return inView;
     }
 
-    /** Whether it thinks that its view is old. */
-    boolean isOld() {
+    /** Whether this member reaches no quorum of its view, so that the view may be stale. */
+    boolean isViewStale() {
         return !peers.membership().isQuorumReachable(EventLoopScheduler.monotonicMicros());
     }
 
-    /** Whether it waits longer than usual before it accuses others. */
-    boolean distrusts() {
+    /** Whether the local health multiplier is raised, so that this member waits longer before it suspects others. */
+    boolean hasRaisedLocalHealth() {
         Membership membership = peers.membership();
         return membership.localHealthMultiplier() > 1;
     }
@@ -125,15 +127,15 @@
         if (!event.equals(ViewEvents.NAME)) {
             return;
         }
-        Map<String, Object> told = EventLog.map(fields);
-        view = new ViewKey(told.get("id").toString(), (int) told.get("members"), (String) told.get("list"));
-        in = (boolean) told.get("in");
-        Set<String> gone = ViewEvents.removed(told.get("gone").toString());
-        if (!gone.isEmpty()) {
-            removed.accept(gone);
+        Map<String, Object> values = EventLog.map(fields);
+        view = new ViewKey(values.get("id").toString(), (int) values.get("members"), (String) values.get("list"));
+        inView = (boolean) values.get("in");
+        Set<String> removedIds = ViewEvents.removed(values.get("gone").toString());
+        if (!removedIds.isEmpty()) {
+            removed.accept(removedIds);
         }
-        if (whenLeft != null && !in) {
-            clock.runAfterTurn(this::left);
+        if (afterLeave != null && !inView) {
+            clock.runAfterTurn(this::finishLeave);
         }
     }
 }
--- a/lab/src/main/java/wheatspread/lab/scale/HollowOrder.java
+++ b/lab/src/main/java/wheatspread/lab/scale/HollowOrder.java
@@ -9,21 +9,21 @@
 import org.json.JSONObject;
 
 /**
- * What the rig asks of a process of hollow servers: one line of JSON each on its standard input. Every order is
- * answered by one {@link HollowReport} once it is carried out, restarts and leaves once they are begun.
+ * An order from the rig to a process of hollow servers, sent as one line of JSON on its standard input. The process
+ * answers every order with one {@link HollowReport} after executing it; it answers restarts and leaves when they begin.
  */
 public sealed interface HollowOrder {
-    /** The order's name on the wire. */
+    /** Key of the order's name on the wire. */
     String KIND = "order";
 
-    /** Starts these members. */
+    /** Starts members. */
     record Start(List<MemberSpec> members) implements HollowOrder {
         public Start {
             members = List.copyOf(members);
         }
     }
 
-    /** Closes the sockets of these members at once, without a word to the others. */
+    /** Closes the sockets of the named members at once, without notifying their peers. */
     record Crash(Set<String> names) implements HollowOrder {
         public Crash {
             names = Set.copyOf(names);
@@ -33,66 +33,66 @@
     /**
      * Ends one member and starts it again.
      *
-     * @param next the later start
-     * @param clean whether it leaves the fleet before it ends, instead of ending at once
+     * @param next the member with the number of its next start
+     * @param clean whether the member leaves the fleet before it closes its sockets
      */
     record Restart(MemberSpec next, boolean clean) implements HollowOrder {}
 
-    /** Sets the faults of the links from now on. */
+    /** Replaces the link faults of all members. */
     record Links(LinkFaults faults) implements HollowOrder {}
 
-    /** Asks for a report alone. */
+    /** Requests a report and changes nothing. */
     record Report() implements HollowOrder {}
 
-    /** This order as one line of text. */
+    /** Returns this order as one line of JSON, without the line end. */
     default String toLine() {
-        JSONObject told = new JSONObject();
+        JSONObject json = new JSONObject();
         if (this instanceof Start start) {
             JSONArray members = new JSONArray();
-            start.members.forEach(one -> members.put(one.toJson()));
-            told.put(KIND, "start").put("members", members);
+            start.members.forEach(member -> members.put(member.toJson()));
+            json.put(KIND, "start").put("members", members);
         } else if (this instanceof Crash crash) {
-            told.put(KIND, "crash").put("names", new JSONArray(crash.names));
+            json.put(KIND, "crash").put("names", new JSONArray(crash.names));
         } else if (this instanceof Restart restart) {
-            told.put(KIND, "restart").put("next", restart.next.toJson()).put("clean", restart.clean);
+            json.put(KIND, "restart").put("next", restart.next.toJson()).put("clean", restart.clean);
         } else if (this instanceof Links links) {
-            told.put(KIND, "links")
+            json.put(KIND, "links")
                     .put("loss", links.faults.loss())
                     .put("side", new JSONArray(links.faults.side()))
                     .put("unfiltered", new JSONArray(links.faults.unfiltered()));
         } else {
-            told.put(KIND, "report");
+            json.put(KIND, "report");
         }
-        return told.toString();
+        return json.toString();
     }
 
-    /** The order in a line; throws {@link IllegalArgumentException} where there is none of a known name. */
+    /** Parses a line; throws {@link IllegalArgumentException} if the name of the order is unknown. */
     static HollowOrder fromLine(String line) {
-        JSONObject told = new JSONObject(line);
-        return switch (told.getString(KIND)) {
+        JSONObject json = new JSONObject(line);
+        return switch (json.getString(KIND)) {
             case "start" -> {
-                JSONArray members = told.getJSONArray("members");
+                JSONArray members = json.getJSONArray("members");
                 List<MemberSpec> specs = new ArrayList<>();
                 for (int i = 0; i < members.length(); i++) {
                     specs.add(MemberSpec.fromJson(members.getJSONObject(i)));
                 }
                 yield new Start(specs);
             }
-            case "crash" -> new Crash(texts(told.getJSONArray("names")));
-            case "restart" -> new Restart(MemberSpec.fromJson(told.getJSONObject("next")), told.getBoolean("clean"));
+            case "crash" -> new Crash(texts(json.getJSONArray("names")));
+            case "restart" -> new Restart(MemberSpec.fromJson(json.getJSONObject("next")), json.getBoolean("clean"));
             case "links" ->
                 new Links(new LinkFaults(
-                        told.getDouble("loss"),
-                        texts(told.getJSONArray("side")),
-                        texts(told.getJSONArray("unfiltered"))));
+                        json.getDouble("loss"),
+                        texts(json.getJSONArray("side")),
+                        texts(json.getJSONArray("unfiltered"))));
             case "report" -> new Report();
-            default -> throw new IllegalArgumentException("unknown order " + told.getString(KIND));
+            default -> throw new IllegalArgumentException("unknown order " + json.getString(KIND));
         };
     }
 
-    private static Set<String> texts(JSONArray told) {
-        Collection<String> all = new TreeSet<>();
-        told.forEach(one -> all.add((String) one));
-        return Set.copyOf(all);
+    private static Set<String> texts(JSONArray array) {
+        Collection<String> texts = new TreeSet<>();
+        array.forEach(element -> texts.add((String) element));
+        return Set.copyOf(texts);
     }
 }
--- a/lab/src/main/java/wheatspread/lab/scale/HollowPlan.java
+++ b/lab/src/main/java/wheatspread/lab/scale/HollowPlan.java
@@ -1,68 +1,74 @@
 package wheatspread.lab.scale;
 
 /**
- * How many processes carry a number of hollow servers, and how large they are.
+ * The number and the size of the processes that run a number of hollow servers.
  *
- * @param members hollow servers in all
- * @param fleet all members of the fleet, with the real servers
+ * @param members number of hollow servers
+ * @param fleet number of all members of the fleet, real servers included
  */
 public record HollowPlan(int members, int fleet) {
-    /** Members of one process at most. */
-    static final int MOST_IN_PROCESS = 350;
+    /** Largest number of members in one process. */
+    static final int MAX_MEMBERS_PER_PROCESS = 350;
 
-    private static final int LEAST_LOOPS = 4;
+    private static final int MIN_LOOPS = 4;
     private static final double HEAP_BASE_MB = 128;
-    /** A member's share of the heap at least, and what each other member of its view adds; with room for garbage. */
-    private static final double HEAP_MEMBER_MB = 1;
+    /** Heap of a member alone; includes room for garbage. */
+    private static final double HEAP_PER_MEMBER_MB = 1;
 
-    private static final double HEAP_MEMBER_OF_VIEW_MB = 0.0036;
-    /** The same for a round of the agreement: each member keeps every other's promise, with the change it voted for. */
-    private static final double HEAP_MEMBER_OF_ROUND_MB = 0.02;
+    /** Heap that each entry of a member's view adds; includes room for garbage. */
+    private static final double HEAP_PER_VIEW_ENTRY_MB = 0.0036;
+    /**
+     * Heap that each entry of a member's view adds during a round of the view agreement: each member keeps the
+     * promise of every other member, with the change that the other member voted for.
+     */
+    private static final double HEAP_PER_ROUND_ENTRY_MB = 0.02;
 
-    private static final int OUTSIDE_HEAP_MB = 160;
-    /** A datagram socket and a listening one; streams are few and short. */
-    private static final int DESCRIPTORS_OF_MEMBER = 2;
+    private static final int NON_HEAP_MB = 160;
+    /** A datagram socket and a listening socket; stream connections are few and short-lived. */
+    private static final int DESCRIPTORS_PER_MEMBER = 2;
 
-    private static final int DESCRIPTORS_BESIDE = 1_000;
+    private static final int OTHER_DESCRIPTORS = 1_000;
 
-    /** How many processes. */
     int processes() {
-        return (members + MOST_IN_PROCESS - 1) / MOST_IN_PROCESS;
+        return (members + MAX_MEMBERS_PER_PROCESS - 1) / MAX_MEMBERS_PER_PROCESS;
     }
 
-    /** Members of the process of that index: as many as the others, or one more. */
+    /** Number of members in the process of that index. Processes differ by one member at most. */
     int membersOf(int process) {
-        int all = Math.max(1, processes());
-        return members / all + (process < members % all ? 1 : 0);
+        int count = Math.max(1, processes());
+        return members / count + (process < members % count ? 1 : 0);
     }
 
-    /** Event loops of a process: all processes together have at least one for each core. */
+    /** Number of event loops per process; all processes together have at least one loop per core. */
     int loops() {
-        return Math.max(LEAST_LOOPS, MachineResources.cores() / Math.max(1, processes()));
+        return Math.max(MIN_LOOPS, MachineResources.cores() / Math.max(1, processes()));
     }
 
-    /** The least Java heap of a process with which a fleet can be formed. */
-    int leastHeapMb() {
-        return heapMb(HEAP_MEMBER_OF_VIEW_MB);
+    /** Smallest Java heap of a process, in MB, with which a fleet can be formed. */
+    int minHeapMb() {
+        return heapMb(HEAP_PER_VIEW_ENTRY_MB);
     }
 
-    private int heapMb(double ofOthers) {
-        return (int) Math.ceil(HEAP_BASE_MB + membersOf(0) * (HEAP_MEMBER_MB + ofOthers * fleet));
+    private int heapMb(double perViewEntryMb) {
+        return (int) Math.ceil(HEAP_BASE_MB + membersOf(0) * (HEAP_PER_MEMBER_MB + perViewEntryMb * fleet));
     }
 
-    /** The largest Java heap of a process: what rounds want, where all processes may take so much memory together. */
+    /**
+     * Largest Java heap of a process, in MB: the heap that rounds of the view agreement need, limited so that all
+     * processes together fit into {@code memoryMb}, but not below {@link #minHeapMb}.
+     */
     int heapMb(long memoryMb) {
-        long most = memoryMb / Math.max(1, processes()) - OUTSIDE_HEAP_MB;
-        return (int) Math.max(leastHeapMb(), Math.min(most, heapMb(HEAP_MEMBER_OF_ROUND_MB)));
+        long maxHeapMb = memoryMb / Math.max(1, processes()) - NON_HEAP_MB;
+        return (int) Math.max(minHeapMb(), Math.min(maxHeapMb, heapMb(HEAP_PER_ROUND_ENTRY_MB)));
     }
 
-    /** Memory that all processes take at least, heap and the rest. */
+    /** Smallest memory of all processes together, in MB: heap and memory outside the heap. */
     int memoryMb() {
-        return processes() * (leastHeapMb() + OUTSIDE_HEAP_MB);
+        return processes() * (minHeapMb() + NON_HEAP_MB);
     }
 
-    /** Descriptors that one process may open. */
+    /** Largest number of descriptors that one process opens. */
     int descriptors() {
-        return membersOf(0) * DESCRIPTORS_OF_MEMBER + DESCRIPTORS_BESIDE;
+        return membersOf(0) * DESCRIPTORS_PER_MEMBER + OTHER_DESCRIPTORS;
     }
 }
--- a/lab/src/main/java/wheatspread/lab/scale/HollowProcess.java
+++ b/lab/src/main/java/wheatspread/lab/scale/HollowProcess.java
@@ -8,19 +8,22 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A process of hollow servers, started and spoken to by the rig. It ends when its standard input is closed. */
+/**
+ * A process of hollow servers that the rig starts and sends orders to. The process exits when its standard input
+ * closes.
+ */
 final class HollowProcess implements AutoCloseable {
-    private static final long END_SECONDS = 5;
+    private static final long EXIT_TIMEOUT_SECONDS = 5;
 
     private final Process process;
     private final BufferedReader in;
     private final Writer out;
 
-    /** Starts a process for members of this cluster; {@code heapMb} is its largest heap. */
+    /** Starts a process for members of {@code cluster}; {@code heapMb} is the largest heap of the process. */
     HollowProcess(String cluster, List<String> seeds, int loops, int heapMb, long seed) throws IOException {
         process = new ProcessBuilder(List.of(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                        // short pauses: a pause of this process stops all its members at once
+                        // A collection pause stops all members of the process at once, so pauses are kept short.
                         "-XX:+UseG1GC",
                         "-XX:MaxGCPauseMillis=50",
                         "-XX:ParallelGCThreads=4",
@@ -55,17 +58,18 @@
         return process.pid();
     }
 
-    /** Gives an order, whose report is to be read. */
-    void say(HollowOrder order) throws IOException {
+    /** Sends an order; its report is to be read with {@link #readReport}. */
+    void send(HollowOrder order) throws IOException {
         out.write(order.toLine() + "\n");
         out.flush();
     }
 
-    /** The report on the oldest order that has none yet. */
-    HollowReport hear() throws IOException {
+    /** Reads the report on the oldest order that is still unanswered; blocks until the process writes it. */
+    HollowReport readReport() throws IOException {
         String line = in.readLine();
         if (line == null) {
-            throw new IOException("a process of hollow servers has ended");
+            throw new IOException(
+                    "hollow server process " + pid() + " closed its output before it wrote the report on an order");
         }
         return HollowReport.fromLine(line);
     }
@@ -74,7 +78,7 @@
     public void close() {
         process.destroyForcibly();
         try {
-            process.waitFor(END_SECONDS, TimeUnit.SECONDS);
+            process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/lab/src/main/java/wheatspread/lab/scale/HollowReport.java
+++ b/lab/src/main/java/wheatspread/lab/scale/HollowReport.java
@@ -8,17 +8,19 @@
 import org.json.JSONObject;
 
 /**
- * What a process of hollow servers tells of its members: one line of JSON on its standard output for each order.
+ * The state of the members of a process of hollow servers, written as one line of JSON on its standard output for each
+ * order.
  *
- * @param alive members whose sockets are open and that do not leave
- * @param views how many living members hold a view, by {@link ViewKey#toString}
- * @param old living members that say that their view is old
- * @param outside living members that are in no view
- * @param distrusting living members that wait longer than usual before they accuse others
- * @param sent messages sent since the process began, by all members that ever lived in it
- * @param sentBytes bytes sent, likewise
- * @param overRate messages that came faster than they may be read, likewise
- * @param removed members gone from a view since the last report and not by themselves, as {@code name#start}
+ * @param alive number of members whose sockets are open and that are not leaving
+ * @param views number of live members that hold a view, by {@link ViewKey#toString}
+ * @param old number of live members that reach no quorum of their view
+ * @param outside number of live members that are not in the view that they hold, or hold none
+ * @param distrusting number of live members whose local health multiplier is raised
+ * @param sent number of messages that all members of the process, closed ones included, sent since it started
+ * @param sentBytes number of bytes in these messages
+ * @param overRate number of received messages that were dropped because they exceeded the permitted rate
+ * @param removed members that views dropped since the last report although they did not leave by themselves, as
+ *     {@code name#start}
  */
 public record HollowReport(
         int alive,
@@ -30,7 +32,7 @@
         long sentBytes,
         long overRate,
         Set<String> removed) {
-    /** This report as one line of text. */
+    /** Returns this report as one line of JSON, without the line end. */
     public String toLine() {
         return new JSONObject()
                 .put("alive", alive)
@@ -45,23 +47,23 @@
                 .toString();
     }
 
-    /** The report in a line. */
+    /** Parses a line that {@link #toLine} wrote. */
     public static HollowReport fromLine(String line) {
-        JSONObject told = new JSONObject(line);
+        JSONObject json = new JSONObject(line);
         Map<String, Integer> views = new LinkedHashMap<>();
-        JSONObject counts = told.getJSONObject("views");
+        JSONObject counts = json.getJSONObject("views");
         counts.keySet().forEach(key -> views.put(key, counts.getInt(key)));
         Set<String> removed = new LinkedHashSet<>();
-        told.getJSONArray("removed").forEach(one -> removed.add((String) one));
+        json.getJSONArray("removed").forEach(id -> removed.add((String) id));
         return new HollowReport(
-                told.getInt("alive"),
+                json.getInt("alive"),
                 views,
-                told.getInt("old"),
-                told.getInt("outside"),
-                told.getInt("distrusting"),
-                told.getLong("sent"),
-                told.getLong("sent_bytes"),
-                told.getLong("over_rate"),
+                json.getInt("old"),
+                json.getInt("outside"),
+                json.getInt("distrusting"),
+                json.getLong("sent"),
+                json.getLong("sent_bytes"),
+                json.getLong("over_rate"),
                 removed);
     }
 }
--- a/lab/src/main/java/wheatspread/lab/scale/LinkFaults.java
+++ b/lab/src/main/java/wheatspread/lab/scale/LinkFaults.java
@@ -3,16 +3,15 @@
 import java.util.Set;
 
 /**
- * The faults of all links of a fleet at one time.
+ * The faults that apply to all links of a fleet.
  *
- * @param loss the share of messages that each link loses, from 0 to 1
- * @param side advertised addresses of the members on one side of a cut; messages between these and all others are
- *     dropped; empty for no cut
- * @param unfiltered advertised addresses of members that have no filter of their own, so that messages to them are
- *     dropped by the sender
+ * @param loss share of messages that each link loses, from 0 to 1
+ * @param side advertised addresses of the members on one side of a partition; messages between these and all other
+ *     members are dropped; empty for no partition
+ * @param unfiltered advertised addresses of members without a link filter; the sender drops messages to them
  */
 public record LinkFaults(double loss, Set<String> side, Set<String> unfiltered) {
-    /** Nothing is lost. */
+    /** No message is lost. */
     public static final LinkFaults NONE = new LinkFaults(0, Set.of(), Set.of());
 
     public LinkFaults {
--- a/lab/src/main/java/wheatspread/lab/scale/MachineResources.java
+++ b/lab/src/main/java/wheatspread/lab/scale/MachineResources.java
@@ -5,32 +5,35 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** What this machine has, and how busy it is. */
+/** The resources of this machine and their current use. */
 final class MachineResources {
+    /** Index of the idle time among the values of the {@code cpu} line of {@code /proc/stat}. */
     private static final int IDLE = 3;
-    private static final int WAITING = 4;
+
+    /** Index of the I/O wait time, likewise. */
+    private static final int IO_WAIT = 4;
 
     private MachineResources() {}
 
-    /** Processor time of the whole machine so far, in ticks. */
-    record Ticks(long busy, long all) {
-        /** The share of processor time in use since an earlier moment, in percent of all cores. */
+    /** Processor time of the whole machine since boot, in clock ticks. */
+    record Ticks(long busy, long total) {
+        /** Processor time used since {@code earlier}, in percent of all cores; 0 if no tick has passed. */
         double percentSince(Ticks earlier) {
-            return all == earlier.all ? 0 : 100.0 * (busy - earlier.busy) / (all - earlier.all);
+            return total == earlier.total ? 0 : 100.0 * (busy - earlier.busy) / (total - earlier.total);
         }
     }
 
     static Ticks ticks() throws IOException {
         String line = Files.readAllLines(Path.of("/proc/stat")).get(0);
         String[] fields = line.trim().split("\\s+");
-        long all = 0;
+        long total = 0;
         for (int i = 1; i < fields.length; i++) {
-            all += Long.parseLong(fields[i]);
+            total += Long.parseLong(fields[i]);
         }
-        return new Ticks(all - Long.parseLong(fields[1 + IDLE]) - Long.parseLong(fields[1 + WAITING]), all);
+        return new Ticks(total - Long.parseLong(fields[1 + IDLE]) - Long.parseLong(fields[1 + IO_WAIT]), total);
     }
 
-    /** Processes that run or wait to run, mean of the last minute. */
+    /** Number of processes that run or wait to run, averaged over the last minute. */
     static double loadAverage() throws IOException {
         return Double.parseDouble(Files.readString(Path.of("/proc/loadavg")).split(" ")[0]);
     }
@@ -39,13 +42,13 @@
         return Runtime.getRuntime().availableProcessors();
     }
 
-    /** A line of {@code /proc/meminfo}, such as {@code MemTotal}, in MB. */
+    /** Returns a value of {@code /proc/meminfo}, such as {@code MemTotal}, in MB. */
     static long memoryMb(String name) throws IOException {
         return number(Files.readAllLines(Path.of("/proc/meminfo")), name) / 1_024;
     }
 
-    /** How many descriptors a process may open. */
-    static long mostDescriptors() throws IOException {
+    /** Largest number of descriptors that a process may open. */
+    static long maxDescriptors() throws IOException {
         return number(Files.readAllLines(Path.of("/proc/self/limits")), "Max open files");
     }
 
@@ -57,6 +60,6 @@
                 return first.equals("unlimited") ? Long.MAX_VALUE : Long.parseLong(first);
             }
         }
-        throw new IOException("the system does not tell " + name);
+        throw new IOException("no line of /proc starts with " + name);
     }
 }
--- a/lab/src/main/java/wheatspread/lab/scale/MemberSpec.java
+++ b/lab/src/main/java/wheatspread/lab/scale/MemberSpec.java
@@ -3,20 +3,20 @@
 import org.json.JSONObject;
 
 /**
- * One hollow server as it is to be started.
+ * The parameters with which a hollow server starts.
  *
  * @param name the server's name, the same from start to start
- * @param start the number of its start, larger than that of any earlier start of this name
- * @param address where it listens for datagrams and streams, as {@code 127.0.0.1:port}
- * @param zone the zone it stands in
+ * @param start start number, larger than that of any earlier start of this name
+ * @param address address for datagrams and streams, as {@code 127.0.0.1:port}
+ * @param zone zone of the server
  */
 public record MemberSpec(String name, long start, String address, String zone) {
-    /** The same server in a later start. */
-    public MemberSpec restarted(long later) {
-        return new MemberSpec(name, later, address, zone);
+    /** Returns the same server with a later start number. */
+    public MemberSpec withStart(long nextStart) {
+        return new MemberSpec(name, nextStart, address, zone);
     }
 
-    /** Name and start number as views and logs write them. */
+    /** Name and start number, in the form of views and logs. */
     public String id() {
         return name + "#" + start;
     }
@@ -29,8 +29,8 @@
                 .put("zone", zone);
     }
 
-    static MemberSpec fromJson(JSONObject told) {
+    static MemberSpec fromJson(JSONObject json) {
         return new MemberSpec(
-                told.getString("name"), told.getLong("start"), told.getString("address"), told.getString("zone"));
+                json.getString("name"), json.getLong("start"), json.getString("address"), json.getString("zone"));
     }
 }
--- a/lab/src/main/java/wheatspread/lab/scale/Observation.java
+++ b/lab/src/main/java/wheatspread/lab/scale/Observation.java
@@ -3,19 +3,19 @@
 import java.util.Map;
 
 /**
- * What all members of a fleet hold and have sent at one moment.
+ * The views, states and traffic of all members of a fleet at one instant.
  *
- * @param nanos when, by {@link System#nanoTime}
- * @param members living members, hollow and real
- * @param views how many living members hold each view
- * @param old living hollow members that say that their view is old
- * @param outside living hollow members in no view
- * @param distrusting living hollow members that wait longer than usual before they accuse others
- * @param messages messages sent by hollow members since the start of the fleet
- * @param bytes bytes sent, likewise
- * @param overRate messages that hollow members dropped since they came too fast, likewise
- * @param agreed whether every living member holds one and the same view, of all living members, and none says that
- *     it is old
+ * @param nanos time of the observation, by {@link System#nanoTime}
+ * @param members number of live members, hollow and real
+ * @param views number of live members that hold each view
+ * @param old number of live hollow members that reach no quorum of their view
+ * @param outside number of live hollow members that are not in the view that they hold, or hold none
+ * @param distrusting number of live hollow members whose local health multiplier is raised
+ * @param messages number of messages that hollow members have sent since the start of the fleet
+ * @param bytes number of bytes in these messages
+ * @param overRate number of received messages that hollow members dropped because they exceeded the permitted rate
+ * @param agreed whether all live members hold the same view, which contains exactly the live members, and none reports
+ *     it as stale
  */
 record Observation(
         long nanos,
--- a/lab/src/main/java/wheatspread/lab/scale/ObservationWindow.java
+++ b/lab/src/main/java/wheatspread/lab/scale/ObservationWindow.java
@@ -8,95 +8,100 @@
 import java.util.concurrent.TimeUnit;
 import org.json.JSONObject;
 
-/** A stretch of time in which a fleet is watched, and its figures. */
+/** A time window in which a fleet is observed, and the figures of that window. */
 final class ObservationWindow {
-    private static final long LOOK_MILLIS = 200;
+    private static final long OBSERVE_MILLIS = 200;
     private static final double WORST_SECONDS = 10;
     private static final double PERCENT = 100;
-    /** From this share of processor time on nothing is left over for whoever waits; percent of all cores. */
+    /** Processor use, in percent of all cores, above which runnable threads have to wait for a core. */
     private static final double BUSY_PERCENT = 95;
 
     private final ScaleFleet fleet;
-    private final List<Observation> seen = new ArrayList<>();
+    private final List<Observation> observations = new ArrayList<>();
     private final double hollowSeconds;
     private final double[] realSeconds;
     private final RealServers.Sent realSent;
     private final MachineResources.Ticks ticks;
-    private int mostOld;
-    private int mostDistrusting;
+    private int maxStale;
+    private int maxWithRaisedLocalHealth;
 
-    /** Begins now. */
+    /** Starts the window at the current time. */
     ObservationWindow(ScaleFleet fleet) throws IOException {
         this.fleet = fleet;
         fleet.takeWronglyRemoved();
-        look();
+        observe();
         hollowSeconds = fleet.hollowProcessorSeconds();
         realSeconds = fleet.real().processorSeconds();
         realSent = fleet.real().sent();
         ticks = MachineResources.ticks();
     }
 
-    private Observation look() throws IOException {
-        Observation now = fleet.observe();
-        seen.add(now);
-        mostOld = Math.max(mostOld, now.old());
-        mostDistrusting = Math.max(mostDistrusting, now.distrusting());
-        return now;
+    private Observation observe() throws IOException {
+        Observation observation = fleet.observe();
+        observations.add(observation);
+        maxStale = Math.max(maxStale, observation.old());
+        maxWithRaisedLocalHealth = Math.max(maxWithRaisedLocalHealth, observation.distrusting());
+        return observation;
     }
 
-    /** Watches for so long. */
+    /** Observes the fleet every {@link #OBSERVE_MILLIS} for {@code seconds}. */
     void watch(double seconds) throws IOException, InterruptedException {
-        long until = System.nanoTime() + Math.round(seconds * 1e9);
-        while (System.nanoTime() < until) {
-            TimeUnit.MILLISECONDS.sleep(LOOK_MILLIS);
-            look();
+        long endNanos = System.nanoTime() + Math.round(seconds * 1e9);
+        while (System.nanoTime() < endNanos) {
+            TimeUnit.MILLISECONDS.sleep(OBSERVE_MILLIS);
+            observe();
         }
     }
 
-    /** Watches until all agree; returns the seconds since {@code sinceNanos}, or NaN where that takes too long. */
+    /**
+     * Observes the fleet until all members agree on a view. Returns the seconds since {@code sinceNanos}, or NaN if
+     * that takes longer than {@code limitSeconds}.
+     */
     double awaitView(long sinceNanos, double limitSeconds) throws IOException, InterruptedException {
         while (System.nanoTime() - sinceNanos < limitSeconds * 1e9) {
-            Observation now = look();
-            if (now.agreed()) {
-                return (now.nanos() - sinceNanos) / 1e9;
+            Observation observation = observe();
+            if (observation.agreed()) {
+                return (observation.nanos() - sinceNanos) / 1e9;
             }
-            TimeUnit.MILLISECONDS.sleep(LOOK_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(OBSERVE_MILLIS);
         }
         return Double.NaN;
     }
 
-    /** Seconds since its beginning. */
+    /** Seconds since the start of the window. */
     double seconds() {
-        return (System.nanoTime() - seen.get(0).nanos()) / 1e9;
+        return (System.nanoTime() - observations.get(0).nanos()) / 1e9;
     }
 
-    /** Ends it. Rates are those of a member and second, processor time is in percent of a core. */
+    /**
+     * Ends the window and returns its figures. Rates are per member and second; processor time is in percent of a core.
+     */
     JSONObject figures() throws IOException {
-        Observation last = look();
-        Observation first = seen.get(0);
+        Observation last = observe();
+        Observation first = observations.get(0);
         double seconds = (last.nanos() - first.nanos()) / 1e9;
         int real = fleet.real().size();
         int hollow = Math.max(1, last.members() - real);
-        Set<String> wrongly = fleet.takeWronglyRemoved();
+        Set<String> wronglyRemoved = fleet.takeWronglyRemoved();
         double load = MachineResources.loadAverage();
         double busy = MachineResources.ticks().percentSince(ticks);
-        double used = PERCENT * (fleet.hollowProcessorSeconds() - hollowSeconds) / seconds;
+        double usedPercent = PERCENT * (fleet.hollowProcessorSeconds() - hollowSeconds) / seconds;
         int loops = Math.max(1, fleet.plan().processes() * fleet.plan().loops());
         JSONObject figures = new JSONObject()
                 .put("seconds", seconds)
                 .put("members", last.members())
-                .put("hollow_cpu_percent", used / hollow)
+                .put("hollow_cpu_percent", usedPercent / hollow)
                 .put("bytes_per_s", (last.bytes() - first.bytes()) / seconds / hollow)
                 .put("messages_per_s", (last.messages() - first.messages()) / seconds / hollow)
-                .put("bytes_per_s_worst_10s", worstBytes() / hollow)
+                .put("bytes_per_s_worst_10s", worstBytesPerSecond() / hollow)
                 .put("over_rate_dropped", last.overRate() - first.overRate())
-                .put("wrongly_removed", wrongly.size())
-                .put("most_old", mostOld)
+                .put("wrongly_removed", wronglyRemoved.size())
+                .put("most_old", maxStale)
                 .put("old_at_end", last.old())
                 .put("outside_at_end", last.outside())
-                .put("most_distrusting", mostDistrusting)
+                .put("most_distrusting", maxWithRaisedLocalHealth)
                 .put("views_at_end", last.views().size())
-                .put("hollow_loop_cpu_percent", used / loops)
+                .put("hollow_loop_cpu_percent", usedPercent / loops)
                 .put("load_average", load)
                 .put("machine_cpu_percent", busy)
                 .put("machine_busy", load > MachineResources.cores() || busy > BUSY_PERCENT);
@@ -104,29 +109,32 @@
     }
 
     private JSONObject withReal(JSONObject figures, double seconds, int real) throws IOException {
-        double[] used = fleet.real().processorSeconds();
-        for (int i = 0; i < used.length; i++) {
-            used[i] = PERCENT * (used[i] - realSeconds[i]) / seconds;
+        double[] usedPercent = fleet.real().processorSeconds();
+        for (int i = 0; i < usedPercent.length; i++) {
+            usedPercent[i] = PERCENT * (usedPercent[i] - realSeconds[i]) / seconds;
         }
         RealServers.Sent sent = fleet.real().sent();
-        return figures.put("real_cpu_percent_each", used)
-                .put("real_cpu_percent", Arrays.stream(used).average().orElse(0))
+        return figures.put("real_cpu_percent_each", usedPercent)
+                .put("real_cpu_percent", Arrays.stream(usedPercent).average().orElse(0))
                 .put("real_bytes_per_s", (sent.bytes() - realSent.bytes()) / seconds / real)
                 .put("real_messages_per_s", (sent.messages() - realSent.messages()) / seconds / real);
     }
 
-    /** Bytes a second of all hollow members in the ten seconds with most of them. */
-    private double worstBytes() {
+    /** Bytes per second of all hollow members in the ten seconds of the window with the highest rate. */
+    private double worstBytesPerSecond() {
         double worst = 0;
         int from = 0;
-        for (int to = 1; to < seen.size(); to++) {
-            while ((seen.get(to).nanos() - seen.get(from + 1).nanos()) / 1e9 >= WORST_SECONDS) {
+        for (int to = 1; to < observations.size(); to++) {
+            while ((observations.get(to).nanos() - observations.get(from + 1).nanos()) / 1e9 >= WORST_SECONDS) {
                 from++;
             }
-            double seconds = (seen.get(to).nanos() - seen.get(from).nanos()) / 1e9;
-            boolean whole = seconds >= WORST_SECONDS || to == seen.size() - 1 && from == 0;
-            if (whole && seconds > 0) {
-                worst = Math.max(worst, (seen.get(to).bytes() - seen.get(from).bytes()) / seconds);
+            double seconds =
+                    (observations.get(to).nanos() - observations.get(from).nanos()) / 1e9;
+            boolean fullLength = seconds >= WORST_SECONDS || to == observations.size() - 1 && from == 0;
+            if (fullLength && seconds > 0) {
+                worst = Math.max(
+                        worst,
+                        (observations.get(to).bytes() - observations.get(from).bytes()) / seconds);
             }
         }
         return worst;
--- a/lab/src/main/java/wheatspread/lab/scale/Preflight.java
+++ b/lab/src/main/java/wheatspread/lab/scale/Preflight.java
@@ -2,61 +2,67 @@
 
 import java.io.IOException;
 
-/** Whether this machine can carry a fleet, before anything of it is started. */
+/** Checks, before anything is started, whether this machine has the resources for a fleet. */
 public final class Preflight {
-    /** The most of the machine's memory that a run may take. */
-    private static final double MOST_OF_MEMORY = 0.5;
+    /** Largest share of the machine's memory that a run may take. */
+    private static final double MAX_MEMORY_SHARE = 0.5;
 
-    private static final int MOST_PROCESSES = 300;
-    private static final int REAL_MB = 130;
-    /** The lab's own process, with the load and the stand-ins. */
+    private static final int MAX_PROCESSES = 300;
+    /** Memory of a real server. */
+    private static final int REAL_SERVER_MB = 130;
+
+    /** Memory of the lab's own process, with the load generator and the stand-ins. */
     private static final int LAB_MB = 768;
-    /** Descriptors of the lab's process for each real server: links, calls and callers. */
-    private static final int LAB_DESCRIPTORS_OF_REAL = 64;
+    /** Descriptors of the lab's process per real server: kernel links, dependency calls and clients. */
+    private static final int LAB_DESCRIPTORS_PER_REAL_SERVER = 64;
 
     private static final int LAB_DESCRIPTORS = 512;
 
     private Preflight() {}
 
-    /** What a machine offers. */
-    record Offer(long totalMb, long availableMb, long descriptors) {
-        static Offer ofThisMachine() throws IOException {
-            return new Offer(
+    /** The memory of a machine and the descriptor limit of its processes. */
+    record Resources(long totalMb, long availableMb, long descriptors) {
+        static Resources ofThisMachine() throws IOException {
+            return new Resources(
                     MachineResources.memoryMb("MemTotal"),
                     MachineResources.memoryMb("MemAvailable"),
-                    MachineResources.mostDescriptors());
+                    MachineResources.maxDescriptors());
         }
     }
 
-    /** Memory that is left on this machine for hollow processes beside so many real servers. */
+    /** Memory in MB that this machine has for hollow processes when it also runs {@code real} real servers. */
     static long hollowMemoryMb(int real) throws IOException {
-        Offer offer = Offer.ofThisMachine();
-        long most = Math.min(Math.round(MOST_OF_MEMORY * offer.totalMb), offer.availableMb);
-        return most - (long) real * REAL_MB - LAB_MB;
+        Resources resources = Resources.ofThisMachine();
+        long maxMb = Math.min(Math.round(MAX_MEMORY_SHARE * resources.totalMb), resources.availableMb);
+        return maxMb - (long) real * REAL_SERVER_MB - LAB_MB;
     }
 
-    /** Why a fleet of so many hollow and real servers cannot be started here, in one line; null where it can. */
+    /**
+     * Returns the reason, in one line, why this machine cannot run a fleet of {@code hollow} and {@code real} servers;
+     * null if it can.
+     */
     public static String refusal(int hollow, int real) throws IOException {
-        return refusal(hollow, real, Offer.ofThisMachine());
+        return refusal(hollow, real, Resources.ofThisMachine());
     }
 
-    static String refusal(int hollow, int real, Offer offer) {
+    static String refusal(int hollow, int real, Resources resources) {
         HollowPlan plan = new HollowPlan(hollow, hollow + real);
-        long memory = (long) plan.memoryMb() + (long) real * REAL_MB + LAB_MB;
+        long memoryMb = (long) plan.memoryMb() + (long) real * REAL_SERVER_MB + LAB_MB;
         int processes = plan.processes() + real + 1;
-        long descriptors = Math.max(plan.descriptors(), LAB_DESCRIPTORS + (long) real * LAB_DESCRIPTORS_OF_REAL);
+        long descriptors =
+                Math.max(plan.descriptors(), LAB_DESCRIPTORS + (long) real * LAB_DESCRIPTORS_PER_REAL_SERVER);
         String fleet = hollow + " hollow and " + real + " real servers want ";
-        if (memory > MOST_OF_MEMORY * offer.totalMb) {
-            return fleet + memory + " MB of memory; half of this machine's is " + offer.totalMb / 2 + " MB";
+        if (memoryMb > MAX_MEMORY_SHARE * resources.totalMb) {
+            return fleet + memoryMb + " MB of memory; half of this machine's is " + resources.totalMb / 2 + " MB";
         }
-        if (memory > offer.availableMb) {
-            return fleet + memory + " MB of memory; " + offer.availableMb + " MB are available now";
+        if (memoryMb > resources.availableMb) {
+            return fleet + memoryMb + " MB of memory; " + resources.availableMb + " MB are available now";
         }
-        if (processes > MOST_PROCESSES) {
-            return fleet + processes + " processes; allowed are " + MOST_PROCESSES;
+        if (processes > MAX_PROCESSES) {
+            return fleet + processes + " processes; allowed are " + MAX_PROCESSES;
         }
-        if (descriptors > offer.descriptors) {
-            return fleet + descriptors + " descriptors in a process; the limit is " + offer.descriptors;
+        if (descriptors > resources.descriptors) {
+            return fleet + descriptors + " descriptors in a process; the limit is " + resources.descriptors;
         }
         return null;
     }
--- a/lab/src/main/java/wheatspread/lab/scale/RealServers.java
+++ b/lab/src/main/java/wheatspread/lab/scale/RealServers.java
@@ -19,40 +19,40 @@
 import wheatspread.lab.standins.StandInAddress;
 
 /**
- * The real servers of a fleet: whole processes with load. What they hold is read from their logs and doors. They are
- * ended when this is closed or the lab is interrupted.
+ * The real servers of a fleet: complete server processes under load. Their state is read from their logs and control
+ * sockets. They are stopped when this object is closed or the lab is interrupted.
  */
 final class RealServers implements AutoCloseable {
-    private static final String VARS = "edge_gw.peers.";
+    private static final String VARIABLE_PREFIX = "edge_gw.peers.";
 
     private final Rig rig;
     private final List<String> addresses = new ArrayList<>();
     private final Map<String, Integer> linesRead = new HashMap<>();
-    private final Map<String, ViewEvents.Seen> views = new HashMap<>();
+    private final Map<String, ViewEvents.ViewEvent> views = new HashMap<>();
     private final AtomicBoolean closed = new AtomicBoolean();
-    private final Thread onInterrupt = new Thread(this::end, "end of the real servers");
+    private final Thread shutdownHook = new Thread(this::stop, "end of the real servers");
 
-    /** What was sent to peers by all real servers. */
+    /** Traffic that all real servers sent to peers. */
     record Sent(long messages, long bytes) {}
 
-    /** Prepares servers named m1, m2 and so on; nothing runs yet. */
+    /** Prepares servers named m1, m2 and so on without starting them. */
     RealServers(ScaleSettings settings, int count) throws IOException {
         rig = new Rig(
                 settings.jar(),
                 settings.flags(),
                 IntStream.rangeClosed(1, count).mapToObj(i -> "m" + i).toList());
-        Runtime.getRuntime().addShutdownHook(onInterrupt);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
         for (int i = 0; i < count; i++) {
             addresses.add(StandInAddress.text(rig.address()));
         }
     }
 
-    /** A loopback address that nobody else of the rig uses. */
+    /** Returns a loopback address that no other part of the rig uses. */
     InetSocketAddress freeAddress() throws IOException {
         return rig.address();
     }
 
-    /** Where the peers of each are reached, in the order of their names. */
+    /** The peer addresses of the servers, in the order of their names. */
     List<String> addresses() {
         return List.copyOf(addresses);
     }
@@ -65,7 +65,7 @@
         return rig;
     }
 
-    /** Gives each an operator's file that turns membership on; each stands in the zone of its place in the list. */
+    /** Writes an operator file for each server that turns membership on; server i gets the i-th zone. */
     void turnMembershipOn(String cluster, List<String> seeds, List<String> zones) throws IOException {
         for (int i = 0; i < size(); i++) {
             JSONObject membership = new JSONObject()
@@ -77,72 +77,76 @@
         }
     }
 
-    /** Reads what the logs tell since the last look; returns members that went and not by themselves. */
-    Set<String> look() {
+    /**
+     * Reads the log lines since the last call. Returns the members that views dropped although they did not leave by
+     * themselves.
+     */
+    Set<String> readLogs() {
         Set<String> removed = new LinkedHashSet<>();
-        for (RigServer one : rig.members()) {
-            List<String> lines = one.log().lines();
-            for (int i = linesRead.getOrDefault(one.name(), 0); i < lines.size(); i++) {
-                ViewEvents.Seen seen = ViewEvents.parse(lines.get(i));
-                if (seen != null) {
-                    views.put(one.name(), seen);
-                    removed.addAll(seen.removed());
+        for (RigServer server : rig.members()) {
+            List<String> lines = server.log().lines();
+            for (int i = linesRead.getOrDefault(server.name(), 0); i < lines.size(); i++) {
+                ViewEvents.ViewEvent event = ViewEvents.parse(lines.get(i));
+                if (event != null) {
+                    views.put(server.name(), event);
+                    removed.addAll(event.removed());
                 }
             }
-            linesRead.put(one.name(), lines.size());
+            linesRead.put(server.name(), lines.size());
         }
         return removed;
     }
 
-    /** The views that the servers hold, as of the last look; servers in none are left out. */
+    /** The views of the servers as of the last {@link #readLogs}, without those of servers outside their view. */
     List<ViewKey> views() {
         return views.values().stream()
-                .filter(ViewEvents.Seen::in)
-                .map(ViewEvents.Seen::view)
+                .filter(ViewEvents.ViewEvent::in)
+                .map(ViewEvents.ViewEvent::view)
                 .toList();
     }
 
-    /** How many say at their doors that their view is old, or say nothing. */
-    int old() {
-        return (int)
-                rig.members().stream().filter(one -> value(one, "stands") != 1).count();
+    /** Number of servers whose control socket reports the view as stale, or does not answer. */
+    int staleViews() {
+        return (int) rig.members().stream()
+                .filter(server -> value(server, "stands") != 1)
+                .count();
     }
 
-    /** Why the first server with an old view says that it is old; empty where none does. */
-    String whyOld() {
+    /** The reason that the first server with a stale view reports for it; empty if no view is stale. */
+    String staleViewReason() {
         return rig.members().stream()
-                .map(one -> ControlClient.members(one.door()))
-                .filter(told -> told != null && !told.getBoolean("stands"))
-                .map(told -> told.getString("name") + ": " + told.getString("why_not"))
+                .map(server -> ControlClient.members(server.door()))
+                .filter(members -> members != null && !members.getBoolean("stands"))
+                .map(members -> members.getString("name") + ": " + members.getString("why_not"))
                 .findFirst()
                 .orElse("");
     }
 
-    /** What they have sent to peers since their starts. */
+    /** Traffic that the servers sent to peers since their starts. */
     Sent sent() {
         long messages = 0;
         long bytes = 0;
-        for (RigServer one : rig.members()) {
-            messages += Math.max(0, value(one, "sent"));
-            bytes += Math.max(0, value(one, "sent_bytes"));
+        for (RigServer server : rig.members()) {
+            messages += Math.max(0, value(server, "sent"));
+            bytes += Math.max(0, value(server, "sent_bytes"));
         }
         return new Sent(messages, bytes);
     }
 
-    /** A figure of a server's door; -1 where it does not tell. */
+    /** Returns a variable from a server's control socket; -1 if the server does not answer or lacks the variable. */
     private static long value(RigServer member, String name) {
         String vars = member.door() == null ? null : ControlClient.ask(member.door(), "GET /_vars");
         return vars == null
                 ? -1
                 : vars.lines()
-                        .filter(line -> line.startsWith(VARS + name + "="))
+                        .filter(line -> line.startsWith(VARIABLE_PREFIX + name + "="))
                         .mapToLong(line -> Long.parseLong(
                                 line.substring(line.indexOf('=') + 1).trim()))
                         .findFirst()
                         .orElse(-1);
     }
 
-    /** Processor seconds of each so far. */
+    /** Processor time of each server since its start, in seconds. */
     double[] processorSeconds() throws IOException {
         double[] seconds = new double[size()];
         for (int i = 0; i < seconds.length; i++) {
@@ -151,42 +155,42 @@
         return seconds;
     }
 
-    /** Bytes, mean of a server. */
+    /** Resident memory in bytes, averaged over the servers. */
     double residentBytes() throws IOException {
         double bytes = 0;
-        for (RigServer one : rig.members()) {
-            bytes += ProcessFigures.residentBytes(one.pid());
+        for (RigServer server : rig.members()) {
+            bytes += ProcessFigures.residentBytes(server.pid());
         }
         return bytes / size();
     }
 
-    /** Bytes of heap that a collection leaves, mean of a server. */
+    /** Heap in use after a full collection, in bytes, averaged over the servers. */
     double liveHeapBytes() throws IOException, InterruptedException {
         double bytes = 0;
-        for (RigServer one : rig.members()) {
-            bytes += ProcessFigures.liveHeapBytes(one.pid());
+        for (RigServer server : rig.members()) {
+            bytes += ProcessFigures.liveHeapBytes(server.pid());
         }
         return bytes / size();
     }
 
     @Override
     public void close() {
-        end();
+        stop();
         try {
-            Runtime.getRuntime().removeShutdownHook(onInterrupt);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
-            return; // the lab is being interrupted, and the hook runs already
+            return; // The lab is being interrupted and the hook is running already.
         }
     }
 
-    private void end() {
+    private void stop() {
         if (closed.getAndSet(true)) {
             return;
         }
         try {
             rig.close();
         } catch (IOException e) {
-            System.err.println("the rig's files could not be deleted: " + e.getMessage());
+            System.err.println("deleting the files of the rig failed; some remain: " + e.getMessage());
         }
     }
 }
--- a/lab/src/main/java/wheatspread/lab/scale/ScaleFleet.java
+++ b/lab/src/main/java/wheatspread/lab/scale/ScaleFleet.java
@@ -19,45 +19,48 @@
 import wheatspread.lab.standins.StandInAddress;
 
 /**
- * One fleet of hollow and real servers in two regions of four zones each, with what the rig does to it. All real
- * servers stand in the first region. Everything that it started is ended when it is closed or the lab is interrupted.
+ * A fleet of hollow and real servers in two regions of four zones each, and the faults injected into it. All real
+ * servers are in the first region. All processes are stopped when the fleet is closed or the lab is interrupted.
  */
 final class ScaleFleet implements AutoCloseable {
     private static final String CLUSTER = "scale";
     private static final int ZONES_OF_REGION = 4;
+    /** Largest number of real servers among the seeds of a fleet that also has hollow ones. */
     private static final int REAL_SEEDS = 2;
+
+    /** Number of hollow seeds, and of real seeds in a fleet of real servers only. */
     private static final int SEEDS = 3;
 
     private final RealServers real;
     private final List<HollowProcess> processes = new CopyOnWriteArrayList<>();
     private final Map<String, HollowProcess> processOf = new HashMap<>();
     private final Map<String, MemberSpec> alive = new LinkedHashMap<>();
-    /** Hollow members that are not started yet. */
-    private final Deque<MemberSpec> waiting = new ArrayDeque<>();
+    /** Hollow members that have not been started yet. */
+    private final Deque<MemberSpec> notStarted = new ArrayDeque<>();
 
     private final List<MemberSpec> lost = new ArrayList<>();
-    /** Every start that the rig has ended, as {@code name#start}. */
+    /** Every start of a member that the rig has ended, as {@code name#start}. */
     private final Set<String> ended = new HashSet<>();
 
     private final Set<String> wronglyRemoved = new LinkedHashSet<>();
-    private final Thread onInterrupt = new Thread(this::endProcesses, "end of the hollow servers");
+    private final Thread shutdownHook = new Thread(this::stopProcesses, "end of the hollow servers");
     private final HollowPlan plan;
     private final int heapMb;
     private final long seed;
     private long lastStart = System.currentTimeMillis();
 
-    /** Prepares a fleet; nothing of it runs yet. */
+    /** Prepares a fleet without starting it. */
     ScaleFleet(ScaleSettings settings, int hollow, int realServers) throws IOException {
         plan = new HollowPlan(hollow, hollow + realServers);
         heapMb = plan.heapMb(Preflight.hollowMemoryMb(realServers));
         seed = settings.seed();
         real = new RealServers(settings, realServers);
-        Runtime.getRuntime().addShutdownHook(onInterrupt);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
         int firstOfSecondRegion = Math.max(0, hollow - (hollow + realServers) / 2);
         for (int i = 0; i < hollow; i++) {
             int region = i < firstOfSecondRegion ? 1 : 2;
             String name = "h" + (i + 1);
-            waiting.add(new MemberSpec(name, lastStart, StandInAddress.text(real.freeAddress()), zone(region, i)));
+            notStarted.add(new MemberSpec(name, lastStart, StandInAddress.text(real.freeAddress()), zone(region, i)));
         }
     }
 
@@ -65,12 +68,12 @@
         return "r" + region + "-z" + (1 + member % ZONES_OF_REGION);
     }
 
-    /** The zone that {@link FaultKind#ZONE} ends: one without real servers. */
-    static String lostZone() {
+    /** The zone that {@link FaultKind#ZONE} crashes; it has no real servers. */
+    static String crashedZone() {
         return zone(2, 0);
     }
 
-    /** Starts the real servers and the processes of the hollow ones, which are empty as yet. */
+    /** Starts the real servers and the processes for the hollow ones, without any hollow member. */
     void start() throws IOException, InterruptedException {
         List<String> seeds = seeds();
         real.turnMembershipOn(
@@ -84,18 +87,18 @@
             processes.add(new HollowProcess(CLUSTER, seeds, plan.loops(), heapMb, seed + i));
         }
         int next = 0;
-        for (MemberSpec one : waiting) {
-            processOf.put(one.name(), processes.get(next++ % processes.size()));
+        for (MemberSpec member : notStarted) {
+            processOf.put(member.name(), processes.get(next++ % processes.size()));
         }
     }
 
-    /** Starts the next hollow members, so many at most; returns whether there were any. */
-    boolean startNext(int most) throws IOException {
+    /** Starts the next hollow members, {@code maxMembers} at most; returns whether any was started. */
+    boolean startNext(int maxMembers) throws IOException {
         List<MemberSpec> batch = new ArrayList<>();
-        while (batch.size() < most && !waiting.isEmpty()) {
-            batch.add(waiting.remove());
+        while (batch.size() < maxMembers && !notStarted.isEmpty()) {
+            batch.add(notStarted.remove());
         }
-        batch.forEach(one -> alive.put(one.name(), one));
+        batch.forEach(member -> alive.put(member.name(), member));
         start(batch);
         return !batch.isEmpty();
     }
@@ -103,55 +106,55 @@
     private List<String> seeds() {
         Set<String> seeds = new LinkedHashSet<>(real.addresses()
                 .subList(0, Math.min(plan.members() == 0 ? SEEDS : REAL_SEEDS, real.size())));
-        List<MemberSpec> hollow = List.copyOf(waiting);
+        List<MemberSpec> hollow = List.copyOf(notStarted);
         for (int i = 0; i < SEEDS && !hollow.isEmpty(); i++) {
             seeds.add(hollow.get(i * (hollow.size() - 1) / (SEEDS - 1)).address());
         }
         return List.copyOf(seeds);
     }
 
-    // ---- what befalls it ----
+    // ---- starts and faults ----
 
     private void start(Collection<MemberSpec> members) throws IOException {
         Map<HollowProcess, List<MemberSpec>> byProcess =
-                members.stream().collect(Collectors.groupingBy(one -> processOf.get(one.name())));
-        for (Map.Entry<HollowProcess, List<MemberSpec>> one : byProcess.entrySet()) {
-            one.getKey().say(new HollowOrder.Start(one.getValue()));
+                members.stream().collect(Collectors.groupingBy(member -> processOf.get(member.name())));
+        for (Map.Entry<HollowProcess, List<MemberSpec>> entry : byProcess.entrySet()) {
+            entry.getKey().send(new HollowOrder.Start(entry.getValue()));
         }
-        for (HollowProcess one : byProcess.keySet()) {
-            take(one.hear());
+        for (HollowProcess process : byProcess.keySet()) {
+            accept(process.readReport());
         }
     }
 
-    /** Ends hollow members without a word. */
+    /** Crashes hollow members: they close their sockets without notifying their peers. */
     void crash(Collection<MemberSpec> members) throws IOException {
         Set<String> names = members.stream().map(MemberSpec::name).collect(Collectors.toSet());
-        for (MemberSpec one : members) {
-            ended.add(one.id());
-            lost.add(alive.remove(one.name()));
+        for (MemberSpec member : members) {
+            ended.add(member.id());
+            lost.add(alive.remove(member.name()));
         }
-        orderAll(new HollowOrder.Crash(names));
+        sendToAll(new HollowOrder.Crash(names));
     }
 
-    /** Starts again all that were crashed. */
-    void startLost() throws IOException {
-        List<MemberSpec> again = new ArrayList<>();
-        for (MemberSpec one : lost) {
-            again.add(one.restarted(nextStart()));
+    /** Starts all crashed members again. */
+    void restartLost() throws IOException {
+        List<MemberSpec> restarted = new ArrayList<>();
+        for (MemberSpec member : lost) {
+            restarted.add(member.withStart(nextStart()));
         }
         lost.clear();
-        again.forEach(one -> alive.put(one.name(), one));
-        start(again);
+        restarted.forEach(member -> alive.put(member.name(), member));
+        start(restarted);
     }
 
-    /** Restarts a hollow member; {@code clean}: it leaves first. */
-    void restart(MemberSpec one, boolean clean) throws IOException {
-        ended.add(one.id());
-        MemberSpec later = one.restarted(nextStart());
-        alive.put(one.name(), later);
-        HollowProcess process = processOf.get(one.name());
-        process.say(new HollowOrder.Restart(later, clean));
-        take(process.hear());
+    /** Restarts a hollow member; {@code clean} says whether the member leaves the fleet first. */
+    void restart(MemberSpec member, boolean clean) throws IOException {
+        ended.add(member.id());
+        MemberSpec next = member.withStart(nextStart());
+        alive.put(member.name(), next);
+        HollowProcess process = processOf.get(member.name());
+        process.send(new HollowOrder.Restart(next, clean));
+        accept(process.readReport());
     }
 
     private long nextStart() {
@@ -159,44 +162,44 @@
         return lastStart;
     }
 
-    /** Sets a loss on all links, but for those from real server to real server. */
-    void lose(double share) throws IOException {
-        orderAll(new HollowOrder.Links(new LinkFaults(share, Set.of(), Set.copyOf(real.addresses()))));
+    /** Sets the message loss of all links except those between two real servers. */
+    void setLoss(double share) throws IOException {
+        sendToAll(new HollowOrder.Links(new LinkFaults(share, Set.of(), Set.copyOf(real.addresses()))));
     }
 
-    /** Cuts the fleet in two halves; all real servers are in the first. Returns how many stand in that. */
-    int cutInHalves() throws IOException {
+    /** Partitions the fleet into two halves, with all real servers in the first; returns the size of the first half. */
+    int partitionInHalves() throws IOException {
         Set<String> side = new HashSet<>(real.addresses());
         int half = (real.size() + alive.size()) / 2;
-        alive.values().stream().limit(Math.max(0, half - real.size())).forEach(one -> side.add(one.address()));
-        orderAll(new HollowOrder.Links(new LinkFaults(0, side, Set.copyOf(real.addresses()))));
+        alive.values().stream().limit(Math.max(0, half - real.size())).forEach(member -> side.add(member.address()));
+        sendToAll(new HollowOrder.Links(new LinkFaults(0, side, Set.copyOf(real.addresses()))));
         return side.size();
     }
 
-    /** Ends all faults of links. */
-    void mendLinks() throws IOException {
-        orderAll(new HollowOrder.Links(LinkFaults.NONE));
+    /** Ends all link faults. */
+    void healLinks() throws IOException {
+        sendToAll(new HollowOrder.Links(LinkFaults.NONE));
     }
 
-    // ---- what is seen of it ----
+    // ---- state and figures ----
 
-    /** Living hollow members in the order of their numbers. */
+    /** Live hollow members in the order of their numbers. */
     List<MemberSpec> alive() {
         return alive.values().stream()
                 .sorted((a, b) -> Integer.compare(number(a), number(b)))
                 .toList();
     }
 
-    private static int number(MemberSpec one) {
-        return Integer.parseInt(one.name().substring(1));
+    private static int number(MemberSpec member) {
+        return Integer.parseInt(member.name().substring(1));
     }
 
-    /** Living members, hollow and real. */
+    /** Number of live members, hollow and real. */
     int members() {
         return alive.size() + real.size();
     }
 
-    /** How many hollow members are ended and not started again. */
+    /** Number of crashed hollow members that have not been started again. */
     int lost() {
         return lost.size();
     }
@@ -205,7 +208,7 @@
         return real;
     }
 
-    /** Largest heap of a process of hollow members. */
+    /** Largest heap of a process of hollow members, in MB. */
     int heapMb() {
         return heapMb;
     }
@@ -214,39 +217,39 @@
         return plan;
     }
 
-    /** Members that went from a view while they lived, since this was asked last. */
+    /** Returns and forgets the members that views dropped while they were alive, since the last call. */
     Set<String> takeWronglyRemoved() {
         Set<String> taken = new LinkedHashSet<>(wronglyRemoved);
         wronglyRemoved.clear();
         return taken;
     }
 
-    private List<HollowReport> orderAll(HollowOrder order) throws IOException {
-        for (HollowProcess one : processes) {
-            one.say(order);
+    private List<HollowReport> sendToAll(HollowOrder order) throws IOException {
+        for (HollowProcess process : processes) {
+            process.send(order);
         }
         List<HollowReport> reports = new ArrayList<>();
-        for (HollowProcess one : processes) {
-            reports.add(take(one.hear()));
+        for (HollowProcess process : processes) {
+            reports.add(accept(process.readReport()));
         }
         return reports;
     }
 
-    private HollowReport take(HollowReport report) {
-        removed(report.removed());
+    private HollowReport accept(HollowReport report) {
+        addRemoved(report.removed());
         return report;
     }
 
-    private void removed(Set<String> ids) {
+    private void addRemoved(Set<String> ids) {
         ids.stream().filter(id -> !ended.contains(id)).forEach(wronglyRemoved::add);
     }
 
-    /** What all members hold now. */
+    /** Requests reports from all processes, reads the logs of the real servers, and returns the current state. */
     Observation observe() throws IOException {
-        List<HollowReport> reports = orderAll(new HollowOrder.Report());
-        removed(real.look());
+        List<HollowReport> reports = sendToAll(new HollowOrder.Report());
+        addRemoved(real.readLogs());
         Map<ViewKey, Integer> views = new LinkedHashMap<>();
-        real.views().forEach(one -> views.merge(one, 1, Integer::sum));
+        real.views().forEach(view -> views.merge(view, 1, Integer::sum));
         int hollow = 0;
         int old = 0;
         int outside = 0;
@@ -254,75 +257,75 @@
         long messages = 0;
         long bytes = 0;
         long overRate = 0;
-        for (HollowReport one : reports) {
-            one.views().forEach((key, count) -> views.merge(ViewKey.parse(key), count, Integer::sum));
-            hollow += one.alive();
-            old += one.old();
-            outside += one.outside();
-            distrusting += one.distrusting();
-            messages += one.sent();
-            bytes += one.sentBytes();
-            overRate += one.overRate();
+        for (HollowReport report : reports) {
+            report.views().forEach((key, count) -> views.merge(ViewKey.parse(key), count, Integer::sum));
+            hollow += report.alive();
+            old += report.old();
+            outside += report.outside();
+            distrusting += report.distrusting();
+            messages += report.sent();
+            bytes += report.sentBytes();
+            overRate += report.overRate();
         }
-        int living = members();
+        int live = members();
         boolean agreed = hollow == alive.size()
                 && old + outside == 0
                 && views.size() == 1
                 && views.entrySet().stream()
-                        .allMatch(one -> one.getKey().members() == living && one.getValue() == living)
-                && (real.size() == 0 || real.old() == 0);
+                        .allMatch(entry -> entry.getKey().members() == live && entry.getValue() == live)
+                && (real.size() == 0 || real.staleViews() == 0);
         return new Observation(
-                System.nanoTime(), living, views, old, outside, distrusting, messages, bytes, overRate, agreed);
+                System.nanoTime(), live, views, old, outside, distrusting, messages, bytes, overRate, agreed);
     }
 
-    /** Processor seconds of all hollow processes so far. */
+    /** Processor time of all hollow processes since their starts, in seconds. */
     double hollowProcessorSeconds() throws IOException {
         double seconds = 0;
-        for (HollowProcess one : processes) {
-            seconds += ProcessFigures.processorSeconds(one.pid());
+        for (HollowProcess process : processes) {
+            seconds += ProcessFigures.processorSeconds(process.pid());
         }
         return seconds;
     }
 
-    /** Resident bytes of all hollow processes. */
+    /** Resident memory of all hollow processes, in bytes. */
     double hollowResidentBytes() throws IOException {
         double bytes = 0;
-        for (HollowProcess one : processes) {
-            bytes += ProcessFigures.residentBytes(one.pid());
+        for (HollowProcess process : processes) {
+            bytes += ProcessFigures.residentBytes(process.pid());
         }
         return bytes;
     }
 
-    /** Bytes of heap that a collection leaves in all hollow processes, one after the other. */
+    /** Heap in use after a full collection, in bytes, summed over the hollow processes, which are collected in turn. */
     double hollowLiveHeapBytes() throws IOException, InterruptedException {
         double bytes = 0;
-        for (HollowProcess one : processes) {
-            bytes += ProcessFigures.liveHeapBytes(one.pid());
+        for (HollowProcess process : processes) {
+            bytes += ProcessFigures.liveHeapBytes(process.pid());
         }
         return bytes;
     }
 
-    /** Open descriptors of all hollow processes. */
+    /** Number of open descriptors of all hollow processes. */
     int hollowDescriptors() throws IOException {
         int open = 0;
-        for (HollowProcess one : processes) {
-            open += ProcessFigures.descriptors(one.pid());
+        for (HollowProcess process : processes) {
+            open += ProcessFigures.descriptors(process.pid());
         }
         return open;
     }
 
-    private synchronized void endProcesses() {
+    private synchronized void stopProcesses() {
         processes.forEach(HollowProcess::close);
     }
 
     @Override
     public void close() {
-        endProcesses();
+        stopProcesses();
         real.close();
         try {
-            Runtime.getRuntime().removeShutdownHook(onInterrupt);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
-            return; // the lab is being interrupted, and the hook runs already
+            return; // The lab is being interrupted and the hook is running already.
         }
     }
 }
--- a/lab/src/main/java/wheatspread/lab/scale/ScaleSettings.java
+++ b/lab/src/main/java/wheatspread/lab/scale/ScaleSettings.java
@@ -5,15 +5,15 @@
 import java.util.Set;
 
 /**
- * What a scale run is to do.
+ * The settings of a scale run.
  *
- * @param jar the real servers' program
- * @param flags the real servers' JVM flags, from the deploy file
- * @param real how many real servers stand in each fleet
- * @param rate requests a second for all real servers together
- * @param seed of all random draws
- * @param batch how many hollow servers are started at once while a fleet is formed; 0 for all
- * @param faults which faults are played
+ * @param jar program file of the real servers
+ * @param flags JVM flags of the real servers, from the deploy file
+ * @param real number of real servers in each fleet
+ * @param rate requests per second to all real servers together
+ * @param seed seed of all random draws
+ * @param batch number of hollow servers started at the same time while a fleet forms; 0 for all
+ * @param faults the faults to inject
  */
 public record ScaleSettings(
         Path jar, List<String> flags, int real, double rate, long seed, int batch, Set<FaultKind> faults) {
--- a/lab/src/main/java/wheatspread/lab/scale/ScaleStep.java
+++ b/lab/src/main/java/wheatspread/lab/scale/ScaleStep.java
@@ -10,16 +10,16 @@
 import org.json.JSONArray;
 import org.json.JSONObject;
 
-/** One size of a scale run: the fleet is formed, watched in its steady state, and hit by the faults. */
+/** One fleet size of a scale run: forms the fleet, observes it in the steady state, and injects the faults. */
 public final class ScaleStep {
-    /** How long a batch of new members may take until all are in one view. */
+    /** Longest time from the start of a batch of members until all members hold the same view. */
     private static final double BATCH_SECONDS = 60;
 
-    /** The JVMs compile meanwhile. */
+    /** Warm-up before the steady state is measured, in which the JVMs compile. */
     private static final double WARM_SECONDS = 5;
 
     private static final double IDLE_SECONDS = 12;
-    /** After the heap was measured, for which the processes are stopped. */
+    /** Longest wait for a common view after the heap measurement, whose collections pause the processes. */
     private static final double AFTER_HEAP_SECONDS = 20;
 
     private final ScaleSettings settings;
@@ -28,12 +28,12 @@
     private final Instant deadline;
     private final Consumer<String> progress;
 
-    /** What a step measured; {@code points} are the figures for slopes, by the name of their series. */
+    /** The figures of a step; {@code points} are the figures that enter series, by the name of the series. */
     public record Result(int members, JSONObject figures, Map<String, Double> points) {}
 
     /**
-     * {@code largest}: the faults that last too long for every size are played too. No fault is begun that could
-     * last beyond the deadline.
+     * {@code largest} says whether to inject also the faults that take too long for every size. A fault whose time
+     * limit would exceed {@code deadline} is skipped.
      */
     public ScaleStep(ScaleSettings settings, int hollow, boolean largest, Instant deadline, Consumer<String> progress) {
         this.settings = settings;
@@ -43,8 +43,8 @@
         this.progress = progress;
     }
 
-    /** Once an object. */
-    public Result play() throws IOException, InterruptedException {
+    /** Runs the step; may be called once per object. */
+    public Result run() throws IOException, InterruptedException {
         try (ScaleFleet fleet = new ScaleFleet(settings, hollow, settings.real())) {
             int members = hollow + settings.real();
             JSONObject figures = new JSONObject()
@@ -59,75 +59,76 @@
             fleet.start();
             if (form(fleet, figures)) {
                 fleet.real().rig().world().ask(settings.rate());
-                idle(fleet, figures, points);
-                memory(fleet, figures, points);
-                faults(fleet, figures, points);
-                load(fleet, figures);
+                measureIdle(fleet, figures, points);
+                measureMemory(fleet, figures, points);
+                injectFaults(fleet, figures, points);
+                reportLoad(fleet, figures);
             }
             return new Result(members, figures, points);
         }
     }
 
-    private void tell(String what, JSONObject figures) {
-        progress.accept(hollow + " hollow, " + what + ": " + figures);
+    private void reportProgress(String phase, JSONObject figures) {
+        progress.accept(hollow + " hollow, " + phase + ": " + figures);
     }
 
-    /** Starts the members batch by batch; returns whether all came to one view. */
+    /** Starts the members batch by batch; returns whether all members agreed on one view after each batch. */
     private boolean form(ScaleFleet fleet, JSONObject figures) throws IOException, InterruptedException {
         ObservationWindow forming = new ObservationWindow(fleet);
         int batch = settings.batch() > 0 ? settings.batch() : hollow;
-        JSONArray took = new JSONArray();
+        JSONArray viewSeconds = new JSONArray();
         boolean formed = true;
         while (formed && fleet.startNext(batch)) {
             double seconds = forming.awaitView(System.nanoTime(), BATCH_SECONDS);
             formed = !Double.isNaN(seconds);
-            took.put(formed ? seconds : JSONObject.NULL);
+            viewSeconds.put(formed ? seconds : JSONObject.NULL);
             progress.accept(hollow + " hollow, " + fleet.members() + " members after " + seconds + " s");
         }
-        JSONObject told = forming.figures().put("batch", batch).put("view_s_each", took);
+        JSONObject phaseFigures = forming.figures().put("batch", batch).put("view_s_each", viewSeconds);
         if (!formed) {
-            told.put("finding", "no view of " + fleet.members() + " members in " + BATCH_SECONDS + " s")
-                    .put("why_old", fleet.real().whyOld());
+            phaseFigures
+                    .put("finding", "no view of " + fleet.members() + " members in " + BATCH_SECONDS + " s")
+                    .put("why_old", fleet.real().staleViewReason());
         }
-        figures.put("forming", told);
-        tell("forming", told);
+        figures.put("forming", phaseFigures);
+        reportProgress("forming", phaseFigures);
         return formed;
     }
 
-    private void idle(ScaleFleet fleet, JSONObject figures, Map<String, Double> points)
+    private void measureIdle(ScaleFleet fleet, JSONObject figures, Map<String, Double> points)
             throws IOException, InterruptedException {
         new ObservationWindow(fleet).watch(WARM_SECONDS);
         ObservationWindow window = new ObservationWindow(fleet);
         window.watch(IDLE_SECONDS);
-        JSONObject told = window.figures();
-        figures.put("idle", told);
-        tell("idle", told);
-        points.put("membership.cpu_percent_idle", told.getDouble("hollow_cpu_percent"));
-        points.put("membership.bytes_per_s_idle", told.getDouble("bytes_per_s"));
-        points.put("membership.messages_per_s_idle", told.getDouble("messages_per_s"));
+        JSONObject phaseFigures = window.figures();
+        figures.put("idle", phaseFigures);
+        reportProgress("idle", phaseFigures);
+        points.put("membership.cpu_percent_idle", phaseFigures.getDouble("hollow_cpu_percent"));
+        points.put("membership.bytes_per_s_idle", phaseFigures.getDouble("bytes_per_s"));
+        points.put("membership.messages_per_s_idle", phaseFigures.getDouble("messages_per_s"));
     }
 
-    private void memory(ScaleFleet fleet, JSONObject figures, Map<String, Double> points)
+    private void measureMemory(ScaleFleet fleet, JSONObject figures, Map<String, Double> points)
             throws IOException, InterruptedException {
-        JSONObject told = new JSONObject()
+        JSONObject phaseFigures = new JSONObject()
                 .put("hollow_resident_bytes", fleet.hollowResidentBytes() / hollow)
                 .put("hollow_descriptors", (double) fleet.hollowDescriptors() / hollow)
                 .put("hollow_heap_bytes", fleet.hollowLiveHeapBytes() / hollow)
                 .put("real_resident_bytes", fleet.real().residentBytes())
                 .put("real_heap_bytes", fleet.real().liveHeapBytes());
-        figures.put("memory", told);
-        tell("memory", told);
-        points.put("membership.heap_bytes", told.getDouble("hollow_heap_bytes"));
-        points.put("membership.resident_bytes", told.getDouble("hollow_resident_bytes"));
-        points.put("membership.descriptors", told.getDouble("hollow_descriptors"));
+        figures.put("memory", phaseFigures);
+        reportProgress("memory", phaseFigures);
+        points.put("membership.heap_bytes", phaseFigures.getDouble("hollow_heap_bytes"));
+        points.put("membership.resident_bytes", phaseFigures.getDouble("hollow_resident_bytes"));
+        points.put("membership.descriptors", phaseFigures.getDouble("hollow_descriptors"));
         new ObservationWindow(fleet).awaitView(System.nanoTime(), AFTER_HEAP_SECONDS);
     }
 
-    private void faults(ScaleFleet fleet, JSONObject figures, Map<String, Double> points)
+    private void injectFaults(ScaleFleet fleet, JSONObject figures, Map<String, Double> points)
             throws IOException, InterruptedException {
-        FaultPlayer player = new FaultPlayer(fleet, settings.seed());
-        JSONArray played = new JSONArray();
-        figures.put("faults", played);
+        FaultInjector injector = new FaultInjector(fleet, settings.seed());
+        JSONArray results = new JSONArray();
+        figures.put("faults", results);
         for (FaultKind kind : FaultKind.values()) {
             if (!settings.faults().contains(kind) || kind.largestStepOnly() && !largest) {
                 continue;
@@ -136,31 +137,32 @@
                 continue;
             }
             if (Instant.now().plus(Duration.ofSeconds(kind.limitSeconds())).isAfter(deadline)) {
-                played.put(new JSONObject().put("fault", kind.word()).put("skipped", "no time is left"));
-                tell(kind.word(), played.getJSONObject(played.length() - 1));
+                results.put(new JSONObject().put("fault", kind.optionName()).put("skipped", "no time is left"));
+                reportProgress(kind.optionName(), results.getJSONObject(results.length() - 1));
                 continue;
             }
-            JSONObject told = player.play(kind);
-            played.put(told);
-            tell(kind.word(), told);
-            points.put("membership.bytes_per_s_" + kind.word(), told.getDouble("bytes_per_s"));
-            points.put("membership.wrongly_removed_" + kind.word(), told.getDouble("wrongly_removed"));
-            if (!told.has("view_s")) {
-                progress.accept(hollow + " hollow: no further fault is played on a fleet without one view");
+            JSONObject phaseFigures = injector.run(kind);
+            results.put(phaseFigures);
+            reportProgress(kind.optionName(), phaseFigures);
+            points.put("membership.bytes_per_s_" + kind.optionName(), phaseFigures.getDouble("bytes_per_s"));
+            points.put("membership.wrongly_removed_" + kind.optionName(), phaseFigures.getDouble("wrongly_removed"));
+            if (!phaseFigures.has("view_s")) {
+                progress.accept(hollow
+                        + " hollow: the remaining faults are skipped, because the members did not agree on a view");
                 return;
             }
-            points.put("membership.view_s_" + kind.word(), told.getDouble("view_s"));
+            points.put("membership.view_s_" + kind.optionName(), phaseFigures.getDouble("view_s"));
         }
     }
 
-    private void load(ScaleFleet fleet, JSONObject figures) throws InterruptedException {
-        int open = fleet.real().rig().settle();
-        JSONObject told = fleet.real().rig().world().ledger().figures().put("open_at_end", open);
-        figures.put("load", told);
-        tell("load", told);
+    private void reportLoad(ScaleFleet fleet, JSONObject figures) throws InterruptedException {
+        int openRequests = fleet.real().rig().settle();
+        JSONObject phaseFigures = fleet.real().rig().world().ledger().figures().put("open_at_end", openRequests);
+        figures.put("load", phaseFigures);
+        reportProgress("load", phaseFigures);
     }
 
-    /** The unit of a series by its name. */
+    /** Returns the unit of a series, by the prefix of its name. */
     public static String unit(String series) {
         List<String[]> units = List.of(
                 new String[] {"membership.cpu_percent", "percent of a core"},
@@ -170,8 +172,8 @@
                 new String[] {"membership.wrongly_removed", "members"},
                 new String[] {"membership.descriptors", "descriptors a member"});
         return units.stream()
-                .filter(one -> series.startsWith(one[0]))
-                .map(one -> one[1])
+                .filter(entry -> series.startsWith(entry[0]))
+                .map(entry -> entry[1])
                 .findFirst()
                 .orElse("bytes a member");
     }
--- a/lab/src/main/java/wheatspread/lab/scale/ViewKey.java
+++ b/lab/src/main/java/wheatspread/lab/scale/ViewKey.java
@@ -1,11 +1,11 @@
 package wheatspread.lab.scale;
 
 /**
- * Which view a server holds, with enough to tell two views apart.
+ * Identifies a view, so that two views can be compared.
  *
- * @param id epoch and number, as {@code epoch.number}
- * @param members how many it holds
- * @param list a hash of its members, the same on every server for the same members
+ * @param id epoch and number of the view, as {@code epoch.number}
+ * @param members number of members of the view
+ * @param list hash of the members; equal on all servers for the same members
  */
 public record ViewKey(String id, int members, String list) {
     @Override
@@ -13,7 +13,7 @@
         return id + "/" + members + "/" + list;
     }
 
-    /** The view that {@link #toString} wrote. */
+    /** Parses a text that {@link #toString} wrote. */
     public static ViewKey parse(String text) {
         String[] parts = text.split("/");
         return new ViewKey(parts[0], Integer.parseInt(parts[1]), parts[2]);
--- a/lab/src/test/java/wheatspread/lab/scale/ScaleStepTest.java
+++ b/lab/src/test/java/wheatspread/lab/scale/ScaleStepTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 import wheatspread.lab.standins.ControlClient;
 
-/** Sixty hollow servers and three real ones under load lose a rack of twenty. */
+/** A fleet of 60 hollow and 3 real servers under load loses a rack of 20 hollow servers at the same time. */
 class ScaleStepTest {
     private static final int HOLLOW = 60;
     private static final int REAL = 3;
@@ -29,20 +29,22 @@
 
     @Test
     @Timeout(120)
-    void exactlyTheMembersOfTheRackGoAndEveryRequestIsAnswered() throws Exception {
+    void removesExactlyTheCrashedRackAndServesEveryRequest() throws Exception {
         try (ScaleFleet fleet = new ScaleFleet(SETTINGS, HOLLOW, REAL)) {
             fleet.start();
             fleet.startNext(HOLLOW);
             assertThat(new ObservationWindow(fleet).awaitView(System.nanoTime(), FORM_SECONDS))
-                    .as("seconds until one view of all")
+                    .as("seconds until all members hold the same view")
                     .isNotNaN();
             fleet.real().rig().world().ask(SETTINGS.rate());
-            JSONObject rack = new FaultPlayer(fleet, SETTINGS.seed()).play(FaultKind.RACK);
-            assertThat(rack.has("view_s")).as("one view on all: %s", rack).isTrue();
+            JSONObject rack = new FaultInjector(fleet, SETTINGS.seed()).run(FaultKind.RACK);
+            assertThat(rack.has("view_s"))
+                    .as("all members hold the same view: %s", rack)
+                    .isTrue();
             assertThat(rack.getInt("members")).isEqualTo(HOLLOW + REAL - FaultKind.RACK_SIZE);
             assertThat(rack.getInt("wrongly_removed")).as("%s", rack).isZero();
             assertThat(rack.getInt("old_at_end")).as("%s", rack).isZero();
-            assertThat(membersOfARealServer(fleet)).isEqualTo(living(fleet));
+            assertThat(membersOfARealServer(fleet)).isEqualTo(liveMembers(fleet));
             assertThat(fleet.real().rig().settle())
                     .as("requests without an answer")
                     .isZero();
@@ -54,17 +56,17 @@
     }
 
     private static Set<String> membersOfARealServer(ScaleFleet fleet) {
-        JSONObject told =
+        JSONObject answer =
                 ControlClient.members(fleet.real().rig().members().get(0).door());
         Set<String> names = new TreeSet<>();
-        told.getJSONArray("members").forEach(one -> names.add(((JSONObject) one).getString("name")));
+        answer.getJSONArray("members").forEach(member -> names.add(((JSONObject) member).getString("name")));
         return names;
     }
 
-    private static Set<String> living(ScaleFleet fleet) {
+    private static Set<String> liveMembers(ScaleFleet fleet) {
         List<String> names =
                 new ArrayList<>(fleet.alive().stream().map(MemberSpec::name).toList());
-        fleet.real().rig().members().forEach(one -> names.add(one.name()));
+        fleet.real().rig().members().forEach(server -> names.add(server.name()));
         return new TreeSet<>(names);
     }
 }
