--- a/lab/src/main/java/wheatspread/lab/capacity/Assumption.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/Assumption.java
@@ -1,9 +1,9 @@
 package wheatspread.lab.capacity;
 
 /**
- * A value that was not measured.
+ * A value that the plan assumes because it was not measured.
  *
- * @param name how expressions of the plan call it
- * @param because why this value was taken
+ * @param name name of the value in the plan's expressions
+ * @param because reason for this value
  */
 public record Assumption(String name, double value, String unit, String because) {}
--- a/lab/src/main/java/wheatspread/lab/capacity/Basis.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/Basis.java
@@ -2,26 +2,29 @@
 
 import java.util.Locale;
 
-/** What a figure of the page rests on, from the firmest to none. A computed figure is as firm as its weakest part. */
+/**
+ * The origin of a figure, from the most reliable to none. A computed figure has the least reliable basis of its parts.
+ * The order of the constants defines {@link #weaker}.
+ */
 public enum Basis {
-    /** Given by the plan: a quantity of the installation. */
+    /** A quantity of the installation, given by the plan. */
     GIVEN,
     /** Measured on real processes. */
     MEASURED,
-    /** Played by the emulator on virtual time, with the program's decision code. */
+    /** Computed by the emulator, which runs the server's decision code on virtual time. */
     VIRTUAL,
-    /** Not measured; the plan says why this value was taken. */
+    /** Not measured; the plan states the reason for the value. */
     ASSUMED,
-    /** No report file has its points. */
+    /** No report file contains points for the figure. */
     NOT_MEASURED;
 
-    /** The weaker of two. */
+    /** Returns the less reliable of the two. */
     Basis weaker(Basis other) {
         return compareTo(other) >= 0 ? this : other;
     }
 
-    /** As the page has it. */
-    String words() {
+    /** The text for this basis in the tables of the page. */
+    String label() {
         return this == VIRTUAL
                 ? "virtual time"
                 : name().toLowerCase(Locale.ROOT).replace('_', ' ');
--- a/lab/src/main/java/wheatspread/lab/capacity/Budget.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/Budget.java
@@ -1,13 +1,13 @@
 package wheatspread.lab.capacity;
 
 /**
- * The most that a figure may be.
+ * The largest permitted value of a figure.
  *
- * @param name how rows of the plan call it
- * @param text what it bounds, and who set it
+ * @param name name of the budget in the plan's rows
+ * @param text the resource that the budget limits, and its origin
  */
 public record Budget(String name, double value, String unit, String text) {
-    /** The figure over the budget; above 1 it is broken. */
+    /** Returns the figure divided by the budget; above 1 the budget is exceeded. */
     double ratio(double figure) {
         return figure / value;
     }
--- a/lab/src/main/java/wheatspread/lab/capacity/Capacity.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/Capacity.java
@@ -9,15 +9,15 @@
 import java.util.Optional;
 import wheatspread.lab.report.Series;
 
-/** A plan with its figures, worked out from report files. */
+/** A plan and the figures computed for it from report files. */
 public final class Capacity {
     private final CapacityPlan plan;
     private final ReportFiles reports;
     private final Map<String, Line> lines = new LinkedHashMap<>();
-    private final Map<String, Figure> named = new LinkedHashMap<>();
+    private final Map<String, Figure> figuresByName = new LinkedHashMap<>();
     private final List<Row> rows = new ArrayList<>();
 
-    /** A planned line with its points; {@code series} and {@code fitted} are null where it was not measured. */
+    /** A planned line with its points; {@code series} and {@code fitted} are null if the line was not measured. */
     record Line(LinePlan plan, Series series, FittedLine fitted, Figure figure) {}
 
     /** A planned row with its figure. */
@@ -26,9 +26,9 @@
             return figure.basis() != Basis.NOT_MEASURED;
         }
 
-        /** The figure over its budget at one of the two sizes. */
+        /** Returns the figure divided by its budget at a size; the row must have a budget. */
         double ratio(Scale scale) {
-            return plan.budget().ratio(figure.at(scale));
+            return plan.budget().ratio(figure.valueAt(scale));
         }
     }
 
@@ -38,29 +38,29 @@
     }
 
     /**
-     * Works a plan out.
+     * Computes all lines and rows of a plan.
      *
-     * @throws IOException where a report file cannot be read
+     * @throws IOException if a report file cannot be read
      */
     public static Capacity of(CapacityPlan plan, ReportFiles reports) throws IOException {
         Capacity capacity = new Capacity(plan, reports);
-        plan.quantities().forEach((name, one) -> capacity.named.put(name, one.figure()));
+        plan.quantities().forEach((name, quantity) -> capacity.figuresByName.put(name, quantity.figure()));
         plan.assumed()
-                .forEach((name, one) ->
-                        capacity.named.put(name, new Figure(one.value(), one.value(), Basis.ASSUMED, 0)));
-        for (LinePlan one : plan.lines().values()) {
-            Line line = capacity.line(one);
-            capacity.lines.put(one.name(), line);
-            capacity.named.put(one.name(), line.figure());
+                .forEach((name, assumption) -> capacity.figuresByName.put(
+                        name, new Figure(assumption.value(), assumption.value(), Basis.ASSUMED, 0)));
+        for (LinePlan linePlan : plan.lines().values()) {
+            Line line = capacity.line(linePlan);
+            capacity.lines.put(linePlan.name(), line);
+            capacity.figuresByName.put(linePlan.name(), line.figure());
         }
         plan.rows().forEach(row -> capacity.rows.add(new Row(row, capacity.figure(row.value()))));
         return capacity;
     }
 
     /**
-     * The generated blocks of the page in Markdown, each by its name.
+     * Returns the generated blocks of the page in Markdown, by the names of the blocks.
      *
-     * @throws IOException where a report file cannot be read
+     * @throws IOException if a report file cannot be read
      */
     public Map<String, List<String>> blocks() throws IOException {
         return new CapacityTables(this).blocks();
@@ -82,8 +82,8 @@
         return rows;
     }
 
-    /** The rows that have a figure and a budget, the one furthest over its budget first. */
-    List<Row> byRatio() {
+    /** The rows that have a figure and a budget, by descending ratio of figure to budget at the full size. */
+    List<Row> rowsByRatio() {
         return rows.stream()
                 .filter(row -> row.isMeasured() && row.plan().budget() != null)
                 .sorted(Comparator.comparingDouble((Row row) -> row.ratio(Scale.FULL))
@@ -91,22 +91,22 @@
                 .toList();
     }
 
-    private Line line(LinePlan line) throws IOException {
-        Optional<Series> series = reports.points(line);
+    private Line line(LinePlan linePlan) throws IOException {
+        Optional<Series> series = reports.points(linePlan);
         if (series.isEmpty()) {
-            return new Line(line, null, null, Figure.NOT_MEASURED);
+            return new Line(linePlan, null, null, Figure.NOT_MEASURED);
         }
-        FittedLine fitted = line.fit().through(series.get().points());
-        Quantity at = plan.quantities().get(line.at());
+        FittedLine fitted = linePlan.fit().through(series.get().points());
+        Quantity quantity = plan.quantities().get(linePlan.evaluatedAt());
         return new Line(
-                line,
+                linePlan,
                 series.get(),
                 fitted,
                 new Figure(
-                        fitted.at(at.at(Scale.FULL)),
-                        fitted.at(at.at(Scale.TENTH)),
-                        at.basis().weaker(line.basis()),
-                        fitted.stretch(at.at(Scale.FULL))));
+                        fitted.valueAt(quantity.valueAt(Scale.FULL)),
+                        fitted.valueAt(quantity.valueAt(Scale.TENTH)),
+                        quantity.basis().weaker(linePlan.basis()),
+                        fitted.stretch(quantity.valueAt(Scale.FULL))));
     }
 
     private Figure figure(Expression value) {
@@ -116,14 +116,14 @@
         Basis basis = Basis.GIVEN;
         double stretch = 0;
         for (String name : value.names()) {
-            basis = basis.weaker(named.get(name).basis());
-            stretch = Math.max(stretch, named.get(name).stretch());
+            basis = basis.weaker(figuresByName.get(name).basis());
+            stretch = Math.max(stretch, figuresByName.get(name).stretch());
         }
         return basis == Basis.NOT_MEASURED
                 ? Figure.NOT_MEASURED
                 : new Figure(
-                        value.evaluate(name -> named.get(name).full()),
-                        value.evaluate(name -> named.get(name).tenth()),
+                        value.evaluate(name -> figuresByName.get(name).full()),
+                        value.evaluate(name -> figuresByName.get(name).tenth()),
                         basis,
                         stretch);
     }
--- a/lab/src/main/java/wheatspread/lab/capacity/CapacityPage.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/CapacityPage.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The lines of the page, with generated blocks between marker comments. */
+/** The lines of the page, which contains generated blocks between marker comments. */
 public final class CapacityPage {
     private static final String BEGIN = "<!-- capacity:begin %s -->";
     private static final String END = "<!-- capacity:end %s -->";
@@ -16,9 +16,10 @@
     }
 
     /**
-     * The page with these blocks in place of those that it has.
+     * Returns the page with its blocks replaced by {@code blocks}.
      *
-     * @throws IllegalArgumentException where a block has not just one pair of markers, in order
+     * @throws IllegalArgumentException if the page does not have exactly one begin marker and, after it, one end
+     *     marker for a block
      */
     public List<String> with(Map<String, List<String>> blocks) {
         List<String> page = new ArrayList<>(lines);
@@ -26,26 +27,28 @@
             int begin = marker(page, BEGIN, name);
             int end = marker(page, END, name);
             if (begin > end) {
-                throw new IllegalArgumentException("block " + name + " ends before it begins");
+                throw new IllegalArgumentException("end marker of block " + name + " is before its begin marker");
             }
-            List<String> old = page.subList(begin + 1, end);
-            old.clear();
-            old.add("");
-            old.addAll(block);
-            old.add("");
+            List<String> oldBlock = page.subList(begin + 1, end);
+            oldBlock.clear();
+            oldBlock.add("");
+            oldBlock.addAll(block);
+            oldBlock.add("");
         });
         return page;
     }
 
-    /** One line for each place where the page differs from what these blocks say; empty where it does not. */
+    /**
+     * Returns a message for each line in which the page differs from {@code blocks}; empty if there is no difference.
+     */
     public List<String> differences(Map<String, List<String>> blocks) {
-        List<String> wanted = with(blocks);
+        List<String> expected = with(blocks);
         List<String> differences = new ArrayList<>();
-        for (int i = 0; i < Math.max(wanted.size(), lines.size()); i++) {
-            String page = i < lines.size() ? lines.get(i) : "(nothing)";
-            String reports = i < wanted.size() ? wanted.get(i) : "(nothing)";
-            if (!page.equals(reports)) {
-                differences.add("line " + (i + 1) + ": the page has: " + page + "; the reports give: " + reports);
+        for (int i = 0; i < Math.max(expected.size(), lines.size()); i++) {
+            String found = i < lines.size() ? lines.get(i) : "(nothing)";
+            String generated = i < expected.size() ? expected.get(i) : "(nothing)";
+            if (!found.equals(generated)) {
+                differences.add("line " + (i + 1) + ": the page has: " + found + "; the reports give: " + generated);
             }
         }
         return differences;
@@ -53,10 +56,10 @@
 
     private static int marker(List<String> page, String form, String name) {
         String marker = String.format(form, name);
-        int at = page.indexOf(marker);
-        if (at < 0 || at != page.lastIndexOf(marker)) {
-            throw new IllegalArgumentException("the page has not just one line " + marker);
+        int index = page.indexOf(marker);
+        if (index < 0 || index != page.lastIndexOf(marker)) {
+            throw new IllegalArgumentException("expected exactly one line " + marker + " in the page");
         }
-        return at;
+        return index;
     }
 }
--- a/lab/src/main/java/wheatspread/lab/capacity/CapacityPlan.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/CapacityPlan.java
@@ -9,7 +9,7 @@
 import wheatspread.config.JsonFields;
 import wheatspread.config.JsonFile;
 
-/** The size that is planned for and the rows that are worked out for it; read from a file. */
+/** The planned size of an installation and the rows to compute for it, read from a file. */
 public record CapacityPlan(
         Map<String, Quantity> quantities,
         Map<String, Budget> budgets,
@@ -19,123 +19,124 @@
     private static final String PACKAGE = "wheatspread.";
     private static final String MISSING = "missing";
 
-    /** Complaints name the file and the key. */
+    /** Reads a plan; the message of the exception for an invalid plan names the file and the key. */
     public static CapacityPlan read(Path file) {
         return read(JsonFile.read(file));
     }
 
-    static CapacityPlan read(JsonFields told) {
-        told.requireKnownKeys(Set.of("quantities", "budgets", "assumed", "lines", "rows"));
+    static CapacityPlan read(JsonFields fields) {
+        fields.requireKnownKeys(Set.of("quantities", "budgets", "assumed", "lines", "rows"));
         CapacityPlan plan = new CapacityPlan(
                 new LinkedHashMap<>(),
                 new LinkedHashMap<>(),
                 new LinkedHashMap<>(),
                 new LinkedHashMap<>(),
                 new ArrayList<>());
-        told.objects("quantities").forEach(plan::readQuantity);
-        told.objects("budgets").forEach(plan::readBudget);
-        told.objects("assumed").forEach(plan::readAssumption);
-        told.objects("lines").forEach(plan::readLine);
-        told.objects("rows").forEach(plan::readRow);
-        told.throwIfInvalid();
+        fields.objects("quantities").forEach(plan::readQuantity);
+        fields.objects("budgets").forEach(plan::readBudget);
+        fields.objects("assumed").forEach(plan::readAssumption);
+        fields.objects("lines").forEach(plan::readLine);
+        fields.objects("rows").forEach(plan::readRow);
+        fields.throwIfInvalid();
         return plan;
     }
 
-    private void readQuantity(JsonFields told) {
-        told.requireKnownKeys(Set.of("name", "value", "unit", "text", "fixed", "assumed"));
+    private void readQuantity(JsonFields fields) {
+        fields.requireKnownKeys(Set.of("name", "value", "unit", "text", "fixed", "assumed"));
         Quantity quantity = new Quantity(
-                newName(told),
-                told.number("value"),
-                told.text("unit"),
-                told.text("text"),
-                told.flag("fixed", false),
-                told.flag("assumed", false));
+                newName(fields),
+                fields.number("value"),
+                fields.text("unit"),
+                fields.text("text"),
+                fields.flag("fixed", false),
+                fields.flag("assumed", false));
         quantities.put(quantity.name(), quantity);
     }
 
-    private void readBudget(JsonFields told) {
-        told.requireKnownKeys(Set.of("name", "value", "unit", "text"));
-        Budget budget = new Budget(told.text("name"), told.number("value"), told.text("unit"), told.text("text"));
+    private void readBudget(JsonFields fields) {
+        fields.requireKnownKeys(Set.of("name", "value", "unit", "text"));
+        Budget budget =
+                new Budget(fields.text("name"), fields.number("value"), fields.text("unit"), fields.text("text"));
         if (budget.value() <= 0 || budgets.put(budget.name(), budget) != null) {
-            throw told.invalidValue("name", "is taken already, or its value is not positive: " + budget);
+            throw fields.invalidValue("name", "is used already, or its value is not positive: " + budget);
         }
     }
 
-    private void readAssumption(JsonFields told) {
-        told.requireKnownKeys(Set.of("name", "value", "unit", "because"));
+    private void readAssumption(JsonFields fields) {
+        fields.requireKnownKeys(Set.of("name", "value", "unit", "because"));
         Assumption assumption =
-                new Assumption(newName(told), told.number("value"), told.text("unit"), told.text("because"));
+                new Assumption(newName(fields), fields.number("value"), fields.text("unit"), fields.text("because"));
         assumed.put(assumption.name(), assumption);
     }
 
-    private void readLine(JsonFields told) {
-        told.requireKnownKeys(Set.of("name", "report", "series", "figures", "unit", "fit", "at", "virtual"));
-        String name = newName(told);
-        if (told.has("series") == told.has("figures")) {
-            throw told.invalidValue("series", "or figures has to be there, and not both");
+    private void readLine(JsonFields fields) {
+        fields.requireKnownKeys(Set.of("name", "report", "series", "figures", "unit", "fit", "at", "virtual"));
+        String name = newName(fields);
+        if (fields.has("series") == fields.has("figures")) {
+            throw fields.invalidValue("series", "or figures must be present, but not both");
         }
-        String at = told.text("at");
-        if (!quantities.containsKey(at)) {
-            throw told.invalidValue("at", "is no quantity: " + at + "; known are " + quantities.keySet());
+        String evaluatedAt = fields.text("at");
+        if (!quantities.containsKey(evaluatedAt)) {
+            throw fields.invalidValue("at", "is no quantity: " + evaluatedAt + "; known are " + quantities.keySet());
         }
-        List<LinePlan.At> figures = new ArrayList<>();
-        for (JsonFields one : told.objects("figures")) {
-            one.requireKnownKeys(Set.of("size", "keys"));
-            figures.add(new LinePlan.At(one.number("size"), one.textList("keys")));
+        List<LinePlan.PlannedPoint> figures = new ArrayList<>();
+        for (JsonFields figure : fields.objects("figures")) {
+            figure.requireKnownKeys(Set.of("size", "keys"));
+            figures.add(new LinePlan.PlannedPoint(figure.number("size"), figure.textList("keys")));
         }
         lines.put(
                 name,
                 new LinePlan(
                         name,
-                        told.text("report"),
-                        told.text("series", null),
+                        fields.text("report"),
+                        fields.text("series", null),
                         figures,
-                        told.text("unit", ""),
-                        told.oneOf("fit", Fit.words()),
-                        at,
-                        told.flag("virtual", false)));
+                        fields.text("unit", ""),
+                        fields.oneOf("fit", Fit.byPlanName()),
+                        evaluatedAt,
+                        fields.flag("virtual", false)));
     }
 
-    private void readRow(JsonFields told) {
-        told.requireKnownKeys(Set.of("role", "situation", "what", "unit", "value", "mechanism", "budget", "note"));
-        Budget budget = budgets.get(told.text("budget", ""));
-        if (told.has("budget") && budget == null) {
-            throw told.invalidValue("budget", "is none of " + budgets.keySet());
+    private void readRow(JsonFields fields) {
+        fields.requireKnownKeys(Set.of("role", "situation", "what", "unit", "value", "mechanism", "budget", "note"));
+        Budget budget = budgets.get(fields.text("budget", ""));
+        if (fields.has("budget") && budget == null) {
+            throw fields.invalidValue("budget", "is none of " + budgets.keySet());
         }
-        if (!told.has("value") && !told.has("note")) {
-            throw told.invalidValue("note", "has to say why there is no value");
+        if (!fields.has("value") && !fields.has("note")) {
+            throw fields.invalidValue("note", "must say why there is no value");
         }
         rows.add(new RowPlan(
-                told.text("role"),
-                told.text("situation"),
-                told.text("what"),
-                told.text("unit"),
-                told.has("value") ? expression(told) : null,
-                mechanism(told),
+                fields.text("role"),
+                fields.text("situation"),
+                fields.text("what"),
+                fields.text("unit"),
+                fields.has("value") ? expression(fields) : null,
+                mechanism(fields),
                 budget,
-                told.text("note", "")));
+                fields.text("note", "")));
     }
 
-    private Expression expression(JsonFields told) {
+    private Expression expression(JsonFields fields) {
         Expression expression;
         try {
-            expression = Expression.parse(told.text("value"));
+            expression = Expression.parse(fields.text("value"));
         } catch (IllegalArgumentException e) {
-            throw told.invalidValue("value", "cannot be read: " + e.getMessage());
+            throw fields.invalidValue("value", "cannot be read: " + e.getMessage());
         }
         for (String name : expression.names()) {
             if (!isNamed(name)) {
-                throw told.invalidValue("value", "names " + name + ", which is no quantity, assumption or line");
+                throw fields.invalidValue("value", "names " + name + ", which is no quantity, assumption or line");
             }
         }
         return expression;
     }
 
-    /** The classes of the program that a row names; a class that does not exist is a fault. */
-    private static List<String> mechanism(JsonFields told) {
-        List<String> classes = told.textList("mechanism");
+    /** Returns the classes of the server that a row names; throws if a class does not exist. */
+    private static List<String> mechanism(JsonFields fields) {
+        List<String> classes = fields.textList("mechanism");
         if (classes.isEmpty()) {
-            throw told.invalidValue("mechanism", "is empty; where nothing carries the row it is [\"" + MISSING + "\"]");
+            throw fields.invalidValue("mechanism", "is empty; a row without a class needs [\"" + MISSING + "\"]");
         }
         if (classes.equals(List.of(MISSING))) {
             return List.of();
@@ -144,16 +145,16 @@
             try {
                 Class.forName(PACKAGE + name, false, CapacityPlan.class.getClassLoader());
             } catch (ClassNotFoundException e) {
-                throw told.invalidValue("mechanism", "names a class that does not exist: " + PACKAGE + name);
+                throw fields.invalidValue("mechanism", "names a class that does not exist: " + PACKAGE + name);
             }
         }
         return classes;
     }
 
-    private String newName(JsonFields told) {
-        String name = told.text("name");
+    private String newName(JsonFields fields) {
+        String name = fields.text("name");
         if (isNamed(name)) {
-            throw told.invalidValue("name", "is taken already: " + name);
+            throw fields.invalidValue("name", "is used already: " + name);
         }
         return name;
     }
--- a/lab/src/main/java/wheatspread/lab/capacity/CapacityTables.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/CapacityTables.java
@@ -11,9 +11,9 @@
 import java.util.stream.Collectors;
 import wheatspread.lab.report.Series;
 
-/** The generated blocks of the page in Markdown, each by its name. */
+/** Generates the blocks of the page in Markdown. */
 final class CapacityTables {
-    private static final String NONE = "";
+    private static final String EMPTY = "";
 
     private final Capacity capacity;
 
@@ -21,7 +21,7 @@
         this.capacity = capacity;
     }
 
-    /** All blocks, in the order of the page. */
+    /** Returns all blocks by their names, in the order of the page. */
     Map<String, List<String>> blocks() throws IOException {
         Map<String, List<String>> blocks = new LinkedHashMap<>();
         blocks.put("quantities", quantities());
@@ -41,13 +41,13 @@
         capacity.plan()
                 .quantities()
                 .values()
-                .forEach(one -> table.add(row(
-                        code(one.name()),
-                        one.text(),
-                        Numbers.given(one.at(Scale.TENTH)),
-                        Numbers.given(one.value()),
-                        one.unit(),
-                        one.basis().words())));
+                .forEach(quantity -> table.add(row(
+                        code(quantity.name()),
+                        quantity.text(),
+                        Numbers.given(quantity.valueAt(Scale.TENTH)),
+                        Numbers.given(quantity.value()),
+                        quantity.unit(),
+                        quantity.basis().label())));
         return table;
     }
 
@@ -56,21 +56,22 @@
         capacity.plan()
                 .budgets()
                 .values()
-                .forEach(one -> table.add(row(one.name(), one.text(), Numbers.given(one.value()), one.unit())));
+                .forEach(budget ->
+                        table.add(row(budget.name(), budget.text(), Numbers.given(budget.value()), budget.unit())));
         return table;
     }
 
     private List<String> rows() {
-        List<String> all = new ArrayList<>();
+        List<String> block = new ArrayList<>();
         Set<String> roles = new LinkedHashSet<>();
         capacity.rows().forEach(row -> roles.add(row.plan().role()));
         for (String role : roles) {
-            if (!all.isEmpty()) {
-                all.add("");
+            if (!block.isEmpty()) {
+                block.add("");
             }
-            all.add("### " + role.substring(0, 1).toUpperCase() + role.substring(1));
-            all.add("");
-            all.addAll(head(
+            block.add("### " + role.substring(0, 1).toUpperCase() + role.substring(1));
+            block.add("");
+            block.addAll(head(
                     "situation",
                     "what",
                     "at a tenth",
@@ -84,9 +85,9 @@
                     "worked out as"));
             capacity.rows().stream()
                     .filter(row -> row.plan().role().equals(role))
-                    .forEach(row -> all.add(row(row)));
+                    .forEach(row -> block.add(row(row)));
         }
-        return all;
+        return block;
     }
 
     private static String row(Capacity.Row row) {
@@ -98,13 +99,13 @@
                 Numbers.rounded(figure.tenth()),
                 Numbers.rounded(figure.full()),
                 plan.unit(),
-                plan.budget() == null ? NONE : Numbers.given(plan.budget().value()),
-                plan.budget() == null || !row.isMeasured() ? NONE : Numbers.rounded(row.ratio(Scale.FULL)),
-                figure.basis().words(),
+                plan.budget() == null ? EMPTY : Numbers.given(plan.budget().value()),
+                plan.budget() == null || !row.isMeasured() ? EMPTY : Numbers.rounded(row.ratio(Scale.FULL)),
+                figure.basis().label(),
                 stretch(figure),
                 mechanism(plan),
-                (plan.value() == null ? NONE : code(plan.value().toString()))
-                        + (plan.note().isEmpty() ? NONE : (plan.value() == null ? NONE : "; ") + plan.note()));
+                (plan.value() == null ? EMPTY : code(plan.value().toString()))
+                        + (plan.note().isEmpty() ? EMPTY : (plan.value() == null ? EMPTY : "; ") + plan.note()));
     }
 
     private List<String> lines() {
@@ -128,13 +129,13 @@
                         code(line.plan().name()),
                         points(line.series()),
                         line.series().unit() + ", " + line.series().per(),
-                        code(line.plan().at()),
+                        code(line.plan().evaluatedAt()),
                         line.plan().report(),
-                        line.plan().basis().words(),
-                        line.plan().fit().word(),
+                        line.plan().basis().label(),
+                        line.plan().fit().planName(),
                         Numbers.rounded(line.fitted().slope()),
                         Numbers.rounded(line.fitted().intercept()),
-                        Numbers.percent(line.fitted().largestMiss()),
+                        Numbers.percent(line.fitted().largestResidual()),
                         Numbers.rounded(line.figure().tenth()),
                         Numbers.rounded(line.figure().full()),
                         stretch(line.figure())));
@@ -157,7 +158,7 @@
         return table;
     }
 
-    /** The reports that some line was taken from. */
+    /** The report files from which at least one line was read. */
     private Set<String> reportFiles() {
         return capacity.lines().stream()
                 .filter(line -> line.fitted() != null)
@@ -170,8 +171,11 @@
         capacity.plan()
                 .assumed()
                 .values()
-                .forEach(
-                        one -> table.add(row(code(one.name()), Numbers.given(one.value()), one.unit(), one.because())));
+                .forEach(assumption -> table.add(row(
+                        code(assumption.name()),
+                        Numbers.given(assumption.value()),
+                        assumption.unit(),
+                        assumption.because())));
         return table;
     }
 
@@ -189,11 +193,11 @@
                 "basis",
                 "stretch",
                 "carried by");
-        int place = 0;
-        for (Capacity.Row row : capacity.byRatio()) {
+        int rank = 0;
+        for (Capacity.Row row : capacity.rowsByRatio()) {
             RowPlan plan = row.plan();
             table.add(row(
-                    ++place + "",
+                    ++rank + "",
                     Numbers.rounded(row.ratio(Scale.FULL)),
                     Numbers.rounded(row.ratio(Scale.TENTH)),
                     plan.role(),
@@ -202,7 +206,7 @@
                     Numbers.rounded(row.figure().full()),
                     Numbers.given(plan.budget().value()),
                     plan.unit(),
-                    row.figure().basis().words(),
+                    row.figure().basis().label(),
                     stretch(row.figure()),
                     mechanism(plan)));
         }
@@ -218,7 +222,7 @@
                         row.plan().situation(),
                         row.plan().what(),
                         row.plan().budget() == null
-                                ? NONE
+                                ? EMPTY
                                 : Numbers.given(row.plan().budget().value()) + " "
                                         + row.plan().budget().unit(),
                         mechanism(row.plan()),
@@ -234,7 +238,7 @@
         return table;
     }
 
-    /** The series that are not there yet, each with its report; the row's note where it has no formula. */
+    /** The missing series of a row, each with its report; the row's note if the row has no formula. */
     private String waitsFor(RowPlan row) {
         if (row.value() == null) {
             return row.note();
@@ -242,12 +246,13 @@
         return capacity.lines().stream()
                 .filter(line -> line.fitted() == null
                         && row.value().names().contains(line.plan().name()))
-                .map(line -> code(line.plan().points()) + " of " + line.plan().report())
+                .map(line ->
+                        code(line.plan().pointsName()) + " of " + line.plan().report())
                 .collect(Collectors.joining(", "));
     }
 
     private static String stretch(Figure figure) {
-        return figure.stretch() == 0 ? NONE : Numbers.rounded(figure.stretch());
+        return figure.stretch() == 0 ? EMPTY : Numbers.rounded(figure.stretch());
     }
 
     private static String mechanism(RowPlan plan) {
--- a/lab/src/main/java/wheatspread/lab/capacity/Expression.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/Expression.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import java.util.function.ToDoubleFunction;
 
-/** A formula of the plan: names, numbers, {@code + - * /} and parentheses. */
+/** A formula of the plan, built of names, numbers, {@code + - * /} and parentheses. */
 public final class Expression {
     private final String text;
     private final Node root;
@@ -21,23 +21,23 @@
     }
 
     /**
-     * Reads a formula.
+     * Parses a formula.
      *
-     * @throws IllegalArgumentException naming what is wrong and at which character
+     * @throws IllegalArgumentException if the formula is malformed; the message names the error and the character
      */
     public static Expression parse(String text) {
         Parser parser = new Parser(text);
         Node root = parser.sum();
-        parser.end();
+        parser.expectEnd();
         return new Expression(text, root, parser.names);
     }
 
-    /** The names in it, in their order. */
+    /** The names in the formula, in the order of their first occurrence. */
     public Set<String> names() {
         return names;
     }
 
-    /** Its value with these values of its names. */
+    /** Evaluates the formula; {@code values} maps its names to values. */
     public double evaluate(ToDoubleFunction<String> values) {
         return root.evaluate(values);
     }
@@ -47,7 +47,7 @@
         return text;
     }
 
-    /** Recursive descent: a sum of products of numbers, names and sums in parentheses. */
+    /** Recursive-descent parser for a sum of products of numbers, names and sums in parentheses. */
     private static final class Parser {
         private final String text;
         private final Set<String> names = new LinkedHashSet<>();
@@ -61,11 +61,11 @@
             Node left = product();
             for (char sign = peek(); sign == '+' || sign == '-'; sign = peek()) {
                 position++;
-                Node one = left;
-                Node other = product();
+                Node first = left;
+                Node second = product();
                 left = sign == '+'
-                        ? values -> one.evaluate(values) + other.evaluate(values)
-                        : values -> one.evaluate(values) - other.evaluate(values);
+                        ? values -> first.evaluate(values) + second.evaluate(values)
+                        : values -> first.evaluate(values) - second.evaluate(values);
             }
             return left;
         }
@@ -74,47 +74,47 @@
             Node left = factor();
             for (char sign = peek(); sign == '*' || sign == '/'; sign = peek()) {
                 position++;
-                Node one = left;
-                Node other = factor();
+                Node first = left;
+                Node second = factor();
                 left = sign == '*'
-                        ? values -> one.evaluate(values) * other.evaluate(values)
-                        : values -> one.evaluate(values) / other.evaluate(values);
+                        ? values -> first.evaluate(values) * second.evaluate(values)
+                        : values -> first.evaluate(values) / second.evaluate(values);
             }
             return left;
         }
 
         private Node factor() {
-            char first = peek();
-            if (first == '(') {
+            char next = peek();
+            if (next == '(') {
                 position++;
                 Node inner = sum();
                 if (peek() != ')') {
-                    throw bad("a closing parenthesis is missing");
+                    throw syntaxError("a closing parenthesis is missing");
                 }
                 position++;
                 return inner;
             }
-            if (Character.isDigit(first)) {
-                double number = Double.parseDouble(word("0123456789."));
+            if (Character.isDigit(next)) {
+                double number = Double.parseDouble(readWhile("0123456789."));
                 return values -> number;
             }
-            if (Character.isLowerCase(first)) {
-                String name = word("abcdefghijklmnopqrstuvwxyz0123456789_");
+            if (Character.isLowerCase(next)) {
+                String name = readWhile("abcdefghijklmnopqrstuvwxyz0123456789_");
                 names.add(name);
                 return values -> values.applyAsDouble(name);
             }
-            throw bad("a number, a name or a parenthesis is missing");
+            throw syntaxError("a number, a name or a parenthesis is missing");
         }
 
-        private String word(String characters) {
-            int begin = position;
+        private String readWhile(String characters) {
+            int start = position;
             while (position < text.length() && characters.indexOf(text.charAt(position)) >= 0) {
                 position++;
             }
-            return text.substring(begin, position);
+            return text.substring(start, position);
         }
 
-        /** The next character that is no space; 0 at the end. */
+        /** Skips spaces and returns the next character without consuming it; 0 at the end. */
         private char peek() {
             while (position < text.length() && text.charAt(position) == ' ') {
                 position++;
@@ -122,14 +122,14 @@
             return position < text.length() ? text.charAt(position) : 0;
         }
 
-        private void end() {
+        private void expectEnd() {
             if (peek() != 0) {
-                throw bad("something follows the formula");
+                throw syntaxError("unexpected text follows the formula");
             }
         }
 
-        private IllegalArgumentException bad(String complaint) {
-            return new IllegalArgumentException(complaint + " at character " + (position + 1) + " of " + text);
+        private IllegalArgumentException syntaxError(String message) {
+            return new IllegalArgumentException(message + " at character " + (position + 1) + " of " + text);
         }
     }
 }
--- a/lab/src/main/java/wheatspread/lab/capacity/Figure.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/Figure.java
@@ -1,16 +1,17 @@
 package wheatspread.lab.capacity;
 
 /**
- * A figure of the page at both sizes.
+ * A figure of the page at both sizes of the installation.
  *
- * @param full at the size that is planned for; NaN where it was not measured
- * @param tenth at a tenth of it
- * @param stretch how far the largest measured size of any line in it is exceeded; 0 where no line is in it
+ * @param full value at the planned size; NaN if it was not measured
+ * @param tenth value at a tenth of the planned size; NaN if it was not measured
+ * @param stretch planned size divided by the largest measured size, the largest such ratio of the lines in the figure;
+ *     0 if it contains no line
  */
 public record Figure(double full, double tenth, Basis basis, double stretch) {
     static final Figure NOT_MEASURED = new Figure(Double.NaN, Double.NaN, Basis.NOT_MEASURED, 0);
 
-    double at(Scale scale) {
+    double valueAt(Scale scale) {
         return scale == Scale.FULL ? full : tenth;
     }
 }
--- a/lab/src/main/java/wheatspread/lab/capacity/Fit.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/Fit.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import wheatspread.lab.report.Series;
 
-/** How a line is laid through measured points. */
+/** The method by which a line is fitted to measured points. */
 public enum Fit {
     /** Least squares: {@code intercept + slope * size}. */
     LINEAR,
@@ -18,49 +18,49 @@
     /** Least squares through the origin: {@code slope * size}. */
     PROPORTIONAL,
     /**
-     * From point to point, and past the largest size on with the slope between the two largest: for a figure that is
-     * no line over the whole range. Points of one size count as their mean.
+     * Linear interpolation between neighbouring points; beyond the largest size, extrapolation with the slope between
+     * the two largest sizes. Suits a figure that is not linear over the whole range. Points of equal size are averaged.
      */
     LAST,
-    /** The mean of the points: a figure that does not depend on the size. */
+    /** The mean of the points; suits a figure that does not depend on the size. */
     CONSTANT;
 
-    /** The words of the plan. */
-    static Map<String, Fit> words() {
-        Map<String, Fit> words = new TreeMap<>();
-        for (Fit one : values()) {
-            words.put(one.word(), one);
+    /** All methods by their names in the plan. */
+    static Map<String, Fit> byPlanName() {
+        Map<String, Fit> fits = new TreeMap<>();
+        for (Fit fit : values()) {
+            fits.put(fit.planName(), fit);
         }
-        return words;
+        return fits;
     }
 
-    /** As the plan and the page have it. */
-    String word() {
+    /** The name of this method in the plan and on the page. */
+    String planName() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** How many different sizes it takes. */
-    int leastSizes() {
+    /** Smallest number of different sizes that this method needs. */
+    int minSizes() {
         return this == PROPORTIONAL || this == CONSTANT ? 1 : 2;
     }
 
-    /** How the size enters the line. */
+    /** Returns the independent variable of the line for a size. */
     double transform(double size) {
         return this == LOG ? Math.log(size) : size;
     }
 
     /**
-     * Lays the line through points.
+     * Fits a line to points.
      *
-     * @throws IllegalArgumentException where there are too few different sizes for this fit, or for {@link #LOG} a
-     *     size that is not positive
+     * @throws IllegalArgumentException if there are fewer than {@link #minSizes} different sizes, or for {@link
+     *     #LOG} if a size is not positive
      */
     public FittedLine through(List<Series.Point> measured) {
         List<Series.Point> points = new ArrayList<>(measured);
         points.sort(Comparator.comparingDouble(Series.Point::size));
         long sizes = points.stream().mapToDouble(Series.Point::size).distinct().count();
-        if (sizes < leastSizes() || this == LOG && points.get(0).size() <= 0) {
-            throw new IllegalArgumentException("fit " + word() + " cannot be laid through " + points);
+        if (sizes < minSizes() || this == LOG && points.get(0).size() <= 0) {
+            throw new IllegalArgumentException("fit " + planName() + " cannot be applied to " + points);
         }
         return switch (this) {
             case LINEAR, LOG -> leastSquares(points);
@@ -81,8 +81,8 @@
     private static FittedLine lastSegment(List<Series.Point> points) {
         NavigableMap<Double, Double> means = FittedLine.meansBySize(points);
         double largest = means.lastKey();
-        double before = means.lowerKey(largest);
-        double slope = (means.get(largest) - means.get(before)) / (largest - before);
+        double previous = means.lowerKey(largest);
+        double slope = (means.get(largest) - means.get(previous)) / (largest - previous);
         return new FittedLine(LAST, means.get(largest) - slope * largest, slope, points);
     }
 
--- a/lab/src/main/java/wheatspread/lab/capacity/LinePlan.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/LinePlan.java
@@ -3,21 +3,28 @@
 import java.util.List;
 
 /**
- * Where the points of a line stand, how it is laid through them, and the quantity at which it is evaluated.
+ * The source of a line's points, the fit, and the quantity at which the line is evaluated.
  *
- * @param name how expressions of the plan call the line's value
- * @param report the report's file
- * @param series the name of a series of the report; null where single figures are taken
- * @param figures single figures of a report that has no series for them; empty where a series is taken
- * @param unit of single figures; a series has its own
- * @param at the quantity at which the line is evaluated
+ * @param name name of the line's value in the plan's expressions
+ * @param report file name of the report
+ * @param series name of a series of the report; null if the points are single figures
+ * @param figures single figures of the report; empty if the points are a series
+ * @param unit unit of the single figures; a series states its unit itself
+ * @param evaluatedAt name of the quantity at which the line is evaluated
  * @param virtual whether the points come from the emulator
  */
 public record LinePlan(
-        String name, String report, String series, List<At> figures, String unit, Fit fit, String at, boolean virtual) {
-    /** The figure that stands under these keys of the report, measured at that size. */
-    public record At(double size, List<String> keys) {
-        public At {
+        String name,
+        String report,
+        String series,
+        List<PlannedPoint> figures,
+        String unit,
+        Fit fit,
+        String evaluatedAt,
+        boolean virtual) {
+    /** A single figure of the report, found by its path of keys, and the size at which it was measured. */
+    public record PlannedPoint(double size, List<String> keys) {
+        public PlannedPoint {
             keys = List.copyOf(keys);
         }
     }
@@ -26,13 +33,13 @@
         figures = List.copyOf(figures);
     }
 
-    /** What its points rest on. */
+    /** The basis of the points. */
     Basis basis() {
         return virtual ? Basis.VIRTUAL : Basis.MEASURED;
     }
 
-    /** What the page calls the points. */
-    String points() {
+    /** The name of the points on the page. */
+    String pointsName() {
         return series != null ? series : String.join(" / ", figures.get(0).keys());
     }
 }
--- a/lab/src/main/java/wheatspread/lab/capacity/Numbers.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/Numbers.java
@@ -7,25 +7,25 @@
 import java.text.DecimalFormatSymbols;
 import java.util.Locale;
 
-/** Numbers as the page has them: three significant digits, thousands set apart. */
+/** Formats the numbers of the page, with a comma between thousands. */
 final class Numbers {
-    private static final MathContext ROUNDED = new MathContext(3, RoundingMode.HALF_EVEN);
-    private static final MathContext EXACTER = new MathContext(5, RoundingMode.HALF_EVEN);
+    private static final MathContext THREE_DIGITS = new MathContext(3, RoundingMode.HALF_EVEN);
+    private static final MathContext FIVE_DIGITS = new MathContext(5, RoundingMode.HALF_EVEN);
     private static final double PERCENT = 100;
 
     private Numbers() {}
 
-    /** A computed figure. */
+    /** Formats a computed figure with three significant digits. */
     static String rounded(double value) {
-        return format(value, ROUNDED);
+        return format(value, THREE_DIGITS);
     }
 
-    /** A measured point, with five digits so that a change of a report shows. */
+    /** Formats a measured point with five significant digits, so that a changed report changes the page. */
     static String point(double value) {
-        return format(value, EXACTER);
+        return format(value, FIVE_DIGITS);
     }
 
-    /** A value of the plan, as it was given. */
+    /** Formats a value of the plan without rounding to fewer digits. */
     static String given(double value) {
         return format(value, MathContext.DECIMAL64);
     }
--- a/lab/src/main/java/wheatspread/lab/capacity/ReportFiles.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/ReportFiles.java
@@ -13,7 +13,7 @@
 import org.json.JSONObject;
 import wheatspread.lab.report.Series;
 
-/** The report files of a folder, each read once. */
+/** The report files of a folder; each file is read once. */
 public final class ReportFiles {
     private static final String NOT_RUN = "not_run";
     private static final String FAULTS = "faults";
@@ -26,8 +26,8 @@
     }
 
     /**
-     * The points of a planned line; empty where the report or the series is not there, or has too few points for
-     * the fit.
+     * Returns the points of a planned line; empty if the report or the series does not exist, or if its points have too
+     * few different sizes for the fit.
      */
     Optional<Series> points(LinePlan line) throws IOException {
         Optional<JSONObject> report = report(line.report());
@@ -37,21 +37,23 @@
         Optional<Series> series = line.series() == null
                 ? figures(line, report.get())
                 : Series.of(report.get()).stream()
-                        .filter(one -> one.name().equals(line.series()))
+                        .filter(candidate -> candidate.name().equals(line.series()))
                         .findFirst();
-        return series.filter(one ->
-                one.points().stream().mapToDouble(Series.Point::size).distinct().count()
-                        >= line.fit().leastSizes());
+        return series.filter(found -> found.points().stream()
+                        .mapToDouble(Series.Point::size)
+                        .distinct()
+                        .count()
+                >= line.fit().minSizes());
     }
 
-    /** The command that wrote a report, without the folders of its machine; empty where it is not known. */
+    /** Returns the command that wrote a report, with absolute paths replaced by {@code DIR}; empty if it is unknown. */
     String command(String file) throws IOException {
         return report(file)
                 .map(report -> report.optString("command", "").replaceAll("(?<= )/\\S+", "DIR"))
                 .orElse("");
     }
 
-    /** The runs of a report that did not go as planned, were not begun, or played faults on a fleet; sorted by name. */
+    /** Returns the findings of the runs that were not started or that list faults, sorted by the names of the runs. */
     List<RunFinding> findings(String file) throws IOException {
         List<RunFinding> findings = new ArrayList<>();
         JSONObject report = report(file).orElseGet(JSONObject::new);
@@ -68,17 +70,17 @@
 
     private static Optional<Series> figures(LinePlan line, JSONObject report) {
         List<Series.Point> points = new ArrayList<>();
-        for (LinePlan.At one : line.figures()) {
+        for (LinePlan.PlannedPoint point : line.figures()) {
             Object value = report;
-            for (String key : one.keys()) {
+            for (String key : point.keys()) {
                 value = value instanceof JSONObject object ? object.opt(key) : null;
             }
             if (!(value instanceof Number number)) {
                 return Optional.empty();
             }
-            points.add(new Series.Point(one.size(), number.doubleValue()));
+            points.add(new Series.Point(point.size(), number.doubleValue()));
         }
-        return Optional.of(new Series(line.points(), line.unit(), line.at(), points));
+        return Optional.of(new Series(line.pointsName(), line.unit(), line.evaluatedAt(), points));
     }
 
     private Optional<JSONObject> report(String file) throws IOException {
--- a/lab/src/main/java/wheatspread/lab/capacity/RowPlan.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/RowPlan.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * One row of the page.
+ * A planned row of the page.
  *
- * @param role who bears it
- * @param value how it is worked out; null where nothing is known of it, which {@code note} explains
- * @param mechanism the classes that carry it; empty where there is none yet
- * @param budget null for none
+ * @param role kind of process or machine that bears the cost
+ * @param value formula of the row; null if there is none, for the reason in {@code note}
+ * @param mechanism classes that implement the mechanism behind the row; empty if there are none yet
+ * @param budget budget of the row; null if it has none
  */
 public record RowPlan(
         String role,
--- a/lab/src/main/java/wheatspread/lab/capacity/RunFinding.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/RunFinding.java
@@ -6,23 +6,23 @@
 import org.json.JSONObject;
 
 /**
- * What a report says of one run, in a line for a reader.
+ * A one-line summary of a run, from a report.
  *
- * @param run the name of the run, with the fault where several were played on one fleet
- * @param text what was found
+ * @param run name of the run, followed by the fault if several were injected into one fleet
+ * @param text the finding
  */
 record RunFinding(String run, String text) {
 
     /**
-     * The findings of a run's list of faults. A report of the emulator lists sentences, which are one finding together;
-     * a report of real fleets lists an object with figures for each fault that was played, which is a finding each.
+     * Returns the findings of a run's list of faults. A report of the emulator lists sentences, which together make one
+     * finding. A report of real fleets lists an object with figures for each injected fault, and each is a finding.
      */
     static List<RunFinding> ofFaults(String run, JSONArray faults) {
         List<RunFinding> findings = new ArrayList<>();
         List<String> sentences = new ArrayList<>();
         for (Object fault : faults) {
             if (fault instanceof JSONObject figures) {
-                findings.add(new RunFinding(run + ", " + figures.getString("fault"), measured(figures)));
+                findings.add(new RunFinding(run + ", " + figures.getString("fault"), describe(figures)));
             } else {
                 sentences.add(String.valueOf(fault));
             }
@@ -33,7 +33,7 @@
         return findings;
     }
 
-    private static String measured(JSONObject figures) {
+    private static String describe(JSONObject figures) {
         List<String> parts = new ArrayList<>();
         parts.add(figures.getInt("members") + " members");
         parts.add(
--- a/lab/src/main/java/wheatspread/lab/capacity/Scale.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/Scale.java
@@ -1,9 +1,9 @@
 package wheatspread.lab.capacity;
 
-/** The two sizes at which the page gives each figure. */
+/** The two sizes of the installation for which the page states each figure. */
 public enum Scale {
-    /** The size that the plan gives. */
+    /** The planned size. */
     FULL,
-    /** A tenth of it. */
+    /** A tenth of the planned size. */
     TENTH
 }
--- a/lab/src/test/java/wheatspread/lab/capacity/CapacityTest.java
+++ b/lab/src/test/java/wheatspread/lab/capacity/CapacityTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import wheatspread.config.JsonFile;
 
-/** Figures, bases, ratios and their order from a small plan and a small report. */
+/** Computes figures, bases, ratios and their order from a small plan and a small report. */
 class CapacityTest {
     private static final String HEAD = """
         {"quantities": [
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void aLineIsEvaluatedAtTheSizeAndAtATenth() throws Exception {
+    void evaluatesLineAtFullSizeAndTenth() throws Exception {
         Figure sent = figure("sent");
         assertThat(sent.full()).isCloseTo(2810, within(1e-9));
         assertThat(sent.tenth()).isCloseTo(290, within(1e-9));
@@ -71,56 +71,58 @@
     }
 
     @Test
-    void aFormulaHasTheWeakestBasisAndTheLargestStretchOfItsParts() throws Exception {
-        Figure both = figure("sent + played");
-        assertThat(both.basis()).isEqualTo(Basis.VIRTUAL);
-        assertThat(both.stretch()).isEqualTo(7);
-        assertThat(both.full()).isCloseTo(2810 + 700, within(1e-9));
+    void formulaHasWeakestBasisAndLargestStretchOfItsParts() throws Exception {
+        Figure sum = figure("sent + played");
+        assertThat(sum.basis()).isEqualTo(Basis.VIRTUAL);
+        assertThat(sum.stretch()).isEqualTo(7);
+        assertThat(sum.full()).isCloseTo(2810 + 700, within(1e-9));
         assertThat(figure("played + tenant_bytes").basis()).isEqualTo(Basis.ASSUMED);
         assertThat(figure("members / zones").tenth()).isEqualTo(17.5);
         assertThat(figure("single * 1024").full()).isEqualTo(3584);
     }
 
     @Test
-    void whatNoReportHoldsIsNotMeasuredAndNeverInvented() throws Exception {
+    void figureWithoutReportIsNotMeasured() throws Exception {
         Capacity capacity = capacity(row("one", "sent + absent"), row("two", "sent"));
         assertThat(capacity.rows().get(0).figure()).isEqualTo(Figure.NOT_MEASURED);
-        assertThat(capacity.byRatio()).extracting(row -> row.plan().what()).containsExactly("two");
+        assertThat(capacity.rowsByRatio()).extracting(row -> row.plan().what()).containsExactly("two");
         assertThat(String.join("\n", capacity.blocks().get("unmeasured")))
                 .contains("`sent.bytes` of two.json")
                 .contains("one")
                 .doesNotContain("two |");
         Files.writeString(folder.resolve("two.json"), REPORT.replace("[100, 210], ", ""));
         assertThat(capacity(row("one", "absent")).rows().get(0).isMeasured())
-                .as("one point is too few for a line")
+                .as("one point is too few for a linear fit")
                 .isFalse();
     }
 
     @Test
-    void commandsAreShownWithoutTheFoldersOfTheirMachine() throws Exception {
+    void replacesAbsolutePathsInCommands() throws Exception {
         assertThat(capacity(row("one", "sent")).blocks().get("commands"))
                 .contains("| one.json | `lab one --report DIR lab/a.json` |");
     }
 
     @Test
-    void rowsAreOrderedByTheFigureOverItsBudget() throws Exception {
+    void ordersRowsByRatioOfFigureToBudget() throws Exception {
         Capacity capacity = capacity(
                 row("least", "tenant_bytes"), row("most", "sent"), row("middle", "played"), row("no", "absent"));
-        assertThat(capacity.byRatio()).extracting(row -> row.plan().what()).containsExactly("most", "middle", "least");
-        assertThat(capacity.byRatio().get(0).ratio(Scale.FULL)).isCloseTo(2.81, within(1e-12));
-        assertThat(capacity.byRatio().get(0).ratio(Scale.TENTH)).isCloseTo(0.29, within(1e-12));
+        assertThat(capacity.rowsByRatio())
+                .extracting(row -> row.plan().what())
+                .containsExactly("most", "middle", "least");
+        assertThat(capacity.rowsByRatio().get(0).ratio(Scale.FULL)).isCloseTo(2.81, within(1e-12));
+        assertThat(capacity.rowsByRatio().get(0).ratio(Scale.TENTH)).isCloseTo(0.29, within(1e-12));
     }
 
     @Test
-    void aWrongPlanIsNamedWithItsKey() {
-        for (String[] one : new String[][] {
+    void rejectsInvalidPlanNamingTheKey() {
+        for (String[] planAndMessage : new String[][] {
             {row("one", "nothing"), "rows[0].value names nothing"},
             {row("one", "1 +"), "rows[0].value cannot be read"},
             {row("one", "1").replace("Membership", "Memory"), "does not exist: wheatspread.membership.Memory"},
             {row("one", "1").replace("\"budget\": \"bytes\"", "\"budget\": \"time\""), "rows[0].budget is none of"},
             {row("one", "1").replace("[\"membership.Membership\"]", "[]"), "rows[0].mechanism is empty"}
         }) {
-            assertThatThrownBy(() -> plan(one[0])).hasMessageContaining(one[1]);
+            assertThatThrownBy(() -> plan(planAndMessage[0])).hasMessageContaining(planAndMessage[1]);
         }
         assertThat(plan(row("one", "1").replace("membership.Membership", "missing"))
                         .rows())
--- a/lab/src/test/java/wheatspread/lab/capacity/ExpressionTest.java
+++ b/lab/src/test/java/wheatspread/lab/capacity/ExpressionTest.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Formulas of the plan. */
+/** Parses and evaluates formulas of the plan. */
 class ExpressionTest {
     private static double value(String text) {
         Map<String, Double> values = Map.of("tenants", 100.0, "change_2", 4.0);
@@ -14,7 +14,7 @@
     }
 
     @Test
-    void productsBindCloserAndEqualSignsGoFromTheLeft() {
+    void productsBindTighterThanSumsAndOperatorsAssociateLeft() {
         assertThat(value("1 + 2 * 3")).isEqualTo(7);
         assertThat(value("(1 + 2) * 3")).isEqualTo(9);
         assertThat(value("10 - 3 - 2")).isEqualTo(5);
@@ -23,12 +23,12 @@
     }
 
     @Test
-    void namesAreKnown() {
+    void listsNamesInOrderOfOccurrence() {
         assertThat(Expression.parse("(b + a) * b / 2").names()).containsExactly("b", "a");
     }
 
     @Test
-    void whatCannotBeReadIsNamedByItsPlace() {
+    void rejectsMalformedFormulaNamingTheCharacter() {
         assertThatThrownBy(() -> Expression.parse("1 +")).hasMessageContaining("character 4");
         assertThatThrownBy(() -> Expression.parse("(1 + a")).hasMessageContaining("parenthesis");
         assertThatThrownBy(() -> Expression.parse("a b")).hasMessageContaining("character 3");
