--- a/lab/src/main/java/wheatspread/lab/DeploymentsCommand.java
+++ b/lab/src/main/java/wheatspread/lab/DeploymentsCommand.java
@@ -42,8 +42,8 @@
         LongStream.range(seed, seed + count).parallel().forEach(one -> {
             Deployment site = Deployment.drawn(one);
             List<String> rules;
-            try (DeploymentRun run = new DeploymentRun(site, one, DeploymentRun.Planted.NONE)) {
-                rules = run.play();
+            try (DeploymentRun run = new DeploymentRun(site, one, DeploymentRun.Mutation.NONE)) {
+                rules = run.run();
             } catch (Exception e) {
                 rules = List.of(e.toString());
             }
--- a/lab/src/main/java/wheatspread/lab/deployments/DeploymentRun.java
+++ b/lab/src/main/java/wheatspread/lab/deployments/DeploymentRun.java
@@ -17,35 +17,35 @@
 import wheatspread.config.OperatorConfig;
 import wheatspread.config.ServerConfig;
 import wheatspread.daemon.Server;
-import wheatspread.lab.deployments.RuleChecker.Try;
+import wheatspread.lab.deployments.RuleChecker.Attempt;
 import wheatspread.lifecycle.Lifecycle.Phase;
 import wheatspread.logging.EventLog;
 
 /**
- * Starts one server of a deployment on real sockets, on a clock that the run moves on, plays a light load, a
- * crowd, repeats and a notice to leave against it, and has each rule judged. The same every time.
+ * Runs one server of a deployment with real sockets and a clock that the run advances. Sends a light load, a burst,
+ * retries and a notice to drain, and checks each rule. The same deployment and seed always give the same run.
  */
 public final class DeploymentRun implements AutoCloseable {
-    private static final long START = 1_700_000_000_000_000L;
-    private static final long SECOND = 1_000_000;
-    private static final long LIGHT_UNTIL = 2 * SECOND;
-    private static final long CROWD_UNTIL = 5 * SECOND / 2;
-    private static final long NOTICE = 5 * SECOND;
-    private static final long LAST_REQUEST = 8 * SECOND;
-    private static final long STOP_TIMEOUT = 4 * SECOND;
+    private static final long START_MICROS = 1_700_000_000_000_000L;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long LIGHT_LOAD_END_MICROS = 2 * SECOND_MICROS;
+    private static final long BURST_END_MICROS = 5 * SECOND_MICROS / 2;
+    private static final long DRAIN_NOTICE_MICROS = 5 * SECOND_MICROS;
+    private static final long LAST_REQUEST_MICROS = 8 * SECOND_MICROS;
+    private static final long STOP_TIMEOUT_MICROS = 4 * SECOND_MICROS;
     private static final int MAX_OPEN_REQUESTS = 32;
     private static final int QUIET_ROUNDS = 4;
     private static final int ACCEPT_TIMEOUT_MS = 10_000;
 
-    /** What a demand for a field would make of a configuration or of a request's parameters: for tests. */
-    public record Planted(UnaryOperator<JSONObject> config, UnaryOperator<JSONObject> params) {
-        public static final Planted NONE = new Planted(told -> told, told -> told);
+    /** Changes to the configuration and to the parameters of each request, with which tests inject a defect. */
+    public record Mutation(UnaryOperator<JSONObject> config, UnaryOperator<JSONObject> params) {
+        public static final Mutation NONE = new Mutation(config -> config, params -> params);
     }
 
     private final Deployment deployment;
-    private final Planted planted;
+    private final Mutation mutation;
     private final SplittableRandom random;
-    private final RuleChecker judge;
+    private final RuleChecker checker;
     private final SimulatedKernel kernel;
     private final RequestGenerator requests;
     private final EventQueue events = new EventQueue();
@@ -56,123 +56,133 @@
     private LineConnection kernelLink;
     private SteppedClock clock;
     private Server server;
-    private long now = START;
+    private long nowMicros = START_MICROS;
 
-    /** A proxy's connection, with the tries that are open on it by their ids. */
+    /** A client's connection, with the unanswered attempts on it by their request ids. */
     private static final class ClientConnection {
         final LineConnection lines;
-        final Map<Integer, String> open = new HashMap<>();
+        final Map<Integer, String> openAttempts = new HashMap<>();
         int lastId;
-        boolean lastCall;
+        boolean closing;
 
         ClientConnection(LineConnection lines) {
             this.lines = lines;
         }
     }
 
-    /** A run of a deployment; {@code planted} is the fault that the run is to find, if any. */
-    public DeploymentRun(Deployment deployment, long seed, Planted planted) {
+    /** {@code mutation} injects the defect that the run is expected to find, if any. */
+    public DeploymentRun(Deployment deployment, long seed, Mutation mutation) {
         this.deployment = deployment;
-        this.planted = planted;
+        this.mutation = mutation;
         random = new SplittableRandom(seed);
         requests = new RequestGenerator(deployment, random);
-        judge = new RuleChecker(deployment);
+        checker = new RuleChecker(deployment);
         kernel = new SimulatedKernel(
-                deployment, judge, START + LIGHT_UNTIL, this::after, text -> kernelLink.write(text));
+                deployment,
+                checker,
+                START_MICROS + LIGHT_LOAD_END_MICROS,
+                this::schedule,
+                text -> kernelLink.write(text));
     }
 
-    /** Plays it and returns the rules that were broken; empty where all held. */
-    public List<String> play() throws IOException {
+    /** Runs the server until it stops; returns the violations of rules, empty if all rules held. */
+    public List<String> run() throws IOException {
         try (ServerSocket kernels = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             records = ServerSocketChannel.open().bind(new InetSocketAddress("127.0.0.1", 0));
             records.configureBlocking(false);
-            JSONObject told = planted.config.apply(deployment.config(
+            JSONObject configJson = mutation.config.apply(deployment.config(
                     "127.0.0.1:" + kernels.getLocalPort(),
                     "127.0.0.1:" + records.socket().getLocalPort(),
                     "127.0.0.1:9"));
             try {
-                ServerConfig config = ServerConfig.read(JsonFields.of(told.toMap(), ""));
+                ServerConfig config = ServerConfig.read(JsonFields.of(configJson.toMap(), ""));
                 server = new Server(
                         config,
                         OperatorConfig.DEFAULT,
-                        (loop, turns) -> clock = new SteppedClock(loop, START),
+                        (loop, scheduler) -> clock = new SteppedClock(loop, START_MICROS),
                         EventLog.NONE);
             } catch (IllegalArgumentException e) {
-                judge.broken("no start: " + e.getMessage());
-                return judge.broken;
+                checker.addViolation("no start: " + e.getMessage());
+                return checker.violations;
             }
             server.start();
             kernels.setSoTimeout(ACCEPT_TIMEOUT_MS);
             kernelLink = new LineConnection(kernels.accept());
             healthCheck.await(server.boundAddresses().get(0));
-            plan();
-            run();
+            scheduleLoad();
+            runEvents();
         }
-        judge.end(now);
-        return judge.broken;
+        checker.serverStopped(nowMicros);
+        return checker.violations;
     }
 
-    // ---- what is asked ----
+    // ---- load ----
 
-    private void plan() {
-        int asked = 3 * deployment.cores;
-        long gap = Math.max(30_000, 400_000 / deployment.cores);
-        for (long at = SECOND / 5; at < LIGHT_UNTIL; at += gap) {
-            events.add(START + at, () -> request(true));
+    private void scheduleLoad() {
+        int lightRequests = 3 * deployment.cores;
+        long gapMicros = Math.max(30_000, 400_000 / deployment.cores);
+        for (long micros = SECOND_MICROS / 5; micros < LIGHT_LOAD_END_MICROS; micros += gapMicros) {
+            events.add(START_MICROS + micros, () -> sendRequest(true));
         }
-        for (int i = 0; i < Math.min(120, 12 * asked); i++) {
-            events.add(START + LIGHT_UNTIL + random.nextLong(CROWD_UNTIL - LIGHT_UNTIL), () -> request(false));
+        for (int i = 0; i < Math.min(120, 12 * lightRequests); i++) {
+            events.add(
+                    START_MICROS + LIGHT_LOAD_END_MICROS + random.nextLong(BURST_END_MICROS - LIGHT_LOAD_END_MICROS),
+                    () -> sendRequest(false));
         }
-        for (long at = CROWD_UNTIL; at < LAST_REQUEST; at += 2 * gap) {
-            events.add(START + at, () -> request(false));
+        for (long micros = BURST_END_MICROS; micros < LAST_REQUEST_MICROS; micros += 2 * gapMicros) {
+            events.add(START_MICROS + micros, () -> sendRequest(false));
         }
-        events.add(START + NOTICE, () -> {
-            judge.notice(now);
+        events.add(START_MICROS + DRAIN_NOTICE_MICROS, () -> {
+            checker.drainNotified(nowMicros);
             server.drain();
         });
     }
 
-    private void request(boolean light) {
-        RequestGenerator.Drawn drawn = requests.draw(now, light);
-        ClientConnection client = client();
+    private void sendRequest(boolean light) {
+        RequestGenerator.Drawn drawn = requests.draw(nowMicros, light);
+        ClientConnection client = connection();
         if (client == null) {
-            return; // refused: it proves that nothing ran
+            return; // The connection was refused, so the request cannot have run.
         }
-        requests.sent(drawn);
-        Try request = drawn.request();
+        requests.markSent(drawn);
+        Attempt attempt = drawn.attempt();
         int id = ++client.lastId;
         JSONObject params = requests.params(drawn);
-        judge.written(request);
-        client.open.put(id, request.txn);
+        checker.requestSent(attempt);
+        client.openAttempts.put(id, attempt.txn);
         JSONObject message = new JSONObject()
                 .put("jsonrpc", "2.0")
                 .put("id", id)
-                .put("method", request.kind.name())
-                .put("params", planted.params.apply(params));
+                .put("method", attempt.requestClass.name())
+                .put("params", mutation.params.apply(params));
         client.lines.write(message + "\n");
-        if (deployment.tellsGone && !light && random.nextInt(8) == 0) {
-            after(10_000 + random.nextLong(request.kind.deadline() * 500), () -> interrupt(client, id, request));
+        if (deployment.cancelsRequests && !light && random.nextInt(8) == 0) {
+            schedule(
+                    10_000 + random.nextLong(attempt.requestClass.deadlineMillis() * 500),
+                    () -> cancel(client, id, attempt));
         }
     }
 
-    private void interrupt(ClientConnection client, int id, Try request) {
-        if (request.answer == null) {
-            request.gone = true;
+    private void cancel(ClientConnection client, int id, Attempt attempt) {
+        if (attempt.answer == null) {
+            attempt.cancelled = true;
             client.lines.write("{\"jsonrpc\":\"2.0\",\"method\":\"interrupt\",\"params\":{\"id\":" + id + "}}\n");
-            kernel.gone(request.txn);
+            kernel.requestEnded(attempt.txn);
         }
     }
 
-    /** A connection that takes another request, or a new one; null if the server takes no connection. */
-    private ClientConnection client() {
+    /**
+     * Returns an open connection with room for another request, or a new one; null if the server refuses connections.
+     */
+    private ClientConnection connection() {
         for (ClientConnection client : clients) {
-            if (!client.lastCall && client.open.size() < MAX_OPEN_REQUESTS && random.nextInt(3) > 0) {
+            if (!client.closing && client.openAttempts.size() < MAX_OPEN_REQUESTS && random.nextInt(3) > 0) {
                 return client;
             }
         }
         try {
-            InetSocketAddress to = server.boundAddresses().get(0);
-            SocketChannel channel = SocketChannel.open(new InetSocketAddress(to.getAddress(), to.getPort()));
+            InetSocketAddress address = server.boundAddresses().get(0);
+            SocketChannel channel = SocketChannel.open(new InetSocketAddress(address.getAddress(), address.getPort()));
             ClientConnection client = new ClientConnection(new LineConnection(channel.socket()));
             clients.add(client);
             return client;
@@ -181,101 +191,102 @@
         }
     }
 
-    // ---- time ----
+    // ---- clock and events ----
 
-    private void after(long micros, Runnable task) {
-        events.add(now + micros, task);
+    private void schedule(long micros, Runnable task) {
+        events.add(nowMicros + micros, task);
     }
 
-    private void run() throws IOException {
-        long end = START + NOTICE + STOP_TIMEOUT + SECOND;
+    private void runEvents() throws IOException {
+        long endMicros = START_MICROS + DRAIN_NOTICE_MICROS + STOP_TIMEOUT_MICROS + SECOND_MICROS;
         settle();
-        while (now < end && server.phase() != Phase.STOPPED) {
-            long next = Math.min(clock.next(), events.next());
-            now = Math.max(now, Math.min(next, end));
-            kernel.at(now, START);
-            clock.to(now);
-            events.runDue(now);
+        while (nowMicros < endMicros && server.phase() != Phase.STOPPED) {
+            long nextMicros = Math.min(clock.nextMicros(), events.nextMicros());
+            nowMicros = Math.max(nowMicros, Math.min(nextMicros, endMicros));
+            kernel.advanceTo(nowMicros, START_MICROS);
+            clock.advanceTo(nowMicros);
+            events.runDue(nowMicros);
             settle();
         }
         if (server.phase() != Phase.STOPPED) {
-            judge.broken("drain: the server has not left by its stop");
+            checker.addViolation("drain: the server did not stop within the stop timeout");
         }
     }
 
-    /** Reads and carries out all that comes until nothing more does. */
+    /** Processes all messages on all connections until no connection has any for {@link #QUIET_ROUNDS} rounds. */
     private void settle() throws IOException {
         for (int quiet = 0; quiet < QUIET_ROUNDS; quiet++) {
             healthCheck.await(server.boundAddresses().get(0));
-            clock.idle();
-            if (pump()) {
+            clock.awaitLoop();
+            if (processMessages()) {
                 quiet = -1;
             }
         }
     }
 
-    /** Carries out what has come on all connections; whether there was anything. */
-    private boolean pump() throws IOException {
-        boolean some = false;
-        for (String line : kernelLink.lines()) {
-            some = true;
-            kernel.command(new JSONObject(line));
+    /** Processes the received messages of all connections; returns whether there were any. */
+    private boolean processMessages() throws IOException {
+        boolean anyMessage = false;
+        for (String line : kernelLink.readLines()) {
+            anyMessage = true;
+            kernel.execute(new JSONObject(line));
         }
-        some |= pumpRecords();
+        anyMessage |= processRecordsMessages();
         for (ClientConnection client : List.copyOf(clients)) {
-            some |= pump(client);
+            anyMessage |= processMessages(client);
         }
-        return some;
+        return anyMessage;
     }
 
-    private boolean pumpRecords() throws IOException {
+    private boolean processRecordsMessages() throws IOException {
         for (SocketChannel call = records.accept(); call != null; call = records.accept()) {
             recordsCalls.add(new LineConnection(call.socket()));
         }
-        boolean some = false;
+        boolean anyMessage = false;
         for (LineConnection call : List.copyOf(recordsCalls)) {
-            for (String line : call.lines()) {
-                some = true;
+            for (String line : call.readLines()) {
+                anyMessage = true;
                 String[] words = line.trim().split(" ");
                 if (words[0].equals("OP")) {
-                    kernel.called(words[1], call::write);
+                    kernel.dependencyCalled(words[1], call::write);
                 }
             }
         }
-        return some;
+        return anyMessage;
     }
 
-    private boolean pump(ClientConnection client) {
-        boolean some = false;
-        for (String line : client.lines.lines()) {
-            some = true;
+    private boolean processMessages(ClientConnection client) {
+        boolean anyMessage = false;
+        for (String line : client.lines.readLines()) {
+            anyMessage = true;
             answer(client, new JSONObject(line));
         }
-        if (!client.open.isEmpty() && client.lines.hasEnded()) {
-            // what crossed the end is sent again, anything older is lost
+        if (!client.openAttempts.isEmpty() && client.lines.isClosedByPeer()) {
+            // The client repeats requests that it sent while the server was closing the connection; a connection that
+            // ends with older requests has lost them.
             client.lines.closeQuietly();
-            client.open.values().forEach(txn -> judge.crossed(txn, now));
-            client.open.clear();
+            client.openAttempts.values().forEach(txn -> checker.connectionEnded(txn, nowMicros));
+            client.openAttempts.clear();
             clients.remove(client);
         }
-        return some;
+        return anyMessage;
     }
 
     private void answer(ClientConnection client, JSONObject message) {
         if (message.optString("method").equals("lastCall")) {
-            client.lastCall = true;
+            client.closing = true;
             return;
         }
-        String txn = client.open.remove(message.optInt("id"));
+        String txn = client.openAttempts.remove(message.optInt("id"));
         if (txn == null) {
-            judge.broken("duplicate: an answer to nothing open: " + message);
+            checker.addViolation("duplicate: an answer to no open request: " + message);
         } else {
-            judge.answered(txn, message, now);
-            kernel.gone(txn);
+            checker.answered(txn, message, nowMicros);
+            kernel.requestEnded(txn);
         }
     }
 
-    /** Ends the server; one that does not leave by itself is told to until it does. */
+    /** Closes all connections; waits for the server's thread to end if the server has stopped. */
     @Override
     public void close() throws IOException {
         for (ClientConnection client : clients) {
--- a/lab/src/main/java/wheatspread/lab/deployments/EventQueue.java
+++ b/lab/src/main/java/wheatspread/lab/deployments/EventQueue.java
@@ -3,26 +3,26 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** What happens in a run by its time; events of one time happen in the order in which they were added. */
+/** The scheduled events of a run, by time; events at the same time run in the order in which they were added. */
 final class EventQueue {
-    private record Event(long at, long number, Runnable task) {}
+    private record Event(long micros, long sequence, Runnable task) {}
 
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
-    private long numbers;
+            new PriorityQueue<>(Comparator.comparingLong(Event::micros).thenComparingLong(Event::sequence));
+    private long lastSequence;
 
-    void add(long at, Runnable task) {
-        events.add(new Event(at, ++numbers, task));
+    void add(long micros, Runnable task) {
+        events.add(new Event(micros, ++lastSequence, task));
     }
 
-    /** When the next event is due; {@link Long#MAX_VALUE} if there is none. */
-    long next() {
-        return events.isEmpty() ? Long.MAX_VALUE : events.peek().at();
+    /** Time of the next event in microseconds; {@link Long#MAX_VALUE} if there is none. */
+    long nextMicros() {
+        return events.isEmpty() ? Long.MAX_VALUE : events.peek().micros();
     }
 
-    /** Runs all that is due, and what it adds for no later time. */
-    void runDue(long now) {
-        while (next() <= now) {
+    /** Runs all events up to {@code nowMicros}, including events that these add for that time or earlier. */
+    void runDue(long nowMicros) {
+        while (nextMicros() <= nowMicros) {
             events.poll().task().run();
         }
     }
--- a/lab/src/main/java/wheatspread/lab/deployments/HealthCheck.java
+++ b/lab/src/main/java/wheatspread/lab/deployments/HealthCheck.java
@@ -8,8 +8,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Asks a server for its health, on one connection. The answer stands behind all that was written before, in
- * the order of the loopback, so a server that has answered has read it.
+ * Requests health checks from a server on one connection. The loopback interface delivers in order, so a server that
+ * has answered a check has read everything that was written before the check.
  */
 final class HealthCheck implements AutoCloseable {
     private static final int TIMEOUT_MS = 10_000;
@@ -18,7 +18,7 @@
     private Socket socket;
     private BufferedReader answers;
 
-    /** Asks, and waits for the answer; a server that has closed gives none. */
+    /** Sends a health check and waits for the answer; returns without one if the server has closed the connection. */
     void await(InetSocketAddress address) {
         try {
             if (socket == null) {
@@ -31,7 +31,7 @@
                 line = answers.readLine();
             }
         } catch (IOException e) {
-            return; // it has closed: there is nothing left to settle
+            return; // The server has closed the connection and reads nothing more.
         }
     }
 
--- a/lab/src/main/java/wheatspread/lab/deployments/LineConnection.java
+++ b/lab/src/main/java/wheatspread/lab/deployments/LineConnection.java
@@ -9,18 +9,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A connection that carries lines. What is read never waits for more. */
+/** A connection that carries lines of text. Reading never blocks. */
 final class LineConnection {
     private final Socket socket;
-    /** The beginning of a line whose end has not come yet. */
+    /** The beginning of a line whose end has not been received yet. */
     private final StringBuilder unread = new StringBuilder();
 
     LineConnection(Socket socket) {
         this.socket = socket;
     }
 
-    /** The whole lines that have come. */
-    List<String> lines() {
+    /** Returns the complete lines received since the last call. */
+    List<String> readLines() {
         List<String> lines = new ArrayList<>();
         try {
             InputStream in = socket.getInputStream();
@@ -41,24 +41,24 @@
         try {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
-            return; // it has closed; what it owes is judged all the same
+            return; // The peer has closed; the rules about missing answers still apply.
         }
     }
 
-    /** Whether the other side has closed it, or it was reset; only for a socket that has a channel. */
-    boolean hasEnded() {
+    /** Whether the peer has closed or reset the connection; the socket must have a channel. */
+    boolean isClosedByPeer() {
         try {
             SocketChannel channel = socket.getChannel();
-            ByteBuffer next = ByteBuffer.allocate(1);
+            ByteBuffer buffer = ByteBuffer.allocate(1);
             channel.configureBlocking(false);
-            boolean over = channel.read(next) < 0;
-            if (next.position() > 0) {
-                unread.append((char) next.get(0));
+            boolean ended = channel.read(buffer) < 0;
+            if (buffer.position() > 0) {
+                unread.append((char) buffer.get(0));
             }
             channel.configureBlocking(true);
-            return over;
+            return ended;
         } catch (IOException e) {
-            return true; // it was reset
+            return true; // The connection was reset.
         }
     }
 
@@ -66,12 +66,12 @@
         socket.close();
     }
 
-    /** Closes it, whatever a failure says. */
+    /** Closes the connection and ignores a failure to close it. */
     void closeQuietly() {
         try {
             close();
         } catch (IOException e) {
-            return; // it is closed
+            return; // The connection is unusable in either case.
         }
     }
 }
--- a/lab/src/main/java/wheatspread/lab/deployments/RequestGenerator.java
+++ b/lab/src/main/java/wheatspread/lab/deployments/RequestGenerator.java
@@ -5,82 +5,88 @@
 import java.util.SplittableRandom;
 import org.json.JSONObject;
 import wheatspread.admission.Idempotency;
-import wheatspread.lab.deployments.Deployment.Kind;
-import wheatspread.lab.deployments.RuleChecker.Try;
+import wheatspread.lab.deployments.Deployment.RequestClass;
+import wheatspread.lab.deployments.RuleChecker.Attempt;
 
-/** Draws requests that a deployment's clients may send, repeats of keyed ones among them. */
+/** Draws requests that the clients of a deployment may send, including retries with the same idempotency key. */
 final class RequestGenerator {
     /**
-     * A request that was drawn.
+     * A drawn request.
      *
-     * @param repeats whether another request with its key was sent before
+     * @param repeats whether another request with the same idempotency key was sent before
      */
-    record Drawn(Try request, boolean repeats) {}
+    record Drawn(Attempt attempt, boolean repeats) {}
 
     private final Deployment deployment;
     private final SplittableRandom random;
-    private final List<Try> keyed = new ArrayList<>();
+    private final List<Attempt> keyedAttempts = new ArrayList<>();
 
     RequestGenerator(Deployment deployment, SplittableRandom random) {
         this.deployment = deployment;
         this.random = random;
     }
 
-    /** A request that comes now; {@code light} where the load is light. */
-    Drawn draw(long now, boolean light) {
-        Kind kind = deployment.kinds.get(random.nextInt(deployment.kinds.size()));
-        boolean repeats = kind.effect() == Idempotency.IDEMPOTENCY_KEY && !keyed.isEmpty() && random.nextInt(4) == 0;
-        Try first = repeats ? keyed.get(random.nextInt(keyed.size())) : null;
+    /** Draws a request that is sent at {@code nowMicros}; {@code light} says whether the load is light. */
+    Drawn draw(long nowMicros, boolean light) {
+        RequestClass requestClass = deployment.classes.get(random.nextInt(deployment.classes.size()));
+        boolean repeats = requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                && !keyedAttempts.isEmpty()
+                && random.nextInt(4) == 0;
+        Attempt original = repeats ? keyedAttempts.get(random.nextInt(keyedAttempts.size())) : null;
         String txn = String.format("%016x", random.nextLong());
-        String key = first == null ? newKey(kind, txn) : first.key;
-        Kind asked = first == null ? kind : first.kind;
-        long limit = asked.deadline() - (deployment.limited ? random.nextLong(asked.deadline() / 4) : 0);
-        Try request = new Try(txn, asked, key, now, now + limit * 1_000, 20 + random.nextInt(10), light);
-        return new Drawn(request, repeats);
+        String key = original == null ? newKey(requestClass, txn) : original.key;
+        RequestClass sentClass = original == null ? requestClass : original.requestClass;
+        long limitMillis = sentClass.deadlineMillis()
+                - (deployment.sendsLimit ? random.nextLong(sentClass.deadlineMillis() / 4) : 0);
+        Attempt attempt = new Attempt(
+                txn, sentClass, key, nowMicros, nowMicros + limitMillis * 1_000, 20 + random.nextInt(10), light);
+        return new Drawn(attempt, repeats);
     }
 
-    private String newKey(Kind kind, String txn) {
-        if (kind.effect() == Idempotency.IDEMPOTENCY_KEY) {
+    private String newKey(RequestClass requestClass, String txn) {
+        if (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
             return "unique-" + txn;
         }
-        boolean mayShare = kind.effect() == Idempotency.IDEMPOTENT && deployment.items && deployment.fresh > 0;
-        return mayShare ? "item-" + random.nextInt(20) + kind.name() : null;
+        boolean sharesResult = requestClass.idempotency() == Idempotency.IDEMPOTENT
+                && deployment.sendsItem
+                && deployment.freshMillis > 0;
+        return sharesResult ? "item-" + random.nextInt(20) + requestClass.name() : null;
     }
 
-    /** The request is being sent: later ones may repeat it. */
-    void sent(Drawn drawn) {
-        if (drawn.request().kind.effect() == Idempotency.IDEMPOTENCY_KEY && !drawn.repeats()) {
-            keyed.add(drawn.request());
+    /** Records that a request is being sent, so that later requests may repeat it. */
+    void markSent(Drawn drawn) {
+        if (drawn.attempt().requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY && !drawn.repeats()) {
+            keyedAttempts.add(drawn.attempt());
         }
     }
 
-    /** The parameters that go with a request. */
+    /** Returns the parameters of a request. */
     JSONObject params(Drawn drawn) {
-        Try request = drawn.request();
+        Attempt attempt = drawn.attempt();
         JSONObject params = new JSONObject()
-                .put("txn", request.txn)
-                .put("door", request.door / 1_000)
-                .put("ram", request.ram)
-                .put("blob", SimulatedKernel.encode(request.body()));
-        if (deployment.limited) {
-            params.put("limit", (request.due - request.door) / 1_000);
+                .put("txn", attempt.txn)
+                .put("door", attempt.sentMicros / 1_000)
+                .put("ram", attempt.memoryKb)
+                .put("blob", SimulatedKernel.encode(attempt.body()));
+        if (deployment.sendsLimit) {
+            params.put("limit", (attempt.dueMicros - attempt.sentMicros) / 1_000);
         }
-        if (deployment.hinted) {
+        if (deployment.sendsCpuHint) {
             params.put("cpu", 30.5);
         }
-        if (deployment.named) {
+        if (deployment.hasOptionalFields) {
             params.put("lb", 2).put("standing", random.nextDouble());
         }
         if (!deployment.tenants.isEmpty()) {
             params.put("team", deployment.tenants.get(random.nextInt(deployment.tenants.size())));
         }
-        if (deployment.marked && (drawn.repeats() || random.nextInt(5) == 0)) {
+        if (deployment.marksRetries && (drawn.repeats() || random.nextInt(5) == 0)) {
             params.put("second", 1);
         }
-        if (request.kind.effect() == Idempotency.IDEMPOTENCY_KEY) {
-            params.put("unique", request.key);
-        } else if (deployment.items && request.kind.effect() == Idempotency.IDEMPOTENT) {
-            params.put("item", request.key == null ? "item-of-" + request.txn : request.key);
+        if (attempt.requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
+            params.put("unique", attempt.key);
+        } else if (deployment.sendsItem && attempt.requestClass.idempotency() == Idempotency.IDEMPOTENT) {
+            params.put("item", attempt.key == null ? "item-of-" + attempt.txn : attempt.key);
         }
         return params;
     }
--- a/lab/src/main/java/wheatspread/lab/deployments/RuleChecker.java
+++ b/lab/src/main/java/wheatspread/lab/deployments/RuleChecker.java
@@ -8,180 +8,216 @@
 import java.util.Map;
 import org.json.JSONObject;
 import wheatspread.admission.Idempotency;
-import wheatspread.lab.deployments.Deployment.Kind;
+import wheatspread.lab.deployments.Deployment.RequestClass;
 
-/** Books every try, run and answer, and names each rule that one of them breaks. Times in microseconds. */
+/** Records every attempt, run and answer, and reports each violation of a rule. Times are in microseconds. */
 final class RuleChecker {
-    /** How much later than due an answer may come: the settings' slack and the 50 ms of sockets. */
-    private static final long SLACK = 110_000;
+    /** Permitted delay of an answer after its deadline: the slack of the settings and 50 ms for the sockets. */
+    private static final long ANSWER_SLACK_MICROS = 110_000;
 
-    private static final long CROSSED = 50_000;
-    private static final int REFUSED = -32066;
+    /** Requests sent in this time before the server closes a connection may cross the close unread. */
+    private static final long CROSSING_MICROS = 50_000;
+
+    private static final int REJECTED = -32066;
     private static final List<Integer> MALFORMED = List.of(-32700, -32600, -32601, -32602, -32002);
 
-    /** One try that was written to the server. */
-    static final class Try {
+    /** An attempt that was sent to the server. */
+    static final class Attempt {
         final String txn;
-        final Kind kind;
+        final RequestClass requestClass;
         final String key;
-        final long door;
-        final long due;
-        final double ram;
+        final long sentMicros;
+        final long dueMicros;
+        final double memoryKb;
         final boolean light;
+        /** "served" or the error code; null before the answer. */
         String answer;
-        boolean gone;
+
+        /** Whether the client has cancelled the request. */
+        boolean cancelled;
+
         boolean ran;
 
-        Try(String txn, Kind kind, String key, long door, long due, double ram, boolean light) {
+        Attempt(
+                String txn,
+                RequestClass requestClass,
+                String key,
+                long sentMicros,
+                long dueMicros,
+                double memoryKb,
+                boolean light) {
             this.txn = txn;
-            this.kind = kind;
+            this.requestClass = requestClass;
             this.key = key;
-            this.door = door;
-            this.due = due;
-            this.ram = ram;
+            this.sentMicros = sentMicros;
+            this.dueMicros = dueMicros;
+            this.memoryKb = memoryKb;
             this.light = light;
         }
 
         String body() {
-            return "body of " + (kind.effect() == Idempotency.IDEMPOTENT ? txn : key);
+            return "body of " + (requestClass.idempotency() == Idempotency.IDEMPOTENT ? txn : key);
         }
     }
 
     private final Deployment deployment;
-    final List<String> broken = new ArrayList<>();
-    private final Map<String, Try> tries = new HashMap<>();
-    private final Map<String, Long> ranAt = new HashMap<>();
-    private final Map<String, List<String>> results = new HashMap<>();
-    private long noticeAt = Long.MAX_VALUE;
-    private int light;
+    final List<String> violations = new ArrayList<>();
+    private final Map<String, Attempt> attempts = new HashMap<>();
+    /** Sending time of the last attempt that ran, by idempotency key. */
+    private final Map<String, Long> lastRunSentMicros = new HashMap<>();
+
+    private final Map<String, List<String>> resultsByKey = new HashMap<>();
+    private long drainNoticeMicros = Long.MAX_VALUE;
+    private int lightRequests;
     private int lightServed;
 
     RuleChecker(Deployment deployment) {
         this.deployment = deployment;
     }
 
-    void broken(String what) {
-        broken.add(what);
+    void addViolation(String violation) {
+        violations.add(violation);
     }
 
-    void written(Try request) {
-        tries.put(request.txn, request);
-        light += request.light ? 1 : 0;
+    void requestSent(Attempt request) {
+        attempts.put(request.txn, request);
+        lightRequests += request.light ? 1 : 0;
     }
 
-    Try find(String txn) {
-        return tries.get(txn);
+    Attempt find(String txn) {
+        return attempts.get(txn);
     }
 
-    void notice(long now) {
-        noticeAt = now;
+    void drainNotified(long nowMicros) {
+        drainNoticeMicros = nowMicros;
     }
 
-    /** The kernel is told to run a try; false where it is none, or was begun already and may not run anew. */
-    boolean begins(String txn, String kind, String data) {
-        Try request = tries.get(txn);
+    /**
+     * Records that the server orders the kernel to run an attempt. Returns false if there is no such attempt or if its
+     * class or body was changed.
+     */
+    boolean startRun(String txn, String className, String data) {
+        Attempt request = attempts.get(txn);
         if (request == null
-                || !request.kind.name().equals(kind)
+                || !request.requestClass.name().equals(className)
                 || !new String(Base64.getDecoder().decode(data), StandardCharsets.UTF_8).equals(request.body())) {
-            broken("changed: run of " + txn + " as " + kind);
+            addViolation("changed: run of " + txn + " as " + className);
             return false;
         }
-        boolean safe = request.kind.effect() == Idempotency.IDEMPOTENT;
-        if (request.ran && !(safe && "abort".equals(deployment.halt))) {
-            broken("duplicate: a second run of " + txn);
+        boolean idempotent = request.requestClass.idempotency() == Idempotency.IDEMPOTENT;
+        if (request.ran && !(idempotent && "abort".equals(deployment.preemption))) {
+            addViolation("duplicate: a second run of " + txn);
         }
-        if (request.kind.effect() == Idempotency.IDEMPOTENCY_KEY) {
-            Long before = ranAt.get(request.key);
-            if (before != null && !request.ran && request.door <= before + request.kind.window() * 1_000) {
-                broken("duplicate: " + txn + " of key " + request.key + " runs within the window");
+        if (request.requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
+            Long previousMicros = lastRunSentMicros.get(request.key);
+            if (previousMicros != null
+                    && !request.ran
+                    && request.sentMicros <= previousMicros + request.requestClass.windowMillis() * 1_000) {
+                addViolation("duplicate: " + txn + " of key " + request.key + " runs within the window");
             }
-            ranAt.put(request.key, request.door);
+            lastRunSentMicros.put(request.key, request.sentMicros);
         }
-        if (request.door - deployment.grace * 1_000 > noticeAt) {
-            broken("drain: " + txn + " runs, " + (request.door - noticeAt) / 1_000 + " ms after the notice");
+        if (request.sentMicros - deployment.drainGraceMillis * 1_000 > drainNoticeMicros) {
+            addViolation("drain: " + txn + " runs, " + (request.sentMicros - drainNoticeMicros) / 1_000
+                    + " ms after the notice");
         }
         request.ran = true;
         return true;
     }
 
-    /** A run made this result, for its try and for those that may share it. */
-    void made(Try request, String result) {
-        results.computeIfAbsent(request.key == null ? request.txn : request.key, key -> new ArrayList<>())
+    /** Records the result of a run, for its attempt and for the attempts that may share the result. */
+    void runCompleted(Attempt request, String result) {
+        resultsByKey
+                .computeIfAbsent(request.key == null ? request.txn : request.key, key -> new ArrayList<>())
                 .add(result);
     }
 
-    void answered(String txn, JSONObject answer, long now) {
-        Try request = tries.get(txn);
+    void answered(String txn, JSONObject answer, long nowMicros) {
+        Attempt request = attempts.get(txn);
         JSONObject error = answer.optJSONObject("error");
         JSONObject fields = error == null ? answer.optJSONObject("result") : error.optJSONObject("data");
         if (request.answer != null) {
-            broken("duplicate: two answers to " + txn);
+            addViolation("duplicate: two answers to " + txn);
         }
         request.answer = error == null ? "served" : Integer.toString(error.getInt("code"));
-        if (!request.gone && now > request.due + SLACK) {
-            broken("lost: " + txn + " answered " + (now - request.due) / 1_000 + " ms after it was due");
+        if (!request.cancelled && nowMicros > request.dueMicros + ANSWER_SLACK_MICROS) {
+            addViolation(
+                    "lost: " + txn + " answered " + (nowMicros - request.dueMicros) / 1_000 + " ms after its deadline");
         }
         if (error == null) {
             String result = new String(
                     Base64.getDecoder().decode(answer.getJSONObject("result").getString("blob")),
                     StandardCharsets.UTF_8);
-            if (!results.getOrDefault(request.key == null ? request.txn : request.key, List.of())
+            if (!resultsByKey
+                    .getOrDefault(request.key == null ? request.txn : request.key, List.of())
                     .contains(result)) {
-                broken("lost: " + txn + " served with what no run made");
+                addViolation("lost: " + txn + " was served with a result that no run returned");
             }
             lightServed += request.light ? 1 : 0;
-        } else if (error.getInt("code") == REFUSED && request.ran) {
-            broken("duplicate: " + txn + " ran and was refused");
+        } else if (error.getInt("code") == REJECTED && request.ran) {
+            addViolation("duplicate: " + txn + " ran and was rejected");
         } else if (MALFORMED.contains(error.getInt("code"))) {
-            broken("not taken: " + txn + ": " + error.getString("message"));
+            addViolation("not taken: " + txn + ": " + error.getString("message"));
         }
-        if (fields != null && fields.has("feedback") && (!deployment.advises() || fields.getDouble("feedback") < 0)) {
-            broken("advice: a free value " + fields.get("feedback") + " where none is used");
+        if (fields != null
+                && fields.has("feedback")
+                && (!deployment.sendsLoadFeedback() || fields.getDouble("feedback") < 0)) {
+            addViolation("advice: load feedback " + fields.get("feedback") + " is negative or not configured");
         }
-        if (fields != null && fields.optDouble("later", 0) > deployment.mostStayAway) {
-            broken("advice: later " + fields.get("later") + " of " + deployment.mostStayAway);
+        if (fields != null && fields.optDouble("later", 0) > deployment.maxRetryAfterMillis) {
+            addViolation("advice: retry-after " + fields.get("later") + " exceeds the maximum of "
+                    + deployment.maxRetryAfterMillis);
         }
     }
 
     /**
-     * The connection of a try ended without its answer. One that crossed the close is sent again, on a
-     * connection that is refused since the server leaves.
+     * Records that a connection ended without the answer to an attempt. That is permitted during a drain if the attempt
+     * crossed the close; the client then repeats it on a new connection, which the draining server refuses.
      */
-    void crossed(String txn, long now) {
-        Try request = tries.get(txn);
-        if (!request.gone && (request.ran || now - request.door > CROSSED || noticeAt == Long.MAX_VALUE)) {
-            broken("lost: the connection of " + txn + " ended after " + (now - request.door) / 1_000 + " ms");
+    void connectionEnded(String txn, long nowMicros) {
+        Attempt request = attempts.get(txn);
+        if (!request.cancelled
+                && (request.ran
+                        || nowMicros - request.sentMicros > CROSSING_MICROS
+                        || drainNoticeMicros == Long.MAX_VALUE)) {
+            addViolation("lost: the connection of " + txn + " ended after " + (nowMicros - request.sentMicros) / 1_000
+                    + " ms");
         }
-        tries.remove(txn);
+        attempts.remove(txn);
     }
 
-    /** What is held and runs needs memory. */
-    void memory(double runningKb, long now) {
-        double held = 0;
-        for (Try request : tries.values()) {
-            held += request.answer == null && !request.gone && !request.ran && now > request.door + 100_000
-                    ? request.ram
+    /** Checks that the queued and the running requests fit into the memory of the process. */
+    void checkMemory(double runningKb, long nowMicros) {
+        double queuedKb = 0;
+        for (Attempt request : attempts.values()) {
+            queuedKb += request.answer == null
+                            && !request.cancelled
+                            && !request.ran
+                            && nowMicros > request.sentMicros + 100_000
+                    ? request.memoryKb
                     : 0;
         }
-        if (held + runningKb > deployment.memoryKb) {
-            broken("fall-over: " + held + " and " + runningKb + " of " + deployment.memoryKb + " KB");
+        if (queuedKb + runningKb > deployment.memoryKb) {
+            addViolation("fall-over: " + queuedKb + " KB queued and " + runningKb + " KB running exceed "
+                    + deployment.memoryKb + " KB");
         }
     }
 
     /**
-     * The server has left: all that was read has its answer, and most of what a calm server was asked was
-     * served. What crossed its close is sent again, on a connection that is refused.
+     * Checks the rules about the whole run after the server has stopped: every request that it read has an answer, and
+     * under light load it served the required share of the requests. Requests that crossed the close of their
+     * connection are exempt: the client repeats them on a new connection, which the server refuses.
      */
-    void end(long leftAt) {
-        tries.values().stream()
-                .filter(request -> request.answer == null && !request.gone)
-                .filter(request -> request.ran || request.door < leftAt - CROSSED)
-                .forEach(request ->
-                        broken("lost: " + request.txn + " has no answer, came " + (leftAt - request.door) / 1_000
-                                + " ms before the server left, " + (request.ran ? "ran" : "never ran")));
-        if (lightServed < light * (deployment.cold ? 0.2 : 0.6)) {
-            broken("not served: " + lightServed + " of " + light + " under a light load: "
-                    + tries.values().stream()
+    void serverStopped(long stoppedMicros) {
+        attempts.values().stream()
+                .filter(request -> request.answer == null && !request.cancelled)
+                .filter(request -> request.ran || request.sentMicros < stoppedMicros - CROSSING_MICROS)
+                .forEach(request -> addViolation("lost: " + request.txn + " has no answer; it was sent "
+                        + (stoppedMicros - request.sentMicros) / 1_000 + " ms before the server stopped and "
+                        + (request.ran ? "ran" : "never ran")));
+        if (lightServed < lightRequests * (deployment.startsCold ? 0.2 : 0.6)) {
+            addViolation("not served: " + lightServed + " of " + lightRequests + " under a light load: "
+                    + attempts.values().stream()
                             .filter(request -> request.light)
                             .map(request -> request.answer)
                             .toList());
--- a/lab/src/main/java/wheatspread/lab/deployments/SteppedClock.java
+++ b/lab/src/main/java/wheatspread/lab/deployments/SteppedClock.java
@@ -6,29 +6,32 @@
 import java.util.concurrent.Callable;
 import wheatspread.core.Clock;
 
-/** A server's clock that stands until a run moves it on; its timers fire on the loop, in their order. */
+/**
+ * A server's clock that only a run advances. Timers fire on the event loop's thread, by time and then in the order in
+ * which they were set.
+ */
 final class SteppedClock implements Clock {
     private final EventLoop loop;
     private final TreeMap<Long, Map<Integer, Runnable>> timers = new TreeMap<>();
-    private volatile long now;
-    private int set;
+    private volatile long nowMicros;
+    private int lastNumber;
 
-    SteppedClock(EventLoop loop, long start) {
+    SteppedClock(EventLoop loop, long startMicros) {
         this.loop = loop;
-        now = start;
+        nowMicros = startMicros;
     }
 
     @Override
     public long nowMicros() {
-        return now;
+        return nowMicros;
     }
 
     @Override
     public Timer schedule(long micros, Runnable task) {
-        long at = now + Math.max(0, micros);
-        int number = ++set;
-        timers.computeIfAbsent(at, t -> new TreeMap<>()).put(number, task);
-        return () -> timers.getOrDefault(at, new TreeMap<>()).remove(number);
+        long dueMicros = nowMicros + Math.max(0, micros);
+        int number = ++lastNumber;
+        timers.computeIfAbsent(dueMicros, time -> new TreeMap<>()).put(number, task);
+        return () -> timers.getOrDefault(dueMicros, new TreeMap<>()).remove(number);
     }
 
     @Override
@@ -36,24 +39,24 @@
         loop.execute(task);
     }
 
-    /** When the next timer is due; {@link Long#MAX_VALUE} where none is set. */
-    long next() {
+    /** Time of the next timer in microseconds; {@link Long#MAX_VALUE} if none is set. */
+    long nextMicros() {
         return onLoop(() -> timers.isEmpty() ? Long.MAX_VALUE : timers.firstKey());
     }
 
-    /** Moves on to this time and fires what is due. */
-    void to(long at) {
+    /** Advances the clock to {@code timeMicros} and fires the timers that are due; waits until they have run. */
+    void advanceTo(long timeMicros) {
         onLoop(() -> {
-            now = Math.max(now, at);
-            while (!timers.isEmpty() && timers.firstKey() <= now) {
+            nowMicros = Math.max(nowMicros, timeMicros);
+            while (!timers.isEmpty() && timers.firstKey() <= nowMicros) {
                 timers.pollFirstEntry().getValue().values().forEach(Runnable::run);
             }
             return null;
         });
     }
 
-    /** Waits until the loop has done what it had to. */
-    void idle() {
+    /** Waits until the event loop has run all tasks submitted so far. */
+    void awaitLoop() {
         onLoop(() -> null);
     }
 
--- a/lab/src/test/java/wheatspread/lab/deployments/DeploymentsTest.java
+++ b/lab/src/test/java/wheatspread/lab/deployments/DeploymentsTest.java
@@ -15,41 +15,43 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import wheatspread.lab.deployments.DeploymentRun.Planted;
+import wheatspread.lab.deployments.DeploymentRun.Mutation;
 
-/** Nothing is taken for granted of a deployment but what the pages promise of every one. */
+/** The server keeps its rules in every deployment, whichever optional fields are absent. */
 class DeploymentsTest {
     private static final int DRAWN = 25;
 
-    private static List<String> play(Deployment site, long seed, Planted planted) throws IOException {
-        try (DeploymentRun run = new DeploymentRun(site, seed, planted)) {
-            return run.play();
+    private static List<String> violations(Deployment deployment, long seed, Mutation mutation) throws IOException {
+        try (DeploymentRun run = new DeploymentRun(deployment, seed, mutation)) {
+            return run.run();
         }
     }
 
     @Provide
     Arbitrary<int[]> choices() {
         return Arbitraries.integers()
-                .between(0, Deployment.MOST - 1)
+                .between(0, Deployment.CHOICE_BOUND - 1)
                 .array(int[].class)
                 .ofSize(Deployment.CHOICES);
     }
 
-    /** A fault shrinks to the choices that it needs: 0 is the plain value of each. */
+    /** A failure shrinks to the choices that cause it, because 0 selects the simplest value of each. */
     @Property(tries = DRAWN, seed = "27")
-    void theRulesHoldWhateverIsAbsent(@ForAll("choices") int[] choices) throws IOException {
-        Deployment site = new Deployment(choices);
-        assertThat(play(site, 27, Planted.NONE)).as(site.toString()).isEmpty();
+    void keepsRulesWhicheverFieldsAreAbsent(@ForAll("choices") int[] choices) throws IOException {
+        Deployment deployment = new Deployment(choices);
+        assertThat(violations(deployment, 27, Mutation.NONE))
+                .as(deployment.toString())
+                .isEmpty();
     }
 
     @Test
-    void theSameRunHasTheSameEnd() throws IOException {
+    void repeatedRunOfSameSeedHasNoViolations() throws IOException {
         for (int round = 0; round < 2; round++) {
-            assertThat(play(Deployment.drawn(4), 4, Planted.NONE)).isEmpty();
+            assertThat(violations(Deployment.drawn(4), 4, Mutation.NONE)).isEmpty();
         }
     }
 
-    /** Each stands for a line of code that takes a field for granted, and is found among the drawn ones. */
+    /** A server that requires an optional field breaks a rule in at least one of the first drawn deployments. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -68,29 +70,34 @@
                 "lb",
                 "team"
             })
-    void aPlantedDemandForAFieldIsFound(String field) throws IOException {
+    void findsInjectedDependenceOnOptionalField(String field) throws IOException {
         String[] path = field.split("\\.");
         boolean ofRequest = List.of("limit", "cpu", "item", "lb", "team").contains(field);
-        UnaryOperator<JSONObject> demand = told -> {
-            JSONObject at = told;
+        UnaryOperator<JSONObject> failWithoutField = json -> {
+            JSONObject parent = json;
             for (int i = 0; i < path.length - 1; i++) {
-                at = at.getJSONObject(path[i]);
+                parent = parent.getJSONObject(path[i]);
             }
-            // a server that demanded it would end its start, or take the request for a malformed one
-            boolean there = at.has(path[path.length - 1]);
-            return there ? told : ofRequest ? told.put("ram", "none") : told.put("kernel", 7);
+            // A server that requires the field would fail to start, or reject the request as malformed.
+            boolean present = parent.has(path[path.length - 1]);
+            return present ? json : ofRequest ? json.put("ram", "none") : json.put("kernel", 7);
         };
-        Planted planted = ofRequest ? new Planted(told -> told, demand) : new Planted(demand, told -> told);
-        int found = IntStream.rangeClosed(1, DRAWN)
+        Mutation mutation = ofRequest
+                ? new Mutation(config -> config, failWithoutField)
+                : new Mutation(failWithoutField, params -> params);
+        int firstSeed = IntStream.rangeClosed(1, DRAWN)
                 .filter(seed -> {
                     try {
-                        return !play(Deployment.drawn(seed), seed, planted).isEmpty();
+                        return !violations(Deployment.drawn(seed), seed, mutation)
+                                .isEmpty();
                     } catch (IOException e) {
                         throw new java.io.UncheckedIOException(e);
                     }
                 })
                 .findFirst()
                 .orElse(0);
-        assertThat(found).as("the first of the drawn deployments that finds it").isPositive();
+        assertThat(firstSeed)
+                .as("seed of the first drawn deployment that finds the defect")
+                .isPositive();
     }
 }
