--- a/lab/src/main/java/wheatspread/lab/scale/FaultInjector.java
+++ b/lab/src/main/java/wheatspread/lab/scale/FaultInjector.java
@@ -62,9 +62,9 @@
             case RACK -> crash(drawRack());
             case ZONE -> crash(membersOfZone(ScaleFleet.crashedZone()));
             case RETURN -> {
-                int lost = fleet.lost();
-                fleet.restartLost();
-                yield new InjectedFault(System.nanoTime(), MIN_WINDOW_SECONDS, lost);
+                int crashedMembers = fleet.crashed();
+                fleet.restartCrashed();
+                yield new InjectedFault(System.nanoTime(), MIN_WINDOW_SECONDS, crashedMembers);
             }
             case RESTARTS_DAILY -> restart(window, DAILY_RESTARTS, FaultKind.DAILY_RESTARTS_PER_SECOND);
             case RESTARTS_RELEASE ->
--- a/lab/src/main/java/wheatspread/lab/scale/FaultyLinks.java
+++ b/lab/src/main/java/wheatspread/lab/scale/FaultyLinks.java
@@ -35,8 +35,8 @@
     }
 
     private boolean passes(LinkFaults current, String other) {
-        boolean partitioned =
-                current.side().contains(ownAddress) != current.side().contains(other);
-        return !partitioned && (current.loss() == 0 || random.nextDouble() >= current.loss());
+        boolean partitioned = current.partitionSide().contains(ownAddress)
+                != current.partitionSide().contains(other);
+        return !partitioned && (current.lossShare() == 0 || random.nextDouble() >= current.lossShare());
     }
 }
--- a/lab/src/main/java/wheatspread/lab/scale/HollowHost.java
+++ b/lab/src/main/java/wheatspread/lab/scale/HollowHost.java
@@ -155,9 +155,9 @@
         private final Map<String, Integer> views = new LinkedHashMap<>();
         private final Set<String> removed = new HashSet<>();
         private int alive;
-        private int old;
-        private int outside;
-        private int distrusting;
+        private int staleViews;
+        private int notInView;
+        private int raisedLocalHealth;
         private long sent;
         private long sentBytes;
         private long overRate;
@@ -168,9 +168,9 @@
             overRate += loopMembers.overRate;
             for (HollowMember member : loopMembers.members.values()) {
                 alive += member.isLeaving() ? 0 : 1;
-                outside += member.isInView() ? 0 : 1;
-                old += member.isInView() && member.isViewStale() ? 1 : 0;
-                distrusting += member.hasRaisedLocalHealth() ? 1 : 0;
+                notInView += member.isInView() ? 0 : 1;
+                staleViews += member.isInView() && member.isViewStale() ? 1 : 0;
+                raisedLocalHealth += member.hasRaisedLocalHealth() ? 1 : 0;
                 sent += member.counters().sent();
                 sentBytes += member.counters().sentBytes();
                 overRate += member.counters().overRate();
@@ -183,7 +183,8 @@
         }
 
         HollowReport report() {
-            return new HollowReport(alive, views, old, outside, distrusting, sent, sentBytes, overRate, removed);
+            return new HollowReport(
+                    alive, views, staleViews, notInView, raisedLocalHealth, sent, sentBytes, overRate, removed);
         }
     }
 
--- a/lab/src/main/java/wheatspread/lab/scale/HollowOrder.java
+++ b/lab/src/main/java/wheatspread/lab/scale/HollowOrder.java
@@ -57,8 +57,8 @@
             json.put(KIND, "restart").put("next", restart.next.toJson()).put("clean", restart.clean);
         } else if (this instanceof Links links) {
             json.put(KIND, "links")
-                    .put("loss", links.faults.loss())
-                    .put("side", new JSONArray(links.faults.side()))
+                    .put("loss", links.faults.lossShare())
+                    .put("side", new JSONArray(links.faults.partitionSide()))
                     .put("unfiltered", new JSONArray(links.faults.unfiltered()));
         } else {
             json.put(KIND, "report");
--- a/lab/src/main/java/wheatspread/lab/scale/HollowReport.java
+++ b/lab/src/main/java/wheatspread/lab/scale/HollowReport.java
@@ -13,9 +13,9 @@
  *
  * @param alive number of members whose sockets are open and that are not leaving
  * @param views number of live members that hold a view, by {@link ViewKey#toString}
- * @param old number of live members that reach no quorum of their view
- * @param outside number of live members that are not in the view that they hold, or hold none
- * @param distrusting number of live members whose local health multiplier is raised
+ * @param staleViews number of live members that reach no quorum of their view
+ * @param notInView number of live members that are not in the view that they hold, or hold none
+ * @param raisedLocalHealth number of live members whose local health multiplier is raised
  * @param sent number of messages that all members of the process, closed ones included, sent since it started
  * @param sentBytes number of bytes in these messages
  * @param overRate number of received messages that were dropped because they exceeded the permitted rate
@@ -25,9 +25,9 @@
 public record HollowReport(
         int alive,
         Map<String, Integer> views,
-        int old,
-        int outside,
-        int distrusting,
+        int staleViews,
+        int notInView,
+        int raisedLocalHealth,
         long sent,
         long sentBytes,
         long overRate,
@@ -37,9 +37,9 @@
         return new JSONObject()
                 .put("alive", alive)
                 .put("views", new JSONObject(views))
-                .put("old", old)
-                .put("outside", outside)
-                .put("distrusting", distrusting)
+                .put("old", staleViews)
+                .put("outside", notInView)
+                .put("distrusting", raisedLocalHealth)
                 .put("sent", sent)
                 .put("sent_bytes", sentBytes)
                 .put("over_rate", overRate)
--- a/lab/src/main/java/wheatspread/lab/scale/Observation.java
+++ b/lab/src/main/java/wheatspread/lab/scale/Observation.java
@@ -8,9 +8,9 @@
  * @param nanos time of the observation, by {@link System#nanoTime}
  * @param members number of live members, hollow and real
  * @param views number of live members that hold each view
- * @param old number of live hollow members that reach no quorum of their view
- * @param outside number of live hollow members that are not in the view that they hold, or hold none
- * @param distrusting number of live hollow members whose local health multiplier is raised
+ * @param staleViews number of live hollow members that reach no quorum of their view
+ * @param notInView number of live hollow members that are not in the view that they hold, or hold none
+ * @param raisedLocalHealth number of live hollow members whose local health multiplier is raised
  * @param messages number of messages that hollow members have sent since the start of the fleet
  * @param bytes number of bytes in these messages
  * @param overRate number of received messages that hollow members dropped because they exceeded the permitted rate
@@ -21,9 +21,9 @@
         long nanos,
         int members,
         Map<ViewKey, Integer> views,
-        int old,
-        int outside,
-        int distrusting,
+        int staleViews,
+        int notInView,
+        int raisedLocalHealth,
         long messages,
         long bytes,
         long overRate,
--- a/lab/src/main/java/wheatspread/lab/scale/ObservationWindow.java
+++ b/lab/src/main/java/wheatspread/lab/scale/ObservationWindow.java
@@ -22,8 +22,8 @@
     private final double[] realSeconds;
     private final RealServers.Sent realSent;
     private final MachineResources.Ticks ticks;
-    private int maxStale;
-    private int maxWithRaisedLocalHealth;
+    private int maxStaleViews;
+    private int maxRaisedLocalHealth;
 
     /** Starts the window at the current time. */
     ObservationWindow(ScaleFleet fleet) throws IOException {
@@ -39,8 +39,8 @@
     private Observation observe() throws IOException {
         Observation observation = fleet.observe();
         observations.add(observation);
-        maxStale = Math.max(maxStale, observation.old());
-        maxWithRaisedLocalHealth = Math.max(maxWithRaisedLocalHealth, observation.distrusting());
+        maxStaleViews = Math.max(maxStaleViews, observation.staleViews());
+        maxRaisedLocalHealth = Math.max(maxRaisedLocalHealth, observation.raisedLocalHealth());
         return observation;
     }
 
@@ -96,10 +96,10 @@
                 .put("bytes_per_s_worst_10s", worstBytesPerSecond() / hollow)
                 .put("over_rate_dropped", last.overRate() - first.overRate())
                 .put("wrongly_removed", wronglyRemoved.size())
-                .put("most_old", maxStale)
-                .put("old_at_end", last.old())
-                .put("outside_at_end", last.outside())
-                .put("most_distrusting", maxWithRaisedLocalHealth)
+                .put("most_old", maxStaleViews)
+                .put("old_at_end", last.staleViews())
+                .put("outside_at_end", last.notInView())
+                .put("most_distrusting", maxRaisedLocalHealth)
                 .put("views_at_end", last.views().size())
                 .put("hollow_loop_cpu_percent", usedPercent / loops)
                 .put("load_average", load)
--- a/lab/src/main/java/wheatspread/lab/scale/ScaleFleet.java
+++ b/lab/src/main/java/wheatspread/lab/scale/ScaleFleet.java
@@ -33,12 +33,12 @@
 
     private final RealServers real;
     private final List<HollowProcess> processes = new CopyOnWriteArrayList<>();
-    private final Map<String, HollowProcess> processOf = new HashMap<>();
+    private final Map<String, HollowProcess> processesByMember = new HashMap<>();
     private final Map<String, MemberSpec> alive = new LinkedHashMap<>();
     /** Hollow members that have not been started yet. */
     private final Deque<MemberSpec> notStarted = new ArrayDeque<>();
 
-    private final List<MemberSpec> lost = new ArrayList<>();
+    private final List<MemberSpec> crashed = new ArrayList<>();
     /** Every start of a member that the rig has ended, as {@code name#start}. */
     private final Set<String> ended = new HashSet<>();
 
@@ -88,7 +88,7 @@
         }
         int next = 0;
         for (MemberSpec member : notStarted) {
-            processOf.put(member.name(), processes.get(next++ % processes.size()));
+            processesByMember.put(member.name(), processes.get(next++ % processes.size()));
         }
     }
 
@@ -117,7 +117,7 @@
 
     private void start(Collection<MemberSpec> members) throws IOException {
         Map<HollowProcess, List<MemberSpec>> byProcess =
-                members.stream().collect(Collectors.groupingBy(member -> processOf.get(member.name())));
+                members.stream().collect(Collectors.groupingBy(member -> processesByMember.get(member.name())));
         for (Map.Entry<HollowProcess, List<MemberSpec>> entry : byProcess.entrySet()) {
             entry.getKey().send(new HollowOrder.Start(entry.getValue()));
         }
@@ -131,18 +131,18 @@
         Set<String> names = members.stream().map(MemberSpec::name).collect(Collectors.toSet());
         for (MemberSpec member : members) {
             ended.add(member.id());
-            lost.add(alive.remove(member.name()));
+            crashed.add(alive.remove(member.name()));
         }
         sendToAll(new HollowOrder.Crash(names));
     }
 
     /** Starts all crashed members again. */
-    void restartLost() throws IOException {
+    void restartCrashed() throws IOException {
         List<MemberSpec> restarted = new ArrayList<>();
-        for (MemberSpec member : lost) {
+        for (MemberSpec member : crashed) {
             restarted.add(member.withStart(nextStart()));
         }
-        lost.clear();
+        crashed.clear();
         restarted.forEach(member -> alive.put(member.name(), member));
         start(restarted);
     }
@@ -152,7 +152,7 @@
         ended.add(member.id());
         MemberSpec next = member.withStart(nextStart());
         alive.put(member.name(), next);
-        HollowProcess process = processOf.get(member.name());
+        HollowProcess process = processesByMember.get(member.name());
         process.send(new HollowOrder.Restart(next, clean));
         accept(process.readReport());
     }
@@ -200,8 +200,8 @@
     }
 
     /** Number of crashed hollow members that have not been started again. */
-    int lost() {
-        return lost.size();
+    int crashed() {
+        return crashed.size();
     }
 
     RealServers real() {
@@ -251,31 +251,40 @@
         Map<ViewKey, Integer> views = new LinkedHashMap<>();
         real.views().forEach(view -> views.merge(view, 1, Integer::sum));
         int hollow = 0;
-        int old = 0;
-        int outside = 0;
-        int distrusting = 0;
+        int staleViews = 0;
+        int notInView = 0;
+        int raisedLocalHealth = 0;
         long messages = 0;
         long bytes = 0;
         long overRate = 0;
         for (HollowReport report : reports) {
             report.views().forEach((key, count) -> views.merge(ViewKey.parse(key), count, Integer::sum));
             hollow += report.alive();
-            old += report.old();
-            outside += report.outside();
-            distrusting += report.distrusting();
+            staleViews += report.staleViews();
+            notInView += report.notInView();
+            raisedLocalHealth += report.raisedLocalHealth();
             messages += report.sent();
             bytes += report.sentBytes();
             overRate += report.overRate();
         }
         int live = members();
         boolean agreed = hollow == alive.size()
-                && old + outside == 0
+                && staleViews + notInView == 0
                 && views.size() == 1
                 && views.entrySet().stream()
                         .allMatch(entry -> entry.getKey().members() == live && entry.getValue() == live)
                 && (real.size() == 0 || real.staleViews() == 0);
         return new Observation(
-                System.nanoTime(), live, views, old, outside, distrusting, messages, bytes, overRate, agreed);
+                System.nanoTime(),
+                live,
+                views,
+                staleViews,
+                notInView,
+                raisedLocalHealth,
+                messages,
+                bytes,
+                overRate,
+                agreed);
     }
 
     /** Processor time of all hollow processes since their starts, in seconds. */
--- a/lab/src/main/java/wheatspread/lab/scale/ScaleStep.java
+++ b/lab/src/main/java/wheatspread/lab/scale/ScaleStep.java
@@ -133,7 +133,7 @@
             if (!settings.faults().contains(kind) || kind.largestStepOnly() && !largest) {
                 continue;
             }
-            if (kind == FaultKind.RETURN && fleet.lost() == 0) {
+            if (kind == FaultKind.RETURN && fleet.crashed() == 0) {
                 continue;
             }
             if (Instant.now().plus(Duration.ofSeconds(kind.limitSeconds())).isAfter(deadline)) {
