--- a/lab/src/main/java/wheatspread/lab/capacity/CapacityTables.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/CapacityTables.java
@@ -95,7 +95,7 @@
         Figure figure = row.figure();
         return row(
                 plan.situation(),
-                plan.what(),
+                plan.description(),
                 Numbers.rounded(figure.tenth()),
                 Numbers.rounded(figure.full()),
                 plan.unit(),
@@ -202,7 +202,7 @@
                     Numbers.rounded(row.ratio(Scale.TENTH)),
                     plan.role(),
                     plan.situation(),
-                    plan.what(),
+                    plan.description(),
                     Numbers.rounded(row.figure().full()),
                     Numbers.given(plan.budget().value()),
                     plan.unit(),
@@ -220,7 +220,7 @@
                 .forEach(row -> table.add(row(
                         row.plan().role(),
                         row.plan().situation(),
-                        row.plan().what(),
+                        row.plan().description(),
                         row.plan().budget() == null
                                 ? EMPTY
                                 : Numbers.given(row.plan().budget().value()) + " "
--- a/lab/src/main/java/wheatspread/lab/capacity/Expression.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/Expression.java
@@ -58,29 +58,29 @@
         }
 
         private Node sum() {
-            Node left = product();
+            Node result = product();
             for (char sign = peek(); sign == '+' || sign == '-'; sign = peek()) {
                 position++;
-                Node first = left;
+                Node first = result;
                 Node second = product();
-                left = sign == '+'
+                result = sign == '+'
                         ? values -> first.evaluate(values) + second.evaluate(values)
                         : values -> first.evaluate(values) - second.evaluate(values);
             }
-            return left;
+            return result;
         }
 
         private Node product() {
-            Node left = factor();
+            Node result = factor();
             for (char sign = peek(); sign == '*' || sign == '/'; sign = peek()) {
                 position++;
-                Node first = left;
+                Node first = result;
                 Node second = factor();
-                left = sign == '*'
+                result = sign == '*'
                         ? values -> first.evaluate(values) * second.evaluate(values)
                         : values -> first.evaluate(values) / second.evaluate(values);
             }
-            return left;
+            return result;
         }
 
         private Node factor() {
--- a/lab/src/main/java/wheatspread/lab/capacity/Fit.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/Fit.java
@@ -63,7 +63,7 @@
             throw new IllegalArgumentException("fit " + planName() + " cannot be applied to " + points);
         }
         return switch (this) {
-            case LINEAR, LOG -> leastSquares(points);
+            case LINEAR, LOG -> fitLeastSquares(points);
             case LAST -> lastSegment(points);
             case PROPORTIONAL -> {
                 double products = points.stream()
@@ -86,7 +86,7 @@
         return new FittedLine(LAST, means.get(largest) - slope * largest, slope, points);
     }
 
-    private FittedLine leastSquares(List<Series.Point> points) {
+    private FittedLine fitLeastSquares(List<Series.Point> points) {
         double meanSize = mean(points, true);
         double meanValue = mean(points, false);
         double products = 0;
--- a/lab/src/main/java/wheatspread/lab/capacity/LinePlan.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/LinePlan.java
@@ -8,7 +8,7 @@
  * @param name name of the line's value in the plan's expressions
  * @param report file name of the report
  * @param series name of a series of the report; null if the points are single figures
- * @param figures single figures of the report; empty if the points are a series
+ * @param figures single figures of a report that has no series for them; empty if the points are a series
  * @param unit unit of the single figures; a series states its unit itself
  * @param evaluatedAt name of the quantity at which the line is evaluated
  * @param virtual whether the points come from the emulator
--- a/lab/src/main/java/wheatspread/lab/capacity/RowPlan.java
+++ b/lab/src/main/java/wheatspread/lab/capacity/RowPlan.java
@@ -13,7 +13,7 @@
 public record RowPlan(
         String role,
         String situation,
-        String what,
+        String description,
         String unit,
         Expression value,
         List<String> mechanism,
--- a/lab/src/main/java/wheatspread/lab/scale/RealServers.java
+++ b/lab/src/main/java/wheatspread/lab/scale/RealServers.java
@@ -100,7 +100,7 @@
     /** The views of the servers as of the last {@link #readLogs}, without those of servers outside their view. */
     List<ViewKey> views() {
         return views.values().stream()
-                .filter(ViewEvents.ViewEvent::in)
+                .filter(ViewEvents.ViewEvent::inView)
                 .map(ViewEvents.ViewEvent::view)
                 .toList();
     }
--- a/lab/src/main/java/wheatspread/lab/scale/ViewEvents.java
+++ b/lab/src/main/java/wheatspread/lab/scale/ViewEvents.java
@@ -18,7 +18,7 @@
     private ViewEvents() {}
 
     /** The view of one event, whether it contains the server itself, and the members that it dropped. */
-    record ViewEvent(ViewKey view, boolean in, Set<String> removed) {}
+    record ViewEvent(ViewKey view, boolean inView, Set<String> removed) {}
 
     /** Parses a line of a server's log; returns null if the line is another event. */
     static ViewEvent parse(String line) {
--- a/lab/src/test/java/wheatspread/lab/capacity/CapacityTest.java
+++ b/lab/src/test/java/wheatspread/lab/capacity/CapacityTest.java
@@ -85,7 +85,9 @@
     void figureWithoutReportIsNotMeasured() throws Exception {
         Capacity capacity = capacity(row("one", "sent + absent"), row("two", "sent"));
         assertThat(capacity.rows().get(0).figure()).isEqualTo(Figure.NOT_MEASURED);
-        assertThat(capacity.rowsByRatio()).extracting(row -> row.plan().what()).containsExactly("two");
+        assertThat(capacity.rowsByRatio())
+                .extracting(row -> row.plan().description())
+                .containsExactly("two");
         assertThat(String.join("\n", capacity.blocks().get("unmeasured")))
                 .contains("`sent.bytes` of two.json")
                 .contains("one")
@@ -107,7 +109,7 @@
         Capacity capacity = capacity(
                 row("least", "tenant_bytes"), row("most", "sent"), row("middle", "played"), row("no", "absent"));
         assertThat(capacity.rowsByRatio())
-                .extracting(row -> row.plan().what())
+                .extracting(row -> row.plan().description())
                 .containsExactly("most", "middle", "least");
         assertThat(capacity.rowsByRatio().get(0).ratio(Scale.FULL)).isCloseTo(2.81, within(1e-12));
         assertThat(capacity.rowsByRatio().get(0).ratio(Scale.TENTH)).isCloseTo(0.29, within(1e-12));
--- a/lab/src/test/java/wheatspread/lab/scale/ScaleMessagesTest.java
+++ b/lab/src/test/java/wheatspread/lab/scale/ScaleMessagesTest.java
@@ -42,7 +42,7 @@
                         + "gone=\"[h1#17 MISSED [h2, h3], m2#5 LEFT [], h4#6 RESTARTED [h2], h5#7 TOLD []]\"");
         assertThat(event.view()).isEqualTo(new ViewKey("54.3", 4, "ab1"));
         assertThat(ViewKey.parse(event.view().toString())).isEqualTo(event.view());
-        assertThat(event.in()).isTrue();
+        assertThat(event.inView()).isTrue();
         assertThat(event.removed()).containsExactlyInAnyOrder("h1#17", "h5#7");
         assertThat(ViewEvents.parse("INFO phase from=BINDING to=SERVING")).isNull();
     }
