--- a/lab/src/main/java/wheatspread/lab/ModelCommand.java
+++ b/lab/src/main/java/wheatspread/lab/ModelCommand.java
@@ -99,7 +99,7 @@
                 return USAGE;
             }
             for (Map.Entry<String, Scenario> one : plays.entrySet()) {
-                ModelRun.Outcome outcome = new ModelRun(one.getValue(), settings, seed).play();
+                ModelRun.Outcome outcome = new ModelRun(one.getValue(), settings, seed).simulate();
                 String played = one.getKey() + ", " + detector + ", seed " + seed;
                 report.put(played, outcome.figures().put("faults", new JSONArray(outcome.faults())));
                 System.out.println(played + " " + outcome.figures());
@@ -107,10 +107,10 @@
             }
         }
         if (!sweep.isEmpty()) {
-            held &= new ModelSweep(report, seeds.get(0)).play(sweep, out);
+            held &= new ModelSweep(report, seeds.get(0)).run(sweep, out);
         }
         if (!capacity.isEmpty()) {
-            new CapacitySweep(report, seeds.get(0), Duration.ofSeconds(limitSeconds), out).play(situations, capacity);
+            new CapacitySweep(report, seeds.get(0), Duration.ofSeconds(limitSeconds), out).run(situations, capacity);
         }
         if (out != null) {
             report.write(out);
--- a/lab/src/main/java/wheatspread/lab/model/CapacitySweep.java
+++ b/lab/src/main/java/wheatspread/lab/model/CapacitySweep.java
@@ -20,22 +20,22 @@
 import wheatspread.membership.DetectorSettings;
 
 /**
- * Plays the situations of the capacity page at several sizes on virtual time and reports one series per figure.
- * A run that takes longer than a limit on the wall clock is stopped, reported as not finished, and its situation
- * is not played at larger sizes.
+ * Simulates the situations of the capacity page at several sizes on virtual time and reports one series per figure.
+ * A run that exceeds the wall-clock limit is stopped and reported as not finished, and its situation is not simulated
+ * at larger sizes.
  */
 public final class CapacitySweep {
-    private static final long SECOND = 1_000_000;
-    private static final long FAULT_BEGIN = 5 * SECOND;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    private static final long FAULT_BEGIN_MICROS = 5 * MICROS_PER_SECOND;
     private static final int ZONES = 8;
     private static final int SEEDS = 3;
-    /** Servers behind one switch. */
+    /** The number of servers behind one switch. */
     private static final int RACK_SERVERS = 30;
 
-    private static final double LOSS = 0.2;
-    /** Restarts a member and second on an ordinary day: 2,300 a day among 1,400 servers. */
-    private static final double DAILY_RESTARTS = 2_300.0 / 1_400 / 86_400;
-    /** The daily rate is played so many times faster, so that a run of a minute holds restarts. */
+    private static final double LOSS_SHARE = 0.2;
+    /** Restarts per member and second on an ordinary day: 2,300 a day among 1,400 servers. */
+    private static final double RESTARTS_PER_MEMBER_SECOND = 2_300.0 / 1_400 / 86_400;
+    /** Factor on the daily rate, without which a run of one minute would contain no restarts. */
     private static final int RESTART_SPEEDUP = 60;
 
     private final Report report;
@@ -43,7 +43,7 @@
     private final Duration limit;
     private final Path folder;
 
-    /** A figure of a run, with the begin of the name and the unit of its series. */
+    /** A figure of a run, with the name prefix and the unit of its series. */
     private enum Figure {
         BYTES("bytes_per_s", "bytes/s"),
         MESSAGES("messages_per_s", "messages/s"),
@@ -59,8 +59,8 @@
             this.unit = unit;
         }
 
-        /** The figure; of a run that came to no common view, the time waited for it, which is a lower bound. */
-        private double of(JSONObject figures) {
+        /** Reads the value from a run's figures; without a common view, VIEW is the time waited, a lower bound. */
+        private double valueIn(JSONObject figures) {
             return switch (this) {
                 case VIEW_BYTES -> figures.getDouble("view_bytes");
                 case BYTES -> figures.getDouble("bytes_per_member_s");
@@ -74,7 +74,7 @@
         }
     }
 
-    /** What befalls the fleet in a run. */
+    /** The faults of a run, with the run's length. */
     public enum Situation {
         IDLE(30),
         CRASH(20),
@@ -84,10 +84,10 @@
         RESTARTS_X60(60),
         ZONE(30);
 
-        private final long run;
+        private final long runMicros;
 
         Situation(int seconds) {
-            run = seconds * SECOND;
+            runMicros = seconds * MICROS_PER_SECOND;
         }
 
         private String suffix() {
@@ -111,17 +111,19 @@
                 case CRASH -> List.of(kill(names.subList(size - 1, size)));
                 case RACK -> List.of(kill(names.subList(size - RACK_SERVERS, size)));
                 case ZONE -> List.of(kill(names.subList(size - size / ZONES, size)));
-                case LOSS20 -> List.of(links(Fault.Kind.LOSS, 0, run, names, names, LOSS));
+                case LOSS20 -> List.of(links(Fault.Kind.LOSS, 0, runMicros, names, names, LOSS_SHARE));
                 case HALVES -> halves(names);
-                case RESTARTS_X60 -> restarts(names, run);
+                case RESTARTS_X60 -> restarts(names, runMicros);
             };
-            return new Scenario(zones, Math.min(SEEDS, size), 0, run, faults, new Scenario.Expect(-1, -1, run, null));
+            return new Scenario(
+                    zones, Math.min(SEEDS, size), 0, runMicros, faults, new Scenario.Expect(-1, -1, runMicros, null));
         }
     }
 
     /**
-     * @param limit on the wall clock, for one run
-     * @param folder where the report goes after each situation, for what a stopped sweep leaves; null for none
+     * @param limit the wall-clock limit of one run
+     * @param folder the folder to which the report is written after each situation, so that a stopped sweep leaves a
+     *     partial report; null writes no report
      */
     public CapacitySweep(Report report, long seed, Duration limit, Path folder) {
         this.report = report;
@@ -130,17 +132,17 @@
         this.folder = folder;
     }
 
-    /** Plays situations at these sizes, smallest first; sizes are more than {@value #RACK_SERVERS} members. */
-    public void play(List<Situation> situations, List<Integer> sizes) throws IOException {
+    /** Simulates the situations at these sizes, smallest first; each size exceeds {@value #RACK_SERVERS} members. */
+    public void run(List<Situation> situations, List<Integer> sizes) throws IOException {
         for (Situation situation : situations) {
-            play(situation, sizes.stream().sorted().toList());
+            run(situation, sizes.stream().sorted().toList());
             if (folder != null) {
                 report.write(folder);
             }
         }
     }
 
-    private void play(Situation situation, List<Integer> sizes) {
+    private void run(Situation situation, List<Integer> sizes) {
         Map<Figure, List<Series.Point>> points = new EnumMap<>(Figure.class);
         situation.figures().forEach(figure -> points.put(figure, new ArrayList<>()));
         boolean finished = true;
@@ -152,19 +154,19 @@
             }
             Scenario scenario = situation.scenario(size);
             ModelRun.Outcome outcome = new ModelRun(scenario, DetectorSettings.DEFAULT, seed)
-                    .limit(limit)
-                    .play();
+                    .limitWallTime(limit)
+                    .simulate();
             JSONObject figures = outcome.figures();
-            int missed = figures.getJSONArray("missed").length();
+            int removedMembers = figures.getJSONArray("missed").length();
             figures.put("faults", new JSONArray(outcome.faults()))
-                    .put("missed", missed)
-                    .put("run_s", situation.run / SECOND)
-                    .put("waited_s", (situation.run - scenario.faultsEnd()) / (double) SECOND);
+                    .put("missed", removedMembers)
+                    .put("run_s", situation.runMicros / MICROS_PER_SECOND)
+                    .put("waited_s", (situation.runMicros - scenario.faultsEnd()) / (double) MICROS_PER_SECOND);
             report.put(part, figures);
             System.out.println(part + " " + figures);
             finished = outcome.finished();
             if (finished) {
-                points.forEach((figure, measured) -> measured.add(new Series.Point(size, figure.of(figures))));
+                points.forEach((figure, measured) -> measured.add(new Series.Point(size, figure.valueIn(figures))));
             }
         }
         points.forEach((figure, measured) -> report.add(
@@ -180,32 +182,43 @@
     }
 
     private static Fault kill(List<String> names) {
-        return new Fault(Fault.Kind.KILL, FAULT_BEGIN, 0, Set.of(), Set.of(), new LinkedHashSet<>(names), 1, 1);
+        return new Fault(Fault.Kind.KILL, FAULT_BEGIN_MICROS, 0, Set.of(), Set.of(), new LinkedHashSet<>(names), 1, 1);
     }
 
     private static Fault links(
-            Fault.Kind kind, long begin, long lasts, List<String> from, List<String> to, double share) {
-        return new Fault(kind, begin, lasts, new LinkedHashSet<>(from), new LinkedHashSet<>(to), Set.of(), share, 1);
+            Fault.Kind kind, long beginMicros, long durationMicros, List<String> from, List<String> to, double share) {
+        return new Fault(
+                kind,
+                beginMicros,
+                durationMicros,
+                new LinkedHashSet<>(from),
+                new LinkedHashSet<>(to),
+                Set.of(),
+                share,
+                1);
     }
 
-    /** Neither half hears the other for 15 s. */
+    /** Cuts all links between the two halves of the fleet for 15 s. */
     private static List<Fault> halves(List<String> names) {
-        List<String> one = names.subList(0, names.size() / 2);
-        List<String> other = names.subList(names.size() / 2, names.size());
+        List<String> firstHalf = names.subList(0, names.size() / 2);
+        List<String> secondHalf = names.subList(names.size() / 2, names.size());
         return List.of(
-                links(Fault.Kind.CUT, FAULT_BEGIN, 15 * SECOND, one, other, 1),
-                links(Fault.Kind.CUT, FAULT_BEGIN, 15 * SECOND, other, one, 1));
+                links(Fault.Kind.CUT, FAULT_BEGIN_MICROS, 15 * MICROS_PER_SECOND, firstHalf, secondHalf, 1),
+                links(Fault.Kind.CUT, FAULT_BEGIN_MICROS, 15 * MICROS_PER_SECOND, secondHalf, firstHalf, 1));
     }
 
-    /** Single restarts at equal distances, spread over the zones, none in the last ten seconds. */
-    private static List<Fault> restarts(List<String> names, long run) {
+    /** Returns single restarts at equal intervals, spread over the zones, with none in the last ten seconds. */
+    private static List<Fault> restarts(List<String> names, long runMicros) {
         List<Fault> restarts = new ArrayList<>();
-        double perSecond = DAILY_RESTARTS * RESTART_SPEEDUP * names.size();
-        long end = run - 10 * SECOND;
+        double perSecond = RESTARTS_PER_MEMBER_SECOND * RESTART_SPEEDUP * names.size();
+        long endMicros = runMicros - 10 * MICROS_PER_SECOND;
         int number = 0;
-        for (double at = SECOND; at < end; at += SECOND / perSecond) {
+        for (double timeMicros = MICROS_PER_SECOND;
+                timeMicros < endMicros;
+                timeMicros += MICROS_PER_SECOND / perSecond) {
             String name = names.get((int) ((long) number++ * names.size() / ZONES + number) % names.size());
-            restarts.add(new Fault(Fault.Kind.RESTART, Math.round(at), 0, Set.of(), Set.of(), Set.of(name), 1, 1));
+            restarts.add(
+                    new Fault(Fault.Kind.RESTART, Math.round(timeMicros), 0, Set.of(), Set.of(), Set.of(name), 1, 1));
         }
         return restarts;
     }
--- a/lab/src/main/java/wheatspread/lab/model/ModelFleet.java
+++ b/lab/src/main/java/wheatspread/lab/model/ModelFleet.java
@@ -19,18 +19,18 @@
 import wheatspread.peers.MessageCodec;
 
 /**
- * The members of a fleet on virtual time, each with the program's own decision code: what they send, who is
- * stopped, and the views they hold. Whoever befalls them stands outside.
+ * Simulates the members of a fleet on virtual time, each with the server's own membership code. Tracks the messages
+ * sent, the stopped processes and the installed views. {@link ModelRun} injects the faults.
  */
 final class ModelFleet {
-    /** One way between two servers, at least and at most; us. */
-    private static final long NEAR = 200;
+    /** Bounds of the one-way latency between two servers. */
+    private static final long MIN_LATENCY_MICROS = 200;
 
-    private static final long FAR = 3_000;
-    /** The size of so many messages is measured: one in this many. */
-    private static final int MEASURED = 16;
+    private static final long MAX_LATENCY_MICROS = 3_000;
+    /** Every sixteenth message is encoded to estimate the bytes sent. */
+    private static final int MESSAGES_PER_SIZE_SAMPLE = 16;
 
-    private static final long CALENDAR = 1_700_000_000_000L;
+    private static final long CALENDAR_START_UNIX_MILLIS = 1_700_000_000_000L;
 
     private final VirtualTime time;
     private final Links links;
@@ -42,66 +42,64 @@
     private final Map<String, String> names = new HashMap<>();
     private final Map<ViewId, View> views = new TreeMap<>();
     private final List<String> faults = new ArrayList<>();
-    private final List<Missed> missed = new ArrayList<>();
+    private final List<RemovedMember> removedMembers = new ArrayList<>();
     private long messages;
     private long bytes;
 
-    /** Somebody whom a change of the view took out as missed, first seen at that time. */
-    record Missed(String name, long at, boolean alive) {}
+    /** A member that a view removed because it was reported down; {@code alive} is true if the removal was wrong. */
+    record RemovedMember(String name, long removedAtMicros, boolean alive) {}
 
-    /** One process of a member. */
+    /** A simulated process of a member; a restarted member gets a new one. */
     private final class Process {
         final Membership membership;
         boolean alive = true;
-        /** It is stopped until then. */
-        long stoppedUntil;
-
-        long planned = Long.MAX_VALUE;
+        long stoppedUntilMicros;
+        long scheduledTurnMicros = Long.MAX_VALUE;
 
         Process(Member self) {
-            membership = new Membership(self, seeds, settings, random.split(), new Outside(self, this));
+            membership = new Membership(self, seeds, settings, random.split(), new SimulatedActions(self, this));
         }
 
-        /** Carries a task out, at once or when the process goes on. */
+        /** Runs a task at once, or after the stop ends if the process is stopped; does nothing after a kill. */
         void run(Runnable task) {
             if (!alive) {
                 return;
             }
-            if (stoppedUntil > time.now()) {
-                time.at(stoppedUntil, () -> run(task));
+            if (stoppedUntilMicros > time.nowMicros()) {
+                time.schedule(stoppedUntilMicros, () -> run(task));
                 return;
             }
             task.run();
-            plan();
+            scheduleTurn();
         }
 
-        void plan() {
-            long next = membership.nextTurnMicros();
-            if (next < planned) {
-                planned = next;
-                time.at(next, () -> turn(next));
+        void scheduleTurn() {
+            long nextMicros = membership.nextTurnMicros();
+            if (nextMicros < scheduledTurnMicros) {
+                scheduledTurnMicros = nextMicros;
+                time.schedule(nextMicros, () -> turn(nextMicros));
             }
         }
 
-        private void turn(long at) {
-            if (planned == at) {
-                planned = Long.MAX_VALUE;
+        private void turn(long turnMicros) {
+            if (scheduledTurnMicros == turnMicros) {
+                scheduledTurnMicros = Long.MAX_VALUE;
                 run(() -> {
-                    if (membership.nextTurnMicros() <= time.now()) {
-                        membership.turn(time.now());
+                    if (membership.nextTurnMicros() <= time.nowMicros()) {
+                        membership.turn(time.nowMicros());
                     }
                 });
             }
         }
     }
 
-    /** What a member does to the others. */
-    private final class Outside implements Membership.Actions {
+    /** Delivers the messages of one member over the simulated links and records the views that it installs. */
+    private final class SimulatedActions implements Membership.Actions {
         private final String name;
         private final String address;
         private final Process process;
 
-        Outside(Member self, Process process) {
+        SimulatedActions(Member self, Process process) {
             name = self.id().name();
             address = self.address();
             this.process = process;
@@ -109,31 +107,35 @@
 
         @Override
         public void send(String to, Message message) {
-            if (messages++ % MEASURED == 0) {
-                bytes += MEASURED * (long) codec.encode(message).length;
+            if (messages++ % MESSAGES_PER_SIZE_SAMPLE == 0) {
+                bytes += MESSAGES_PER_SIZE_SAMPLE * (long) codec.encode(message).length;
             }
             String receiver = names.get(to);
             if (receiver != null) {
-                for (long delay : links.fate(name, receiver, time.now())) {
-                    time.at(time.now() + delay + random.nextLong(NEAR, FAR), () -> {
-                        Process there = processes.get(receiver);
-                        there.run(() -> there.membership.receive(address, message, time.now()));
-                    });
+                for (long delayMicros : links.fate(name, receiver, time.nowMicros())) {
+                    time.schedule(
+                            time.nowMicros() + delayMicros + random.nextLong(MIN_LATENCY_MICROS, MAX_LATENCY_MICROS),
+                            () -> {
+                                Process target = processes.get(receiver);
+                                target.run(() -> target.membership.receive(address, message, time.nowMicros()));
+                            });
                 }
             }
         }
 
         @Override
-        public void onViewInstalled(View before, View now, List<Departure> gone) {
-            View same = views.putIfAbsent(now.id(), now);
-            if (same != null && !same.equals(now)) {
-                faults.add("two views " + now.id() + ": " + same + " and " + now + " on " + name);
+        public void onViewInstalled(View previousView, View view, List<Departure> departures) {
+            View known = views.putIfAbsent(view.id(), view);
+            if (known != null && !known.equals(view)) {
+                faults.add(
+                        "two different views with id " + view.id() + ": " + known + " and, on " + name + ", " + view);
             }
-            if (same == null) {
-                for (Departure one : gone) {
-                    if (one.cause() == Departure.Cause.REPORTED_DOWN) {
-                        Process there = processes.get(one.member().name());
-                        missed.add(new Missed(one.member().name(), time.now(), there.alive));
+            if (known == null) {
+                for (Departure departure : departures) {
+                    if (departure.cause() == Departure.Cause.REPORTED_DOWN) {
+                        Process departed = processes.get(departure.member().name());
+                        removedMembers.add(
+                                new RemovedMember(departure.member().name(), time.nowMicros(), departed.alive));
                     }
                 }
             }
@@ -141,7 +143,7 @@
 
         @Override
         public long unixMillis() {
-            return CALENDAR + time.now() / 1_000;
+            return CALENDAR_START_UNIX_MILLIS + time.nowMicros() / 1_000;
         }
     }
 
@@ -153,7 +155,7 @@
         this.seeds = seeds.stream().map(ModelFleet::address).toList();
     }
 
-    /** An address that nobody else has. */
+    /** Derives a unique address from the number in the member's name. */
     private static String address(String name) {
         int number = Integer.parseInt(name.substring(1));
         return "10." + number / 65_536 + "." + number / 256 % 256 + "." + number % 256 + ":7400";
@@ -163,25 +165,25 @@
         return new Member(new MemberId(name, start), address(name), zone, "model", 0);
     }
 
-    /** Starts a process; {@code first} is the view that it begins with, null for none. */
-    void start(Member self, View first) {
+    /** Starts a process with {@code initialView} installed, or without a view if that is null. */
+    void start(Member self, View initialView) {
         Process process = new Process(self);
         processes.put(self.id().name(), process);
         names.put(self.address(), self.id().name());
-        if (first == null) {
-            process.membership.start(time.now());
+        if (initialView == null) {
+            process.membership.start(time.nowMicros());
         } else {
-            process.membership.startWithView(first, time.now());
+            process.membership.startWithView(initialView, time.nowMicros());
         }
-        process.plan();
+        process.scheduleTurn();
     }
 
     void kill(String name) {
         processes.get(name).alive = false;
     }
 
-    void stop(String name, long until) {
-        processes.get(name).stoppedUntil = until;
+    void stop(String name, long untilMicros) {
+        processes.get(name).stoppedUntilMicros = untilMicros;
     }
 
     void leave(String name) {
@@ -189,15 +191,18 @@
         process.run(process.membership::leave);
     }
 
-    /** How many members each living one has in a view that stands; one entry where all agree. */
-    Map<String, Integer> standing() {
+    /**
+     * Counts the live processes by their view. A process without a view counts as "none"; the key of a view without
+     * a reachable quorum ends with " old".
+     */
+    Map<String, Integer> viewCounts() {
         Map<String, Integer> counts = new TreeMap<>();
-        processes.forEach((name, one) -> {
-            if (one.alive) {
-                View view = one.membership.view();
-                boolean stands = one.membership.isQuorumReachable(time.now());
+        processes.forEach((name, process) -> {
+            if (process.alive) {
+                View view = process.membership.view();
+                boolean quorumReachable = process.membership.isQuorumReachable(time.nowMicros());
                 counts.merge(
-                        view == null ? "none" : view.id() + " of " + view.size() + (stands ? "" : " old"),
+                        view == null ? "none" : view.id() + " of " + view.size() + (quorumReachable ? "" : " old"),
                         1,
                         Integer::sum);
             }
@@ -205,16 +210,16 @@
         return counts;
     }
 
-    /** Whether all that live are in one view of that size that stands. */
-    boolean agree(int size) {
+    /** Returns whether all live processes have the same view, of {@code size} members and with a reachable quorum. */
+    boolean hasCommonView(int size) {
         View first = null;
-        for (Process one : processes.values()) {
-            if (one.alive) {
-                View view = one.membership.view();
+        for (Process process : processes.values()) {
+            if (process.alive) {
+                View view = process.membership.view();
                 if (view == null
                         || view.size() != size
                         || first != null && !first.id().equals(view.id())
-                        || !one.membership.isQuorumReachable(time.now())) {
+                        || !process.membership.isQuorumReachable(time.nowMicros())) {
                     return false;
                 }
                 first = view;
@@ -223,24 +228,25 @@
         return first != null;
     }
 
-    /** The bytes of the message that carries a whole view, as a server gets it that joins. */
-    int bytesOf(View view) {
+    /** Returns the size of the message that carries a whole view to a joining server. */
+    int viewMessageBytes(View view) {
         MemberId from = view.members().get(0).id();
         return codec.encode(new Message(from, view.id(), true, 0, new Message.Body.ViewResponse(view), List.of()))
                 .length;
     }
 
-    int living() {
-        return (int) processes.values().stream().filter(one -> one.alive).count();
+    int livingProcesses() {
+        return (int)
+                processes.values().stream().filter(process -> process.alive).count();
     }
 
-    /** The number of different views so far. */
-    int views() {
+    /** Returns the number of distinct view ids installed so far. */
+    int viewCount() {
         return views.size();
     }
 
-    List<Missed> missed() {
-        return missed;
+    List<RemovedMember> removedMembers() {
+        return removedMembers;
     }
 
     List<String> faults() {
@@ -251,7 +257,7 @@
         return messages;
     }
 
-    /** Measured on some of the messages. */
+    /** Returns an estimate of the bytes sent, extrapolated from a sample of the messages. */
     long bytes() {
         return bytes;
     }
--- a/lab/src/main/java/wheatspread/lab/model/ModelRun.java
+++ b/lab/src/main/java/wheatspread/lab/model/ModelRun.java
@@ -16,31 +16,34 @@
 import wheatspread.membership.View;
 import wheatspread.membership.ViewId;
 
-/** Plays a scenario on virtual time, with the decision code of the program; repeatable by its seed. */
+/** Simulates a scenario on virtual time with the server's membership code. The seed determines the result. */
 public final class ModelRun {
-    private static final long BEGIN = 10_000_000_000L;
-    private static final long SETTLED = 5_000_000;
-    private static final long LOOK = 50_000;
-    private static final long SECOND = 1_000_000;
-    private static final long SLICE = 100_000;
+    private static final long START_MICROS = 10_000_000_000L;
+    private static final long SETTLING_MICROS = 5_000_000;
+    private static final long CHECK_INTERVAL_MICROS = 50_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    private static final long STARVATION_PERIOD_MICROS = 100_000;
 
     private final Scenario scenario;
     private final long seed;
-    private final VirtualTime time = new VirtualTime(BEGIN);
+    private final VirtualTime time = new VirtualTime(START_MICROS);
     private final Links links;
     private final ModelFleet fleet;
-    private final Set<String> ended = new TreeSet<>();
+    private final Set<String> endedMembers = new TreeSet<>();
     private final List<double[]> seconds = new ArrayList<>();
 
-    private long wallLimit = Long.MAX_VALUE;
+    private long wallLimitNanos = Long.MAX_VALUE;
 
     /**
-     * What came of it; {@code faults} is empty where all held. A second has messages, bytes and views. A run that
-     * was not {@code finished} was stopped at its limit, and its figures cover the part that was played.
+     * The result of a simulation.
+     *
+     * @param faults the violated expectations and invariants
+     * @param seconds the messages, bytes and views up to the end of each second
+     * @param finished false if the run was stopped at its wall-clock limit; its figures then cover the simulated part
      */
     public record Outcome(JSONObject figures, List<String> faults, List<double[]> seconds, boolean finished) {}
 
-    /** A run that has not begun; all its random draws come from the seed. */
+    /** All random draws come from {@code seed}. */
     public ModelRun(Scenario scenario, DetectorSettings settings, long seed) {
         this.scenario = scenario;
         this.seed = seed;
@@ -50,141 +53,147 @@
                 time, links, random.split(), settings, scenario.members().subList(0, scenario.seeds()));
     }
 
-    /** Stops the run once it has taken so long by the wall clock; returns this. */
-    public ModelRun limit(Duration most) {
-        wallLimit = most.toNanos();
+    /** Stops the run after {@code limit} of wall-clock time; returns this. */
+    public ModelRun limitWallTime(Duration limit) {
+        wallLimitNanos = limit.toNanos();
         return this;
     }
 
-    /** Once an object. */
-    public Outcome play() {
-        long wall = System.nanoTime();
+    /** Runs the simulation; may be called once. */
+    public Outcome simulate() {
+        long wallStartNanos = System.nanoTime();
         List<Member> members = new ArrayList<>();
         scenario.zones().forEach((name, zone) -> members.add(ModelFleet.member(name, zone, 1)));
-        View first = new View(new ViewId(1, 1), members);
-        members.forEach(one -> fleet.start(one, first));
-        time.runUntil(BEGIN + SETTLED);
-        long begin = time.now();
-        scenario.faults().forEach(one -> befall(one, begin));
+        View initialView = new View(new ViewId(1, 1), members);
+        members.forEach(member -> fleet.start(member, initialView));
+        time.runUntil(START_MICROS + SETTLING_MICROS);
+        long beginMicros = time.nowMicros();
+        scenario.faults().forEach(fault -> schedule(fault, beginMicros));
         long messages = fleet.messages();
         long bytes = fleet.bytes();
-        long end = begin + scenario.faultsEnd();
-        long converged = -1;
+        long faultsEndMicros = beginMicros + scenario.faultsEnd();
+        long convergedMicros = -1;
         boolean finished = true;
-        for (long at = begin + LOOK; finished && at <= begin + scenario.run(); at += LOOK) {
-            time.runUntil(at);
-            if (converged < 0 && at >= end && fleet.agree(size())) {
-                converged = at - end;
+        for (long checkMicros = beginMicros + CHECK_INTERVAL_MICROS;
+                finished && checkMicros <= beginMicros + scenario.run();
+                checkMicros += CHECK_INTERVAL_MICROS) {
+            time.runUntil(checkMicros);
+            if (convergedMicros < 0 && checkMicros >= faultsEndMicros && fleet.hasCommonView(expectedSize())) {
+                convergedMicros = checkMicros - faultsEndMicros;
             }
-            if ((at - begin) % SECOND == 0) {
-                seconds.add(new double[] {fleet.messages(), fleet.bytes(), fleet.views()});
+            if ((checkMicros - beginMicros) % MICROS_PER_SECOND == 0) {
+                seconds.add(new double[] {fleet.messages(), fleet.bytes(), fleet.viewCount()});
             }
-            finished = System.nanoTime() - wall < wallLimit;
+            finished = System.nanoTime() - wallStartNanos < wallLimitNanos;
         }
-        return judge(
-                converged,
-                new Before(messages, bytes, fleet.bytesOf(first)),
-                time.now() - begin,
-                System.nanoTime() - wall);
+        return evaluate(
+                convergedMicros,
+                new Baseline(messages, bytes, fleet.viewMessageBytes(initialView)),
+                time.nowMicros() - beginMicros,
+                System.nanoTime() - wallStartNanos);
     }
 
-    private int size() {
+    private int expectedSize() {
         return scenario.expect().members() >= 0
                 ? scenario.expect().members()
-                : scenario.members().size() - ended.size();
+                : scenario.members().size() - endedMembers.size();
     }
 
-    // ---- what befalls them ----
+    // ---- fault injection ----
 
-    private void befall(Fault fault, long begin) {
+    private void schedule(Fault fault, long beginMicros) {
         if (fault.kind().isOfLinks()) {
-            time.at(begin + fault.at(), () -> links.begin(fault));
-            time.at(begin + fault.end(), () -> links.end(fault));
+            time.schedule(beginMicros + fault.at(), () -> links.begin(fault));
+            time.schedule(beginMicros + fault.end(), () -> links.end(fault));
             return;
         }
         for (String name : fault.on()) {
-            time.at(begin + fault.at(), () -> carryOut(fault, name, begin + fault.end()));
+            time.schedule(beginMicros + fault.at(), () -> inject(fault, name, beginMicros + fault.end()));
         }
     }
 
-    private void carryOut(Fault fault, String name, long end) {
+    private void inject(Fault fault, String name, long endMicros) {
         switch (fault.kind()) {
-            case PAUSE -> fleet.stop(name, end);
-            case STARVE -> starve(fault, name, end);
+            case PAUSE -> fleet.stop(name, endMicros);
+            case STARVE -> starve(fault, name, endMicros);
             case KILL -> {
-                ended.add(name);
+                endedMembers.add(name);
                 fleet.kill(name);
             }
             case RESTART -> {
                 fleet.kill(name);
-                fleet.start(ModelFleet.member(name, scenario.zones().get(name), time.now()), null);
+                fleet.start(ModelFleet.member(name, scenario.zones().get(name), time.nowMicros()), null);
             }
             case LEAVE -> {
-                ended.add(name);
+                endedMembers.add(name);
                 fleet.leave(name);
-                time.at(time.now() + 2 * SECOND, () -> fleet.kill(name));
+                time.schedule(time.nowMicros() + 2 * MICROS_PER_SECOND, () -> fleet.kill(name));
             }
-            default -> {} // garbage is for those who read bytes
+            default -> {} // the simulation passes message objects, so garbage bytes have no effect
         }
     }
 
-    /** Stopped for most of each slice. */
-    private void starve(Fault fault, String name, long end) {
-        if (time.now() < end) {
-            fleet.stop(name, time.now() + Math.round(SLICE * (1 - fault.share())));
-            time.at(time.now() + SLICE, () -> starve(fault, name, end));
+    /** Stops the process for the share of each period that {@code fault.share()} leaves, until {@code endMicros}. */
+    private void starve(Fault fault, String name, long endMicros) {
+        if (time.nowMicros() < endMicros) {
+            fleet.stop(name, time.nowMicros() + Math.round(STARVATION_PERIOD_MICROS * (1 - fault.share())));
+            time.schedule(time.nowMicros() + STARVATION_PERIOD_MICROS, () -> starve(fault, name, endMicros));
         }
     }
 
-    // ---- what came of it ----
+    // ---- evaluation ----
 
-    /** What was sent before the run began, and the bytes of the view that it began with. */
-    private record Before(long messages, long bytes, int viewBytes) {}
+    /** The traffic sent before the measured part, and the size of the initial view's message. */
+    private record Baseline(long messages, long bytes, int viewBytes) {}
 
-    private Outcome judge(long converged, Before before, long played, long wall) {
+    private Outcome evaluate(long convergedMicros, Baseline baseline, long simulatedMicros, long wallNanos) {
         List<String> faults = new ArrayList<>(fleet.faults());
         if (scenario.losesQuorum()) {
-            if (fleet.standing().keySet().stream().anyMatch(one -> !one.endsWith(" old"))) {
-                faults.add("no quorum lives, and not all say so: " + fleet.standing());
+            if (fleet.viewCounts().keySet().stream().anyMatch(view -> !view.endsWith(" old"))) {
+                faults.add("quorum lost, but not every member reports it; members by view: " + fleet.viewCounts());
             }
-        } else if (converged < 0 || converged > scenario.expect().converged()) {
-            faults.add("one view of " + size()
-                    + (converged < 0 ? " never came: " + fleet.standing() : " after " + converged / 1_000 + " ms"));
-        } else if (!fleet.agree(size())) {
-            faults.add("the view did not last until the end: " + fleet.standing());
+        } else if (convergedMicros < 0 || convergedMicros > scenario.expect().converged()) {
+            faults.add("common view of " + expectedSize() + " members "
+                    + (convergedMicros < 0
+                            ? "not reached; members by view: " + fleet.viewCounts()
+                            : "reached only after " + convergedMicros / 1_000 + " ms"));
+        } else if (!fleet.hasCommonView(expectedSize())) {
+            faults.add("common view not kept until the end; members by view: " + fleet.viewCounts());
         }
-        int views = fleet.views() - 1;
+        int views = fleet.viewCount() - 1;
         if (scenario.expect().views() >= 0 && views > scenario.expect().views()) {
-            faults.add(views + " views, and " + scenario.expect().views() + " at most were expected");
+            faults.add(views + " view changes; expected no more than "
+                    + scenario.expect().views());
         }
-        Set<String> missed = new TreeSet<>();
-        fleet.missed().forEach(one -> missed.add(one.name()));
-        Set<String> gone = scenario.expect().gone();
-        if (gone != null && !gone.equals(missed)) {
-            faults.add("missed were " + missed + "; expected " + new TreeSet<>(gone));
+        Set<String> removedNames = new TreeSet<>();
+        fleet.removedMembers().forEach(removed -> removedNames.add(removed.name()));
+        Set<String> expectedNames = scenario.expect().gone();
+        if (expectedNames != null && !expectedNames.equals(removedNames)) {
+            faults.add("members removed as down: " + removedNames + "; expected " + new TreeSet<>(expectedNames));
         }
-        double memberSeconds = scenario.members().size() * (played / 1e6);
-        boolean finished = played >= scenario.run();
+        double memberSeconds = scenario.members().size() * (simulatedMicros / 1e6);
+        boolean finished = simulatedMicros >= scenario.run();
         if (!finished) {
-            faults.add("stopped at the limit of the wall clock after " + played / 1_000 + " ms of the run");
+            faults.add("stopped at the limit of the wall clock after " + simulatedMicros / 1_000
+                    + " ms of simulated time");
         }
         return new Outcome(
                 new JSONObject()
                         .put("seed", seed)
                         .put("members", scenario.members().size())
-                        .put("converged_ms", converged < 0 ? -1 : converged / 1_000)
+                        .put("converged_ms", convergedMicros < 0 ? -1 : convergedMicros / 1_000)
                         .put("views", views)
-                        .put("missed", new JSONArray(missed))
+                        .put("missed", new JSONArray(removedNames))
                         .put(
                                 "missed_alive",
-                                fleet.missed().stream()
-                                        .filter(ModelFleet.Missed::alive)
+                                fleet.removedMembers().stream()
+                                        .filter(ModelFleet.RemovedMember::alive)
                                         .count())
-                        .put("messages_per_member_s", (fleet.messages() - before.messages) / memberSeconds)
-                        .put("bytes_per_member_s", (fleet.bytes() - before.bytes) / memberSeconds)
-                        .put("view_bytes", before.viewBytes())
-                        .put("wall_s", wall / 1_000_000_000)
-                        .put("steps_per_s", time.carriedOut() / (wall / 1e9)),
+                        .put("messages_per_member_s", (fleet.messages() - baseline.messages) / memberSeconds)
+                        .put("bytes_per_member_s", (fleet.bytes() - baseline.bytes) / memberSeconds)
+                        .put("view_bytes", baseline.viewBytes())
+                        .put("wall_s", wallNanos / 1_000_000_000)
+                        .put("steps_per_s", time.executedTasks() / (wallNanos / 1e9)),
                 faults,
                 seconds,
                 finished);
--- a/lab/src/main/java/wheatspread/lab/model/VirtualTime.java
+++ b/lab/src/main/java/wheatspread/lab/model/VirtualTime.java
@@ -2,47 +2,49 @@
 
 import java.util.PriorityQueue;
 
-/** What happens when, in the order of a clock that nobody waits for. Times are microseconds. */
+/** A simulated clock with a queue of events, run in the order of their times without waiting. Times are microseconds. */
 public final class VirtualTime {
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private long now;
+    private long nowMicros;
     private long serial;
-    private long carriedOut;
+    private long executedTasks;
 
-    private record Event(long at, long serial, Runnable task) implements Comparable<Event> {
+    private record Event(long timeMicros, long serial, Runnable task) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(serial, other.serial);
+            return timeMicros != other.timeMicros
+                    ? Long.compare(timeMicros, other.timeMicros)
+                    : Long.compare(serial, other.serial);
         }
     }
 
-    /** Begins at that time; a clock that begins at 0 hides mistakes with times that are absent. */
-    public VirtualTime(long begin) {
-        now = begin;
+    /** A start time other than 0 is advisable, because 0 hides mistakes in the handling of absent times. */
+    public VirtualTime(long startMicros) {
+        nowMicros = startMicros;
     }
 
-    public long now() {
-        return now;
+    public long nowMicros() {
+        return nowMicros;
     }
 
-    /** Carries a task out at that time, or as soon as the present one is done where that is past. */
-    public void at(long time, Runnable task) {
-        events.add(new Event(Math.max(now, time), serial++, task));
+    /** Schedules a task; one whose time has passed runs after the events that are already due at the current time. */
+    public void schedule(long timeMicros, Runnable task) {
+        events.add(new Event(Math.max(nowMicros, timeMicros), serial++, task));
     }
 
-    /** Carries out all that is due until then. */
-    public void runUntil(long time) {
-        while (!events.isEmpty() && events.peek().at <= time) {
+    /** Runs every event due by {@code timeMicros}, including those, and advances the clock to that time. */
+    public void runUntil(long timeMicros) {
+        while (!events.isEmpty() && events.peek().timeMicros <= timeMicros) {
             Event next = events.poll();
-            now = next.at;
-            carriedOut++;
+            nowMicros = next.timeMicros;
+            executedTasks++;
             next.task.run();
         }
-        now = time;
+        nowMicros = timeMicros;
     }
 
-    /** How many tasks were carried out so far. */
-    public long carriedOut() {
-        return carriedOut;
+    /** Returns the number of tasks that have run so far. */
+    public long executedTasks() {
+        return executedTasks;
     }
 }
--- a/lab/src/test/java/wheatspread/lab/model/CapacitySweepTest.java
+++ b/lab/src/test/java/wheatspread/lab/model/CapacitySweepTest.java
@@ -12,28 +12,28 @@
 import wheatspread.lab.report.Report;
 import wheatspread.lab.report.Series;
 
-/** Small fleets in each situation of the capacity page. */
+/** Simulates small fleets in each situation of the capacity page. */
 class CapacitySweepTest {
     @TempDir
     private Path folder;
 
-    private JSONObject play(Duration limit) throws Exception {
+    private JSONObject sweep(Duration limit) throws Exception {
         new CapacitySweep(new Report("small"), 1, limit, folder)
-                .play(List.of(CapacitySweep.Situation.values()), List.of(48, 36));
+                .run(List.of(CapacitySweep.Situation.values()), List.of(48, 36));
         return new JSONObject(Files.readString(folder.resolve("small.json")));
     }
 
     private static List<Series.Point> points(JSONObject report, String name) {
         return Series.of(report).stream()
-                .filter(one -> one.name().equals(name))
+                .filter(series -> series.name().equals(name))
                 .findFirst()
                 .orElseThrow()
                 .points();
     }
 
     @Test
-    void eachSituationGivesItsSeriesBySize() throws Exception {
-        JSONObject report = play(Duration.ofMinutes(1));
+    void reportsSeriesBySizeForEachSituation() throws Exception {
+        JSONObject report = sweep(Duration.ofMinutes(1));
         assertThat(points(report, "model.messages_per_s_idle"))
                 .extracting(Series.Point::size)
                 .containsExactly(36.0, 48.0);
@@ -42,7 +42,7 @@
         assertThat(points(report, "model.wrongly_removed_loss20"))
                 .allSatisfy(point -> assertThat(point.value()).isZero());
         assertThat(points(report, "model.view_s_rack"))
-                .as("of 36 servers too few are left for a view, which is waited for until the end of the run")
+                .as("6 of 36 servers are no quorum, so the value is the wait until the end of the run")
                 .contains(new Series.Point(36, 15));
         for (String name : List.of("rack", "zone", "halves", "restarts_x60")) {
             assertThat(points(report, "model.bytes_per_s_" + name)).hasSize(2);
@@ -50,8 +50,8 @@
     }
 
     @Test
-    void aRunOverItsLimitGivesNoPointAndNoLargerSizeIsPlayed() throws Exception {
-        JSONObject report = play(Duration.ZERO);
+    void omitsPointAndSkipsLargerSizesWhenRunExceedsLimit() throws Exception {
+        JSONObject report = sweep(Duration.ZERO);
         assertThat(Series.of(report))
                 .isNotEmpty()
                 .allSatisfy(series -> assertThat(series.points()).isEmpty());
