--- a/lab/src/main/java/wheatspread/lab/SettingsCommand.java
+++ b/lab/src/main/java/wheatspread/lab/SettingsCommand.java
@@ -110,10 +110,13 @@
         report = new Report(name);
         ServerMeasurement measurement =
                 new ServerMeasurement(serve(), new ServerMeasurement.Load(rate, seconds * 1_000L, reloads, seed));
-        measure(Dimension.TENANTS, tenants, size -> measurement.ofTenants(size, withRoutes));
-        measure(Dimension.ROUTES, routes, size -> measurement.ofRoutes(FEW_TENANTS, size));
-        measure(Dimension.HELD, held, size -> measurement.ofHeld(heldTenants, FEW_ROUTES, size));
-        measure(Dimension.CONNECTIONS, connections, size -> measurement.ofConnections(FEW_TENANTS, FEW_ROUTES, size));
+        measure(Dimension.TENANTS, tenants, size -> measurement.measureTenants(size, withRoutes));
+        measure(Dimension.ROUTES, routes, size -> measurement.measureRoutes(FEW_TENANTS, size));
+        measure(Dimension.HELD, held, size -> measurement.measureHeld(heldTenants, FEW_ROUTES, size));
+        measure(
+                Dimension.CONNECTIONS,
+                connections,
+                size -> measurement.measureConnections(FEW_TENANTS, FEW_ROUTES, size));
         report.write(out);
         return kept ? 0 : 1;
     }
--- a/lab/src/main/java/wheatspread/lab/model/ModelRun.java
+++ b/lab/src/main/java/wheatspread/lab/model/ModelRun.java
@@ -133,7 +133,7 @@
         }
     }
 
-    /** Stops the process for the share of each period that {@code fault.share()} leaves, until {@code endMicros}. */
+    /** Lets the process run for only {@code fault.share()} of each period, until {@code endMicros}. */
     private void starve(Fault fault, String name, long endMicros) {
         if (time.nowMicros() < endMicros) {
             fleet.stop(name, time.nowMicros() + Math.round(STARVATION_PERIOD_MICROS * (1 - fault.share())));
--- a/lab/src/main/java/wheatspread/lab/model/VirtualTime.java
+++ b/lab/src/main/java/wheatspread/lab/model/VirtualTime.java
@@ -2,7 +2,7 @@
 
 import java.util.PriorityQueue;
 
-/** A simulated clock with a queue of events, run in the order of their times without waiting. Times are microseconds. */
+/** A simulated clock with a queue of events, which run in the order of their times without waiting. */
 public final class VirtualTime {
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private long nowMicros;
--- a/lab/src/main/java/wheatspread/lab/settings/CheckProbe.java
+++ b/lab/src/main/java/wheatspread/lab/settings/CheckProbe.java
@@ -12,22 +12,22 @@
 import org.json.JSONObject;
 
 /**
- * Sends the request that a server answers at once a hundred times a second, and measures the time of its answer from
- * when it should have been sent: what is seen from outside of a loop that does something else for long.
+ * Sends a check, which a server answers at once, a hundred times a second, and measures the time from when it was due
+ * to be sent until its answer. This shows from outside how long the server's event loop was busy with other work.
  */
 final class CheckProbe implements AutoCloseable {
-    private static final long EVERY_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
-    private static final int PATIENCE_MS = 30_000;
+    private static final long INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
+    private static final int READ_TIMEOUT_MS = 30_000;
 
     private final Socket socket;
     private final Thread thread;
     private Histogram times = newHistogram();
     private volatile boolean closed;
 
-    CheckProbe(InetSocketAddress to) throws IOException {
-        socket = new Socket(to.getAddress(), to.getPort());
+    CheckProbe(InetSocketAddress address) throws IOException {
+        socket = new Socket(address.getAddress(), address.getPort());
         socket.setTcpNoDelay(true);
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(READ_TIMEOUT_MS);
         thread = new Thread(this::run, "check probe");
         thread.setDaemon(true);
         thread.start();
@@ -41,16 +41,16 @@
         byte[] check = JsonRpcWire.CHECK.getBytes(StandardCharsets.US_ASCII);
         try (BufferedReader in =
                 new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8))) {
-            for (long due = System.nanoTime(); !closed; due += EVERY_NANOS) {
-                LockSupport.parkNanos(due - System.nanoTime());
+            for (long dueNanos = System.nanoTime(); !closed; dueNanos += INTERVAL_NANOS) {
+                LockSupport.parkNanos(dueNanos - System.nanoTime());
                 socket.getOutputStream().write(check);
                 if (in.readLine() == null) {
                     return;
                 }
-                record((System.nanoTime() - due) / 1_000);
+                record((System.nanoTime() - dueNanos) / 1_000);
             }
         } catch (IOException e) {
-            closed = true; // the server has gone, or answers nothing any more
+            closed = true; // the server has ended, or did not answer within the timeout
         }
     }
 
@@ -58,12 +58,12 @@
         times.recordValue(Math.max(1, micros));
     }
 
-    /** Begins to measure anew. */
+    /** Discards the measured times. */
     synchronized void begin() {
         times = newHistogram();
     }
 
-    /** A quantile of the answers since {@link #begin}, in milliseconds. */
+    /** Returns a quantile of the answer times since the last {@link #begin}, in milliseconds. */
     synchronized double millis(double percent) {
         return times.getValueAtPercentile(percent) / 1e3;
     }
--- a/lab/src/main/java/wheatspread/lab/settings/HeldMeasurement.java
+++ b/lab/src/main/java/wheatspread/lab/settings/HeldMeasurement.java
@@ -6,33 +6,33 @@
 import org.json.JSONObject;
 
 /**
- * What a server adds while it holds requests. The time for which a request is held belongs to the kernel that is
- * busy, so it is left out: added is what a check takes from sending to answer, and from the end of a run to the next
- * run, and from the end of a run to its answer. The quantiles of these three are summed, which is no less than the
- * quantile of their sum would usually be.
+ * Measures the time that a server adds to a request while it holds others. The time for which a request is held is
+ * due to the busy kernel and is excluded. The added time is the sum of three parts: a check from sending to answer,
+ * the end of a run to the start of the next run, and the end of a run to its answer. The quantiles of the parts are
+ * summed, which is usually no less than the quantile of the sum.
  */
 final class HeldMeasurement {
-    private static final long WARM_MS = 3_000;
-    private static final long LOOK_MS = 20;
-    private static final int MEDIAN = 50;
-    private static final int HIGH = 99;
+    private static final long WARM_UP_MS = 3_000;
+    private static final long SAMPLE_INTERVAL_MS = 20;
+    private static final int MEDIAN_PERCENT = 50;
+    private static final int HIGH_PERCENT = 99;
 
     private HeldMeasurement() {}
 
-    /** Keeps so many requests open for so long; {@code held} in the figures is the mean of what was held. */
-    static JSONObject measure(LoadClients callers, TimedKernel kernel, CheckProbe probe, int open, long millis)
+    /** Keeps {@code open} requests open for {@code millis}; the figure {@code held} is the mean of held requests. */
+    static JSONObject measure(LoadClients clients, TimedKernel kernel, CheckProbe probe, int open, long millis)
             throws InterruptedException {
-        callers.begin();
-        callers.keepOpen(open);
-        TimeUnit.MILLISECONDS.sleep(Math.min(WARM_MS, millis));
-        AnswerTimes answers = callers.begin();
+        clients.begin();
+        clients.keepOpen(open);
+        TimeUnit.MILLISECONDS.sleep(Math.min(WARM_UP_MS, millis));
+        AnswerTimes answers = clients.begin();
         probe.begin();
         kernel.beginDispatches();
-        double held = meanHeld(callers, kernel, millis);
+        double held = meanHeld(clients, kernel, millis);
         Histogram dispatches = kernel.dispatches();
         JSONObject checks = probe.figures();
         JSONObject figures = new JSONObject().put("open", open).put("held", held);
-        for (int percent : List.of(MEDIAN, HIGH)) {
+        for (int percent : List.of(MEDIAN_PERCENT, HIGH_PERCENT)) {
             double dispatch = dispatches.getValueAtPercentile(percent) / 1e3;
             double afterRun = answers.afterRunMillis(percent);
             double check = probe.millis(percent);
@@ -41,20 +41,20 @@
                     .put("check_ms_p" + percent, check)
                     .put("added_ms_p" + percent, dispatch + afterRun + check);
         }
-        int unanswered = callers.settle();
+        int unanswered = clients.stopAndAwaitAnswers();
         return figures.put("checks", checks)
                 .put("answers", answers.figures())
                 .put("unanswered_at_end", unanswered)
                 .put("served_per_second", answers.served() * 1e3 / millis);
     }
 
-    private static double meanHeld(LoadClients callers, TimedKernel kernel, long millis) throws InterruptedException {
-        long looks = millis / LOOK_MS;
+    private static double meanHeld(LoadClients clients, TimedKernel kernel, long millis) throws InterruptedException {
+        long samples = millis / SAMPLE_INTERVAL_MS;
         double sum = 0;
-        for (long i = 0; i < looks; i++) {
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
-            sum += Math.max(0, callers.open() - kernel.running());
+        for (long i = 0; i < samples; i++) {
+            TimeUnit.MILLISECONDS.sleep(SAMPLE_INTERVAL_MS);
+            sum += Math.max(0, clients.open() - kernel.running());
         }
-        return sum / looks;
+        return sum / samples;
     }
 }
--- a/lab/src/main/java/wheatspread/lab/settings/JsonRpcWire.java
+++ b/lab/src/main/java/wheatspread/lab/settings/JsonRpcWire.java
@@ -9,25 +9,26 @@
 import java.util.Base64;
 import org.json.JSONObject;
 
-/** The platform's front: JSON-RPC 2.0, a message a line. */
+/** Encodes requests for the JSON-RPC 2.0 front, one message per line. */
 final class JsonRpcWire implements LoadClients.Wire {
-    private static final int LONGEST_LINE = 1 << 16;
-    private static final int REFUSED = -32066;
-    private static final double RAM_KB = 24.5;
+    private static final int MAX_LINE_BYTES = 1 << 16;
+    private static final int REJECTED_CODE = -32066;
+    private static final double REQUEST_RAM_KB = 24.5;
 
-    /** A request that a server answers at once, whatever it has in hand. */
+    /** A request that a server answers at once, independent of its load. */
     static final String CHECK = "{\"jsonrpc\":\"2.0\",\"id\":0,\"method\":\"check\"}\n";
 
     private final double runMillis;
 
-    /** {@code runMillis} is what requests say of the processor time that they need. */
+    /** {@code runMillis} is the processor time that each request states as its need. */
     JsonRpcWire(double runMillis) {
         this.runMillis = runMillis;
     }
 
     @Override
     public void decodeInto(Channel channel) {
-        channel.pipeline().addLast(new LineBasedFrameDecoder(LONGEST_LINE), new StringDecoder(StandardCharsets.UTF_8));
+        channel.pipeline()
+                .addLast(new LineBasedFrameDecoder(MAX_LINE_BYTES), new StringDecoder(StandardCharsets.UTF_8));
     }
 
     @Override
@@ -46,7 +47,7 @@
                 .put("team", request.tenant())
                 .put("limit", request.kind().deadline())
                 .put("cpu", runMillis)
-                .put("ram", RAM_KB)
+                .put("ram", REQUEST_RAM_KB)
                 .put("standing", 0.5)
                 .put(request.kind().keyed() ? "unique" : "item", "r" + number)
                 .put("blob", body);
@@ -59,20 +60,20 @@
     }
 
     @Override
-    public long answers(Object message) {
+    public long requestNumber(Object message) {
         return new JSONObject((String) message).optLong("id");
     }
 
     @Override
     public LoadClients.Outcome outcome(Object message) {
-        JSONObject told = new JSONObject((String) message);
-        if (told.optLong("id") == 0) {
-            return LoadClients.Outcome.NONE; // a greeting's, or a notification
+        JSONObject answer = new JSONObject((String) message);
+        if (answer.optLong("id") == 0) {
+            return LoadClients.Outcome.NONE; // the answer to a greeting, or a notification
         }
-        JSONObject error = told.optJSONObject("error");
+        JSONObject error = answer.optJSONObject("error");
         if (error == null) {
             return LoadClients.Outcome.SERVED;
         }
-        return error.optInt("code") == REFUSED ? LoadClients.Outcome.REFUSED : LoadClients.Outcome.FAILED;
+        return error.optInt("code") == REJECTED_CODE ? LoadClients.Outcome.REFUSED : LoadClients.Outcome.FAILED;
     }
 }
--- a/lab/src/main/java/wheatspread/lab/settings/LoadClients.java
+++ b/lab/src/main/java/wheatspread/lab/settings/LoadClients.java
@@ -23,76 +23,79 @@
 import wheatspread.lab.Sites;
 
 /**
- * Callers that ask one server over many connections, each request for a tenant and a route drawn evenly. They ask
- * either at a steady rate whatever becomes of the answers, the times drawn as a Poisson process, or so that always
- * the same number of requests is open.
+ * Sends requests to one server over many connections, each for a tenant and a route drawn uniformly. The load is
+ * either open, as a Poisson process with a steady rate that does not depend on the answers, or closed, with a constant
+ * number of requests open.
  */
 final class LoadClients implements AutoCloseable {
     private static final long TICK_MICROS = 500;
-    private static final long ASK_AGAIN_MS = 100;
-    private static final long SETTLE_MS = 16_000;
-    /** The number of what a connection says first. */
-    private static final long GREETING = 0;
+    private static final long RESEND_DELAY_MS = 100;
+    private static final long ANSWER_TIMEOUT_MS = 16_000;
+    /** The request number of the greeting. */
+    private static final long GREETING_NUMBER = 0;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final Wire wire;
     private final TimedKernel kernel;
-    private final Drawn drawn;
+    private final RequestSpace space;
     private final Random random;
     private final List<Connection> connections = new ArrayList<>();
     private AnswerTimes times = new AnswerTimes();
-    private double perSecond;
-    private int kept;
-    private long next;
+    /** The rate of the open load; 0 for none. */
+    private double requestsPerSecond;
+    /** The number of requests that the closed load keeps open; 0 for none. */
+    private int targetOpen;
+
+    private long nextSendNanos;
     private long lastRequest;
     private int open;
 
-    /** From how many tenants and routes a request's are drawn, by which seed. */
-    record Drawn(int tenants, int routes, long seed) {}
+    /** The numbers of tenants and routes to draw from, and the seed of the draws. */
+    record RequestSpace(int tenants, int routes, long seed) {}
 
-    /** A request as it is asked: its number, its class, the tenant's name, and its path where the wire has one. */
+    /** A request to send; {@code path} is used only by the uwsgi front. */
     record Request(long number, Sites.Kind kind, String tenant, String path) {}
 
-    /** What an answer says. */
+    /** The result in an answer. */
     enum Outcome {
         SERVED,
         REFUSED,
         FAILED,
-        /** It answers no request that was counted. */
+        /** The message answers no counted request. */
         NONE
     }
 
-    /** How requests and answers look on one front of a server. */
+    /** The encoding of requests and answers on one front of a server. */
     interface Wire {
-        /** The handlers that make one message of the bytes of each answer. */
+        /** Adds the handlers that decode the bytes of each answer into one message. */
         void decodeInto(Channel channel);
 
-        /** What a connection says first, since a server closes one that says nothing. */
+        /** Returns the first message of a connection; a server closes connections that send nothing. */
         ByteBuf greeting();
 
         ByteBuf encode(Request request);
 
-        /** The number of the request that is answered; 0 where the order tells it. */
-        long answers(Object message);
+        /** Returns the number of the answered request, or 0 if answers follow the order of the requests. */
+        long requestNumber(Object message);
 
         Outcome outcome(Object message);
     }
 
-    private record Sent(long at, Request request, AnswerTimes times) {}
+    private record Sent(long sentNanos, Request request, AnswerTimes times) {}
 
-    LoadClients(Wire wire, InetSocketAddress to, int count, TimedKernel kernel, Drawn drawn) {
+    LoadClients(Wire wire, InetSocketAddress address, int count, TimedKernel kernel, RequestSpace space) {
         this.wire = wire;
         this.kernel = kernel;
-        this.drawn = drawn;
-        random = new Random(drawn.seed);
+        this.space = space;
+        random = new Random(space.seed);
         for (int i = 0; i < count; i++) {
-            connections.add(connect(to));
+            connections.add(connect(address));
         }
         loop.scheduleAtFixedRate(this::tick, 0, TICK_MICROS, TimeUnit.MICROSECONDS);
     }
 
-    private Connection connect(InetSocketAddress to) {
+    private Connection connect(InetSocketAddress address) {
         Connection connection = new Connection();
         connection.channel = new Bootstrap()
                 .group(group)
@@ -105,66 +108,66 @@
                         channel.pipeline().addLast(connection);
                     }
                 })
-                .connect(to)
+                .connect(address)
                 .syncUninterruptibly()
                 .channel();
-        on(() -> {
-            connection.unanswered.put(GREETING, new Sent(0, null, null));
+        callOnLoop(() -> {
+            connection.unanswered.put(GREETING_NUMBER, new Sent(0, null, null));
             return connection.channel.writeAndFlush(wire.greeting());
         });
         return connection;
     }
 
-    /** Requests belong to a new stretch of time from now on, whose answers go to the returned one. */
+    /** Starts a new measurement interval; requests sent from then on are recorded in the returned object. */
     AnswerTimes begin() {
-        return on(() -> {
+        return callOnLoop(() -> {
             times = new AnswerTimes();
             return times;
         });
     }
 
-    /** Asks so often from now on; 0 ends it. */
-    void ask(double rate) {
-        on(() -> {
-            next = perSecond == 0 ? System.nanoTime() : next;
-            perSecond = rate;
+    /** Sends requests at this rate per second; 0 stops. */
+    void sendAtRate(double rate) {
+        callOnLoop(() -> {
+            nextSendNanos = requestsPerSecond == 0 ? System.nanoTime() : nextSendNanos;
+            requestsPerSecond = rate;
             return null;
         });
     }
 
-    /** Keeps so many requests open from now on; 0 ends it. */
+    /** Keeps {@code count} requests open; 0 stops. */
     void keepOpen(int count) {
-        on(() -> {
-            kept = count;
-            while (open < kept) {
+        callOnLoop(() -> {
+            targetOpen = count;
+            while (open < targetOpen) {
                 send();
             }
             return null;
         });
     }
 
-    /** How many requests have no answer yet. */
+    /** Returns the number of requests without an answer. */
     int open() {
-        return on(() -> open);
+        return callOnLoop(() -> open);
     }
 
-    /** Asks nothing more and waits until all is answered; returns how many requests still lack an answer. */
-    int settle() throws InterruptedException {
-        ask(0);
+    /** Stops sending and waits for the open requests; returns how many still lack an answer at the timeout. */
+    int stopAndAwaitAnswers() throws InterruptedException {
+        sendAtRate(0);
         keepOpen(0);
-        MeasuredServer.await(() -> open() == 0, SETTLE_MS);
+        MeasuredServer.await(() -> open() == 0, ANSWER_TIMEOUT_MS);
         return open();
     }
 
-    /** On the loop's thread, on which everything here lives. */
-    private <T> T on(Callable<T> task) {
+    /** Runs a task on the event loop, which owns all mutable state of this class, and waits for its result. */
+    private <T> T callOnLoop(Callable<T> task) {
         return loop.submit(task).syncUninterruptibly().getNow();
     }
 
     private void tick() {
-        while (perSecond > 0 && next <= System.nanoTime()) {
+        while (requestsPerSecond > 0 && nextSendNanos <= System.nanoTime()) {
             send();
-            next += (long) (-Math.log(1 - random.nextDouble()) / perSecond * 1e9);
+            nextSendNanos += (long) (-Math.log(1 - random.nextDouble()) / requestsPerSecond * 1e9);
         }
     }
 
@@ -172,39 +175,39 @@
         Request request = new Request(
                 ++lastRequest,
                 Sites.kind(random),
-                Sites.tenantName(random.nextInt(drawn.tenants)),
-                SettingsFiles.path(random.nextInt(drawn.routes)));
-        Connection connection = leastBusy();
+                Sites.tenantName(random.nextInt(space.tenants)),
+                SettingsFiles.path(random.nextInt(space.routes)));
+        Connection connection = idlestConnection();
         connection.unanswered.put(request.number, new Sent(System.nanoTime(), request, times));
         open++;
-        times.asked();
+        times.recordRequest();
         connection.channel.writeAndFlush(wire.encode(request));
     }
 
-    /** A connection with few unanswered requests, since answers on the uwsgi front keep the requests' order. */
-    private Connection leastBusy() {
-        Connection least = connections.get(random.nextInt(connections.size()));
-        for (int i = 0; i < connections.size() && !least.unanswered.isEmpty(); i++) {
+    /** Returns a connection with few open requests, because the uwsgi front answers in the requests' order. */
+    private Connection idlestConnection() {
+        Connection idlest = connections.get(random.nextInt(connections.size()));
+        for (int i = 0; i < connections.size() && !idlest.unanswered.isEmpty(); i++) {
             Connection other = connections.get(i);
-            least = other.unanswered.size() < least.unanswered.size() ? other : least;
+            idlest = other.unanswered.size() < idlest.unanswered.size() ? other : idlest;
         }
-        return least;
+        return idlest;
     }
 
-    private void answered(Sent sent, Outcome outcome) {
-        long now = System.nanoTime();
-        TimedKernel.Run run = kernel.take(sent.request.number);
+    private void onAnswer(Sent sent, Outcome outcome) {
+        long answeredNanos = System.nanoTime();
+        TimedKernel.Run run = kernel.removeRun(sent.request.number);
         open--;
-        sent.times.answered(sent.at, now, sent.request.kind(), outcome, run);
-        if (open < kept && outcome == Outcome.SERVED) {
+        sent.times.recordAnswer(sent.sentNanos, answeredNanos, sent.request.kind(), outcome, run);
+        if (open < targetOpen && outcome == Outcome.SERVED) {
             send();
-        } else if (open < kept) {
-            loop.schedule(this::topUp, ASK_AGAIN_MS, TimeUnit.MILLISECONDS);
+        } else if (open < targetOpen) {
+            loop.schedule(this::sendIfBelowTarget, RESEND_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void topUp() {
-        if (open < kept) {
+    private void sendIfBelowTarget() {
+        if (open < targetOpen) {
             send();
         }
     }
@@ -214,7 +217,7 @@
         group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
 
-    /** One connection to the server. */
+    /** A connection to the server, used on the event loop only. */
     private final class Connection extends SimpleChannelInboundHandler<Object> {
         private final Map<Long, Sent> unanswered = new LinkedHashMap<>();
         private Channel channel;
@@ -223,16 +226,16 @@
         protected void channelRead0(ChannelHandlerContext context, Object message) {
             Outcome outcome = wire.outcome(message);
             if (outcome == Outcome.NONE) {
-                unanswered.remove(GREETING);
+                unanswered.remove(GREETING_NUMBER);
                 return;
             }
-            Sent sent = take(wire.answers(message));
+            Sent sent = remove(wire.requestNumber(message));
             if (sent != null && sent.request != null) {
-                answered(sent, outcome);
+                onAnswer(sent, outcome);
             }
         }
 
-        private Sent take(long number) {
+        private Sent remove(long number) {
             if (number != 0 || unanswered.isEmpty()) {
                 return unanswered.remove(number);
             }
@@ -244,7 +247,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            context.close(); // what was open there stays unanswered
+            context.close(); // the open requests of the connection stay unanswered
         }
     }
 }
--- a/lab/src/main/java/wheatspread/lab/settings/MeasuredServer.java
+++ b/lab/src/main/java/wheatspread/lab/settings/MeasuredServer.java
@@ -17,74 +17,73 @@
 import wheatspread.lab.standins.ProcessLog;
 import wheatspread.lab.standins.TemporaryFolders;
 
-/** One real server process, which may fail to start, with what can be seen of it and done to it from outside. */
+/** A server process, which may fail to start, with access to its log, counters, signals and resource use. */
 final class MeasuredServer implements AutoCloseable {
-    private static final long LEAVE_MS = 10_000;
+    private static final long STOP_TIMEOUT_MS = 10_000;
 
     private final Path folder = Files.createTempDirectory("wheatspread-settings");
     private final Path configuration = folder.resolve("config.json");
-    private final InetSocketAddress door;
+    private final InetSocketAddress control;
     private final Process process;
-    private final long startedAt;
+    private final long startedNanos;
     private final ProcessLog log;
 
-    /** Counters of the operators' door. */
-    record Reloads(long taken, long refused) {
-        long all() {
-            return taken + refused;
+    /** The reload counters of the control port. */
+    record Reloads(long applied, long refused) {
+        long total() {
+            return applied + refused;
         }
     }
 
-    /** {@code command} starts the program up to {@code serve}; {@code door} is where its configuration says. */
-    MeasuredServer(List<String> command, JSONObject told, JSONObject operator, InetSocketAddress door)
+    /** {@code command} is the command line up to {@code serve}; {@code control} is the configured control port. */
+    MeasuredServer(List<String> command, JSONObject settings, JSONObject operator, InetSocketAddress control)
             throws IOException {
-        this.door = door;
-        configure(told);
-        List<String> words = new ArrayList<>(command);
-        words.add(Files.writeString(folder.resolve("operator.json"), operator.toString())
+        this.control = control;
+        configure(settings);
+        List<String> commandLine = new ArrayList<>(command);
+        commandLine.add(Files.writeString(folder.resolve("operator.json"), operator.toString())
                 .toString());
-        ProcessBuilder builder = new ProcessBuilder(words).redirectErrorStream(true);
+        ProcessBuilder builder = new ProcessBuilder(commandLine).redirectErrorStream(true);
         builder.environment().put("GW_CONFIG", configuration.toString());
-        startedAt = System.nanoTime();
+        startedNanos = System.nanoTime();
         process = builder.start();
         log = new ProcessLog(process, "server");
     }
 
-    /** Writes its configuration, whole at once. */
-    void configure(JSONObject told) throws IOException {
-        Path aside = Files.writeString(folder.resolve("config.json.new"), told.toString());
-        Files.move(aside, configuration, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    /** Replaces the server's configuration file atomically. */
+    void configure(JSONObject settings) throws IOException {
+        Path temporary = Files.writeString(folder.resolve("config.json.new"), settings.toString());
+        Files.move(temporary, configuration, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
     long configurationBytes() throws IOException {
         return Files.size(configuration);
     }
 
-    /** Whether it serves within so many milliseconds. */
+    /** Returns whether the server starts to serve within {@code millis}. */
     boolean awaitServing(long millis) throws InterruptedException {
         return log.await(line -> line.contains("to=SERVING"), millis) != null;
     }
 
-    /** How long ago the process was started. */
     double secondsSinceStart() {
-        return (System.nanoTime() - startedAt) / 1e9;
+        return (System.nanoTime() - startedNanos) / 1e9;
     }
 
-    /** Waits until the door says that it is ready. */
+    /** Returns whether the control port reports readiness within {@code millis}. */
     boolean awaitReady(long millis) throws InterruptedException {
-        return await(() -> ControlClient.isReady(door), millis);
+        return await(() -> ControlClient.isReady(control), millis);
     }
 
-    /** A condition that is looked at again and again. */
+    /** A condition that {@link #await} polls. */
     interface Condition {
         boolean holds();
     }
 
-    /** Whether a condition held in time. */
+    /** Polls a condition every 2 ms and returns whether it held within {@code millis}. */
     static boolean await(Condition condition, long millis) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         while (!condition.holds()) {
-            if (System.nanoTime() > until) {
+            if (System.nanoTime() > deadlineNanos) {
                 return false;
             }
             TimeUnit.MILLISECONDS.sleep(2);
@@ -92,14 +91,14 @@
         return true;
     }
 
-    /** All it logged so far, with its files by their bare names. */
+    /** Returns the log so far, with the paths of the server's files reduced to their names. */
     List<String> log() {
         String parent = folder + File.separator;
         return log.lines().stream().map(line -> line.replace(parent, "")).toList();
     }
 
-    /** Why it ended: the last line of its log that names an error, else the very last one; empty without any. */
-    String lastWords() {
+    /** Returns the last log line that names an error, else the last line, or an empty string without any. */
+    String lastErrorLine() {
         List<String> lines = log();
         Pattern error = Pattern.compile("ERROR|Error|Exception");
         return lines.stream()
@@ -108,15 +107,15 @@
                 .orElse(lines.isEmpty() ? "" : lines.get(lines.size() - 1));
     }
 
-    /** How many lines of its log pass. */
-    long logged(Predicate<String> wanted) {
+    /** Returns the number of log lines that match. */
+    long countLogLines(Predicate<String> wanted) {
         return log.lines().stream().filter(wanted).count();
     }
 
-    /** The longest turn of its event loop told in the log from line {@code from} on, in milliseconds. */
-    double longestTurnMillis(int from) {
+    /** Returns the longest event-loop turn that the log reports after its first lines, in milliseconds. */
+    double longestTurnMillis(int skippedLines) {
         return log.lines().stream()
-                        .skip(from)
+                        .skip(skippedLines)
                         .filter(line -> line.contains("longest_us="))
                         .mapToLong(line -> Long.parseLong(line.replaceAll(".*longest_us=(\\d+).*", "$1")))
                         .max()
@@ -124,9 +123,9 @@
                 / 1e3;
     }
 
-    /** The reloads it has counted; null where its door does not answer. */
+    /** Returns the reload counters, or null if the control port does not answer. */
     Reloads reloads() {
-        String vars = ControlClient.ask(door, "GET /_vars");
+        String vars = ControlClient.ask(control, "GET /_vars");
         return vars == null ? null : new Reloads(value(vars, "reload_success"), value(vars, "reload_failure"));
     }
 
@@ -138,8 +137,8 @@
                 .sum();
     }
 
-    /** Asks it to read its configuration again. */
-    void hangUp() throws IOException, InterruptedException {
+    /** Sends SIGHUP, on which the server reads its configuration again. */
+    void signalReload() throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
     }
 
@@ -147,18 +146,17 @@
         return process.isAlive();
     }
 
-    /** Its exit code; -1 where it has not ended in time. */
+    /** Returns the exit code, or -1 if the process does not end within {@code millis}. */
     int exitCode(long millis) throws InterruptedException {
         return process.waitFor(millis, TimeUnit.MILLISECONDS) ? process.exitValue() : -1;
     }
 
-    /** Gives it notice and returns its exit code; -1 where it does not leave by itself. */
-    int leave() throws InterruptedException {
+    /** Sends SIGTERM and returns the exit code, or -1 if the process does not end within 10 s. */
+    int terminate() throws InterruptedException {
         process.destroy();
-        return exitCode(LEAVE_MS);
+        return exitCode(STOP_TIMEOUT_MS);
     }
 
-    /** The processor time it has used so far. */
     double processorSeconds() throws IOException {
         return ProcessFigures.processorSeconds(process.pid());
     }
@@ -167,7 +165,7 @@
         return ProcessFigures.residentBytes(process.pid());
     }
 
-    /** The most resident memory since the start, or since {@link #resetPeak}. */
+    /** Returns the peak of the resident memory since the start, or since {@link #resetPeak}. */
     long peakResidentBytes() throws IOException {
         return ProcessFigures.peakResidentBytes(process.pid());
     }
@@ -176,7 +174,7 @@
         ProcessFigures.resetPeak(process.pid());
     }
 
-    /** The bytes of all objects that a collection leaves. */
+    /** Returns the bytes of the objects that survive a garbage collection. */
     long liveHeapBytes() throws IOException, InterruptedException {
         return ProcessFigures.liveHeapBytes(process.pid());
     }
--- a/lab/src/main/java/wheatspread/lab/settings/MeasurementSetup.java
+++ b/lab/src/main/java/wheatspread/lab/settings/MeasurementSetup.java
@@ -8,12 +8,12 @@
 import wheatspread.lab.standins.StandInAddress;
 import wheatspread.lab.standins.StandInServices;
 
-/** One server with everybody round it played: a kernel that books its runs, records, announce, and its files. */
+/** A server process with its files and stand-ins for its kernel, the records service and the announce service. */
 final class MeasurementSetup implements AutoCloseable {
-    /** A call of a run takes so long; none is made, since the kernel's runs call nothing. */
-    private static final long CALL_MICROS = 5_000;
+    /** The duration of a dependency call; unused, because the kernel's runs make no calls. */
+    private static final long DEPENDENCY_CALL_MICROS = 5_000;
 
-    private final StandInServices parties;
+    private final StandInServices standIns;
     private final TimedKernel kernel;
     private final InetSocketAddress listen;
     private final InetSocketAddress uwsgi;
@@ -21,27 +21,27 @@
     private final MeasuredServer server;
     private final Size size;
 
-    /** How many tenants and routes a server has, and how long each run on its kernel takes. */
+    /** The numbers of tenants and routes of a server, and the duration of each run on its kernel. */
     record Size(int tenants, int routes, long runMicros) {}
 
-    /** Starts a server; {@code command} starts the program up to {@code serve}. */
+    /** Starts a server; {@code command} is the command line up to {@code serve}. */
     MeasurementSetup(List<String> command, Size size) throws IOException {
         this.size = size;
-        parties = new StandInServices(size.runMicros, CALL_MICROS);
+        standIns = new StandInServices(size.runMicros, DEPENDENCY_CALL_MICROS);
         kernel = new TimedKernel(size.runMicros);
         Ports ports = new Ports();
         listen = ports.next();
         uwsgi = ports.next();
         InetSocketAddress control = ports.next();
-        SettingsFiles.Addresses at = new SettingsFiles.Addresses(
+        SettingsFiles.Addresses addresses = new SettingsFiles.Addresses(
                 StandInAddress.text(listen),
                 StandInAddress.text(uwsgi),
                 StandInAddress.text(control),
                 kernel.address(),
-                parties.records(),
-                parties.announce());
-        configuration = SettingsFiles.configuration(at, size.tenants);
-        JSONObject operator = SettingsFiles.operatorFile(at, size.routes);
+                standIns.records(),
+                standIns.announce());
+        configuration = SettingsFiles.configuration(addresses, size.tenants);
+        JSONObject operator = SettingsFiles.operatorFile(addresses, size.routes);
         server = new MeasuredServer(command, configuration, operator, control);
     }
 
@@ -53,22 +53,20 @@
         return kernel;
     }
 
-    /** The size of the server, and how long each run on the kernel takes. */
     Size size() {
         return size;
     }
 
-    /** The configuration with which the server was started. */
     JSONObject configuration() {
         return configuration;
     }
 
-    /** Where the platform's front listens. */
+    /** Returns the address of the JSON-RPC front. */
     InetSocketAddress listen() {
         return listen;
     }
 
-    /** Where the uwsgi front listens. */
+    /** Returns the address of the uwsgi front. */
     InetSocketAddress uwsgi() {
         return uwsgi;
     }
@@ -77,6 +75,6 @@
     public void close() throws IOException {
         server.close();
         kernel.close();
-        parties.close();
+        standIns.close();
     }
 }
--- a/lab/src/main/java/wheatspread/lab/settings/ReloadMeasurement.java
+++ b/lab/src/main/java/wheatspread/lab/settings/ReloadMeasurement.java
@@ -8,66 +8,67 @@
 import org.json.JSONObject;
 
 /**
- * SIGHUPs under load: so many one after the other, each once the one before it is counted; as many again 20 ms apart;
- * and one with a wrong file. Every signal must be counted, as taken over or refused, and every request answered.
+ * Sends SIGHUPs under load: first one by one, each after the previous reload is counted, then the same number 20 ms
+ * apart, and at last one with a wrong file. Every signal must be counted as applied or refused, and every request must
+ * be answered.
  */
 final class ReloadMeasurement {
-    private static final long COUNTED_MS = 30_000;
-    /** Between a reload and the next signal. */
+    private static final long COUNT_TIMEOUT_MS = 30_000;
+    /** The pause between a counted reload and the next signal. */
     private static final long GAP_MS = 100;
 
     private static final long BURST_GAP_MS = 20;
-    /** Of the counters in the log, which tell the longest turn. */
-    private static final long REPORT_MS = 1_100;
+    /** Slightly more than the interval at which the server logs its counters, among them the longest turn. */
+    private static final long LOG_INTERVAL_MS = 1_100;
 
-    /** Of so many looks at the log, one is at the operators' door as well. */
-    private static final int LOOKS_AT_DOOR = 50;
+    /** Every fiftieth poll of the log also polls the control port. */
+    private static final int LOG_POLLS_PER_CONTROL_POLL = 50;
 
     private static final String RELOAD = " reload ";
     private static final String RELOAD_REFUSED = " reload_rejected ";
 
     private final MeasuredServer server;
     private final JSONObject configuration;
-    private final LoadClients callers;
+    private final LoadClients clients;
     private final List<String> faults;
 
-    /** What is broken is added to {@code faults}. */
-    ReloadMeasurement(MeasuredServer server, JSONObject configuration, LoadClients callers, List<String> faults) {
+    /** Violations are added to {@code faults}. */
+    ReloadMeasurement(MeasuredServer server, JSONObject configuration, LoadClients clients, List<String> faults) {
         this.server = server;
         this.configuration = configuration;
-        this.callers = callers;
+        this.clients = clients;
         this.faults = faults;
     }
 
     /**
-     * Reloads {@code count} times one after the other and again in a burst, at {@code rate} requests a second. The
-     * figures that there are by then are kept where a server ends meanwhile.
+     * Reloads {@code count} times one by one and again in a burst, at {@code rate} requests a second. If the server
+     * ends meanwhile, {@code figures} keeps what was measured until then.
      */
     void measure(int count, double rate, CheckProbe probe, JSONObject figures)
             throws IOException, InterruptedException {
         server.resetPeak();
-        TimeUnit.MILLISECONDS.sleep(REPORT_MS); // what was before does not count
-        int logFrom = server.log().size();
+        TimeUnit.MILLISECONDS.sleep(LOG_INTERVAL_MS); // the counters of the time before are not measured
+        int skippedLogLines = server.log().size();
         probe.begin();
-        AnswerTimes answers = callers.begin();
-        callers.ask(rate);
+        AnswerTimes answers = clients.begin();
+        clients.sendAtRate(rate);
         try {
             figures.put("one_by_one", oneByOne(count));
             figures.put("burst", burst(count));
-            figures.put("wrong_file", wrongFile());
+            figures.put("wrong_file", reloadInvalidFile());
         } finally {
             figures.put("checks", probe.figures());
-            settle(answers, figures);
+            awaitAnswers(answers, figures);
         }
-        TimeUnit.MILLISECONDS.sleep(REPORT_MS);
+        TimeUnit.MILLISECONDS.sleep(LOG_INTERVAL_MS);
         figures.put("peak_resident_bytes", server.peakResidentBytes())
-                .put("longest_turn_ms", server.longestTurnMillis(logFrom))
-                .put("logged_reload", server.logged(line -> line.contains(RELOAD)))
-                .put("logged_reload_refused", server.logged(line -> line.contains(RELOAD_REFUSED)));
+                .put("longest_turn_ms", server.longestTurnMillis(skippedLogLines))
+                .put("logged_reload", server.countLogLines(line -> line.contains(RELOAD)))
+                .put("logged_reload_refused", server.countLogLines(line -> line.contains(RELOAD_REFUSED)));
     }
 
-    private void settle(AnswerTimes answers, JSONObject figures) throws InterruptedException {
-        int unanswered = callers.settle();
+    private void awaitAnswers(AnswerTimes answers, JSONObject figures) throws InterruptedException {
+        int unanswered = clients.stopAndAwaitAnswers();
         figures.put("answers", answers.figures());
         if (answers.lateOrLost() > 0 || unanswered > 0) {
             faults.add(answers.lateOrLost() + " answers late or lost during reloads");
@@ -79,18 +80,18 @@
         List<Double> seconds = new ArrayList<>();
         int sent = 0;
         while (sent < count) {
-            long had = counted().all();
-            long began = System.nanoTime();
-            server.hangUp();
+            long countBefore = counted().total();
+            long beganNanos = System.nanoTime();
+            server.signalReload();
             sent++;
-            if (!awaitCounted(had + 1)) {
+            if (!awaitCounted(countBefore + 1)) {
                 break;
             }
-            seconds.add((System.nanoTime() - began) / 1e9);
+            seconds.add((System.nanoTime() - beganNanos) / 1e9);
             TimeUnit.MILLISECONDS.sleep(GAP_MS);
         }
         Collections.sort(seconds);
-        JSONObject figures = sent(sent, before, "one by one");
+        JSONObject figures = countFigures(sent, before, "one by one");
         return seconds.isEmpty()
                 ? figures
                 : figures.put("seconds_median", seconds.get(seconds.size() / 2))
@@ -99,24 +100,25 @@
 
     private JSONObject burst(int count) throws IOException, InterruptedException {
         MeasuredServer.Reloads before = counted();
-        long began = System.nanoTime();
+        long beganNanos = System.nanoTime();
         for (int i = 0; i < count; i++) {
-            server.hangUp();
+            server.signalReload();
             TimeUnit.MILLISECONDS.sleep(BURST_GAP_MS);
         }
-        awaitCounted(before.all() + count);
-        return sent(count, before, "in a burst").put("seconds_until_all_counted", (System.nanoTime() - began) / 1e9);
+        awaitCounted(before.total() + count);
+        return countFigures(count, before, "in a burst")
+                .put("seconds_until_all_counted", (System.nanoTime() - beganNanos) / 1e9);
     }
 
-    private JSONObject wrongFile() throws IOException, InterruptedException {
-        server.configure(SettingsFiles.withWrongQuota(configuration));
+    private JSONObject reloadInvalidFile() throws IOException, InterruptedException {
+        server.configure(SettingsFiles.withInvalidQuota(configuration));
         MeasuredServer.Reloads before = counted();
-        server.hangUp();
-        awaitCounted(before.all() + 1);
+        server.signalReload();
+        awaitCounted(before.total() + 1);
         MeasuredServer.Reloads after = counted();
-        boolean refused = after.refused() == before.refused() + 1 && after.taken() == before.taken();
+        boolean refused = after.refused() == before.refused() + 1 && after.applied() == before.applied();
         if (!refused) {
-            faults.add("a negative quota at the last tenant was not refused");
+            faults.add("reload with a negative quota of the last tenant was not refused");
         }
         server.configure(configuration);
         String reason = server.log().stream()
@@ -125,47 +127,49 @@
         return new JSONObject().put("refused", refused).put("message", reason.replaceFirst("^\\S+ ", ""));
     }
 
-    private JSONObject sent(int sent, MeasuredServer.Reloads before, String how)
+    private JSONObject countFigures(int sent, MeasuredServer.Reloads before, String mode)
             throws IOException, InterruptedException {
         MeasuredServer.Reloads after = counted();
-        long taken = after.taken() - before.taken();
+        long applied = after.applied() - before.applied();
         long refused = after.refused() - before.refused();
-        if (taken != sent) {
-            faults.add(taken + " reloads taken and " + refused + " refused of " + sent + " sent " + how);
+        if (applied != sent) {
+            faults.add(applied + " reloads applied and " + refused + " refused of " + sent + " signalled " + mode);
         }
-        return new JSONObject().put("sent", sent).put("taken", taken).put("refused", refused);
+        return new JSONObject().put("sent", sent).put("taken", applied).put("refused", refused);
     }
 
     /**
-     * Waits until so many reloads are logged, or counted at the door: the log tells it sooner and leaves the server
-     * alone, but it may leave out repeats.
+     * Waits until {@code total} reloads are logged, or counted at the control port. The log shows them sooner and
+     * reading it puts no load on the server, but it may suppress repeated lines.
      */
-    private boolean awaitCounted(long all) throws InterruptedException {
-        int[] looks = new int[1];
+    private boolean awaitCounted(long total) throws InterruptedException {
+        int[] polls = new int[1];
         return MeasuredServer.await(
-                () -> logged() >= all || ++looks[0] % LOOKS_AT_DOOR == 0 && countedAtDoor() >= all, COUNTED_MS);
+                () -> loggedReloads() >= total
+                        || ++polls[0] % LOG_POLLS_PER_CONTROL_POLL == 0 && reloadsAtControlPort() >= total,
+                COUNT_TIMEOUT_MS);
     }
 
-    private long logged() {
-        return server.logged(line -> line.contains(RELOAD) || line.contains(RELOAD_REFUSED));
+    private long loggedReloads() {
+        return server.countLogLines(line -> line.contains(RELOAD) || line.contains(RELOAD_REFUSED));
     }
 
-    private long countedAtDoor() {
-        MeasuredServer.Reloads now = server.reloads();
-        return now == null ? 0 : now.all();
+    private long reloadsAtControlPort() {
+        MeasuredServer.Reloads reloads = server.reloads();
+        return reloads == null ? 0 : reloads.total();
     }
 
     private MeasuredServer.Reloads counted() throws IOException, InterruptedException {
-        MeasuredServer.Reloads[] now = new MeasuredServer.Reloads[1];
-        boolean answers = MeasuredServer.await(
+        MeasuredServer.Reloads[] reloads = new MeasuredServer.Reloads[1];
+        boolean answered = MeasuredServer.await(
                 () -> {
-                    now[0] = server.reloads();
-                    return now[0] != null || !server.isAlive();
+                    reloads[0] = server.reloads();
+                    return reloads[0] != null || !server.isAlive();
                 },
-                COUNTED_MS);
-        if (!answers || now[0] == null) {
-            throw new IOException("the operators' door does not answer");
+                COUNT_TIMEOUT_MS);
+        if (!answered || reloads[0] == null) {
+            throw new IOException("control port of the server did not answer within " + COUNT_TIMEOUT_MS + " ms");
         }
-        return now[0];
+        return reloads[0];
     }
 }
--- a/lab/src/main/java/wheatspread/lab/settings/ServerMeasurement.java
+++ b/lab/src/main/java/wheatspread/lab/settings/ServerMeasurement.java
@@ -7,19 +7,19 @@
 import org.json.JSONArray;
 import org.json.JSONObject;
 
-/** The measurements of one server of a size, from its start to its end; what was broken stands in the figures. */
+/** Measures one server from start to exit. The figures list the violations under {@code faults}. */
 public final class ServerMeasurement {
     private static final long RUN_MICROS = 15_000;
-    /** Of a run while requests are held: so many fit into the bound on what is held. */
+    /** The duration of a run while requests are held; it keeps the load within the limit on held requests. */
     private static final long HELD_RUN_MICROS = 50_000;
 
-    private static final int FEW_CONNECTIONS = 10;
+    private static final int JSON_RPC_CONNECTIONS = 10;
     private static final int UWSGI_CONNECTIONS = 32;
-    /** An idle connection is greeted and forgotten by then. */
-    private static final long IDLE_MS = 1_000;
+    /** After this time the connections have been greeted and are idle. */
+    private static final long GREETING_MS = 1_000;
 
-    /** How often a start is tried where others take the ports chosen for it. */
-    private static final int MOST_PORTS = 5;
+    /** The limit on starts that fail because another process has taken a chosen port. */
+    private static final int MAX_START_ATTEMPTS = 5;
 
     private static final String PORT_TAKEN = "Address already in use";
 
@@ -27,79 +27,81 @@
     private final Load load;
 
     /**
-     * How much is asked.
+     * The load of a measurement.
      *
      * @param rate requests a second
-     * @param millis how long each point is measured
+     * @param millis duration of the measurement of each point
      * @param reloads SIGHUPs in a row
-     * @param seed draws tenants, routes, classes and times
+     * @param seed seed of the draws of tenants, routes, classes and times
      */
     public record Load(double rate, long millis, int reloads, long seed) {}
 
-    /** {@code command} starts the program up to {@code serve}. */
+    /** {@code command} is the command line up to {@code serve}. */
     public ServerMeasurement(List<String> command, Load load) {
         this.command = List.copyOf(command);
         this.load = load;
     }
 
-    /** Start, delay on the platform's front, and reloads with so many tenants. */
-    public JSONObject ofTenants(int tenants, int routes) throws IOException, InterruptedException {
-        return played(new MeasurementSetup.Size(tenants, routes, RUN_MICROS), (stage, drawn, figures, faults) -> {
-            try (LoadClients callers = jsonRpc(stage, drawn, FEW_CONNECTIONS);
-                    CheckProbe probe = new CheckProbe(stage.listen())) {
-                figures.put("delay", DelayMeasurement.measure(callers, load.rate, load.millis, faults));
+    /** Measures the start, the delay on the JSON-RPC front, and reloads. */
+    public JSONObject measureTenants(int tenants, int routes) throws IOException, InterruptedException {
+        return measure(new MeasurementSetup.Size(tenants, routes, RUN_MICROS), (setup, space, figures, faults) -> {
+            try (LoadClients clients = jsonRpc(setup, space, JSON_RPC_CONNECTIONS);
+                    CheckProbe probe = new CheckProbe(setup.listen())) {
+                figures.put("delay", DelayMeasurement.measure(clients, load.rate, load.millis, faults));
                 JSONObject reload = new JSONObject();
                 figures.put("reload", reload);
-                new ReloadMeasurement(stage.server(), stage.configuration(), callers, faults)
+                new ReloadMeasurement(setup.server(), setup.configuration(), clients, faults)
                         .measure(load.reloads, load.rate, probe, reload);
             }
         });
     }
 
-    /** Start and delay on the uwsgi front with so many routes. */
-    public JSONObject ofRoutes(int tenants, int routes) throws IOException, InterruptedException {
-        return played(new MeasurementSetup.Size(tenants, routes, RUN_MICROS), (stage, drawn, figures, faults) -> {
-            try (LoadClients callers =
-                    new LoadClients(new UwsgiWire(), stage.uwsgi(), UWSGI_CONNECTIONS, stage.kernel(), drawn)) {
-                figures.put("delay", DelayMeasurement.measure(callers, load.rate, load.millis, faults));
+    /** Measures the start and the delay on the uwsgi front. */
+    public JSONObject measureRoutes(int tenants, int routes) throws IOException, InterruptedException {
+        return measure(new MeasurementSetup.Size(tenants, routes, RUN_MICROS), (setup, space, figures, faults) -> {
+            try (LoadClients clients =
+                    new LoadClients(new UwsgiWire(), setup.uwsgi(), UWSGI_CONNECTIONS, setup.kernel(), space)) {
+                figures.put("delay", DelayMeasurement.measure(clients, load.rate, load.millis, faults));
             }
         });
     }
 
-    /** What is added while so many requests are open, most of them held. */
-    public JSONObject ofHeld(int tenants, int routes, int open) throws IOException, InterruptedException {
-        return played(new MeasurementSetup.Size(tenants, routes, HELD_RUN_MICROS), (stage, drawn, figures, faults) -> {
-            try (LoadClients callers = jsonRpc(stage, drawn, FEW_CONNECTIONS);
-                    CheckProbe probe = new CheckProbe(stage.listen())) {
-                figures.put("held", HeldMeasurement.measure(callers, stage.kernel(), probe, open, load.millis));
+    /** Measures the added time while {@code open} requests are open, most of them held. */
+    public JSONObject measureHeld(int tenants, int routes, int open) throws IOException, InterruptedException {
+        return measure(new MeasurementSetup.Size(tenants, routes, HELD_RUN_MICROS), (setup, space, figures, faults) -> {
+            try (LoadClients clients = jsonRpc(setup, space, JSON_RPC_CONNECTIONS);
+                    CheckProbe probe = new CheckProbe(setup.listen())) {
+                figures.put("held", HeldMeasurement.measure(clients, setup.kernel(), probe, open, load.millis));
             }
         });
     }
 
-    /** Delay with so many connections, and the heap that each of them takes. */
-    public JSONObject ofConnections(int tenants, int routes, int connections) throws IOException, InterruptedException {
-        return played(new MeasurementSetup.Size(tenants, routes, RUN_MICROS), (stage, drawn, figures, faults) -> {
-            long before = stage.server().liveHeapBytes();
-            try (LoadClients callers = jsonRpc(stage, drawn, connections)) {
-                TimeUnit.MILLISECONDS.sleep(IDLE_MS);
-                long after = stage.server().liveHeapBytes();
+    /** Measures the delay with this number of connections, and the heap that each idle connection takes. */
+    public JSONObject measureConnections(int tenants, int routes, int connections)
+            throws IOException, InterruptedException {
+        return measure(new MeasurementSetup.Size(tenants, routes, RUN_MICROS), (setup, space, figures, faults) -> {
+            long before = setup.server().liveHeapBytes();
+            try (LoadClients clients = jsonRpc(setup, space, connections)) {
+                TimeUnit.MILLISECONDS.sleep(GREETING_MS);
+                long after = setup.server().liveHeapBytes();
                 figures.put("idle_connection_bytes", (after - before) / (double) connections);
-                figures.put("delay", DelayMeasurement.measure(callers, load.rate, load.millis, faults));
+                figures.put("delay", DelayMeasurement.measure(clients, load.rate, load.millis, faults));
             }
         });
     }
 
-    /** What is measured once a server serves. */
-    private interface Act {
-        void play(MeasurementSetup stage, LoadClients.Drawn drawn, JSONObject figures, List<String> faults)
+    /** A measurement of a server that has started. */
+    private interface Measurement {
+        void run(MeasurementSetup setup, LoadClients.RequestSpace space, JSONObject figures, List<String> faults)
                 throws IOException, InterruptedException;
     }
 
-    /** A port that was free may be taken by another process of the machine before the server listens on it. */
-    private JSONObject played(MeasurementSetup.Size size, Act act) throws IOException, InterruptedException {
-        JSONObject figures = playedOnce(size, act);
-        for (int i = 1; i < MOST_PORTS && isPortTaken(figures.getJSONObject("start")); i++) {
-            figures = playedOnce(size, act);
+    /** Repeats the start if another process of the machine took a chosen port before the server listened on it. */
+    private JSONObject measure(MeasurementSetup.Size size, Measurement measurement)
+            throws IOException, InterruptedException {
+        JSONObject figures = measureOnce(size, measurement);
+        for (int i = 1; i < MAX_START_ATTEMPTS && isPortTaken(figures.getJSONObject("start")); i++) {
+            figures = measureOnce(size, measurement);
         }
         return figures;
     }
@@ -108,39 +110,43 @@
         return !start.getBoolean("started") && start.getString("message").contains(PORT_TAKEN);
     }
 
-    private JSONObject playedOnce(MeasurementSetup.Size size, Act act) throws IOException, InterruptedException {
+    private JSONObject measureOnce(MeasurementSetup.Size size, Measurement measurement)
+            throws IOException, InterruptedException {
         JSONObject figures = new JSONObject().put("tenants", size.tenants()).put("routes", size.routes());
         List<String> faults = new ArrayList<>();
-        try (MeasurementSetup stage = new MeasurementSetup(command, size)) {
-            JSONObject start = StartMeasurement.measure(stage.server());
+        try (MeasurementSetup setup = new MeasurementSetup(command, size)) {
+            JSONObject start = StartMeasurement.measure(setup.server());
             figures.put("start", start);
             if (start.getBoolean("started")) {
-                play(stage, act, figures, faults);
+                run(setup, measurement, figures, faults);
             } else {
-                faults.add("did not start: " + start.getString("message"));
+                faults.add("server did not start: " + start.getString("message"));
             }
         }
         return figures.put("faults", new JSONArray(faults));
     }
 
-    private void play(MeasurementSetup stage, Act act, JSONObject figures, List<String> faults)
+    private void run(MeasurementSetup setup, Measurement measurement, JSONObject figures, List<String> faults)
             throws InterruptedException {
-        MeasurementSetup.Size size = stage.size();
-        MeasuredServer server = stage.server();
+        MeasurementSetup.Size size = setup.size();
+        MeasuredServer server = setup.server();
         try {
-            act.play(stage, new LoadClients.Drawn(size.tenants(), size.routes(), load.seed), figures, faults);
-        } catch (IOException e) { // the point is lost, the others are not
-            faults.add("not measured to the end: " + e.getMessage());
+            measurement.run(
+                    setup, new LoadClients.RequestSpace(size.tenants(), size.routes(), load.seed), figures, faults);
+        } catch (IOException e) { // only this point is lost
+            faults.add("measurement aborted: " + e.getMessage());
         }
         boolean ended = !server.isAlive();
-        int code = server.leave();
+        int code = server.terminate();
         if (code != 0) {
-            faults.add((ended ? "ended by itself with " : "left with ") + code + ": " + server.lastWords());
+            faults.add(
+                    (ended ? "server ended during the measurement with exit code " : "server stopped with exit code ")
+                            + code + "; expected 0: " + server.lastErrorLine());
         }
     }
 
-    private static LoadClients jsonRpc(MeasurementSetup stage, LoadClients.Drawn drawn, int connections) {
+    private static LoadClients jsonRpc(MeasurementSetup setup, LoadClients.RequestSpace space, int connections) {
         return new LoadClients(
-                new JsonRpcWire(stage.size().runMicros() / 1e3), stage.listen(), connections, stage.kernel(), drawn);
+                new JsonRpcWire(setup.size().runMicros() / 1e3), setup.listen(), connections, setup.kernel(), space);
     }
 }
--- a/lab/src/main/java/wheatspread/lab/settings/SizeSeries.java
+++ b/lab/src/main/java/wheatspread/lab/settings/SizeSeries.java
@@ -8,12 +8,12 @@
 import wheatspread.lab.report.Report;
 import wheatspread.lab.report.Series;
 
-/** Collects figures measured at several sizes, and hands them to a report as its series. */
+/** Collects figures measured at several sizes and adds them to a report as series. */
 public final class SizeSeries {
-    /** A measured figure of a dimension: the series, its unit, and where it stands in the figures of a point. */
-    private record Figure(String name, String unit, String path) {}
+    /** A figure of a dimension: the name and unit of its series, and its JSON pointer in the figures of a point. */
+    private record Figure(String name, String unit, String pointer) {}
 
-    /** What the sizes of a measurement count, with the figures that become series. */
+    /** The quantity that is varied, with the figures that become series. */
     public enum Dimension {
         TENANTS(
                 "tenants",
@@ -64,18 +64,18 @@
         this.dimension = dimension;
     }
 
-    /** Takes the figures measured at a size; what they lack, as those of a server that did not start, has no point. */
+    /** Adds the figures measured at a size; a missing figure, as of a server that did not start, gives no point. */
     public void add(double size, JSONObject measured) {
         for (Figure figure : dimension.figures) {
-            if (measured.optQuery(figure.path) instanceof Number value) {
+            if (measured.optQuery(figure.pointer) instanceof Number value) {
                 points.computeIfAbsent(figure, key -> new ArrayList<>())
                         .add(new Series.Point(size, value.doubleValue()));
             }
         }
     }
 
-    /** Adds a series for each figure that was measured. */
+    /** Adds a series to the report for each figure that was measured. */
     public void addTo(Report report) {
-        points.forEach((figure, at) -> report.add(new Series(figure.name, figure.unit, dimension.per, at)));
+        points.forEach((figure, measured) -> report.add(new Series(figure.name, figure.unit, dimension.per, measured)));
     }
 }
--- a/lab/src/main/java/wheatspread/lab/settings/TimedKernel.java
+++ b/lab/src/main/java/wheatspread/lab/settings/TimedKernel.java
@@ -16,60 +16,58 @@
 import wheatspread.lab.standins.StandInEndpoint;
 
 /**
- * A kernel whose runs all take the same time, and which books how long each really took, so that a caller can take
- * that time off the time of its answer. A request's body is its number as decimal digits. Runs call nothing.
+ * A stand-in kernel whose runs all take the same time. It records the actual duration of each run, so that clients can
+ * subtract it from their answer times. A request's body is its number as decimal digits. Runs make no dependency calls.
  */
 final class TimedKernel implements AutoCloseable {
     private static final int CORES = 6;
     private static final double HEAP_SHARE = 0.1;
     private static final int CONNECTIONS = 10;
-    private static final long LONGEST_MICROS = TimeUnit.MINUTES.toMicros(1);
+    private static final long MAX_MICROS = TimeUnit.MINUTES.toMicros(1);
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final long runMicros;
-    private final StandInEndpoint door;
-    private final Map<Long, Run> ended = new ConcurrentHashMap<>();
+    private final StandInEndpoint endpoint;
+    private final Map<Long, Run> endedRuns = new ConcurrentHashMap<>();
     private final Map<String, Running> running = new HashMap<>();
     private Histogram dispatches = newHistogram();
-    private volatile int runningNow;
-    private long lastEnd;
+    private volatile int runningCount;
+    private long lastEndNanos;
 
-    /** When a run began and ended, by {@link System#nanoTime}. */
-    record Run(long began, long ended) {
+    /** The start and end of a run, by {@link System#nanoTime}. */
+    record Run(long beganNanos, long endedNanos) {
         long nanos() {
-            return ended - began;
+            return endedNanos - beganNanos;
         }
     }
 
-    private record Running(long request, long began) {}
+    private record Running(long request, long beganNanos) {}
 
-    /** Every run takes {@code runMicros}. */
     TimedKernel(long runMicros) {
         this.runMicros = runMicros;
-        door = new StandInEndpoint(group, Link::new, true);
+        endpoint = new StandInEndpoint(group, Link::new, true);
     }
 
-    /** Where it listens, as {@code host:port}. */
+    /** Returns the listening address as {@code host:port}. */
     String address() {
-        return door.text();
+        return endpoint.text();
     }
 
-    /** Takes the run of a request out of the book; null where it did not run. */
-    Run take(long request) {
-        return ended.remove(request);
+    /** Removes and returns the record of a request's run; null if the request did not run. */
+    Run removeRun(long request) {
+        return endedRuns.remove(request);
     }
 
-    /** How many runs go on. */
     int running() {
-        return runningNow;
+        return runningCount;
     }
 
-    /** Begins to measure anew how long a server takes from the end of a run to the start of another one. */
+    /** Discards the measured dispatch times. */
     void beginDispatches() {
         group.next().submit(() -> dispatches = newHistogram()).syncUninterruptibly();
     }
 
-    /** Microseconds from the last end of a run before the start of each run to that start. */
+    /** Returns the microseconds from the last end of a run to the start of the next run. */
     Histogram dispatches() {
         return group.next()
                 .submit(() -> dispatches.copy())
@@ -78,7 +76,7 @@
     }
 
     private static Histogram newHistogram() {
-        return new Histogram(1, LONGEST_MICROS, 3);
+        return new Histogram(1, MAX_MICROS, 3);
     }
 
     @Override
@@ -86,46 +84,46 @@
         group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
 
-    /** The link of the server. */
+    /** The connection from the server, used on the event loop only. */
     private final class Link extends SimpleChannelInboundHandler<String> {
         private long notices;
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, String line) {
-            long now = System.nanoTime();
+            long receivedNanos = System.nanoTime();
             JSONObject command = new JSONObject(line);
             String job = command.optString("job");
             switch (command.getString("type")) {
                 case "OPEN" ->
-                    say(
+                    send(
                             context,
                             new JSONObject()
                                     .put("type", "BOOTED")
                                     .put("state", "WARM")
                                     .put("took", 20_000));
-                case "SYSINFO" -> say(context, gauges().put("ref", command.get("ref")));
-                case "SCHED" -> begin(context, job, command.getString("data"), now);
-                case "PREEMPT" -> say(context, notice("REAP", job).put("state", "STOPPED"));
+                case "SYSINFO" -> send(context, gauges().put("ref", command.get("ref")));
+                case "SCHED" -> begin(context, job, command.getString("data"), receivedNanos);
+                case "PREEMPT" -> send(context, notice("REAP", job).put("state", "STOPPED"));
                 default -> throw new IllegalStateException(line);
             }
         }
 
-        private void begin(ChannelHandlerContext context, String job, String data, long now) {
+        private void begin(ChannelHandlerContext context, String job, String data, long beganNanos) {
             long request = Long.parseLong(new String(Base64.getDecoder().decode(data), StandardCharsets.US_ASCII));
-            if (lastEnd != 0) {
-                dispatches.recordValue(Math.max(1, (now - lastEnd) / 1_000));
+            if (lastEndNanos != 0) {
+                dispatches.recordValue(Math.max(1, (beganNanos - lastEndNanos) / 1_000));
             }
-            running.put(job, new Running(request, now));
-            runningNow = running.size();
+            running.put(job, new Running(request, beganNanos));
+            runningCount = running.size();
             context.executor().schedule(() -> end(context, job), runMicros, TimeUnit.MICROSECONDS);
         }
 
         private void end(ChannelHandlerContext context, String job) {
             Running run = running.remove(job);
-            runningNow = running.size();
-            lastEnd = System.nanoTime();
-            ended.put(run.request, new Run(run.began, lastEnd));
-            say(
+            runningCount = running.size();
+            lastEndNanos = System.nanoTime();
+            endedRuns.put(run.request, new Run(run.beganNanos, lastEndNanos));
+            send(
                     context,
                     notice("REAP", job)
                             .put("state", "OK")
@@ -134,22 +132,24 @@
         }
 
         private JSONObject gauges() {
-            int busy = running.size();
-            double use = Math.min(1.0, busy / (double) CORES);
-            return new JSONObject().put("type", "INFO").put("gauges", List.of(use, busy, HEAP_SHARE, CONNECTIONS));
+            int runningRuns = running.size();
+            double use = Math.min(1.0, runningRuns / (double) CORES);
+            return new JSONObject()
+                    .put("type", "INFO")
+                    .put("gauges", List.of(use, runningRuns, HEAP_SHARE, CONNECTIONS));
         }
 
         private JSONObject notice(String type, String job) {
             return new JSONObject().put("type", type).put("n", ++notices).put("job", job);
         }
 
-        private void say(ChannelHandlerContext context, JSONObject message) {
+        private void send(ChannelHandlerContext context, JSONObject message) {
             context.writeAndFlush(message + "\n");
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            context.close(); // a server that was ended outright resets its link
+            context.close(); // a killed server resets its connection
         }
     }
 }
--- a/lab/src/main/java/wheatspread/lab/settings/UwsgiWire.java
+++ b/lab/src/main/java/wheatspread/lab/settings/UwsgiWire.java
@@ -12,15 +12,15 @@
 import wheatspread.uwsgi.UwsgiEncoder;
 import wheatspread.uwsgi.UwsgiPacket;
 
-/** The uwsgi front: packets of vars with a body behind them, answered in their order as HTTP. */
+/** Encodes requests for the uwsgi front as vars and a body; answers are HTTP and follow the requests' order. */
 final class UwsgiWire implements LoadClients.Wire {
-    private static final int LONGEST_ANSWER = 1 << 16;
-    private static final int OK = 200;
-    private static final int UNAVAILABLE = 503;
+    private static final int MAX_ANSWER_BYTES = 1 << 16;
+    private static final int OK_STATUS = 200;
+    private static final int UNAVAILABLE_STATUS = 503;
 
     @Override
     public void decodeInto(Channel channel) {
-        channel.pipeline().addLast(new HttpResponseDecoder(), new HttpObjectAggregator(LONGEST_ANSWER));
+        channel.pipeline().addLast(new HttpResponseDecoder(), new HttpObjectAggregator(MAX_ANSWER_BYTES));
     }
 
     @Override
@@ -28,7 +28,7 @@
         return packet(Map.of("PATH_INFO", SettingsFiles.HEALTH_PATH));
     }
 
-    /** The class comes from the route, as an operator's file has it, and the rest from the request. */
+    /** The route in the operator's file sets the request class; the vars set the rest. */
     @Override
     public ByteBuf encode(LoadClients.Request request) {
         String number = Long.toString(request.number());
@@ -42,21 +42,21 @@
     }
 
     private static ByteBuf packet(Map<String, String> vars) {
-        ByteBuf out = Unpooled.buffer();
-        UwsgiEncoder.write(new UwsgiPacket(UwsgiPacket.REQUEST_MODIFIER, 0, vars), out);
-        return out;
+        ByteBuf packet = Unpooled.buffer();
+        UwsgiEncoder.write(new UwsgiPacket(UwsgiPacket.REQUEST_MODIFIER, 0, vars), packet);
+        return packet;
     }
 
     @Override
-    public long answers(Object message) {
+    public long requestNumber(Object message) {
         return 0;
     }
 
     @Override
     public LoadClients.Outcome outcome(Object message) {
         int status = ((FullHttpResponse) message).status().code();
-        return status == OK
+        return status == OK_STATUS
                 ? LoadClients.Outcome.SERVED
-                : status == UNAVAILABLE ? LoadClients.Outcome.REFUSED : LoadClients.Outcome.FAILED;
+                : status == UNAVAILABLE_STATUS ? LoadClients.Outcome.REFUSED : LoadClients.Outcome.FAILED;
     }
 }
--- a/lab/src/main/java/wheatspread/lab/settings/WakeProbe.java
+++ b/lab/src/main/java/wheatspread/lab/settings/WakeProbe.java
@@ -5,13 +5,13 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures how late a thread of the measuring process wakes: what the machine adds to every measured time by itself,
- * when other work competes for its cores.
+ * Measures how late a thread of the measuring process wakes. The machine adds this delay to every measured time when
+ * other work competes for its cores.
  */
 final class WakeProbe implements AutoCloseable {
-    private static final long EVERY_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
+    private static final long INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
-    private final Histogram late = new Histogram(1, TimeUnit.MINUTES.toMicros(1), 3);
+    private final Histogram lateness = new Histogram(1, TimeUnit.MINUTES.toMicros(1), 3);
     private volatile boolean closed;
 
     WakeProbe() {
@@ -22,19 +22,19 @@
 
     private void run() {
         while (!closed) {
-            long due = System.nanoTime() + EVERY_NANOS;
-            LockSupport.parkNanos(EVERY_NANOS);
-            record((System.nanoTime() - due) / 1_000);
+            long dueNanos = System.nanoTime() + INTERVAL_NANOS;
+            LockSupport.parkNanos(INTERVAL_NANOS);
+            record((System.nanoTime() - dueNanos) / 1_000);
         }
     }
 
     private synchronized void record(long micros) {
-        late.recordValue(Math.max(1, micros));
+        lateness.recordValue(Math.max(1, micros));
     }
 
-    /** A quantile of the lateness, in milliseconds. */
+    /** Returns a quantile of the lateness, in milliseconds. */
     synchronized double millis(double percent) {
-        return late.getValueAtPercentile(percent) / 1e3;
+        return lateness.getValueAtPercentile(percent) / 1e3;
     }
 
     @Override
--- a/lab/src/test/java/wheatspread/lab/settings/ServerMeasurementTest.java
+++ b/lab/src/test/java/wheatspread/lab/settings/ServerMeasurementTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Timeout;
 import wheatspread.lab.Sites;
 
-/** One real process of some size, measured and judged. */
+/** Measures real server processes of small sizes and checks the figures. */
 class ServerMeasurementTest {
     private static final String JAVA =
             Path.of(System.getProperty("java.home"), "bin", "java").toString();
@@ -25,8 +25,8 @@
 
     @Test
     @Timeout(60)
-    void countsEveryReloadAndRefusesAWrongFile() throws Exception {
-        JSONObject figures = new ServerMeasurement(SERVE, LOAD).ofTenants(200, 20);
+    void countsEveryReloadAndRefusesInvalidFile() throws Exception {
+        JSONObject figures = new ServerMeasurement(SERVE, LOAD).measureTenants(200, 20);
         assertThat(figures.getJSONArray("faults").toList()).isEmpty();
         assertThat(figures.optQuery("/start/started")).isEqualTo(true);
         assertThat(figures.optQuery("/reload/one_by_one/taken")).isEqualTo(2L);
@@ -42,8 +42,8 @@
 
     @Test
     @Timeout(60)
-    void asksEveryRouteOfTheUwsgiFront() throws Exception {
-        JSONObject figures = new ServerMeasurement(SERVE, LOAD).ofRoutes(200, 20);
+    void measuresDelayOnUwsgiFront() throws Exception {
+        JSONObject figures = new ServerMeasurement(SERVE, LOAD).measureRoutes(200, 20);
         assertThat(figures.getJSONArray("faults").toList()).isEmpty();
         assertThat(figures.optQuery("/delay/failed")).isEqualTo(0L);
         assertThat(((Number) figures.optQuery("/delay/served")).longValue()).isPositive();
@@ -51,8 +51,8 @@
 
     @Test
     @Timeout(60)
-    void tellsOfAServerThatDoesNotStart() throws Exception {
-        JSONObject figures = new ServerMeasurement(List.of(JAVA, "-cp", ".", "NoServer"), LOAD).ofTenants(1, 1);
+    void reportsExitCodeOfServerThatDoesNotStart() throws Exception {
+        JSONObject figures = new ServerMeasurement(List.of(JAVA, "-cp", ".", "NoServer"), LOAD).measureTenants(1, 1);
         assertThat(figures.optQuery("/start/started")).isEqualTo(false);
         assertThat(figures.optQuery("/start/seconds")).isNull();
         assertThat(figures.optQuery("/start/exit_code")).isEqualTo(1);
@@ -60,16 +60,16 @@
     }
 
     @Test
-    void judgesAnswersThatAreLateOrLost() {
+    void countsLateAndMissingAnswers() {
         Sites.Kind kind = Sites.KINDS.get(0);
-        long limit = kind.deadline() * 1_000_000L;
+        long deadlineNanos = kind.deadline() * 1_000_000L;
         AnswerTimes times = new AnswerTimes();
         for (int i = 0; i < 3; i++) {
-            times.asked();
+            times.recordRequest();
         }
-        times.answered(0, 1_000_000, kind, LoadClients.Outcome.SERVED, new TimedKernel.Run(200_000, 700_000));
+        times.recordAnswer(0, 1_000_000, kind, LoadClients.Outcome.SERVED, new TimedKernel.Run(200_000, 700_000));
         assertThat(times.addedMillis(50)).isBetween(0.499, 0.501);
-        times.answered(0, limit + 100_000_000, kind, LoadClients.Outcome.REFUSED, null);
+        times.recordAnswer(0, deadlineNanos + 100_000_000, kind, LoadClients.Outcome.REFUSED, null);
         assertThat(times.lateOrLost()).isEqualTo(2);
     }
 }
