--- a/lab/src/main/java/wheatspread/lab/BenchCommand.java
+++ b/lab/src/main/java/wheatspread/lab/BenchCommand.java
@@ -11,8 +11,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import wheatspread.lab.bench.Measured;
-import wheatspread.lab.bench.MeasuredSeries;
+import wheatspread.lab.bench.BenchmarkResult;
+import wheatspread.lab.bench.BenchmarkSeries;
 import wheatspread.lab.report.Report;
 
 /** JMH over the structures made for the job, beside plain ones. */
@@ -41,11 +41,11 @@
                 .measurementTime(TimeValue.milliseconds(millis))
                 .addProfiler(GCProfiler.class)
                 .build();
-        List<Measured> results =
-                new Runner(options).run().stream().map(Measured::of).toList();
+        List<BenchmarkResult> results =
+                new Runner(options).run().stream().map(BenchmarkResult::of).toList();
         Report report = new Report(name);
         results.forEach(result -> report.put(result.part(), result.figures()));
-        MeasuredSeries.of(results).forEach(report::add);
+        BenchmarkSeries.of(results).forEach(report::add);
         report.write(out);
         return 0;
     }
--- a/lab/src/main/java/wheatspread/lab/FleetMeasurementCommand.java
+++ b/lab/src/main/java/wheatspread/lab/FleetMeasurementCommand.java
@@ -78,7 +78,7 @@
             System.out.println(part + " " + figures);
         }
         report.write(out);
-        Report.lines(
+        Report.writeLineChart(
                 out.resolve(name + ".png"),
                 "Worth served in the wanted time, by second of asking",
                 "seconds",
--- a/lab/src/main/java/wheatspread/lab/IdleCommand.java
+++ b/lab/src/main/java/wheatspread/lab/IdleCommand.java
@@ -105,7 +105,7 @@
                 series.put(part, bars);
             }
         }
-        Report.bars(
+        Report.writeBarChart(
                 out.resolve("idle-connections.png"),
                 idle + " idle connections beside " + (int) rate + " requests a second on one core",
                 "",
--- a/lab/src/main/java/wheatspread/lab/Lab.java
+++ b/lab/src/main/java/wheatspread/lab/Lab.java
@@ -12,7 +12,7 @@
         synopsisSubcommandLabel = "COMMAND",
         subcommands = {
             IdleCommand.class,
-            CrowdCommand.class,
+            ConnectionsCommand.class,
             BenchCommand.class,
             DemoCommand.class,
             FleetMeasurementCommand.class,
--- a/lab/src/main/java/wheatspread/lab/StoreMeasurementCommand.java
+++ b/lab/src/main/java/wheatspread/lab/StoreMeasurementCommand.java
@@ -103,7 +103,8 @@
             }
             TemporaryFolders.delete(folder);
         }
-        Report.bars(out.resolve("store-writes.png"), "Durable writes a second", "log10 of writes a second", bars);
+        Report.writeBarChart(
+                out.resolve("store-writes.png"), "Durable writes a second", "log10 of writes a second", bars);
     }
 
     private static long heap() {
@@ -169,7 +170,7 @@
             lines.get("without, ms")[i] = without.getDouble("ms");
             lines.get("heap, MB")[i] = with.getDouble("heap_bytes_per_key") * size / 1e6;
         }
-        Report.lines(
+        Report.writeLineChart(
                 out.resolve("store-recovery.png"), "Opening a store", "keys, in tenths of " + keys, "ms, MB", lines);
     }
 
--- a/lab/src/main/java/wheatspread/lab/bench/Measured.java
+++ b/lab/src/main/java/wheatspread/lab/bench/BenchmarkResult.java
@@ -11,41 +11,41 @@
 import org.openjdk.jmh.results.RunResult;
 
 /**
- * One result of JMH, by the names under which a report holds it.
+ * A result of JMH, with the names that a report gives it.
  *
  * @param benchmark class and method, such as {@code RoutesBenchmark.find}
- * @param params the values of the benchmark's params by their names
- * @param score the time of an operation
+ * @param params values of the benchmark's params by name
+ * @param score time of an operation, in {@code unit}
  * @param error half the width of the score's confidence interval
- * @param unit of the score, such as {@code ns/op}
- * @param bytesPerOperation what an operation allocates; NaN where it was not measured
+ * @param unit unit of the score, such as {@code ns/op}
+ * @param bytesPerOperation bytes that an operation allocates; NaN if not measured
  */
-public record Measured(
+public record BenchmarkResult(
         String benchmark,
         Map<String, String> params,
         double score,
         double error,
         String unit,
         double bytesPerOperation) {
-    private static final String ALLOCATION = "gc.alloc.rate.norm";
+    private static final String ALLOCATION_METRIC = "gc.alloc.rate.norm";
 
-    public Measured {
+    public BenchmarkResult {
         params = new TreeMap<>(params);
     }
 
-    /** What JMH measured. */
-    public static Measured of(RunResult result) {
-        BenchmarkParams told = result.getParams();
+    /** Converts a result of JMH. */
+    public static BenchmarkResult of(RunResult result) {
+        BenchmarkParams benchmarkParams = result.getParams();
         Map<String, String> params = new LinkedHashMap<>();
-        told.getParamsKeys().forEach(key -> params.put(key, told.getParam(key)));
+        benchmarkParams.getParamsKeys().forEach(key -> params.put(key, benchmarkParams.getParam(key)));
         Result<?> primary = result.getPrimaryResult();
         double bytes = result.getSecondaryResults().keySet().stream()
-                .filter(key -> key.endsWith(ALLOCATION))
+                .filter(key -> key.endsWith(ALLOCATION_METRIC))
                 .mapToDouble(key -> result.getSecondaryResults().get(key).getScore())
                 .findFirst()
                 .orElse(Double.NaN);
-        return new Measured(
-                told.getBenchmark().replaceAll(".*\\.(\\w+\\.\\w+)$", "$1"),
+        return new BenchmarkResult(
+                benchmarkParams.getBenchmark().replaceAll(".*\\.(\\w+\\.\\w+)$", "$1"),
                 params,
                 primary.getScore(),
                 primary.getScoreError(),
@@ -53,7 +53,7 @@
                 bytes);
     }
 
-    /** The name of its part: an only param stands as its bare value, several as {@code name=value}. */
+    /** Returns the name of the report's part; a single param is named by its value, several by {@code name=value}. */
     public String part() {
         Collection<String> values = params.values();
         if (params.size() == 1) {
@@ -62,15 +62,15 @@
         return benchmark + paramsWithout("");
     }
 
-    /** The params but one as {@code name=value}, each after a blank. */
-    String paramsWithout(String left) {
+    /** Returns the params except {@code omitted} as {@code name=value}, each after a space. */
+    String paramsWithout(String omitted) {
         return params.entrySet().stream()
-                .filter(entry -> !entry.getKey().equals(left))
+                .filter(entry -> !entry.getKey().equals(omitted))
                 .map(entry -> " " + entry.getKey() + "=" + entry.getValue())
                 .collect(Collectors.joining());
     }
 
-    /** Its figures as a report holds them. */
+    /** Returns the figures of the report's part. */
     public JSONObject figures() {
         JSONObject figures = new JSONObject().put("score", score).put("unit", unit);
         if (Double.isFinite(error)) {
--- a/lab/src/main/java/wheatspread/lab/bench/ConnectionsBenchmark.java
+++ b/lab/src/main/java/wheatspread/lab/bench/ConnectionsBenchmark.java
@@ -22,32 +22,33 @@
 import wheatspread.connections.ConnectionTable;
 
 /**
- * One connection of {@code size} is used and comes to rest again, and time is looked at (ten times a second
- * with a sweep); and one more comes to a full server, so that another has to make room.
+ * Measures a connection table of {@code size} connections against plain structures in three cases: a connection is
+ * used and becomes idle again; the table is checked for expired connections (a scan would run ten times a second);
+ * and a connection is accepted at a full server, so that another is evicted.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
 public class ConnectionsBenchmark {
-    private static final long IDLE = 60_000_000;
+    private static final long IDLE_TIMEOUT_MICROS = 60_000_000;
 
     @Param({"1000", "10000", "100000"})
     private int size;
 
-    private long now;
-    private int at;
+    private long nowMicros;
+    private int position;
     private ConnectionTable table;
     private Connection[] nodes;
-    private Set<Plain> set;
-    private Plain[] plain;
-    private PriorityQueue<Plain> heap;
+    private Set<PlainConnection> set;
+    private PlainConnection[] plain;
+    private PriorityQueue<PlainConnection> heap;
 
-    private static final class Plain {
-        private long usedAt;
-        private long deadline;
+    private static final class PlainConnection {
+        private long usedAtMicros;
+        private long deadlineMicros;
     }
 
-    private static final class Nobody implements ConnectionActions {
+    private static final class NoActions implements ConnectionActions {
         @Override
         public void notifyDraining() {}
 
@@ -73,108 +74,108 @@
         }
     }
 
-    /** Fills all alike: everybody rests, from a hundred sources. */
+    /** Fills all structures with the same idle connections from a hundred source addresses. */
     @Setup(Level.Iteration)
     public void fill() {
-        now = 1_000_000;
-        ConnectionLimits usual = ConnectionLimits.defaults(size);
+        nowMicros = 1_000_000;
+        ConnectionLimits defaults = ConnectionLimits.defaults(size);
         table = new ConnectionTable(
                 new ConnectionLimits(
                         size,
                         0,
                         0,
                         1_000,
-                        usual.firstByteTimeoutMicros(),
-                        usual.messageTimeoutMicros(),
-                        IDLE,
-                        usual.lingerTimeoutMicros(),
-                        usual.evictionGraceMicros(),
-                        usual.maxPartialBytes(),
-                        usual.maxPendingWriteBytes(),
-                        usual.rejection()),
-                now,
+                        defaults.firstByteTimeoutMicros(),
+                        defaults.messageTimeoutMicros(),
+                        IDLE_TIMEOUT_MICROS,
+                        defaults.lingerTimeoutMicros(),
+                        defaults.evictionGraceMicros(),
+                        defaults.maxPartialBytes(),
+                        defaults.maxPendingWriteBytes(),
+                        defaults.rejection()),
+                nowMicros,
                 () -> {});
         nodes = new Connection[size];
-        plain = new Plain[size];
+        plain = new PlainConnection[size];
         set = new LinkedHashSet<>();
-        heap = new PriorityQueue<>(Comparator.comparingLong(p -> p.deadline));
+        heap = new PriorityQueue<>(Comparator.comparingLong(p -> p.deadlineMicros));
         for (int i = 0; i < size; i++) {
-            nodes[i] = table.admit(new Nobody(), i % 100, now);
-            table.read(nodes[i], now, true, 0, 0);
-            plain[i] = new Plain();
-            plain[i].usedAt = now;
-            plain[i].deadline = now + IDLE;
+            nodes[i] = table.admit(new NoActions(), i % 100, nowMicros);
+            table.read(nodes[i], nowMicros, true, 0, 0);
+            plain[i] = new PlainConnection();
+            plain[i].usedAtMicros = nowMicros;
+            plain[i].deadlineMicros = nowMicros + IDLE_TIMEOUT_MICROS;
             set.add(plain[i]);
             heap.add(plain[i]);
         }
     }
 
     private int step() {
-        now += 100;
-        at = at + 1 == size ? 0 : at + 1;
-        return at;
+        nowMicros += 100;
+        position = position + 1 == size ? 0 : position + 1;
+        return position;
     }
 
-    /** A connection is read, answered and comes to rest again. */
+    /** A connection is read and answered, and becomes idle again. */
     @Benchmark
     public long useWithLists() {
         Connection c = nodes[step()];
-        table.read(c, now, true, 1, 0);
-        table.answered(c, now, 0);
+        table.read(c, nowMicros, true, 1, 0);
+        table.answered(c, nowMicros, 0);
         return table.nextExpiryMicros();
     }
 
-    /** The timer is cancelled and set again, as Netty's heap would. */
+    /** The idle timer is cancelled and set again, as in Netty's heap of scheduled tasks. */
     @Benchmark
     public long useWithAHeapOfTimers() {
-        Plain c = plain[step()];
-        c.usedAt = now;
-        Plain again = new Plain();
-        again.deadline = now + IDLE;
-        heap.add(again);
+        PlainConnection c = plain[step()];
+        c.usedAtMicros = nowMicros;
+        PlainConnection renewed = new PlainConnection();
+        renewed.deadlineMicros = nowMicros + IDLE_TIMEOUT_MICROS;
+        heap.add(renewed);
         while (heap.size() > 2 * size) {
             heap.poll();
         }
-        return heap.peek().deadline;
+        return heap.peek().deadlineMicros;
     }
 
-    /** What a look at the time costs with lists. */
+    /** Checks for expired connections in the table's lists. */
     @Benchmark
     public int lookWithLists() {
-        return table.expire(now, 32);
+        return table.expire(nowMicros, 32);
     }
 
-    /** What a look at the time costs with a copy and a walk, as it was. */
+    /** Checks for expired connections with a copy and a scan of all connections. */
     @Benchmark
     public long lookWithAScan() {
         long oldest = Long.MAX_VALUE;
-        List<Plain> copy = new ArrayList<>(set);
-        for (Plain one : copy) {
-            oldest = Math.min(oldest, one.usedAt);
+        List<PlainConnection> copy = new ArrayList<>(set);
+        for (PlainConnection connection : copy) {
+            oldest = Math.min(oldest, connection.usedAtMicros);
         }
         return oldest;
     }
 
-    /** A full table evicts a connection, found by its lists. */
+    /** A full table evicts a connection found by its lists. */
     @Benchmark
     public Object makeRoomWithLists() {
-        now += 100;
-        Connection c = table.admit(new Nobody(), at++ % 100, now);
-        table.read(c, now, true, 0, 0);
+        nowMicros += 100;
+        Connection c = table.admit(new NoActions(), position++ % 100, nowMicros);
+        table.read(c, nowMicros, true, 0, 0);
         return c;
     }
 
-    /** A full table evicts a connection, found by a walk over all. */
+    /** A full table evicts the connection that was idle longest, found by a scan of all connections. */
     @Benchmark
     public Object makeRoomWithAScan() {
-        now += 100;
-        Plain least = set.stream()
-                .min(Comparator.comparingLong((Plain p) -> p.usedAt))
+        nowMicros += 100;
+        PlainConnection longestIdle = set.stream()
+                .min(Comparator.comparingLong((PlainConnection p) -> p.usedAtMicros))
                 .orElseThrow();
-        set.remove(least);
-        Plain more = new Plain();
-        more.usedAt = now;
-        set.add(more);
-        return more;
+        set.remove(longestIdle);
+        PlainConnection added = new PlainConnection();
+        added.usedAtMicros = nowMicros;
+        set.add(added);
+        return added;
     }
 }
--- a/lab/src/main/java/wheatspread/lab/bench/DecisionBenchmark.java
+++ b/lab/src/main/java/wheatspread/lab/bench/DecisionBenchmark.java
@@ -30,31 +30,31 @@
 import wheatspread.admission.sfq.SfqAdmissionController;
 
 /**
- * What a decision costs while {@code held} requests wait, by how many tenants there are. The requests are held by
- * {@code heldBy} tenants spread evenly over all; with {@code all}, requests come from all tenants in turn. Every
- * tenant has asked before. The clock goes on by 0.1 ms with each decision.
+ * Measures a decision of the admission controller while {@code held} requests are held, by the number of tenants. The
+ * held requests belong to {@code heldBy} tenants spread evenly over all; with {@code all}, requests arrive from all
+ * tenants in turn. Every tenant has sent a request before. The clock advances by 0.1 ms with each decision.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
 public class DecisionBenchmark {
-    private static final String ALL = "all";
+    private static final String ALL_TENANTS = "all";
     private static final int CORES = 2;
-    private static final double HELD_KB = 20;
+    private static final double REQUEST_KB = 20;
     private static final double RUN_FACTOR = 4;
-    /** Share of the memory above which the module pushes held requests out. */
-    private static final double FULL = 0.95;
+    /** Share of the memory above which the controller evicts held requests. */
+    private static final double EVICTION_SHARE = 0.95;
 
-    private static final double AMPLE_KB = 1e9;
-    /** No request becomes due while the benchmark runs; us. */
-    private static final long FAR_AHEAD = 1_000_000_000_000_000L;
+    private static final double AMPLE_MEMORY_KB = 1e9;
+    /** A deadline that no request reaches while the benchmark runs. */
+    private static final long DEADLINE_MICROS = 1_000_000_000_000_000L;
 
-    private static final long STEP = 100;
-    private static final long RUN_TIME = 5_000;
-    /** More than the time between two looks of the module at its gauges; us. */
-    private static final long TICKS_PAST = 200_000;
+    private static final long STEP_MICROS = 100;
+    private static final long RUN_MICROS = 5_000;
+    /** Longer than the interval between two reads of the gauges. */
+    private static final long GAUGE_INTERVAL_MICROS = 200_000;
 
-    private static final int RUNS_LEARNED = 100;
+    private static final int LEARNING_RUNS = 100;
 
     @Param({"10", "1000", "10000", "100000"})
     private int tenants;
@@ -62,7 +62,7 @@
     @Param({"10", "500"})
     private int held;
 
-    @Param({"2", "10", ALL})
+    @Param({"2", "10", ALL_TENANTS})
     private String heldBy;
 
     private final Random random = new Random(1);
@@ -70,29 +70,29 @@
     private Server accepting;
     private Server full;
 
-    /** One module and the requests it runs. */
+    /** An admission controller with its running requests. */
     private final class Server implements AdmissionController.Actions {
         private final ArrayDeque<Long> running = new ArrayDeque<>();
-        private final int holders = heldBy.equals(ALL) ? tenants : Math.min(Integer.parseInt(heldBy), tenants);
-        private final SfqAdmissionController choice;
-        private long now;
+        private final int holders = heldBy.equals(ALL_TENANTS) ? tenants : Math.min(Integer.parseInt(heldBy), tenants);
+        private final SfqAdmissionController controller;
+        private long nowMicros;
         private long lastId;
         private long arrivals;
-        private long refusals;
+        private long rejections;
 
         Server(double memoryKb) {
-            choice = new SfqAdmissionController(settings(memoryKb), 1);
+            controller = new SfqAdmissionController(settings(memoryKb), 1);
             for (int tenant = 0; tenant < tenants; tenant++) {
                 arrive(tenant);
-                choice.onCancellation(lastId);
+                controller.onCancellation(lastId);
             }
-            for (int run = 0; run < RUNS_LEARNED; run++) {
+            for (int run = 0; run < LEARNING_RUNS; run++) {
                 arrive();
                 decide();
                 complete();
                 decide();
             }
-            now += TICKS_PAST;
+            nowMicros += GAUGE_INTERVAL_MICROS;
             for (int run = 0; run < CORES; run++) {
                 arrive();
                 decide();
@@ -111,22 +111,24 @@
 
         private void arrive(int tenant) {
             double hint = hints[(int) (++lastId & hints.length - 1)];
-            choice.onArrival(new AdmissionRequest(lastId, tenant, 0, 0, 0, 0, false, false, false, HELD_KB, hint));
+            controller.onArrival(
+                    new AdmissionRequest(lastId, tenant, 0, 0, 0, 0, false, false, false, REQUEST_KB, hint));
         }
 
         private void complete() {
-            choice.onCompletion(running.poll(), Outcome.OK, RUN_TIME);
+            controller.onCompletion(running.poll(), Outcome.OK, RUN_MICROS);
         }
 
         private void decide() {
-            choice.decide(this);
-            now += STEP;
-            choice.beginBatch(now);
+            controller.decide(this);
+            nowMicros += STEP_MICROS;
+            controller.beginBatch(nowMicros);
         }
 
-        private void check(long expectedRefusals) {
-            if (running.size() != CORES || refusals != expectedRefusals) {
-                throw new IllegalStateException(running.size() + " run, " + refusals + " were refused of " + arrivals);
+        private void check(long expectedRejections) {
+            if (running.size() != CORES || rejections != expectedRejections) {
+                throw new IllegalStateException(running.size() + " requests run and " + rejections + " of " + arrivals
+                        + " were rejected; expected " + CORES + " and " + expectedRejections);
             }
         }
 
@@ -136,8 +138,8 @@
         }
 
         @Override
-        public void reject(long id, long stayAway, boolean dontRetry) {
-            refusals++;
+        public void reject(long id, long retryAfterMicros, boolean doNotRetry) {
+            rejections++;
         }
 
         @Override
@@ -147,13 +149,13 @@
         public void preempt(long id) {}
 
         @Override
-        public void callDependency(long id, long giveUpAfter) {}
+        public void callDependency(long id, long timeoutMicros) {}
 
         @Override
         public void skipDependency(long id) {}
 
         @Override
-        public void retainKey(long id, long ttl) {}
+        public void retainKey(long id, long ttlMicros) {}
 
         @Override
         public void releaseKey(long id) {}
@@ -162,16 +164,16 @@
         public void joinResult(long id) {}
 
         @Override
-        public void setHealth(boolean good, boolean stored) {}
+        public void setHealth(boolean healthy, boolean stored) {}
 
         @Override
         public void setLoadFeedback(double value) {}
 
         @Override
-        public void setIdleTimeout(long after) {}
+        public void setIdleTimeout(long timeoutMicros) {}
 
         @Override
-        public void scheduleWakeup(long after) {}
+        public void scheduleWakeup(long delayMicros) {}
 
         @Override
         public void log(String text) {}
@@ -188,26 +190,27 @@
                 new ServerLimits(memoryKb, RUN_FACTOR, 1, 5, 1, 0, 0, 0),
                 new DependencyLimits(DependencyKind.NONE, 0, 0, 0),
                 new ClientSettings(1, LoadFeedbackMode.NONE, 0, 0, false, 0, 0, 0),
-                List.of(new RequestClass(FAR_AHEAD, 0, FAR_AHEAD, Idempotency.IDEMPOTENT, 1, 0, 0, false, 0)),
+                List.of(new RequestClass(
+                        DEADLINE_MICROS, 0, DEADLINE_MICROS, Idempotency.IDEMPOTENT, 1, 0, 0, false, 0)),
                 Collections.nCopies(tenants, new Tenant(1)));
     }
 
-    /** Fills two servers: one with ample memory, and one whose memory just holds what is held. */
+    /** Fills two servers, one with ample memory and one whose memory just suffices for the held requests. */
     @Setup
     public void fill() {
-        accepting = new Server(AMPLE_KB);
-        double used = HELD_KB * (held + CORES * RUN_FACTOR);
-        full = new Server((used + HELD_KB / 2) / FULL);
+        accepting = new Server(AMPLE_MEMORY_KB);
+        double used = REQUEST_KB * (held + CORES * RUN_FACTOR);
+        full = new Server((used + REQUEST_KB / 2) / EVICTION_SHARE);
     }
 
-    /** The load stayed as it is described. */
+    /** Checks that the load stayed as described. */
     @TearDown
     public void check() {
         accepting.check(0);
         full.check(full.arrivals / 2);
     }
 
-    /** A run ends, a request arrives and is held, and a held one is dispatched. */
+    /** A run ends, a request arrives and is held, and a held request is dispatched. */
     @Benchmark
     public long dispatch() {
         accepting.complete();
@@ -216,13 +219,13 @@
         return accepting.lastId;
     }
 
-    /** A run ends at a full server and two requests arrive: one held is dispatched, one is refused. */
+    /** A run ends at a full server and two requests arrive: a held request is dispatched, and one is rejected. */
     @Benchmark
     public long dispatchAndRefuse() {
         full.complete();
         full.arrive();
         full.arrive();
         full.decide();
-        return full.refusals;
+        return full.rejections;
     }
 }
--- a/lab/src/main/java/wheatspread/lab/bench/RoutesBenchmark.java
+++ b/lab/src/main/java/wheatspread/lab/bench/RoutesBenchmark.java
@@ -19,17 +19,17 @@
 import wheatspread.config.UwsgiConfig.Route;
 import wheatspread.lab.settings.SettingsFiles;
 
-/** The route of a path is found among {@code routes}, as for every request of the uwsgi front. */
+/** Measures finding the route of a path among {@code routes}, as the uwsgi front does for every request. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
 public class RoutesBenchmark {
-    private static final Defaults NONE = new Defaults(-1, -1, 0, 0, 24);
+    private static final Defaults NO_ROUTE = new Defaults(-1, -1, 0, 0, 24);
     private static final MethodHandle CONSTRUCTOR;
     private static final MethodHandle FIND;
 
     static {
-        // the class that finds routes is not public
+        // the route table is package-private in the server
         try {
             Class<?> routes = Class.forName("wheatspread.uwsgi.Routes");
             MethodHandles.Lookup lookup = MethodHandles.privateLookupIn(routes, MethodHandles.lookup());
@@ -45,24 +45,24 @@
     @Param({"10", "100", "1000", "16000"})
     private int routes;
 
-    /** How the routes are compared: by the whole path, by its beginning, or every second one by either. */
+    /** The kind of match of the routes: the whole path, a prefix, or the two alternately. */
     @Param({"exact", "prefix", "mixed"})
     private String match;
 
-    /** Which of the routes the path takes. */
+    /** The position in the list of the route that matches. */
     @Param({"first", "middle", "last", "none"})
     private String place;
 
-    private Object all;
+    private Object routeTable;
     private String path;
 
-    /** Makes the routes, and the path that is looked for. */
+    /** Creates the route table and the path to find. */
     @Setup
     public void fill() throws Throwable {
         List<Route> list = IntStream.range(0, routes)
                 .mapToObj(i -> new Route(matchOf(i), SettingsFiles.path(i), null, defaults(i), List.of()))
                 .toList();
-        all = CONSTRUCTOR.invoke(list, NONE);
+        routeTable = CONSTRUCTOR.invoke(list, NO_ROUTE);
         path = switch (place) {
             case "first" -> SettingsFiles.path(0);
             case "middle" -> SettingsFiles.path(routes / 2);
@@ -83,9 +83,9 @@
         return new Defaults(route % 4, -1, 0, 0, 24);
     }
 
-    /** One search. */
+    /** Finds the route of one path. */
     @Benchmark
     public Defaults find() throws Throwable {
-        return (Defaults) FIND.invokeExact(all, path);
+        return (Defaults) FIND.invokeExact(routeTable, path);
     }
 }
--- a/lab/src/main/java/wheatspread/lab/memory/MemoryChannel.java
+++ b/lab/src/main/java/wheatspread/lab/memory/MemoryChannel.java
@@ -15,18 +15,18 @@
 import io.netty.channel.IoRegistration;
 import java.net.SocketAddress;
 
-/** One end of a connection in memory; the other end is whoever says something and hears what is written. */
+/** The server's end of a connection in memory. The peer delivers input and receives the written bytes. */
 final class MemoryChannel extends AbstractChannel {
     private static final ChannelMetadata METADATA = new ChannelMetadata(false, 1);
 
-    /** Who hears what the server writes. */
+    /** Receives the bytes that the server writes; called on the event loop. */
     interface Peer {
-        void hear(MemoryChannel from, ByteBuf bytes);
+        void receive(MemoryChannel from, ByteBuf bytes);
     }
 
     private final ChannelConfig config = new DefaultChannelConfig(this);
     private final Peer peer;
-    private volatile byte[] said;
+    private volatile byte[] input;
     private IoRegistration registration;
     private boolean open = true;
 
@@ -35,11 +35,11 @@
         this.peer = peer;
     }
 
-    /** The peer says something; what it said before must have been read. From any thread. */
-    void say(byte[] bytes) {
-        said = bytes;
-        MemoryTransport.Registration own = registration.attachment();
-        own.ready();
+    /** Delivers input from the peer; the previous input must have been read. May be called from any thread. */
+    void deliver(byte[] bytes) {
+        input = bytes;
+        MemoryTransport.Registration selectorRegistration = registration.attachment();
+        selectorRegistration.markReady();
     }
 
     private final class Unsafe extends AbstractUnsafe implements IoHandle {
@@ -50,9 +50,9 @@
 
         @Override
         public void handle(IoRegistration from, IoEvent event) {
-            byte[] bytes = said;
+            byte[] bytes = input;
             if (bytes != null && open) {
-                said = null;
+                input = null;
                 pipeline().fireChannelRead(Unpooled.copiedBuffer(bytes));
                 pipeline().fireChannelReadComplete();
             }
@@ -85,7 +85,7 @@
     @Override
     protected void doWrite(ChannelOutboundBuffer out) {
         for (Object bytes = out.current(); bytes != null; bytes = out.current()) {
-            peer.hear(this, (ByteBuf) bytes);
+            peer.receive(this, (ByteBuf) bytes);
             out.remove();
         }
     }
@@ -122,7 +122,7 @@
 
     @Override
     protected void doBeginRead() {
-        // what is said is read when the selector tells of it
+        // the selector triggers reads when input is delivered
     }
 
     @Override
--- a/lab/src/main/java/wheatspread/lab/memory/MemoryCrowd.java
+++ b/lab/src/main/java/wheatspread/lab/memory/MemoryConnections.java
@@ -29,11 +29,11 @@
 import wheatspread.transport.EventLoopScheduler;
 import wheatspread.transport.Listener;
 
-/** A crowd on one loop in memory: its heap, its longest turn, and whether all are answered once. */
-public final class MemoryCrowd implements AutoCloseable {
-    private static final long RUN = 15_000;
+/** Measures many in-memory connections on one event loop: their heap, the longest turn, and the number of answers. */
+public final class MemoryConnections implements AutoCloseable {
+    private static final long RUN_MICROS = 15_000;
 
-    private final EventLoopScheduler turns;
+    private final EventLoopScheduler scheduler;
     private final MultiThreadIoEventLoopGroup group;
     private final EventLoop loop;
     private final Clock clock;
@@ -43,61 +43,62 @@
     private final Listener listener;
     private final int count;
 
-    /** Who rests for {@code idle} microseconds is closed in the end. */
-    public MemoryCrowd(int count, IterationBudget limits, long idle) {
+    /** Connections that are idle for {@code idleTimeoutMicros} are closed. */
+    public MemoryConnections(int count, IterationBudget limits, long idleTimeoutMicros) {
         this.count = count;
-        turns = new EventLoopScheduler(new MemoryTransport(), limits, 1, EventLog.NONE);
-        group = new MultiThreadIoEventLoopGroup(1, turns);
+        scheduler = new EventLoopScheduler(new MemoryTransport(), limits, 1, EventLog.NONE);
+        group = new MultiThreadIoEventLoopGroup(1, scheduler);
         loop = group.next();
-        clock = new EventLoopClock(turns);
-        turns.setConnectionClock(clock::nowMicros);
+        clock = new EventLoopClock(scheduler);
+        scheduler.setConnectionClock(clock::nowMicros);
         Core core;
-        try (StandInServices parties = new StandInServices(RUN, RUN)) {
-            ServerConfig config =
-                    ServerConfig.read(JsonFields.of(Sites.config(parties, 1_000).toMap(), ""));
+        try (StandInServices standIns = new StandInServices(RUN_MICROS, RUN_MICROS)) {
+            ServerConfig config = ServerConfig.read(
+                    JsonFields.of(Sites.config(standIns, 1_000).toMap(), ""));
             core = new Core(
                     config.site(),
                     settings -> new SfqAdmissionController(settings, 1),
                     clock,
-                    (job, body, patience, to) -> clock.schedule(RUN, () -> to.onCallEnded(Outcome.OK, body))::cancel,
+                    (job, body, timeoutMicros, listener) ->
+                            clock.schedule(RUN_MICROS, () -> listener.onCallEnded(Outcome.OK, body))::cancel,
                     accepting -> {},
                     EventLog.NONE);
         }
-        core.attachKernel(new Runs(core));
-        ConnectionLimits usual = ConnectionLimits.defaults(count);
-        ConnectionLimits own = new ConnectionLimits(
+        core.attachKernel(new FixedTimeKernel(core));
+        ConnectionLimits defaults = ConnectionLimits.defaults(count);
+        ConnectionLimits connectionLimits = new ConnectionLimits(
                 count,
                 0,
                 0,
                 1_000,
                 60_000_000,
                 60_000_000,
-                idle,
+                idleTimeoutMicros,
                 2_000_000,
-                usual.evictionGraceMicros(),
-                usual.maxPartialBytes(),
-                usual.maxPendingWriteBytes(),
-                usual.rejection());
-        listener = new Listener(loop, turns, clock, new RpcFront(core, clock), own, EventLog.NONE);
+                defaults.evictionGraceMicros(),
+                defaults.maxPartialBytes(),
+                defaults.maxPendingWriteBytes(),
+                defaults.rejection());
+        listener = new Listener(loop, scheduler, clock, new RpcFront(core, clock), connectionLimits, EventLog.NONE);
         loop.submit(() -> core.onBooted(false, 20_000_000)).syncUninterruptibly();
     }
 
-    /** A kernel whose runs all take the same time and ask for no call. */
-    private final class Runs implements Kernel {
-        private final Kernel.Listener to;
+    /** A kernel whose runs all take the same time and make no dependency calls. */
+    private final class FixedTimeKernel implements Kernel {
+        private final Kernel.Listener listener;
 
-        Runs(Kernel.Listener to) {
-            this.to = to;
+        FixedTimeKernel(Kernel.Listener listener) {
+            this.listener = listener;
         }
 
         @Override
         public void run(String job, String kind, byte[] body) {
-            clock.schedule(RUN, () -> to.onRunEnded(job, End.OK, RUN, body));
+            clock.schedule(RUN_MICROS, () -> listener.onRunEnded(job, End.OK, RUN_MICROS, body));
         }
 
         @Override
         public void suspend(String job) {
-            to.onRunEnded(job, End.STOPPED, RUN, null);
+            listener.onRunEnded(job, End.STOPPED, RUN_MICROS, null);
         }
 
         @Override
@@ -107,29 +108,32 @@
 
         @Override
         public void completeDependencyCall(String job, byte[] reply) {
-            throw new IllegalStateException("no run asks for a call");
+            throw new IllegalStateException("unexpected dependency call: runs of this kernel make none");
         }
 
         @Override
         public void skipDependencyCall(String job, long notice) {
-            throw new IllegalStateException("no run asks for a call");
+            throw new IllegalStateException("unexpected dependency call: runs of this kernel make none");
         }
 
         @Override
         public void requestGauges() {
-            to.onGauges(new double[] {0.3, 1, 0.1, 10});
+            listener.onGauges(new double[] {0.3, 1, 0.1, 10});
         }
     }
 
-    /** Opens all, has each speak once, then all at once, then waits until all were idle for too long. */
-    public JSONObject play() throws Exception {
+    /**
+     * Opens the connections, sends a check on each, then a request on all at the same time, and waits until all
+     * connections are closed by the idle timeout.
+     */
+    public JSONObject measure() throws Exception {
         JSONObject figures = new JSONObject().put("count", count);
-        long empty = liveBytes();
+        long emptyHeapBytes = liveBytes();
         for (int i = 0; i < count; i += 500) {
-            int from = i;
-            inLoop(() -> {
-                for (int k = from; k < Math.min(count, from + 500); k++) {
-                    MemoryChannel channel = new MemoryChannel(this::hear);
+            int firstIndex = i;
+            callOnLoop(() -> {
+                for (int k = firstIndex; k < Math.min(count, firstIndex + 500); k++) {
+                    MemoryChannel channel = new MemoryChannel(this::receive);
                     channels.add(channel);
                     listener.accept(channel);
                 }
@@ -139,11 +143,12 @@
         byte[] check = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n".getBytes(StandardCharsets.UTF_8);
         answers.set(0);
         for (int i = 0; i < count; i++) {
-            channels.get(i).say(check);
+            channels.get(i).deliver(check);
         }
         await(() -> answers.get() >= count, 30);
-        figures.put("spoke", answers.get()).put("heap_per_connection", (liveBytes() - empty) / (double) count);
-        TimeUnit.MICROSECONDS.sleep(turns.budget().recentUseMicros() * 6 / 5); // by now they are asleep
+        figures.put("spoke", answers.get()).put("heap_per_connection", (liveBytes() - emptyHeapBytes) / (double) count);
+        // afterwards the connections no longer count as recently used
+        TimeUnit.MICROSECONDS.sleep(scheduler.budget().recentUseMicros() * 6 / 5);
         List<byte[]> requests = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             requests.add(Sites.request(
@@ -156,26 +161,28 @@
         }
         answers.set(0);
         served.set(0);
-        inLoop(() -> turns.times().takeLongestMicros());
-        long began = System.nanoTime();
+        callOnLoop(() -> scheduler.times().takeLongestMicros());
+        long beganNanos = System.nanoTime();
         for (int i = 0; i < count; i++) {
-            channels.get(i).say(requests.get(i));
+            channels.get(i).deliver(requests.get(i));
         }
         await(() -> answers.get() >= count, 30);
         figures.put("burst_answered", answers.get())
                 .put("burst_served", served.get())
-                .put("burst_took_ms", (System.nanoTime() - began) / 1_000_000)
-                .put("burst_longest_turn_us", inLoop(() -> turns.times().takeLongestMicros()));
+                .put("burst_took_ms", (System.nanoTime() - beganNanos) / 1_000_000)
+                .put("burst_longest_turn_us", callOnLoop(() -> scheduler.times().takeLongestMicros()));
         await(() -> listener.table().size() < count, 30);
-        began = System.nanoTime();
+        beganNanos = System.nanoTime();
         await(() -> listener.table().size() == 0, 30);
-        return figures.put("expiry_took_ms", (System.nanoTime() - began) / 1_000_000)
-                .put("expiry_left", (Object) inLoop(() -> listener.table().count(State.IDLE)))
-                .put("expiry_longest_turn_us", inLoop(() -> turns.times().takeLongestMicros()))
-                .put("timers", (Object) inLoop(() -> turns.timerWheel().size()));
+        return figures.put("expiry_took_ms", (System.nanoTime() - beganNanos) / 1_000_000)
+                .put("expiry_left", (Object) callOnLoop(() -> listener.table().count(State.IDLE)))
+                .put(
+                        "expiry_longest_turn_us",
+                        callOnLoop(() -> scheduler.times().takeLongestMicros()))
+                .put("timers", (Object) callOnLoop(() -> scheduler.timerWheel().size()));
     }
 
-    private void hear(MemoryChannel from, ByteBuf bytes) {
+    private void receive(MemoryChannel from, ByteBuf bytes) {
         answers.incrementAndGet();
         if (bytes.indexOf(bytes.readerIndex(), bytes.writerIndex(), (byte) '\n') > 0
                 && bytes.toString(StandardCharsets.UTF_8).contains("\"result\"")) {
@@ -183,13 +190,13 @@
         }
     }
 
-    private <T> T inLoop(Callable<T> what) {
-        return loop.submit(what).syncUninterruptibly().getNow();
+    private <T> T callOnLoop(Callable<T> task) {
+        return loop.submit(task).syncUninterruptibly().getNow();
     }
 
-    private void await(Callable<Boolean> done, int seconds) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
-        while (!inLoop(done) && System.nanoTime() < until) {
+    private void await(Callable<Boolean> condition, int timeoutSeconds) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(timeoutSeconds);
+        while (!callOnLoop(condition) && System.nanoTime() < deadlineNanos) {
             TimeUnit.MILLISECONDS.sleep(2);
         }
     }
--- a/lab/src/main/java/wheatspread/lab/memory/MemoryTransport.java
+++ b/lab/src/main/java/wheatspread/lab/memory/MemoryTransport.java
@@ -18,11 +18,11 @@
 import wheatspread.transport.Transport;
 
 /**
- * A transport whose sockets are queues in memory, for crowds that no process has descriptors for. Like a
- * selector it tells the loop which channels are ready, some thousands at a time, and the loop reads them.
+ * A transport whose sockets are in memory, for more connections than a process has descriptors. Like a selector, it
+ * reports ready channels to the event loop, up to {@value #MAX_READY_CHANNELS} at a time, and the loop reads them.
  */
 final class MemoryTransport implements Transport {
-    private static final int READY_AT_ONCE = 4_096;
+    private static final int MAX_READY_CHANNELS = 4_096;
     static final IoEvent READ = new IoEvent() {};
 
     @Override
@@ -42,22 +42,23 @@
 
     @Override
     public Class<? extends ServerChannel> serverChannel() {
-        throw new UnsupportedOperationException("channels are handed to the listener");
+        throw new UnsupportedOperationException(
+                "the memory transport has no server channel; channels are passed to the listener");
     }
 
     @Override
     public Class<? extends Channel> clientChannel() {
-        throw new UnsupportedOperationException("nobody is called");
+        throw new UnsupportedOperationException("the memory transport opens no client connections");
     }
 
     @Override
-    public ClientChannel deferReads(IoHandle handle, EventLoopScheduler turns) {
-        return new Deferring(handle, turns);
+    public ClientChannel deferReads(IoHandle handle, EventLoopScheduler scheduler) {
+        return new AlwaysReadableChannel(handle, scheduler);
     }
 
-    private static final class Deferring extends ClientChannel {
-        Deferring(IoHandle handle, EventLoopScheduler turns) {
-            super(handle, turns);
+    private static final class AlwaysReadableChannel extends ClientChannel {
+        AlwaysReadableChannel(IoHandle handle, EventLoopScheduler scheduler) {
+            super(handle, scheduler);
         }
 
         @Override
@@ -76,7 +77,7 @@
         }
     }
 
-    /** Stands for the selector: the channels that became ready, in their order. */
+    /** Replaces a selector: queues the channels in the order in which they became ready. */
     static final class Selector implements IoHandler {
         private final Queue<Registration> ready = new ConcurrentLinkedQueue<>();
         private final ThreadAwareExecutor executor;
@@ -96,15 +97,15 @@
             if (ready.isEmpty() && context.canBlock()) {
                 LockSupport.parkNanos(this, Math.max(1, context.delayNanos(System.nanoTime())));
             }
-            long began = System.nanoTime();
+            long beganNanos = System.nanoTime();
             int handled = 0;
-            for (Registration one = ready.poll(); one != null; one = ready.poll()) {
-                one.handle.handle(one, READ);
-                if (++handled == READY_AT_ONCE) {
+            for (Registration registration = ready.poll(); registration != null; registration = ready.poll()) {
+                registration.handle.handle(registration, READ);
+                if (++handled == MAX_READY_CHANNELS) {
                     break;
                 }
             }
-            context.reportActiveIoTime(System.nanoTime() - began);
+            context.reportActiveIoTime(System.nanoTime() - beganNanos);
             return handled;
         }
 
@@ -127,26 +128,26 @@
             return true;
         }
 
-        void ready(Registration registration) {
+        void markReady(Registration registration) {
             ready.add(registration);
             wakeup();
         }
     }
 
-    /** One channel's place at the selector. */
+    /** The registration of a channel with the selector. */
     static final class Registration implements IoRegistration {
         private final IoHandle handle;
         private final Selector selector;
-        private boolean gone;
+        private boolean cancelled;
 
         Registration(IoHandle handle, Selector selector) {
             this.handle = handle;
             this.selector = selector;
         }
 
-        /** The channel has something to read; from any thread. */
-        void ready() {
-            selector.ready(this);
+        /** Marks the channel as having input to read; may be called from any thread. */
+        void markReady() {
+            selector.markReady(this);
         }
 
         @Override
@@ -162,13 +163,13 @@
 
         @Override
         public boolean isValid() {
-            return !gone;
+            return !cancelled;
         }
 
         @Override
         public boolean cancel() {
-            boolean first = !gone;
-            gone = true;
+            boolean first = !cancelled;
+            cancelled = true;
             return first;
         }
     }
--- a/lab/src/main/java/wheatspread/lab/model/ModelSweep.java
+++ b/lab/src/main/java/wheatspread/lab/model/ModelSweep.java
@@ -63,23 +63,23 @@
         }
         if (out != null) {
             Files.createDirectories(out);
-            Report.bars(
+            Report.writeBarChart(
                     out.resolve("membership-detect.png"),
                     "Time from a crash to a common view",
                     "ms",
                     Map.of("usual settings", detectionMillis));
-            Report.bars(
+            Report.writeBarChart(
                     out.resolve("membership-bytes.png"),
                     "Traffic sent by each member",
                     "bytes per second",
                     Map.of("usual settings", bytesPerSecond));
-            Report.lines(
+            Report.writeLineChart(
                     out.resolve("membership-messages.png"),
                     "Messages sent by each member, with a crash at 5 s",
                     "s",
                     "messages per second",
                     messagesPerSecond);
-            Report.bars(
+            Report.writeBarChart(
                     out.resolve("membership-wrong.png"),
                     "Healthy members removed, fleet of " + LOSS_FLEET_MEMBERS,
                     "members per hour",
--- a/lab/src/main/java/wheatspread/lab/report/Report.java
+++ b/lab/src/main/java/wheatspread/lab/report/Report.java
@@ -17,7 +17,7 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** The figures of a measurement, with the machine they come from: as JSON, and some of them as a plot. */
+/** The figures of a measurement with a description of the machine, written as a JSON file, and plots of figures. */
 public final class Report {
     private final String name;
     private final Map<String, JSONObject> parts = new LinkedHashMap<>();
@@ -31,43 +31,43 @@
         parts.put(part, figures);
     }
 
-    /** Adds a figure measured at several sizes, for the capacity page. */
-    public void add(Series measured) {
-        series.add(measured);
+    /** Adds a figure measured at several sizes, from which the capacity page is computed. */
+    public void add(Series sizeSeries) {
+        series.add(sizeSeries);
     }
 
-    /** The names of the parts, in their order. */
+    /** Returns the names of the parts in the order in which they were added. */
     public List<String> parts() {
         return List.copyOf(parts.keySet());
     }
 
-    /** The figures of a part. */
+    /** Returns the figures of a part, or null if the report has no such part. */
     public JSONObject get(String part) {
         return parts.get(part);
     }
 
-    /** What was measured on. */
+    /** Returns processor model, number of cores, operating system and Java version of this machine. */
     public static JSONObject machine() throws IOException {
-        String model = "";
+        String processorModel = "";
         for (String line : Files.readAllLines(Path.of("/proc/cpuinfo"))) {
-            model = line.startsWith("model name") ? line.substring(line.indexOf(':') + 2) : model;
+            processorModel = line.startsWith("model name") ? line.substring(line.indexOf(':') + 2) : processorModel;
         }
         return new JSONObject()
-                .put("processor", model)
+                .put("processor", processorModel)
                 .put("cores", Runtime.getRuntime().availableProcessors())
                 .put("system", System.getProperty("os.name") + " " + System.getProperty("os.version"))
                 .put("java", System.getProperty("java.version"));
     }
 
-    /** Writes {@code NAME.json} into a folder. */
+    /** Writes {@code NAME.json} into a folder, which is created if it is missing. */
     public void write(Path folder) throws IOException {
         Files.createDirectories(folder);
-        JSONObject all = new JSONObject().put("machine", machine()).put("command", command());
-        parts.forEach(all::put);
+        JSONObject report = new JSONObject().put("machine", machine()).put("command", command());
+        parts.forEach(report::put);
         if (!series.isEmpty()) {
-            all.put(Series.KEY, series.stream().map(Series::toJson).toList());
+            report.put(Series.KEY, series.stream().map(Series::toJson).toList());
         }
-        Files.writeString(folder.resolve(name + ".json"), all.toString(1) + "\n", StandardCharsets.UTF_8);
+        Files.writeString(folder.resolve(name + ".json"), report.toString(1) + "\n", StandardCharsets.UTF_8);
     }
 
     private static String command() {
@@ -75,8 +75,8 @@
                 + System.getProperty("sun.java.command", "").replaceFirst("^\\S+ ?", "");
     }
 
-    /** Draws bars, one group for each series, into {@code NAME.png}. */
-    public static void bars(Path file, String title, String unit, Map<String, Map<String, Double>> series)
+    /** Writes a bar chart with one group of bars for each series to a PNG file. */
+    public static void writeBarChart(Path file, String title, String unit, Map<String, Map<String, Double>> series)
             throws IOException {
         Files.createDirectories(file.toAbsolutePath().getParent());
         System.setProperty("java.awt.headless", "true");
@@ -88,36 +88,36 @@
                 .build();
         chart.getStyler().setLegendVisible(true);
         List<String> names = new ArrayList<>(new TreeMap<>(series).keySet());
-        for (String one : names) {
+        for (String seriesName : names) {
             chart.addSeries(
-                    one,
-                    new ArrayList<>(series.get(one).keySet()),
-                    new ArrayList<>(series.get(one).values()));
+                    seriesName,
+                    new ArrayList<>(series.get(seriesName).keySet()),
+                    new ArrayList<>(series.get(seriesName).values()));
         }
         BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
     }
 
-    /** Draws lines over equal steps of one, from 0, into a file; values that are no numbers are left out. */
-    public static void lines(Path file, String title, String x, String y, Map<String, double[]> series)
-            throws IOException {
+    /** Writes a line chart to a PNG file. The values lie at x = 0, 1, 2, ...; NaN values are omitted. */
+    public static void writeLineChart(
+            Path file, String title, String xTitle, String yTitle, Map<String, double[]> series) throws IOException {
         System.setProperty("java.awt.headless", "true");
         XYChart chart = new XYChartBuilder()
                 .width(1_000)
                 .height(500)
                 .title(title)
-                .xAxisTitle(x)
-                .yAxisTitle(y)
+                .xAxisTitle(xTitle)
+                .yAxisTitle(yTitle)
                 .build();
         series.forEach((name, values) -> {
-            List<Integer> at = new ArrayList<>();
-            List<Double> told = new ArrayList<>();
+            List<Integer> xValues = new ArrayList<>();
+            List<Double> yValues = new ArrayList<>();
             for (int i = 0; i < values.length; i++) {
                 if (!Double.isNaN(values[i])) {
-                    at.add(i);
-                    told.add(values[i]);
+                    xValues.add(i);
+                    yValues.add(values[i]);
                 }
             }
-            chart.addSeries(name, at, told).setMarker(SeriesMarkers.NONE);
+            chart.addSeries(name, xValues, yValues).setMarker(SeriesMarkers.NONE);
         });
         BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
     }
--- a/lab/src/main/java/wheatspread/lab/report/Series.java
+++ b/lab/src/main/java/wheatspread/lab/report/Series.java
@@ -6,26 +6,26 @@
 import org.json.JSONObject;
 
 /**
- * One measured figure at several sizes, as a report file holds it under the key {@code series}. The capacity page
- * fits its slopes to these points.
+ * A figure measured at several sizes. A report file holds its series under the key {@code series}, and the capacity
+ * page fits its slopes to their points.
  *
- * @param name what was measured, such as {@code membership.bytes_per_member_second}
- * @param unit the unit of the measured figure, such as {@code bytes/s}
- * @param per what the size counts, such as {@code members} or {@code tenants}
- * @param points the measured points in the order in which they were measured
+ * @param name name of the figure, such as {@code membership.bytes_per_member_second}
+ * @param unit unit of the figure, such as {@code bytes/s}
+ * @param per quantity that the size counts, such as {@code members} or {@code tenants}
+ * @param points points in the order of measurement
  */
 public record Series(String name, String unit, String per, List<Point> points) {
-    /** The key of a report file under which its series stand. */
+    /** The key of the series in a report file. */
     public static final String KEY = "series";
 
     public Series {
         points = List.copyOf(points);
     }
 
-    /** The figure {@code value} as it was measured at {@code size}. */
+    /** A point: {@code value} was measured at {@code size}. */
     public record Point(double size, double value) {}
 
-    /** This series as it stands in a report file. */
+    /** Encodes this series for a report file. */
     public JSONObject toJson() {
         JSONArray pairs = new JSONArray();
         points.forEach(point -> pairs.put(new JSONArray().put(point.size).put(point.value)));
@@ -36,22 +36,22 @@
                 .put("points", pairs);
     }
 
-    /** All series of a report; none where it has no such key. */
+    /** Returns the series of a report; empty if the report has none. */
     public static List<Series> of(JSONObject report) {
-        List<Series> all = new ArrayList<>();
-        JSONArray told = report.optJSONArray(KEY);
-        for (int i = 0; told != null && i < told.length(); i++) {
-            all.add(fromJson(told.getJSONObject(i)));
+        List<Series> seriesList = new ArrayList<>();
+        JSONArray entries = report.optJSONArray(KEY);
+        for (int i = 0; entries != null && i < entries.length(); i++) {
+            seriesList.add(fromJson(entries.getJSONObject(i)));
         }
-        return all;
+        return seriesList;
     }
 
-    private static Series fromJson(JSONObject told) {
+    private static Series fromJson(JSONObject entry) {
         List<Point> points = new ArrayList<>();
-        for (Object pair : told.getJSONArray("points")) {
+        for (Object pair : entry.getJSONArray("points")) {
             JSONArray values = (JSONArray) pair;
             points.add(new Point(values.getDouble(0), values.getDouble(1)));
         }
-        return new Series(told.getString("name"), told.getString("unit"), told.getString("per"), points);
+        return new Series(entry.getString("name"), entry.getString("unit"), entry.getString("per"), points);
     }
 }
