--- a/lab/src/main/java/wheatspread/lab/BenchCommand.java
+++ b/lab/src/main/java/wheatspread/lab/BenchCommand.java
@@ -15,19 +15,28 @@
 import wheatspread.lab.bench.BenchmarkSeries;
 import wheatspread.lab.report.Report;
 
-/** JMH over the structures made for the job, beside plain ones. */
-@Command(name = "bench", mixinStandardHelpOptions = true, description = "Runs the JMH benchmarks that match.")
+/** Runs the JMH benchmarks of the server's data structures and their plain alternatives. */
+@Command(
+        name = "bench",
+        mixinStandardHelpOptions = true,
+        description = "Runs the JMH benchmarks whose names match a pattern.")
 final class BenchCommand implements Callable<Integer> {
-    @Parameters(arity = "0..1", defaultValue = ".*", description = "A pattern of benchmark names (${DEFAULT-VALUE}).")
+    @Parameters(
+            arity = "0..1",
+            defaultValue = ".*",
+            description = "Regular expression on benchmark names (${DEFAULT-VALUE}).")
     private String pattern;
 
-    @Option(names = "--name", defaultValue = "bench", description = "The report's name (${DEFAULT-VALUE}).")
+    @Option(names = "--name", defaultValue = "bench", description = "Name of the report (${DEFAULT-VALUE}).")
     private String name;
 
-    @Option(names = "--millis", defaultValue = "500", description = "Length of an iteration (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--millis",
+            defaultValue = "500",
+            description = "Duration of an iteration in milliseconds (${DEFAULT-VALUE}).")
     private long millis;
 
-    @Option(names = "--out", defaultValue = "docs/measurements", description = "Where the report goes.")
+    @Option(names = "--out", defaultValue = "docs/measurements", description = "Folder of the report.")
     private Path out;
 
     @Override
--- a/lab/src/main/java/wheatspread/lab/CapacityCommand.java
+++ b/lab/src/main/java/wheatspread/lab/CapacityCommand.java
@@ -14,31 +14,40 @@
 import wheatspread.lab.capacity.CapacityPlan;
 import wheatspread.lab.capacity.ReportFiles;
 
-/** Works the capacity page out from report files. */
+/** Computes the tables of the capacity page from report files. */
 @Command(
         name = "capacity",
         mixinStandardHelpOptions = true,
-        description = "Works out from the series of the report files what an installation of the planned size costs, "
+        description = "Computes the cost of an installation of the planned size from the series of the report files, "
                 + "and prints the tables of the capacity page.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:Printed or written; with --check the page fits its reports.",
-            "1:The page differs from its reports; a line for each difference.",
-            "64:The plan or the page is wrong; it says where."
+            "0:Printed or written; with --check, the page matches its reports.",
+            "1:The page differs from its reports; each difference is printed on a line.",
+            "64:The plan or the page is invalid; the place is printed."
         })
 final class CapacityCommand implements Callable<Integer> {
-    private static final int USAGE = 64;
+    private static final int USAGE_EXIT_CODE = 64;
 
-    @Option(names = "--plan", defaultValue = "lab/capacity/plan.json", description = "${DEFAULT-VALUE}")
+    @Option(
+            names = "--plan",
+            defaultValue = "lab/capacity/plan.json",
+            description = "File of the plan (${DEFAULT-VALUE}).")
     private Path plan;
 
-    @Option(names = "--reports", defaultValue = "docs/measurements", description = "${DEFAULT-VALUE}")
+    @Option(
+            names = "--reports",
+            defaultValue = "docs/measurements",
+            description = "Folder of the reports (${DEFAULT-VALUE}).")
     private Path reports;
 
     @Option(names = "--write", paramLabel = "PAGE", description = "Replaces the generated blocks of this page.")
     private Path write;
 
-    @Option(names = "--check", paramLabel = "PAGE", description = "Compares the generated blocks of this page.")
+    @Option(
+            names = "--check",
+            paramLabel = "PAGE",
+            description = "Compares the generated blocks of this page with the reports.")
     private Path check;
 
     @Override
@@ -52,15 +61,15 @@
             }
             if (check != null) {
                 List<String> differences = new CapacityPage(Files.readAllLines(check)).differences(blocks);
-                differences.forEach(one -> System.out.println(check + ", " + one));
+                differences.forEach(difference -> System.out.println(check + ", " + difference));
                 return differences.isEmpty() ? 0 : 1;
             }
         } catch (JsonFields.InvalidValueException e) {
             e.messages().forEach(System.err::println);
-            return USAGE;
+            return USAGE_EXIT_CODE;
         } catch (IllegalArgumentException e) {
             System.err.println(e.getMessage());
-            return USAGE;
+            return USAGE_EXIT_CODE;
         }
         if (write == null) {
             blocks.forEach((name, block) -> System.out.println(name + "\n\n" + String.join("\n", block) + "\n"));
--- a/lab/src/main/java/wheatspread/lab/DemoCommand.java
+++ b/lab/src/main/java/wheatspread/lab/DemoCommand.java
@@ -23,27 +23,27 @@
 import wheatspread.uwsgi.UwsgiEncoder;
 import wheatspread.uwsgi.UwsgiPacket;
 
-/** A first run for a newcomer. */
+/** Demonstrates a server with both fronts. */
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
-        description = "Starts one server with both fronts and stand-ins round it, on free ports, and asks it "
+        description = "Starts a server with both fronts and stand-ins for its services on free ports, and sends it "
                 + "a few requests; Ctrl-C ends it.")
 final class DemoCommand implements Callable<Integer> {
-    @Option(names = "--jar", defaultValue = "server/target/wheatspread.jar", description = "The server.")
+    @Option(names = "--jar", defaultValue = "server/target/wheatspread.jar", description = "Jar of the server.")
     private Path jar;
 
     @Option(
             names = "--site",
             defaultValue = "calls",
-            description = "The kind of deployment: ${COMPLETION-"
-                    + "CANDIDATES}; 'plain' makes no calls, and its callers tell no limit (${DEFAULT-VALUE}).")
+            description = "Kind of deployment: ${COMPLETION-"
+                    + "CANDIDATES}; 'plain' makes no calls, and its clients send no deadline (${DEFAULT-VALUE}).")
     private Kind site;
 
-    @Option(names = "--once", description = "Ends by itself after the requests.")
+    @Option(names = "--once", description = "Ends after the requests.")
     private boolean once;
 
-    /** What the server is told of its deployment. */
+    /** The kind of deployment. */
     private enum Kind {
         calls,
         plain
@@ -57,58 +57,58 @@
                          {"match": "exact", "path": "/plans", "class": "save-plan"}]}}
             """;
         CountDownLatch ended = new CountDownLatch(1);
-        try (StandInServices parties = new StandInServices(15_000, site == Kind.plain ? -1 : 5_000);
+        try (StandInServices standIns = new StandInServices(15_000, site == Kind.plain ? -1 : 5_000);
                 ServerProcess server = new ServerProcess(
                         jar,
-                        config(parties),
+                        config(standIns),
                         operator,
                         List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx48m"),
                         -1)) {
             int uwsgi = server.port(0);
             int rpc = server.port(1);
-            System.out.println("One server runs, with a kernel, records and announce service played for it.\n"
+            System.out.println("A server runs with stand-ins for its kernel, records service and announce service.\n"
                     + "JSON-RPC on 127.0.0.1:" + rpc + ", uwsgi on 127.0.0.1:" + uwsgi + "\n");
-            askByRpc(rpc);
-            askByUwsgi(uwsgi, Map.of("PATH_INFO", "/recipes/leche-flan"), "");
-            askByUwsgi(uwsgi, Map.of("PATH_INFO", "/plans", "RECIPE_UNIQUE", "demo-2"), "a plan");
-            System.out.println("\nAsk it yourself:\n  (echo '{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":"
+            sendJsonRpcRequests(rpc);
+            sendUwsgiRequest(uwsgi, Map.of("PATH_INFO", "/recipes/leche-flan"), "");
+            sendUwsgiRequest(uwsgi, Map.of("PATH_INFO", "/plans", "RECIPE_UNIQUE", "demo-2"), "a plan");
+            System.out.println("\nTo send a request:\n  (echo '{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":"
                     + "\"search\","
                     + "\"params\":{\"txn\":\"'$(openssl rand -hex 8)'\",\"door\":'$(date +%s%3N)',"
                     + "\"lb\":1,\"team\":\"main-site\",\"limit\":5000,\"cpu\":280,\"ram\":24.5,"
                     + "\"standing\":0.5,\"item\":\"flan\",\"blob\":\"\"}}'; sleep 1) | nc 127.0.0.1 " + rpc);
             if (!once) {
                 System.out.println("\nCtrl-C ends it.");
-                Runtime.getRuntime().addShutdownHook(new Thread(() -> end(server, ended)));
+                Runtime.getRuntime().addShutdownHook(new Thread(() -> terminate(server, ended)));
                 ended.await();
             } else if (!server.leave()) {
-                System.out.println("the server did not leave by itself");
+                System.out.println("server did not exit after SIGTERM");
                 return 1;
             }
         }
         return 0;
     }
 
-    private JSONObject config(StandInServices parties) {
-        JSONObject config = Sites.config(parties, 512);
+    private JSONObject config(StandInServices standIns) {
+        JSONObject config = Sites.config(standIns, 512);
         return site == Kind.plain ? Sites.withoutCalls(config) : config;
     }
 
-    /** A request as the site's proxies write it. */
-    private String told(String line) {
+    /** Converts a request to the form that the clients of the chosen deployment send. */
+    private String convert(String line) {
         return site == Kind.plain ? line.replaceAll("\"limit\":\\d+", "\"second\":1") : line;
     }
 
-    private static void end(ServerProcess server, CountDownLatch ended) {
+    private static void terminate(ServerProcess server, CountDownLatch ended) {
         try {
-            System.out.println("\nThe server has its notice, and answers what it has read.");
-            System.out.println(server.leave() ? "It left in order." : "It did not leave by itself.");
+            System.out.println("\nThe server was sent SIGTERM and answers the requests that it has read.");
+            System.out.println(server.leave() ? "The server has exited." : "The server did not exit after SIGTERM.");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         ended.countDown();
     }
 
-    private void askByRpc(int port) throws IOException {
+    private void sendJsonRpcRequests(int port) throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(10_000);
             BufferedReader in =
@@ -119,17 +119,17 @@
                     Sites.request(3, Sites.KINDS.get(3), "main-site", "00000000000000d2", System.currentTimeMillis()),
                     Sites.request(4, Sites.KINDS.get(3), "main-site", "00000000000000d3", System.currentTimeMillis())
                             .replace("u00000000000000d3", "u00000000000000d2"))) {
-                String asked = told(line);
-                socket.getOutputStream().write(asked.getBytes(StandardCharsets.UTF_8));
-                System.out.print("> " + asked);
+                String request = convert(line);
+                socket.getOutputStream().write(request.getBytes(StandardCharsets.UTF_8));
+                System.out.print("> " + request);
                 System.out.println("< " + in.readLine());
             }
-            System.out.println("(the second save-plan repeats the first: it got its result)\n");
+            System.out.println("(the second save-plan repeats the first and gets the same result)\n");
         }
     }
 
-    private static void askByUwsgi(int port, Map<String, String> told, String body) throws IOException {
-        Map<String, String> vars = new LinkedHashMap<>(told);
+    private static void sendUwsgiRequest(int port, Map<String, String> requestVars, String body) throws IOException {
+        Map<String, String> vars = new LinkedHashMap<>(requestVars);
         vars.put("CONTENT_LENGTH", Integer.toString(body.length()));
         ByteBuf packet = Unpooled.buffer();
         UwsgiEncoder.write(new UwsgiPacket(UwsgiPacket.REQUEST_MODIFIER, 0, vars), packet);
--- a/lab/src/main/java/wheatspread/lab/DeploymentsCommand.java
+++ b/lab/src/main/java/wheatspread/lab/DeploymentsCommand.java
@@ -14,49 +14,49 @@
 import wheatspread.lab.deployments.DeploymentRun;
 import wheatspread.lab.report.Report;
 
-/** Deployments drawn over all that may differ or be absent, each with a server and a short load. */
+/** Checks a server under a short load in randomly drawn deployments, which vary every optional part. */
 @Command(
         name = "deployments",
         mixinStandardHelpOptions = true,
-        description = "Draws deployments, starts a server of each on real sockets with stand-ins round it, and "
-                + "holds the four rules under a short load on a clock of its own.",
+        description = "Draws deployments, starts a server for each on real sockets with stand-ins for its services, "
+                + "and checks the four rules under a short load on a simulated clock.",
         footer = {
             "",
-            "Exit codes: 0 all rules held in all, 1 one was broken, which is told with its seed.",
+            "Exit codes: 0 no rule was broken, 1 a rule was broken, which is printed with the seed.",
             "Example: deployments --count 1000 --seed 1 --report docs/measurements"
         })
 final class DeploymentsCommand implements Callable<Integer> {
-    @Option(names = "--count", defaultValue = "25", description = "How many (${DEFAULT-VALUE}).")
+    @Option(names = "--count", defaultValue = "25", description = "Number of deployments (${DEFAULT-VALUE}).")
     private int count;
 
-    @Option(names = "--seed", defaultValue = "1", description = "Seed of the first (${DEFAULT-VALUE}).")
+    @Option(names = "--seed", defaultValue = "1", description = "Seed of the first deployment (${DEFAULT-VALUE}).")
     private long seed;
 
-    @Option(names = "--report", paramLabel = "DIR", description = "Where a report goes; none without.")
+    @Option(names = "--report", paramLabel = "DIR", description = "Folder of the report; without it none is written.")
     private Path out;
 
     @Override
     public Integer call() throws Exception {
-        Map<Long, List<String>> broken = new TreeMap<>();
+        Map<Long, List<String>> brokenRulesBySeed = new TreeMap<>();
         AtomicInteger played = new AtomicInteger();
-        LongStream.range(seed, seed + count).parallel().forEach(one -> {
-            Deployment site = Deployment.drawn(one);
-            List<String> rules;
-            try (DeploymentRun run = new DeploymentRun(site, one, DeploymentRun.Planted.NONE)) {
-                rules = run.play();
+        LongStream.range(seed, seed + count).parallel().forEach(deploymentSeed -> {
+            Deployment deployment = Deployment.drawn(deploymentSeed);
+            List<String> brokenRules;
+            try (DeploymentRun run = new DeploymentRun(deployment, deploymentSeed, DeploymentRun.Planted.NONE)) {
+                brokenRules = run.play();
             } catch (Exception e) {
-                rules = List.of(e.toString());
+                brokenRules = List.of(e.toString());
             }
             played.incrementAndGet();
-            if (!rules.isEmpty()) {
-                System.out.println("seed " + one + ": " + site + "\n  "
-                        + String.join("\n  ", rules.subList(0, Math.min(5, rules.size()))));
-                synchronized (broken) {
-                    broken.put(one, rules);
+            if (!brokenRules.isEmpty()) {
+                System.out.println("seed " + deploymentSeed + ": " + deployment + "\n  "
+                        + String.join("\n  ", brokenRules.subList(0, Math.min(5, brokenRules.size()))));
+                synchronized (brokenRulesBySeed) {
+                    brokenRulesBySeed.put(deploymentSeed, brokenRules);
                 }
             }
         });
-        System.out.println(played + " deployments from seed " + seed + ", rules broken in " + broken.size());
+        System.out.println(played + " deployments from seed " + seed + ", rules broken in " + brokenRulesBySeed.size());
         if (out != null) {
             Report report = new Report("deployments-drawn");
             report.put(
@@ -64,10 +64,10 @@
                     new JSONObject()
                             .put("seed", seed)
                             .put("deployments", played.get())
-                            .put("broken", broken.size())
-                            .put("seeds", broken.keySet()));
+                            .put("broken", brokenRulesBySeed.size())
+                            .put("seeds", brokenRulesBySeed.keySet()));
             report.write(out);
         }
-        return broken.isEmpty() ? 0 : 1;
+        return brokenRulesBySeed.isEmpty() ? 0 : 1;
     }
 }
--- a/lab/src/main/java/wheatspread/lab/FaultsCommand.java
+++ b/lab/src/main/java/wheatspread/lab/FaultsCommand.java
@@ -14,76 +14,87 @@
 import wheatspread.lab.faults.Scenario;
 import wheatspread.lab.report.Report;
 
-/** Faults between the processes of a fleet. */
+/** Injects faults between the processes of a fleet. */
 @Command(
         name = "faults",
         mixinStandardHelpOptions = true,
-        description = "Starts a fleet of real servers with relays on every link between them, plays the faults "
-                + "of each scenario, and checks what always has to hold and what the scenario expects.",
+        description = "Starts a fleet of real servers with a relay on every link, injects the faults of each "
+                + "scenario, and checks the invariants and the scenario's expectations.",
         exitCodeListHeading = "%nExit codes:%n",
-        exitCodeList = {"0:All held.", "1:Something did not; it says what.", "64:A scenario is wrong; it names the key."
+        exitCodeList = {
+            "0:No run violated a rule or expectation.",
+            "1:A run violated a rule or expectation, which is printed.",
+            "64:A scenario is invalid; the key is printed."
         })
 final class FaultsCommand implements Callable<Integer> {
-    private static final int USAGE = 64;
+    private static final int USAGE_EXIT_CODE = 64;
 
-    @Parameters(arity = "1..*", paramLabel = "SCENARIO", description = "JSON with comments.")
+    @Parameters(arity = "1..*", paramLabel = "SCENARIO", description = "Scenario files, in JSON with comments.")
     private List<Path> scenarios;
 
-    @Option(names = "--jar", defaultValue = "server/target/wheatspread.jar", description = "The server.")
+    @Option(names = "--jar", defaultValue = "server/target/wheatspread.jar", description = "Jar of the server.")
     private Path jar;
 
-    @Option(names = "--deploy", defaultValue = "deploy/balancer.toml", description = "Where the flags stand.")
+    @Option(
+            names = "--deploy",
+            defaultValue = "deploy/balancer.toml",
+            description = "Deploy file with the JVM flags of the server.")
     private Path deploy;
 
-    @Option(names = "--seed", defaultValue = "1", split = ",", description = "Plays one run a seed (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            split = ",",
+            description = "Seeds, with one run each (${DEFAULT-VALUE}).")
     private List<Long> seeds;
 
-    @Option(names = "--pairs", description = "Plays each two of the scenarios at once.")
+    @Option(names = "--pairs", description = "Combines each pair of scenarios in one run.")
     private boolean pairs;
 
-    @Option(names = "--report", paramLabel = "DIR", description = "Where a report goes; none without.")
+    @Option(names = "--report", paramLabel = "DIR", description = "Folder of the report; without it none is written.")
     private Path out;
 
     @Override
     public Integer call() throws Exception {
         Report report = new Report("faults");
         List<String> flags = StartCommand.flags(deploy);
-        boolean held = true;
+        boolean passed = true;
         for (long seed : seeds) {
-            Map<String, Scenario> plays;
+            Map<String, Scenario> runs;
             try {
-                plays = plays(scenarios, pairs, seed);
+                runs = scenarios(scenarios, pairs, seed);
             } catch (JsonFields.InvalidValueException e) {
                 e.messages().forEach(System.err::println);
-                return USAGE;
+                return USAGE_EXIT_CODE;
             }
-            for (Map.Entry<String, Scenario> one : plays.entrySet()) {
-                FaultsRun.Outcome outcome = new FaultsRun(jar, flags, one.getValue(), seed).play();
-                String name = one.getKey() + ", seed " + seed;
+            for (Map.Entry<String, Scenario> run : runs.entrySet()) {
+                FaultsRun.Outcome outcome = new FaultsRun(jar, flags, run.getValue(), seed).play();
+                String name = run.getKey() + ", seed " + seed;
                 report.put(name, outcome.figures().put("faults", new JSONArray(outcome.faults())));
                 System.out.println(name + " " + outcome.figures());
-                held &= outcome.faults().isEmpty();
+                passed &= outcome.faults().isEmpty();
             }
         }
         if (out != null) {
             report.write(out);
         }
-        return held ? 0 : 1;
+        return passed ? 0 : 1;
     }
 
-    /** The scenarios by the names of their files; with {@code pairs} each two of them at once. */
-    static Map<String, Scenario> plays(List<Path> files, boolean pairs, long seed) {
-        Map<String, Scenario> alone = new LinkedHashMap<>();
-        files.forEach(file -> alone.put(file.getFileName().toString().replace(".json", ""), Scenario.read(file, seed)));
+    /** Reads the scenarios, keyed by file name; with {@code pairs}, returns the combinations of each pair instead. */
+    static Map<String, Scenario> scenarios(List<Path> files, boolean pairs, long seed) {
+        Map<String, Scenario> single = new LinkedHashMap<>();
+        files.forEach(
+                file -> single.put(file.getFileName().toString().replace(".json", ""), Scenario.read(file, seed)));
         if (!pairs) {
-            return alone;
+            return single;
         }
-        Map<String, Scenario> both = new LinkedHashMap<>();
-        alone.forEach((name, one) -> alone.forEach((other, another) -> {
-            if (name.compareTo(other) < 0) {
-                both.put(name + " and " + other, one.with(another));
+        Map<String, Scenario> combined = new LinkedHashMap<>();
+        single.forEach((name, scenario) -> single.forEach((otherName, otherScenario) -> {
+            if (name.compareTo(otherName) < 0) {
+                combined.put(name + " and " + otherName, scenario.with(otherScenario));
             }
         }));
-        return both;
+        return combined;
     }
 }
--- a/lab/src/main/java/wheatspread/lab/FleetMeasurementCommand.java
+++ b/lab/src/main/java/wheatspread/lab/FleetMeasurementCommand.java
@@ -13,77 +13,89 @@
 import wheatspread.lab.fleet.FleetRoll.Deed;
 import wheatspread.lab.report.Report;
 
-/** A fleet of real processes that is rolled, killed at and lied to, beside the same fleet left alone. */
+/** Measures rollouts of a fleet of real processes with kills and failing builds, against a fleet without changes. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
-        description = "Rolls a fleet of servers under load and books every promise; some minutes.")
+        description =
+                "Rolls out builds to a fleet of servers under load and counts the broken promises; takes some minutes.")
 final class FleetMeasurementCommand implements Callable<Integer> {
-    @Option(names = "--jar", defaultValue = "server/target/wheatspread.jar", description = "The server.")
+    @Option(names = "--jar", defaultValue = "server/target/wheatspread.jar", description = "Jar of the server.")
     private Path jar;
 
-    @Option(names = "--deploy", defaultValue = "deploy/balancer.toml", description = "Where the flags stand.")
+    @Option(
+            names = "--deploy",
+            defaultValue = "deploy/balancer.toml",
+            description = "Deploy file with the JVM flags of the server.")
     private Path deploy;
 
-    @Option(names = "--size", defaultValue = "20", description = "Servers (${DEFAULT-VALUE}).")
+    @Option(names = "--size", defaultValue = "20", description = "Number of servers (${DEFAULT-VALUE}).")
     private int size;
 
-    @Option(names = "--rate", defaultValue = "170", description = "Requests a second (${DEFAULT-VALUE}).")
+    @Option(names = "--rate", defaultValue = "170", description = "Requests per second (${DEFAULT-VALUE}).")
     private double rate;
 
-    @Option(names = "--share", defaultValue = "0.85", description = "Of the fleet to roll (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--share",
+            defaultValue = "0.85",
+            description = "Share of the fleet in the rollout (${DEFAULT-VALUE}).")
     private double share;
 
-    @Option(names = "--seconds", defaultValue = "45", description = "Of load in a run (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--seconds",
+            defaultValue = "45",
+            description = "Duration of the load of a run in seconds (${DEFAULT-VALUE}).")
     private int seconds;
 
-    @Option(names = "--deed", description = "Only these: ${COMPLETION-CANDIDATES}.")
+    @Option(names = "--deed", description = "Runs to measure: ${COMPLETION-CANDIDATES}.")
     private List<Deed> deeds = List.of(Deed.values());
 
-    @Option(names = "--unproven", description = "Successors need no proof, so that more of them are cold at once.")
+    @Option(
+            names = "--unproven",
+            description = "Skips the verification of new instances, so that more of them are cold at the same time.")
     private boolean unproven;
 
-    @Option(names = "--name", defaultValue = "fleet", description = "Of the report (${DEFAULT-VALUE}).")
+    @Option(names = "--name", defaultValue = "fleet", description = "Name of the report (${DEFAULT-VALUE}).")
     private String name;
 
-    @Option(names = "--out", defaultValue = "docs/measurements", description = "Where the report goes.")
+    @Option(names = "--out", defaultValue = "docs/measurements", description = "Folder of the report.")
     private Path out;
 
     @Override
     public Integer call() throws Exception {
-        JSONObject rolling = new JSONObject()
+        JSONObject rolloutSettings = new JSONObject()
                 .put("out_share", 0.2)
                 .put("proven_answers", 5)
                 .put("proven_ms", 500)
                 .put("patience_ms", 1_500);
         if (unproven) {
-            rolling.put("proven_answers", 0).put("proven_ms", 0).put("patience_ms", 0);
+            rolloutSettings.put("proven_answers", 0).put("proven_ms", 0).put("patience_ms", 0);
         }
-        FleetRoll fleet = new FleetRoll(jar, StartCommand.flags(deploy), size, rate, rolling);
+        FleetRoll fleet = new FleetRoll(jar, StartCommand.flags(deploy), size, rate, rolloutSettings);
         Report report = new Report(name);
-        Map<String, double[]> worth = new LinkedHashMap<>();
-        long broken = 0;
-        double alone = 0;
+        Map<String, double[]> valueSharesBySecond = new LinkedHashMap<>();
+        long brokenPromises = 0;
+        double servedWithoutRollout = 0;
         for (Deed deed : deeds) {
             String part = deed.name().toLowerCase();
             FleetRoll.Outcome outcome = fleet.play(deed, share, 6_000, seconds * 1_000L);
             JSONObject figures = outcome.figures();
-            alone = deed == Deed.NOTHING ? figures.getDouble("worth_served") : alone;
-            if (alone > 0) {
-                figures.put("worth_beside_nothing", figures.getDouble("worth_served") / alone);
+            servedWithoutRollout = deed == Deed.NOTHING ? figures.getDouble("worth_served") : servedWithoutRollout;
+            if (servedWithoutRollout > 0) {
+                figures.put("worth_beside_nothing", figures.getDouble("worth_served") / servedWithoutRollout);
             }
             report.put(part, figures.put("faults", new JSONArray(outcome.faults())));
-            worth.put(part, outcome.worthBySecond());
-            broken += figures.getLong("broken_promises");
+            valueSharesBySecond.put(part, outcome.worthBySecond());
+            brokenPromises += figures.getLong("broken_promises");
             System.out.println(part + " " + figures);
         }
         report.write(out);
         Report.writeLineChart(
                 out.resolve(name + ".png"),
-                "Worth served in the wanted time, by second of asking",
+                "Value served within the latency objective, by second of arrival",
                 "seconds",
-                "of what was asked",
-                worth);
-        return broken == 0 ? 0 : 1;
+                "share of the requested value",
+                valueSharesBySecond);
+        return brokenPromises == 0 ? 0 : 1;
     }
 }
--- a/lab/src/main/java/wheatspread/lab/HoldCommand.java
+++ b/lab/src/main/java/wheatspread/lab/HoldCommand.java
@@ -9,14 +9,12 @@
 import picocli.CommandLine.Option;
 import wheatspread.lab.load.Holder;
 
-/**
- * The process that holds connections: it does what its standard input says, and answers a line of JSON each.
- */
+/** Holds idle connections; reads a command on each line of standard input and answers with a line of JSON. */
 @Command(
         name = "hold",
         hidden = true,
         mixinStandardHelpOptions = true,
-        description = "Holds idle connections; words on standard input: open, burst, closing.")
+        description = "Holds idle connections on commands from standard input: open, burst, closing.")
 final class HoldCommand implements Callable<Integer> {
     @Option(names = "--port", required = true)
     private int port;
@@ -34,12 +32,14 @@
     public Integer call() throws Exception {
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         try (Holder holder = new Holder(port, uwsgi, firstSource)) {
-            for (String word = in.readLine(); word != null; word = in.readLine()) {
-                JSONObject figures = switch (word) {
+            for (String command = in.readLine(); command != null; command = in.readLine()) {
+                JSONObject figures = switch (command) {
                     case "open" -> holder.open(count);
                     case "burst" -> holder.burst();
                     case "closing" -> holder.closing(60);
-                    default -> new JSONObject().put("error", "unknown word " + word);
+                    default ->
+                        new JSONObject()
+                                .put("error", "unknown command " + command + "; expected open, burst or closing");
                 };
                 System.out.println(figures);
             }
--- a/lab/src/main/java/wheatspread/lab/HollowCommand.java
+++ b/lab/src/main/java/wheatspread/lab/HollowCommand.java
@@ -10,12 +10,12 @@
 import wheatspread.lab.scale.HollowHost;
 import wheatspread.lab.scale.HollowOrder;
 
-/** The process of hollow servers that {@code scale} starts: an order on each line in, a report on each line out. */
+/** Runs the process of hollow servers that {@code scale} starts; reads an order and writes a report on each line. */
 @Command(
         name = "hollow",
         hidden = true,
         mixinStandardHelpOptions = true,
-        description = "Runs hollow servers as standard input says; ends with it.")
+        description = "Runs hollow servers on orders from standard input until its end.")
 final class HollowCommand implements Callable<Integer> {
     @Option(names = "--cluster", required = true)
     private String cluster;
--- a/lab/src/main/java/wheatspread/lab/IdleCommand.java
+++ b/lab/src/main/java/wheatspread/lab/IdleCommand.java
@@ -17,38 +17,44 @@
 import wheatspread.lab.standins.ServerProcess;
 import wheatspread.lab.standins.StandInServices;
 
-/** Many idle connections: what they cost, and what they take from those that ask. */
+/** Measures the cost of many idle connections and their effect on active ones. */
 @Command(
         name = "idle",
         mixinStandardHelpOptions = true,
         description = {
-            "Measures a server on one core with a crowd of idle connections beside a steady load, against the same",
-            "server with none idle; and where a second jar is named, against that server too."
+            "Measures a server on one core under a steady load with many idle connections, against the same",
+            "server without idle connections and, if --before is given, against the server of that jar."
         })
 final class IdleCommand implements Callable<Integer> {
     private static final long RUN_MICROS = 15_000;
     private static final long CALL_MICROS = 5_000;
-    private static final int IDLE_MS = 40_000;
+    private static final int IDLE_TIMEOUT_MS = 40_000;
 
     @Option(
             names = "--idle",
             defaultValue = "19000",
-            description = "Idle connections on one server (${DEFAULT-VALUE}).")
+            description = "Number of idle connections of a server (${DEFAULT-VALUE}).")
     private int idle;
 
-    @Option(names = "--rate", defaultValue = "150", description = "Requests a second beside them (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--rate",
+            defaultValue = "150",
+            description = "Requests per second of the steady load (${DEFAULT-VALUE}).")
     private double rate;
 
-    @Option(names = "--seconds", defaultValue = "20", description = "How long each load is played (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--seconds",
+            defaultValue = "20",
+            description = "Duration of each load in seconds (${DEFAULT-VALUE}).")
     private int seconds;
 
-    @Option(names = "--jar", defaultValue = "server/target/wheatspread.jar", description = "The server.")
+    @Option(names = "--jar", defaultValue = "server/target/wheatspread.jar", description = "Jar of the server.")
     private Path jar;
 
-    @Option(names = "--before", description = "Another server's jar, measured beside it.")
+    @Option(names = "--before", description = "Jar of a server to compare with.")
     private Path before;
 
-    @Option(names = "--core", defaultValue = "2", description = "The core a server runs on (${DEFAULT-VALUE}).")
+    @Option(names = "--core", defaultValue = "2", description = "CPU core of the server (${DEFAULT-VALUE}).")
     private int core;
 
     @Option(names = "--transports", split = ",", defaultValue = "nio,epoll", description = "Transports to measure.")
@@ -57,10 +63,13 @@
     @Option(names = "--fronts", split = ",", defaultValue = "jsonrpc,uwsgi", description = "Fronts to measure.")
     private List<String> fronts;
 
-    @Option(names = "--fleet", defaultValue = "0", description = "Also so many servers with a sixth of 100,000 each.")
+    @Option(
+            names = "--fleet",
+            defaultValue = "0",
+            description = "Also measures this number of servers with a sixth of 100,000 connections each.")
     private int fleet;
 
-    @Option(names = "--out", defaultValue = "docs/measurements", description = "Where the report goes.")
+    @Option(names = "--out", defaultValue = "docs/measurements", description = "Folder of the report.")
     private Path out;
 
     private final Report report = new Report("idle-connections");
@@ -83,14 +92,14 @@
         return 0;
     }
 
-    /** Heap and p99 of each server beside the others. */
+    /** Plots heap, latency, CPU use and lost requests of each server. */
     private void plot() throws IOException {
         Map<String, Map<String, Double>> series = new LinkedHashMap<>();
         for (String part : report.parts()) {
             JSONObject figures = report.get(part);
             if (figures.has("heap_per_connection")) {
                 Map<String, Double> bars = new LinkedHashMap<>();
-                bars.put("heap each, bytes", figures.getDouble("heap_per_connection"));
+                bars.put("heap per connection, bytes", figures.getDouble("heap_per_connection"));
                 bars.put(
                         "burst p99, ms",
                         figures.getJSONObject("burst").getJSONObject("load").getDouble("p99_ms"));
@@ -107,23 +116,23 @@
         }
         Report.writeBarChart(
                 out.resolve("idle-connections.png"),
-                idle + " idle connections beside " + (int) rate + " requests a second on one core",
+                idle + " idle connections with " + (int) rate + " requests per second on one core",
                 "",
                 series);
     }
 
-    private String operator(String transport, boolean uwsgi) {
+    private String operatorFile(String transport, boolean uwsgi) {
         JSONObject file = new JSONObject()
                 .put("transport", transport)
                 .put("report_s", 1)
-                .put("connections", new JSONObject().put("idle_timeout_ms", IDLE_MS));
+                .put("connections", new JSONObject().put("idle_timeout_ms", IDLE_TIMEOUT_MS));
         if (uwsgi) {
             file.put(
                     "uwsgi",
                     new JSONObject()
                             .put("listen", "127.0.0.1:0")
                             .put("max_connections", idle)
-                            .put("idle_timeout_ms", IDLE_MS)
+                            .put("idle_timeout_ms", IDLE_TIMEOUT_MS)
                             .put("health_path", "/health")
                             .put(
                                     "defaults",
@@ -136,12 +145,12 @@
         return file.toString();
     }
 
-    private ServerProcess start(Path server, StandInServices parties, String transport, boolean uwsgi, int onCore)
+    private ServerProcess start(Path server, StandInServices standIns, String transport, boolean uwsgi, int cpuCore)
             throws IOException, InterruptedException {
         return new ServerProcess(
                 server,
-                Sites.config(parties, idle + 900),
-                transport == null ? null : operator(transport, uwsgi),
+                Sites.config(standIns, idle + 900),
+                transport == null ? null : operatorFile(transport, uwsgi),
                 List.of(
                         "-XX:+UseSerialGC",
                         "-XX:TieredStopAtLevel=1",
@@ -152,51 +161,54 @@
                         "-XX:MaxDirectMemorySize=32m",
                         "-Dio.netty.allocator.type=unpooled",
                         "-Dio.netty.noPreferDirect=true"),
-                onCore);
+                cpuCore);
     }
 
     private JSONObject measure(Path server, String transport, boolean uwsgi) throws Exception {
         JSONObject figures = new JSONObject();
-        try (StandInServices parties = new StandInServices(RUN_MICROS, CALL_MICROS);
-                ServerProcess process = start(server, parties, transport, uwsgi, core)) {
-            // the platform's front is bound last
+        try (StandInServices standIns = new StandInServices(RUN_MICROS, CALL_MICROS);
+                ServerProcess process = start(server, standIns, transport, uwsgi, core)) {
+            // the JSON-RPC front is bound last
             try (Load load = new Load(process.port(uwsgi ? 1 : 0), 8, rate);
                     HolderProcess holder = new HolderProcess(process.port(0), idle, uwsgi, 0)) {
                 TimeUnit.SECONDS.sleep(1);
-                load.play(10_000, 500); // the JVM compiles meanwhile
-                double quiet = loopShare(process, 5);
+                load.play(10_000, 500); // lets the JVM compile the code
+                double loopShareWithoutIdle = loopShare(process, 5);
                 Load.Stretch none = load.play(seconds * 1_000L, 1_000);
-                long emptyHeap = process.liveBytes();
-                long emptyKb = process.residentKb();
-                figures.put("none_idle", none.figures()).put("none_idle_loop_cpu", quiet);
+                long baseHeapBytes = process.liveBytes();
+                long baseResidentKb = process.residentKb();
+                figures.put("none_idle", none.figures()).put("none_idle_loop_cpu", loopShareWithoutIdle);
                 figures.put("open", holder.ask("open"));
-                figures.put("heap_per_connection", (process.liveBytes() - emptyHeap) / (double) idle);
-                figures.put("resident_kb_per_connection", (process.residentKb() - emptyKb) / (double) idle);
-                double crowd = loopShare(process, 5);
-                figures.put("idle_loop_cpu", crowd).put("idle_loop_cpu_over_none", crowd - quiet);
+                figures.put("heap_per_connection", (process.liveBytes() - baseHeapBytes) / (double) idle);
+                figures.put("resident_kb_per_connection", (process.residentKb() - baseResidentKb) / (double) idle);
+                double loopShareWithIdle = loopShare(process, 5);
+                figures.put("idle_loop_cpu", loopShareWithIdle)
+                        .put("idle_loop_cpu_over_none", loopShareWithIdle - loopShareWithoutIdle);
                 Load.Stretch beside = load.play(seconds * 1_000L, 1_000);
                 figures.put("beside_idle", beside.figures())
                         .put("p99_over_none", beside.percentile(99) / none.percentile(99));
                 figures.put("burst", burst(process, load, holder));
                 if (transport != null) {
-                    int log = process.log().size();
+                    int skippedLogLines = process.log().size();
                     figures.put("expiry", holder.ask("closing"));
-                    figures.put("expiry_longest_turn_us", longest(process.log(), log))
-                            .put("expiry_longest_collection_ms", longestCollection(process.log(), log));
+                    figures.put("expiry_longest_turn_us", longestTurnMicros(process.log(), skippedLogLines))
+                            .put(
+                                    "expiry_longest_collection_ms",
+                                    longestCollectionMillis(process.log(), skippedLogLines));
                 }
             }
             figures.put("left_by_itself", process.leave());
-            figures.put("log", last(process.log(), 6));
+            figures.put("log", lastLines(process.log(), 6));
         }
         System.out.println(
                 (transport == null ? "before" : transport) + (uwsgi ? " uwsgi " : " jsonrpc ") + figures.toString(1));
         return figures;
     }
 
-    /** All send at once in the third second of ten seconds of load. */
+    /** All idle connections send a request at the same time, in the third of ten seconds of load. */
     private JSONObject burst(ServerProcess process, Load load, HolderProcess holder) throws Exception {
-        TimeUnit.SECONDS.sleep(6); // by now they are asleep
-        int log = process.log().size();
+        TimeUnit.SECONDS.sleep(6); // afterwards the connections no longer count as recently used
+        int skippedLogLines = process.log().size();
         Load.Stretch during = load.begin();
         TimeUnit.SECONDS.sleep(2);
         holder.say("burst");
@@ -205,81 +217,81 @@
         JSONObject figures = new JSONObject().put("sleepers", holder.hear());
         TimeUnit.SECONDS.sleep(2);
         return figures.put("load", during.figures())
-                .put("longest_turn_us", longest(process.log(), log))
-                .put("longest_collection_ms", longestCollection(process.log(), log));
+                .put("longest_turn_us", longestTurnMicros(process.log(), skippedLogLines))
+                .put("longest_collection_ms", longestCollectionMillis(process.log(), skippedLogLines));
     }
 
-    /** The share of one core that the server's event loop uses. */
+    /** Measures the share of one core that the server's event loop uses. */
     private static double loopShare(ServerProcess process, int seconds) throws Exception {
         TimeUnit.SECONDS.sleep(1);
-        double began = process.loopMillis();
+        double beganMillis = process.loopMillis();
         TimeUnit.SECONDS.sleep(seconds);
-        return (process.loopMillis() - began) / (seconds * 1_000.0);
+        return (process.loopMillis() - beganMillis) / (seconds * 1_000.0);
     }
 
-    private static long longest(List<String> log, int from) {
+    private static long longestTurnMicros(List<String> log, int skippedLines) {
         return log.stream()
-                .skip(from)
+                .skip(skippedLines)
                 .filter(line -> line.contains("longest_us"))
                 .mapToLong(line -> Long.parseLong(line.replaceAll(".*longest_us (\\d+).*", "$1")))
                 .max()
                 .orElse(-1);
     }
 
-    /** The longest pause for garbage collection, which is a part of the turn that it falls into. */
-    private static double longestCollection(List<String> log, int from) {
+    /** Returns the longest garbage collection pause, which is part of the event-loop turn in which it occurs. */
+    private static double longestCollectionMillis(List<String> log, int skippedLines) {
         return log.stream()
-                .skip(from)
+                .skip(skippedLines)
                 .filter(line -> line.contains("Pause Young"))
                 .mapToDouble(line -> Double.parseDouble(line.replaceAll(".* ([\\d.]+)ms$", "$1")))
                 .max()
                 .orElse(0);
     }
 
-    private static List<String> last(List<String> log, int count) {
+    private static List<String> lastLines(List<String> log, int count) {
         return log.stream()
                 .skip(Math.max(0, log.size() - count))
                 .map(line -> line.replaceAll("^\\d+ ", ""))
                 .toList();
     }
 
-    /** 100,000 connections over several servers, each with its own parties, all bursting at once. */
+    /** Opens a sixth of 100,000 connections to each of several servers and lets all send at the same time. */
     private JSONObject fleet() throws Exception {
-        int each = 100_000 / 6;
-        List<AutoCloseable> open = new ArrayList<>();
+        int connectionsPerServer = 100_000 / 6;
+        List<AutoCloseable> resources = new ArrayList<>();
         List<HolderProcess> holders = new ArrayList<>();
         List<ServerProcess> servers = new ArrayList<>();
         JSONObject figures = new JSONObject();
         try {
             for (int i = 0; i < fleet; i++) {
-                StandInServices parties = new StandInServices(RUN_MICROS, CALL_MICROS);
-                open.add(parties);
-                ServerProcess process = start(jar, parties, transports.get(transports.size() - 1), false, -1);
-                open.add(process);
+                StandInServices standIns = new StandInServices(RUN_MICROS, CALL_MICROS);
+                resources.add(standIns);
+                ServerProcess process = start(jar, standIns, transports.get(transports.size() - 1), false, -1);
+                resources.add(process);
                 servers.add(process);
-                HolderProcess holder = new HolderProcess(process.port(0), each, false, i * 200);
-                open.add(holder);
+                HolderProcess holder = new HolderProcess(process.port(0), connectionsPerServer, false, i * 200);
+                resources.add(holder);
                 holders.add(holder);
             }
-            for (String word : List.of("open", "burst")) {
-                if (word.equals("burst")) {
+            for (String command : List.of("open", "burst")) {
+                if (command.equals("burst")) {
                     TimeUnit.SECONDS.sleep(6);
                 }
                 for (HolderProcess holder : holders) {
-                    holder.say(word);
+                    holder.say(command);
                 }
-                List<JSONObject> all = new ArrayList<>();
+                List<JSONObject> results = new ArrayList<>();
                 for (HolderProcess holder : holders) {
-                    all.add(holder.hear());
+                    results.add(holder.hear());
                 }
-                figures.put(word, all);
+                figures.put(command, results);
             }
             for (ServerProcess process : servers) {
-                figures.append("longest_turn_us", longest(process.log(), 0));
+                figures.append("longest_turn_us", longestTurnMicros(process.log(), 0));
             }
         } finally {
-            for (int i = open.size() - 1; i >= 0; i--) {
-                open.get(i).close();
+            for (int i = resources.size() - 1; i >= 0; i--) {
+                resources.get(i).close();
             }
         }
         System.out.println("fleet " + figures.toString(1));
--- a/lab/src/main/java/wheatspread/lab/Lab.java
+++ b/lab/src/main/java/wheatspread/lab/Lab.java
@@ -3,12 +3,12 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The laboratory: load, stand-ins, experiments and their reports. */
+/** The command line of the measurements. */
 @Command(
         name = "wheatspread-lab",
         mixinStandardHelpOptions = true,
         version = "0.1.0",
-        description = "Measures the server beside stand-ins of the parties round it.",
+        description = "Measures the server with stand-ins for the services that it connects to.",
         synopsisSubcommandLabel = "COMMAND",
         subcommands = {
             IdleCommand.class,
@@ -39,6 +39,6 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
+        throw new CommandLine.ParameterException(spec.commandLine(), "missing command; --help lists the commands");
     }
 }
--- a/lab/src/main/java/wheatspread/lab/ModelCommand.java
+++ b/lab/src/main/java/wheatspread/lab/ModelCommand.java
@@ -17,61 +17,69 @@
 import wheatspread.lab.report.Report;
 import wheatspread.membership.DetectorSettings;
 
-/** The fleet's decisions on virtual time. */
+/** Simulates a fleet's membership on virtual time. */
 @Command(
         name = "model",
         mixinStandardHelpOptions = true,
-        description = "Plays scenarios of faults on virtual time in one JVM, with the decision code of the "
-                + "program. A run is the same each time for its seed.",
+        description = "Simulates scenarios of faults on virtual time in one JVM with the membership code of the "
+                + "server, reproducibly for each seed.",
         exitCodeListHeading = "%nExit codes:%n",
-        exitCodeList = {"0:All held.", "1:Something did not; it says what.", "64:A scenario is wrong; it names the key."
+        exitCodeList = {
+            "0:No run violated a rule or expectation.",
+            "1:A run violated a rule or expectation, which is printed.",
+            "64:A scenario is invalid; the key is printed."
         })
 final class ModelCommand implements Callable<Integer> {
-    private static final int USAGE = 64;
+    private static final int USAGE_EXIT_CODE = 64;
 
-    @Parameters(arity = "0..*", paramLabel = "SCENARIO", description = "JSON with comments.")
+    @Parameters(arity = "0..*", paramLabel = "SCENARIO", description = "Scenario files, in JSON with comments.")
     private List<Path> scenarios = List.of();
 
     @Option(
             names = "--sweep",
             paramLabel = "SIZE",
             split = ",",
-            description = "Fleets of these sizes with a crash, and losses of messages with three detectors; with "
-                    + "--report also plots.")
+            description = "Also simulates a crash in fleets of these sizes and message loss with three detectors, "
+                    + "and plots the results if --report is given.")
     private List<Integer> sweep = List.of();
 
     @Option(
             names = "--capacity",
             paramLabel = "SIZE",
             split = ",",
-            description = "Fleets of these sizes, over 30, in each situation of the capacity page.")
+            description = "Also simulates fleets of these sizes, each over 30, in the situations of the capacity page.")
     private List<Integer> capacity = List.of();
 
-    @Option(names = "--situations", split = ",", description = "Only these of --capacity: ${COMPLETION-CANDIDATES}.")
+    @Option(names = "--situations", split = ",", description = "Situations of --capacity: ${COMPLETION-CANDIDATES}.")
     private List<CapacitySweep.Situation> situations = List.of(CapacitySweep.Situation.values());
 
     @Option(
             names = "--limit-s",
             defaultValue = "240",
-            description = "A run of --capacity is stopped after so long by the wall clock (${DEFAULT-VALUE}).")
+            description = "Wall-clock limit in seconds of a run of --capacity (${DEFAULT-VALUE}).")
     private int limitSeconds;
 
-    @Option(names = "--name", defaultValue = "model", description = "The report's name (${DEFAULT-VALUE}).")
+    @Option(names = "--name", defaultValue = "model", description = "Name of the report (${DEFAULT-VALUE}).")
     private String name;
 
-    @Option(names = "--seed", defaultValue = "1", split = ",", description = "Plays one run a seed (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            split = ",",
+            description = "Seeds, with one run each (${DEFAULT-VALUE}).")
     private List<Long> seeds;
 
     @Option(
             names = "--detector",
             defaultValue = "usual",
-            description = "usual, suspicious (SWIM with suspicions of one length) or plain (SWIM without).")
+            description = "Failure detector: usual, suspicious (SWIM with suspicions of fixed length) or plain (SWIM "
+                    + "without suspicion).")
     private String detector;
 
-    @Option(names = "--pairs", description = "Plays each two of the scenarios at once.")
+    @Option(names = "--pairs", description = "Combines each pair of scenarios in one run.")
     private boolean pairs;
 
-    @Option(names = "--report", paramLabel = "DIR", description = "Where a report goes; none without.")
+    @Option(names = "--report", paramLabel = "DIR", description = "Folder of the report; without it none is written.")
     private Path out;
 
     @Override
@@ -85,29 +93,29 @@
                         DetectorSettings.DEFAULT.withoutSuspicion())
                 .get(detector);
         if (settings == null) {
-            System.err.println("--detector is " + detector + "; allowed are usual, suspicious and plain");
-            return USAGE;
+            System.err.println("unknown --detector " + detector + "; expected usual, suspicious or plain");
+            return USAGE_EXIT_CODE;
         }
         Report report = new Report(name);
-        boolean held = true;
+        boolean passed = true;
         for (long seed : seeds) {
-            Map<String, Scenario> plays;
+            Map<String, Scenario> runs;
             try {
-                plays = FaultsCommand.plays(scenarios, pairs, seed);
+                runs = FaultsCommand.scenarios(scenarios, pairs, seed);
             } catch (JsonFields.InvalidValueException e) {
                 e.messages().forEach(System.err::println);
-                return USAGE;
+                return USAGE_EXIT_CODE;
             }
-            for (Map.Entry<String, Scenario> one : plays.entrySet()) {
-                ModelRun.Outcome outcome = new ModelRun(one.getValue(), settings, seed).simulate();
-                String played = one.getKey() + ", " + detector + ", seed " + seed;
-                report.put(played, outcome.figures().put("faults", new JSONArray(outcome.faults())));
-                System.out.println(played + " " + outcome.figures());
-                held &= outcome.faults().isEmpty();
+            for (Map.Entry<String, Scenario> run : runs.entrySet()) {
+                ModelRun.Outcome outcome = new ModelRun(run.getValue(), settings, seed).simulate();
+                String part = run.getKey() + ", " + detector + ", seed " + seed;
+                report.put(part, outcome.figures().put("faults", new JSONArray(outcome.faults())));
+                System.out.println(part + " " + outcome.figures());
+                passed &= outcome.faults().isEmpty();
             }
         }
         if (!sweep.isEmpty()) {
-            held &= new ModelSweep(report, seeds.get(0)).run(sweep, out);
+            passed &= new ModelSweep(report, seeds.get(0)).run(sweep, out);
         }
         if (!capacity.isEmpty()) {
             new CapacitySweep(report, seeds.get(0), Duration.ofSeconds(limitSeconds), out).run(situations, capacity);
@@ -115,6 +123,6 @@
         if (out != null) {
             report.write(out);
         }
-        return held ? 0 : 1;
+        return passed ? 0 : 1;
     }
 }
--- a/lab/src/main/java/wheatspread/lab/ReloadCommand.java
+++ b/lab/src/main/java/wheatspread/lab/ReloadCommand.java
@@ -10,63 +10,70 @@
 import wheatspread.lab.rig.HandoverRun;
 import wheatspread.lab.rig.ReloadRun;
 
-/** Servers that are given new addresses, or followed by new processes on their socket, under load. */
+/** Measures reloads with changed addresses, and the handover of a socket to a new process, under load. */
 @Command(
         name = "reload",
         mixinStandardHelpOptions = true,
-        description = "Moves the parties below six real servers under load while kernels are late or cold and "
-                + "processes are stopped or starved; then has one server's socket handed over to a new process while "
-                + "the old one leaves or is killed, or the new one dies. Books every promise; a minute a seed.")
+        description = "Changes the addresses of the services of six real servers under load while kernels are late or "
+                + "cold and processes are stopped or starved, then hands the socket of a server over to a new "
+                + "process while the old one drains or is killed, or the new one dies, and counts the broken "
+                + "promises; takes a minute per seed.")
 final class ReloadCommand implements Callable<Integer> {
-    @Option(names = "--jar", defaultValue = "server/target/wheatspread.jar", description = "The server.")
+    @Option(names = "--jar", defaultValue = "server/target/wheatspread.jar", description = "Jar of the server.")
     private Path jar;
 
-    @Option(names = "--deploy", defaultValue = "deploy/balancer.toml", description = "Where the flags stand.")
+    @Option(
+            names = "--deploy",
+            defaultValue = "deploy/balancer.toml",
+            description = "Deploy file with the JVM flags of the server.")
     private Path deploy;
 
-    @Option(names = "--rate", defaultValue = "60", description = "Requests a second for all (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--rate",
+            defaultValue = "60",
+            description = "Requests per second to all servers (${DEFAULT-VALUE}).")
     private double rate;
 
     @Option(
             names = "--handover-rate",
             defaultValue = "12",
-            description = "Requests a second for the one server (${DEFAULT-VALUE}).")
+            description = "Requests per second to the server of the handover (${DEFAULT-VALUE}).")
     private double handoverRate;
 
-    @Option(names = "--part", defaultValue = "all", description = "all, reload or handover.")
+    @Option(names = "--part", defaultValue = "all", description = "Part to run: all, reload or handover.")
     private String part;
 
     @Option(
             names = "--seed",
             defaultValue = "1,2,3,4,5",
             split = ",",
-            description = "Plays one run a seed (${DEFAULT-VALUE}).")
+            description = "Seeds, with one run each (${DEFAULT-VALUE}).")
     private List<Long> seeds;
 
-    @Option(names = "--out", defaultValue = "docs/measurements", description = "Where the report goes.")
+    @Option(names = "--out", defaultValue = "docs/measurements", description = "Folder of the report.")
     private Path out;
 
     @Override
     public Integer call() throws Exception {
         Report report = new Report(part.equals("all") ? "reload" : "reload-" + part);
         List<String> flags = StartCommand.flags(deploy);
-        boolean kept = true;
+        boolean passed = true;
         for (long seed : seeds) {
             if (!part.equals("handover")) {
-                kept &= tell(report, "reload, seed " + seed, new ReloadRun(jar, flags, rate).play(seed));
+                passed &= report(report, "reload, seed " + seed, new ReloadRun(jar, flags, rate).play(seed));
             }
             for (HandoverRun.End end : part.equals("reload") ? new HandoverRun.End[0] : HandoverRun.End.values()) {
-                kept &= tell(
+                passed &= report(
                         report,
                         end.name().toLowerCase() + ", seed " + seed,
                         new HandoverRun(jar, flags, handoverRate).play(end, seed));
             }
         }
         report.write(out);
-        return kept ? 0 : 1;
+        return passed ? 0 : 1;
     }
 
-    private static boolean tell(Report report, String name, ReloadRun.Outcome outcome) {
+    private static boolean report(Report report, String name, ReloadRun.Outcome outcome) {
         report.put(name, outcome.figures().put("faults", new JSONArray(outcome.faults())));
         System.out.println(name + " " + outcome.figures());
         return outcome.faults().isEmpty();
--- a/lab/src/main/java/wheatspread/lab/ScaleCommand.java
+++ b/lab/src/main/java/wheatspread/lab/ScaleCommand.java
@@ -25,94 +25,101 @@
 import wheatspread.lab.scale.ScaleSettings;
 import wheatspread.lab.scale.ScaleStep;
 
-/** Membership at the size that operators plan with. */
+/** Measures membership at the sizes of planned installations. */
 @Command(
         name = "scale",
         mixinStandardHelpOptions = true,
-        description = "Forms fleets of hollow servers (membership alone, many to a process) with some real servers "
-                + "under load among them, plays faults, and reports what membership costs a member at each size. "
-                + "Wants a machine with nothing else on it.",
+        description = "Forms fleets of hollow servers (only membership, many in a process) and some real servers "
+                + "under load, injects faults, and reports the cost of membership per member at each size; run it "
+                + "on an otherwise idle machine.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:It was measured. A fleet that comes to no view in time is a finding of the report.",
-            "64:The command line is wrong.",
-            "69:This machine cannot carry the fleet; one line says why. Nothing was started."
+            "0:Measured; the report also names fleets that reached no common view in time.",
+            "64:The command line is invalid.",
+            "69:This machine cannot run the fleet, for the reason printed; nothing was started."
         })
 final class ScaleCommand implements Callable<Integer> {
-    private static final int USAGE = 64;
-    private static final int UNAVAILABLE = 69;
-    /** Requests a second of each real server: 60% of what the stand-in of its kernel can run. */
-    private static final double RATE_OF_REAL = 12;
-    /** No step or check is begun with less time than this left. */
-    private static final Duration LEAST = Duration.ofSeconds(90);
-
-    @Option(names = "--jar", defaultValue = "server/target/wheatspread.jar", description = "The server.")
+    private static final int USAGE_EXIT_CODE = 64;
+    private static final int UNAVAILABLE_EXIT_CODE = 69;
+    /** Requests per second to each real server, 60% of the capacity of its stand-in kernel. */
+    private static final double REQUESTS_PER_S_PER_REAL_SERVER = 12;
+    /** The remaining time that is required to begin a step or check. */
+    private static final Duration MIN_REMAINING_TIME = Duration.ofSeconds(90);
+
+    @Option(names = "--jar", defaultValue = "server/target/wheatspread.jar", description = "Jar of the server.")
     private Path jar;
 
-    @Option(names = "--deploy", defaultValue = "deploy/balancer.toml", description = "Where the flags stand.")
+    @Option(
+            names = "--deploy",
+            defaultValue = "deploy/balancer.toml",
+            description = "Deploy file with the JVM flags of the server.")
     private Path deploy;
 
     @Option(
             names = "--steps",
             defaultValue = "100,350,700,1400",
             split = ",",
-            description = "Hollow servers of each fleet, the largest fleet is played first (${DEFAULT-VALUE}).")
+            description =
+                    "Numbers of hollow servers, one for each fleet, measured from the largest (${DEFAULT-VALUE}).")
     private List<Integer> steps;
 
-    @Option(names = "--real", defaultValue = "8", description = "Real servers in each fleet (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--real",
+            defaultValue = "8",
+            description = "Number of real servers in each fleet (${DEFAULT-VALUE}).")
     private int real;
 
-    @Option(names = "--rate", description = "Requests a second for all real servers together (12 for each).")
+    @Option(names = "--rate", description = "Requests per second to all real servers together (12 for each).")
     private Double rate;
 
-    @Option(names = "--seed", defaultValue = "1", description = "Of all random draws (${DEFAULT-VALUE}).")
+    @Option(names = "--seed", defaultValue = "1", description = "Seed of all random draws (${DEFAULT-VALUE}).")
     private long seed;
 
     @Option(
             names = "--faults",
             split = ",",
-            description = "Which are played; known are ${COMPLETION-CANDIDATES}.",
-            completionCandidates = FaultWords.class)
+            description = "Faults to inject, of ${COMPLETION-CANDIDATES}.",
+            completionCandidates = FaultNames.class)
     private List<String> faults;
 
     @Option(
             names = "--batch",
             defaultValue = "0",
-            description = "Hollow servers that are started at once while a fleet is formed (${DEFAULT-VALUE}); "
-                    + "0 for all.")
+            description = "Number of hollow servers that start at the same time while a fleet forms "
+                    + "(${DEFAULT-VALUE}); 0 for all.")
     private int batch;
 
     @Option(
             names = "--check",
             defaultValue = "20",
-            description = "Servers of the fleets in which hollow servers are checked against real ones "
-                    + "(${DEFAULT-VALUE}); 0 for no check.")
+            description = "Number of servers in the fleets that compare hollow with real servers "
+                    + "(${DEFAULT-VALUE}); 0 for no comparison.")
     private int check;
 
-    @Option(names = "--limit-minutes", defaultValue = "15", description = "When to end (${DEFAULT-VALUE}).")
+    @Option(names = "--limit-minutes", defaultValue = "15", description = "Time limit in minutes (${DEFAULT-VALUE}).")
     private int limitMinutes;
 
-    @Option(names = "--report", paramLabel = "DIR", description = "Where a report goes; none without.")
+    @Option(names = "--report", paramLabel = "DIR", description = "Folder of the report; without it none is written.")
     private Path out;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
-    /** The names of the faults, for help. */
-    static final class FaultWords extends ArrayList<String> {
+    /** The names of the faults, for the help text. */
+    static final class FaultNames extends ArrayList<String> {
         private static final long serialVersionUID = 1L;
 
-        FaultWords() {
+        FaultNames() {
             super(FaultKind.words());
         }
     }
 
     @Override
     public Integer call() throws Exception {
-        Instant begun = Instant.now();
+        Instant beginTime = Instant.now();
         Set<FaultKind> chosen = EnumSet.allOf(FaultKind.class);
         try {
-            check();
+            checkFleetSizes();
             if (faults != null) {
                 chosen = faults.stream()
                         .map(FaultKind::named)
@@ -120,7 +127,7 @@
             }
         } catch (IllegalArgumentException e) {
             System.err.println(e.getMessage());
-            return USAGE;
+            return USAGE_EXIT_CODE;
         }
         String refusal = Preflight.refusal(Collections.max(steps), real);
         if (refusal == null && check > 0) {
@@ -128,17 +135,17 @@
         }
         if (refusal != null) {
             System.err.println(refusal);
-            return UNAVAILABLE;
+            return UNAVAILABLE_EXIT_CODE;
         }
-        double perSecond = rate == null ? RATE_OF_REAL * real : rate;
+        double requestsPerSecond = rate == null ? REQUESTS_PER_S_PER_REAL_SERVER * real : rate;
         Report report = new Report("scale");
-        play(
-                new ScaleSettings(jar, StartCommand.flags(deploy), real, perSecond, seed, batch, chosen),
-                begun.plus(Duration.ofMinutes(limitMinutes)),
+        measure(
+                new ScaleSettings(jar, StartCommand.flags(deploy), real, requestsPerSecond, seed, batch, chosen),
+                beginTime.plus(Duration.ofMinutes(limitMinutes)),
                 report);
         JSONObject run = new JSONObject()
                 .put("seed", seed)
-                .put("seconds", Duration.between(begun, Instant.now()).toSeconds());
+                .put("seconds", Duration.between(beginTime, Instant.now()).toSeconds());
         report.put("run", run);
         progress("run " + run);
         if (out != null) {
@@ -147,21 +154,23 @@
         return 0;
     }
 
-    private void check() {
+    private void checkFleetSizes() {
         if (real < 1 || Collections.min(steps) < real) {
             throw new IllegalArgumentException(
-                    "a fleet has at least one real server, and no fewer hollow ones than real ones");
+                    "--real is " + real + " and the smallest of --steps is " + Collections.min(steps)
+                            + "; expected one or more real servers, and no fewer hollow than real servers in a fleet");
         }
     }
 
-    private void play(ScaleSettings settings, Instant deadline, Report report) throws Exception {
+    private void measure(ScaleSettings settings, Instant deadline, Report report) throws Exception {
         Map<String, Map<Integer, Double>> points = new LinkedHashMap<>();
         List<Integer> sizes = new ArrayList<>(steps);
         sizes.sort(Collections.reverseOrder());
         int largest = sizes.get(0);
         for (int hollow : sizes) {
-            if (Instant.now().plus(LEAST).isAfter(deadline)) {
-                progress(hollow + " hollow: skipped, no time is left");
+            if (Instant.now().plus(MIN_REMAINING_TIME).isAfter(deadline)) {
+                progress(hollow + " hollow servers: skipped, because less than " + MIN_REMAINING_TIME.toSeconds()
+                        + " s remain until the time limit");
                 report.put("step " + hollow, new JSONObject().put("skipped", "no time is left"));
                 continue;
             }
@@ -177,9 +186,9 @@
                 ScaleStep.unit(name),
                 "members",
                 values.entrySet().stream()
-                        .map(one -> new Series.Point(one.getKey(), one.getValue()))
+                        .map(point -> new Series.Point(point.getKey(), point.getValue()))
                         .toList())));
-        if (check > 0 && Instant.now().plus(LEAST).isBefore(deadline)) {
+        if (check > 0 && Instant.now().plus(MIN_REMAINING_TIME).isBefore(deadline)) {
             JSONObject checked = new HollowCheck(settings, check).play();
             report.put("hollow beside real", checked);
             progress("hollow beside real: " + checked);
--- a/lab/src/main/java/wheatspread/lab/SettingsCommand.java
+++ b/lab/src/main/java/wheatspread/lab/SettingsCommand.java
@@ -15,30 +15,34 @@
 import wheatspread.lab.settings.SizeSeries;
 import wheatspread.lab.settings.SizeSeries.Dimension;
 
-/** One server with the platform's flags against the size of its settings and of what it has in hand. */
+/** Measures one server with the deployed JVM flags by the size of its settings and of its load. */
 @Command(
         name = "settings",
         mixinStandardHelpOptions = true,
-        description = "Starts one server with generated tenants and routes, and measures its start, its reloads under "
-                + "load, and what it adds to a request against tenants, routes, held requests and connections. Ends "
-                + "with 1 where a server did not start, a reload was lost, or an answer was late or lost.")
+        description =
+                "Starts a server with generated tenants and routes, and measures its start, its reloads under load, "
+                        + "and the time that it adds to a request, by tenants, routes, held requests and connections; "
+                        + "exits with 1 if a server did not start, a reload was lost, or an answer was late or lost.")
 final class SettingsCommand implements Callable<Integer> {
-    /** Of what is not measured against. */
-    private static final int FEW_TENANTS = 10;
+    /** The number of tenants in the measurements by another quantity. */
+    private static final int DEFAULT_TENANTS = 10;
 
-    private static final int FEW_ROUTES = 10;
+    private static final int DEFAULT_ROUTES = 10;
 
-    @Option(names = "--jar", defaultValue = "server/target/wheatspread.jar", description = "The server.")
+    @Option(names = "--jar", defaultValue = "server/target/wheatspread.jar", description = "Jar of the server.")
     private Path jar;
 
-    @Option(names = "--deploy", defaultValue = "deploy/balancer.toml", description = "Where the flags stand.")
+    @Option(
+            names = "--deploy",
+            defaultValue = "deploy/balancer.toml",
+            description = "Deploy file with the JVM flags of the server.")
     private Path deploy;
 
     @Option(
             names = "--parts",
             defaultValue = "tenants,routes,held,connections",
             split = ",",
-            description = "What to measure against (${DEFAULT-VALUE}).")
+            description = "Quantities to vary (${DEFAULT-VALUE}).")
     private Set<String> parts;
 
     @Option(
@@ -58,7 +62,7 @@
     @Option(
             names = "--with-routes",
             defaultValue = "10",
-            description = "Routes of the servers that are measured against tenants (${DEFAULT-VALUE}).")
+            description = "Number of routes in the measurements by tenants (${DEFAULT-VALUE}).")
     private int withRoutes;
 
     @Option(
@@ -71,7 +75,7 @@
     @Option(
             names = "--held-tenants",
             defaultValue = "1000",
-            description = "Tenants of the server that holds requests (${DEFAULT-VALUE}).")
+            description = "Number of tenants in the measurements by held requests (${DEFAULT-VALUE}).")
     private int heldTenants;
 
     @Option(
@@ -81,48 +85,54 @@
             description = "Numbers of connections (${DEFAULT-VALUE}).")
     private List<Integer> connections;
 
-    @Option(names = "--rate", defaultValue = "66", description = "Requests a second (${DEFAULT-VALUE}).")
+    @Option(names = "--rate", defaultValue = "66", description = "Requests per second (${DEFAULT-VALUE}).")
     private double rate;
 
-    @Option(names = "--seconds", defaultValue = "5", description = "How long a point is measured (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--seconds",
+            defaultValue = "5",
+            description = "Duration in seconds of the measurement of a point (${DEFAULT-VALUE}).")
     private int seconds;
 
-    @Option(names = "--reloads", defaultValue = "10", description = "SIGHUPs in a row (${DEFAULT-VALUE}).")
+    @Option(names = "--reloads", defaultValue = "10", description = "Number of consecutive SIGHUPs (${DEFAULT-VALUE}).")
     private int reloads;
 
-    @Option(names = "--seed", defaultValue = "1", description = "Draws what is asked (${DEFAULT-VALUE}).")
+    @Option(names = "--seed", defaultValue = "1", description = "Seed of the drawn requests (${DEFAULT-VALUE}).")
     private long seed;
 
-    @Option(names = "--core", defaultValue = "1", description = "The core it runs on, -1 for any (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--core",
+            defaultValue = "1",
+            description = "CPU core of the server, -1 for any (${DEFAULT-VALUE}).")
     private int core;
 
-    @Option(names = "--name", defaultValue = "settings", description = "The report's name (${DEFAULT-VALUE}).")
+    @Option(names = "--name", defaultValue = "settings", description = "Name of the report (${DEFAULT-VALUE}).")
     private String name;
 
-    @Option(names = "--out", defaultValue = "docs/measurements", description = "Where the report goes.")
+    @Option(names = "--out", defaultValue = "docs/measurements", description = "Folder of the report.")
     private Path out;
 
     private Report report;
-    private boolean kept = true;
+    private boolean passed = true;
 
     @Override
     public Integer call() throws Exception {
         report = new Report(name);
-        ServerMeasurement measurement =
-                new ServerMeasurement(serve(), new ServerMeasurement.Load(rate, seconds * 1_000L, reloads, seed));
+        ServerMeasurement measurement = new ServerMeasurement(
+                serveCommand(), new ServerMeasurement.Load(rate, seconds * 1_000L, reloads, seed));
         measure(Dimension.TENANTS, tenants, size -> measurement.measureTenants(size, withRoutes));
-        measure(Dimension.ROUTES, routes, size -> measurement.measureRoutes(FEW_TENANTS, size));
-        measure(Dimension.HELD, held, size -> measurement.measureHeld(heldTenants, FEW_ROUTES, size));
+        measure(Dimension.ROUTES, routes, size -> measurement.measureRoutes(DEFAULT_TENANTS, size));
+        measure(Dimension.HELD, held, size -> measurement.measureHeld(heldTenants, DEFAULT_ROUTES, size));
         measure(
                 Dimension.CONNECTIONS,
                 connections,
-                size -> measurement.measureConnections(FEW_TENANTS, FEW_ROUTES, size));
+                size -> measurement.measureConnections(DEFAULT_TENANTS, DEFAULT_ROUTES, size));
         report.write(out);
-        return kept ? 0 : 1;
+        return passed ? 0 : 1;
     }
 
-    /** The platform's own line up to {@code serve}, on the core it is to have. */
-    private List<String> serve() throws IOException {
+    /** Returns the deployed command line up to {@code serve}, bound to the chosen core. */
+    private List<String> serveCommand() throws IOException {
         List<String> command = new ArrayList<>();
         if (core >= 0) {
             command.addAll(List.of("taskset", "-c", Integer.toString(core)));
@@ -133,26 +143,26 @@
         return command;
     }
 
-    /** The figures of one point. */
+    /** Measures the figures of one point. */
     private interface Measurement {
-        JSONObject at(int size) throws IOException, InterruptedException;
+        JSONObject measure(int size) throws IOException, InterruptedException;
     }
 
     private void measure(Dimension dimension, List<Integer> sizes, Measurement measurement)
             throws IOException, InterruptedException {
-        String word = dimension.name().toLowerCase(Locale.ROOT);
-        if (!parts.contains(word)) {
+        String dimensionName = dimension.name().toLowerCase(Locale.ROOT);
+        if (!parts.contains(dimensionName)) {
             return;
         }
         SizeSeries series = new SizeSeries(dimension);
         for (int size : sizes) {
-            JSONObject figures = measurement.at(size);
-            // the mean of what was held is less than what was open
+            JSONObject figures = measurement.measure(size);
+            // plotted by the mean number of held requests, which is less than the number of open ones
             Object held = figures.optQuery("/held/held");
             series.add(held instanceof Number mean ? mean.doubleValue() : size, figures);
-            kept = kept && figures.getJSONArray("faults").isEmpty();
-            report.put(word + " " + size, figures);
-            System.out.println(word + " " + size + " " + figures);
+            passed = passed && figures.getJSONArray("faults").isEmpty();
+            report.put(dimensionName + " " + size, figures);
+            System.out.println(dimensionName + " " + size + " " + figures);
         }
         series.addTo(report);
     }
--- a/lab/src/main/java/wheatspread/lab/Sites.java
+++ b/lab/src/main/java/wheatspread/lab/Sites.java
@@ -6,9 +6,9 @@
 import org.json.JSONObject;
 import wheatspread.lab.standins.StandInServices;
 
-/** A made-up site of the size of the one in service: its configuration, and what its callers ask. */
+/** A fictitious site of the size of the one in service: its configuration and the requests of its clients. */
 public final class Sites {
-    /** A class of requests, with its share, and its times in milliseconds. */
+    /** A request class with its share of the requests; times are in milliseconds. */
     public record Kind(String name, double share, int wanted, int deadline, double worth, boolean keyed) {}
 
     public static final List<Kind> KINDS = List.of(
@@ -17,22 +17,22 @@
             new Kind("ingredients", 0.23, 2_800, 7_100, 2, false),
             new Kind("save-plan", 0.12, 4_300, 14_000, 5, true));
     public static final List<String> TENANTS = List.of("main-site", "barangay-kitchens", "school-feeding");
-    private static final double[] SHARES = {0.51, 0.35, 0.14};
-    private static final double QUOTA = 400;
+    private static final double[] TENANT_SHARES = {0.51, 0.35, 0.14};
+    private static final double TOTAL_QUOTA_PER_S = 400;
 
-    /** Digits of a generated tenant's number. */
-    private static final String TENANT_NAME = "kitchen-%06d";
+    /** The format of a generated tenant's name, from its number. */
+    private static final String TENANT_NAME_FORMAT = "kitchen-%06d";
 
     private Sites() {}
 
-    /** The name of a generated tenant by its number, which counts from 0. */
+    /** Returns the name of a generated tenant by its number from 0. */
     public static String tenantName(int number) {
-        return String.format(TENANT_NAME, number);
+        return String.format(TENANT_NAME_FORMAT, number);
     }
 
     /**
-     * So many generated tenants as a configuration lists them. Their quotas sum up to that of the usual site and
-     * fall as the reciprocals of their ranks do, as the sizes of customers use to.
+     * Generates tenants as a configuration lists them. Their quotas add up to that of the default site and are
+     * proportional to the reciprocals of their ranks, as sizes of customers often are.
      */
     public static JSONArray tenants(int count) {
         double sum = 0;
@@ -44,25 +44,25 @@
             double share = 1 / ((number + 1) * sum);
             tenants.put(new JSONObject()
                     .put("Name", tenantName(number))
-                    .put("QuotaPerS", rounded(QUOTA * share))
+                    .put("QuotaPerS", rounded(TOTAL_QUOTA_PER_S * share))
                     .put("Share", rounded(share)));
         }
         return tenants;
     }
 
-    /** To six digits behind the point, as configurations have figures. */
+    /** Rounds to six decimal places, as configurations do; returns 0.000001 or more. */
     private static double rounded(double value) {
         return Math.max(1, Math.round(value * 1e6)) / 1e6;
     }
 
-    /** The configuration of one server with so many descriptors. */
-    public static JSONObject config(StandInServices parties, int sockets) {
-        return config(parties.kernel(), parties.records(), parties.announce(), sockets, 12);
+    /** Returns the configuration of one server with a limit on its sockets. */
+    public static JSONObject config(StandInServices standIns, int sockets) {
+        return config(standIns.kernel(), standIns.records(), standIns.announce(), sockets, 12);
     }
 
     /**
-     * Of a site that calls nothing, whose callers tell no limit, mark further tries and heed a level: the
-     * other kind of deployment in service.
+     * Changes a configuration to the other kind of deployment in service, and returns it. Its runs make no dependency
+     * calls, and its clients send no deadline, mark retries, and follow the load feedback level.
      */
     public static JSONObject withoutCalls(JSONObject config) {
         config.remove("records");
@@ -73,7 +73,7 @@
         return config;
     }
 
-    /** The same of one of a fleet, with the addresses of the parties round it. */
+    /** Returns the configuration of one server of a fleet, with the addresses of the services that it connects to. */
     public static JSONObject config(String kernel, String records, String announce, int sockets, int servers) {
         JSONObject settings = new JSONObject()
                 .put("ReplicasOfMe", servers)
@@ -122,8 +122,10 @@
 
     private static JSONArray tenants() {
         JSONArray tenants = new JSONArray();
-        for (int i = 0; i < SHARES.length; i++) {
-            tenants.put(new JSONObject().put("Name", TENANTS.get(i)).put("QuotaPerS", QUOTA * SHARES[i]));
+        for (int i = 0; i < TENANT_SHARES.length; i++) {
+            tenants.put(new JSONObject()
+                    .put("Name", TENANTS.get(i))
+                    .put("QuotaPerS", TOTAL_QUOTA_PER_S * TENANT_SHARES[i]));
         }
         return tenants;
     }
@@ -150,28 +152,30 @@
                 .put("Say", "window");
     }
 
-    /** Draws a class of request by the shares of the classes. */
+    /** Draws a request class by the shares of the classes. */
     public static Kind kind(Random random) {
-        double left = random.nextDouble();
+        double remainder = random.nextDouble();
         for (Kind kind : KINDS) {
-            left -= kind.share;
-            if (left < 0) {
+            remainder -= kind.share;
+            if (remainder < 0) {
                 return kind;
             }
         }
         return KINDS.get(0);
     }
 
+    /** Draws the name of a tenant of the default site by the tenants' shares. */
     public static String tenant(Random random) {
-        double left = random.nextDouble();
-        return TENANTS.get(left < SHARES[0] ? 0 : left < SHARES[0] + SHARES[1] ? 1 : 2);
+        double draw = random.nextDouble();
+        return TENANTS.get(draw < TENANT_SHARES[0] ? 0 : draw < TENANT_SHARES[0] + TENANT_SHARES[1] ? 1 : 2);
     }
 
-    /** One try as a proxy writes it. */
-    public static String request(long id, Kind kind, String tenant, String txn, long doorMillis) {
+    /** Encodes an attempt as one line, as a proxy sends it; {@code arrivalUnixMillis} is its arrival at the proxy. */
+    public static String request(long id, Kind kind, String tenant, String txn, long arrivalUnixMillis) {
         return "{\"jsonrpc\":\"2.0\",\"id\":" + id
                 + ",\"method\":\"" + kind.name + "\",\"params\":{\"txn\":\"" + txn
-                + "\",\"door\":" + doorMillis + ",\"lb\":1,\"team\":\"" + tenant + "\",\"limit\":" + kind.deadline
+                + "\",\"door\":" + arrivalUnixMillis + ",\"lb\":1,\"team\":\"" + tenant + "\",\"limit\":"
+                + kind.deadline
                 + ",\"cpu\":15.0,\"ram\":24.5,\"standing\":0.5,"
                 + (kind.keyed ? "\"unique\":\"u" + txn : "\"item\":\"i" + txn) + "\",\"blob\":\"cmVxdWVzdA==\"}}\n";
     }
--- a/lab/src/main/java/wheatspread/lab/StartCommand.java
+++ b/lab/src/main/java/wheatspread/lab/StartCommand.java
@@ -20,50 +20,57 @@
 import wheatspread.lab.standins.ServerProcess;
 import wheatspread.lab.standins.StandInServices;
 
-/** What a start costs on the platform, beside another jar's. */
+/** Measures the cost of a server start with the deployed flags, optionally against another jar. */
 @Command(
         name = "start",
         mixinStandardHelpOptions = true,
-        description = "Starts servers with the platform's flags, in turns, and measures time, CPU and memory.")
+        description = "Starts servers with the deployed JVM flags and measures time, CPU and memory.")
 final class StartCommand implements Callable<Integer> {
-    @Option(names = "--jar", defaultValue = "server/target/wheatspread.jar", description = "The server.")
+    @Option(names = "--jar", defaultValue = "server/target/wheatspread.jar", description = "Jar of the server.")
     private Path jar;
 
-    @Option(names = "--before", description = "Another server's jar, started in turns with it.")
+    @Option(names = "--before", description = "Jar of a server to compare with, started alternately.")
     private Path before;
 
-    @Option(names = "--deploy", defaultValue = "deploy/balancer.toml", description = "Where the flags stand.")
+    @Option(
+            names = "--deploy",
+            defaultValue = "deploy/balancer.toml",
+            description = "Deploy file with the JVM flags of the server.")
     private Path deploy;
 
-    @Option(names = "--before-deploy", description = "Where the flags of the other jar stand; the same file.")
+    @Option(
+            names = "--before-deploy",
+            description = "Deploy file with the JVM flags for --before; by default that of --deploy.")
     private Path beforeDeploy;
 
-    @Option(names = "--half", description = "Something else spins on the same core, so that half of it is left.")
+    @Option(
+            names = "--half",
+            description = "Runs a busy loop on the same core, which leaves half of the core to the server.")
     private boolean half;
 
-    @Option(names = "--rounds", defaultValue = "7", description = "Starts of each (${DEFAULT-VALUE}).")
+    @Option(names = "--rounds", defaultValue = "7", description = "Number of starts of each server (${DEFAULT-VALUE}).")
     private int rounds;
 
-    @Option(names = "--core", defaultValue = "2", description = "The core they run on (${DEFAULT-VALUE}).")
+    @Option(names = "--core", defaultValue = "2", description = "CPU core of the servers (${DEFAULT-VALUE}).")
     private int core;
 
-    @Option(names = "--out", defaultValue = "docs/measurements", description = "Where the report goes.")
+    @Option(names = "--out", defaultValue = "docs/measurements", description = "Folder of the report.")
     private Path out;
 
     @Override
     public Integer call() throws Exception {
         List<String> flags = flags(deploy);
-        List<JSONObject> after = new ArrayList<>();
-        List<JSONObject> old = new ArrayList<>();
-        List<String> oldFlags = beforeDeploy == null ? flags : flags(beforeDeploy);
+        List<JSONObject> starts = new ArrayList<>();
+        List<JSONObject> startsBefore = new ArrayList<>();
+        List<String> beforeFlags = beforeDeploy == null ? flags : flags(beforeDeploy);
         Process spinner = half
                 ? new ProcessBuilder("taskset", "-c", Integer.toString(core), "sh", "-c", "while :; do :; done").start()
                 : null;
         try {
             for (int i = 0; i < rounds; i++) {
-                after.add(start(jar, flags));
+                starts.add(start(jar, flags));
                 if (before != null) {
-                    old.add(start(before, oldFlags));
+                    startsBefore.add(start(before, beforeFlags));
                 }
             }
         } finally {
@@ -72,42 +79,42 @@
             }
         }
         Report report = new Report("start");
-        report.put("now", medians(after));
+        report.put("now", medians(starts));
         if (before != null) {
-            report.put("before", medians(old));
+            report.put("before", medians(startsBefore));
         }
         report.write(out);
         report.parts().forEach(part -> System.out.println(part + " " + report.get(part)));
         return 0;
     }
 
-    /** The flags of the platform's run line. */
+    /** Reads the JVM flags from the {@code run} line of a deploy file. */
     static List<String> flags(Path deploy) throws IOException {
-        Matcher run = Pattern.compile("run = \"exec java (.*) -jar ").matcher(Files.readString(deploy));
-        if (!run.find()) {
-            throw new IOException(deploy + " has no run line with java's flags");
+        Matcher runLine = Pattern.compile("run = \"exec java (.*) -jar ").matcher(Files.readString(deploy));
+        if (!runLine.find()) {
+            throw new IOException(deploy + ": no line of the form run = \"exec java FLAGS -jar ...\"");
         }
-        return List.of(run.group(1).split(" "));
+        return List.of(runLine.group(1).split(" "));
     }
 
     private JSONObject start(Path server, List<String> flags) throws Exception {
-        long began = System.nanoTime();
-        try (StandInServices parties = new StandInServices(15_000, 5_000);
-                ServerProcess process = new ServerProcess(server, Sites.config(parties, 512), null, flags, core)) {
-            double wall = (System.nanoTime() - began) / 1e6;
-            double answered = firstAnswer(process.port(0), began);
-            double cpu = process.cpuMillis();
+        long beganNanos = System.nanoTime();
+        try (StandInServices standIns = new StandInServices(15_000, 5_000);
+                ServerProcess process = new ServerProcess(server, Sites.config(standIns, 512), null, flags, core)) {
+            double servingMillis = (System.nanoTime() - beganNanos) / 1e6;
+            double firstAnswerMillis = awaitFirstAnswerMillis(process.port(0), beganNanos);
+            double cpuMillis = process.cpuMillis();
             TimeUnit.SECONDS.sleep(2);
             return new JSONObject()
-                    .put("serving_after_ms", wall)
-                    .put("cpu_ms", cpu)
-                    .put("first_answer_ms", answered)
+                    .put("serving_after_ms", servingMillis)
+                    .put("cpu_ms", cpuMillis)
+                    .put("first_answer_ms", firstAnswerMillis)
                     .put("resident_kb", process.residentKb());
         }
     }
 
-    /** Asks until a request is served; milliseconds since the start. */
-    private static double firstAnswer(int port, long began) throws Exception {
+    /** Sends requests until one is served; returns the milliseconds since {@code beganNanos}. */
+    private static double awaitFirstAnswerMillis(int port, long beganNanos) throws Exception {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(10_000);
             BufferedReader in =
@@ -121,20 +128,23 @@
                         System.currentTimeMillis());
                 socket.getOutputStream().write(line.getBytes(StandardCharsets.UTF_8));
                 if (in.readLine().contains("\"result\"")) {
-                    return (System.nanoTime() - began) / 1e6;
+                    return (System.nanoTime() - beganNanos) / 1e6;
                 }
                 TimeUnit.MILLISECONDS.sleep(10);
             }
         }
-        throw new IOException("nothing was served");
+        throw new IOException("server on port " + port + " served none of 999 requests");
     }
 
-    private static JSONObject medians(List<JSONObject> all) {
-        JSONObject medians = new JSONObject().put("starts", all.size());
+    private static JSONObject medians(List<JSONObject> starts) {
+        JSONObject medians = new JSONObject().put("starts", starts.size());
         for (String key : List.of("serving_after_ms", "first_answer_ms", "cpu_ms", "resident_kb")) {
             medians.put(
                     key,
-                    all.stream().mapToDouble(one -> one.getDouble(key)).sorted().toArray()[all.size() / 2]);
+                    starts.stream()
+                            .mapToDouble(start -> start.getDouble(key))
+                            .sorted()
+                            .toArray()[starts.size() / 2]);
         }
         return medians;
     }
--- a/lab/src/main/java/wheatspread/lab/StoreMeasurementCommand.java
+++ b/lab/src/main/java/wheatspread/lab/StoreMeasurementCommand.java
@@ -28,55 +28,64 @@
 import wheatspread.store.Store;
 import wheatspread.store.StoreSettings;
 
-/** The store beside a plain log and the bare disk: durable writes, memory, recovery, compaction. */
+/** Measures durable writes, memory, recovery and compaction of the store, against a plain log and bare appends. */
 @Command(
         name = "store",
         mixinStandardHelpOptions = true,
-        description = "Measures the store on a folder's disk, beside a plain log with a map and bare appends.")
+        description = "Measures the store on the disk of a folder, against a plain log with a map and bare appends.")
 final class StoreMeasurementCommand implements Callable<Integer> {
-    private static final StoreSettings LARGE = StoreSettings.DEFAULT
+    private static final StoreSettings LARGE_STORE = StoreSettings.DEFAULT
             .withSizes(32 << 20, 8L << 30, 1L << 34)
             .withCompaction(1L << 30, 0.999, 0)
             .withQueue(100_000, 256L << 20, 4_096);
 
-    @Option(names = "--folder", defaultValue = "lab/target/store", description = "On the disk to measure.")
+    @Option(names = "--folder", defaultValue = "lab/target/store", description = "Folder on the disk to measure.")
     private Path folder;
 
-    @Option(names = "--seconds", defaultValue = "2", description = "Of each run (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--seconds",
+            defaultValue = "2",
+            description = "Duration of each run in seconds (${DEFAULT-VALUE}).")
     private int seconds;
 
-    @Option(names = "--rounds", defaultValue = "3", description = "Of the writers in turns (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--rounds",
+            defaultValue = "3",
+            description = "Number of rounds, in each of which all writers run (${DEFAULT-VALUE}).")
     private int rounds;
 
-    @Option(names = "--keys", defaultValue = "1000000", description = "The largest store (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--keys",
+            defaultValue = "1000000",
+            description = "Number of keys of the largest store (${DEFAULT-VALUE}).")
     private int keys;
 
     @Option(
             names = "--part",
             defaultValue = "all",
-            description = "all, writes, memory, recovery or compaction (${DEFAULT-VALUE}).")
+            description = "Part to measure: all, writes, memory, recovery or compaction (${DEFAULT-VALUE}).")
     private String part;
 
-    @Option(names = "--out", defaultValue = "docs/measurements", description = "Where the report goes.")
+    @Option(names = "--out", defaultValue = "docs/measurements", description = "Folder of the report.")
     private Path out;
 
-    private record Place(int file, int offset, int length, int expiry) {}
+    private record Location(int file, int offset, int length, int expiry) {}
 
     @Override
     public Integer call() throws Exception {
         Report report = new Report(part.equals("all") ? "store" : "store-" + part);
-        if (does("writes")) {
-            writes(report);
+        if (isSelected("writes")) {
+            measureWrites(report);
         }
-        if (does("memory")) {
-            report.put("memory", memory());
+        if (isSelected("memory")) {
+            report.put("memory", measureMemory());
             System.out.println("memory " + report.get("memory"));
         }
-        if (does("recovery")) {
-            recovery(report);
+        if (isSelected("recovery")) {
+            measureRecovery(report);
         }
-        if (does("compaction")) {
-            report.put("compaction", compaction());
+        if (isSelected("compaction")) {
+            report.put("compaction", measureCompaction());
             System.out.println("compaction " + report.get("compaction"));
         }
         report.write(out);
@@ -84,64 +93,64 @@
         return 0;
     }
 
-    private boolean does(String one) {
-        return part.equals("all") || part.equals(one);
+    private boolean isSelected(String name) {
+        return part.equals("all") || part.equals(name);
     }
 
-    /** Durable writes a second by size of the group. */
-    private void writes(Report report) throws Exception {
+    /** Measures durable writes per second by the number of writes in a group. */
+    private void measureWrites(Report report) throws Exception {
         Map<String, Map<String, Double>> bars = new LinkedHashMap<>();
         for (int group : new int[] {1, 8, 64, 512}) {
             JSONObject figures = new StoreRuns(folder, group, seconds * 1_000L).inTurns(rounds);
             report.put("group of " + group, figures);
             System.out.println("group of " + group + " " + figures);
-            for (String one : StoreRuns.WRITERS) {
-                bars.computeIfAbsent(one, w -> new LinkedHashMap<>())
+            for (String writer : StoreRuns.WRITERS) {
+                bars.computeIfAbsent(writer, key -> new LinkedHashMap<>())
                         .put(
                                 "group of " + group,
-                                Math.log10(figures.getJSONObject(one).getDouble("writes_per_s")));
+                                Math.log10(figures.getJSONObject(writer).getDouble("writes_per_s")));
             }
             TemporaryFolders.delete(folder);
         }
         Report.writeBarChart(
-                out.resolve("store-writes.png"), "Durable writes a second", "log10 of writes a second", bars);
+                out.resolve("store-writes.png"), "Durable writes per second", "log10 of writes per second", bars);
     }
 
-    private static long heap() {
+    private static long heapBytes() {
         for (int i = 0; i < 4; i++) {
             System.gc();
         }
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
-    /** Heap for each key of what holds hash and place. */
-    private JSONObject memory() {
+    /** Measures the heap per key of three maps from hash to location. */
+    private JSONObject measureMemory() {
         JSONObject figures = new JSONObject().put("keys", keys);
         long[] hashes = new Random(1).longs(keys).toArray();
-        long before = heap();
+        long heapBefore = heapBytes();
         Index index = new Index();
         for (int i = 0; i < keys; i++) {
             index.add(hashes[i], Index.location(1, i), 100, i);
         }
-        figures.put("index", (double) (heap() - before) / index.size());
+        figures.put("index", (double) (heapBytes() - heapBefore) / index.size());
         index = null;
-        before = heap();
-        Map<Long, Place> map = new HashMap<>();
+        heapBefore = heapBytes();
+        Map<Long, Location> map = new HashMap<>();
         for (int i = 0; i < keys; i++) {
-            map.put(hashes[i], new Place(1, i, 100, i));
+            map.put(hashes[i], new Location(1, i, 100, i));
         }
-        figures.put("hash_map", (double) (heap() - before) / map.size());
+        figures.put("hash_map", (double) (heapBytes() - heapBefore) / map.size());
         map = null;
-        before = heap();
-        Long2ObjectHashMap<Place> agrona = new Long2ObjectHashMap<>();
+        heapBefore = heapBytes();
+        Long2ObjectHashMap<Location> agrona = new Long2ObjectHashMap<>();
         for (int i = 0; i < keys; i++) {
-            agrona.put(hashes[i], new Place(1, i, 100, i));
+            agrona.put(hashes[i], new Location(1, i, 100, i));
         }
-        return figures.put("agrona", (double) (heap() - before) / agrona.size());
+        return figures.put("agrona", (double) (heapBytes() - heapBefore) / agrona.size());
     }
 
-    /** How long it takes to open a store, by its size, with and without a checkpoint. */
-    private void recovery(Report report) throws Exception {
+    /** Measures the time to open a store by its size, with and without a checkpoint. */
+    private void measureRecovery(Report report) throws Exception {
         Map<String, double[]> lines = new LinkedHashMap<>();
         int steps = 10;
         for (String name : List.of("with a checkpoint, ms", "without, ms", "heap, MB")) {
@@ -151,14 +160,14 @@
             int size = keys / steps * i;
             TemporaryFolders.delete(folder);
             fill(size);
-            JSONObject with = open(size);
+            JSONObject with = measureOpening(size);
             try (Stream<Path> files = Files.list(folder)) {
                 for (Path file :
                         files.filter(f -> f.toString().endsWith(".checkpoint")).toList()) {
                     Files.delete(file);
                 }
             }
-            JSONObject without = open(size);
+            JSONObject without = measureOpening(size);
             JSONObject figures = new JSONObject()
                     .put("keys", size)
                     .put("with_checkpoint_ms", with.get("ms"))
@@ -177,7 +186,7 @@
     private void fill(int size) throws Exception {
         try (Store store = Store.open(
                 FolderDisk.make(folder),
-                LARGE.withSync(StoreSettings.Sync.NONE, 1_000),
+                LARGE_STORE.withSync(StoreSettings.Sync.NONE, 1_000),
                 Store.Clock.SYSTEM,
                 Runnable::run,
                 EventLog.NONE)) {
@@ -192,33 +201,34 @@
         }
     }
 
-    /** The median of three, and the least that it was seen to keep on the heap. */
-    private JSONObject open(int size) throws IOException {
-        List<Double> times = new ArrayList<>();
-        double heap = Double.MAX_VALUE;
+    /** Opens the store three times; returns the median time and the minimum heap per key. */
+    private JSONObject measureOpening(int size) throws IOException {
+        List<Double> openingMillis = new ArrayList<>();
+        double heapBytesPerKey = Double.MAX_VALUE;
         for (int i = 0; i < 3; i++) {
-            long before = heap();
-            long begun = System.nanoTime();
+            long heapBefore = heapBytes();
+            long beganNanos = System.nanoTime();
             try (FolderStore opened = new FolderStore(folder)) {
-                times.add((System.nanoTime() - begun) / 1e6);
-                heap = Math.min(heap, (double) (heap() - before) / size);
+                openingMillis.add((System.nanoTime() - beganNanos) / 1e6);
+                heapBytesPerKey = Math.min(heapBytesPerKey, (double) (heapBytes() - heapBefore) / size);
                 if (opened.store.stats().keys() != size) {
-                    throw new IOException("keys are missing: " + opened.store.stats());
+                    throw new IOException("store opened with "
+                            + opened.store.stats().keys() + " keys; expected " + size + "; " + opened.store.stats());
                 }
             }
         }
-        times.sort(null);
-        return new JSONObject().put("ms", times.get(1)).put("heap_bytes_per_key", heap);
+        openingMillis.sort(null);
+        return new JSONObject().put("ms", openingMillis.get(1)).put("heap_bytes_per_key", heapBytesPerKey);
     }
 
-    /** A store whose end leaves the folder as it was, since nothing is written. */
+    /** Opens a store and abandons it on close, which leaves the folder unchanged because nothing is written. */
     private static final class FolderStore implements AutoCloseable {
         private final Store store;
 
         FolderStore(Path folder) throws IOException {
             store = Store.open(
                     FolderDisk.make(folder),
-                    LARGE.withSizes(32 << 20, 8L << 30, 1L << 40),
+                    LARGE_STORE.withSizes(32 << 20, 8L << 30, 1L << 40),
                     Store.Clock.SYSTEM,
                     Runnable::run,
                     EventLog.NONE);
@@ -230,14 +240,14 @@
         }
     }
 
-    /** Acknowledgements at a steady rate of overwrites, with and without compaction, in turns. */
-    private JSONObject compaction() throws Exception {
+    /** Measures acknowledgement times at a steady rate of overwrites, alternately without and with compaction. */
+    private JSONObject measureCompaction() throws Exception {
         Histogram without = new ConcurrentHistogram(60_000_000, 3);
         Histogram with = new ConcurrentHistogram(60_000_000, 3);
         long compactions = 0;
         for (int i = 0; i < rounds; i++) {
-            steady(LARGE, without);
-            compactions += steady(
+            measureSteadyWrites(LARGE_STORE, without);
+            compactions += measureSteadyWrites(
                     StoreSettings.DEFAULT.withSizes(4 << 20, 64L << 20, 8 << 20).withCompaction(16L << 20, 0.3, 0),
                     with);
         }
@@ -251,25 +261,26 @@
                 .put("p99_ratio", (double) with.getValueAtPercentile(99) / without.getValueAtPercentile(99));
     }
 
-    private long steady(StoreSettings settings, Histogram to) throws Exception {
+    private long measureSteadyWrites(StoreSettings settings, Histogram latenciesMicros) throws Exception {
         TemporaryFolders.delete(folder);
         Random random = new Random(1);
         byte[] value = new byte[400];
         try (Store store =
                 Store.open(FolderDisk.make(folder), settings, Store.Clock.SYSTEM, Runnable::run, EventLog.NONE)) {
-            long begun = System.nanoTime();
-            long next = begun;
-            while (next - begun < 4_000_000_000L * seconds) {
+            long beganNanos = System.nanoTime();
+            long nextNanos = beganNanos;
+            while (nextNanos - beganNanos < 4_000_000_000L * seconds) {
                 for (int i = 0; i < 10; i++) {
-                    long due = next;
+                    long dueNanos = nextNanos;
                     store.put(
                             StoreRuns.key(random.nextInt(20_000)),
                             value,
                             0,
-                            (outcome, reason) -> to.recordValue(Math.max(0, (System.nanoTime() - due) / 1_000)));
+                            (outcome, reason) ->
+                                    latenciesMicros.recordValue(Math.max(0, (System.nanoTime() - dueNanos) / 1_000)));
                 }
-                next += 1_000_000; // 10,000 writes a second
-                LockSupport.parkNanos(next - System.nanoTime());
+                nextNanos += 1_000_000; // 10,000 writes per second
+                LockSupport.parkNanos(nextNanos - System.nanoTime());
             }
             return store.stats().counters().compactions();
         }
--- a/lab/src/test/java/wheatspread/lab/CapacityPageTest.java
+++ b/lab/src/test/java/wheatspread/lab/CapacityPageTest.java
@@ -18,14 +18,14 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-/** The committed capacity page fits the committed reports, and what does not fit is found. */
+/** Checks the committed capacity page against the committed reports, and that differences are found. */
 class CapacityPageTest {
     private static final Path PAGE = Path.of("../docs/CAPACITY.md");
     private static final Path REPORTS = Path.of("../docs/measurements");
     private static final Path PLAN = Path.of("capacity/plan.json");
-    private static final int FITS = 0;
+    private static final int MATCHES = 0;
     private static final int DIFFERS = 1;
-    private static final int USAGE = 64;
+    private static final int USAGE_ERROR = 64;
 
     @TempDir
     private Path folder;
@@ -40,14 +40,14 @@
         reports = Files.createDirectory(folder.resolve("measurements"));
         try (Stream<Path> files = Files.list(REPORTS)) {
             for (Path file :
-                    files.filter(one -> one.toString().endsWith(".json")).toList()) {
+                    files.filter(path -> path.toString().endsWith(".json")).toList()) {
                 Files.copy(file, reports.resolve(file.getFileName()));
             }
         }
     }
 
     private int run(String mode) {
-        PrintStream before = System.out;
+        PrintStream originalOut = System.out;
         ByteArrayOutputStream written = new ByteArrayOutputStream();
         System.setOut(new PrintStream(written, true, StandardCharsets.UTF_8));
         try {
@@ -61,18 +61,18 @@
                             mode,
                             page.toString());
         } finally {
-            System.setOut(before);
+            System.setOut(originalOut);
             output = written.toString(StandardCharsets.UTF_8);
         }
     }
 
     @Test
-    void theCommittedPageFitsTheCommittedReports() {
-        assertThat(run("--check")).as(output).isEqualTo(FITS);
+    void committedPageMatchesCommittedReports() {
+        assertThat(run("--check")).as(output).isEqualTo(MATCHES);
     }
 
     @Test
-    void aChangedPointOfAReportIsFound() throws IOException {
+    void findsChangedPointOfReport() throws IOException {
         Path file = reports.resolve("capacity-model.json");
         JSONObject report = new JSONObject(Files.readString(file));
         JSONArray point = report.getJSONArray("series")
@@ -86,14 +86,14 @@
     }
 
     @Test
-    void aMissingReportIsFound() throws IOException {
+    void findsMissingReport() throws IOException {
         Files.delete(reports.resolve("idle-connections.json"));
         assertThat(run("--check")).isEqualTo(DIFFERS);
         assertThat(output).contains("not measured");
     }
 
     @Test
-    void eachFigureEditedByHandIsFoundAndWrittenBack() throws IOException {
+    void findsAndRestoresFiguresEditedByHand() throws IOException {
         List<String> committed = Files.readAllLines(page);
         List<Integer> rows = Stream.iterate(0, i -> i + 1)
                 .limit(committed.size())
@@ -106,14 +106,14 @@
             Files.write(page, edited);
             assertThat(run("--check")).isEqualTo(DIFFERS);
             assertThat(output.lines()).singleElement().asString().contains("line " + (row + 1) + ":");
-            assertThat(run("--write")).isEqualTo(FITS);
+            assertThat(run("--write")).isEqualTo(MATCHES);
             assertThat(Files.readAllLines(page)).isEqualTo(committed);
         }
     }
 
     @Test
-    void aPageWithoutAMarkerIsRefused() throws IOException {
+    void rejectsPageWithoutMarker() throws IOException {
         Files.writeString(page, Files.readString(page).replace("<!-- capacity:end order -->", ""));
-        assertThat(run("--check")).isEqualTo(USAGE);
+        assertThat(run("--check")).isEqualTo(USAGE_ERROR);
     }
 }
--- a/lab/src/test/java/wheatspread/lab/ScaleCommandTest.java
+++ b/lab/src/test/java/wheatspread/lab/ScaleCommandTest.java
@@ -8,45 +8,45 @@
 import org.junit.jupiter.api.Test;
 import picocli.CommandLine;
 
-/** What {@code scale} refuses before it starts anything. */
+/** Checks the command lines that {@code scale} rejects before it starts any process. */
 class ScaleCommandTest {
-    /** The exit code and what was written to standard error. */
-    private record Ended(int code, String error) {}
+    /** The exit code and the standard error of a command. */
+    private record Result(int exitCode, String error) {}
 
-    private static Ended run(String... arguments) {
-        PrintStream before = System.err;
+    private static Result run(String... arguments) {
+        PrintStream originalErr = System.err;
         ByteArrayOutputStream error = new ByteArrayOutputStream();
         System.setErr(new PrintStream(error, true, StandardCharsets.UTF_8));
         try {
-            return new Ended(
+            return new Result(
                     new CommandLine(new ScaleCommand()).execute(arguments), error.toString(StandardCharsets.UTF_8));
         } finally {
-            System.setErr(before);
+            System.setErr(originalErr);
         }
     }
 
     @Test
-    void aFleetThatTheMachineCannotCarryIsRefusedInOneLine() {
-        Ended ended = run("--steps", "1000000");
-        assertThat(ended.code()).isEqualTo(69);
-        assertThat(ended.error().lines())
+    void rejectsFleetBeyondMachineLimitsInOneLine() {
+        Result result = run("--steps", "1000000");
+        assertThat(result.exitCode()).isEqualTo(69);
+        assertThat(result.error().lines())
                 .singleElement()
                 .asString()
                 .startsWith("1000000 hollow and 8 real servers want ");
     }
 
     @Test
-    void aFaultThatIsNotKnownIsNamedWithThoseThatAre() {
-        Ended ended = run("--faults", "crash,flood");
-        assertThat(ended.code()).isEqualTo(64);
-        assertThat(ended.error().strip())
+    void rejectsUnknownFaultAndListsKnownFaults() {
+        Result result = run("--faults", "crash,flood");
+        assertThat(result.exitCode()).isEqualTo(64);
+        assertThat(result.error().strip())
                 .isEqualTo("unknown fault flood; known are "
                         + "[crash, rack, restarts_daily, restarts_release, loss20, zone, return, halves]");
     }
 
     @Test
-    void aFleetWithoutRealServersIsRefused() {
-        assertThat(run("--real", "0").code()).isEqualTo(64);
-        assertThat(run("--steps", "4", "--real", "8").code()).isEqualTo(64);
+    void rejectsFleetWithoutOrWithTooManyRealServers() {
+        assertThat(run("--real", "0").exitCode()).isEqualTo(64);
+        assertThat(run("--steps", "4", "--real", "8").exitCode()).isEqualTo(64);
     }
 }
