--- a/lab/src/main/java/wheatspread/lab/Sites.java
+++ b/lab/src/main/java/wheatspread/lab/Sites.java
@@ -8,8 +8,9 @@
 
 /** A fictitious site of the size of the one in service: its configuration and the requests of its clients. */
 public final class Sites {
-    /** A request class with its share of the requests; times are in milliseconds. */
-    public record Kind(String name, double share, int wanted, int deadline, double worth, boolean keyed) {}
+    /** A request class with its share of the requests; {@code keyed} requests carry an idempotency key. */
+    public record Kind(
+            String name, double share, int latencyObjectiveMillis, int deadlineMillis, double weight, boolean keyed) {}
 
     public static final List<Kind> KINDS = List.of(
             new Kind("recipe-page", 0.36, 3_600, 11_000, 1, false),
@@ -110,10 +111,10 @@
         for (Kind kind : KINDS) {
             JSONObject lane = new JSONObject()
                     .put("Name", kind.name)
-                    .put("Aim", (double) kind.wanted)
-                    .put("Deadline", (double) kind.deadline)
+                    .put("Aim", (double) kind.latencyObjectiveMillis)
+                    .put("Deadline", (double) kind.deadlineMillis)
                     .put("LateWorth", 0.1)
-                    .put("Worth", kind.worth)
+                    .put("Worth", kind.weight)
                     .put("Effect", kind.keyed ? "deduplicated" : "idempotent");
             lanes.put(kind.keyed ? lane.put("Window", 42_633.0) : lane);
         }
@@ -175,7 +176,7 @@
         return "{\"jsonrpc\":\"2.0\",\"id\":" + id
                 + ",\"method\":\"" + kind.name + "\",\"params\":{\"txn\":\"" + txn
                 + "\",\"door\":" + arrivalUnixMillis + ",\"lb\":1,\"team\":\"" + tenant + "\",\"limit\":"
-                + kind.deadline
+                + kind.deadlineMillis
                 + ",\"cpu\":15.0,\"ram\":24.5,\"standing\":0.5,"
                 + (kind.keyed ? "\"unique\":\"u" + txn : "\"item\":\"i" + txn) + "\",\"blob\":\"cmVxdWVzdA==\"}}\n";
     }
--- a/lab/src/main/java/wheatspread/lab/load/Load.java
+++ b/lab/src/main/java/wheatspread/lab/load/Load.java
@@ -159,7 +159,7 @@
                 long micros = (System.nanoTime() - one.at) / 1_000;
                 one.stretch.served++;
                 one.stretch.times.recordValue(Math.max(1, micros));
-                one.stretch.wanted += micros <= one.kind.wanted() * 1_000L ? 1 : 0;
+                one.stretch.wanted += micros <= one.kind.latencyObjectiveMillis() * 1_000L ? 1 : 0;
             } else if (line.contains("-32066")) {
                 one.stretch.refused++;
             } else {
--- a/lab/src/main/java/wheatspread/lab/settings/AnswerTimes.java
+++ b/lab/src/main/java/wheatspread/lab/settings/AnswerTimes.java
@@ -31,7 +31,9 @@
             case REFUSED -> refused++;
             default -> failed++;
         }
-        late += answeredNanos - sentNanos > TimeUnit.MILLISECONDS.toNanos(kind.deadline() + ANSWER_SLACK_MS) ? 1 : 0;
+        late += answeredNanos - sentNanos > TimeUnit.MILLISECONDS.toNanos(kind.deadlineMillis() + ANSWER_SLACK_MS)
+                ? 1
+                : 0;
         if (outcome == LoadClients.Outcome.SERVED && run != null) {
             added.recordValue(Math.max(1, (answeredNanos - sentNanos - run.nanos()) / 1_000));
             afterRun.recordValue(Math.max(1, (answeredNanos - run.endedNanos()) / 1_000));
--- a/lab/src/main/java/wheatspread/lab/settings/JsonRpcWire.java
+++ b/lab/src/main/java/wheatspread/lab/settings/JsonRpcWire.java
@@ -45,7 +45,7 @@
                 .put("door", System.currentTimeMillis())
                 .put("lb", 1)
                 .put("team", request.tenant())
-                .put("limit", request.kind().deadline())
+                .put("limit", request.kind().deadlineMillis())
                 .put("cpu", runMillis)
                 .put("ram", REQUEST_RAM_KB)
                 .put("standing", 0.5)
--- a/lab/src/main/java/wheatspread/lab/world/InvariantChecker.java
+++ b/lab/src/main/java/wheatspread/lab/world/InvariantChecker.java
@@ -39,7 +39,7 @@
         }
 
         double worth() {
-            return kind.worth() * work;
+            return kind.weight() * work;
         }
     }
 
@@ -121,7 +121,7 @@
         if (how.equals("served")) {
             took.recordValue(Math.max(0, Math.min(60_000, now - one.at)));
         }
-        if (how.equals("served") && now <= one.at + one.kind.wanted()) {
+        if (how.equals("served") && now <= one.at + one.kind.latencyObjectiveMillis()) {
             count("served_in_time");
             second(one.at)[1] += one.worth();
         }
--- a/lab/src/main/java/wheatspread/lab/world/SimulatedProxy.java
+++ b/lab/src/main/java/wheatspread/lab/world/SimulatedProxy.java
@@ -86,7 +86,7 @@
         }
 
         long left() {
-            return asked.at + asked.kind.deadline() - System.currentTimeMillis();
+            return asked.at + asked.kind.deadlineMillis() - System.currentTimeMillis();
         }
 
         void next() {
--- a/lab/src/test/java/wheatspread/lab/settings/ServerMeasurementTest.java
+++ b/lab/src/test/java/wheatspread/lab/settings/ServerMeasurementTest.java
@@ -62,7 +62,7 @@
     @Test
     void countsLateAndMissingAnswers() {
         Sites.Kind kind = Sites.KINDS.get(0);
-        long deadlineNanos = kind.deadline() * 1_000_000L;
+        long deadlineNanos = kind.deadlineMillis() * 1_000_000L;
         AnswerTimes times = new AnswerTimes();
         for (int i = 0; i < 3; i++) {
             times.recordRequest();
