--- a/lab/src/main/java/wheatspread/lab/IdleCommand.java
+++ b/lab/src/main/java/wheatspread/lab/IdleCommand.java
@@ -85,7 +85,7 @@
             }
         }
         if (fleet > 0) {
-            report.put("fleet of " + fleet, fleet());
+            report.put("fleet of " + fleet, measureFleet());
         }
         report.write(out);
         plot();
@@ -173,7 +173,7 @@
                     HolderProcess holder = new HolderProcess(process.port(0), idle, uwsgi, 0)) {
                 TimeUnit.SECONDS.sleep(1);
                 load.play(10_000, 500); // lets the JVM compile the code
-                double loopShareWithoutIdle = loopShare(process, 5);
+                double loopShareWithoutIdle = measureLoopShare(process, 5);
                 Load.Stretch none = load.play(seconds * 1_000L, 1_000);
                 long baseHeapBytes = process.liveBytes();
                 long baseResidentKb = process.residentKb();
@@ -181,13 +181,13 @@
                 figures.put("open", holder.ask("open"));
                 figures.put("heap_per_connection", (process.liveBytes() - baseHeapBytes) / (double) idle);
                 figures.put("resident_kb_per_connection", (process.residentKb() - baseResidentKb) / (double) idle);
-                double loopShareWithIdle = loopShare(process, 5);
+                double loopShareWithIdle = measureLoopShare(process, 5);
                 figures.put("idle_loop_cpu", loopShareWithIdle)
                         .put("idle_loop_cpu_over_none", loopShareWithIdle - loopShareWithoutIdle);
                 Load.Stretch beside = load.play(seconds * 1_000L, 1_000);
                 figures.put("beside_idle", beside.figures())
                         .put("p99_over_none", beside.percentile(99) / none.percentile(99));
-                figures.put("burst", burst(process, load, holder));
+                figures.put("burst", measureBurst(process, load, holder));
                 if (transport != null) {
                     int skippedLogLines = process.log().size();
                     figures.put("expiry", holder.ask("closing"));
@@ -206,7 +206,7 @@
     }
 
     /** All idle connections send a request at the same time, in the third of ten seconds of load. */
-    private JSONObject burst(ServerProcess process, Load load, HolderProcess holder) throws Exception {
+    private JSONObject measureBurst(ServerProcess process, Load load, HolderProcess holder) throws Exception {
         TimeUnit.SECONDS.sleep(6); // afterwards the connections no longer count as recently used
         int skippedLogLines = process.log().size();
         Load.Stretch during = load.begin();
@@ -222,7 +222,7 @@
     }
 
     /** Measures the share of one core that the server's event loop uses. */
-    private static double loopShare(ServerProcess process, int seconds) throws Exception {
+    private static double measureLoopShare(ServerProcess process, int seconds) throws Exception {
         TimeUnit.SECONDS.sleep(1);
         double beganMillis = process.loopMillis();
         TimeUnit.SECONDS.sleep(seconds);
@@ -256,7 +256,7 @@
     }
 
     /** Opens a sixth of 100,000 connections to each of several servers and lets all send at the same time. */
-    private JSONObject fleet() throws Exception {
+    private JSONObject measureFleet() throws Exception {
         int connectionsPerServer = 100_000 / 6;
         List<AutoCloseable> resources = new ArrayList<>();
         List<HolderProcess> holders = new ArrayList<>();
--- a/lab/src/main/java/wheatspread/lab/settings/CheckProbe.java
+++ b/lab/src/main/java/wheatspread/lab/settings/CheckProbe.java
@@ -59,11 +59,11 @@
     }
 
     /** Discards the measured times. */
-    synchronized void begin() {
+    synchronized void reset() {
         times = newHistogram();
     }
 
-    /** Returns a quantile of the answer times since the last {@link #begin}, in milliseconds. */
+    /** Returns a quantile of the answer times since the last {@link #reset}, in milliseconds. */
     synchronized double millis(double percent) {
         return times.getValueAtPercentile(percent) / 1e3;
     }
--- a/lab/src/main/java/wheatspread/lab/settings/DelayMeasurement.java
+++ b/lab/src/main/java/wheatspread/lab/settings/DelayMeasurement.java
@@ -28,7 +28,7 @@
         TimeUnit.MILLISECONDS.sleep(Math.min(WARM_UP_MS, millis));
         List<Round> rounds = new ArrayList<>();
         for (int i = 0; i < ROUNDS; i++) {
-            rounds.add(round(clients, millis));
+            rounds.add(measureRound(clients, millis));
         }
         int unanswered = clients.stopAndAwaitAnswers();
         long lateOrLost =
@@ -53,7 +53,7 @@
         }
     }
 
-    private static Round round(LoadClients clients, long millis) throws InterruptedException {
+    private static Round measureRound(LoadClients clients, long millis) throws InterruptedException {
         AnswerTimes answers = clients.begin();
         try (WakeProbe probe = new WakeProbe()) {
             TimeUnit.MILLISECONDS.sleep(millis);
--- a/lab/src/main/java/wheatspread/lab/settings/HeldMeasurement.java
+++ b/lab/src/main/java/wheatspread/lab/settings/HeldMeasurement.java
@@ -26,9 +26,9 @@
         clients.keepOpen(open);
         TimeUnit.MILLISECONDS.sleep(Math.min(WARM_UP_MS, millis));
         AnswerTimes answers = clients.begin();
-        probe.begin();
+        probe.reset();
         kernel.beginDispatches();
-        double held = meanHeld(clients, kernel, millis);
+        double held = measureMeanHeld(clients, kernel, millis);
         Histogram dispatches = kernel.dispatches();
         JSONObject checks = probe.figures();
         JSONObject figures = new JSONObject().put("open", open).put("held", held);
@@ -48,12 +48,13 @@
                 .put("served_per_second", answers.served() * 1e3 / millis);
     }
 
-    private static double meanHeld(LoadClients clients, TimedKernel kernel, long millis) throws InterruptedException {
+    private static double measureMeanHeld(LoadClients clients, TimedKernel kernel, long millis)
+            throws InterruptedException {
         long samples = millis / SAMPLE_INTERVAL_MS;
         double sum = 0;
         for (long i = 0; i < samples; i++) {
             TimeUnit.MILLISECONDS.sleep(SAMPLE_INTERVAL_MS);
-            sum += Math.max(0, clients.open() - kernel.running());
+            sum += Math.max(0, clients.openRequests() - kernel.runningRequests());
         }
         return sum / samples;
     }
--- a/lab/src/main/java/wheatspread/lab/settings/LoadClients.java
+++ b/lab/src/main/java/wheatspread/lab/settings/LoadClients.java
@@ -147,7 +147,7 @@
     }
 
     /** Returns the number of requests without an answer. */
-    int open() {
+    int openRequests() {
         return callOnLoop(() -> open);
     }
 
@@ -155,8 +155,8 @@
     int stopAndAwaitAnswers() throws InterruptedException {
         sendAtRate(0);
         keepOpen(0);
-        MeasuredServer.await(() -> open() == 0, ANSWER_TIMEOUT_MS);
-        return open();
+        MeasuredServer.await(() -> openRequests() == 0, ANSWER_TIMEOUT_MS);
+        return openRequests();
     }
 
     /** Runs a task on the event loop, which owns all mutable state of this class, and waits for its result. */
--- a/lab/src/main/java/wheatspread/lab/settings/MeasurementSetup.java
+++ b/lab/src/main/java/wheatspread/lab/settings/MeasurementSetup.java
@@ -62,12 +62,12 @@
     }
 
     /** Returns the address of the JSON-RPC front. */
-    InetSocketAddress listen() {
+    InetSocketAddress jsonRpcAddress() {
         return listen;
     }
 
     /** Returns the address of the uwsgi front. */
-    InetSocketAddress uwsgi() {
+    InetSocketAddress uwsgiAddress() {
         return uwsgi;
     }
 
--- a/lab/src/main/java/wheatspread/lab/settings/ReloadMeasurement.java
+++ b/lab/src/main/java/wheatspread/lab/settings/ReloadMeasurement.java
@@ -9,8 +9,8 @@
 
 /**
  * Sends SIGHUPs under load: first one by one, each after the previous reload is counted, then the same number 20 ms
- * apart, and at last one with a wrong file. Every signal must be counted as applied or refused, and every request must
- * be answered.
+ * apart, and finally one with an invalid file. Every signal must be counted as applied or refused, and every request
+ * must be answered.
  */
 final class ReloadMeasurement {
     private static final long COUNT_TIMEOUT_MS = 30_000;
@@ -49,12 +49,12 @@
         server.resetPeak();
         TimeUnit.MILLISECONDS.sleep(LOG_INTERVAL_MS); // the counters of the time before are not measured
         int skippedLogLines = server.log().size();
-        probe.begin();
+        probe.reset();
         AnswerTimes answers = clients.begin();
         clients.sendAtRate(rate);
         try {
-            figures.put("one_by_one", oneByOne(count));
-            figures.put("burst", burst(count));
+            figures.put("one_by_one", reloadOneByOne(count));
+            figures.put("burst", reloadInBurst(count));
             figures.put("wrong_file", reloadInvalidFile());
         } finally {
             figures.put("checks", probe.figures());
@@ -75,12 +75,12 @@
         }
     }
 
-    private JSONObject oneByOne(int count) throws IOException, InterruptedException {
-        MeasuredServer.Reloads before = counted();
+    private JSONObject reloadOneByOne(int count) throws IOException, InterruptedException {
+        MeasuredServer.Reloads before = readReloads();
         List<Double> seconds = new ArrayList<>();
         int sent = 0;
         while (sent < count) {
-            long countBefore = counted().total();
+            long countBefore = readReloads().total();
             long beganNanos = System.nanoTime();
             server.signalReload();
             sent++;
@@ -98,8 +98,8 @@
                         .put("seconds_max", seconds.get(seconds.size() - 1));
     }
 
-    private JSONObject burst(int count) throws IOException, InterruptedException {
-        MeasuredServer.Reloads before = counted();
+    private JSONObject reloadInBurst(int count) throws IOException, InterruptedException {
+        MeasuredServer.Reloads before = readReloads();
         long beganNanos = System.nanoTime();
         for (int i = 0; i < count; i++) {
             server.signalReload();
@@ -112,10 +112,10 @@
 
     private JSONObject reloadInvalidFile() throws IOException, InterruptedException {
         server.configure(SettingsFiles.withInvalidQuota(configuration));
-        MeasuredServer.Reloads before = counted();
+        MeasuredServer.Reloads before = readReloads();
         server.signalReload();
         awaitCounted(before.total() + 1);
-        MeasuredServer.Reloads after = counted();
+        MeasuredServer.Reloads after = readReloads();
         boolean refused = after.refused() == before.refused() + 1 && after.applied() == before.applied();
         if (!refused) {
             faults.add("reload with a negative quota of the last tenant was not refused");
@@ -129,7 +129,7 @@
 
     private JSONObject countFigures(int sent, MeasuredServer.Reloads before, String mode)
             throws IOException, InterruptedException {
-        MeasuredServer.Reloads after = counted();
+        MeasuredServer.Reloads after = readReloads();
         long applied = after.applied() - before.applied();
         long refused = after.refused() - before.refused();
         if (applied != sent) {
@@ -159,7 +159,7 @@
         return reloads == null ? 0 : reloads.total();
     }
 
-    private MeasuredServer.Reloads counted() throws IOException, InterruptedException {
+    private MeasuredServer.Reloads readReloads() throws IOException, InterruptedException {
         MeasuredServer.Reloads[] reloads = new MeasuredServer.Reloads[1];
         boolean answered = MeasuredServer.await(
                 () -> {
@@ -168,7 +168,8 @@
                 },
                 COUNT_TIMEOUT_MS);
         if (!answered || reloads[0] == null) {
-            throw new IOException("control port of the server did not answer within " + COUNT_TIMEOUT_MS + " ms");
+            throw new IOException("control port gave no reload counters: the server ended or did not answer within "
+                    + COUNT_TIMEOUT_MS + " ms");
         }
         return reloads[0];
     }
--- a/lab/src/main/java/wheatspread/lab/settings/ServerMeasurement.java
+++ b/lab/src/main/java/wheatspread/lab/settings/ServerMeasurement.java
@@ -46,7 +46,7 @@
     public JSONObject measureTenants(int tenants, int routes) throws IOException, InterruptedException {
         return measure(new MeasurementSetup.Size(tenants, routes, RUN_MICROS), (setup, space, figures, faults) -> {
             try (LoadClients clients = jsonRpc(setup, space, JSON_RPC_CONNECTIONS);
-                    CheckProbe probe = new CheckProbe(setup.listen())) {
+                    CheckProbe probe = new CheckProbe(setup.jsonRpcAddress())) {
                 figures.put("delay", DelayMeasurement.measure(clients, load.rate, load.millis, faults));
                 JSONObject reload = new JSONObject();
                 figures.put("reload", reload);
@@ -60,7 +60,7 @@
     public JSONObject measureRoutes(int tenants, int routes) throws IOException, InterruptedException {
         return measure(new MeasurementSetup.Size(tenants, routes, RUN_MICROS), (setup, space, figures, faults) -> {
             try (LoadClients clients =
-                    new LoadClients(new UwsgiWire(), setup.uwsgi(), UWSGI_CONNECTIONS, setup.kernel(), space)) {
+                    new LoadClients(new UwsgiWire(), setup.uwsgiAddress(), UWSGI_CONNECTIONS, setup.kernel(), space)) {
                 figures.put("delay", DelayMeasurement.measure(clients, load.rate, load.millis, faults));
             }
         });
@@ -70,7 +70,7 @@
     public JSONObject measureHeld(int tenants, int routes, int open) throws IOException, InterruptedException {
         return measure(new MeasurementSetup.Size(tenants, routes, HELD_RUN_MICROS), (setup, space, figures, faults) -> {
             try (LoadClients clients = jsonRpc(setup, space, JSON_RPC_CONNECTIONS);
-                    CheckProbe probe = new CheckProbe(setup.listen())) {
+                    CheckProbe probe = new CheckProbe(setup.jsonRpcAddress())) {
                 figures.put("held", HeldMeasurement.measure(clients, setup.kernel(), probe, open, load.millis));
             }
         });
@@ -147,6 +147,10 @@
 
     private static LoadClients jsonRpc(MeasurementSetup setup, LoadClients.RequestSpace space, int connections) {
         return new LoadClients(
-                new JsonRpcWire(setup.size().runMicros() / 1e3), setup.listen(), connections, setup.kernel(), space);
+                new JsonRpcWire(setup.size().runMicros() / 1e3),
+                setup.jsonRpcAddress(),
+                connections,
+                setup.kernel(),
+                space);
     }
 }
--- a/lab/src/main/java/wheatspread/lab/settings/TimedKernel.java
+++ b/lab/src/main/java/wheatspread/lab/settings/TimedKernel.java
@@ -58,7 +58,7 @@
         return endedRuns.remove(request);
     }
 
-    int running() {
+    int runningRequests() {
         return runningCount;
     }
 
