--- a/lab/src/main/java/wheatspread/lab/BenchCommand.java
+++ b/lab/src/main/java/wheatspread/lab/BenchCommand.java
@@ -11,23 +11,32 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import wheatspread.lab.bench.Measured;
-import wheatspread.lab.bench.MeasuredSeries;
+import wheatspread.lab.bench.BenchmarkResult;
+import wheatspread.lab.bench.BenchmarkSeries;
 import wheatspread.lab.report.Report;
 
-/** JMH over the structures made for the job, beside plain ones. */
-@Command(name = "bench", mixinStandardHelpOptions = true, description = "Runs the JMH benchmarks that match.")
+/** Runs the JMH benchmarks of the server's data structures and their plain alternatives. */
+@Command(
+        name = "bench",
+        mixinStandardHelpOptions = true,
+        description = "Runs the JMH benchmarks whose names match a pattern.")
 final class BenchCommand implements Callable<Integer> {
-    @Parameters(arity = "0..1", defaultValue = ".*", description = "A pattern of benchmark names (${DEFAULT-VALUE}).")
+    @Parameters(
+            arity = "0..1",
+            defaultValue = ".*",
+            description = "Regular expression on benchmark names (${DEFAULT-VALUE}).")
     private String pattern;
 
-    @Option(names = "--name", defaultValue = "bench", description = "The report's name (${DEFAULT-VALUE}).")
+    @Option(names = "--name", defaultValue = "bench", description = "Name of the report (${DEFAULT-VALUE}).")
     private String name;
 
-    @Option(names = "--millis", defaultValue = "500", description = "Length of an iteration (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--millis",
+            defaultValue = "500",
+            description = "Duration of an iteration in milliseconds (${DEFAULT-VALUE}).")
     private long millis;
 
-    @Option(names = "--out", defaultValue = "docs/measurements", description = "Where the report goes.")
+    @Option(names = "--out", defaultValue = "docs/measurements", description = "Folder of the report.")
     private Path out;
 
     @Override
@@ -41,11 +50,11 @@
                 .measurementTime(TimeValue.milliseconds(millis))
                 .addProfiler(GCProfiler.class)
                 .build();
-        List<Measured> results =
-                new Runner(options).run().stream().map(Measured::of).toList();
+        List<BenchmarkResult> results =
+                new Runner(options).run().stream().map(BenchmarkResult::of).toList();
         Report report = new Report(name);
         results.forEach(result -> report.put(result.part(), result.figures()));
-        MeasuredSeries.of(results).forEach(report::add);
+        BenchmarkSeries.of(results).forEach(report::add);
         report.write(out);
         return 0;
     }
