--- a/lab/src/main/java/wheatspread/lab/CostCommand.java
+++ b/lab/src/main/java/wheatspread/lab/CostCommand.java
@@ -44,7 +44,7 @@
         boolean kept = true;
         for (int i = 1; i <= times; i++) {
             for (boolean on : new boolean[] {false, true}) {
-                JSONObject figures = new CostRun(jar, flags, servers, rate, seconds * 1_000L).play(on);
+                JSONObject figures = new CostRun(jar, flags, servers, rate, seconds * 1_000L).run(on);
                 String name = (on ? "with" : "without") + ", run " + i;
                 report.put(name, figures);
                 System.out.println(name + " " + figures);
--- a/lab/src/main/java/wheatspread/lab/DemoCommand.java
+++ b/lab/src/main/java/wheatspread/lab/DemoCommand.java
@@ -80,7 +80,7 @@
                 System.out.println("\nCtrl-C ends it.");
                 Runtime.getRuntime().addShutdownHook(new Thread(() -> end(server, ended)));
                 ended.await();
-            } else if (!server.leave()) {
+            } else if (!server.terminate()) {
                 System.out.println("the server did not leave by itself");
                 return 1;
             }
@@ -101,7 +101,7 @@
     private static void end(ServerProcess server, CountDownLatch ended) {
         try {
             System.out.println("\nThe server has its notice, and answers what it has read.");
-            System.out.println(server.leave() ? "It left in order." : "It did not leave by itself.");
+            System.out.println(server.terminate() ? "It left in order." : "It did not leave by itself.");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/lab/src/main/java/wheatspread/lab/FaultsCommand.java
+++ b/lab/src/main/java/wheatspread/lab/FaultsCommand.java
@@ -58,11 +58,11 @@
                 return USAGE;
             }
             for (Map.Entry<String, Scenario> one : plays.entrySet()) {
-                FaultsRun.Outcome outcome = new FaultsRun(jar, flags, one.getValue(), seed).play();
+                FaultsRun.Outcome outcome = new FaultsRun(jar, flags, one.getValue(), seed).run();
                 String name = one.getKey() + ", seed " + seed;
-                report.put(name, outcome.figures().put("faults", new JSONArray(outcome.faults())));
+                report.put(name, outcome.figures().put("faults", new JSONArray(outcome.violations())));
                 System.out.println(name + " " + outcome.figures());
-                held &= outcome.faults().isEmpty();
+                held &= outcome.violations().isEmpty();
             }
         }
         if (out != null) {
@@ -81,7 +81,7 @@
         Map<String, Scenario> both = new LinkedHashMap<>();
         alone.forEach((name, one) -> alone.forEach((other, another) -> {
             if (name.compareTo(other) < 0) {
-                both.put(name + " and " + other, one.with(another));
+                both.put(name + " and " + other, one.combinedWith(another));
             }
         }));
         return both;
--- a/lab/src/main/java/wheatspread/lab/FleetMeasurementCommand.java
+++ b/lab/src/main/java/wheatspread/lab/FleetMeasurementCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import wheatspread.lab.fleet.FleetRoll;
-import wheatspread.lab.fleet.FleetRoll.Deed;
+import wheatspread.lab.fleet.FleetRoll.Action;
 import wheatspread.lab.report.Report;
 
 /** A fleet of real processes that is rolled, killed at and lied to, beside the same fleet left alone. */
@@ -38,7 +38,7 @@
     private int seconds;
 
     @Option(names = "--deed", description = "Only these: ${COMPLETION-CANDIDATES}.")
-    private List<Deed> deeds = List.of(Deed.values());
+    private List<Action> deeds = List.of(Action.values());
 
     @Option(names = "--unproven", description = "Successors need no proof, so that more of them are cold at once.")
     private boolean unproven;
@@ -64,16 +64,16 @@
         Map<String, double[]> worth = new LinkedHashMap<>();
         long broken = 0;
         double alone = 0;
-        for (Deed deed : deeds) {
+        for (Action deed : deeds) {
             String part = deed.name().toLowerCase();
-            FleetRoll.Outcome outcome = fleet.play(deed, share, 6_000, seconds * 1_000L);
+            FleetRoll.Outcome outcome = fleet.run(deed, share, 6_000, seconds * 1_000L);
             JSONObject figures = outcome.figures();
-            alone = deed == Deed.NOTHING ? figures.getDouble("worth_served") : alone;
+            alone = deed == Action.NOTHING ? figures.getDouble("worth_served") : alone;
             if (alone > 0) {
                 figures.put("worth_beside_nothing", figures.getDouble("worth_served") / alone);
             }
-            report.put(part, figures.put("faults", new JSONArray(outcome.faults())));
-            worth.put(part, outcome.worthBySecond());
+            report.put(part, figures.put("faults", new JSONArray(outcome.violations())));
+            worth.put(part, outcome.servedValueBySecond());
             broken += figures.getLong("broken_promises");
             System.out.println(part + " " + figures);
         }
--- a/lab/src/main/java/wheatspread/lab/HoldCommand.java
+++ b/lab/src/main/java/wheatspread/lab/HoldCommand.java
@@ -7,7 +7,7 @@
 import org.json.JSONObject;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import wheatspread.lab.load.Holder;
+import wheatspread.lab.load.ConnectionHolder;
 
 /**
  * The process that holds connections: it does what its standard input says, and answers a line of JSON each.
@@ -33,12 +33,12 @@
     @Override
     public Integer call() throws Exception {
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
-        try (Holder holder = new Holder(port, uwsgi, firstSource)) {
+        try (ConnectionHolder holder = new ConnectionHolder(port, uwsgi, firstSource)) {
             for (String word = in.readLine(); word != null; word = in.readLine()) {
                 JSONObject figures = switch (word) {
                     case "open" -> holder.open(count);
-                    case "burst" -> holder.burst();
-                    case "closing" -> holder.closing(60);
+                    case "burst" -> holder.sendBurst();
+                    case "closing" -> holder.awaitClosed(60);
                     default -> new JSONObject().put("error", "unknown word " + word);
                 };
                 System.out.println(figures);
--- a/lab/src/main/java/wheatspread/lab/IdleCommand.java
+++ b/lab/src/main/java/wheatspread/lab/IdleCommand.java
@@ -11,8 +11,8 @@
 import org.json.JSONObject;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import wheatspread.lab.load.HolderProcess;
-import wheatspread.lab.load.Load;
+import wheatspread.lab.load.ConnectionHolderProcess;
+import wheatspread.lab.load.LoadGenerator;
 import wheatspread.lab.report.Report;
 import wheatspread.lab.standins.ServerProcess;
 import wheatspread.lab.standins.StandInServices;
@@ -160,32 +160,32 @@
         try (StandInServices parties = new StandInServices(RUN_MICROS, CALL_MICROS);
                 ServerProcess process = start(server, parties, transport, uwsgi, core)) {
             // the platform's front is bound last
-            try (Load load = new Load(process.port(uwsgi ? 1 : 0), 8, rate);
-                    HolderProcess holder = new HolderProcess(process.port(0), idle, uwsgi, 0)) {
+            try (LoadGenerator load = new LoadGenerator(process.port(uwsgi ? 1 : 0), 8, rate);
+                    ConnectionHolderProcess holder = new ConnectionHolderProcess(process.port(0), idle, uwsgi, 0)) {
                 TimeUnit.SECONDS.sleep(1);
-                load.play(10_000, 500); // the JVM compiles meanwhile
+                load.run(10_000, 500); // the JVM compiles meanwhile
                 double quiet = loopShare(process, 5);
-                Load.Stretch none = load.play(seconds * 1_000L, 1_000);
+                LoadGenerator.Interval none = load.run(seconds * 1_000L, 1_000);
                 long emptyHeap = process.liveBytes();
                 long emptyKb = process.residentKb();
                 figures.put("none_idle", none.figures()).put("none_idle_loop_cpu", quiet);
-                figures.put("open", holder.ask("open"));
+                figures.put("open", holder.execute("open"));
                 figures.put("heap_per_connection", (process.liveBytes() - emptyHeap) / (double) idle);
                 figures.put("resident_kb_per_connection", (process.residentKb() - emptyKb) / (double) idle);
                 double crowd = loopShare(process, 5);
                 figures.put("idle_loop_cpu", crowd).put("idle_loop_cpu_over_none", crowd - quiet);
-                Load.Stretch beside = load.play(seconds * 1_000L, 1_000);
+                LoadGenerator.Interval beside = load.run(seconds * 1_000L, 1_000);
                 figures.put("beside_idle", beside.figures())
                         .put("p99_over_none", beside.percentile(99) / none.percentile(99));
                 figures.put("burst", burst(process, load, holder));
                 if (transport != null) {
                     int log = process.log().size();
-                    figures.put("expiry", holder.ask("closing"));
+                    figures.put("expiry", holder.execute("closing"));
                     figures.put("expiry_longest_turn_us", longest(process.log(), log))
                             .put("expiry_longest_collection_ms", longestCollection(process.log(), log));
                 }
             }
-            figures.put("left_by_itself", process.leave());
+            figures.put("left_by_itself", process.terminate());
             figures.put("log", last(process.log(), 6));
         }
         System.out.println(
@@ -194,15 +194,16 @@
     }
 
     /** All send at once in the third second of ten seconds of load. */
-    private JSONObject burst(ServerProcess process, Load load, HolderProcess holder) throws Exception {
+    private JSONObject burst(ServerProcess process, LoadGenerator load, ConnectionHolderProcess holder)
+            throws Exception {
         TimeUnit.SECONDS.sleep(6); // by now they are asleep
         int log = process.log().size();
-        Load.Stretch during = load.begin();
+        LoadGenerator.Interval during = load.beginInterval();
         TimeUnit.SECONDS.sleep(2);
-        holder.say("burst");
+        holder.sendCommand("burst");
         TimeUnit.SECONDS.sleep(8);
         load.pause();
-        JSONObject figures = new JSONObject().put("sleepers", holder.hear());
+        JSONObject figures = new JSONObject().put("sleepers", holder.readReport());
         TimeUnit.SECONDS.sleep(2);
         return figures.put("load", during.figures())
                 .put("longest_turn_us", longest(process.log(), log))
@@ -212,9 +213,9 @@
     /** The share of one core that the server's event loop uses. */
     private static double loopShare(ServerProcess process, int seconds) throws Exception {
         TimeUnit.SECONDS.sleep(1);
-        double began = process.loopMillis();
+        double began = process.eventLoopCpuMillis();
         TimeUnit.SECONDS.sleep(seconds);
-        return (process.loopMillis() - began) / (seconds * 1_000.0);
+        return (process.eventLoopCpuMillis() - began) / (seconds * 1_000.0);
     }
 
     private static long longest(List<String> log, int from) {
@@ -247,7 +248,7 @@
     private JSONObject fleet() throws Exception {
         int each = 100_000 / 6;
         List<AutoCloseable> open = new ArrayList<>();
-        List<HolderProcess> holders = new ArrayList<>();
+        List<ConnectionHolderProcess> holders = new ArrayList<>();
         List<ServerProcess> servers = new ArrayList<>();
         JSONObject figures = new JSONObject();
         try {
@@ -257,7 +258,7 @@
                 ServerProcess process = start(jar, parties, transports.get(transports.size() - 1), false, -1);
                 open.add(process);
                 servers.add(process);
-                HolderProcess holder = new HolderProcess(process.port(0), each, false, i * 200);
+                ConnectionHolderProcess holder = new ConnectionHolderProcess(process.port(0), each, false, i * 200);
                 open.add(holder);
                 holders.add(holder);
             }
@@ -265,12 +266,12 @@
                 if (word.equals("burst")) {
                     TimeUnit.SECONDS.sleep(6);
                 }
-                for (HolderProcess holder : holders) {
-                    holder.say(word);
+                for (ConnectionHolderProcess holder : holders) {
+                    holder.sendCommand(word);
                 }
                 List<JSONObject> all = new ArrayList<>();
-                for (HolderProcess holder : holders) {
-                    all.add(holder.hear());
+                for (ConnectionHolderProcess holder : holders) {
+                    all.add(holder.readReport());
                 }
                 figures.put(word, all);
             }
--- a/lab/src/main/java/wheatspread/lab/ReloadCommand.java
+++ b/lab/src/main/java/wheatspread/lab/ReloadCommand.java
@@ -53,13 +53,13 @@
         boolean kept = true;
         for (long seed : seeds) {
             if (!part.equals("handover")) {
-                kept &= tell(report, "reload, seed " + seed, new ReloadRun(jar, flags, rate).play(seed));
+                kept &= tell(report, "reload, seed " + seed, new ReloadRun(jar, flags, rate).run(seed));
             }
             for (HandoverRun.End end : part.equals("reload") ? new HandoverRun.End[0] : HandoverRun.End.values()) {
                 kept &= tell(
                         report,
                         end.name().toLowerCase() + ", seed " + seed,
-                        new HandoverRun(jar, flags, handoverRate).play(end, seed));
+                        new HandoverRun(jar, flags, handoverRate).run(end, seed));
             }
         }
         report.write(out);
@@ -67,8 +67,8 @@
     }
 
     private static boolean tell(Report report, String name, ReloadRun.Outcome outcome) {
-        report.put(name, outcome.figures().put("faults", new JSONArray(outcome.faults())));
+        report.put(name, outcome.figures().put("faults", new JSONArray(outcome.violations())));
         System.out.println(name + " " + outcome.figures());
-        return outcome.faults().isEmpty();
+        return outcome.violations().isEmpty();
     }
 }
--- a/lab/src/main/java/wheatspread/lab/StoreMeasurementCommand.java
+++ b/lab/src/main/java/wheatspread/lab/StoreMeasurementCommand.java
@@ -92,7 +92,7 @@
     private void writes(Report report) throws Exception {
         Map<String, Map<String, Double>> bars = new LinkedHashMap<>();
         for (int group : new int[] {1, 8, 64, 512}) {
-            JSONObject figures = new StoreRuns(folder, group, seconds * 1_000L).inTurns(rounds);
+            JSONObject figures = new StoreRuns(folder, group, seconds * 1_000L).measureRounds(rounds);
             report.put("group of " + group, figures);
             System.out.println("group of " + group + " " + figures);
             for (String one : StoreRuns.WRITERS) {
--- a/lab/src/main/java/wheatspread/lab/faults/CostRun.java
+++ b/lab/src/main/java/wheatspread/lab/faults/CostRun.java
@@ -36,7 +36,7 @@
     }
 
     /** One run; a server's figures are means. */
-    public JSONObject play(boolean membership) throws Exception {
+    public JSONObject run(boolean membership) throws Exception {
         List<String> names =
                 IntStream.rangeClosed(1, servers).mapToObj(i -> "m" + i).toList();
         try (Rig rig = new Rig(jar, flags, names)) {
@@ -44,7 +44,7 @@
                 turnOn(rig);
             }
             rig.start();
-            rig.world().ask(rate);
+            rig.world().setRequestRate(rate);
             TimeUnit.MILLISECONDS.sleep(WARM_MS);
             double cpu = processorSeconds(rig);
             long began = System.nanoTime();
@@ -63,8 +63,8 @@
                     .put("peer_messages_per_s", (peersAfter[0] - peers[0]) / seconds / servers)
                     .put("peer_bytes_per_s", (peersAfter[1] - peers[1]) / seconds / servers)
                     .put("open_at_end", rig.settle());
-            return figures.put("load", rig.world().ledger().figures())
-                    .put("broken", rig.world().ledger().broken());
+            return figures.put("load", rig.world().checker().figures())
+                    .put("broken", rig.world().checker().broken());
         }
     }
 
@@ -72,7 +72,7 @@
         JSONArray seeds = new JSONArray();
         JSONObject[] told = new JSONObject[rig.members().size()];
         for (int i = 0; i < told.length; i++) {
-            String listen = StandInAddress.text(rig.address());
+            String listen = StandInAddress.format(rig.address());
             told[i] = new JSONObject()
                     .put("cluster", "cost")
                     .put("listen", listen)
@@ -82,7 +82,7 @@
             }
         }
         for (int i = 0; i < told.length; i++) {
-            rig.members().get(i).operator(new JSONObject().put("membership", told[i]), rig.address());
+            rig.members().get(i).setOperatorConfig(new JSONObject().put("membership", told[i]), rig.address());
         }
     }
 
@@ -116,7 +116,7 @@
     private static long[] peers(Rig rig, boolean membership) {
         long[] sums = new long[2];
         for (RigServer one : membership ? rig.members() : List.<RigServer>of()) {
-            String vars = ControlClient.ask(one.door(), "GET /_vars");
+            String vars = ControlClient.request(one.controlAddress(), "GET /_vars");
             for (String line : vars == null ? new String[0] : vars.split("\n")) {
                 sums[0] += line.startsWith("edge_gw.peers.sent=") ? value(line) : 0;
                 sums[1] += line.startsWith("edge_gw.peers.sent_bytes=") ? value(line) : 0;
--- a/lab/src/main/java/wheatspread/lab/faults/Fault.java
+++ b/lab/src/main/java/wheatspread/lab/faults/Fault.java
@@ -11,10 +11,17 @@
  * @param to on their way to whom
  * @param on whom it hits, of faults of processes
  * @param share how much of what it hits; of {@code starve} how much time is left to the process
- * @param extra the delay, the longest detour of {@code reorder}, or the period of {@code flap}
+ * @param extraMicros the delay, the longest detour of {@code reorder}, or the period of {@code flap}
  */
 public record Fault(
-        Kind kind, long at, long lasts, Set<String> from, Set<String> to, Set<String> on, double share, long extra) {
+        Kind kind,
+        long beginMicros,
+        long durationMicros,
+        Set<String> from,
+        Set<String> to,
+        Set<String> on,
+        double share,
+        long extraMicros) {
     /** What is done. */
     public enum Kind {
         CUT,
@@ -49,7 +56,7 @@
         }
     }
 
-    public long end() {
-        return at + lasts;
+    public long endMicros() {
+        return beginMicros + durationMicros;
     }
 }
--- a/lab/src/main/java/wheatspread/lab/faults/FaultsRun.java
+++ b/lab/src/main/java/wheatspread/lab/faults/FaultsRun.java
@@ -53,7 +53,7 @@
     private long begin;
 
     /** What came of it; {@code faults} is empty where all held. */
-    public record Outcome(JSONObject figures, List<String> faults) {}
+    public record Outcome(JSONObject figures, List<String> violations) {}
 
     /** {@code flags} are those of the servers' JVMs. */
     public FaultsRun(Path jar, List<String> flags, Scenario scenario, long seed) {
@@ -64,10 +64,10 @@
     }
 
     /** Once an object. */
-    public Outcome play() throws Exception {
+    public Outcome run() throws Exception {
         try (Rig made = new Rig(jar, flags, scenario.members())) {
             rig = made;
-            Links links = new Links(new SplittableRandom(seed));
+            LinkModel links = new LinkModel(new SplittableRandom(seed));
             try (Relays between = relays(links)) {
                 relays = between;
                 long formed = System.nanoTime();
@@ -82,7 +82,7 @@
                 figures.put("formed_ms", TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - formed));
                 readLogs();
                 Set<String> before = new HashSet<>(verdict.views());
-                rig.world().ask(scenario.load());
+                rig.world().setRequestRate(scenario.loadPerSecond());
                 befall();
                 judge(before, figures);
                 return new Outcome(figures, faults);
@@ -90,7 +90,7 @@
         }
     }
 
-    private Relays relays(Links links) throws IOException {
+    private Relays relays(LinkModel links) throws IOException {
         Map<String, InetSocketAddress> real = new LinkedHashMap<>();
         Map<String, InetSocketAddress> advertised = new LinkedHashMap<>();
         for (String name : scenario.members()) {
@@ -99,18 +99,18 @@
         }
         JSONArray seeds = new JSONArray();
         scenario.members()
-                .subList(0, scenario.seeds())
-                .forEach(one -> seeds.put(StandInAddress.text(advertised.get(one))));
+                .subList(0, scenario.seedCount())
+                .forEach(one -> seeds.put(StandInAddress.format(advertised.get(one))));
         for (String name : scenario.members()) {
             rig.member(name)
-                    .operator(
+                    .setOperatorConfig(
                             new JSONObject()
                                     .put(
                                             "membership",
                                             new JSONObject()
                                                     .put("cluster", CLUSTER)
-                                                    .put("listen", StandInAddress.text(real.get(name)))
-                                                    .put("advertise", StandInAddress.text(advertised.get(name)))
+                                                    .put("listen", StandInAddress.format(real.get(name)))
+                                                    .put("advertise", StandInAddress.format(advertised.get(name)))
                                                     .put("seeds", seeds)
                                                     .put(
                                                             "zone",
@@ -139,9 +139,9 @@
             for (Fault one : scenario.faults()) {
                 if (one.kind().isOfLinks()) {
                     going.add(hands.submit(() -> {
-                        sleepUntil(one.at());
+                        sleepUntil(one.beginMicros());
                         relays.begin(one);
-                        sleepUntil(one.end());
+                        sleepUntil(one.endMicros());
                         relays.end(one);
                         return null;
                     }));
@@ -161,8 +161,8 @@
 
     private Callable<Void> deed(Fault fault, RigServer member) {
         return () -> {
-            sleepUntil(fault.at());
-            long millis = fault.lasts() / 1_000;
+            sleepUntil(fault.beginMicros());
+            long millis = fault.durationMicros() / 1_000;
             switch (fault.kind()) {
                 case PAUSE -> {
                     excuse(member, millis);
@@ -190,13 +190,13 @@
                         ended.add(member.name());
                         left.add(member.name());
                     }
-                    int code = member.leave();
+                    int code = member.terminate();
                     if (code != 0) {
                         fault(member.name() + " left with " + code + ": " + tail(member));
                     }
                 }
                 case GARBAGE -> {
-                    while (Relays.micros() < begin + fault.end()) {
+                    while (Relays.micros() < begin + fault.endMicros()) {
                         relays.garbage(member.name());
                         TimeUnit.MILLISECONDS.sleep(GARBAGE_EVERY_MS);
                     }
@@ -224,20 +224,20 @@
     // ---- what came of it ----
 
     private void judge(Set<String> before, JSONObject figures) throws Exception {
-        int size = scenario.expect().members() >= 0
-                ? scenario.expect().members()
+        int size = scenario.expect().finalMembers() >= 0
+                ? scenario.expect().finalMembers()
                 : scenario.members().size() - ended.size();
-        long within = scenario.expect().converged() / 1_000;
+        long within = scenario.expect().convergenceMicros() / 1_000;
         long took = scenario.losesQuorum() ? standStill(within) : converge(size, within);
         figures.put("converged_ms", took);
         if (took < 0) {
             faults.add("no view of " + size + " on all within " + within + " ms of the last fault's end: " + states());
         }
-        sleepUntil(scenario.run());
-        if (scenario.load() > 0) {
+        sleepUntil(scenario.runMicros());
+        if (scenario.loadPerSecond() > 0) {
             figures.put("open_at_end", rig.settle());
-            InvariantChecker ledger = rig.world().ledger();
-            faults.addAll(ledger.faults());
+            InvariantChecker ledger = rig.world().checker();
+            faults.addAll(ledger.violations());
             figures.put("load", ledger.figures());
         }
         if (took >= 0 && (scenario.losesQuorum() ? standStill(LOOK_MS) : converge(size, LOOK_MS)) < 0) {
@@ -252,11 +252,11 @@
         }
         int views = verdict.viewsBesides(before);
         figures.put("views", views).put("missed", new JSONArray(verdict.missed()));
-        if (scenario.expect().views() >= 0 && views > scenario.expect().views()) {
-            faults.add(
-                    views + " views, and " + scenario.expect().views() + " at most were expected: " + verdict.views());
+        if (scenario.expect().maxViews() >= 0 && views > scenario.expect().maxViews()) {
+            faults.add(views + " views, and " + scenario.expect().maxViews() + " at most were expected: "
+                    + verdict.views());
         }
-        Set<String> gone = scenario.expect().gone();
+        Set<String> gone = scenario.expect().missedMembers();
         if (gone != null && !gone.equals(verdict.missed())) {
             faults.add("missed were " + verdict.missed() + "; expected " + new TreeSet<>(gone));
         }
@@ -283,7 +283,7 @@
         return await(
                 () -> rig.members().stream()
                         .filter(one -> !ended.contains(one.name()))
-                        .map(one -> ControlClient.members(one.door()))
+                        .map(one -> ControlClient.members(one.controlAddress()))
                         .allMatch(told -> told != null && told.getBoolean("in") && !told.getBoolean("stands")),
                 millis);
     }
@@ -305,7 +305,7 @@
             if (ended.contains(member.name())) {
                 continue;
             }
-            JSONObject told = ControlClient.members(member.door());
+            JSONObject told = ControlClient.members(member.controlAddress());
             if (told == null
                     || !told.getBoolean("stands")
                     || told.getJSONArray("members").length() != size) {
@@ -320,7 +320,7 @@
     private String states() {
         Map<String, String> states = new HashMap<>();
         for (RigServer member : rig.members()) {
-            JSONObject told = ended.contains(member.name()) ? null : ControlClient.members(member.door());
+            JSONObject told = ended.contains(member.name()) ? null : ControlClient.members(member.controlAddress());
             states.put(
                     member.name(),
                     told == null
--- a/lab/src/main/java/wheatspread/lab/faults/Links.java
+++ b/lab/src/main/java/wheatspread/lab/faults/LinkModel.java
@@ -8,11 +8,11 @@
  * What becomes of a message on its way, by the faults that hold. It does no I/O and reads no clock: relays
  * between processes and the emulator ask it alike. Times are microseconds.
  */
-public final class Links {
+public final class LinkModel {
     private final List<Fault> holding = new ArrayList<>();
     private final RandomGenerator random;
 
-    public Links(RandomGenerator random) {
+    public LinkModel(RandomGenerator random) {
         this.random = random;
     }
 
@@ -25,7 +25,7 @@
     }
 
     /** The delays after which copies of a message arrive; none where it is lost. */
-    public List<Long> fate(String from, String to, long now) {
+    public List<Long> deliveryDelays(String from, String to, long now) {
         long delay = 0;
         int copies = 1;
         for (Fault one : holding) {
@@ -37,7 +37,7 @@
                     return List.of();
                 }
                 case FLAP -> {
-                    if ((now - one.at()) / one.extra() % 2 == 0) {
+                    if ((now - one.beginMicros()) / one.extraMicros() % 2 == 0) {
                         return List.of();
                     }
                 }
@@ -46,9 +46,9 @@
                         return List.of();
                     }
                 }
-                case DELAY -> delay += one.extra();
+                case DELAY -> delay += one.extraMicros();
                 case DUPLICATE -> copies += random.nextDouble() < one.share() ? 1 : 0;
-                case REORDER -> delay += random.nextDouble() < one.share() ? random.nextLong(one.extra()) : 0;
+                case REORDER -> delay += random.nextDouble() < one.share() ? random.nextLong(one.extraMicros()) : 0;
                 default -> {}
             }
         }
--- a/lab/src/main/java/wheatspread/lab/faults/Relays.java
+++ b/lab/src/main/java/wheatspread/lab/faults/Relays.java
@@ -21,14 +21,14 @@
 
 /**
  * What stands between the servers: each is advertised at a socket of this, which passes on to it what
- * {@link Links} lets through. Datagrams are told apart by the port that they come from, streams by the sender
+ * {@link LinkModel} lets through. Datagrams are told apart by the port that they come from, streams by the sender
  * that they name. One thread carries the datagrams.
  */
 final class Relays implements AutoCloseable {
     private static final int LARGEST = 2_048;
     private static final int LARGEST_STREAM = 2 << 20;
 
-    private final Links links;
+    private final LinkModel links;
     private final MessageCodec codec;
     private final Selector selector;
     private final Map<String, InetSocketAddress> real;
@@ -54,7 +54,7 @@
 
     /** {@code real} and {@code advertised} by name. */
     Relays(
-            Links links,
+            LinkModel links,
             String cluster,
             Map<String, InetSocketAddress> real,
             Map<String, InetSocketAddress> advertised,
@@ -91,8 +91,8 @@
         return System.nanoTime() / 1_000;
     }
 
-    private synchronized List<Long> fate(String from, String to) {
-        return links.fate(from, to, micros() - begin);
+    private synchronized List<Long> deliveryDelays(String from, String to) {
+        return links.deliveryDelays(from, to, micros() - begin);
     }
 
     /** The run begins at that time; no fault holds before. */
@@ -140,7 +140,7 @@
                 lastSeen = bytes;
                 String from = byPort.get(source.getPort());
                 if (from != null) {
-                    for (long delay : fate(from, to)) {
+                    for (long delay : deliveryDelays(from, to)) {
                         if (delay == 0) {
                             pass(from, to, bytes);
                         } else {
@@ -195,7 +195,7 @@
             }
             byte[] bytes = in.readNBytes(length);
             String from = codec.decode(bytes).message().from().name();
-            if (fate(from, to).isEmpty()) {
+            if (deliveryDelays(from, to).isEmpty()) {
                 return;
             }
             try (Socket out = new Socket()) {
--- a/lab/src/main/java/wheatspread/lab/faults/Scenario.java
+++ b/lab/src/main/java/wheatspread/lab/faults/Scenario.java
@@ -18,10 +18,16 @@
  * microseconds here.
  *
  * @param zones by member
- * @param seeds how many of the members, from the first on, are seeds
- * @param load requests a second for all
+ * @param seedCount how many of the members, from the first on, are seeds
+ * @param loadPerSecond requests a second for all
  */
-public record Scenario(Map<String, String> zones, int seeds, double load, long run, List<Fault> faults, Expect expect) {
+public record Scenario(
+        Map<String, String> zones,
+        int seedCount,
+        double loadPerSecond,
+        long runMicros,
+        List<Fault> faults,
+        Expectation expect) {
     private static final int MOST_SECONDS = 3_600;
     /** Two faults at once may keep somebody out for a while who came and went twice. */
     private static final long PAIR_CONVERGED = 60_000_000;
@@ -29,12 +35,12 @@
     /**
      * What has to come of it, besides what always has to.
      *
-     * @param views from the begin of the run; -1 for any
-     * @param members in the last view; -1 for those that live
-     * @param converged within so long after the end of the last fault
-     * @param gone who was missed by its watchers at any time; null for any
+     * @param maxViews from the begin of the run; -1 for any
+     * @param finalMembers in the last view; -1 for those that live
+     * @param convergenceMicros within so long after the end of the last fault
+     * @param missedMembers who was missed by its watchers at any time; null for any
      */
-    public record Expect(int views, int members, long converged, Set<String> gone) {}
+    public record Expectation(int maxViews, int finalMembers, long convergenceMicros, Set<String> missedMembers) {}
 
     public List<String> members() {
         return List.copyOf(zones.keySet());
@@ -48,31 +54,43 @@
     }
 
     /** When the last fault is over. */
-    public long faultsEnd() {
-        return faults.stream().mapToLong(Fault::end).max().orElse(0);
+    public long lastFaultEndMicros() {
+        return faults.stream().mapToLong(Fault::endMicros).max().orElse(0);
     }
 
     /**
      * Both at once, in a fleet of this one. What was expected of one alone does not hold for both: they have
      * to come to one view of those that live.
      */
-    public Scenario with(Scenario other) {
+    public Scenario combinedWith(Scenario other) {
         List<Fault> both = new ArrayList<>(faults);
         Set<String> ended = new LinkedHashSet<>();
         faults.stream().filter(one -> one.kind().isMoment()).forEach(one -> ended.addAll(one.on()));
         for (Fault one : other.faults) { // whoever ends by one of them is left alone by the other
             Set<String> on = new LinkedHashSet<>(one.on());
             on.removeAll(one.kind().isMoment() ? ended : Set.of());
-            both.add(new Fault(one.kind(), one.at(), one.lasts(), one.from(), one.to(), on, one.share(), one.extra()));
+            both.add(new Fault(
+                    one.kind(),
+                    one.beginMicros(),
+                    one.durationMicros(),
+                    one.from(),
+                    one.to(),
+                    on,
+                    one.share(),
+                    one.extraMicros()));
         }
-        both.sort(Comparator.comparingLong(Fault::at));
+        both.sort(Comparator.comparingLong(Fault::beginMicros));
         return new Scenario(
                 zones,
-                seeds,
-                Math.max(load, other.load),
-                Math.max(run, other.run),
+                seedCount,
+                Math.max(loadPerSecond, other.loadPerSecond),
+                Math.max(runMicros, other.runMicros),
                 both,
-                new Expect(-1, -1, Math.max(PAIR_CONVERGED, Math.max(expect.converged, other.expect.converged)), null));
+                new Expectation(
+                        -1,
+                        -1,
+                        Math.max(PAIR_CONVERGED, Math.max(expect.convergenceMicros, other.expect.convergenceMicros)),
+                        null));
     }
 
     /** Complaints name the file and the key. */
@@ -89,7 +107,7 @@
         for (JsonFields one : told.objects("faults")) {
             faults.add(fault(one, zones, random));
         }
-        faults.sort(Comparator.comparingLong(Fault::at));
+        faults.sort(Comparator.comparingLong(Fault::beginMicros));
         JsonFields expect = told.object("expect", true);
         expect.requireKnownKeys(Set.of("views_at_most", "final_members", "converged_within_s", "gone"));
         Scenario scenario = new Scenario(
@@ -98,7 +116,7 @@
                 told.number("load_per_s", 0, 0, 10_000),
                 seconds(told, "run_s", 60),
                 faults,
-                new Expect(
+                new Expectation(
                         expect.integer("views_at_most", -1, -1, 1_000_000),
                         expect.integer("final_members", -1, -1, 2_000),
                         seconds(expect, "converged_within_s", 10),
--- a/lab/src/main/java/wheatspread/lab/fleet/FleetRoll.java
+++ b/lab/src/main/java/wheatspread/lab/fleet/FleetRoll.java
@@ -15,7 +15,7 @@
  */
 public final class FleetRoll {
     /** What is done to a fleet while it serves. */
-    public enum Deed {
+    public enum Action {
         NOTHING,
         ROLL,
         ROLL_AND_KILL,
@@ -32,10 +32,10 @@
     /** After this long every request is over. */
     private static final long LAST_ANSWERS_MS = 15_000;
 
-    private static final Map<Deed, String> SCRIPTS = Map.of(
-            Deed.BUILD_THAT_FAILS_ITS_START,
+    private static final Map<Action, String> SCRIPTS = Map.of(
+            Action.BUILD_THAT_FAILS_ITS_START,
             "echo a build that fails its start; exit 78",
-            Deed.BUILD_THAT_FAILS_LATER,
+            Action.BUILD_THAT_FAILS_LATER,
             "exec timeout -s KILL 5 {serve} \"$@\"");
 
     private final Path jar;
@@ -57,10 +57,10 @@
     }
 
     /** What came of one run. */
-    public record Outcome(JSONObject figures, double[] worthBySecond, List<String> faults) {}
+    public record Outcome(JSONObject figures, double[] servedValueBySecond, List<String> violations) {}
 
     /** Serves for so long before and, all in all, so long; {@code share} of the fleet is rolled. */
-    public Outcome play(Deed deed, double share, long beforeMillis, long millis)
+    public Outcome run(Action deed, double share, long beforeMillis, long millis)
             throws IOException, InterruptedException {
         Map<String, String> builds = new LinkedHashMap<>(Map.of("v1", ""));
         builds.put("v2", SCRIPTS.getOrDefault(deed, ""));
@@ -68,20 +68,20 @@
             fleet.supervise();
             fleet.await("a fleet that is up", UP_MS, status -> FleetProcess.count(status, "UP", null) == size);
             TimeUnit.MILLISECONDS.sleep(SEEN_MS);
-            if (deed == Deed.BUILD_THAT_FAILS_LATER) {
+            if (deed == Action.BUILD_THAT_FAILS_LATER) {
                 fleet.world().expectSecondProcessesToDie();
             }
             long began = System.nanoTime();
-            fleet.world().ask(rate);
+            fleet.world().setRequestRate(rate);
             TimeUnit.MILLISECONDS.sleep(beforeMillis);
             JSONObject figures = new JSONObject();
-            if (deed != Deed.NOTHING) {
+            if (deed != Action.NOTHING) {
                 roll(fleet, deed, share, figures);
             }
             long left = millis - (System.nanoTime() - began) / 1_000_000;
             TimeUnit.MILLISECONDS.sleep(Math.max(0, left));
-            fleet.world().ask(0);
-            if (deed != Deed.NOTHING) {
+            fleet.world().setRequestRate(0);
+            if (deed != Action.NOTHING) {
                 fleet.await(
                         "a fleet that is up again", UP_MS, status -> FleetProcess.count(status, "UP", null) == size);
                 figures.put("on_v2", FleetProcess.count(fleet.status(), "UP", "v2"));
@@ -91,23 +91,23 @@
                 TimeUnit.MILLISECONDS.sleep(50);
             }
             figures.put("went_down", fleet.down(DOWN_MS));
-            InvariantChecker ledger = fleet.world().ledger();
+            InvariantChecker ledger = fleet.world().checker();
             ledger.figures().toMap().forEach(figures::put);
-            return new Outcome(figures.put("broken_promises", ledger.broken()), ledger.bySecond(), ledger.faults());
+            return new Outcome(figures.put("broken_promises", ledger.broken()), ledger.bySecond(), ledger.violations());
         }
     }
 
-    private void roll(FleetProcess fleet, Deed deed, double share, JSONObject figures)
+    private void roll(FleetProcess fleet, Action deed, double share, JSONObject figures)
             throws IOException, InterruptedException {
         List<String> words = List.of("--to", "v2", "--share", Double.toString(share));
-        if (deed == Deed.ROLL_AND_KILL || deed == Deed.SUPERVISOR_KILLED) {
+        if (deed == Action.ROLL_AND_KILL || deed == Action.SUPERVISOR_KILLED) {
             List<String> unwaited = new java.util.ArrayList<>(words);
             unwaited.add("--no-wait");
             FleetProcess.Ended given = fleet.fleet("roll", unwaited.toArray(String[]::new));
             if (given.code() != 0) {
                 throw new IOException(given.text());
             }
-            if (deed == Deed.ROLL_AND_KILL) {
+            if (deed == Action.ROLL_AND_KILL) {
                 TimeUnit.SECONDS.sleep(4);
                 for (int i = 0; i < Math.max(1, size / 5); i++) {
                     fleet.kill("n" + (size - i));
--- a/lab/src/main/java/wheatspread/lab/load/Holder.java
+++ b/lab/src/main/java/wheatspread/lab/load/ConnectionHolder.java
@@ -25,7 +25,7 @@
 import wheatspread.uwsgi.UwsgiPacket;
 
 /** Holds many connections that do little, from many source addresses. */
-public final class Holder implements AutoCloseable {
+public final class ConnectionHolder implements AutoCloseable {
     private static final int CONNECTING = 400;
     private static final int OF_SOURCE = 100;
 
@@ -49,7 +49,7 @@
     private long lastAnswer;
 
     /** Holds connections to a port of the loopback address, from source addresses that begin at {@code firstSource}. */
-    public Holder(int port, boolean uwsgi, int firstSource) {
+    public ConnectionHolder(int port, boolean uwsgi, int firstSource) {
         to = new InetSocketAddress("127.0.0.1", port);
         this.uwsgi = uwsgi;
         this.firstSource = firstSource;
@@ -140,7 +140,7 @@
     }
 
     /** Each sends a request at once. */
-    public JSONObject burst() throws InterruptedException {
+    public JSONObject sendBurst() throws InterruptedException {
         long door = System.currentTimeMillis();
         Sites.Kind search = Sites.KINDS.get(1);
         return ask(i -> uwsgi
@@ -192,7 +192,7 @@
     }
 
     /** Waits until the server has closed all. */
-    public JSONObject closing(int seconds) throws InterruptedException {
+    public JSONObject awaitClosed(int seconds) throws InterruptedException {
         await(() -> closed >= all.size(), seconds);
         return new JSONObject()
                 .put("closed", closed)
--- a/lab/src/main/java/wheatspread/lab/load/HolderProcess.java
+++ b/lab/src/main/java/wheatspread/lab/load/ConnectionHolderProcess.java
@@ -10,14 +10,14 @@
 import java.util.concurrent.TimeUnit;
 import org.json.JSONObject;
 
-/** A {@link Holder} in a process of its own, since a process may hold only so many descriptors. */
-public final class HolderProcess implements AutoCloseable {
+/** A {@link ConnectionHolder} in a process of its own, since a process may hold only so many descriptors. */
+public final class ConnectionHolderProcess implements AutoCloseable {
     private final Process process;
     private final BufferedReader in;
     private final Writer out;
 
     /** Starts the process and waits for nothing; connections come from addresses that begin at {@code firstSource}. */
-    public HolderProcess(int port, int count, boolean uwsgi, int firstSource) throws IOException {
+    public ConnectionHolderProcess(int port, int count, boolean uwsgi, int firstSource) throws IOException {
         Path java = Path.of(System.getProperty("java.home"), "bin", "java");
         process = new ProcessBuilder(List.of(
                         java.toString(),
@@ -40,18 +40,18 @@
     }
 
     /** Says a word, and returns the figures it answers. */
-    public JSONObject ask(String word) throws IOException {
-        say(word);
-        return hear();
+    public JSONObject execute(String word) throws IOException {
+        sendCommand(word);
+        return readReport();
     }
 
-    public void say(String word) throws IOException {
+    public void sendCommand(String word) throws IOException {
         out.write(word + "\n");
         out.flush();
     }
 
     /** Reads the next report of the process; blocks until there is one. */
-    public JSONObject hear() throws IOException {
+    public JSONObject readReport() throws IOException {
         String line = in.readLine();
         if (line == null) {
             throw new IOException("the process that holds connections ended");
--- a/lab/src/main/java/wheatspread/lab/load/Load.java
+++ b/lab/src/main/java/wheatspread/lab/load/LoadGenerator.java
@@ -29,7 +29,7 @@
  * ahead (a Poisson process), and an answer's time counts from when its request should have been sent, so that
  * a stalled server is not asked less.
  */
-public final class Load implements AutoCloseable {
+public final class LoadGenerator implements AutoCloseable {
     private static final long TICK_MICROS = 500;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -38,15 +38,15 @@
     private final Map<Long, Sent> sent = new HashMap<>();
     private final Random random = new Random(5);
     private final double rate;
-    private Stretch stretch = new Stretch();
+    private Interval stretch = new Interval();
     private boolean running;
     private long next;
     private long lastId;
 
-    private record Sent(long at, Sites.Kind kind, Stretch stretch) {}
+    private record Sent(long at, Sites.Kind kind, Interval stretch) {}
 
     /** What became of the requests of one stretch of time. */
-    public static final class Stretch {
+    public static final class Interval {
         private final Histogram times = new Histogram(1, 60_000_000, 3);
         private long asked;
         private long served;
@@ -76,7 +76,7 @@
     }
 
     /** Opens some connections to a port and asks nothing yet. */
-    public Load(int port, int connections, double perSecond) {
+    public LoadGenerator(int port, int connections, double perSecond) {
         rate = perSecond;
         for (int i = 0; i < connections; i++) {
             proxies.add(new Bootstrap()
@@ -101,8 +101,8 @@
     }
 
     /** Asks for so many milliseconds, and returns what became of it once the last answer has had its time. */
-    public Stretch play(long millis, long afterwards) throws InterruptedException {
-        Stretch one = begin();
+    public Interval run(long millis, long afterwards) throws InterruptedException {
+        Interval one = beginInterval();
         TimeUnit.MILLISECONDS.sleep(millis);
         pause();
         TimeUnit.MILLISECONDS.sleep(afterwards);
@@ -110,9 +110,9 @@
     }
 
     /** From now on requests belong to a new stretch. */
-    public Stretch begin() {
+    public Interval beginInterval() {
         return loop.submit(() -> {
-                    stretch = new Stretch();
+                    stretch = new Interval();
                     if (!running) {
                         next = System.nanoTime();
                     }
--- a/lab/src/main/java/wheatspread/lab/model/CapacitySweep.java
+++ b/lab/src/main/java/wheatspread/lab/model/CapacitySweep.java
@@ -115,7 +115,8 @@
                 case HALVES -> halves(names);
                 case RESTARTS_X60 -> restarts(names, run);
             };
-            return new Scenario(zones, Math.min(SEEDS, size), 0, run, faults, new Scenario.Expect(-1, -1, run, null));
+            return new Scenario(
+                    zones, Math.min(SEEDS, size), 0, run, faults, new Scenario.Expectation(-1, -1, run, null));
         }
     }
 
@@ -159,7 +160,7 @@
             figures.put("faults", new JSONArray(outcome.faults()))
                     .put("missed", missed)
                     .put("run_s", situation.run / SECOND)
-                    .put("waited_s", (situation.run - scenario.faultsEnd()) / (double) SECOND);
+                    .put("waited_s", (situation.run - scenario.lastFaultEndMicros()) / (double) SECOND);
             report.put(part, figures);
             System.out.println(part + " " + figures);
             finished = outcome.finished();
--- a/lab/src/main/java/wheatspread/lab/model/ModelFleet.java
+++ b/lab/src/main/java/wheatspread/lab/model/ModelFleet.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import wheatspread.lab.faults.Links;
+import wheatspread.lab.faults.LinkModel;
 import wheatspread.membership.Departure;
 import wheatspread.membership.DetectorSettings;
 import wheatspread.membership.Member;
@@ -33,7 +33,7 @@
     private static final long CALENDAR = 1_700_000_000_000L;
 
     private final VirtualTime time;
-    private final Links links;
+    private final LinkModel links;
     private final SplittableRandom random;
     private final DetectorSettings settings;
     private final List<String> seeds;
@@ -114,7 +114,7 @@
             }
             String receiver = names.get(to);
             if (receiver != null) {
-                for (long delay : links.fate(name, receiver, time.now())) {
+                for (long delay : links.deliveryDelays(name, receiver, time.now())) {
                     time.at(time.now() + delay + random.nextLong(NEAR, FAR), () -> {
                         Process there = processes.get(receiver);
                         there.run(() -> there.membership.receive(address, message, time.now()));
@@ -145,7 +145,8 @@
         }
     }
 
-    ModelFleet(VirtualTime time, Links links, SplittableRandom random, DetectorSettings settings, List<String> seeds) {
+    ModelFleet(
+            VirtualTime time, LinkModel links, SplittableRandom random, DetectorSettings settings, List<String> seeds) {
         this.time = time;
         this.links = links;
         this.random = random;
--- a/lab/src/main/java/wheatspread/lab/model/ModelRun.java
+++ b/lab/src/main/java/wheatspread/lab/model/ModelRun.java
@@ -9,7 +9,7 @@
 import org.json.JSONArray;
 import org.json.JSONObject;
 import wheatspread.lab.faults.Fault;
-import wheatspread.lab.faults.Links;
+import wheatspread.lab.faults.LinkModel;
 import wheatspread.lab.faults.Scenario;
 import wheatspread.membership.DetectorSettings;
 import wheatspread.membership.Member;
@@ -27,7 +27,7 @@
     private final Scenario scenario;
     private final long seed;
     private final VirtualTime time = new VirtualTime(BEGIN);
-    private final Links links;
+    private final LinkModel links;
     private final ModelFleet fleet;
     private final Set<String> ended = new TreeSet<>();
     private final List<double[]> seconds = new ArrayList<>();
@@ -45,9 +45,9 @@
         this.scenario = scenario;
         this.seed = seed;
         SplittableRandom random = new SplittableRandom(seed);
-        links = new Links(random.split());
+        links = new LinkModel(random.split());
         fleet = new ModelFleet(
-                time, links, random.split(), settings, scenario.members().subList(0, scenario.seeds()));
+                time, links, random.split(), settings, scenario.members().subList(0, scenario.seedCount()));
     }
 
     /** Stops the run once it has taken so long by the wall clock; returns this. */
@@ -68,10 +68,10 @@
         scenario.faults().forEach(one -> befall(one, begin));
         long messages = fleet.messages();
         long bytes = fleet.bytes();
-        long end = begin + scenario.faultsEnd();
+        long end = begin + scenario.lastFaultEndMicros();
         long converged = -1;
         boolean finished = true;
-        for (long at = begin + LOOK; finished && at <= begin + scenario.run(); at += LOOK) {
+        for (long at = begin + LOOK; finished && at <= begin + scenario.runMicros(); at += LOOK) {
             time.runUntil(at);
             if (converged < 0 && at >= end && fleet.agree(size())) {
                 converged = at - end;
@@ -89,8 +89,8 @@
     }
 
     private int size() {
-        return scenario.expect().members() >= 0
-                ? scenario.expect().members()
+        return scenario.expect().finalMembers() >= 0
+                ? scenario.expect().finalMembers()
                 : scenario.members().size() - ended.size();
     }
 
@@ -98,12 +98,12 @@
 
     private void befall(Fault fault, long begin) {
         if (fault.kind().isOfLinks()) {
-            time.at(begin + fault.at(), () -> links.begin(fault));
-            time.at(begin + fault.end(), () -> links.end(fault));
+            time.at(begin + fault.beginMicros(), () -> links.begin(fault));
+            time.at(begin + fault.endMicros(), () -> links.end(fault));
             return;
         }
         for (String name : fault.on()) {
-            time.at(begin + fault.at(), () -> carryOut(fault, name, begin + fault.end()));
+            time.at(begin + fault.beginMicros(), () -> carryOut(fault, name, begin + fault.endMicros()));
         }
     }
 
@@ -147,24 +147,24 @@
             if (fleet.standing().keySet().stream().anyMatch(one -> !one.endsWith(" old"))) {
                 faults.add("no quorum lives, and not all say so: " + fleet.standing());
             }
-        } else if (converged < 0 || converged > scenario.expect().converged()) {
+        } else if (converged < 0 || converged > scenario.expect().convergenceMicros()) {
             faults.add("one view of " + size()
                     + (converged < 0 ? " never came: " + fleet.standing() : " after " + converged / 1_000 + " ms"));
         } else if (!fleet.agree(size())) {
             faults.add("the view did not last until the end: " + fleet.standing());
         }
         int views = fleet.views() - 1;
-        if (scenario.expect().views() >= 0 && views > scenario.expect().views()) {
-            faults.add(views + " views, and " + scenario.expect().views() + " at most were expected");
+        if (scenario.expect().maxViews() >= 0 && views > scenario.expect().maxViews()) {
+            faults.add(views + " views, and " + scenario.expect().maxViews() + " at most were expected");
         }
         Set<String> missed = new TreeSet<>();
         fleet.missed().forEach(one -> missed.add(one.name()));
-        Set<String> gone = scenario.expect().gone();
+        Set<String> gone = scenario.expect().missedMembers();
         if (gone != null && !gone.equals(missed)) {
             faults.add("missed were " + missed + "; expected " + new TreeSet<>(gone));
         }
         double memberSeconds = scenario.members().size() * (played / 1e6);
-        boolean finished = played >= scenario.run();
+        boolean finished = played >= scenario.runMicros();
         if (!finished) {
             faults.add("stopped at the limit of the wall clock after " + played / 1_000 + " ms of the run");
         }
--- a/lab/src/main/java/wheatspread/lab/model/ModelSweep.java
+++ b/lab/src/main/java/wheatspread/lab/model/ModelSweep.java
@@ -123,13 +123,18 @@
                 0,
                 CRASH_RUN,
                 List.of(crash),
-                new Scenario.Expect(1, -1, 5 * SECOND, Set.of("m" + size)));
+                new Scenario.Expectation(1, -1, 5 * SECOND, Set.of("m" + size)));
     }
 
     private static Scenario loss(double share) {
         Map<String, String> zones = members(LOSS_FLEET);
         Fault loss = new Fault(Fault.Kind.LOSS, 0, LOSS_RUN, zones.keySet(), zones.keySet(), Set.of(), share, 1);
         return new Scenario(
-                zones, 3, 0, LOSS_RUN + 20 * SECOND, List.of(loss), new Scenario.Expect(-1, -1, 20 * SECOND, null));
+                zones,
+                3,
+                0,
+                LOSS_RUN + 20 * SECOND,
+                List.of(loss),
+                new Scenario.Expectation(-1, -1, 20 * SECOND, null));
     }
 }
--- a/lab/src/main/java/wheatspread/lab/rig/HandoverRun.java
+++ b/lab/src/main/java/wheatspread/lab/rig/HandoverRun.java
@@ -50,7 +50,7 @@
     }
 
     /** One run; {@code faults} is empty where every promise was kept. */
-    public ReloadRun.Outcome play(End end, long seed) throws Exception {
+    public ReloadRun.Outcome run(End end, long seed) throws Exception {
         Random random = new Random(seed);
         List<String> faults = new ArrayList<>();
         Path dir = Files.createTempDirectory("wheatspread-handover");
@@ -67,7 +67,7 @@
                 await("the old one", () -> ControlClient.isReady(oldDoor));
                 TimeUnit.MILLISECONDS.sleep(2_300); // proxies see the list late
                 world.mostPerLink(3);
-                world.ask(rate);
+                world.setRequestRate(rate);
                 TimeUnit.MILLISECONDS.sleep(LOAD_MS);
                 StandInEndpoint heir = world.heirDoor(NAME, end == End.NEW_DIES_BEFORE_READY ? UP_MS : BOOT_LATE_MS);
                 ProcessHandle next = start(dir, "new", socket, world, heir, newDoor);
@@ -87,7 +87,7 @@
                     faults.addAll(endFaults(end, socket.awaitEnd(old, STOP_MS), dir));
                 }
                 TimeUnit.MILLISECONDS.sleep(LOAD_MS);
-                world.ask(0);
+                world.setRequestRate(0);
                 awaitAnswers(world);
                 ProcessHandle last = end == End.NEW_DIES_BEFORE_READY ? old : next;
                 if (!last.isAlive()) {
@@ -98,8 +98,8 @@
                     one.destroyForcibly();
                 }
             }
-            InvariantChecker ledger = world.ledger();
-            faults.addAll(ledger.faults());
+            InvariantChecker ledger = world.checker();
+            faults.addAll(ledger.violations());
             JSONObject figures = ledger.figures().put("seed", seed);
             if (end != End.OLD_KILLED && figures.getLong("refused") + figures.getLong("failed") > 0) {
                 faults.add("refused or failed: " + figures);
--- a/lab/src/main/java/wheatspread/lab/rig/ReloadRun.java
+++ b/lab/src/main/java/wheatspread/lab/rig/ReloadRun.java
@@ -63,15 +63,15 @@
     }
 
     /** What came of it; {@code faults} is empty where every promise was kept. */
-    public record Outcome(JSONObject figures, List<String> faults) {}
+    public record Outcome(JSONObject figures, List<String> violations) {}
 
     /** One server for each trouble; every round gives each server another one. */
-    public Outcome play(long seed) throws Exception {
+    public Outcome run(long seed) throws Exception {
         Random random = new Random(seed);
         List<String> faults = new ArrayList<>();
         try (Rig rig = new Rig(jar, flags, Trouble.values().length)) {
             rig.start();
-            rig.world().ask(rate);
+            rig.world().setRequestRate(rate);
             TimeUnit.MILLISECONDS.sleep(BETWEEN_MS);
             for (Set<Part> moving : List.of(
                     EnumSet.of(Part.KERNELS),
@@ -82,11 +82,11 @@
                 TimeUnit.MILLISECONDS.sleep(BETWEEN_MS);
             }
             int open = rig.settle();
-            InvariantChecker ledger = rig.world().ledger();
-            faults.addAll(ledger.faults());
+            InvariantChecker ledger = rig.world().checker();
+            faults.addAll(ledger.violations());
             long left = 0;
             for (RigServer member : rig.members()) {
-                int code = member.leave();
+                int code = member.terminate();
                 left += code == 0 ? 1 : 0;
                 if (code != 0) {
                     faults.add(member.name() + " left with " + code + ": " + tail(member));
--- a/lab/src/main/java/wheatspread/lab/rig/Rig.java
+++ b/lab/src/main/java/wheatspread/lab/rig/Rig.java
@@ -96,12 +96,12 @@
                 SOCKETS,
                 members.size());
         member.configure(
-                config.put("name", member.name()).put("listen", StandInAddress.text(addresses.get(member.name()))));
+                config.put("name", member.name()).put("listen", StandInAddress.format(addresses.get(member.name()))));
     }
 
     /** Ends the load and waits until every request is over; returns how many still lack an answer. */
     public int settle() throws InterruptedException {
-        world.ask(0);
+        world.setRequestRate(0);
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LAST_ANSWERS_MS);
         while (world.open() > 0 && System.nanoTime() < until) {
             TimeUnit.MILLISECONDS.sleep(20);
--- a/lab/src/main/java/wheatspread/lab/rig/RigServer.java
+++ b/lab/src/main/java/wheatspread/lab/rig/RigServer.java
@@ -48,12 +48,12 @@
     }
 
     /** From its next start on it has this operator's file and a door. */
-    public void operator(JSONObject told, InetSocketAddress at) throws IOException {
+    public void setOperatorConfig(JSONObject told, InetSocketAddress at) throws IOException {
         operator = Files.writeString(config.resolveSibling(name + "-operator.json"), told.toString());
         door = at;
     }
 
-    public InetSocketAddress door() {
+    public InetSocketAddress controlAddress() {
         return door;
     }
 
@@ -65,7 +65,7 @@
     /** Writes its configuration, whole at once. */
     void configure(JSONObject told) throws IOException {
         if (door != null) {
-            told.put("control", StandInAddress.text(door));
+            told.put("control", StandInAddress.format(door));
         }
         Path aside = config.resolveSibling(name + ".json.new");
         Files.writeString(aside, told.toString());
@@ -121,7 +121,7 @@
     }
 
     /** Gives it notice and returns its exit code; -1 where it does not leave by itself. */
-    public int leave() throws IOException, InterruptedException {
+    public int terminate() throws IOException, InterruptedException {
         signal("TERM");
         return process.waitFor(LEAVE_MS, TimeUnit.MILLISECONDS) ? process.exitValue() : -1;
     }
--- a/lab/src/main/java/wheatspread/lab/scale/RealServers.java
+++ b/lab/src/main/java/wheatspread/lab/scale/RealServers.java
@@ -43,7 +43,7 @@
                 IntStream.rangeClosed(1, count).mapToObj(i -> "m" + i).toList());
         Runtime.getRuntime().addShutdownHook(onInterrupt);
         for (int i = 0; i < count; i++) {
-            addresses.add(StandInAddress.text(rig.address()));
+            addresses.add(StandInAddress.format(rig.address()));
         }
     }
 
@@ -73,7 +73,7 @@
                     .put("listen", addresses.get(i))
                     .put("seeds", new JSONArray(seeds))
                     .put("zone", zones.get(i));
-            rig.members().get(i).operator(new JSONObject().put("membership", membership), rig.address());
+            rig.members().get(i).setOperatorConfig(new JSONObject().put("membership", membership), rig.address());
         }
     }
 
@@ -111,7 +111,7 @@
     /** Why the first server with an old view says that it is old; empty where none does. */
     String whyOld() {
         return rig.members().stream()
-                .map(one -> ControlClient.members(one.door()))
+                .map(one -> ControlClient.members(one.controlAddress()))
                 .filter(told -> told != null && !told.getBoolean("stands"))
                 .map(told -> told.getString("name") + ": " + told.getString("why_not"))
                 .findFirst()
@@ -131,7 +131,8 @@
 
     /** A figure of a server's door; -1 where it does not tell. */
     private static long value(RigServer member, String name) {
-        String vars = member.door() == null ? null : ControlClient.ask(member.door(), "GET /_vars");
+        String vars =
+                member.controlAddress() == null ? null : ControlClient.request(member.controlAddress(), "GET /_vars");
         return vars == null
                 ? -1
                 : vars.lines()
--- a/lab/src/main/java/wheatspread/lab/scale/ScaleFleet.java
+++ b/lab/src/main/java/wheatspread/lab/scale/ScaleFleet.java
@@ -57,7 +57,7 @@
         for (int i = 0; i < hollow; i++) {
             int region = i < firstOfSecondRegion ? 1 : 2;
             String name = "h" + (i + 1);
-            waiting.add(new MemberSpec(name, lastStart, StandInAddress.text(real.freeAddress()), zone(region, i)));
+            waiting.add(new MemberSpec(name, lastStart, StandInAddress.format(real.freeAddress()), zone(region, i)));
         }
     }
 
--- a/lab/src/main/java/wheatspread/lab/scale/ScaleStep.java
+++ b/lab/src/main/java/wheatspread/lab/scale/ScaleStep.java
@@ -58,7 +58,7 @@
             Map<String, Double> points = new LinkedHashMap<>();
             fleet.start();
             if (form(fleet, figures)) {
-                fleet.real().rig().world().ask(settings.rate());
+                fleet.real().rig().world().setRequestRate(settings.rate());
                 idle(fleet, figures, points);
                 memory(fleet, figures, points);
                 faults(fleet, figures, points);
@@ -155,7 +155,7 @@
 
     private void load(ScaleFleet fleet, JSONObject figures) throws InterruptedException {
         int open = fleet.real().rig().settle();
-        JSONObject told = fleet.real().rig().world().ledger().figures().put("open_at_end", open);
+        JSONObject told = fleet.real().rig().world().checker().figures().put("open_at_end", open);
         figures.put("load", told);
         tell("load", told);
     }
--- a/lab/src/main/java/wheatspread/lab/settings/MeasuredServer.java
+++ b/lab/src/main/java/wheatspread/lab/settings/MeasuredServer.java
@@ -126,7 +126,7 @@
 
     /** The reloads it has counted; null where its door does not answer. */
     Reloads reloads() {
-        String vars = ControlClient.ask(door, "GET /_vars");
+        String vars = ControlClient.request(door, "GET /_vars");
         return vars == null ? null : new Reloads(value(vars, "reload_success"), value(vars, "reload_failure"));
     }
 
--- a/lab/src/main/java/wheatspread/lab/settings/MeasurementSetup.java
+++ b/lab/src/main/java/wheatspread/lab/settings/MeasurementSetup.java
@@ -34,9 +34,9 @@
         uwsgi = ports.next();
         InetSocketAddress control = ports.next();
         SettingsFiles.Addresses at = new SettingsFiles.Addresses(
-                StandInAddress.text(listen),
-                StandInAddress.text(uwsgi),
-                StandInAddress.text(control),
+                StandInAddress.format(listen),
+                StandInAddress.format(uwsgi),
+                StandInAddress.format(control),
                 kernel.address(),
                 parties.records(),
                 parties.announce());
--- a/lab/src/main/java/wheatspread/lab/standins/ControlClient.java
+++ b/lab/src/main/java/wheatspread/lab/standins/ControlClient.java
@@ -15,7 +15,7 @@
     private ControlClient() {}
 
     /** The body of the answer; null where there is none in time. */
-    public static String ask(InetSocketAddress door, String call) {
+    public static String request(InetSocketAddress door, String call) {
         try (Socket socket = new Socket()) {
             socket.connect(door, PATIENCE_MS);
             socket.setSoTimeout(PATIENCE_MS);
@@ -30,12 +30,12 @@
     }
 
     public static boolean isReady(InetSocketAddress door) {
-        return "ready\n".equals(ask(door, "GET /_ready"));
+        return "ready\n".equals(request(door, "GET /_ready"));
     }
 
     /** What a server knows of the fleet; null where it says nothing. */
     public static JSONObject members(InetSocketAddress door) {
-        String body = ask(door, "GET /_members");
+        String body = request(door, "GET /_members");
         try {
             return body == null ? null : new JSONObject(body);
         } catch (JSONException e) {
--- a/lab/src/main/java/wheatspread/lab/standins/ServerProcess.java
+++ b/lab/src/main/java/wheatspread/lab/standins/ServerProcess.java
@@ -76,7 +76,7 @@
     }
 
     /** The CPU its event loop has used so far, in milliseconds; the JVM's own threads are left out. */
-    public double loopMillis() throws IOException {
+    public double eventLoopCpuMillis() throws IOException {
         double millis = 0;
         try (Stream<Path> tasks = Files.list(Path.of("/proc/" + process.pid() + "/task"))) {
             for (Path task : tasks.toList()) {
@@ -127,7 +127,7 @@
     }
 
     /** Asks it to leave, and returns whether it went by itself. */
-    public boolean leave() throws InterruptedException {
+    public boolean terminate() throws InterruptedException {
         process.destroy();
         return process.waitFor(20, TimeUnit.SECONDS);
     }
--- a/lab/src/main/java/wheatspread/lab/standins/StandInAddress.java
+++ b/lab/src/main/java/wheatspread/lab/standins/StandInAddress.java
@@ -10,12 +10,12 @@
     private StandInAddress() {}
 
     /** {@code lines}: whether the handler gets lines of text, or the bytes as they come. */
-    public static InetSocketAddress on(EventLoopGroup group, Supplier<ChannelHandler> handler, boolean lines) {
+    public static InetSocketAddress listen(EventLoopGroup group, Supplier<ChannelHandler> handler, boolean lines) {
         return new StandInEndpoint(group, handler, lines).address();
     }
 
     /** As configurations have it. */
-    public static String text(InetSocketAddress address) {
+    public static String format(InetSocketAddress address) {
         return "127.0.0.1:" + address.getPort();
     }
 }
--- a/lab/src/main/java/wheatspread/lab/standins/StandInServices.java
+++ b/lab/src/main/java/wheatspread/lab/standins/StandInServices.java
@@ -30,21 +30,21 @@
     public StandInServices(long runMicros, long callMicros) {
         this.runMicros = runMicros;
         this.callMicros = callMicros;
-        kernel = StandInAddress.on(group, Kernel::new, true);
-        records = StandInAddress.on(group, () -> new RecordsHandler(this.callMicros), false);
-        announce = StandInAddress.on(group, Announce::new, true);
+        kernel = StandInAddress.listen(group, Kernel::new, true);
+        records = StandInAddress.listen(group, () -> new RecordsHandler(this.callMicros), false);
+        announce = StandInAddress.listen(group, Announce::new, true);
     }
 
     public String kernel() {
-        return StandInAddress.text(kernel);
+        return StandInAddress.format(kernel);
     }
 
     public String records() {
-        return StandInAddress.text(records);
+        return StandInAddress.format(records);
     }
 
     public String announce() {
-        return StandInAddress.text(announce);
+        return StandInAddress.format(announce);
     }
 
     /** How many runs were started. */
--- a/lab/src/main/java/wheatspread/lab/store/StoreRuns.java
+++ b/lab/src/main/java/wheatspread/lab/store/StoreRuns.java
@@ -44,7 +44,7 @@
     }
 
     /** Writes a second and the latency of a group, the medians of all rounds; and the ratios. */
-    public JSONObject inTurns(int rounds) throws Exception {
+    public JSONObject measureRounds(int rounds) throws Exception {
         Map<String, List<JSONObject>> all = new LinkedHashMap<>();
         for (int i = 0; i <= rounds; i++) {
             for (String one : WRITERS) {
--- a/lab/src/main/java/wheatspread/lab/world/BookingKernel.java
+++ b/lab/src/main/java/wheatspread/lab/world/BookingKernel.java
@@ -62,7 +62,7 @@
         return links;
     }
 
-    /** Links get {@code BOOTED} only so many milliseconds after their {@code OPEN} from now on. */
+    /** LinkModel get {@code BOOTED} only so many milliseconds after their {@code OPEN} from now on. */
     void bootLate(long millis) {
         bootedAfter = millis;
     }
--- a/lab/src/main/java/wheatspread/lab/world/InvariantChecker.java
+++ b/lab/src/main/java/wheatspread/lab/world/InvariantChecker.java
@@ -249,7 +249,7 @@
                 .sum();
     }
 
-    public List<String> faults() {
+    public List<String> violations() {
         return List.copyOf(faults);
     }
 
--- a/lab/src/main/java/wheatspread/lab/world/World.java
+++ b/lab/src/main/java/wheatspread/lab/world/World.java
@@ -91,7 +91,7 @@
         return announce;
     }
 
-    /** Links of the server's kernel get {@code BOOTED} so many milliseconds late from now on. */
+    /** LinkModel of the server's kernel get {@code BOOTED} so many milliseconds late from now on. */
     public void bootLate(String name, long millis) {
         on(() -> {
             kernels.get(name).bootLate(millis);
@@ -131,7 +131,7 @@
     }
 
     /** Clients ask so often from now on, times drawn as a Poisson process; 0 ends it. */
-    public void ask(double rate) {
+    public void setRequestRate(double rate) {
         on(() -> {
             if (perSecond == 0 && rate > 0) {
                 next = System.nanoTime();
@@ -178,7 +178,7 @@
     }
 
     /** What came of it; to be looked at when nothing more is asked. */
-    public InvariantChecker ledger() {
+    public InvariantChecker checker() {
         on(() -> {
             ledger.close(System.currentTimeMillis());
             return null;
--- a/lab/src/test/java/wheatspread/lab/faults/FaultsRunTest.java
+++ b/lab/src/test/java/wheatspread/lab/faults/FaultsRunTest.java
@@ -34,8 +34,8 @@
     @Test
     @Timeout(120)
     void sixProcessesKeepOneViewUnderFaults() throws Exception {
-        FaultsRun.Outcome outcome = new FaultsRun(JAR, FLAGS, scenario(SIX), 1).play();
-        assertThat(outcome.faults()).isEmpty();
+        FaultsRun.Outcome outcome = new FaultsRun(JAR, FLAGS, scenario(SIX), 1).run();
+        assertThat(outcome.violations()).isEmpty();
         assertThat(outcome.figures().getInt("views")).isBetween(2, 3);
     }
 
@@ -74,19 +74,19 @@
              {"do": "flap", "from": ["m2"], "to": ["m1"], "period_ms": 100},
              {"do": "loss", "from": ["m3"], "to": ["m1"], "share": 0.25},
              {"do": "delay", "from": ["m4"], "ms": 70}, {"do": "duplicate", "from": ["m4"], "share": 1}]}""");
-        Links links = new Links(new SplittableRandom(3));
+        LinkModel links = new LinkModel(new SplittableRandom(3));
         scenario.faults().forEach(links::begin);
-        assertThat(links.fate("m1", "m2", 0)).isEmpty();
-        assertThat(links.fate("m1", "m3", 0)).containsExactly(0L);
-        assertThat(links.fate("m2", "m1", 50_000)).isEmpty();
-        assertThat(links.fate("m2", "m1", 150_000)).containsExactly(0L);
-        assertThat(links.fate("m4", "m1", 0)).containsExactly(70_000L, 71_000L);
+        assertThat(links.deliveryDelays("m1", "m2", 0)).isEmpty();
+        assertThat(links.deliveryDelays("m1", "m3", 0)).containsExactly(0L);
+        assertThat(links.deliveryDelays("m2", "m1", 50_000)).isEmpty();
+        assertThat(links.deliveryDelays("m2", "m1", 150_000)).containsExactly(0L);
+        assertThat(links.deliveryDelays("m4", "m1", 0)).containsExactly(70_000L, 71_000L);
         List<Integer> copies = new ArrayList<>();
         for (int i = 0; i < 4_000; i++) {
-            copies.add(links.fate("m3", "m1", 0).size());
+            copies.add(links.deliveryDelays("m3", "m1", 0).size());
         }
         assertThat(copies.stream().filter(one -> one == 0).count()).isBetween(900L, 1_100L);
         scenario.faults().forEach(links::end);
-        assertThat(links.fate("m1", "m2", 0)).containsExactly(0L);
+        assertThat(links.deliveryDelays("m1", "m2", 0)).containsExactly(0L);
     }
 }
--- a/lab/src/test/java/wheatspread/lab/fleet/FleetRollTest.java
+++ b/lab/src/test/java/wheatspread/lab/fleet/FleetRollTest.java
@@ -7,7 +7,7 @@
 import org.json.JSONObject;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import wheatspread.lab.fleet.FleetRoll.Deed;
+import wheatspread.lab.fleet.FleetRoll.Action;
 
 /** A small fleet of real processes, rolled under load: the ledger finds no broken promise. */
 class FleetRollTest {
@@ -22,8 +22,8 @@
                 .put("proven_ms", 500)
                 .put("patience_ms", 2_000);
         FleetRoll fleet = new FleetRoll(Path.of("../server/target/wheatspread.jar"), FLAGS, 6, 40, rolling);
-        FleetRoll.Outcome outcome = fleet.play(Deed.ROLL, 0.84, 1_000, 5_000);
-        assertThat(outcome.faults()).isEmpty();
+        FleetRoll.Outcome outcome = fleet.run(Action.ROLL, 0.84, 1_000, 5_000);
+        assertThat(outcome.violations()).isEmpty();
         assertThat(outcome.figures().getLong("broken_promises")).isZero();
         assertThat(outcome.figures().getInt("exit_code"))
                 .as(outcome.figures().toString())
--- a/lab/src/test/java/wheatspread/lab/rig/HandoverRunTest.java
+++ b/lab/src/test/java/wheatspread/lab/rig/HandoverRunTest.java
@@ -16,9 +16,8 @@
     @EnumSource
     @Timeout(120)
     void whatIsAskedOnTheSharedSocketIsAnsweredOnce(HandoverRun.End end) throws Exception {
-        ReloadRun.Outcome outcome =
-                new HandoverRun(Path.of("../server/target/wheatspread.jar"), FLAGS, 12).play(end, 1);
-        assertThat(outcome.faults()).isEmpty();
+        ReloadRun.Outcome outcome = new HandoverRun(Path.of("../server/target/wheatspread.jar"), FLAGS, 12).run(end, 1);
+        assertThat(outcome.violations()).isEmpty();
         assertThat(outcome.figures().getLong("doubled")).isZero();
         assertThat(outcome.figures().getLong("served")).isGreaterThan(40);
     }
--- a/lab/src/test/java/wheatspread/lab/rig/OffTest.java
+++ b/lab/src/test/java/wheatspread/lab/rig/OffTest.java
@@ -28,7 +28,7 @@
                         null,
                         List.of("-XX:+UseSerialGC", "-Xmx48m", "-Xlog:class+load=info:file=" + loaded),
                         -1)) {
-            assertThat(server.leave()).isTrue();
+            assertThat(server.terminate()).isTrue();
         }
         String classes = Files.readString(loaded);
         assertThat(classes).contains("wheatspread.daemon.Server ", "wheatspread.kernel.KernelLink ");
--- a/lab/src/test/java/wheatspread/lab/rig/ReloadRunTest.java
+++ b/lab/src/test/java/wheatspread/lab/rig/ReloadRunTest.java
@@ -17,8 +17,8 @@
     @Test
     @Timeout(180)
     void reloadsUnderLoadKeepEveryPromise() throws Exception {
-        ReloadRun.Outcome outcome = new ReloadRun(JAR, FLAGS, 40).play(1);
-        assertThat(outcome.faults()).isEmpty();
+        ReloadRun.Outcome outcome = new ReloadRun(JAR, FLAGS, 40).run(1);
+        assertThat(outcome.violations()).isEmpty();
         assertThat(outcome.figures().getInt("left_in_order")).isEqualTo(6);
         assertThat(outcome.figures().getLong("served")).isGreaterThan(300);
     }
@@ -28,7 +28,7 @@
     void theLedgerSeesWhatAProcessThatDiesUntoldLeavesUnanswered() throws Exception {
         try (Rig rig = new Rig(JAR, FLAGS, 1)) {
             rig.start();
-            rig.world().ask(30);
+            rig.world().setRequestRate(30);
             RigServer member = rig.members().get(0);
             while (rig.world().served() < 3) {
                 TimeUnit.MILLISECONDS.sleep(5);
@@ -40,9 +40,9 @@
             }
             member.kill();
             rig.settle();
-            InvariantChecker ledger = rig.world().ledger();
+            InvariantChecker ledger = rig.world().checker();
             assertThat(ledger.broken()).isPositive();
-            assertThat(ledger.faults()).anyMatch(fault -> fault.startsWith("unanswered"));
+            assertThat(ledger.violations()).anyMatch(fault -> fault.startsWith("unanswered"));
         }
     }
 }
--- a/lab/src/test/java/wheatspread/lab/scale/ScaleStepTest.java
+++ b/lab/src/test/java/wheatspread/lab/scale/ScaleStepTest.java
@@ -36,7 +36,7 @@
             assertThat(new ObservationWindow(fleet).awaitView(System.nanoTime(), FORM_SECONDS))
                     .as("seconds until one view of all")
                     .isNotNaN();
-            fleet.real().rig().world().ask(SETTINGS.rate());
+            fleet.real().rig().world().setRequestRate(SETTINGS.rate());
             JSONObject rack = new FaultPlayer(fleet, SETTINGS.seed()).play(FaultKind.RACK);
             assertThat(rack.has("view_s")).as("one view on all: %s", rack).isTrue();
             assertThat(rack.getInt("members")).isEqualTo(HOLLOW + REAL - FaultKind.RACK_SIZE);
@@ -46,16 +46,16 @@
             assertThat(fleet.real().rig().settle())
                     .as("requests without an answer")
                     .isZero();
-            JSONObject load = fleet.real().rig().world().ledger().figures();
+            JSONObject load = fleet.real().rig().world().checker().figures();
             assertThat(load.getLong("asked")).isPositive();
             assertThat(load.getLong("served")).as("%s", load).isEqualTo(load.getLong("asked"));
-            assertThat(fleet.real().rig().world().ledger().faults()).isEmpty();
+            assertThat(fleet.real().rig().world().checker().violations()).isEmpty();
         }
     }
 
     private static Set<String> membersOfARealServer(ScaleFleet fleet) {
         JSONObject told =
-                ControlClient.members(fleet.real().rig().members().get(0).door());
+                ControlClient.members(fleet.real().rig().members().get(0).controlAddress());
         Set<String> names = new TreeSet<>();
         told.getJSONArray("members").forEach(one -> names.add(((JSONObject) one).getString("name")));
         return names;
