--- a/lab/src/main/java/wheatspread/lab/faults/CostRun.java
+++ b/lab/src/main/java/wheatspread/lab/faults/CostRun.java
@@ -64,7 +64,7 @@
                     .put("peer_bytes_per_s", (peersAfter[1] - peers[1]) / seconds / servers)
                     .put("open_at_end", rig.settle());
             return figures.put("load", rig.world().checker().figures())
-                    .put("broken", rig.world().checker().broken());
+                    .put("broken", rig.world().checker().countViolations());
         }
     }
 
--- a/lab/src/main/java/wheatspread/lab/faults/FaultsRun.java
+++ b/lab/src/main/java/wheatspread/lab/faults/FaultsRun.java
@@ -209,12 +209,12 @@
 
     private synchronized void gone(RigServer member) {
         ended.add(member.name());
-        rig.world().killed(member.name());
+        rig.world().recordKill(member.name());
     }
 
     private void excuse(RigServer member, long millis) {
         long now = System.currentTimeMillis();
-        rig.world().paused(member.name(), now, now + millis);
+        rig.world().recordPause(member.name(), now, now + millis);
     }
 
     private synchronized void fault(String text) {
@@ -236,9 +236,9 @@
         sleepUntil(scenario.runMicros());
         if (scenario.loadPerSecond() > 0) {
             figures.put("open_at_end", rig.settle());
-            InvariantChecker ledger = rig.world().checker();
-            faults.addAll(ledger.violations());
-            figures.put("load", ledger.figures());
+            InvariantChecker checker = rig.world().checker();
+            faults.addAll(checker.violations());
+            figures.put("load", checker.figures());
         }
         if (took >= 0 && (scenario.losesQuorum() ? standStill(LOOK_MS) : converge(size, LOOK_MS)) < 0) {
             faults.add("the view did not last until the end: " + states());
--- a/lab/src/main/java/wheatspread/lab/fleet/FleetProcess.java
+++ b/lab/src/main/java/wheatspread/lab/fleet/FleetProcess.java
@@ -52,9 +52,9 @@
         JSONArray members = new JSONArray();
         for (Map.Entry<String, InetSocketAddress> one : addresses.entrySet()) {
             JSONObject config = Sites.config(
-                            world.kernelDoor(one.getKey()).text(),
-                            world.recordsDoor().text(),
-                            world.announceDoor().text(),
+                            world.kernelEndpoint(one.getKey()).text(),
+                            world.recordsEndpoint().text(),
+                            world.announceEndpoint().text(),
                             512,
                             size)
                     .put("name", one.getKey());
@@ -201,7 +201,7 @@
         for (Object told : status().getJSONArray("members")) {
             JSONObject one = (JSONObject) told;
             if (one.getString("name").equals(name) && one.getLong("pid") > 0) {
-                world.killed(name);
+                world.recordKill(name);
                 ProcessHandle.of(one.getLong("pid")).ifPresent(ProcessHandle::destroyForcibly);
             }
         }
--- a/lab/src/main/java/wheatspread/lab/fleet/FleetRoll.java
+++ b/lab/src/main/java/wheatspread/lab/fleet/FleetRoll.java
@@ -69,7 +69,7 @@
             fleet.await("a fleet that is up", UP_MS, status -> FleetProcess.count(status, "UP", null) == size);
             TimeUnit.MILLISECONDS.sleep(SEEN_MS);
             if (deed == Action.BUILD_THAT_FAILS_LATER) {
-                fleet.world().expectSecondProcessesToDie();
+                fleet.world().expectSecondProcessesToExit();
             }
             long began = System.nanoTime();
             fleet.world().setRequestRate(rate);
@@ -87,13 +87,16 @@
                 figures.put("on_v2", FleetProcess.count(fleet.status(), "UP", "v2"));
             }
             long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LAST_ANSWERS_MS);
-            while (fleet.world().open() > 0 && System.nanoTime() < until) {
+            while (fleet.world().countPendingAttempts() > 0 && System.nanoTime() < until) {
                 TimeUnit.MILLISECONDS.sleep(50);
             }
             figures.put("went_down", fleet.down(DOWN_MS));
-            InvariantChecker ledger = fleet.world().checker();
-            ledger.figures().toMap().forEach(figures::put);
-            return new Outcome(figures.put("broken_promises", ledger.broken()), ledger.bySecond(), ledger.violations());
+            InvariantChecker checker = fleet.world().checker();
+            checker.figures().toMap().forEach(figures::put);
+            return new Outcome(
+                    figures.put("broken_promises", checker.countViolations()),
+                    checker.servedValueBySecond(),
+                    checker.violations());
         }
     }
 
--- a/lab/src/main/java/wheatspread/lab/rig/HandoverRun.java
+++ b/lab/src/main/java/wheatspread/lab/rig/HandoverRun.java
@@ -62,15 +62,16 @@
             InetSocketAddress newDoor = ports.next();
             List<ProcessHandle> all = new ArrayList<>();
             try {
-                ProcessHandle old = start(dir, "old", socket, world, world.kernelDoor(NAME), oldDoor);
+                ProcessHandle old = start(dir, "old", socket, world, world.kernelEndpoint(NAME), oldDoor);
                 all.add(old);
                 await("the old one", () -> ControlClient.isReady(oldDoor));
                 TimeUnit.MILLISECONDS.sleep(2_300); // proxies see the list late
-                world.mostPerLink(3);
+                world.limitRequestsPerConnection(3);
                 world.setRequestRate(rate);
                 TimeUnit.MILLISECONDS.sleep(LOAD_MS);
-                StandInEndpoint heir = world.heirDoor(NAME, end == End.NEW_DIES_BEFORE_READY ? UP_MS : BOOT_LATE_MS);
-                ProcessHandle next = start(dir, "new", socket, world, heir, newDoor);
+                StandInEndpoint successorKernel =
+                        world.createSuccessorKernel(NAME, end == End.NEW_DIES_BEFORE_READY ? UP_MS : BOOT_LATE_MS);
+                ProcessHandle next = start(dir, "new", socket, world, successorKernel, newDoor);
                 all.add(next);
                 if (end == End.NEW_DIES_BEFORE_READY) {
                     await("the new one's kernel", () -> logged(dir, "new", "to=WAITING"));
@@ -81,7 +82,7 @@
                     await("the new one", () -> ControlClient.isReady(newDoor));
                     TimeUnit.MILLISECONDS.sleep(random.nextInt(300));
                     if (end == End.OLD_KILLED) {
-                        world.mayLose(NAME, 500);
+                        world.excuseLosses(NAME, 500);
                     }
                     signals.send(end == End.OLD_KILLED ? "KILL" : "TERM", old);
                     faults.addAll(endFaults(end, socket.awaitEnd(old, STOP_MS), dir));
@@ -98,9 +99,9 @@
                     one.destroyForcibly();
                 }
             }
-            InvariantChecker ledger = world.checker();
-            faults.addAll(ledger.violations());
-            JSONObject figures = ledger.figures().put("seed", seed);
+            InvariantChecker checker = world.checker();
+            faults.addAll(checker.violations());
+            JSONObject figures = checker.figures().put("seed", seed);
             if (end != End.OLD_KILLED && figures.getLong("refused") + figures.getLong("failed") > 0) {
                 faults.add("refused or failed: " + figures);
             }
@@ -117,7 +118,7 @@
 
     private static void awaitAnswers(World world) throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LAST_ANSWERS_MS);
-        while (world.open() > 0 && System.nanoTime() < until) {
+        while (world.countPendingAttempts() > 0 && System.nanoTime() < until) {
             TimeUnit.MILLISECONDS.sleep(20);
         }
     }
@@ -129,8 +130,8 @@
                 dir.resolve(which + ".json"),
                 Sites.config(
                                 kernel.text(),
-                                world.recordsDoor().text(),
-                                world.announceDoor().text(),
+                                world.recordsEndpoint().text(),
+                                world.announceEndpoint().text(),
                                 512,
                                 1)
                         .put("name", NAME)
--- a/lab/src/main/java/wheatspread/lab/rig/ReloadRun.java
+++ b/lab/src/main/java/wheatspread/lab/rig/ReloadRun.java
@@ -82,8 +82,8 @@
                 TimeUnit.MILLISECONDS.sleep(BETWEEN_MS);
             }
             int open = rig.settle();
-            InvariantChecker ledger = rig.world().checker();
-            faults.addAll(ledger.violations());
+            InvariantChecker checker = rig.world().checker();
+            faults.addAll(checker.violations());
             long left = 0;
             for (RigServer member : rig.members()) {
                 int code = member.terminate();
@@ -93,7 +93,7 @@
                 }
             }
             return new Outcome(
-                    ledger.figures().put("seed", seed).put("open_at_end", open).put("left_in_order", left), faults);
+                    checker.figures().put("seed", seed).put("open_at_end", open).put("left_in_order", left), faults);
         }
     }
 
@@ -103,7 +103,7 @@
         Collections.shuffle(troubles, random);
         Map<RigServer, Integer> linksBefore = new HashMap<>();
         for (RigServer member : rig.members()) {
-            linksBefore.put(member, rig.world().links(member.name()));
+            linksBefore.put(member, rig.world().countKernelLinks(member.name()));
         }
         int moves = twice ? 2 : 1;
         List<Callable<Void>> deeds = new ArrayList<>();
@@ -142,7 +142,7 @@
         }
         for (int i = 0; i < troubles.size(); i++) {
             RigServer member = rig.members().get(i);
-            String at = "kernel=/" + rig.world().kernelDoor(member.name()).text();
+            String at = "kernel=/" + rig.world().kernelEndpoint(member.name()).text();
             boolean told = member.log()
                             .await(
                                     line -> line.contains("INFO") && line.contains("reload ") && line.contains(at),
@@ -159,7 +159,7 @@
     private static boolean linksAbove(Rig rig, RigServer member, int before) throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(FOUND_MS);
         while (System.nanoTime() < until) {
-            if (rig.world().links(member.name()) > before) {
+            if (rig.world().countKernelLinks(member.name()) > before) {
                 return true;
             }
             TimeUnit.MILLISECONDS.sleep(20);
@@ -172,17 +172,17 @@
         if (moving.contains(Part.KERNELS)) {
             for (int i = 0; i < rig.members().size(); i++) {
                 String name = rig.members().get(i).name();
-                rig.world().kernelDoor(name).move(OLD_CLOSE_MS);
+                rig.world().kernelEndpoint(name).move(OLD_CLOSE_MS);
                 if (i < troubles.size() && troubles.get(i) == Trouble.KERNEL_LATE) {
-                    rig.world().kernelDoor(name).refuse();
+                    rig.world().kernelEndpoint(name).refuse();
                 }
             }
         }
         if (moving.contains(Part.RECORDS)) {
-            rig.world().recordsDoor().move(OLD_CLOSE_MS);
+            rig.world().recordsEndpoint().move(OLD_CLOSE_MS);
         }
         if (moving.contains(Part.ANNOUNCE)) {
-            rig.world().announceDoor().move(OLD_CLOSE_MS);
+            rig.world().announceEndpoint().move(OLD_CLOSE_MS);
         }
     }
 
@@ -192,20 +192,20 @@
         switch (trouble) {
             case KERNEL_LATE -> {
                 TimeUnit.MILLISECONDS.sleep(millis);
-                world.kernelDoor(member.name()).acceptAgain();
+                world.kernelEndpoint(member.name()).acceptAgain();
             }
             case KERNEL_BOOTS_LATE -> {
-                world.bootLate(member.name(), millis);
+                world.delayHandshake(member.name(), millis);
                 TimeUnit.MILLISECONDS.sleep(2 * millis);
-                world.bootLate(member.name(), 0);
+                world.delayHandshake(member.name(), 0);
             }
-            case KERNEL_COLD -> world.chill(member.name());
+            case KERNEL_COLD -> world.restartKernelCold(member.name());
             case PAUSED -> {
-                world.paused(member.name(), from, from + millis);
+                world.recordPause(member.name(), from, from + millis);
                 member.pause(millis);
             }
             case STARVED -> {
-                world.paused(member.name(), from, from + STARVED_MS);
+                world.recordPause(member.name(), from, from + STARVED_MS);
                 member.starve(STARVED_SHARE, STARVED_MS);
             }
             default -> {}
--- a/lab/src/main/java/wheatspread/lab/rig/Rig.java
+++ b/lab/src/main/java/wheatspread/lab/rig/Rig.java
@@ -90,9 +90,9 @@
     /** Writes the configuration of a server with the addresses of this moment. */
     public void configure(RigServer member) throws IOException {
         JSONObject config = Sites.config(
-                world.kernelDoor(member.name()).text(),
-                world.recordsDoor().text(),
-                world.announceDoor().text(),
+                world.kernelEndpoint(member.name()).text(),
+                world.recordsEndpoint().text(),
+                world.announceEndpoint().text(),
                 SOCKETS,
                 members.size());
         member.configure(
@@ -103,10 +103,10 @@
     public int settle() throws InterruptedException {
         world.setRequestRate(0);
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LAST_ANSWERS_MS);
-        while (world.open() > 0 && System.nanoTime() < until) {
+        while (world.countPendingAttempts() > 0 && System.nanoTime() < until) {
             TimeUnit.MILLISECONDS.sleep(20);
         }
-        return world.open();
+        return world.countPendingAttempts();
     }
 
     @Override
--- a/lab/src/main/java/wheatspread/lab/world/InvariantChecker.java
+++ b/lab/src/main/java/wheatspread/lab/world/InvariantChecker.java
@@ -12,266 +12,299 @@
 import wheatspread.lab.Sites;
 
 /**
- * Books every try, answer and run of a fleet, and checks every promise by itself. All calls come from one
- * thread; times are Unix milliseconds.
+ * Records every attempt, response and run of a fleet and checks the protocol's invariants independently of the
+ * servers: each attempt gets exactly one response in time, each job and each idempotency key runs at most once,
+ * and no server runs a request that was sent too long after its drain notice. Not thread-safe; times are Unix
+ * milliseconds.
  */
 public final class InvariantChecker {
     /**
-     * Answers may be this late: the slack of the settings, that of the protocol's page, and the proxies' own.
+     * How late a response may be: the slack of the settings (60 ms), that of the protocol's page (50 ms), and the
+     * proxies' own delay (100 ms).
      */
-    private static final long SLACK = 60 + 50 + 100;
-    /** A request written so long after the notice is not run; 50 ms more by the protocol's page. */
-    private static final long GRACE = 2_500 + 50;
+    private static final long RESPONSE_SLACK_MS = 60 + 50 + 100;
+    /**
+     * A server does not run a request sent this long after its drain notice: the drain grace of the settings
+     * (2,500 ms) and the protocol page's slack (50 ms).
+     */
+    private static final long DRAIN_GRACE_MS = 2_500 + 50;
 
-    /** One request of a client, with all its tries. */
-    static final class Asked {
-        final long at;
+    private static final int MAX_VIOLATION_TEXTS = 50;
+
+    /** One request of a client, with all its attempts. */
+    static final class ClientRequest {
+        final long startedAtMillis;
         final Sites.Kind kind;
         final double work;
         final String key;
-        boolean over;
+        boolean ended;
 
-        Asked(long at, Sites.Kind kind, double work, String key) {
-            this.at = at;
+        ClientRequest(long startedAtMillis, Sites.Kind kind, double work, String key) {
+            this.startedAtMillis = startedAtMillis;
             this.kind = kind;
             this.work = work;
             this.key = key;
         }
 
-        double worth() {
+        double value() {
             return kind.worth() * work;
         }
     }
 
-    /** One try, as a proxy wrote it to a server. */
-    static final class Tried {
-        final Asked asked;
+    /** One attempt, as a proxy sent it to a server. */
+    static final class Attempt {
+        final ClientRequest request;
         final String server;
         final String txn;
-        final long writtenAt;
-        final long due;
-        int answers;
+        final long sentAtMillis;
+        final long dueMillis;
+        int responses;
         boolean excused;
 
-        Tried(Asked asked, String server, String txn, long writtenAt, long due) {
-            this.asked = asked;
+        Attempt(ClientRequest request, String server, String txn, long sentAtMillis, long dueMillis) {
+            this.request = request;
             this.server = server;
             this.txn = txn;
-            this.writtenAt = writtenAt;
-            this.due = due;
+            this.sentAtMillis = sentAtMillis;
+            this.dueMillis = dueMillis;
         }
     }
 
-    private final Map<String, Tried> tries = new HashMap<>();
+    private final Map<String, Attempt> attempts = new HashMap<>();
     private final Set<String> runs = new HashSet<>();
     private final Map<String, Long> keyRuns = new HashMap<>();
-    private final Map<String, Long> notices = new HashMap<>();
+    private final Map<String, Long> drainNotices = new HashMap<>();
     private final Set<String> killed = new HashSet<>();
     private final Map<String, List<long[]>> pauses = new HashMap<>();
-    private final List<String> faults = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private final List<double[]> seconds = new ArrayList<>();
     private final Map<String, Long> counts = new HashMap<>();
-    private final Map<String, Long> mayLose = new HashMap<>();
-    private Predicate<String> doomed = server -> false;
-    private long beganAt;
-    /** From the request to the answer that served it; ms. */
-    private final Histogram took = new Histogram(60_000, 3);
-
-    /** What is asked from now on counts. */
-    void begin(long now) {
-        beganAt = now;
+    private final Map<String, Long> lossExcusedUntil = new HashMap<>();
+    private Predicate<String> exitExpected = server -> false;
+    private long beganAtMillis;
+    /** Time from the client's request to the response that served it, in milliseconds. */
+    private final Histogram responseMillis = new Histogram(60_000, 3);
+
+    /** Sets the time from which the per-second figures are counted. */
+    void beginMeasurement(long nowMillis) {
+        beganAtMillis = nowMillis;
     }
 
-    private void count(String what) {
-        counts.merge(what, 1L, Long::sum);
+    private void count(String figure) {
+        counts.merge(figure, 1L, Long::sum);
     }
 
-    private void fault(String kind, String text) {
+    private void addViolation(String kind, String text) {
         count(kind);
-        if (faults.size() < 50) {
-            faults.add(kind + ": " + text);
+        if (violations.size() < MAX_VIOLATION_TEXTS) {
+            violations.add(kind + ": " + text);
         }
     }
 
-    private double[] second(long at) {
-        int index = (int) Math.max(0, (at - beganAt) / 1_000);
+    private double[] secondAt(long timeMillis) {
+        int index = (int) Math.max(0, (timeMillis - beganAtMillis) / 1_000);
         while (seconds.size() <= index) {
             seconds.add(new double[2]);
         }
         return seconds.get(index);
     }
 
-    void asked(Asked one) {
+    void recordRequest(ClientRequest request) {
         count("asked");
-        second(one.at)[0] += one.worth();
+        secondAt(request.startedAtMillis)[0] += request.value();
     }
 
-    void tried(Tried one) {
+    void recordAttempt(Attempt attempt) {
         count("tries");
-        tries.put(one.txn, one);
+        attempts.put(attempt.txn, attempt);
     }
 
-    /** A client's request is over: served, refused everywhere, failed, or out of time. */
-    void over(Asked one, String how, long now) {
-        if (one.over) {
+    /**
+     * Ends a client's request. {@code outcome} is the figure to count: served, refused, failed or timed_out. Only
+     * the first outcome of a request counts.
+     */
+    void recordOutcome(ClientRequest request, String outcome, long nowMillis) {
+        if (request.ended) {
             return;
         }
-        one.over = true;
-        count(how);
-        if (how.equals("served")) {
-            took.recordValue(Math.max(0, Math.min(60_000, now - one.at)));
+        request.ended = true;
+        count(outcome);
+        if (outcome.equals("served")) {
+            responseMillis.recordValue(Math.max(0, Math.min(60_000, nowMillis - request.startedAtMillis)));
         }
-        if (how.equals("served") && now <= one.at + one.kind.wanted()) {
+        if (outcome.equals("served") && nowMillis <= request.startedAtMillis + request.kind.wanted()) {
             count("served_in_time");
-            second(one.at)[1] += one.worth();
+            secondAt(request.startedAtMillis)[1] += request.value();
         }
     }
 
-    /** A try was answered by its server. */
-    void answered(Tried one, long now) {
-        if (++one.answers > 1) {
-            fault("answered_twice", one.txn + " by " + one.server);
+    /** Records a response to an attempt; a second response or a late one is a violation. */
+    void recordResponse(Attempt attempt, long nowMillis) {
+        if (++attempt.responses > 1) {
+            addViolation("answered_twice", attempt.txn + " by " + attempt.server);
         }
-        if (now > one.due + SLACK + pausedFor(one.server, one.writtenAt, now)) {
-            fault("late", one.txn + " by " + one.server + ", " + (now - one.due) + " ms after it was due");
+        if (nowMillis
+                > attempt.dueMillis + RESPONSE_SLACK_MS + pausedFor(attempt.server, attempt.sentAtMillis, nowMillis)) {
+            addViolation(
+                    "late",
+                    attempt.txn + " by " + attempt.server + ", " + (nowMillis - attempt.dueMillis)
+                            + " ms after its deadline");
         }
     }
 
-    /** The answer came on a connection that knows of no such try. */
-    void strayAnswer(String server, String line) {
-        fault("answered_twice", "by " + server + ": " + line);
+    /** Records a response whose id matches no pending attempt of its connection; a violation. */
+    void recordUnmatchedResponse(String server, String line) {
+        addViolation("answered_twice", "by " + server + ": " + line);
     }
 
-    /** The process of a server was stopped from outside: what it owed then may come later by as much. */
-    void paused(String server, long from, long to) {
+    /** Records that a server's process was stopped for a time; responses due then may be late by as much. */
+    void recordPause(String server, long from, long to) {
         pauses.computeIfAbsent(server, name -> new ArrayList<>()).add(new long[] {from, to});
     }
 
     private long pausedFor(String server, long from, long to) {
         return pauses.getOrDefault(server, List.of()).stream()
-                .mapToLong(one -> Math.max(0, Math.min(to, one[1]) - Math.max(from, one[0])))
+                .mapToLong(pause -> Math.max(0, Math.min(to, pause[1]) - Math.max(from, pause[0])))
                 .sum();
     }
 
-    /** A process of a server was ended outright while another goes on: what breaks until then is excused. */
-    void mayLose(String server, long until) {
-        mayLose.put(server, until);
+    /**
+     * Excuses unanswered attempts on connections of this server that break until the given time, for a process
+     * that is killed while another process of the server continues.
+     */
+    void excuseLossesUntil(String server, long untilMillis) {
+        lossExcusedUntil.put(server, untilMillis);
     }
 
-    void refusedWithoutTime() {
+    /** Counts a refusal that had no retry-after time. */
+    void recordRefusalWithoutRetryTime() {
         count("refused_without_time");
     }
 
-    long served() {
+    long countServed() {
         return counts.getOrDefault("served", 0L);
     }
 
-    /** The connection of a try ended without an answer. */
-    void broken(Tried one) {
-        boolean lost = isKilled(one.server) || System.currentTimeMillis() <= mayLose.getOrDefault(one.server, 0L);
-        if (one.answers == 0 && lost) {
-            one.excused = true;
+    /** Records that an attempt's connection closed; a violation if it had no response and no loss is excused. */
+    void recordBrokenConnection(Attempt attempt) {
+        boolean lost = isKilled(attempt.server)
+                || System.currentTimeMillis() <= lossExcusedUntil.getOrDefault(attempt.server, 0L);
+        if (attempt.responses == 0 && lost) {
+            attempt.excused = true;
             count("lost_on_killed");
-        } else if (one.answers == 0) {
-            fault("unanswered", one.txn + " on a connection that " + one.server + " closed");
+        } else if (attempt.responses == 0) {
+            addViolation("unanswered", attempt.txn + " on a connection that " + attempt.server + " closed");
         }
     }
 
-    /** A server told the announce service that it takes no more. */
-    void notice(String server, long now) {
-        notices.putIfAbsent(server, now);
+    /** Records that a server announced that it accepts no more requests; the first notice counts. */
+    void recordDrainNotice(String server, long nowMillis) {
+        drainNotices.putIfAbsent(server, nowMillis);
     }
 
-    /** A server was ended outright: what it had in hand is lost, and nobody blames it. */
-    void killed(String server) {
+    /** Records that a server was killed; its unanswered attempts are excused until its next start. */
+    void recordKill(String server) {
         killed.add(server);
     }
 
-    /** Processes that are to die by themselves are excused like those that were ended. */
-    void excuse(Predicate<String> dying) {
-        doomed = dying;
+    /** Excuses servers whose process is expected to end by itself, like killed ones. */
+    void excuseServers(Predicate<String> expectedToEnd) {
+        exitExpected = expectedToEnd;
     }
 
     boolean isKilled(String server) {
-        return killed.contains(server) || doomed.test(server);
+        return killed.contains(server) || exitExpected.test(server);
     }
 
-    /** A process of it has come up: nothing of the one before can still be run. */
-    void begins(String server) {
+    /** Records the start of a server's process, which cannot run any request of the previous process. */
+    void recordStart(String server) {
         killed.remove(server);
-        notices.remove(server);
+        drainNotices.remove(server);
         keyRuns.keySet().removeIf(key -> key.startsWith(server + " "));
     }
 
-    /** A kernel starts a run. */
-    void ran(String server, String job, long now) {
+    /** Records the start of a run; checks that its attempt is known, runs once and is not after the drain grace. */
+    void recordRun(String server, String job, long nowMillis) {
         count("runs");
-        Tried one = tries.get(job);
-        if (one == null) {
-            fault("unknown_run", job + " on " + server);
+        Attempt attempt = attempts.get(job);
+        if (attempt == null) {
+            addViolation("unknown_run", job + " on " + server);
             return;
         }
         if (!runs.add(server + " " + job)) {
-            fault("doubled", job + " ran twice on " + server);
+            addViolation("doubled", job + " ran twice on " + server);
         }
-        if (one.asked.key != null && keyRuns.put(server + " " + one.asked.key, now) != null) {
-            fault("doubled", "key " + one.asked.key + " ran twice on " + server);
+        if (attempt.request.key != null && keyRuns.put(server + " " + attempt.request.key, nowMillis) != null) {
+            addViolation("doubled", "key " + attempt.request.key + " ran twice on " + server);
         }
-        Long notice = notices.get(server);
-        if (notice != null && one.writtenAt > notice + GRACE) {
-            fault("late_run", job + " on " + server + ", written " + (one.writtenAt - notice) + " ms after the notice");
+        Long notice = drainNotices.get(server);
+        if (notice != null && attempt.sentAtMillis > notice + DRAIN_GRACE_MS) {
+            addViolation(
+                    "late_run",
+                    job + " on " + server + ", sent " + (attempt.sentAtMillis - notice) + " ms after the drain notice");
         }
     }
 
-    /** How many tries may still be answered. */
-    int open(long now) {
-        return (int) tries.values().stream()
-                .filter(one -> one.answers == 0
-                        && !one.excused
-                        && now <= one.due + SLACK + pausedFor(one.server, one.writtenAt, now))
+    /** Returns the number of attempts without a response whose deadline has not passed. */
+    int countPending(long nowMillis) {
+        return (int) attempts.values().stream()
+                .filter(attempt -> attempt.responses == 0
+                        && !attempt.excused
+                        && nowMillis
+                                <= attempt.dueMillis
+                                        + RESPONSE_SLACK_MS
+                                        + pausedFor(attempt.server, attempt.sentAtMillis, nowMillis))
                 .count();
     }
 
-    /** Once all is over: what has no answer by now will never have one. */
-    void close(long now) {
-        for (Tried one : tries.values()) {
-            if (one.answers == 0 && !one.excused && now > one.due + SLACK + pausedFor(one.server, one.writtenAt, now)) {
-                fault("unanswered", one.txn + " by " + one.server);
-                one.excused = true;
+    /** Reports attempts without a response whose deadline has passed; to be called after the load has ended. */
+    void recordUnanswered(long nowMillis) {
+        for (Attempt attempt : attempts.values()) {
+            if (attempt.responses == 0
+                    && !attempt.excused
+                    && nowMillis
+                            > attempt.dueMillis
+                                    + RESPONSE_SLACK_MS
+                                    + pausedFor(attempt.server, attempt.sentAtMillis, nowMillis)) {
+                addViolation("unanswered", attempt.txn + " by " + attempt.server);
+                attempt.excused = true;
             }
         }
     }
 
-    /** How often a promise was broken. */
-    public long broken() {
+    /** Returns the number of violations, including those whose text was not kept. */
+    public long countViolations() {
         return List.of("answered_twice", "late", "unanswered", "unknown_run", "doubled", "late_run").stream()
                 .mapToLong(kind -> counts.getOrDefault(kind, 0L))
                 .sum();
     }
 
+    /** Returns the texts of the first {@link #MAX_VIOLATION_TEXTS} violations. */
     public List<String> violations() {
-        return List.copyOf(faults);
+        return List.copyOf(violations);
     }
 
-    /** The worth answered within the wanted time over the worth asked for. */
-    public double worthServed() {
-        double asked = seconds.stream().mapToDouble(one -> one[0]).sum();
-        return asked == 0 ? 0 : seconds.stream().mapToDouble(one -> one[1]).sum() / asked;
+    /** Returns the value of requests served within their wanted time over that of all requests; 0 without any. */
+    public double servedValueShare() {
+        double requested = seconds.stream().mapToDouble(second -> second[0]).sum();
+        return requested == 0
+                ? 0
+                : seconds.stream().mapToDouble(second -> second[1]).sum() / requested;
     }
 
-    /** The same for each second, NaN where nothing was asked. */
-    public double[] bySecond() {
+    /** Returns {@link #servedValueShare} for each second by when requests began; NaN for seconds without any. */
+    public double[] servedValueBySecond() {
         return seconds.stream()
-                .mapToDouble(one -> one[0] == 0 ? Double.NaN : one[1] / one[0])
+                .mapToDouble(second -> second[0] == 0 ? Double.NaN : second[1] / second[0])
                 .toArray();
     }
 
-    /** Its figures. */
+    /** Returns counts and response times under their report keys; response times are in milliseconds. */
     public JSONObject figures() {
-        JSONObject all = new JSONObject()
-                .put("worth_served", worthServed())
-                .put("served_p50_ms", took.getValueAtPercentile(50))
-                .put("served_p99_ms", took.getValueAtPercentile(99));
+        JSONObject figures = new JSONObject()
+                .put("worth_served", servedValueShare())
+                .put("served_p50_ms", responseMillis.getValueAtPercentile(50))
+                .put("served_p99_ms", responseMillis.getValueAtPercentile(99));
         for (String kind : List.of(
                 "asked",
                 "tries",
@@ -289,8 +322,8 @@
                 "unknown_run",
                 "lost_on_killed",
                 "refused_without_time")) {
-            all.put(kind, counts.getOrDefault(kind, 0L));
+            figures.put(kind, counts.getOrDefault(kind, 0L));
         }
-        return all;
+        return figures;
     }
 }
--- a/lab/src/main/java/wheatspread/lab/world/SimulatedProxy.java
+++ b/lab/src/main/java/wheatspread/lab/world/SimulatedProxy.java
@@ -25,146 +25,149 @@
 import java.util.concurrent.TimeUnit;
 import org.json.JSONObject;
 import wheatspread.lab.Sites;
-import wheatspread.lab.world.InvariantChecker.Asked;
-import wheatspread.lab.world.InvariantChecker.Tried;
+import wheatspread.lab.world.InvariantChecker.Attempt;
+import wheatspread.lab.world.InvariantChecker.ClientRequest;
 
 /**
- * One proxy with its clients. It chooses in turns or by the request's subject, goes on through its list after
- * refusals, comes again with a write at the same server where a connection broke, and heeds what servers
- * tell it, or does not.
+ * Simulates one proxy with its clients. It selects servers round-robin or by a hash of the request's subject and
+ * tries the next server after a refusal. It retries a request with an idempotency key only at the same server
+ * when a connection broke. If {@code heedsFeedback} is set, it follows the servers' retry-after times, load
+ * feedback and instructions to give up. All methods run on the simulation's event loop.
  */
 final class SimulatedProxy {
-    private static final int MOST_OPEN = 32;
-    private static final long LEAST_LEFT = 300;
-    private static final long COMES_AGAIN = 400;
-    /** A request that crosses a close so soon is sent again, once. */
-    private static final long CROSSED = 50;
+    private static final int MAX_PENDING_PER_LINK = 32;
+    private static final long MIN_REMAINING_MS = 300;
+    private static final long RETRY_DELAY_MS = 400;
+    /** A request whose connection closes within this time after it was sent is resent once to the same server. */
+    private static final long CLOSE_RACE_MS = 50;
 
     private final int number;
-    private final boolean bySubject;
-    private final boolean heeds;
+    private final boolean selectsBySubject;
+    private final boolean heedsFeedback;
     private final EventLoop loop;
-    private final InvariantChecker ledger;
-    private final ServerList list;
+    private final InvariantChecker checker;
+    private final SimulatedAnnounceService announceService;
     private final Map<String, InetSocketAddress> addresses;
     private final Random random;
     private final Map<String, List<Link>> links = new HashMap<>();
-    private final Map<String, Long> stayAway = new HashMap<>();
-    private final Map<String, Double> room = new HashMap<>();
-    private int turn;
+    private final Map<String, Long> retryNotBeforeMillis = new HashMap<>();
+    private final Map<String, Double> feedbackLimits = new HashMap<>();
+    private int nextTurn;
     private long lastTxn;
-    private int mostPerLink = Integer.MAX_VALUE;
+    private int maxRequestsPerLink = Integer.MAX_VALUE;
 
     SimulatedProxy(
             int number,
-            boolean bySubject,
-            boolean heeds,
+            boolean selectsBySubject,
+            boolean heedsFeedback,
             EventLoop loop,
-            InvariantChecker ledger,
-            ServerList list,
+            InvariantChecker checker,
+            SimulatedAnnounceService announceService,
             Map<String, InetSocketAddress> addresses) {
         this.number = number;
-        this.bySubject = bySubject;
-        this.heeds = heeds;
+        this.selectsBySubject = selectsBySubject;
+        this.heedsFeedback = heedsFeedback;
         this.loop = loop;
-        this.ledger = ledger;
-        this.list = list;
+        this.checker = checker;
+        this.announceService = announceService;
         this.addresses = addresses;
         random = new Random(31 + number);
     }
 
-    /** One request of a client, on its way. */
-    private final class Going {
-        final Asked asked;
+    /** A client's request in progress. */
+    private final class OngoingRequest {
+        final ClientRequest request;
         final String subject;
         final Set<String> refusedBy = new HashSet<>();
-        int crossings;
+        int resends;
 
-        Going(Asked asked, String subject) {
-            this.asked = asked;
+        OngoingRequest(ClientRequest request, String subject) {
+            this.request = request;
             this.subject = subject;
         }
 
-        long left() {
-            return asked.at + asked.kind.deadline() - System.currentTimeMillis();
+        long remainingMillis() {
+            return request.startedAtMillis + request.kind.deadline() - System.currentTimeMillis();
         }
 
-        void next() {
-            if (left() < LEAST_LEFT) {
-                ledger.over(asked, "timed_out", System.currentTimeMillis());
+        void tryNextServer() {
+            if (remainingMillis() < MIN_REMAINING_MS) {
+                checker.recordOutcome(request, "timed_out", System.currentTimeMillis());
                 return;
             }
-            String server = choose(this);
+            String server = selectServer(this);
             if (server == null) {
-                ledger.over(asked, "refused", System.currentTimeMillis());
+                checker.recordOutcome(request, "refused", System.currentTimeMillis());
             } else {
-                to(server);
+                sendTo(server);
             }
         }
 
-        void to(String server) {
+        void sendTo(String server) {
             Link link = links.computeIfAbsent(server, name -> new ArrayList<>()).stream()
-                    .filter(one -> !one.leaving && one.open.size() < MOST_OPEN)
+                    .filter(candidate -> !candidate.closing && candidate.pending.size() < MAX_PENDING_PER_LINK)
                     .findFirst()
                     .orElse(null);
-            (link == null ? new Link(server) : link).take(this);
+            (link == null ? new Link(server) : link).send(this);
         }
 
-        void refused(String server, boolean last) {
+        void handleRefusal(String server, boolean giveUp) {
             refusedBy.add(server);
-            if (last && heeds) {
-                ledger.over(asked, "refused", System.currentTimeMillis());
+            if (giveUp && heedsFeedback) {
+                checker.recordOutcome(request, "refused", System.currentTimeMillis());
             } else {
-                next();
+                tryNextServer();
             }
         }
     }
 
-    void mostPerLink(int requests) {
-        mostPerLink = requests;
+    /** Closes connections after this many requests from now on. */
+    void limitRequestsPerLink(int requests) {
+        maxRequestsPerLink = requests;
     }
 
-    /** A client asks. */
-    void ask(Sites.Kind kind, double work, String subject) {
-        Asked asked = new Asked(System.currentTimeMillis(), kind, work, kind.keyed() ? subject : null);
-        ledger.asked(asked);
-        new Going(asked, subject).next();
+    /** Starts a client's request; {@code work} is its declared CPU time in milliseconds. */
+    void startRequest(Sites.Kind kind, double work, String subject) {
+        ClientRequest request =
+                new ClientRequest(System.currentTimeMillis(), kind, work, kind.keyed() ? subject : null);
+        checker.recordRequest(request);
+        new OngoingRequest(request, subject).tryNextServer();
     }
 
-    private String choose(Going going) {
-        long now = System.currentTimeMillis();
-        List<String> willing = new ArrayList<>(list.seenBy(number));
-        willing.removeAll(going.refusedBy);
-        if (heeds) {
-            List<String> open = new ArrayList<>(willing);
-            open.removeIf(name -> stayAway.getOrDefault(name, 0L) > now
-                    || outstanding(name) >= room.getOrDefault(name, Double.MAX_VALUE));
-            willing = open.isEmpty() ? willing : open;
+    private String selectServer(OngoingRequest ongoing) {
+        long nowMillis = System.currentTimeMillis();
+        List<String> accepting = new ArrayList<>(announceService.acceptingServers(number));
+        accepting.removeAll(ongoing.refusedBy);
+        if (heedsFeedback) {
+            List<String> available = new ArrayList<>(accepting);
+            available.removeIf(name -> retryNotBeforeMillis.getOrDefault(name, 0L) > nowMillis
+                    || pendingRequests(name) >= feedbackLimits.getOrDefault(name, Double.MAX_VALUE));
+            accepting = available.isEmpty() ? accepting : available;
         }
-        if (willing.isEmpty()) {
+        if (accepting.isEmpty()) {
             return null;
         }
-        return willing.get(
-                bySubject
-                        ? Math.floorMod(going.subject.hashCode() * 31, willing.size())
-                        : Math.floorMod(turn++, willing.size()));
+        return accepting.get(
+                selectsBySubject
+                        ? Math.floorMod(ongoing.subject.hashCode() * 31, accepting.size())
+                        : Math.floorMod(nextTurn++, accepting.size()));
     }
 
-    private int outstanding(String server) {
+    private int pendingRequests(String server) {
         return links.getOrDefault(server, List.of()).stream()
-                .mapToInt(one -> one.open.size())
+                .mapToInt(link -> link.pending.size())
                 .sum();
     }
 
-    private record Open(Going going, Tried tried) {}
+    private record Pending(OngoingRequest ongoing, Attempt attempt) {}
 
-    /** A connection to a server. */
+    /** A connection to a server; requests sent before it is established are queued in {@code unsent}. */
     private final class Link extends SimpleChannelInboundHandler<String> {
         private final String server;
-        private final Map<Long, Open> open = new HashMap<>();
-        private final List<Going> early = new ArrayList<>();
+        private final Map<Long, Pending> pending = new HashMap<>();
+        private final List<OngoingRequest> unsent = new ArrayList<>();
         private Channel channel;
-        private boolean leaving;
+        private boolean closing;
         private long lastId;
 
         Link(String server) {
@@ -177,8 +180,8 @@
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1_000)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
-                        protected void initChannel(Channel made) {
-                            made.pipeline()
+                        protected void initChannel(Channel created) {
+                            created.pipeline()
                                     .addLast(
                                             new LineBasedFrameDecoder(1 << 16),
                                             new StringDecoder(StandardCharsets.UTF_8),
@@ -189,48 +192,49 @@
                     .connect(addresses.get(server));
             connecting.addListener(done -> {
                 if (!done.isSuccess()) {
-                    drop();
-                    // a refused connection proves that nothing ran
-                    List.copyOf(early).forEach(going -> going.refused(server, false));
+                    removeLink();
+                    // a refused connection proves that no request ran
+                    List.copyOf(unsent).forEach(ongoing -> ongoing.handleRefusal(server, false));
                 }
             });
         }
 
-        private void drop() {
-            leaving = true;
+        private void removeLink() {
+            closing = true;
             links.get(server).remove(this);
         }
 
-        void take(Going going) {
+        void send(OngoingRequest ongoing) {
             if (channel == null) {
-                early.add(going);
+                unsent.add(ongoing);
                 return;
             }
-            long now = System.currentTimeMillis();
+            long nowMillis = System.currentTimeMillis();
             long id = ++lastId;
             String txn = String.format("%04x%012x", number + 1, ++lastTxn);
-            Tried tried = new Tried(going.asked, server, txn, now, now + going.left());
-            open.put(id, new Open(going, tried));
-            leaving |= id >= mostPerLink;
-            ledger.tried(tried);
+            Attempt attempt =
+                    new Attempt(ongoing.request, server, txn, nowMillis, nowMillis + ongoing.remainingMillis());
+            pending.put(id, new Pending(ongoing, attempt));
+            closing |= id >= maxRequestsPerLink;
+            checker.recordAttempt(attempt);
             String body = Base64.getEncoder()
                     .encodeToString(
-                            ("work " + going.asked.work + " " + going.subject).getBytes(StandardCharsets.UTF_8));
+                            ("work " + ongoing.request.work + " " + ongoing.subject).getBytes(StandardCharsets.UTF_8));
             JSONObject params = new JSONObject()
                     .put("txn", txn)
-                    .put("door", now)
+                    .put("door", nowMillis)
                     .put("lb", number)
                     .put("team", Sites.tenant(random))
-                    .put("limit", going.left())
-                    .put("cpu", going.asked.work)
+                    .put("limit", ongoing.remainingMillis())
+                    .put("cpu", ongoing.request.work)
                     .put("ram", 24.5)
                     .put("standing", 0.5)
                     .put("blob", body);
-            params.put(going.asked.key == null ? "item" : "unique", going.subject);
+            params.put(ongoing.request.key == null ? "item" : "unique", ongoing.subject);
             channel.writeAndFlush(new JSONObject()
                             .put("jsonrpc", "2.0")
                             .put("id", id)
-                            .put("method", going.asked.kind.name())
+                            .put("method", ongoing.request.kind.name())
                             .put("params", params)
                     + "\n");
         }
@@ -238,49 +242,49 @@
         @Override
         public void channelActive(ChannelHandlerContext context) {
             channel = context.channel();
-            List.copyOf(early).forEach(this::take);
-            early.clear();
+            List.copyOf(unsent).forEach(this::send);
+            unsent.clear();
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, String line) {
             JSONObject message = new JSONObject(line);
             if (message.optString("method").equals("lastCall")) {
-                leaving = true;
+                closing = true;
                 closeIfDone();
                 return;
             }
-            Open one = open.remove(message.optLong("id"));
-            if (one == null) {
-                ledger.strayAnswer(server, line);
+            Pending pendingRequest = pending.remove(message.optLong("id"));
+            if (pendingRequest == null) {
+                checker.recordUnmatchedResponse(server, line);
                 return;
             }
-            long now = System.currentTimeMillis();
-            ledger.answered(one.tried, now);
+            long nowMillis = System.currentTimeMillis();
+            checker.recordResponse(pendingRequest.attempt, nowMillis);
             JSONObject error = message.optJSONObject("error");
-            JSONObject told =
+            JSONObject feedback =
                     error == null ? message.getJSONObject("result") : error.optJSONObject("data", new JSONObject());
-            if (told.has("feedback")) {
-                room.put(server, told.getDouble("feedback"));
+            if (feedback.has("feedback")) {
+                feedbackLimits.put(server, feedback.getDouble("feedback"));
             }
-            if (told.has("later")) {
-                stayAway.put(server, now + told.getLong("later"));
+            if (feedback.has("later")) {
+                retryNotBeforeMillis.put(server, nowMillis + feedback.getLong("later"));
             }
             if (error == null) {
-                ledger.over(one.going.asked, "served", now);
+                checker.recordOutcome(pendingRequest.ongoing.request, "served", nowMillis);
             } else if (error.getInt("code") == -32066) {
-                one.going.refused(server, told.has("giveup"));
+                pendingRequest.ongoing.handleRefusal(server, feedback.has("giveup"));
             } else {
-                ledger.over(one.going.asked, "failed", now);
+                checker.recordOutcome(pendingRequest.ongoing.request, "failed", nowMillis);
             }
-            if (error != null && error.getInt("code") == -32066 && !told.has("later")) {
-                ledger.refusedWithoutTime();
+            if (error != null && error.getInt("code") == -32066 && !feedback.has("later")) {
+                checker.recordRefusalWithoutRetryTime();
             }
             closeIfDone();
         }
 
         private void closeIfDone() {
-            if (leaving && open.isEmpty()) {
+            if (closing && pending.isEmpty()) {
                 links.get(server).remove(this);
                 channel.close();
             }
@@ -288,31 +292,33 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            drop();
-            for (Open one : open.values()) {
-                long age = System.currentTimeMillis() - one.tried.writtenAt;
-                boolean crossed = age <= CROSSED && one.going.crossings++ == 0 && !ledger.isKilled(server);
-                if (crossed) {
-                    one.tried.excused = true;
-                    one.going.to(server);
+            removeLink();
+            for (Pending pendingRequest : pending.values()) {
+                long ageMillis = System.currentTimeMillis() - pendingRequest.attempt.sentAtMillis;
+                boolean raced = ageMillis <= CLOSE_RACE_MS
+                        && pendingRequest.ongoing.resends++ == 0
+                        && !checker.isKilled(server);
+                if (raced) {
+                    pendingRequest.attempt.excused = true;
+                    pendingRequest.ongoing.sendTo(server);
                     continue;
                 }
-                ledger.broken(one.tried);
-                if (one.going.asked.key == null) {
-                    one.going.refused(server, false);
+                checker.recordBrokenConnection(pendingRequest.attempt);
+                if (pendingRequest.ongoing.request.key == null) {
+                    pendingRequest.ongoing.handleRefusal(server, false);
                 } else {
-                    // it may have run there, so nowhere else; the same server tells if it still knows
-                    loop.schedule(() -> again(one.going), COMES_AGAIN, TimeUnit.MILLISECONDS);
+                    // the request may have run at this server, and only this server can deduplicate it by its key
+                    loop.schedule(() -> retryAtServer(pendingRequest.ongoing), RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
                 }
             }
-            open.clear();
+            pending.clear();
         }
 
-        private void again(Going going) {
-            if (ledger.isKilled(server) || going.left() < LEAST_LEFT) {
-                ledger.over(going.asked, "failed", System.currentTimeMillis());
+        private void retryAtServer(OngoingRequest ongoing) {
+            if (checker.isKilled(server) || ongoing.remainingMillis() < MIN_REMAINING_MS) {
+                checker.recordOutcome(ongoing.request, "failed", System.currentTimeMillis());
             } else {
-                going.to(server);
+                ongoing.sendTo(server);
             }
         }
 
--- a/lab/src/main/java/wheatspread/lab/world/World.java
+++ b/lab/src/main/java/wheatspread/lab/world/World.java
@@ -17,173 +17,176 @@
 import wheatspread.lab.standins.StandInEndpoint;
 
 /**
- * Everybody round a fleet, on one loop: kernels, records, announce, proxies, and the ledger that books them.
+ * Simulates the environment of a fleet on one event loop: kernels, records service, announce service, proxies
+ * with their clients, and the checker that observes them. Public methods may be called from any thread but the
+ * loop's own, and block until the loop has carried them out.
  */
 public final class World implements AutoCloseable {
-    private static final int PROXIES = 4;
-    private static final int SUBJECTS = 24_000;
-    private static final long CALL_MICROS = 160_000;
+    private static final int PROXY_COUNT = 4;
+    private static final int SUBJECT_COUNT = 24_000;
+    private static final long RECORDS_CALL_MICROS = 160_000;
     private static final long TICK_MICROS = 1_000;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final InvariantChecker ledger = new InvariantChecker();
-    private final Map<String, BookingKernel> kernels = new LinkedHashMap<>();
-    private final Map<String, StandInEndpoint> kernelDoors = new HashMap<>();
+    private final InvariantChecker checker = new InvariantChecker();
+    private final Map<String, SimulatedKernel> kernels = new LinkedHashMap<>();
+    private final Map<String, StandInEndpoint> kernelEndpoints = new HashMap<>();
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
-    private final List<SimulatedProxy> callers = new ArrayList<>();
+    private final List<SimulatedProxy> proxies = new ArrayList<>();
     private final Random random = new Random(77);
     private final StandInEndpoint records;
     private final StandInEndpoint announce;
-    private double perSecond;
-    private long next;
+    private double requestsPerSecond;
+    private long nextRequestNanos;
 
-    /** {@code servers}: the names, with the addresses on which each will listen. */
+    /** Creates the services and proxies for these servers, given by name with the address each listens on. */
     public World(Map<String, InetSocketAddress> servers) {
         addresses.putAll(servers);
-        ServerList list = new ServerList(loop, ledger, PROXIES);
+        SimulatedAnnounceService announceService = new SimulatedAnnounceService(loop, checker, PROXY_COUNT);
         for (String name : servers.keySet()) {
-            BookingKernel kernel = new BookingKernel(name, ledger, false);
+            SimulatedKernel kernel = new SimulatedKernel(name, checker, false);
             kernels.put(name, kernel);
-            kernelDoors.put(name, new StandInEndpoint(group, () -> kernel.new Link(), true));
+            kernelEndpoints.put(name, new StandInEndpoint(group, () -> kernel.new Link(), true));
         }
-        records = new StandInEndpoint(group, () -> new RecordsHandler(CALL_MICROS), false);
-        announce = new StandInEndpoint(group, () -> list.new Reports(), true);
-        for (int i = 0; i < PROXIES; i++) {
-            callers.add(new SimulatedProxy(i, i % 2 == 1, i != PROXIES - 1, loop, ledger, list, addresses));
+        records = new StandInEndpoint(group, () -> new RecordsHandler(RECORDS_CALL_MICROS), false);
+        announce = new StandInEndpoint(group, () -> announceService.new Reports(), true);
+        for (int i = 0; i < PROXY_COUNT; i++) {
+            proxies.add(
+                    new SimulatedProxy(i, i % 2 == 1, i != PROXY_COUNT - 1, loop, checker, announceService, addresses));
         }
         loop.scheduleAtFixedRate(this::tick, 0, TICK_MICROS, TimeUnit.MICROSECONDS);
     }
 
-    /** Where the kernel of a server listens. */
-    public StandInEndpoint kernelDoor(String name) {
-        return kernelDoors.get(name);
+    /** Returns the endpoint of a server's kernel. */
+    public StandInEndpoint kernelEndpoint(String name) {
+        return kernelEndpoints.get(name);
     }
 
-    /** The kernel of a second process of a server, told {@code BOOTED} after so many milliseconds. */
-    public StandInEndpoint heirDoor(String name, long bootedAfter) {
-        BookingKernel kernel = new BookingKernel(name, ledger, true);
-        kernel.bootLate(bootedAfter);
+    /** Creates the kernel of a second process of a server; its links get {@code BOOTED} after the given delay. */
+    public StandInEndpoint createSuccessorKernel(String name, long handshakeDelayMillis) {
+        SimulatedKernel kernel = new SimulatedKernel(name, checker, true);
+        kernel.delayHandshake(handshakeDelayMillis);
         return new StandInEndpoint(group, () -> kernel.new Link(), true);
     }
 
-    /** Proxies close a connection after so many requests on it from now on. */
-    public void mostPerLink(int requests) {
-        on(() -> {
-            callers.forEach(one -> one.mostPerLink(requests));
+    /** Makes proxies close a connection after this many requests on it. */
+    public void limitRequestsPerConnection(int requests) {
+        callOnLoop(() -> {
+            proxies.forEach(proxy -> proxy.limitRequestsPerLink(requests));
             return null;
         });
     }
 
-    /** What a server has in hand at this moment may be lost, for as long as its process takes to end. */
-    public void mayLose(String name, long millis) {
-        on(() -> {
-            ledger.mayLose(name, System.currentTimeMillis() + millis);
+    /** Excuses losses of a server's attempts for {@code millis}, while one of its processes is being killed. */
+    public void excuseLosses(String name, long millis) {
+        callOnLoop(() -> {
+            checker.excuseLossesUntil(name, System.currentTimeMillis() + millis);
             return null;
         });
     }
 
-    public StandInEndpoint recordsDoor() {
+    public StandInEndpoint recordsEndpoint() {
         return records;
     }
 
-    public StandInEndpoint announceDoor() {
+    public StandInEndpoint announceEndpoint() {
         return announce;
     }
 
-    /** LinkModel of the server's kernel get {@code BOOTED} so many milliseconds late from now on. */
-    public void bootLate(String name, long millis) {
-        on(() -> {
-            kernels.get(name).bootLate(millis);
+    /** Delays {@code BOOTED} on new links of the server's kernel by {@code millis}; 0 ends the delay. */
+    public void delayHandshake(String name, long millis) {
+        callOnLoop(() -> {
+            kernels.get(name).delayHandshake(millis);
             return null;
         });
     }
 
-    /** The server's kernel works as one that has just been started cold. */
-    public void chill(String name) {
-        on(() -> {
-            kernels.get(name).chill();
+    /** Slows the server's kernel down to the speed of a cold start. */
+    public void restartKernelCold(String name) {
+        callOnLoop(() -> {
+            kernels.get(name).restartCold();
             return null;
         });
     }
 
-    /** How many links a server has opened to its kernel. */
-    public int links(String name) {
-        return on(() -> kernels.get(name).links());
+    /** Returns the number of links that a server has opened to its kernel. */
+    public int countKernelLinks(String name) {
+        return callOnLoop(() -> kernels.get(name).linkCount());
     }
 
-    /** The server's process was stopped between these times, in Unix milliseconds. */
-    public void paused(String name, long from, long to) {
-        on(() -> {
-            ledger.paused(name, from, to);
+    /** Records that the server's process was stopped between these times, in Unix milliseconds. */
+    public void recordPause(String name, long from, long to) {
+        callOnLoop(() -> {
+            checker.recordPause(name, from, to);
             return null;
         });
     }
 
-    /** How many requests were answered well so far. */
-    public long served() {
-        return on(ledger::served);
+    /** Returns the number of requests served so far. */
+    public long countServed() {
+        return callOnLoop(checker::countServed);
     }
 
-    /** On the loop's thread, on which everything here lives. */
-    <T> T on(Callable<T> task) {
+    /** Runs a task on the event loop and returns its result; must not be called on the loop itself. */
+    <T> T callOnLoop(Callable<T> task) {
         return loop.submit(task).syncUninterruptibly().getNow();
     }
 
-    /** Clients ask so often from now on, times drawn as a Poisson process; 0 ends it. */
+    /** Sets the rate of client requests per second, a Poisson process; 0 stops them. */
     public void setRequestRate(double rate) {
-        on(() -> {
-            if (perSecond == 0 && rate > 0) {
-                next = System.nanoTime();
-                ledger.begin(System.currentTimeMillis());
+        callOnLoop(() -> {
+            if (requestsPerSecond == 0 && rate > 0) {
+                nextRequestNanos = System.nanoTime();
+                checker.beginMeasurement(System.currentTimeMillis());
             }
-            perSecond = rate;
+            requestsPerSecond = rate;
             return null;
         });
     }
 
     private void tick() {
-        while (perSecond > 0 && next <= System.nanoTime()) {
+        while (requestsPerSecond > 0 && nextRequestNanos <= System.nanoTime()) {
             Sites.Kind kind = Sites.kind(random);
-            double mean = kind.keyed() ? 415 : 285;
-            double work = mean * Math.exp(0.4 * random.nextGaussian() - 0.08);
-            // a few subjects are far more popular than the rest; each save is one of its own
+            double meanWorkMillis = kind.keyed() ? 415 : 285;
+            double workMillis = meanWorkMillis * Math.exp(0.4 * random.nextGaussian() - 0.08);
+            // the popularity of subjects is skewed; each request with an idempotency key has a distinct subject
             String subject = kind.keyed()
                     ? "plan-" + random.nextLong(1L << 40)
-                    : "dish-" + (int) (SUBJECTS * Math.pow(random.nextDouble(), 3));
-            callers.get(random.nextInt(callers.size())).ask(kind, work, subject);
-            next += (long) (-Math.log(1 - random.nextDouble()) / perSecond * 1e9);
+                    : "dish-" + (int) (SUBJECT_COUNT * Math.pow(random.nextDouble(), 3));
+            proxies.get(random.nextInt(proxies.size())).startRequest(kind, workMillis, subject);
+            nextRequestNanos += (long) (-Math.log(1 - random.nextDouble()) / requestsPerSecond * 1e9);
         }
     }
 
-    /** A server was ended outright: what it had in hand is lost. */
-    public void killed(String name) {
-        on(() -> {
-            ledger.killed(name);
+    /** Records that a server was killed, which excuses its unanswered attempts. */
+    public void recordKill(String name) {
+        callOnLoop(() -> {
+            checker.recordKill(name);
             return null;
         });
     }
 
-    /** The second process of each server is of a build that dies by itself: what it has in hand is lost. */
-    public void expectSecondProcessesToDie() {
-        on(() -> {
-            ledger.excuse(name -> kernels.get(name).starts() == 2);
+    /** Excuses the losses of each server's second process, whose build is expected to exit by itself. */
+    public void expectSecondProcessesToExit() {
+        callOnLoop(() -> {
+            checker.excuseServers(name -> kernels.get(name).startCount() == 2);
             return null;
         });
     }
 
-    /** How many tries wait for their answers. */
-    public int open() {
-        return on(() -> ledger.open(System.currentTimeMillis()));
+    /** Returns the number of attempts whose response is pending. */
+    public int countPendingAttempts() {
+        return callOnLoop(() -> checker.countPending(System.currentTimeMillis()));
     }
 
-    /** What came of it; to be looked at when nothing more is asked. */
+    /** Returns the checker after it has reported unanswered attempts; to be called after the load has ended. */
     public InvariantChecker checker() {
-        on(() -> {
-            ledger.close(System.currentTimeMillis());
+        callOnLoop(() -> {
+            checker.recordUnanswered(System.currentTimeMillis());
             return null;
         });
-        return ledger;
+        return checker;
     }
 
     @Override
--- a/lab/src/test/java/wheatspread/lab/rig/ReloadRunTest.java
+++ b/lab/src/test/java/wheatspread/lab/rig/ReloadRunTest.java
@@ -30,19 +30,19 @@
             rig.start();
             rig.world().setRequestRate(30);
             RigServer member = rig.members().get(0);
-            while (rig.world().served() < 3) {
+            while (rig.world().countServed() < 3) {
                 TimeUnit.MILLISECONDS.sleep(5);
             }
             // stopped first, so that some of what it owes is older than a request that crosses a close
             member.signal("STOP");
-            while (rig.world().open() < 12) {
+            while (rig.world().countPendingAttempts() < 12) {
                 TimeUnit.MILLISECONDS.sleep(5);
             }
             member.kill();
             rig.settle();
-            InvariantChecker ledger = rig.world().checker();
-            assertThat(ledger.broken()).isPositive();
-            assertThat(ledger.violations()).anyMatch(fault -> fault.startsWith("unanswered"));
+            InvariantChecker checker = rig.world().checker();
+            assertThat(checker.countViolations()).isPositive();
+            assertThat(checker.violations()).anyMatch(fault -> fault.startsWith("unanswered"));
         }
     }
 }
