--- a/lab/src/main/java/wheatspread/lab/standins/ProcessLog.java
+++ b/lab/src/main/java/wheatspread/lab/standins/ProcessLog.java
@@ -9,13 +9,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 
-/** What a process prints, read by a thread of its own, and waited for. */
+/** Collects the lines that a process prints and lets other threads wait for them; thread-safe. */
 public final class ProcessLog {
     private final Process process;
     private final List<String> lines = new ArrayList<>();
     private boolean ended;
 
-    /** Reads what the process prints, on a thread of its own with this name, until the process ends. */
+    /** Starts a daemon thread, named after {@code name}, that reads the process's output until it ends. */
     public ProcessLog(Process process, String name) {
         this.process = process;
         Thread reader = new Thread(this::read, "log of " + name);
@@ -30,7 +30,7 @@
                 add(line);
             }
         } catch (IOException e) {
-            add("end of the log: " + e.getMessage()); // it was ended by force
+            add("end of the log: " + e.getMessage()); // reading fails when the process is killed
         }
         synchronized (lines) {
             ended = true;
@@ -45,34 +45,37 @@
         }
     }
 
-    /** All it printed so far. */
+    /** Returns the lines printed so far. */
     public List<String> lines() {
         synchronized (lines) {
             return List.copyOf(lines);
         }
     }
 
-    /** How many lines have this text so far. */
+    /** Returns the number of lines so far that contain a text. */
     public int count(String text) {
         return (int) lines().stream().filter(line -> line.contains(text)).count();
     }
 
-    /** The first line that passes, once it is there; null where it does not come in time, or never will. */
-    public String await(Predicate<String> wanted, long millis) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+    /**
+     * Waits for a line that matches and returns the first. Returns null if none is printed within {@code millis}
+     * or the process ends without one.
+     */
+    public String await(Predicate<String> matches, long millis) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         synchronized (lines) {
-            int read = 0;
+            int nextLine = 0;
             while (true) {
-                for (; read < lines.size(); read++) {
-                    if (wanted.test(lines.get(read))) {
-                        return lines.get(read);
+                for (; nextLine < lines.size(); nextLine++) {
+                    if (matches.test(lines.get(nextLine))) {
+                        return lines.get(nextLine);
                     }
                 }
-                long left = TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime());
-                if (ended || left <= 0) {
+                long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
+                if (ended || remainingMillis <= 0) {
                     return null;
                 }
-                lines.wait(left);
+                lines.wait(remainingMillis);
             }
         }
     }
--- a/lab/src/main/java/wheatspread/lab/standins/RecordsHandler.java
+++ b/lab/src/main/java/wheatspread/lab/standins/RecordsHandler.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** A connection of the records service, which answers every call after a time. */
+/** Simulates the records service on one connection: answers every call after a fixed time. */
 public final class RecordsHandler extends ByteToMessageDecoder {
     private final long callMicros;
 
@@ -16,26 +16,26 @@
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-        int end = in.bytesBefore((byte) '\n');
-        if (end < 0) {
+        int lineEnd = in.bytesBefore((byte) '\n');
+        if (lineEnd < 0) {
             return;
         }
-        String[] words = in.toString(in.readerIndex(), end - 1, StandardCharsets.US_ASCII)
+        String[] words = in.toString(in.readerIndex(), lineEnd - 1, StandardCharsets.US_ASCII)
                 .split(" ");
         if (words[0].equals("UNOP")) {
-            in.skipBytes(end + 1);
+            in.skipBytes(lineEnd + 1);
             return;
         }
-        int body = Integer.parseInt(words[3]);
-        if (in.readableBytes() < end + 1 + body + 2) {
+        int bodyBytes = Integer.parseInt(words[3]);
+        if (in.readableBytes() < lineEnd + 1 + bodyBytes + 2) {
             return;
         }
-        in.skipBytes(end + 1 + body + 2);
-        StandInServices.after(ctx, callMicros, () -> ctx.writeAndFlush(words[1] + " DONE 5\r\nreply\r\n"));
+        in.skipBytes(lineEnd + 1 + bodyBytes + 2);
+        StandInServices.scheduleAfter(ctx, callMicros, () -> ctx.writeAndFlush(words[1] + " DONE 5\r\nreply\r\n"));
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        ctx.close(); // a server that was ended outright resets its connections
+        ctx.close(); // a killed server resets its connections
     }
 }
--- a/lab/src/main/java/wheatspread/lab/standins/ServerProcess.java
+++ b/lab/src/main/java/wheatspread/lab/standins/ServerProcess.java
@@ -12,23 +12,24 @@
 import java.util.stream.Stream;
 import org.json.JSONObject;
 
-/** A server as a process of its own, on one core, with what can be seen of it from outside. */
+/** Runs a server in a separate process, on one core if wanted, and reads its CPU time, memory and log. */
 public final class ServerProcess implements AutoCloseable {
-    private static final int TICKS_PER_SECOND = 100;
-    private static final long UP_MS = 30_000;
+    private static final int CLOCK_TICKS_PER_SECOND = 100;
+    private static final long START_TIMEOUT_MS = 30_000;
 
     private final Process process;
     private final ProcessLog log;
-    private final List<String> addresses = new ArrayList<>();
+    private final List<String> ports = new ArrayList<>();
 
     /**
-     * Starts {@code serve} of a jar. {@code operator} is the text of an operator's file, null for none;
-     * {@code core} is the core to run on, -1 for any.
+     * Starts the jar's {@code serve} command and waits until the server serves. {@code operator} is the text of an
+     * operator file, null for none; {@code flags} are JVM flags; {@code core} is the core to run on, -1 for any.
+     * Throws an IOException with the log if the server does not serve within {@link #START_TIMEOUT_MS}.
      */
     public ServerProcess(Path jar, JSONObject config, String operator, List<String> flags, int core)
             throws IOException, InterruptedException {
-        Path dir = Files.createTempDirectory("wheatspread-lab");
-        Files.writeString(dir.resolve("config.json"), config.toString());
+        Path folder = Files.createTempDirectory("wheatspread-lab");
+        Files.writeString(folder.resolve("config.json"), config.toString());
         List<String> command = new ArrayList<>();
         if (core >= 0) {
             command.addAll(List.of("taskset", "-c", Integer.toString(core)));
@@ -38,44 +39,45 @@
         command.addAll(List.of("-jar", jar.toString(), "serve"));
         if (operator != null) {
             command.add(
-                    Files.writeString(dir.resolve("operator.json"), operator).toString());
+                    Files.writeString(folder.resolve("operator.json"), operator).toString());
         }
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
-        builder.environment().put("GW_CONFIG", dir.resolve("config.json").toString());
+        builder.environment().put("GW_CONFIG", folder.resolve("config.json").toString());
         process = builder.start();
         log = new ProcessLog(process, "server");
-        // an older build of the server said it in other words
-        if (log.await(line -> line.contains("to=SERVING") || line.contains("phase SERVING"), UP_MS) == null) {
-            throw new IOException("the server does not start: " + log.lines());
+        // older builds of the server log "phase SERVING" instead
+        if (log.await(line -> line.contains("to=SERVING") || line.contains("phase SERVING"), START_TIMEOUT_MS)
+                == null) {
+            throw new IOException("server did not reach SERVING within " + START_TIMEOUT_MS + " ms: " + log.lines());
         }
         Matcher matcher = Pattern.compile("/127\\.0\\.0\\.1:(\\d+)")
-                .matcher(log.await(line -> line.contains("listening "), UP_MS));
+                .matcher(log.await(line -> line.contains("listening "), START_TIMEOUT_MS));
         while (matcher.find()) {
-            addresses.add(matcher.group(1));
+            ports.add(matcher.group(1));
         }
     }
 
-    /** All it logged so far. */
+    /** Returns the lines logged so far. */
     public List<String> log() {
         return log.lines();
     }
 
-    /** Its ports: the uwsgi front's first where that is on, then the platform's. */
+    /** Returns a listening port by index: the uwsgi front's comes first if enabled, then the JSON-RPC front's. */
     public int port(int front) {
-        return Integer.parseInt(addresses.get(front));
+        return Integer.parseInt(ports.get(front));
     }
 
-    /** The CPU it has used so far, in milliseconds, by proc(5). */
+    /** Returns the CPU time used so far in milliseconds, by proc(5). */
     public double cpuMillis() throws IOException {
         return millis(Files.readString(Path.of("/proc/" + process.pid() + "/stat")));
     }
 
     private static double millis(String stat) {
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-        return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) * 1000.0 / TICKS_PER_SECOND;
+        return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) * 1000.0 / CLOCK_TICKS_PER_SECOND;
     }
 
-    /** The CPU its event loop has used so far, in milliseconds; the JVM's own threads are left out. */
+    /** Returns the CPU time of the event loop threads so far in milliseconds, without the JVM's other threads. */
     public double eventLoopCpuMillis() throws IOException {
         double millis = 0;
         try (Stream<Path> tasks = Files.list(Path.of("/proc/" + process.pid() + "/task"))) {
@@ -89,7 +91,7 @@
         return millis;
     }
 
-    /** Its resident memory, in KB. */
+    /** Returns the resident memory in KB; 0 if the process status has no such line. */
     public long residentKb() throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
             if (line.startsWith("VmRSS:")) {
@@ -99,22 +101,20 @@
         return 0;
     }
 
-    /**
-     * The bytes of all objects that are reachable, by a histogram of the JVM, which collects garbage first.
-     */
+    /** Returns the bytes of all reachable objects, by the JVM's class histogram, which collects garbage first. */
     public long liveBytes() throws IOException, InterruptedException {
-        String last = "";
+        String totalLine = "";
         for (String line : jcmd("GC.class_histogram")) {
-            last = line.startsWith("Total") ? line : last;
+            totalLine = line.startsWith("Total") ? line : totalLine;
         }
-        return Long.parseLong(last.trim().split("\\s+")[2]);
+        return Long.parseLong(totalLine.trim().split("\\s+")[2]);
     }
 
-    /** The lines of a diagnostic command of the JDK. */
-    public List<String> jcmd(String... words) throws IOException, InterruptedException {
+    /** Runs a jcmd diagnostic command on the process and returns the lines of its output. */
+    public List<String> jcmd(String... arguments) throws IOException, InterruptedException {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "jcmd").toString(), Long.toString(process.pid())));
-        command.addAll(List.of(words));
+        command.addAll(List.of(arguments));
         File out = File.createTempFile("jcmd", ".txt");
         new ProcessBuilder(command)
                 .redirectErrorStream(true)
@@ -126,7 +126,7 @@
         return lines;
     }
 
-    /** Asks it to leave, and returns whether it went by itself. */
+    /** Sends SIGTERM and returns whether the process exited within 20 s. */
     public boolean terminate() throws InterruptedException {
         process.destroy();
         return process.waitFor(20, TimeUnit.SECONDS);
--- a/lab/src/main/java/wheatspread/lab/standins/StandInEndpoint.java
+++ b/lab/src/main/java/wheatspread/lab/standins/StandInEndpoint.java
@@ -19,31 +19,35 @@
 import java.util.function.Supplier;
 
 /**
- * Where a stand-in listens: a free port of the loopback address, which may change as the protocol's page has
- * it: the old address takes nothing new from then on, and what is open there ends after a while.
+ * The listening endpoint of a stand-in service, on a free port of the loopback address. It can move to another
+ * port as the protocol's page describes: the old address accepts no new connections, and its open connections
+ * are closed after a delay. Methods that bind or close a port block, so they must not run on the group's threads.
  */
 public final class StandInEndpoint implements AutoCloseable {
     private static final String HOST = "127.0.0.1";
-    private static final int LONGEST_LINE = 1 << 20;
+    private static final int MAX_LINE_BYTES = 1 << 20;
 
     private final EventLoopGroup group;
     private final Supplier<ChannelHandler> handler;
     private final boolean lines;
-    private Channel listening;
-    private ChannelGroup open;
+    private Channel listener;
+    private ChannelGroup connections;
     private int port;
 
-    /** {@code lines}: whether the handler gets lines of text, or the bytes as they come. */
+    /**
+     * Starts listening on a free port. If {@code lines} is true, the handler gets decoded lines of text, otherwise
+     * the received bytes.
+     */
     public StandInEndpoint(EventLoopGroup group, Supplier<ChannelHandler> handler, boolean lines) {
         this.group = group;
         this.handler = handler;
         this.lines = lines;
-        open(0);
+        bind(0);
     }
 
-    private void open(int at) {
+    private void bind(int requestedPort) {
         ChannelGroup children = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
-        listening = new ServerBootstrap()
+        listener = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.TCP_NODELAY, true)
@@ -55,65 +59,65 @@
                         if (lines) {
                             child.pipeline()
                                     .addLast(
-                                            new LineBasedFrameDecoder(LONGEST_LINE),
+                                            new LineBasedFrameDecoder(MAX_LINE_BYTES),
                                             new StringDecoder(StandardCharsets.UTF_8));
                         }
                         child.pipeline().addLast(new StringEncoder(StandardCharsets.UTF_8), handler.get());
                     }
                 })
-                .bind(HOST, at)
+                .bind(HOST, requestedPort)
                 .syncUninterruptibly()
                 .channel();
-        open = children;
-        port = ((InetSocketAddress) listening.localAddress()).getPort();
+        connections = children;
+        port = ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
-    /** Where it listens, or is to listen again. */
+    /** Returns the current address, also while connections to it are refused. */
     public synchronized InetSocketAddress address() {
         return new InetSocketAddress(HOST, port);
     }
 
-    /** As configurations have it. */
+    /** Returns the current address as {@code host:port}, the form used in configurations. */
     public synchronized String text() {
         return HOST + ':' + port;
     }
 
     /**
-     * Goes to another port at once; what is open at the old one is closed after so many milliseconds. Not on
-     * the group's own thread.
+     * Moves to another port at once, and closes the connections of the old port after {@code closeAfterMillis}.
+     * Must not be called on the group's threads.
      */
-    public synchronized void move(long closeAfter) {
-        Channel before = listening;
-        ChannelGroup left = open;
-        open(0);
-        before.close().syncUninterruptibly();
+    public synchronized void move(long closeAfterMillis) {
+        Channel previous = listener;
+        ChannelGroup oldConnections = connections;
+        bind(0);
+        previous.close().syncUninterruptibly();
         group.next()
                 .schedule(
                         () -> {
-                            left.close();
+                            oldConnections.close();
                         },
-                        closeAfter,
+                        closeAfterMillis,
                         TimeUnit.MILLISECONDS);
     }
 
-    /** Refuses at this address; what is open stays. */
+    /** Refuses new connections at the current address; open connections stay. */
     public synchronized void refuse() {
-        listening.close().syncUninterruptibly();
+        listener.close().syncUninterruptibly();
     }
 
-    /** Listens again where it refused, unless it does already. */
+    /** Accepts connections at the current address again after {@link #refuse}; no effect while listening. */
     public synchronized void acceptAgain() {
-        if (listening.isOpen()) {
+        if (listener.isOpen()) {
             return;
         }
-        ChannelGroup before = open;
-        open(port);
-        open.addAll(before);
+        ChannelGroup previousConnections = connections;
+        bind(port);
+        connections.addAll(previousConnections);
     }
 
     @Override
     public synchronized void close() {
-        listening.close();
-        open.close();
+        listener.close();
+        connections.close();
     }
 }
--- a/lab/src/main/java/wheatspread/lab/standins/StandInServices.java
+++ b/lab/src/main/java/wheatspread/lab/standins/StandInServices.java
@@ -13,9 +13,9 @@
 import org.json.JSONObject;
 
 /**
- * The parties round one server, on a loop of their own: a kernel whose runs all take the same time, however
- * many there are, a records service that answers every call, and an announce service that answers every
- * report.
+ * Simulates the services that one server uses, on a separate event loop: a kernel whose runs all take the same
+ * time however many there are, a records service that answers every call, and an announce service that accepts
+ * every report.
  */
 public final class StandInServices implements AutoCloseable {
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -26,7 +26,7 @@
     private final InetSocketAddress announce;
     private final AtomicLong runs = new AtomicLong();
 
-    /** A run takes {@code runMicros} and a call {@code callMicros}, under 0 where no class makes any. */
+    /** A run takes {@code runMicros} and a dependency call {@code callMicros}; below 0 no run makes calls. */
     public StandInServices(long runMicros, long callMicros) {
         this.runMicros = runMicros;
         this.callMicros = callMicros;
@@ -47,7 +47,7 @@
         return StandInAddress.format(announce);
     }
 
-    /** How many runs were started. */
+    /** Returns the number of runs started so far. */
     public long runs() {
         return runs.get();
     }
@@ -57,9 +57,9 @@
         group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
 
-    /** The kernel: a run waits for one call if its class makes calls, and ends well. */
+    /** Simulates the kernel: a run waits for one dependency call if its class makes calls, and ends with OK. */
     private final class Kernel extends SimpleChannelInboundHandler<String> {
-        private long notices;
+        private long lastNoticeNumber;
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, String line) {
@@ -67,14 +67,14 @@
             String job = command.optString("job");
             switch (command.getString("type")) {
                 case "OPEN" ->
-                    say(
+                    send(
                             ctx,
                             new JSONObject()
                                     .put("type", "BOOTED")
                                     .put("state", "WARM")
                                     .put("took", 20_000));
                 case "SYSINFO" ->
-                    say(
+                    send(
                             ctx,
                             new JSONObject()
                                     .put("type", "INFO")
@@ -84,26 +84,29 @@
                     runs.incrementAndGet();
                     boolean calls =
                             callMicros >= 0 && !command.getString("kind").equals("search");
-                    after(ctx, runMicros, () -> {
+                    scheduleAfter(ctx, runMicros, () -> {
                         if (calls) {
-                            say(ctx, notice("IOREQ", job).put("data", "Y2FsbA=="));
+                            send(ctx, notice("IOREQ", job).put("data", "Y2FsbA=="));
                         } else {
-                            end(ctx, job, "OK");
+                            endRun(ctx, job, "OK");
                         }
                     });
                 }
-                case "IODONE", "NOIO", "RESCHED" -> end(ctx, job, "OK");
-                case "PREEMPT" -> end(ctx, job, "STOPPED");
-                default -> throw new IllegalStateException(line);
+                case "IODONE", "NOIO", "RESCHED" -> endRun(ctx, job, "OK");
+                case "PREEMPT" -> endRun(ctx, job, "STOPPED");
+                default -> throw new IllegalStateException("unexpected kernel command: " + line);
             }
         }
 
         private JSONObject notice(String type, String job) {
-            return new JSONObject().put("type", type).put("n", ++notices).put("job", job);
+            return new JSONObject()
+                    .put("type", type)
+                    .put("n", ++lastNoticeNumber)
+                    .put("job", job);
         }
 
-        private void end(ChannelHandlerContext ctx, String job, String state) {
-            say(
+        private void endRun(ChannelHandlerContext ctx, String job, String state) {
+            send(
                     ctx,
                     notice("REAP", job)
                             .put("state", state)
@@ -111,16 +114,20 @@
                             .put("data", "b2s="));
         }
 
-        private void say(ChannelHandlerContext ctx, JSONObject message) {
+        private void send(ChannelHandlerContext ctx, JSONObject message) {
             ctx.writeAndFlush(message + "\n");
         }
     }
 
-    static void after(ChannelHandlerContext ctx, long micros, Runnable task) {
+    /** Runs a task on the connection's event loop after {@code micros}. */
+    static void scheduleAfter(ChannelHandlerContext ctx, long micros, Runnable task) {
         ctx.executor().schedule(task, micros, TimeUnit.MICROSECONDS);
     }
 
-    /** The announce service: a report's body has no line of its own, so it is told by the end of its head. */
+    /**
+     * Simulates the announce service. It responds at the empty line that ends a report's head, since the body does
+     * not end with a line break.
+     */
     private static final class Announce extends SimpleChannelInboundHandler<String> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, String line) {
--- a/lab/src/main/java/wheatspread/lab/standins/TemporaryFolders.java
+++ b/lab/src/main/java/wheatspread/lab/standins/TemporaryFolders.java
@@ -6,11 +6,11 @@
 import java.util.Comparator;
 import java.util.stream.Stream;
 
-/** Folders that a measurement made. */
+/** Deletes the temporary folders of measurements. */
 public final class TemporaryFolders {
     private TemporaryFolders() {}
 
-    /** Deletes a folder with all that is in it; nothing where it is not there. */
+    /** Deletes a folder recursively; does nothing if it does not exist. */
     public static void delete(Path folder) throws IOException {
         if (Files.exists(folder)) {
             try (Stream<Path> files = Files.walk(folder)) {
