--- a/lab/src/main/java/wheatspread/lab/rig/HandedSocket.java
+++ b/lab/src/main/java/wheatspread/lab/rig/InheritedSocket.java
@@ -11,12 +11,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A listening socket that outlives the processes which accept on it, as the platform holds one: each is
- * started with it as descriptor 0. The JDK hands no descriptor to a process that it starts, so a few lines of
- * Perl hold the socket and start them.
+ * A listening socket that outlives the processes accepting on it, as the platform provides one: each process
+ * inherits it as descriptor 0. The JDK cannot pass a descriptor to a process that it starts, so a short Perl
+ * script holds the socket and starts the processes.
  */
-final class HandedSocket implements AutoCloseable {
-    private static final String HOLDER = """
+final class InheritedSocket implements AutoCloseable {
+    private static final String HOLDER_SCRIPT = """
         use strict; use Socket; use POSIX ":sys_wait_h"; $| = 1;
         socket(my $s, PF_INET, SOCK_STREAM, 0) or die; setsockopt($s, SOL_SOCKET, SO_REUSEADDR, 1);
         bind($s, sockaddr_in(0, INADDR_LOOPBACK)) or die; listen($s, 512) or die;
@@ -44,19 +44,19 @@
     private final Writer out;
     private final BufferedReader in;
     private final int port;
-    private final Map<Long, Integer> ends = new ConcurrentHashMap<>();
-    private final Object started = new Object();
-    private long lastStarted;
+    private final Map<Long, Integer> exitStatuses = new ConcurrentHashMap<>();
+    private final Object lock = new Object();
+    private long lastStartedPid;
 
-    HandedSocket() throws IOException {
-        holder = new ProcessBuilder("perl", "-e", HOLDER)
+    InheritedSocket() throws IOException {
+        holder = new ProcessBuilder("perl", "-e", HOLDER_SCRIPT)
                 .redirectError(ProcessBuilder.Redirect.INHERIT)
                 .start();
         out = holder.outputWriter(StandardCharsets.UTF_8);
         in = holder.inputReader(StandardCharsets.UTF_8);
         String line = in.readLine();
         if (line == null || !line.startsWith("port ")) {
-            throw new IOException("no socket is held: " + line);
+            throw new IOException("socket holder did not report its port, it printed: " + line);
         }
         port = Integer.parseInt(line.substring(5));
         Thread reader = new Thread(this::read, "held socket");
@@ -73,43 +73,44 @@
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 String[] words = line.split(" ");
                 long pid = Long.parseLong(words[1]);
-                synchronized (started) {
+                synchronized (lock) {
                     if (words[0].equals("started")) {
-                        lastStarted = pid;
+                        lastStartedPid = pid;
                     } else {
-                        ends.put(pid, Integer.parseInt(words[2]));
+                        exitStatuses.put(pid, Integer.parseInt(words[2]));
                     }
-                    started.notifyAll();
+                    lock.notifyAll();
                 }
             }
         } catch (IOException e) {
-            return; // it was closed
+            return; // the holder was closed
         }
     }
 
-    /** Starts a process with the socket as descriptor 0; what it prints goes to {@code log}. */
+    /** Starts a process with the socket as descriptor 0; its output goes to {@code log}. */
     ProcessHandle start(Path log, List<String> command) throws IOException, InterruptedException {
-        synchronized (started) {
-            lastStarted = 0;
+        synchronized (lock) {
+            lastStartedPid = 0;
             out.write(log + "\t" + String.join("\t", command) + "\n");
             out.flush();
-            long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-            while (lastStarted == 0 && System.nanoTime() < until) {
-                started.wait(100);
+            long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+            while (lastStartedPid == 0 && System.nanoTime() < deadlineNanos) {
+                lock.wait(100);
             }
-            return ProcessHandle.of(lastStarted).orElseThrow(() -> new IOException("nothing was started"));
+            return ProcessHandle.of(lastStartedPid)
+                    .orElseThrow(() -> new IOException("socket holder did not start a process within 10 s"));
         }
     }
 
-    /** How a process ended, as wait(2) tells it; null while it has not within so long. */
+    /** Returns a process's exit status as wait(2) reports it; null if it does not end within {@code millis}. */
     Integer awaitEnd(ProcessHandle process, long millis) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-        synchronized (started) {
-            while (!ends.containsKey(process.pid()) && System.nanoTime() < until) {
-                started.wait(50);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+        synchronized (lock) {
+            while (!exitStatuses.containsKey(process.pid()) && System.nanoTime() < deadlineNanos) {
+                lock.wait(50);
             }
         }
-        return ends.get(process.pid());
+        return exitStatuses.get(process.pid());
     }
 
     @Override
--- a/lab/src/main/java/wheatspread/lab/rig/ProcessSignals.java
+++ b/lab/src/main/java/wheatspread/lab/rig/ProcessSignals.java
@@ -6,8 +6,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Sends signals to processes of the rig, through one shell that stays: a process for each signal would take
- * longer than the slices in which others are starved.
+ * Sends signals to processes through one long-lived shell, since starting a process for each signal would take
+ * longer than the time slices used to starve processes of CPU.
  */
 final class ProcessSignals implements AutoCloseable {
     private final Process shell;
@@ -20,15 +20,15 @@
         in = shell.inputReader(StandardCharsets.US_ASCII);
     }
 
-    /** Returns once it is sent; {@code signal} is a name without SIG. What is gone already is no failure. */
-    synchronized void send(String signal, ProcessHandle to) throws IOException {
-        if (!to.isAlive()) {
+    /** Sends a signal, named without SIG, and returns once it is sent; does nothing if the process has ended. */
+    synchronized void send(String signal, ProcessHandle target) throws IOException {
+        if (!target.isAlive()) {
             return;
         }
-        out.write("kill -" + signal + " " + to.pid() + " 2>/dev/null; echo sent\n");
+        out.write("kill -" + signal + " " + target.pid() + " 2>/dev/null; echo sent\n");
         out.flush();
         if (in.readLine() == null) {
-            throw new IOException("the shell that sends signals has ended");
+            throw new IOException("shell ended, cannot send SIG" + signal + " to process " + target.pid());
         }
     }
 
--- a/lab/src/main/java/wheatspread/lab/rig/ReloadRun.java
+++ b/lab/src/main/java/wheatspread/lab/rig/ReloadRun.java
@@ -21,12 +21,13 @@
 import wheatspread.lab.world.World;
 
 /**
- * Reloads under load: kernels, records and announce move, one kind after the other, together, and together
- * again while that is still going on; meanwhile each server has a trouble of its own, drawn by the seed.
+ * Runs configuration reloads under load. The kernels, the records service and the announce service change their
+ * addresses one after the other, then all together, and all together again while that reload is still in progress.
+ * In each round every server is subject to a different disturbance, drawn by the seed.
  */
 public final class ReloadRun {
-    /** What a server meets while its addresses move. */
-    public enum Trouble {
+    /** The disturbance that a server is subject to while its configured addresses change. */
+    public enum Disturbance {
         NONE,
         KERNEL_LATE,
         KERNEL_BOOTS_LATE,
@@ -35,131 +36,142 @@
         STARVED
     }
 
-    /** What moves. */
-    enum Part {
+    /** The services whose addresses change. */
+    enum Service {
         KERNELS,
         RECORDS,
         ANNOUNCE
     }
 
-    /** By the protocol's page. */
-    private static final long OLD_CLOSE_MS = 1_500;
+    /** How long the old address stays open after a move, by the protocol's page. */
+    private static final long OLD_ADDRESS_CLOSE_MS = 1_500;
 
-    private static final long FOUND_MS = 8_000;
-    private static final long BETWEEN_MS = 1_000;
-    private static final long SECOND_AFTER_MS = 300;
-    private static final long STARVED_MS = 3_000;
-    private static final double STARVED_SHARE = 0.1;
+    private static final long RELOAD_TIMEOUT_MS = 8_000;
+    private static final long ROUND_PAUSE_MS = 1_000;
+    private static final long SECOND_MOVE_DELAY_MS = 300;
+    private static final long STARVATION_MS = 3_000;
+    private static final double STARVATION_CPU_SHARE = 0.1;
 
     private final Path jar;
     private final List<String> flags;
     private final double rate;
 
-    /** {@code rate}: requests a second for all servers together. */
+    /** Creates runs at {@code rate} requests per second for all servers together. */
     public ReloadRun(Path jar, List<String> flags, double rate) {
         this.jar = jar;
         this.flags = flags;
         this.rate = rate;
     }
 
-    /** What came of it; {@code faults} is empty where every promise was kept. */
+    /** Figures of one run; {@code violations} is empty if every invariant held. */
     public record Outcome(JSONObject figures, List<String> violations) {}
 
-    /** One server for each trouble; every round gives each server another one. */
+    /** Runs one server per kind of disturbance; each round assigns the disturbances anew. */
     public Outcome run(long seed) throws Exception {
         Random random = new Random(seed);
-        List<String> faults = new ArrayList<>();
-        try (Rig rig = new Rig(jar, flags, Trouble.values().length)) {
+        List<String> violations = new ArrayList<>();
+        try (Rig rig = new Rig(jar, flags, Disturbance.values().length)) {
             rig.start();
             rig.world().setRequestRate(rate);
-            TimeUnit.MILLISECONDS.sleep(BETWEEN_MS);
-            for (Set<Part> moving : List.of(
-                    EnumSet.of(Part.KERNELS),
-                    EnumSet.of(Part.RECORDS),
-                    EnumSet.of(Part.ANNOUNCE),
-                    EnumSet.allOf(Part.class))) {
-                round(rig, moving, moving.size() > 1, random, faults);
-                TimeUnit.MILLISECONDS.sleep(BETWEEN_MS);
+            TimeUnit.MILLISECONDS.sleep(ROUND_PAUSE_MS);
+            for (Set<Service> movedServices : List.of(
+                    EnumSet.of(Service.KERNELS),
+                    EnumSet.of(Service.RECORDS),
+                    EnumSet.of(Service.ANNOUNCE),
+                    EnumSet.allOf(Service.class))) {
+                runRound(rig, movedServices, movedServices.size() > 1, random, violations);
+                TimeUnit.MILLISECONDS.sleep(ROUND_PAUSE_MS);
             }
-            int open = rig.settle();
+            int pendingAtEnd = rig.settle();
             InvariantChecker checker = rig.world().checker();
-            faults.addAll(checker.violations());
-            long left = 0;
+            violations.addAll(checker.violations());
+            long cleanExits = 0;
             for (RigServer member : rig.members()) {
                 int code = member.terminate();
-                left += code == 0 ? 1 : 0;
+                cleanExits += code == 0 ? 1 : 0;
                 if (code != 0) {
-                    faults.add(member.name() + " left with " + code + ": " + tail(member));
+                    violations.add(
+                            member.name() + " exited with code " + code + " after SIGTERM, log: " + logTail(member));
                 }
             }
             return new Outcome(
-                    checker.figures().put("seed", seed).put("open_at_end", open).put("left_in_order", left), faults);
+                    checker.figures()
+                            .put("seed", seed)
+                            .put("open_at_end", pendingAtEnd)
+                            .put("left_in_order", cleanExits),
+                    violations);
         }
     }
 
-    private void round(Rig rig, Set<Part> moving, boolean twice, Random random, List<String> faults)
+    private void runRound(
+            Rig rig, Set<Service> movedServices, boolean movesTwice, Random random, List<String> violations)
             throws IOException, InterruptedException {
-        List<Trouble> troubles = new ArrayList<>(List.of(Trouble.values()));
-        Collections.shuffle(troubles, random);
+        List<Disturbance> disturbances = new ArrayList<>(List.of(Disturbance.values()));
+        Collections.shuffle(disturbances, random);
         Map<RigServer, Integer> linksBefore = new HashMap<>();
         for (RigServer member : rig.members()) {
             linksBefore.put(member, rig.world().countKernelLinks(member.name()));
         }
-        int moves = twice ? 2 : 1;
-        List<Callable<Void>> deeds = new ArrayList<>();
-        for (int i = 0; i < troubles.size(); i++) {
+        int moves = movesTwice ? 2 : 1;
+        List<Callable<Void>> tasks = new ArrayList<>();
+        for (int i = 0; i < disturbances.size(); i++) {
             RigServer member = rig.members().get(i);
-            Trouble trouble = troubles.get(i);
+            Disturbance disturbance = disturbances.get(i);
             long millis = 200 + random.nextInt(1_300);
-            deeds.add(() -> {
-                meet(rig.world(), member, trouble, millis);
+            tasks.add(() -> {
+                disturb(rig.world(), member, disturbance, millis);
                 return null;
             });
         }
-        ExecutorService hands = Executors.newFixedThreadPool(deeds.size());
+        ExecutorService executor = Executors.newFixedThreadPool(tasks.size());
         try {
-            List<Future<Void>> going = new ArrayList<>();
+            List<Future<Void>> pending = new ArrayList<>();
             for (int move = 0; move < moves; move++) {
-                move(rig, moving, move == 0 ? troubles : List.of());
+                move(rig, movedServices, move == 0 ? disturbances : List.of());
                 if (move == 0) {
-                    for (Callable<Void> deed : deeds) {
-                        going.add(hands.submit(deed));
+                    for (Callable<Void> task : tasks) {
+                        pending.add(executor.submit(task));
                     }
                 }
                 for (RigServer member : rig.members()) {
                     rig.configure(member);
                     member.signal("HUP");
                 }
-                TimeUnit.MILLISECONDS.sleep(twice ? SECOND_AFTER_MS : 0);
+                TimeUnit.MILLISECONDS.sleep(movesTwice ? SECOND_MOVE_DELAY_MS : 0);
             }
-            for (Future<Void> one : going) {
-                one.get();
+            for (Future<Void> disturbance : pending) {
+                disturbance.get();
             }
         } catch (ExecutionException e) {
             throw new IOException(e.getCause());
         } finally {
-            hands.shutdownNow();
+            executor.shutdownNow();
         }
-        for (int i = 0; i < troubles.size(); i++) {
+        for (int i = 0; i < disturbances.size(); i++) {
             RigServer member = rig.members().get(i);
-            String at = "kernel=/" + rig.world().kernelEndpoint(member.name()).text();
-            boolean told = member.log()
+            String kernelText =
+                    "kernel=/" + rig.world().kernelEndpoint(member.name()).text();
+            boolean reloaded = member.log()
                             .await(
-                                    line -> line.contains("INFO") && line.contains("reload ") && line.contains(at),
-                                    FOUND_MS)
+                                    line -> line.contains("INFO")
+                                            && line.contains("reload ")
+                                            && line.contains(kernelText),
+                                    RELOAD_TIMEOUT_MS)
                     != null;
-            boolean linked = !moving.contains(Part.KERNELS) || linksAbove(rig, member, linksBefore.get(member));
-            if (!told || !linked) {
-                faults.add(member.name() + " with " + troubles.get(i) + " while " + moving + " moved: "
-                        + (told ? "no link at the new kernel" : "no reload logged") + "; " + tail(member));
+            boolean linked =
+                    !movedServices.contains(Service.KERNELS) || awaitNewLink(rig, member, linksBefore.get(member));
+            if (!reloaded || !linked) {
+                violations.add(member.name() + " with " + disturbances.get(i) + " while " + movedServices + " moved: "
+                        + (reloaded ? "no link to the kernel's new address" : "no reload logged") + "; "
+                        + logTail(member));
             }
         }
     }
 
-    private static boolean linksAbove(Rig rig, RigServer member, int before) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(FOUND_MS);
-        while (System.nanoTime() < until) {
-            if (rig.world().countKernelLinks(member.name()) > before) {
+    private static boolean awaitNewLink(Rig rig, RigServer member, int linksBefore) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RELOAD_TIMEOUT_MS);
+        while (System.nanoTime() < deadlineNanos) {
+            if (rig.world().countKernelLinks(member.name()) > linksBefore) {
                 return true;
             }
             TimeUnit.MILLISECONDS.sleep(20);
@@ -167,29 +179,29 @@
         return false;
     }
 
-    /** Moves what moves; a kernel that is to come late refuses at its new address from the start. */
-    private static void move(Rig rig, Set<Part> moving, List<Trouble> troubles) {
-        if (moving.contains(Part.KERNELS)) {
+    /** Moves the given services; the kernel of a {@code KERNEL_LATE} server refuses at its new address at first. */
+    private static void move(Rig rig, Set<Service> movedServices, List<Disturbance> disturbances) {
+        if (movedServices.contains(Service.KERNELS)) {
             for (int i = 0; i < rig.members().size(); i++) {
                 String name = rig.members().get(i).name();
-                rig.world().kernelEndpoint(name).move(OLD_CLOSE_MS);
-                if (i < troubles.size() && troubles.get(i) == Trouble.KERNEL_LATE) {
+                rig.world().kernelEndpoint(name).move(OLD_ADDRESS_CLOSE_MS);
+                if (i < disturbances.size() && disturbances.get(i) == Disturbance.KERNEL_LATE) {
                     rig.world().kernelEndpoint(name).refuse();
                 }
             }
         }
-        if (moving.contains(Part.RECORDS)) {
-            rig.world().recordsEndpoint().move(OLD_CLOSE_MS);
+        if (movedServices.contains(Service.RECORDS)) {
+            rig.world().recordsEndpoint().move(OLD_ADDRESS_CLOSE_MS);
         }
-        if (moving.contains(Part.ANNOUNCE)) {
-            rig.world().announceEndpoint().move(OLD_CLOSE_MS);
+        if (movedServices.contains(Service.ANNOUNCE)) {
+            rig.world().announceEndpoint().move(OLD_ADDRESS_CLOSE_MS);
         }
     }
 
-    private static void meet(World world, RigServer member, Trouble trouble, long millis)
+    private static void disturb(World world, RigServer member, Disturbance disturbance, long millis)
             throws IOException, InterruptedException {
         long from = System.currentTimeMillis();
-        switch (trouble) {
+        switch (disturbance) {
             case KERNEL_LATE -> {
                 TimeUnit.MILLISECONDS.sleep(millis);
                 world.kernelEndpoint(member.name()).acceptAgain();
@@ -205,14 +217,14 @@
                 member.pause(millis);
             }
             case STARVED -> {
-                world.recordPause(member.name(), from, from + STARVED_MS);
-                member.starve(STARVED_SHARE, STARVED_MS);
+                world.recordPause(member.name(), from, from + STARVATION_MS);
+                member.starve(STARVATION_CPU_SHARE, STARVATION_MS);
             }
             default -> {}
         }
     }
 
-    private static String tail(RigServer member) {
+    private static String logTail(RigServer member) {
         List<String> lines = member.log().lines();
         return String.join(" / ", lines.subList(Math.max(0, lines.size() - 5), lines.size()));
     }
--- a/lab/src/main/java/wheatspread/lab/rig/Rig.java
+++ b/lab/src/main/java/wheatspread/lab/rig/Rig.java
@@ -17,25 +17,25 @@
 import wheatspread.lab.world.World;
 
 /**
- * Several real processes of the program, each with its own kernel, and the world round them. Whoever tests
- * or measures several processes starts here. All processes that it started are gone when it is closed.
+ * Test rig of several real server processes, each with a simulated kernel, and the simulated environment that
+ * they share. Closing it kills all processes that it started and deletes their files.
  */
 public final class Rig implements AutoCloseable {
-    /** Proxies see the list of servers late. */
-    private static final long SEEN_MS = 2_300;
-    /** After this long every request is over. */
-    private static final long LAST_ANSWERS_MS = 16_000;
+    /** Time until all proxies see an announced server, which the simulated announce service delays. */
+    private static final long ANNOUNCE_DELAY_MS = 2_300;
+    /** Time after which every request has reached its deadline. */
+    private static final long PENDING_TIMEOUT_MS = 16_000;
 
-    private static final int SOCKETS = 512;
+    private static final int MAX_SOCKETS = 512;
 
     private final Ports ports = new Ports();
-    private final Path dir;
+    private final Path folder;
     private final World world;
     private final ProcessSignals signals = new ProcessSignals();
     private final Map<String, RigServer> members = new LinkedHashMap<>();
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
 
-    /** {@code flags} are those of the JVMs. */
+    /** Creates a rig of {@code size} servers, named n1, n2 and so on; {@code flags} are their JVM flags. */
     public Rig(Path jar, List<String> flags, int size) throws IOException {
         this(jar, flags, names(size));
     }
@@ -44,16 +44,16 @@
         return IntStream.rangeClosed(1, size).mapToObj(i -> "n" + i).toList();
     }
 
-    /** Servers of these names. */
+    /** Creates a rig of servers with these names; {@code flags} are their JVM flags. */
     public Rig(Path jar, List<String> flags, List<String> names) throws IOException {
-        dir = Files.createTempDirectory("wheatspread-rig");
+        folder = Files.createTempDirectory("wheatspread-rig");
         List<String> command = new ArrayList<>(
                 List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
         command.addAll(flags);
         command.addAll(List.of("-jar", jar.toAbsolutePath().toString(), "serve"));
         for (String name : names) {
             addresses.put(name, ports.next());
-            members.put(name, new RigServer(name, command, dir, signals));
+            members.put(name, new RigServer(name, command, folder, signals));
         }
         world = new World(addresses);
     }
@@ -66,7 +66,7 @@
         return List.copyOf(members.values());
     }
 
-    /** An address that nobody else of the rig uses. */
+    /** Returns a free address that no other part of the rig uses. */
     public InetSocketAddress address() throws IOException {
         return ports.next();
     }
@@ -75,7 +75,7 @@
         return members.get(name);
     }
 
-    /** Starts all and waits until they serve and the proxies know them. */
+    /** Starts all servers and waits until they serve and the proxies see them. */
     public void start() throws IOException, InterruptedException {
         for (RigServer member : members.values()) {
             configure(member);
@@ -84,26 +84,26 @@
         for (RigServer member : members.values()) {
             member.awaitServing();
         }
-        TimeUnit.MILLISECONDS.sleep(SEEN_MS);
+        TimeUnit.MILLISECONDS.sleep(ANNOUNCE_DELAY_MS);
     }
 
-    /** Writes the configuration of a server with the addresses of this moment. */
+    /** Writes a server's configuration with the current addresses of its services. */
     public void configure(RigServer member) throws IOException {
         JSONObject config = Sites.config(
                 world.kernelEndpoint(member.name()).text(),
                 world.recordsEndpoint().text(),
                 world.announceEndpoint().text(),
-                SOCKETS,
+                MAX_SOCKETS,
                 members.size());
         member.configure(
                 config.put("name", member.name()).put("listen", StandInAddress.format(addresses.get(member.name()))));
     }
 
-    /** Ends the load and waits until every request is over; returns how many still lack an answer. */
+    /** Stops the load, waits for pending responses and returns the number of attempts that still lack one. */
     public int settle() throws InterruptedException {
         world.setRequestRate(0);
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LAST_ANSWERS_MS);
-        while (world.countPendingAttempts() > 0 && System.nanoTime() < until) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PENDING_TIMEOUT_MS);
+        while (world.countPendingAttempts() > 0 && System.nanoTime() < deadlineNanos) {
             TimeUnit.MILLISECONDS.sleep(20);
         }
         return world.countPendingAttempts();
@@ -122,6 +122,6 @@
         }
         signals.close();
         world.close();
-        TemporaryFolders.delete(dir);
+        TemporaryFolders.delete(folder);
     }
 }
--- a/lab/src/main/java/wheatspread/lab/rig/RigServer.java
+++ b/lab/src/main/java/wheatspread/lab/rig/RigServer.java
@@ -12,91 +12,91 @@
 import wheatspread.lab.standins.ProcessLog;
 import wheatspread.lab.standins.StandInAddress;
 
-/** One server of a rig: its files, its process, and what may be done to it from outside. */
+/** One server of a rig: its files and its process, which can be paused, starved, killed and terminated. */
 public final class RigServer {
-    private static final long UP_MS = 30_000;
-    private static final long LEAVE_MS = 20_000;
+    private static final long START_TIMEOUT_MS = 30_000;
+    private static final long EXIT_TIMEOUT_MS = 20_000;
     private static final long SLICE_MS = 100;
 
     private final String name;
     private final List<String> command;
     private final Path config;
     private final ProcessSignals signals;
-    /** Its operator's file; null for none. */
+    /** The operator file; null for none. */
     private Path operator;
-    /** Where its operators' door listens; null for none. */
-    private InetSocketAddress door;
+    /** The address of the control endpoint; null for none. */
+    private InetSocketAddress controlAddress;
 
     private Process process;
     private ProcessLog log;
 
-    /** {@code command} starts the program up to {@code serve}; {@code dir} is for its files. */
-    RigServer(String name, List<String> command, Path dir, ProcessSignals signals) {
+    /** {@code command} is the command line up to {@code serve}; {@code folder} holds the server's files. */
+    RigServer(String name, List<String> command, Path folder, ProcessSignals signals) {
         this.name = name;
         this.command = List.copyOf(command);
         this.signals = signals;
-        config = dir.resolve(name + ".json");
+        config = folder.resolve(name + ".json");
     }
 
     public String name() {
         return name;
     }
 
-    /** Its log so far; of the process that was started last. */
+    /** Returns the log of the process started last; null before the first start. */
     public ProcessLog log() {
         return log;
     }
 
-    /** From its next start on it has this operator's file and a door. */
-    public void setOperatorConfig(JSONObject told, InetSocketAddress at) throws IOException {
-        operator = Files.writeString(config.resolveSibling(name + "-operator.json"), told.toString());
-        door = at;
+    /** Sets the operator file and the control address that apply from the next start. */
+    public void setOperatorConfig(JSONObject settings, InetSocketAddress address) throws IOException {
+        operator = Files.writeString(config.resolveSibling(name + "-operator.json"), settings.toString());
+        controlAddress = address;
     }
 
     public InetSocketAddress controlAddress() {
-        return door;
+        return controlAddress;
     }
 
-    /** Starts a process, which is the next one of its name where there was one before. */
+    /** Starts a process, with the operator file if one is set. */
     public void start() throws IOException {
         start(operator);
     }
 
-    /** Writes its configuration, whole at once. */
-    void configure(JSONObject told) throws IOException {
-        if (door != null) {
-            told.put("control", StandInAddress.format(door));
+    /** Writes the configuration atomically, with the control address if one is set. */
+    void configure(JSONObject settings) throws IOException {
+        if (controlAddress != null) {
+            settings.put("control", StandInAddress.format(controlAddress));
         }
-        Path aside = config.resolveSibling(name + ".json.new");
-        Files.writeString(aside, told.toString());
-        Files.move(aside, config, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Path temporary = config.resolveSibling(name + ".json.new");
+        Files.writeString(temporary, settings.toString());
+        Files.move(temporary, config, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** Starts a process; {@code operator} is its operator's file, null for none. */
+    /** Starts a process; {@code operator} is the operator file, null for none. */
     void start(Path operator) throws IOException {
-        List<String> words = new ArrayList<>(command);
+        List<String> commandLine = new ArrayList<>(command);
         if (operator != null) {
-            words.add(operator.toString());
+            commandLine.add(operator.toString());
         }
-        ProcessBuilder builder = new ProcessBuilder(words).redirectErrorStream(true);
+        ProcessBuilder builder = new ProcessBuilder(commandLine).redirectErrorStream(true);
         builder.environment().put("GW_CONFIG", config.toString());
         process = builder.start();
         log = new ProcessLog(process, name);
     }
 
-    /** Waits until it serves. */
+    /** Waits until the process serves; throws an IOException with its log if it does not in time. */
     public void awaitServing() throws IOException, InterruptedException {
-        if (log.await(line -> line.contains("to=SERVING"), UP_MS) == null) {
-            throw new IOException(name + " does not start: " + log.lines());
+        if (log.await(line -> line.contains("to=SERVING"), START_TIMEOUT_MS) == null) {
+            throw new IOException(name + " did not reach SERVING within " + START_TIMEOUT_MS + " ms: " + log.lines());
         }
     }
 
-    /** Sends a signal by its name without SIG. */
-    public void signal(String what) throws IOException {
-        signals.send(what, process.toHandle());
+    /** Sends a signal, named without SIG. */
+    public void signal(String signal) throws IOException {
+        signals.send(signal, process.toHandle());
     }
 
-    /** Stops the process for so long, then lets it go on. */
+    /** Stops the process for {@code millis}, then continues it. */
     public void pause(long millis) throws IOException, InterruptedException {
         signal("STOP");
         try {
@@ -106,24 +106,24 @@
         }
     }
 
-    /** Gives it only a share of the time, in slices, for so long. */
+    /** Limits the process to a share of the time for {@code millis}, in slices of {@link #SLICE_MS}. */
     public void starve(double share, long millis) throws IOException, InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-        while (System.nanoTime() < until) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+        while (System.nanoTime() < deadlineNanos) {
             pause(Math.round(SLICE_MS * (1 - share)));
             TimeUnit.MICROSECONDS.sleep(Math.round(SLICE_MS * 1_000 * share));
         }
     }
 
-    /** Ends it outright. */
+    /** Kills the process and waits for its end. */
     public void kill() throws InterruptedException {
         process.destroyForcibly().waitFor();
     }
 
-    /** Gives it notice and returns its exit code; -1 where it does not leave by itself. */
+    /** Sends SIGTERM and returns the exit code; -1 if the process does not exit within {@link #EXIT_TIMEOUT_MS}. */
     public int terminate() throws IOException, InterruptedException {
         signal("TERM");
-        return process.waitFor(LEAVE_MS, TimeUnit.MILLISECONDS) ? process.exitValue() : -1;
+        return process.waitFor(EXIT_TIMEOUT_MS, TimeUnit.MILLISECONDS) ? process.exitValue() : -1;
     }
 
     public long pid() {
--- a/lab/src/test/java/wheatspread/lab/rig/OffTest.java
+++ b/lab/src/test/java/wheatspread/lab/rig/OffTest.java
@@ -12,19 +12,19 @@
 import wheatspread.lab.standins.ServerProcess;
 import wheatspread.lab.standins.StandInServices;
 
-/** What no operator asked for costs a server nothing: it loads no class of it. */
+/** Guards against optional features costing a server that does not enable them: none of their classes is loaded. */
 class OffTest {
     @TempDir
-    private Path dir;
+    private Path folder;
 
     @Test
     @Timeout(60)
-    void aServerThatIsNotToldToLoadsNothingOfTheFleetsOwnAffairs() throws Exception {
-        Path loaded = dir.resolve("classes.txt");
-        try (StandInServices parties = new StandInServices(1_000, 1_000);
+    void loadsNoMembershipOrStoreClassesWhenDisabled() throws Exception {
+        Path loaded = folder.resolve("classes.txt");
+        try (StandInServices services = new StandInServices(1_000, 1_000);
                 ServerProcess server = new ServerProcess(
                         Path.of("../server/target/wheatspread.jar"),
-                        Sites.config(parties, 512),
+                        Sites.config(services, 512),
                         null,
                         List.of("-XX:+UseSerialGC", "-Xmx48m", "-Xlog:class+load=info:file=" + loaded),
                         -1)) {
--- a/lab/src/test/java/wheatspread/lab/rig/ReloadRunTest.java
+++ b/lab/src/test/java/wheatspread/lab/rig/ReloadRunTest.java
@@ -9,14 +9,17 @@
 import org.junit.jupiter.api.Timeout;
 import wheatspread.lab.world.InvariantChecker;
 
-/** Six real processes whose parties move while each has its own trouble; and a fault the ledger must see. */
+/**
+ * Guards against lost, late and duplicated requests when six server processes reload changed service addresses
+ * under load, each with a different disturbance; and checks that the invariant checker reports lost requests.
+ */
 class ReloadRunTest {
     private static final Path JAR = Path.of("../server/target/wheatspread.jar");
     private static final List<String> FLAGS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx48m");
 
     @Test
     @Timeout(180)
-    void reloadsUnderLoadKeepEveryPromise() throws Exception {
+    void keepsInvariantsDuringReloadsUnderLoad() throws Exception {
         ReloadRun.Outcome outcome = new ReloadRun(JAR, FLAGS, 40).run(1);
         assertThat(outcome.violations()).isEmpty();
         assertThat(outcome.figures().getInt("left_in_order")).isEqualTo(6);
@@ -25,7 +28,7 @@
 
     @Test
     @Timeout(120)
-    void theLedgerSeesWhatAProcessThatDiesUntoldLeavesUnanswered() throws Exception {
+    void checkerReportsUnansweredRequestsOfUnrecordedKill() throws Exception {
         try (Rig rig = new Rig(JAR, FLAGS, 1)) {
             rig.start();
             rig.world().setRequestRate(30);
@@ -33,7 +36,7 @@
             while (rig.world().countServed() < 3) {
                 TimeUnit.MILLISECONDS.sleep(5);
             }
-            // stopped first, so that some of what it owes is older than a request that crosses a close
+            // stopped first, so that some pending requests are too old to be resent as racing with the close
             member.signal("STOP");
             while (rig.world().countPendingAttempts() < 12) {
                 TimeUnit.MILLISECONDS.sleep(5);
@@ -42,7 +45,7 @@
             rig.settle();
             InvariantChecker checker = rig.world().checker();
             assertThat(checker.countViolations()).isPositive();
-            assertThat(checker.violations()).anyMatch(fault -> fault.startsWith("unanswered"));
+            assertThat(checker.violations()).anyMatch(violation -> violation.startsWith("unanswered"));
         }
     }
 }
