--- a/lab/src/main/java/wheatspread/lab/load/ConnectionHolder.java
+++ b/lab/src/main/java/wheatspread/lab/load/ConnectionHolder.java
@@ -24,62 +24,65 @@
 import wheatspread.uwsgi.UwsgiEncoder;
 import wheatspread.uwsgi.UwsgiPacket;
 
-/** Holds many connections that do little, from many source addresses. */
+/**
+ * Holds many mostly idle connections to one port, from many source addresses. Counters are written on the event
+ * loop.
+ */
 public final class ConnectionHolder implements AutoCloseable {
-    private static final int CONNECTING = 400;
-    private static final int OF_SOURCE = 100;
+    private static final int MAX_CONNECTING = 400;
+    private static final int MAX_CONNECTIONS_PER_SOURCE = 100;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final InetSocketAddress to;
+    private final InetSocketAddress target;
     private final boolean uwsgi;
     private final int firstSource;
-    private final List<Held> all = new ArrayList<>();
+    private final List<HeldConnection> connections = new ArrayList<>();
     private int connecting;
-    private int begun;
+    private int attempted;
     private int failed;
-    private int answers;
+    private int responses;
     private int served;
     private int refused;
-    private int told;
-    private int twice;
+    private int retryTimes;
+    private int duplicates;
     private int closed;
-    private long firstClosed;
-    private long lastClosed;
-    private long lastAnswer;
+    private long firstClosedNanos;
+    private long lastClosedNanos;
+    private long lastResponseNanos;
 
-    /** Holds connections to a port of the loopback address, from source addresses that begin at {@code firstSource}. */
+    /** Creates a holder of connections to a loopback port, whose source addresses begin at {@code firstSource}. */
     public ConnectionHolder(int port, boolean uwsgi, int firstSource) {
-        to = new InetSocketAddress("127.0.0.1", port);
+        target = new InetSocketAddress("127.0.0.1", port);
         this.uwsgi = uwsgi;
         this.firstSource = firstSource;
     }
 
-    private final class Held extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class HeldConnection extends SimpleChannelInboundHandler<ByteBuf> {
         private Channel channel;
-        private boolean owed;
+        private boolean awaitingResponse;
 
-        /** Answers are small and come in one piece. */
+        /** Counts a response; responses are small enough to arrive in one read. */
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
             String text = bytes.toString(StandardCharsets.ISO_8859_1);
-            boolean answer = uwsgi ? text.startsWith("HTTP/1.1") : text.startsWith("{");
-            if (!answer || text.contains("lastCall")) {
+            boolean isResponse = uwsgi ? text.startsWith("HTTP/1.1") : text.startsWith("{");
+            if (!isResponse || text.contains("lastCall")) {
                 return;
             }
-            twice += owed ? 0 : 1;
-            owed = false;
-            answers++;
-            lastAnswer = System.nanoTime();
+            duplicates += awaitingResponse ? 0 : 1;
+            awaitingResponse = false;
+            responses++;
+            lastResponseNanos = System.nanoTime();
             served += text.contains("\"result\"") || text.startsWith("HTTP/1.1 200") ? 1 : 0;
             refused += text.contains("-32066") || text.startsWith("HTTP/1.1 503") ? 1 : 0;
-            told += text.contains("\"later\"") || text.contains("Retry-After") ? 1 : 0;
+            retryTimes += text.contains("\"later\"") || text.contains("Retry-After") ? 1 : 0;
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            lastClosed = System.nanoTime();
-            firstClosed = closed++ == 0 ? lastClosed : firstClosed;
+            lastClosedNanos = System.nanoTime();
+            firstClosedNanos = closed++ == 0 ? lastClosedNanos : firstClosedNanos;
         }
 
         @Override
@@ -88,37 +91,40 @@
         }
     }
 
-    /** Opens so many connections, some hundred at a time. */
+    /**
+     * Opens {@code count} connections, at most {@link #MAX_CONNECTING} at a time, sends a health check on each and
+     * returns counts; waits at most 60 s.
+     */
     public JSONObject open(int count) throws InterruptedException {
-        long began = System.nanoTime();
+        long beganNanos = System.nanoTime();
         loop.execute(() -> connect(count));
-        await(() -> all.size() + failed >= count && answers + closed >= all.size(), 60);
+        await(() -> connections.size() + failed >= count && responses + closed >= connections.size(), 60);
         return new JSONObject()
-                .put("open", all.size())
-                .put("answered", answers)
+                .put("open", connections.size())
+                .put("answered", responses)
                 .put("closed", closed)
                 .put("failed", failed)
-                .put("took_ms", since(began));
+                .put("took_ms", millisSince(beganNanos));
     }
 
     private void connect(int count) {
-        while (begun < count && connecting < CONNECTING) {
+        while (attempted < count && connecting < MAX_CONNECTING) {
             connecting++;
-            int source = firstSource + begun++ / OF_SOURCE;
-            Held held = new Held();
+            int source = firstSource + attempted++ / MAX_CONNECTIONS_PER_SOURCE;
+            HeldConnection held = new HeldConnection();
             InetSocketAddress from = new InetSocketAddress(address(source), 0);
             new Bootstrap()
                     .group(group)
                     .channel(NioSocketChannel.class)
                     .handler(held)
-                    .connect(to, from)
+                    .connect(target, from)
                     .addListener(done -> {
                         connecting--;
                         if (done.isSuccess()) {
-                            all.add(held);
+                            connections.add(held);
                             held.channel = ((ChannelFuture) done).channel();
-                            held.owed = true;
-                            held.channel.writeAndFlush(check()); // as an app does that has come up
+                            held.awaitingResponse = true;
+                            held.channel.writeAndFlush(healthCheck()); // as a client does after it has connected
                         } else {
                             failed++;
                         }
@@ -135,69 +141,69 @@
         }
     }
 
-    private ByteBuf check() {
+    private ByteBuf healthCheck() {
         return uwsgi ? packet("/health", "") : text("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n");
     }
 
-    /** Each sends a request at once. */
+    /** Sends a request on every connection at once and returns counts and times of the responses. */
     public JSONObject sendBurst() throws InterruptedException {
-        long door = System.currentTimeMillis();
+        long nowMillis = System.currentTimeMillis();
         Sites.Kind search = Sites.KINDS.get(1);
-        return ask(i -> uwsgi
+        return sendRequests(i -> uwsgi
                 ? packet("/search", "i" + i)
                 : text(Sites.request(
                         2,
                         search,
                         "barangay-kitchens",
                         String.format("%016x", 0x5EEDL << 40 | (long) firstSource << 20 | i),
-                        door)));
+                        nowMillis)));
     }
 
-    private interface Message {
-        ByteBuf of(int index);
+    private interface MessageFactory {
+        ByteBuf create(int index);
     }
 
-    private JSONObject ask(Message message) throws InterruptedException {
+    private JSONObject sendRequests(MessageFactory factory) throws InterruptedException {
         List<ByteBuf> messages = new ArrayList<>();
-        for (int i = 0; i < all.size(); i++) {
-            messages.add(message.of(i));
+        for (int i = 0; i < connections.size(); i++) {
+            messages.add(factory.create(i));
         }
-        long[] began = new long[2];
+        long[] beganNanos = new long[2];
         loop.submit(() -> {
-                    answers = 0;
+                    responses = 0;
                     served = 0;
                     refused = 0;
-                    told = 0;
-                    twice = 0;
-                    began[0] = System.nanoTime();
-                    for (int i = 0; i < all.size(); i++) {
-                        all.get(i).owed = true;
-                        all.get(i).channel.writeAndFlush(messages.get(i));
+                    retryTimes = 0;
+                    duplicates = 0;
+                    beganNanos[0] = System.nanoTime();
+                    for (int i = 0; i < connections.size(); i++) {
+                        connections.get(i).awaitingResponse = true;
+                        connections.get(i).channel.writeAndFlush(messages.get(i));
                     }
-                    began[1] = System.nanoTime();
+                    beganNanos[1] = System.nanoTime();
                 })
                 .syncUninterruptibly();
-        await(() -> answers + closed >= all.size(), 20);
-        TimeUnit.MILLISECONDS.sleep(300); // second answers would come now
+        await(() -> responses + closed >= connections.size(), 20);
+        TimeUnit.MILLISECONDS.sleep(300); // waits for unexpected second responses
         return new JSONObject()
-                .put("asked", all.size())
-                .put("answered", answers)
+                .put("asked", connections.size())
+                .put("answered", responses)
                 .put("served", served)
                 .put("refused", refused)
-                .put("told_when_to_come_back", told)
-                .put("answered_twice", twice)
+                .put("told_when_to_come_back", retryTimes)
+                .put("answered_twice", duplicates)
                 .put("closed", closed)
-                .put("sending_took_ms", (began[1] - began[0]) / 1_000_000)
-                .put("all_answered_ms", (lastAnswer - began[0]) / 1_000_000);
+                .put("sending_took_ms", (beganNanos[1] - beganNanos[0]) / 1_000_000)
+                .put("all_answered_ms", (lastResponseNanos - beganNanos[0]) / 1_000_000);
     }
 
-    /** Waits until the server has closed all. */
+    /** Waits at most {@code seconds} until the server has closed all connections, and returns counts and times. */
     public JSONObject awaitClosed(int seconds) throws InterruptedException {
-        await(() -> closed >= all.size(), seconds);
+        await(() -> closed >= connections.size(), seconds);
         return new JSONObject()
                 .put("closed", closed)
-                .put("of", all.size())
-                .put("from_first_to_last_ms", (lastClosed - firstClosed) / 1_000_000);
+                .put("of", connections.size())
+                .put("from_first_to_last_ms", (lastClosedNanos - firstClosedNanos) / 1_000_000);
     }
 
     private static ByteBuf text(String line) {
@@ -215,19 +221,19 @@
         return out;
     }
 
-    private interface Done {
-        boolean yet();
+    private interface Condition {
+        boolean isMet();
     }
 
-    private void await(Done done, int seconds) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
-        while (!loop.submit(done::yet).syncUninterruptibly().getNow() && System.nanoTime() < until) {
+    private void await(Condition condition, int seconds) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
+        while (!loop.submit(condition::isMet).syncUninterruptibly().getNow() && System.nanoTime() < deadlineNanos) {
             TimeUnit.MILLISECONDS.sleep(5);
         }
     }
 
-    private static long since(long began) {
-        return (System.nanoTime() - began) / 1_000_000;
+    private static long millisSince(long beganNanos) {
+        return (System.nanoTime() - beganNanos) / 1_000_000;
     }
 
     @Override
--- a/lab/src/main/java/wheatspread/lab/load/ConnectionHolderProcess.java
+++ b/lab/src/main/java/wheatspread/lab/load/ConnectionHolderProcess.java
@@ -10,13 +10,13 @@
 import java.util.concurrent.TimeUnit;
 import org.json.JSONObject;
 
-/** A {@link ConnectionHolder} in a process of its own, since a process may hold only so many descriptors. */
+/** Runs a {@link ConnectionHolder} in a separate process, since the number of descriptors per process is limited. */
 public final class ConnectionHolderProcess implements AutoCloseable {
     private final Process process;
     private final BufferedReader in;
     private final Writer out;
 
-    /** Starts the process and waits for nothing; connections come from addresses that begin at {@code firstSource}. */
+    /** Starts the process without waiting for it; source addresses of its connections begin at {@code firstSource}. */
     public ConnectionHolderProcess(int port, int count, boolean uwsgi, int firstSource) throws IOException {
         Path java = Path.of(System.getProperty("java.home"), "bin", "java");
         process = new ProcessBuilder(List.of(
@@ -39,14 +39,15 @@
         out = process.outputWriter(StandardCharsets.UTF_8);
     }
 
-    /** Says a word, and returns the figures it answers. */
-    public JSONObject execute(String word) throws IOException {
-        sendCommand(word);
+    /** Sends a command and returns the figures that the process answers. */
+    public JSONObject execute(String command) throws IOException {
+        sendCommand(command);
         return readReport();
     }
 
-    public void sendCommand(String word) throws IOException {
-        out.write(word + "\n");
+    /** Sends a command without reading its answer. */
+    public void sendCommand(String command) throws IOException {
+        out.write(command + "\n");
         out.flush();
     }
 
@@ -54,7 +55,7 @@
     public JSONObject readReport() throws IOException {
         String line = in.readLine();
         if (line == null) {
-            throw new IOException("the process that holds connections ended");
+            throw new IOException("connection holder process ended without a report");
         }
         return new JSONObject(line);
     }
--- a/lab/src/main/java/wheatspread/lab/load/LoadGenerator.java
+++ b/lab/src/main/java/wheatspread/lab/load/LoadGenerator.java
@@ -25,9 +25,9 @@
 import wheatspread.lab.Sites;
 
 /**
- * Proxies that ask at a steady rate whatever becomes of the answers: the times of the requests are drawn
- * ahead (a Poisson process), and an answer's time counts from when its request should have been sent, so that
- * a stalled server is not asked less.
+ * Open-loop load generator: proxies send requests at a fixed mean rate, independently of the responses. Request
+ * times are drawn as a Poisson process, and a response time counts from the time at which the request was due, so
+ * that a stalled server does not reduce the load.
  */
 public final class LoadGenerator implements AutoCloseable {
     private static final long TICK_MICROS = 500;
@@ -37,47 +37,47 @@
     private final List<Channel> proxies = new ArrayList<>();
     private final Map<Long, Sent> sent = new HashMap<>();
     private final Random random = new Random(5);
-    private final double rate;
-    private Interval stretch = new Interval();
+    private final double requestsPerSecond;
+    private Interval interval = new Interval();
     private boolean running;
-    private long next;
+    private long nextRequestNanos;
     private long lastId;
 
-    private record Sent(long at, Sites.Kind kind, Interval stretch) {}
+    private record Sent(long dueNanos, Sites.Kind kind, Interval interval) {}
 
-    /** What became of the requests of one stretch of time. */
+    /** Outcomes of the requests that were due in one interval; written on the generator's event loop. */
     public static final class Interval {
-        private final Histogram times = new Histogram(1, 60_000_000, 3);
-        private long asked;
+        private final Histogram responseMicros = new Histogram(1, 60_000_000, 3);
+        private long requests;
         private long served;
-        private long wanted;
+        private long servedInTime;
         private long refused;
         private long failed;
 
-        /** Its figures; times are milliseconds, of served requests. */
+        /** Returns counts and response times under their report keys; times are of served requests, in milliseconds. */
         public JSONObject figures() {
             return new JSONObject()
-                    .put("asked", asked)
+                    .put("asked", requests)
                     .put("served", served)
                     .put("refused", refused)
                     .put("failed", failed)
-                    .put("unanswered", asked - served - refused - failed)
-                    .put("in_wanted_time", asked == 0 ? 0 : (double) wanted / asked)
-                    .put("p50_ms", times.getValueAtPercentile(50) / 1e3)
-                    .put("p99_ms", times.getValueAtPercentile(99) / 1e3)
-                    .put("p999_ms", times.getValueAtPercentile(99.9) / 1e3)
-                    .put("longest_ms", times.getMaxValue() / 1e3);
+                    .put("unanswered", requests - served - refused - failed)
+                    .put("in_wanted_time", requests == 0 ? 0 : (double) servedInTime / requests)
+                    .put("p50_ms", responseMicros.getValueAtPercentile(50) / 1e3)
+                    .put("p99_ms", responseMicros.getValueAtPercentile(99) / 1e3)
+                    .put("p999_ms", responseMicros.getValueAtPercentile(99.9) / 1e3)
+                    .put("longest_ms", responseMicros.getMaxValue() / 1e3);
         }
 
-        /** Where a percentile of the times lies, in milliseconds. */
+        /** Returns a percentile of the response times of served requests, in milliseconds. */
         public double percentile(double percent) {
-            return times.getValueAtPercentile(percent) / 1e3;
+            return responseMicros.getValueAtPercentile(percent) / 1e3;
         }
     }
 
-    /** Opens some connections to a port and asks nothing yet. */
-    public LoadGenerator(int port, int connections, double perSecond) {
-        rate = perSecond;
+    /** Opens connections to a loopback port; sends nothing before {@link #beginInterval}. */
+    public LoadGenerator(int port, int connections, double requestsPerSecond) {
+        this.requestsPerSecond = requestsPerSecond;
         for (int i = 0; i < connections; i++) {
             proxies.add(new Bootstrap()
                     .group(group)
@@ -100,40 +100,41 @@
         loop.scheduleAtFixedRate(this::tick, 0, TICK_MICROS, TimeUnit.MICROSECONDS);
     }
 
-    /** Asks for so many milliseconds, and returns what became of it once the last answer has had its time. */
-    public Interval run(long millis, long afterwards) throws InterruptedException {
-        Interval one = beginInterval();
+    /** Sends requests for {@code millis} and returns their outcomes {@code settleMillis} after the last request. */
+    public Interval run(long millis, long settleMillis) throws InterruptedException {
+        Interval measured = beginInterval();
         TimeUnit.MILLISECONDS.sleep(millis);
         pause();
-        TimeUnit.MILLISECONDS.sleep(afterwards);
-        return one;
+        TimeUnit.MILLISECONDS.sleep(settleMillis);
+        return measured;
     }
 
-    /** From now on requests belong to a new stretch. */
+    /** Begins a new interval, to which requests sent from now on are counted, and starts sending if paused. */
     public Interval beginInterval() {
         return loop.submit(() -> {
-                    stretch = new Interval();
+                    interval = new Interval();
                     if (!running) {
-                        next = System.nanoTime();
+                        nextRequestNanos = System.nanoTime();
                     }
                     running = true;
-                    return stretch;
+                    return interval;
                 })
                 .syncUninterruptibly()
                 .getNow();
     }
 
+    /** Stops sending requests until the next {@link #beginInterval}. */
     public void pause() {
         loop.submit(() -> running = false).syncUninterruptibly();
     }
 
     private void tick() {
-        while (running && next <= System.nanoTime()) {
+        while (running && nextRequestNanos <= System.nanoTime()) {
             Channel proxy = proxies.get(random.nextInt(proxies.size()));
             Sites.Kind kind = Sites.kind(random);
             long id = ++lastId;
-            sent.put(id, new Sent(next, kind, stretch));
-            stretch.asked++;
+            sent.put(id, new Sent(nextRequestNanos, kind, interval));
+            interval.requests++;
             String line = Sites.request(
                     id,
                     kind,
@@ -141,29 +142,29 @@
                     String.format("%016x", 0xABCL << 40 | id),
                     System.currentTimeMillis());
             proxy.writeAndFlush(ByteBufUtil.writeUtf8(proxy.alloc(), line));
-            next += (long) (-Math.log(1 - random.nextDouble()) / rate * 1e9);
+            nextRequestNanos += (long) (-Math.log(1 - random.nextDouble()) / requestsPerSecond * 1e9);
         }
     }
 
     private final class Answers extends SimpleChannelInboundHandler<String> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, String line) {
-            int at = line.indexOf("\"id\":");
-            Sent one = at < 0
+            int idStart = line.indexOf("\"id\":");
+            Sent request = idStart < 0
                     ? null
-                    : sent.remove(Long.parseLong(line.substring(at + 5).split("\\D")[0]));
-            if (one == null) {
+                    : sent.remove(Long.parseLong(line.substring(idStart + 5).split("\\D")[0]));
+            if (request == null) {
                 return;
             }
             if (line.contains("\"result\"")) {
-                long micros = (System.nanoTime() - one.at) / 1_000;
-                one.stretch.served++;
-                one.stretch.times.recordValue(Math.max(1, micros));
-                one.stretch.wanted += micros <= one.kind.wanted() * 1_000L ? 1 : 0;
+                long micros = (System.nanoTime() - request.dueNanos) / 1_000;
+                request.interval.served++;
+                request.interval.responseMicros.recordValue(Math.max(1, micros));
+                request.interval.servedInTime += micros <= request.kind.wanted() * 1_000L ? 1 : 0;
             } else if (line.contains("-32066")) {
-                one.stretch.refused++;
+                request.interval.refused++;
             } else {
-                one.stretch.failed++;
+                request.interval.failed++;
             }
         }
     }
