--- a/lab/src/main/java/wheatspread/lab/store/Writers.java
+++ b/lab/src/main/java/wheatspread/lab/store/GroupWriter.java
@@ -14,9 +14,12 @@
 import wheatspread.store.Store;
 import wheatspread.store.StoreSettings;
 
-/** Ways to make a group of writes last. */
-interface Writers extends AutoCloseable {
-    /** Begins a group; it lasts when the latch is at 0. Those without a thread of their own end it first. */
+/** Writes groups of keys and values durably. Instances are used by one thread. */
+interface GroupWriter extends AutoCloseable {
+    /**
+     * Begins writing a group. The returned latch reaches 0 when the group is durable; writers without a background
+     * thread block until then.
+     */
     CountDownLatch begin(byte[][] keys, byte[] value) throws Exception;
 
     CountDownLatch DONE = new CountDownLatch(0);
@@ -24,10 +27,10 @@
     @Override
     void close() throws IOException;
 
-    /** The program's store. */
-    static Writers store(Path folder, StoreSettings settings) throws IOException {
+    /** Returns a writer to the server's embedded store. */
+    static GroupWriter store(Path folder, StoreSettings settings) throws IOException {
         Store store = Store.open(FolderDisk.make(folder), settings, Store.Clock.SYSTEM, Runnable::run, EventLog.NONE);
-        return new Writers() {
+        return new GroupWriter() {
             @Override
             public CountDownLatch begin(byte[][] keys, byte[] value) throws Exception {
                 CountDownLatch held = new CountDownLatch(keys.length);
@@ -41,7 +44,7 @@
                 }
                 Store.Rejection refusal = batch.send();
                 if (refusal != null) {
-                    throw new IOException("refused: " + refusal);
+                    throw new IOException("store refused a batch of " + keys.length + " writes: " + refusal);
                 }
                 return held;
             }
@@ -53,29 +56,29 @@
         };
     }
 
-    /** The plain way: a log that is synced for each group, and a map of where each key's record begins. */
-    static Writers plain(Path file) throws IOException {
+    /** Returns a baseline writer: a log synced after each group, and a map from key to the offset of its record. */
+    static GroupWriter plain(Path file) throws IOException {
         FileChannel channel = append(file);
-        Map<ByteBuffer, Long> places = new HashMap<>();
-        CRC32C sum = new CRC32C();
-        return new Writers() {
-            private long end;
+        Map<ByteBuffer, Long> offsets = new HashMap<>();
+        CRC32C checksum = new CRC32C();
+        return new GroupWriter() {
+            private long endOffset;
 
             @Override
             public CountDownLatch begin(byte[][] keys, byte[] value) throws Exception {
                 ByteBuffer bytes = ByteBuffer.allocate(keys.length * (12 + keys[0].length + value.length));
                 for (byte[] key : keys) {
-                    sum.reset();
-                    sum.update(key);
-                    sum.update(value);
-                    places.put(ByteBuffer.wrap(key), end + bytes.position());
+                    checksum.reset();
+                    checksum.update(key);
+                    checksum.update(value);
+                    offsets.put(ByteBuffer.wrap(key), endOffset + bytes.position());
                     bytes.putInt(key.length)
                             .putInt(value.length)
-                            .putInt((int) sum.getValue())
+                            .putInt((int) checksum.getValue())
                             .put(key)
                             .put(value);
                 }
-                end += bytes.position();
+                endOffset += bytes.position();
                 channel.write(bytes.flip());
                 channel.force(false);
                 return DONE;
@@ -92,10 +95,10 @@
         return FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.APPEND);
     }
 
-    /** The disk alone: the bytes of the group appended and synced. */
-    static Writers bare(Path file) throws IOException {
+    /** Returns a writer that measures the disk alone: appends the group's bytes and syncs. */
+    static GroupWriter bare(Path file) throws IOException {
         FileChannel channel = append(file);
-        return new Writers() {
+        return new GroupWriter() {
             @Override
             public CountDownLatch begin(byte[][] keys, byte[] value) throws Exception {
                 ByteBuffer bytes = ByteBuffer.allocate(keys.length * (keys[0].length + value.length));
