--- a/lab/src/main/java/wheatspread/lab/faults/Fault.java
+++ b/lab/src/main/java/wheatspread/lab/faults/Fault.java
@@ -5,13 +5,13 @@
 import java.util.TreeMap;
 
 /**
- * One fault between processes, with its targets drawn. Times are microseconds from the begin of the run.
+ * One injected fault, with its targets already drawn. Times are microseconds from the start of the run.
  *
- * @param from whose messages are hit, of faults on links
- * @param to on their way to whom
- * @param on whom it hits, of faults of processes
- * @param share how much of what it hits; of {@code starve} how much time is left to the process
- * @param extraMicros the delay, the longest detour of {@code reorder}, or the period of {@code flap}
+ * @param from for link faults, the senders whose messages are affected
+ * @param to for link faults, the receivers of the affected messages
+ * @param on for process faults, the affected members
+ * @param share the affected share of messages; for {@code starve}, the share of CPU time that the process keeps
+ * @param extraMicros the delay, the maximum delay of {@code reorder}, or the period of {@code flap}
  */
 public record Fault(
         Kind kind,
@@ -22,7 +22,7 @@
         Set<String> on,
         double share,
         long extraMicros) {
-    /** What is done. */
+    /** The kind of fault; its name in lower case is the {@code do} value in scenario files. */
     public enum Kind {
         CUT,
         LOSS,
@@ -37,22 +37,22 @@
         LEAVE,
         GARBAGE;
 
-        /** Whether it hits links rather than processes. */
-        public boolean isOfLinks() {
+        /** Returns whether this kind affects links rather than processes. */
+        public boolean isLinkFault() {
             return compareTo(FLAP) <= 0;
         }
 
-        /** Whether it is a moment and has no end. */
-        public boolean isMoment() {
+        /** Returns whether this kind happens at one time and has no duration. */
+        public boolean isInstantaneous() {
             return this == KILL || this == RESTART || this == LEAVE;
         }
 
-        static Map<String, Kind> words() {
-            Map<String, Kind> words = new TreeMap<>();
-            for (Kind one : values()) {
-                words.put(one.name().toLowerCase(), one);
+        static Map<String, Kind> byName() {
+            Map<String, Kind> kinds = new TreeMap<>();
+            for (Kind kind : values()) {
+                kinds.put(kind.name().toLowerCase(), kind);
             }
-            return words;
+            return kinds;
         }
     }
 
--- a/lab/src/main/java/wheatspread/lab/faults/FaultsRun.java
+++ b/lab/src/main/java/wheatspread/lab/faults/FaultsRun.java
@@ -27,35 +27,36 @@
 import wheatspread.lab.world.InvariantChecker;
 
 /**
- * Plays one scenario with real processes, each with its own kernel, with load from proxies and with relays on
- * every link between servers. What always has to hold is read from the processes' own logs and doors.
+ * Runs one fault scenario with real server processes, each with a simulated kernel, under load from proxies and
+ * with relays on every link between servers. The invariants are checked with the processes' logs and the answers
+ * of their control addresses. An instance performs one run.
  */
 public final class FaultsRun {
     private static final String CLUSTER = "lab";
-    private static final long FORM_MS = 40_000;
-    private static final long LOOK_MS = 50;
-    private static final long GARBAGE_EVERY_MS = 2;
-    private static final int TAIL_LINES = 6;
+    private static final long FORM_TIMEOUT_MS = 40_000;
+    private static final long POLL_MS = 50;
+    private static final long GARBAGE_INTERVAL_MS = 2;
+    private static final int MAX_TAIL_LINES = 6;
 
     private final Path jar;
     private final List<String> flags;
     private final Scenario scenario;
     private final long seed;
-    private final List<String> faults = new ArrayList<>();
-    private final Verdict verdict = new Verdict();
-    /** Members whose process was ended and not followed by another. */
+    private final List<String> violations = new ArrayList<>();
+    private final ViewChecker viewChecker = new ViewChecker();
+    /** Members whose process was ended and not restarted. */
     private final Set<String> ended = new HashSet<>();
-    /** Whoever ends by itself has crashed, but for these. */
-    private final Set<String> left = new HashSet<>();
+    /** Members that received SIGTERM; any other process that exits by itself has crashed. */
+    private final Set<String> terminated = new HashSet<>();
 
     private Rig rig;
     private Relays relays;
-    private long begin;
+    private long beginMicros;
 
-    /** What came of it; {@code faults} is empty where all held. */
+    /** Figures of one run; {@code violations} is empty if every invariant and expectation held. */
     public record Outcome(JSONObject figures, List<String> violations) {}
 
-    /** {@code flags} are those of the servers' JVMs. */
+    /** Creates a run; {@code flags} are the JVM flags of the servers. */
     public FaultsRun(Path jar, List<String> flags, Scenario scenario, long seed) {
         this.jar = jar;
         this.flags = flags;
@@ -63,34 +64,34 @@
         this.seed = seed;
     }
 
-    /** Once an object. */
+    /** Performs the run; to be called once per instance. */
     public Outcome run() throws Exception {
-        try (Rig made = new Rig(jar, flags, scenario.members())) {
-            rig = made;
+        try (Rig startedRig = new Rig(jar, flags, scenario.members())) {
+            rig = startedRig;
             LinkModel links = new LinkModel(new SplittableRandom(seed));
-            try (Relays between = relays(links)) {
-                relays = between;
-                long formed = System.nanoTime();
+            try (Relays startedRelays = createRelays(links)) {
+                relays = startedRelays;
+                long startNanos = System.nanoTime();
                 rig.start();
                 JSONObject figures = new JSONObject()
                         .put("seed", seed)
                         .put("members", scenario.members().size());
-                if (converge(scenario.members().size(), FORM_MS) < 0) {
-                    faults.add("no fleet was formed within " + FORM_MS + " ms: " + states());
-                    return new Outcome(figures, faults);
+                if (converge(scenario.members().size(), FORM_TIMEOUT_MS) < 0) {
+                    violations.add("no cluster was formed within " + FORM_TIMEOUT_MS + " ms: " + describeStates());
+                    return new Outcome(figures, violations);
                 }
-                figures.put("formed_ms", TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - formed));
+                figures.put("formed_ms", TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos));
                 readLogs();
-                Set<String> before = new HashSet<>(verdict.views());
+                Set<String> viewsBefore = new HashSet<>(viewChecker.views());
                 rig.world().setRequestRate(scenario.loadPerSecond());
-                befall();
-                judge(before, figures);
-                return new Outcome(figures, faults);
+                injectFaults();
+                checkOutcome(viewsBefore, figures);
+                return new Outcome(figures, violations);
             }
         }
     }
 
-    private Relays relays(LinkModel links) throws IOException {
+    private Relays createRelays(LinkModel links) throws IOException {
         Map<String, InetSocketAddress> real = new LinkedHashMap<>();
         Map<String, InetSocketAddress> advertised = new LinkedHashMap<>();
         for (String name : scenario.members()) {
@@ -100,7 +101,7 @@
         JSONArray seeds = new JSONArray();
         scenario.members()
                 .subList(0, scenario.seedCount())
-                .forEach(one -> seeds.put(StandInAddress.format(advertised.get(one))));
+                .forEach(name -> seeds.put(StandInAddress.format(advertised.get(name))));
         for (String name : scenario.members()) {
             rig.member(name)
                     .setOperatorConfig(
@@ -120,67 +121,65 @@
         return new Relays(links, CLUSTER, real, advertised, seed);
     }
 
-    // ---- what befalls them ----
-
-    private void sleepUntil(long at) throws InterruptedException {
-        long wait = begin + at - Relays.micros();
-        if (wait > 0) {
-            TimeUnit.MICROSECONDS.sleep(wait);
+    private void sleepUntil(long offsetMicros) throws InterruptedException {
+        long waitMicros = beginMicros + offsetMicros - Relays.micros();
+        if (waitMicros > 0) {
+            TimeUnit.MICROSECONDS.sleep(waitMicros);
         }
     }
 
-    /** Carries all faults out and waits for the end of the last. */
-    private void befall() throws Exception {
-        begin = Relays.micros();
-        relays.beginAt(begin);
-        ExecutorService hands = Executors.newCachedThreadPool();
+    /** Injects all faults and waits until the last one ends. */
+    private void injectFaults() throws Exception {
+        beginMicros = Relays.micros();
+        relays.beginAt(beginMicros);
+        ExecutorService executor = Executors.newCachedThreadPool();
         try {
-            List<Future<Void>> going = new ArrayList<>();
-            for (Fault one : scenario.faults()) {
-                if (one.kind().isOfLinks()) {
-                    going.add(hands.submit(() -> {
-                        sleepUntil(one.beginMicros());
-                        relays.begin(one);
-                        sleepUntil(one.endMicros());
-                        relays.end(one);
+            List<Future<Void>> pending = new ArrayList<>();
+            for (Fault scheduled : scenario.faults()) {
+                if (scheduled.kind().isLinkFault()) {
+                    pending.add(executor.submit(() -> {
+                        sleepUntil(scheduled.beginMicros());
+                        relays.begin(scheduled);
+                        sleepUntil(scheduled.endMicros());
+                        relays.end(scheduled);
                         return null;
                     }));
                 } else {
-                    for (String name : one.on()) {
-                        going.add(hands.submit(deed(one, rig.member(name))));
+                    for (String name : scheduled.on()) {
+                        pending.add(executor.submit(createTask(scheduled, rig.member(name))));
                     }
                 }
             }
-            for (Future<Void> one : going) {
-                one.get();
+            for (Future<Void> injection : pending) {
+                injection.get();
             }
         } finally {
-            hands.shutdownNow();
+            executor.shutdownNow();
         }
     }
 
-    private Callable<Void> deed(Fault fault, RigServer member) {
+    private Callable<Void> createTask(Fault fault, RigServer member) {
         return () -> {
             sleepUntil(fault.beginMicros());
             long millis = fault.durationMicros() / 1_000;
             switch (fault.kind()) {
                 case PAUSE -> {
-                    excuse(member, millis);
+                    recordPause(member, millis);
                     member.pause(millis);
                 }
                 case STARVE -> {
-                    excuse(member, millis);
+                    recordPause(member, millis);
                     member.starve(fault.share(), millis);
                 }
                 case KILL -> {
-                    gone(member);
+                    recordKill(member);
                     member.kill();
                 }
                 case RESTART -> {
-                    gone(member);
+                    recordKill(member);
                     member.kill();
                     synchronized (this) {
-                        verdict.read(member.name(), member.log().lines());
+                        viewChecker.read(member.name(), member.log().lines());
                         ended.remove(member.name());
                     }
                     member.start();
@@ -188,17 +187,18 @@
                 case LEAVE -> {
                     synchronized (this) {
                         ended.add(member.name());
-                        left.add(member.name());
+                        terminated.add(member.name());
                     }
                     int code = member.terminate();
                     if (code != 0) {
-                        fault(member.name() + " left with " + code + ": " + tail(member));
+                        addViolation(member.name() + " exited with code " + code + " after SIGTERM, log: "
+                                + logTail(member));
                     }
                 }
                 case GARBAGE -> {
-                    while (Relays.micros() < begin + fault.endMicros()) {
-                        relays.garbage(member.name());
-                        TimeUnit.MILLISECONDS.sleep(GARBAGE_EVERY_MS);
+                    while (Relays.micros() < beginMicros + fault.endMicros()) {
+                        relays.sendGarbage(member.name());
+                        TimeUnit.MILLISECONDS.sleep(GARBAGE_INTERVAL_MS);
                     }
                 }
                 default -> throw new IllegalStateException(fault.kind().name());
@@ -207,153 +207,153 @@
         };
     }
 
-    private synchronized void gone(RigServer member) {
+    private synchronized void recordKill(RigServer member) {
         ended.add(member.name());
         rig.world().recordKill(member.name());
     }
 
-    private void excuse(RigServer member, long millis) {
-        long now = System.currentTimeMillis();
-        rig.world().recordPause(member.name(), now, now + millis);
+    private void recordPause(RigServer member, long millis) {
+        long nowMillis = System.currentTimeMillis();
+        rig.world().recordPause(member.name(), nowMillis, nowMillis + millis);
     }
 
-    private synchronized void fault(String text) {
-        faults.add(text);
+    private synchronized void addViolation(String text) {
+        violations.add(text);
     }
 
-    // ---- what came of it ----
-
-    private void judge(Set<String> before, JSONObject figures) throws Exception {
+    private void checkOutcome(Set<String> viewsBefore, JSONObject figures) throws Exception {
         int size = scenario.expect().finalMembers() >= 0
                 ? scenario.expect().finalMembers()
                 : scenario.members().size() - ended.size();
-        long within = scenario.expect().convergenceMicros() / 1_000;
-        long took = scenario.losesQuorum() ? standStill(within) : converge(size, within);
-        figures.put("converged_ms", took);
-        if (took < 0) {
-            faults.add("no view of " + size + " on all within " + within + " ms of the last fault's end: " + states());
+        long timeoutMillis = scenario.expect().convergenceMicros() / 1_000;
+        long convergedMillis = scenario.losesQuorum() ? awaitQuorumLoss(timeoutMillis) : converge(size, timeoutMillis);
+        figures.put("converged_ms", convergedMillis);
+        if (convergedMillis < 0) {
+            violations.add("running members did not agree on a view of " + size + " within " + timeoutMillis
+                    + " ms after the last fault: " + describeStates());
         }
         sleepUntil(scenario.runMicros());
         if (scenario.loadPerSecond() > 0) {
             figures.put("open_at_end", rig.settle());
             InvariantChecker checker = rig.world().checker();
-            faults.addAll(checker.violations());
+            violations.addAll(checker.violations());
             figures.put("load", checker.figures());
         }
-        if (took >= 0 && (scenario.losesQuorum() ? standStill(LOOK_MS) : converge(size, LOOK_MS)) < 0) {
-            faults.add("the view did not last until the end: " + states());
+        if (convergedMillis >= 0 && (scenario.losesQuorum() ? awaitQuorumLoss(POLL_MS) : converge(size, POLL_MS)) < 0) {
+            violations.add("the converged state did not last until the end of the run: " + describeStates());
         }
         readLogs();
-        faults.addAll(verdict.faults());
+        violations.addAll(viewChecker.violations());
         for (RigServer member : rig.members()) {
             if (!member.isAlive() && !ended.contains(member.name())) {
-                faults.add(member.name() + " has ended by itself: " + tail(member));
+                violations.add(member.name() + " exited unexpectedly, log: " + logTail(member));
             }
         }
-        int views = verdict.viewsBesides(before);
-        figures.put("views", views).put("missed", new JSONArray(verdict.missed()));
+        int views = viewChecker.viewsBesides(viewsBefore);
+        figures.put("views", views).put("missed", new JSONArray(viewChecker.missed()));
         if (scenario.expect().maxViews() >= 0 && views > scenario.expect().maxViews()) {
-            faults.add(views + " views, and " + scenario.expect().maxViews() + " at most were expected: "
-                    + verdict.views());
+            violations.add(views + " views, and " + scenario.expect().maxViews() + " at most were expected: "
+                    + viewChecker.views());
         }
-        Set<String> gone = scenario.expect().missedMembers();
-        if (gone != null && !gone.equals(verdict.missed())) {
-            faults.add("missed were " + verdict.missed() + "; expected " + new TreeSet<>(gone));
+        Set<String> expectedMissed = scenario.expect().missedMembers();
+        if (expectedMissed != null && !expectedMissed.equals(viewChecker.missed())) {
+            violations.add("members missed by their observers were " + viewChecker.missed() + ", expected "
+                    + new TreeSet<>(expectedMissed));
         }
     }
 
     private synchronized void readLogs() {
         for (RigServer member : rig.members()) {
             if (member.log() != null) {
-                verdict.read(member.name(), member.log().lines());
+                viewChecker.read(member.name(), member.log().lines());
             }
         }
     }
 
     /**
-     * Waits until all that live say that they are in one view of that size and that it stands; returns
-     * after how many ms that was first seen, or -1.
+     * Waits until all running members report the same view of {@code size} members and that it has a quorum.
+     * Returns the milliseconds until that was first seen, or -1 if it is not seen within {@code millis}.
      */
     private long converge(int size, long millis) throws InterruptedException {
-        return await(() -> agree(size), millis);
+        return await(() -> membersAgree(size), millis);
     }
 
-    /** The same until all that live say that their view does not stand. */
-    private long standStill(long millis) throws InterruptedException {
+    /** Like {@link #converge}, but waits until all running members report that their view has no quorum. */
+    private long awaitQuorumLoss(long millis) throws InterruptedException {
         return await(
                 () -> rig.members().stream()
-                        .filter(one -> !ended.contains(one.name()))
-                        .map(one -> ControlClient.members(one.controlAddress()))
-                        .allMatch(told -> told != null && told.getBoolean("in") && !told.getBoolean("stands")),
+                        .filter(member -> !ended.contains(member.name()))
+                        .map(member -> ControlClient.members(member.controlAddress()))
+                        .allMatch(report -> report != null && report.getBoolean("in") && !report.getBoolean("stands")),
                 millis);
     }
 
-    private static long await(BooleanSupplier wanted, long millis) throws InterruptedException {
-        long from = System.nanoTime();
+    private static long await(BooleanSupplier condition, long millis) throws InterruptedException {
+        long startNanos = System.nanoTime();
         do {
-            if (wanted.getAsBoolean()) {
-                return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
+            if (condition.getAsBoolean()) {
+                return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
             }
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
-        } while (System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(millis));
+            TimeUnit.MILLISECONDS.sleep(POLL_MS);
+        } while (System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(millis));
         return -1;
     }
 
-    private boolean agree(int size) {
+    private boolean membersAgree(int size) {
         Set<String> views = new HashSet<>();
         for (RigServer member : rig.members()) {
             if (ended.contains(member.name())) {
                 continue;
             }
-            JSONObject told = ControlClient.members(member.controlAddress());
-            if (told == null
-                    || !told.getBoolean("stands")
-                    || told.getJSONArray("members").length() != size) {
+            JSONObject report = ControlClient.members(member.controlAddress());
+            if (report == null
+                    || !report.getBoolean("stands")
+                    || report.getJSONArray("members").length() != size) {
                 return false;
             }
-            views.add(told.getLong("epoch") + "." + told.getLong("number"));
+            views.add(report.getLong("epoch") + "." + report.getLong("number"));
         }
         return views.size() == 1;
     }
 
-    /** What each says, in short. */
-    private String states() {
+    /** Returns each member's reported view and suspicions in short, for violation texts. */
+    private String describeStates() {
         Map<String, String> states = new HashMap<>();
         for (RigServer member : rig.members()) {
-            JSONObject told = ended.contains(member.name()) ? null : ControlClient.members(member.controlAddress());
+            JSONObject report = ended.contains(member.name()) ? null : ControlClient.members(member.controlAddress());
             states.put(
                     member.name(),
-                    told == null
+                    report == null
                             ? "silent"
-                            : told.getLong("epoch") + "."
-                                    + told.getLong("number") + " of "
-                                    + told.getJSONArray("members").length()
-                                    + (told.getBoolean("in") ? "" : " outside")
-                                    + (told.getBoolean("stands") ? "" : " old: " + told.getString("why_not"))
-                                    + suspected(told));
+                            : report.getLong("epoch") + "."
+                                    + report.getLong("number") + " of "
+                                    + report.getJSONArray("members").length()
+                                    + (report.getBoolean("in") ? "" : " outside")
+                                    + (report.getBoolean("stands") ? "" : " old: " + report.getString("why_not"))
+                                    + describeSuspicions(report));
         }
         return states.toString();
     }
 
-    private static String suspected(JSONObject told) {
+    private static String describeSuspicions(JSONObject report) {
         StringBuilder text = new StringBuilder();
-        for (Object each : told.getJSONArray("members")) {
-            JSONObject one = (JSONObject) each;
-            if (!one.getJSONArray("suspected_by").isEmpty()
-                    || !one.getJSONArray("missed_by").isEmpty()) {
+        for (Object each : report.getJSONArray("members")) {
+            JSONObject member = (JSONObject) each;
+            if (!member.getJSONArray("suspected_by").isEmpty()
+                    || !member.getJSONArray("missed_by").isEmpty()) {
                 text.append(" ")
-                        .append(one.getString("name"))
+                        .append(member.getString("name"))
                         .append(" suspected by ")
-                        .append(one.getJSONArray("suspected_by"))
+                        .append(member.getJSONArray("suspected_by"))
                         .append(" missed by ")
-                        .append(one.getJSONArray("missed_by"));
+                        .append(member.getJSONArray("missed_by"));
             }
         }
         return text.toString();
     }
 
-    private static String tail(RigServer member) {
+    private static String logTail(RigServer member) {
         List<String> lines = member.log().lines();
-        return String.join(" / ", lines.subList(Math.max(0, lines.size() - TAIL_LINES), lines.size()));
+        return String.join(" / ", lines.subList(Math.max(0, lines.size() - MAX_TAIL_LINES), lines.size()));
     }
 }
--- a/lab/src/main/java/wheatspread/lab/faults/LinkModel.java
+++ b/lab/src/main/java/wheatspread/lab/faults/LinkModel.java
@@ -5,11 +5,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What becomes of a message on its way, by the faults that hold. It does no I/O and reads no clock: relays
- * between processes and the emulator ask it alike. Times are microseconds.
+ * Decides whether and when a message between two members arrives, by the link faults in effect. It does no I/O
+ * and reads no clock, so that both the relays between processes and the emulator can use it. Times are
+ * microseconds. Not thread-safe.
  */
 public final class LinkModel {
-    private final List<Fault> holding = new ArrayList<>();
+    private final List<Fault> activeFaults = new ArrayList<>();
     private final RandomGenerator random;
 
     public LinkModel(RandomGenerator random) {
@@ -17,38 +18,38 @@
     }
 
     public void begin(Fault fault) {
-        holding.add(fault);
+        activeFaults.add(fault);
     }
 
     public void end(Fault fault) {
-        holding.remove(fault);
+        activeFaults.remove(fault);
     }
 
-    /** The delays after which copies of a message arrive; none where it is lost. */
-    public List<Long> deliveryDelays(String from, String to, long now) {
+    /** Returns the delay of each copy of a message that arrives; empty if the message is lost. */
+    public List<Long> deliveryDelays(String from, String to, long nowMicros) {
         long delay = 0;
         int copies = 1;
-        for (Fault one : holding) {
-            if (!one.from().contains(from) || !one.to().contains(to)) {
+        for (Fault fault : activeFaults) {
+            if (!fault.from().contains(from) || !fault.to().contains(to)) {
                 continue;
             }
-            switch (one.kind()) {
+            switch (fault.kind()) {
                 case CUT -> {
                     return List.of();
                 }
                 case FLAP -> {
-                    if ((now - one.beginMicros()) / one.extraMicros() % 2 == 0) {
+                    if ((nowMicros - fault.beginMicros()) / fault.extraMicros() % 2 == 0) {
                         return List.of();
                     }
                 }
                 case LOSS -> {
-                    if (random.nextDouble() < one.share()) {
+                    if (random.nextDouble() < fault.share()) {
                         return List.of();
                     }
                 }
-                case DELAY -> delay += one.extraMicros();
-                case DUPLICATE -> copies += random.nextDouble() < one.share() ? 1 : 0;
-                case REORDER -> delay += random.nextDouble() < one.share() ? random.nextLong(one.extraMicros()) : 0;
+                case DELAY -> delay += fault.extraMicros();
+                case DUPLICATE -> copies += random.nextDouble() < fault.share() ? 1 : 0;
+                case REORDER -> delay += random.nextDouble() < fault.share() ? random.nextLong(fault.extraMicros()) : 0;
                 default -> {}
             }
         }
--- a/lab/src/main/java/wheatspread/lab/faults/Relays.java
+++ b/lab/src/main/java/wheatspread/lab/faults/Relays.java
@@ -20,39 +20,42 @@
 import wheatspread.peers.MessageCodec;
 
 /**
- * What stands between the servers: each is advertised at a socket of this, which passes on to it what
- * {@link LinkModel} lets through. Datagrams are told apart by the port that they come from, streams by the sender
- * that they name. One thread carries the datagrams.
+ * Relays the traffic between the servers: each server is advertised at a socket of this class, which forwards to
+ * it what {@link LinkModel} lets through. The sender of a datagram is identified by its source port, the sender of
+ * a stream by its message. One thread relays all datagrams; each stream has a thread.
  */
 final class Relays implements AutoCloseable {
-    private static final int LARGEST = 2_048;
-    private static final int LARGEST_STREAM = 2 << 20;
+    private static final int MAX_DATAGRAM_BYTES = 2_048;
+    private static final int MAX_STREAM_BYTES = 2 << 20;
 
     private final LinkModel links;
     private final MessageCodec codec;
     private final Selector selector;
     private final Map<String, InetSocketAddress> real;
-    private final Map<Integer, String> byPort = new HashMap<>();
+    private final Map<Integer, String> memberByPort = new HashMap<>();
     private final Map<String, DatagramChannel> channels = new HashMap<>();
-    private final Map<String, ServerSocket> doors = new HashMap<>();
-    private final PriorityQueue<Late> late = new PriorityQueue<>();
+    private final Map<String, ServerSocket> serverSockets = new HashMap<>();
+    private final PriorityQueue<Delayed> delayed = new PriorityQueue<>();
     private final SplittableRandom random;
-    /** When the run began; {@link #micros}. */
-    private long begin;
+    /** Start of the run, in the time of {@link #micros}. */
+    private long beginMicros;
 
-    private byte[] lastSeen = new byte[0];
+    private byte[] lastDatagram = new byte[0];
     private long serial;
     private volatile boolean closed;
 
-    /** A datagram on a longer way. */
-    private record Late(long at, long serial, String from, String to, byte[] bytes) implements Comparable<Late> {
+    /** A datagram whose delivery is delayed; {@code serial} orders datagrams that are due at the same time. */
+    private record Delayed(long dueMicros, long serial, String from, String to, byte[] bytes)
+            implements Comparable<Delayed> {
         @Override
-        public int compareTo(Late other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(serial, other.serial);
+        public int compareTo(Delayed other) {
+            return dueMicros != other.dueMicros
+                    ? Long.compare(dueMicros, other.dueMicros)
+                    : Long.compare(serial, other.serial);
         }
     }
 
-    /** {@code real} and {@code advertised} by name. */
+    /** Binds the advertised addresses; {@code real} and {@code advertised} are keyed by member name. */
     Relays(
             LinkModel links,
             String cluster,
@@ -65,23 +68,23 @@
         random = new SplittableRandom(seed);
         codec = new MessageCodec(cluster, "0.0.0.0:1");
         selector = Selector.open();
-        for (Map.Entry<String, InetSocketAddress> one : advertised.entrySet()) {
-            byPort.put(real.get(one.getKey()).getPort(), one.getKey());
+        for (Map.Entry<String, InetSocketAddress> member : advertised.entrySet()) {
+            memberByPort.put(real.get(member.getKey()).getPort(), member.getKey());
             DatagramChannel channel = DatagramChannel.open();
-            channel.bind(one.getValue());
+            channel.bind(member.getValue());
             channel.configureBlocking(false);
-            channel.register(selector, SelectionKey.OP_READ, one.getKey());
-            channels.put(one.getKey(), channel);
-            ServerSocket door = new ServerSocket();
-            door.setReuseAddress(true);
-            door.bind(one.getValue());
-            doors.put(one.getKey(), door);
-            daemon(() -> acceptStreams(one.getKey(), door), "streams to " + one.getKey());
+            channel.register(selector, SelectionKey.OP_READ, member.getKey());
+            channels.put(member.getKey(), channel);
+            ServerSocket serverSocket = new ServerSocket();
+            serverSocket.setReuseAddress(true);
+            serverSocket.bind(member.getValue());
+            serverSockets.put(member.getKey(), serverSocket);
+            startDaemon(() -> acceptStreams(member.getKey(), serverSocket), "streams to " + member.getKey());
         }
-        daemon(this::carry, "relays");
+        startDaemon(this::relayDatagrams, "relays");
     }
 
-    private static void daemon(Runnable task, String name) {
+    private static void startDaemon(Runnable task, String name) {
         Thread thread = new Thread(task, name);
         thread.setDaemon(true);
         thread.start();
@@ -92,12 +95,12 @@
     }
 
     private synchronized List<Long> deliveryDelays(String from, String to) {
-        return links.deliveryDelays(from, to, micros() - begin);
+        return links.deliveryDelays(from, to, micros() - beginMicros);
     }
 
-    /** The run begins at that time; no fault holds before. */
-    synchronized void beginAt(long now) {
-        begin = now;
+    /** Sets the start of the run, from which the times of faults count; no fault applies before. */
+    synchronized void beginAt(long startMicros) {
+        beginMicros = startMicros;
     }
 
     synchronized void begin(Fault fault) {
@@ -108,20 +111,20 @@
         links.end(fault);
     }
 
-    private void carry() {
-        ByteBuffer buffer = ByteBuffer.allocate(LARGEST);
+    private void relayDatagrams() {
+        ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
         try {
             while (!closed) {
-                long wait = late.isEmpty() ? 100 : Math.max(1, (late.peek().at - micros()) / 1_000);
-                selector.select(key -> read(key, buffer), wait);
-                while (!late.isEmpty() && late.peek().at <= micros()) {
-                    Late one = late.poll();
-                    pass(one.from, one.to, one.bytes);
+                long waitMillis = delayed.isEmpty() ? 100 : Math.max(1, (delayed.peek().dueMicros - micros()) / 1_000);
+                selector.select(key -> read(key, buffer), waitMillis);
+                while (!delayed.isEmpty() && delayed.peek().dueMicros <= micros()) {
+                    Delayed datagram = delayed.poll();
+                    forward(datagram.from, datagram.to, datagram.bytes);
                 }
             }
         } catch (IOException | ClosedSelectorException e) {
             if (!closed) {
-                throw new IllegalStateException("the relays have ended", e);
+                throw new IllegalStateException("datagram relay failed", e);
             }
         }
     }
@@ -137,60 +140,60 @@
                 byte[] bytes = new byte[buffer.flip().remaining()];
                 buffer.get(bytes);
                 buffer.clear();
-                lastSeen = bytes;
-                String from = byPort.get(source.getPort());
+                lastDatagram = bytes;
+                String from = memberByPort.get(source.getPort());
                 if (from != null) {
                     for (long delay : deliveryDelays(from, to)) {
                         if (delay == 0) {
-                            pass(from, to, bytes);
+                            forward(from, to, bytes);
                         } else {
-                            late.add(new Late(micros() + delay, serial++, from, to, bytes));
+                            delayed.add(new Delayed(micros() + delay, serial++, from, to, bytes));
                         }
                     }
                 }
             }
         } catch (IOException e) {
-            return; // a process that is gone refuses; datagrams may be lost
+            return; // an ended process refuses datagrams, and datagrams may be lost
         }
     }
 
-    /** From the sender's own socket here, so that it looks as if the sender had sent it. */
-    private void pass(String from, String to, byte[] bytes) {
+    /** Sends from the sender's advertised socket, so that the receiver sees the sender's advertised address. */
+    private void forward(String from, String to, byte[] bytes) {
         try {
             channels.get(from).send(ByteBuffer.wrap(bytes), real.get(to));
         } catch (IOException e) {
-            return; // the same
+            return; // as in read: datagrams may be lost
         }
     }
 
-    /** Sends a spoilt copy of what was seen last. */
-    void garbage(String to) {
-        byte[] spoilt = lastSeen.clone();
+    /** Sends a copy of the last received datagram with random bytes changed. */
+    void sendGarbage(String to) {
+        byte[] garbled = lastDatagram.clone();
         synchronized (random) {
-            for (int i = 0; i < 1 + random.nextInt(6) && spoilt.length > 0; i++) {
-                spoilt[random.nextInt(spoilt.length)] = (byte) random.nextInt(256);
+            for (int i = 0; i < 1 + random.nextInt(6) && garbled.length > 0; i++) {
+                garbled[random.nextInt(garbled.length)] = (byte) random.nextInt(256);
             }
         }
-        pass(to, to, spoilt);
+        forward(to, to, garbled);
     }
 
-    private void acceptStreams(String to, ServerSocket door) {
+    private void acceptStreams(String to, ServerSocket serverSocket) {
         while (!closed) {
             try {
-                Socket one = door.accept();
-                daemon(() -> passStream(to, one), "stream to " + to);
+                Socket incoming = serverSocket.accept();
+                startDaemon(() -> forwardStream(to, incoming), "stream to " + to);
             } catch (IOException e) {
-                return; // closed
+                return; // the socket was closed
             }
         }
     }
 
-    private void passStream(String to, Socket incoming) {
+    private void forwardStream(String to, Socket incoming) {
         try (incoming;
                 DataInputStream in = new DataInputStream(incoming.getInputStream())) {
             incoming.setSoTimeout(3_000);
             int length = in.readInt();
-            if (length < 0 || length > LARGEST_STREAM) {
+            if (length < 0 || length > MAX_STREAM_BYTES) {
                 return;
             }
             byte[] bytes = in.readNBytes(length);
@@ -206,10 +209,10 @@
                 data.flush();
                 out.shutdownOutput();
                 out.setSoTimeout(1_000);
-                out.getInputStream().read(); // until it is taken
+                out.getInputStream().read(); // waits until the receiver has read the message
             }
         } catch (IOException | MalformedMessageException e) {
-            return; // the sender or the receiver is gone
+            return; // the sender or the receiver has ended
         }
     }
 
@@ -217,11 +220,11 @@
     public void close() throws IOException {
         closed = true;
         selector.close();
-        for (DatagramChannel one : channels.values()) {
-            one.close();
+        for (DatagramChannel channel : channels.values()) {
+            channel.close();
         }
-        for (ServerSocket one : doors.values()) {
-            one.close();
+        for (ServerSocket socket : serverSockets.values()) {
+            socket.close();
         }
     }
 }
--- a/lab/src/main/java/wheatspread/lab/faults/Scenario.java
+++ b/lab/src/main/java/wheatspread/lab/faults/Scenario.java
@@ -14,12 +14,12 @@
 import wheatspread.config.JsonFile;
 
 /**
- * A fleet, its load, and what befalls it; read from a file, with the targets drawn by a seed. Times are
- * microseconds here.
+ * A fleet, its load and the faults injected into it, read from a file with the targets of faults drawn by a seed.
+ * Times are microseconds.
  *
- * @param zones by member
- * @param seedCount how many of the members, from the first on, are seeds
- * @param loadPerSecond requests a second for all
+ * @param zones the zone of each member, by member name
+ * @param seedCount the number of members, counted from the first, that are seeds of the cluster
+ * @param loadPerSecond requests per second for all servers together
  */
 public record Scenario(
         Map<String, String> zones,
@@ -28,17 +28,17 @@
         long runMicros,
         List<Fault> faults,
         Expectation expect) {
-    private static final int MOST_SECONDS = 3_600;
-    /** Two faults at once may keep somebody out for a while who came and went twice. */
-    private static final long PAIR_CONVERGED = 60_000_000;
+    private static final int MAX_SECONDS = 3_600;
+    /** Under two concurrent scenarios a member may leave and rejoin twice, which delays convergence. */
+    private static final long COMBINED_CONVERGENCE_MICROS = 60_000_000;
 
     /**
-     * What has to come of it, besides what always has to.
+     * The expected outcome, in addition to the invariants of every run.
      *
-     * @param maxViews from the begin of the run; -1 for any
-     * @param finalMembers in the last view; -1 for those that live
-     * @param convergenceMicros within so long after the end of the last fault
-     * @param missedMembers who was missed by its watchers at any time; null for any
+     * @param maxViews the maximum number of views since the start of the run; -1 for any
+     * @param finalMembers the size of the last view; -1 for the number of running members
+     * @param convergenceMicros the maximum time to converge after the end of the last fault
+     * @param missedMembers the members missed by their observers at any time; null for any
      */
     public record Expectation(int maxViews, int finalMembers, long convergenceMicros, Set<String> missedMembers) {}
 
@@ -46,38 +46,38 @@
         return List.copyOf(zones.keySet());
     }
 
-    /** Whether more than half of the members end for good, so that the rest has to stand still. */
+    /** Returns whether at least half of the members are killed, so that the others lose their quorum. */
     public boolean losesQuorum() {
         Set<String> ended = new LinkedHashSet<>();
-        faults.stream().filter(one -> one.kind() == Fault.Kind.KILL).forEach(one -> ended.addAll(one.on()));
+        faults.stream().filter(fault -> fault.kind() == Fault.Kind.KILL).forEach(fault -> ended.addAll(fault.on()));
         return 2 * ended.size() >= zones.size();
     }
 
-    /** When the last fault is over. */
+    /** Returns the end of the last fault; 0 without faults. */
     public long lastFaultEndMicros() {
         return faults.stream().mapToLong(Fault::endMicros).max().orElse(0);
     }
 
     /**
-     * Both at once, in a fleet of this one. What was expected of one alone does not hold for both: they have
-     * to come to one view of those that live.
+     * Returns a scenario with the faults of both, in the fleet of this one. The expectations of either scenario do
+     * not hold for the combination, which only has to converge to one view of the running members.
      */
     public Scenario combinedWith(Scenario other) {
         List<Fault> both = new ArrayList<>(faults);
         Set<String> ended = new LinkedHashSet<>();
-        faults.stream().filter(one -> one.kind().isMoment()).forEach(one -> ended.addAll(one.on()));
-        for (Fault one : other.faults) { // whoever ends by one of them is left alone by the other
-            Set<String> on = new LinkedHashSet<>(one.on());
-            on.removeAll(one.kind().isMoment() ? ended : Set.of());
+        faults.stream().filter(fault -> fault.kind().isInstantaneous()).forEach(fault -> ended.addAll(fault.on()));
+        for (Fault added : other.faults) { // a member ended by one scenario is not ended by the other
+            Set<String> on = new LinkedHashSet<>(added.on());
+            on.removeAll(added.kind().isInstantaneous() ? ended : Set.of());
             both.add(new Fault(
-                    one.kind(),
-                    one.beginMicros(),
-                    one.durationMicros(),
-                    one.from(),
-                    one.to(),
+                    added.kind(),
+                    added.beginMicros(),
+                    added.durationMicros(),
+                    added.from(),
+                    added.to(),
                     on,
-                    one.share(),
-                    one.extraMicros()));
+                    added.share(),
+                    added.extraMicros()));
         }
         both.sort(Comparator.comparingLong(Fault::beginMicros));
         return new Scenario(
@@ -89,52 +89,54 @@
                 new Expectation(
                         -1,
                         -1,
-                        Math.max(PAIR_CONVERGED, Math.max(expect.convergenceMicros, other.expect.convergenceMicros)),
+                        Math.max(
+                                COMBINED_CONVERGENCE_MICROS,
+                                Math.max(expect.convergenceMicros, other.expect.convergenceMicros)),
                         null));
     }
 
-    /** Complaints name the file and the key. */
+    /** Reads a scenario file; an exception about an invalid value names the file and the key. */
     public static Scenario read(Path file, long seed) {
         return read(JsonFile.read(file), seed);
     }
 
-    static Scenario read(JsonFields told, long seed) {
-        told.requireKnownKeys(Set.of("members", "zones", "seeds", "load_per_s", "run_s", "faults", "expect"));
-        int size = told.integer("members", 0, 1, 2_000);
-        Map<String, String> zones = zones(told, size);
+    static Scenario read(JsonFields fields, long seed) {
+        fields.requireKnownKeys(Set.of("members", "zones", "seeds", "load_per_s", "run_s", "faults", "expect"));
+        int size = fields.integer("members", 0, 1, 2_000);
+        Map<String, String> zones = zones(fields, size);
         Random random = new Random(seed);
         List<Fault> faults = new ArrayList<>();
-        for (JsonFields one : told.objects("faults")) {
-            faults.add(fault(one, zones, random));
+        for (JsonFields entry : fields.objects("faults")) {
+            faults.add(readFault(entry, zones, random));
         }
         faults.sort(Comparator.comparingLong(Fault::beginMicros));
-        JsonFields expect = told.object("expect", true);
+        JsonFields expect = fields.object("expect", true);
         expect.requireKnownKeys(Set.of("views_at_most", "final_members", "converged_within_s", "gone"));
         Scenario scenario = new Scenario(
                 zones,
-                told.integer("seeds", Math.min(3, size), 1, Math.min(32, size)),
-                told.number("load_per_s", 0, 0, 10_000),
-                seconds(told, "run_s", 60),
+                fields.integer("seeds", Math.min(3, size), 1, Math.min(32, size)),
+                fields.number("load_per_s", 0, 0, 10_000),
+                seconds(fields, "run_s", 60),
                 faults,
                 new Expectation(
                         expect.integer("views_at_most", -1, -1, 1_000_000),
                         expect.integer("final_members", -1, -1, 2_000),
                         seconds(expect, "converged_within_s", 10),
                         expect.has("gone") ? targets(expect, "gone", zones, random) : null));
-        told.throwIfInvalid();
+        fields.throwIfInvalid();
         return scenario;
     }
 
-    private static Map<String, String> zones(JsonFields told, int size) {
+    private static Map<String, String> zones(JsonFields fields, int size) {
         Map<String, String> zones = new LinkedHashMap<>();
-        JsonFields sizes = told.object("zones", true);
+        JsonFields sizes = fields.object("zones", true);
         for (String zone : sizes.keys()) {
             for (int i = sizes.integer(zone, 0, 1, 2_000); i > 0; i--) {
                 zones.put("m" + (zones.size() + 1), zone);
             }
         }
         if (!zones.isEmpty() && zones.size() != size) {
-            throw told.invalidValue("zones", "hold " + zones.size() + " members; members says " + size);
+            throw fields.invalidValue("zones", "hold " + zones.size() + " members; members says " + size);
         }
         while (zones.size() < size) {
             zones.put("m" + (zones.size() + 1), "");
@@ -142,55 +144,58 @@
         return zones;
     }
 
-    private static Fault fault(JsonFields told, Map<String, String> zones, Random random) {
-        Fault.Kind kind = told.oneOf("do", Fault.Kind.words());
-        told.requireKnownKeys(Set.of("at_s", "for_s", "do", "from", "to", "on", "share", "ms", "period_ms"));
-        Set<String> on = targets(told, "on", zones, random);
-        if (kind.isOfLinks() ? told.has("on") : !told.has("on") || told.has("from") || told.has("to")) {
-            throw told.invalidValue(
+    private static Fault readFault(JsonFields fields, Map<String, String> zones, Random random) {
+        Fault.Kind kind = fields.oneOf("do", Fault.Kind.byName());
+        fields.requireKnownKeys(Set.of("at_s", "for_s", "do", "from", "to", "on", "share", "ms", "period_ms"));
+        Set<String> on = targets(fields, "on", zones, random);
+        if (kind.isLinkFault() ? fields.has("on") : !fields.has("on") || fields.has("from") || fields.has("to")) {
+            throw fields.invalidValue(
                     "do",
-                    "is " + kind.name().toLowerCase() + ", which takes " + (kind.isOfLinks() ? "from and to" : "on"));
+                    "is " + kind.name().toLowerCase() + ", which takes " + (kind.isLinkFault() ? "from and to" : "on"));
         }
-        long extra = kind == Fault.Kind.FLAP ? told.micros("period_ms", 1_000_000, 1) : told.micros("ms", 100_000, 1);
+        long extra =
+                kind == Fault.Kind.FLAP ? fields.micros("period_ms", 1_000_000, 1) : fields.micros("ms", 100_000, 1);
         return new Fault(
                 kind,
-                seconds(told, "at_s", 0),
-                kind.isMoment() ? 0 : seconds(told, "for_s", 5),
-                targets(told, "from", zones, random),
-                targets(told, "to", zones, random),
+                seconds(fields, "at_s", 0),
+                kind.isInstantaneous() ? 0 : seconds(fields, "for_s", 5),
+                targets(fields, "from", zones, random),
+                targets(fields, "to", zones, random),
                 on,
-                told.number("share", kind == Fault.Kind.STARVE ? 0.1 : 0.3, 0, 1),
+                fields.number("share", kind == Fault.Kind.STARVE ? 0.1 : 0.3, 0, 1),
                 extra);
     }
 
-    private static long seconds(JsonFields told, String key, double absent) {
-        return Math.round(told.number(key, absent, 0, MOST_SECONDS) * 1e6);
+    private static long seconds(JsonFields fields, String key, double defaultSeconds) {
+        return Math.round(fields.number(key, defaultSeconds, 0, MAX_SECONDS) * 1e6);
     }
 
-    /** The members that a list of targets means; all where it is absent. */
-    private static Set<String> targets(JsonFields told, String key, Map<String, String> zones, Random random) {
+    /** Returns the members that a list of targets selects; all members if the key is absent. */
+    private static Set<String> targets(JsonFields fields, String key, Map<String, String> zones, Random random) {
         Set<String> chosen = new LinkedHashSet<>();
-        if (!told.has(key)) {
+        if (!fields.has(key)) {
             return new LinkedHashSet<>(zones.keySet());
         }
-        for (String one : told.textList(key)) {
-            if (one.equals("all")) {
+        for (String target : fields.textList(key)) {
+            if (target.equals("all")) {
                 chosen.addAll(zones.keySet());
-            } else if (one.startsWith("zone:") && zones.containsValue(one.substring(5))) {
+            } else if (target.startsWith("zone:") && zones.containsValue(target.substring(5))) {
                 zones.forEach((member, zone) -> {
-                    if (zone.equals(one.substring(5))) {
+                    if (zone.equals(target.substring(5))) {
                         chosen.add(member);
                     }
                 });
-            } else if (one.matches("share:(0(\\.\\d+)?|1(\\.0+)?)")) {
-                List<String> all = new ArrayList<>(zones.keySet());
-                Collections.shuffle(all, random);
-                chosen.addAll(all.subList(0, (int) Math.round(all.size() * Double.parseDouble(one.substring(6)))));
-            } else if (zones.containsKey(one)) {
-                chosen.add(one);
+            } else if (target.matches("share:(0(\\.\\d+)?|1(\\.0+)?)")) {
+                List<String> members = new ArrayList<>(zones.keySet());
+                Collections.shuffle(members, random);
+                chosen.addAll(
+                        members.subList(0, (int) Math.round(members.size() * Double.parseDouble(target.substring(6)))));
+            } else if (zones.containsKey(target)) {
+                chosen.add(target);
             } else {
-                throw told.invalidValue(
-                        key, "names " + one + "; known are all, zone:X, share:0.25 and the members " + zones.keySet());
+                throw fields.invalidValue(
+                        key,
+                        "names " + target + "; known are all, zone:X, share:0.25 and the members " + zones.keySet());
             }
         }
         return chosen;
--- a/lab/src/main/java/wheatspread/lab/model/ModelRun.java
+++ b/lab/src/main/java/wheatspread/lab/model/ModelRun.java
@@ -97,7 +97,7 @@
     // ---- what befalls them ----
 
     private void befall(Fault fault, long begin) {
-        if (fault.kind().isOfLinks()) {
+        if (fault.kind().isLinkFault()) {
             time.at(begin + fault.beginMicros(), () -> links.begin(fault));
             time.at(begin + fault.endMicros(), () -> links.end(fault));
             return;
