--- a/lab/src/main/java/wheatspread/lab/rig/ReloadRun.java
+++ b/lab/src/main/java/wheatspread/lab/rig/ReloadRun.java
@@ -74,12 +74,12 @@
             rig.start();
             rig.world().setRequestRate(rate);
             TimeUnit.MILLISECONDS.sleep(ROUND_PAUSE_MS);
-            for (Set<Service> movedServices : List.of(
+            for (Set<Service> moved : List.of(
                     EnumSet.of(Service.KERNELS),
                     EnumSet.of(Service.RECORDS),
                     EnumSet.of(Service.ANNOUNCE),
                     EnumSet.allOf(Service.class))) {
-                runRound(rig, movedServices, movedServices.size() > 1, random, violations);
+                runRound(rig, moved, moved.size() > 1, random, violations);
                 TimeUnit.MILLISECONDS.sleep(ROUND_PAUSE_MS);
             }
             int pendingAtEnd = rig.settle();
@@ -103,8 +103,7 @@
         }
     }
 
-    private void runRound(
-            Rig rig, Set<Service> movedServices, boolean movesTwice, Random random, List<String> violations)
+    private void runRound(Rig rig, Set<Service> moved, boolean movesTwice, Random random, List<String> violations)
             throws IOException, InterruptedException {
         List<Disturbance> disturbances = new ArrayList<>(List.of(Disturbance.values()));
         Collections.shuffle(disturbances, random);
@@ -127,7 +126,7 @@
         try {
             List<Future<Void>> pending = new ArrayList<>();
             for (int move = 0; move < moves; move++) {
-                move(rig, movedServices, move == 0 ? disturbances : List.of());
+                move(rig, moved, move == 0 ? disturbances : List.of());
                 if (move == 0) {
                     for (Callable<Void> task : tasks) {
                         pending.add(executor.submit(task));
@@ -149,19 +148,16 @@
         }
         for (int i = 0; i < disturbances.size(); i++) {
             RigServer member = rig.members().get(i);
-            String kernelText =
+            String kernel =
                     "kernel=/" + rig.world().kernelEndpoint(member.name()).text();
             boolean reloaded = member.log()
                             .await(
-                                    line -> line.contains("INFO")
-                                            && line.contains("reload ")
-                                            && line.contains(kernelText),
+                                    line -> line.contains("INFO") && line.contains("reload ") && line.contains(kernel),
                                     RELOAD_TIMEOUT_MS)
                     != null;
-            boolean linked =
-                    !movedServices.contains(Service.KERNELS) || awaitNewLink(rig, member, linksBefore.get(member));
+            boolean linked = !moved.contains(Service.KERNELS) || awaitNewLink(rig, member, linksBefore.get(member));
             if (!reloaded || !linked) {
-                violations.add(member.name() + " with " + disturbances.get(i) + " while " + movedServices + " moved: "
+                violations.add(member.name() + " with " + disturbances.get(i) + " while " + moved + " moved: "
                         + (reloaded ? "no link to the kernel's new address" : "no reload logged") + "; "
                         + logTail(member));
             }
@@ -180,8 +176,8 @@
     }
 
     /** Moves the given services; the kernel of a {@code KERNEL_LATE} server refuses at its new address at first. */
-    private static void move(Rig rig, Set<Service> movedServices, List<Disturbance> disturbances) {
-        if (movedServices.contains(Service.KERNELS)) {
+    private static void move(Rig rig, Set<Service> moved, List<Disturbance> disturbances) {
+        if (moved.contains(Service.KERNELS)) {
             for (int i = 0; i < rig.members().size(); i++) {
                 String name = rig.members().get(i).name();
                 rig.world().kernelEndpoint(name).move(OLD_ADDRESS_CLOSE_MS);
@@ -190,10 +186,10 @@
                 }
             }
         }
-        if (movedServices.contains(Service.RECORDS)) {
+        if (moved.contains(Service.RECORDS)) {
             rig.world().recordsEndpoint().move(OLD_ADDRESS_CLOSE_MS);
         }
-        if (movedServices.contains(Service.ANNOUNCE)) {
+        if (moved.contains(Service.ANNOUNCE)) {
             rig.world().announceEndpoint().move(OLD_ADDRESS_CLOSE_MS);
         }
     }
