--- a/lab/src/main/java/wheatspread/lab/CostCommand.java
+++ b/lab/src/main/java/wheatspread/lab/CostCommand.java
@@ -53,7 +53,7 @@
         boolean passed = true;
         for (int i = 1; i <= times; i++) {
             for (boolean withMembership : new boolean[] {false, true}) {
-                JSONObject figures = new CostRun(jar, flags, servers, rate, seconds * 1_000L).play(withMembership);
+                JSONObject figures = new CostRun(jar, flags, servers, rate, seconds * 1_000L).run(withMembership);
                 String name = (withMembership ? "with" : "without") + ", run " + i;
                 report.put(name, figures);
                 System.out.println(name + " " + figures);
--- a/lab/src/main/java/wheatspread/lab/DemoCommand.java
+++ b/lab/src/main/java/wheatspread/lab/DemoCommand.java
@@ -80,7 +80,7 @@
                 System.out.println("\nCtrl-C ends it.");
                 Runtime.getRuntime().addShutdownHook(new Thread(() -> terminate(server, ended)));
                 ended.await();
-            } else if (!server.leave()) {
+            } else if (!server.terminate()) {
                 System.out.println("server did not exit after SIGTERM");
                 return 1;
             }
@@ -101,7 +101,8 @@
     private static void terminate(ServerProcess server, CountDownLatch ended) {
         try {
             System.out.println("\nThe server was sent SIGTERM and answers the requests that it has read.");
-            System.out.println(server.leave() ? "The server has exited." : "The server did not exit after SIGTERM.");
+            System.out.println(
+                    server.terminate() ? "The server has exited." : "The server did not exit after SIGTERM.");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/lab/src/main/java/wheatspread/lab/FaultsCommand.java
+++ b/lab/src/main/java/wheatspread/lab/FaultsCommand.java
@@ -68,11 +68,11 @@
                 return USAGE_EXIT_CODE;
             }
             for (Map.Entry<String, Scenario> run : runs.entrySet()) {
-                FaultsRun.Outcome outcome = new FaultsRun(jar, flags, run.getValue(), seed).play();
+                FaultsRun.Outcome outcome = new FaultsRun(jar, flags, run.getValue(), seed).run();
                 String name = run.getKey() + ", seed " + seed;
-                report.put(name, outcome.figures().put("faults", new JSONArray(outcome.faults())));
+                report.put(name, outcome.figures().put("faults", new JSONArray(outcome.violations())));
                 System.out.println(name + " " + outcome.figures());
-                passed &= outcome.faults().isEmpty();
+                passed &= outcome.violations().isEmpty();
             }
         }
         if (out != null) {
@@ -92,7 +92,7 @@
         Map<String, Scenario> combined = new LinkedHashMap<>();
         single.forEach((name, scenario) -> single.forEach((otherName, otherScenario) -> {
             if (name.compareTo(otherName) < 0) {
-                combined.put(name + " and " + otherName, scenario.with(otherScenario));
+                combined.put(name + " and " + otherName, scenario.combinedWith(otherScenario));
             }
         }));
         return combined;
--- a/lab/src/main/java/wheatspread/lab/FleetMeasurementCommand.java
+++ b/lab/src/main/java/wheatspread/lab/FleetMeasurementCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import wheatspread.lab.fleet.FleetRoll;
-import wheatspread.lab.fleet.FleetRoll.Deed;
+import wheatspread.lab.fleet.FleetRoll.Action;
 import wheatspread.lab.report.Report;
 
 /** Measures rollouts of a fleet of real processes with kills and failing builds, against a fleet without changes. */
@@ -48,7 +48,7 @@
     private int seconds;
 
     @Option(names = "--deed", description = "Runs to measure: ${COMPLETION-CANDIDATES}.")
-    private List<Deed> deeds = List.of(Deed.values());
+    private List<Action> deeds = List.of(Action.values());
 
     @Option(
             names = "--unproven",
@@ -76,16 +76,16 @@
         Map<String, double[]> valueSharesBySecond = new LinkedHashMap<>();
         long brokenPromises = 0;
         double servedWithoutRollout = 0;
-        for (Deed deed : deeds) {
+        for (Action deed : deeds) {
             String part = deed.name().toLowerCase();
-            FleetRoll.Outcome outcome = fleet.play(deed, share, 6_000, seconds * 1_000L);
+            FleetRoll.Outcome outcome = fleet.run(deed, share, 6_000, seconds * 1_000L);
             JSONObject figures = outcome.figures();
-            servedWithoutRollout = deed == Deed.NOTHING ? figures.getDouble("worth_served") : servedWithoutRollout;
+            servedWithoutRollout = deed == Action.NOTHING ? figures.getDouble("worth_served") : servedWithoutRollout;
             if (servedWithoutRollout > 0) {
                 figures.put("worth_beside_nothing", figures.getDouble("worth_served") / servedWithoutRollout);
             }
-            report.put(part, figures.put("faults", new JSONArray(outcome.faults())));
-            valueSharesBySecond.put(part, outcome.worthBySecond());
+            report.put(part, figures.put("faults", new JSONArray(outcome.violations())));
+            valueSharesBySecond.put(part, outcome.servedValueBySecond());
             brokenPromises += figures.getLong("broken_promises");
             System.out.println(part + " " + figures);
         }
--- a/lab/src/main/java/wheatspread/lab/HoldCommand.java
+++ b/lab/src/main/java/wheatspread/lab/HoldCommand.java
@@ -7,7 +7,7 @@
 import org.json.JSONObject;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import wheatspread.lab.load.Holder;
+import wheatspread.lab.load.ConnectionHolder;
 
 /** Holds idle connections; reads a command on each line of standard input and answers with a line of JSON. */
 @Command(
@@ -31,12 +31,12 @@
     @Override
     public Integer call() throws Exception {
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
-        try (Holder holder = new Holder(port, uwsgi, firstSource)) {
+        try (ConnectionHolder holder = new ConnectionHolder(port, uwsgi, firstSource)) {
             for (String command = in.readLine(); command != null; command = in.readLine()) {
                 JSONObject figures = switch (command) {
                     case "open" -> holder.open(count);
-                    case "burst" -> holder.burst();
-                    case "closing" -> holder.closing(60);
+                    case "burst" -> holder.sendBurst();
+                    case "closing" -> holder.awaitClosed(60);
                     default ->
                         new JSONObject()
                                 .put("error", "unknown command " + command + "; expected open, burst or closing");
--- a/lab/src/main/java/wheatspread/lab/IdleCommand.java
+++ b/lab/src/main/java/wheatspread/lab/IdleCommand.java
@@ -11,8 +11,8 @@
 import org.json.JSONObject;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import wheatspread.lab.load.HolderProcess;
-import wheatspread.lab.load.Load;
+import wheatspread.lab.load.ConnectionHolderProcess;
+import wheatspread.lab.load.LoadGenerator;
 import wheatspread.lab.report.Report;
 import wheatspread.lab.standins.ServerProcess;
 import wheatspread.lab.standins.StandInServices;
@@ -169,35 +169,35 @@
         try (StandInServices standIns = new StandInServices(RUN_MICROS, CALL_MICROS);
                 ServerProcess process = start(server, standIns, transport, uwsgi, core)) {
             // the JSON-RPC front is bound last
-            try (Load load = new Load(process.port(uwsgi ? 1 : 0), 8, rate);
-                    HolderProcess holder = new HolderProcess(process.port(0), idle, uwsgi, 0)) {
+            try (LoadGenerator load = new LoadGenerator(process.port(uwsgi ? 1 : 0), 8, rate);
+                    ConnectionHolderProcess holder = new ConnectionHolderProcess(process.port(0), idle, uwsgi, 0)) {
                 TimeUnit.SECONDS.sleep(1);
-                load.play(10_000, 500); // lets the JVM compile the code
+                load.run(10_000, 500); // lets the JVM compile the code
                 double loopShareWithoutIdle = measureLoopShare(process, 5);
-                Load.Stretch none = load.play(seconds * 1_000L, 1_000);
+                LoadGenerator.Interval none = load.run(seconds * 1_000L, 1_000);
                 long baseHeapBytes = process.liveBytes();
                 long baseResidentKb = process.residentKb();
                 figures.put("none_idle", none.figures()).put("none_idle_loop_cpu", loopShareWithoutIdle);
-                figures.put("open", holder.ask("open"));
+                figures.put("open", holder.execute("open"));
                 figures.put("heap_per_connection", (process.liveBytes() - baseHeapBytes) / (double) idle);
                 figures.put("resident_kb_per_connection", (process.residentKb() - baseResidentKb) / (double) idle);
                 double loopShareWithIdle = measureLoopShare(process, 5);
                 figures.put("idle_loop_cpu", loopShareWithIdle)
                         .put("idle_loop_cpu_over_none", loopShareWithIdle - loopShareWithoutIdle);
-                Load.Stretch beside = load.play(seconds * 1_000L, 1_000);
+                LoadGenerator.Interval beside = load.run(seconds * 1_000L, 1_000);
                 figures.put("beside_idle", beside.figures())
                         .put("p99_over_none", beside.percentile(99) / none.percentile(99));
                 figures.put("burst", measureBurst(process, load, holder));
                 if (transport != null) {
                     int skippedLogLines = process.log().size();
-                    figures.put("expiry", holder.ask("closing"));
+                    figures.put("expiry", holder.execute("closing"));
                     figures.put("expiry_longest_turn_us", longestTurnMicros(process.log(), skippedLogLines))
                             .put(
                                     "expiry_longest_collection_ms",
                                     longestCollectionMillis(process.log(), skippedLogLines));
                 }
             }
-            figures.put("left_by_itself", process.leave());
+            figures.put("left_by_itself", process.terminate());
             figures.put("log", lastLines(process.log(), 6));
         }
         System.out.println(
@@ -206,15 +206,16 @@
     }
 
     /** All idle connections send a request at the same time, in the third of ten seconds of load. */
-    private JSONObject measureBurst(ServerProcess process, Load load, HolderProcess holder) throws Exception {
+    private JSONObject measureBurst(ServerProcess process, LoadGenerator load, ConnectionHolderProcess holder)
+            throws Exception {
         TimeUnit.SECONDS.sleep(6); // afterwards the connections no longer count as recently used
         int skippedLogLines = process.log().size();
-        Load.Stretch during = load.begin();
+        LoadGenerator.Interval during = load.beginInterval();
         TimeUnit.SECONDS.sleep(2);
-        holder.say("burst");
+        holder.sendCommand("burst");
         TimeUnit.SECONDS.sleep(8);
         load.pause();
-        JSONObject figures = new JSONObject().put("sleepers", holder.hear());
+        JSONObject figures = new JSONObject().put("sleepers", holder.readReport());
         TimeUnit.SECONDS.sleep(2);
         return figures.put("load", during.figures())
                 .put("longest_turn_us", longestTurnMicros(process.log(), skippedLogLines))
@@ -224,9 +225,9 @@
     /** Measures the share of one core that the server's event loop uses. */
     private static double measureLoopShare(ServerProcess process, int seconds) throws Exception {
         TimeUnit.SECONDS.sleep(1);
-        double beganMillis = process.loopMillis();
+        double beganMillis = process.eventLoopCpuMillis();
         TimeUnit.SECONDS.sleep(seconds);
-        return (process.loopMillis() - beganMillis) / (seconds * 1_000.0);
+        return (process.eventLoopCpuMillis() - beganMillis) / (seconds * 1_000.0);
     }
 
     private static long longestTurnMicros(List<String> log, int skippedLines) {
@@ -259,7 +260,7 @@
     private JSONObject measureFleet() throws Exception {
         int connectionsPerServer = 100_000 / 6;
         List<AutoCloseable> resources = new ArrayList<>();
-        List<HolderProcess> holders = new ArrayList<>();
+        List<ConnectionHolderProcess> holders = new ArrayList<>();
         List<ServerProcess> servers = new ArrayList<>();
         JSONObject figures = new JSONObject();
         try {
@@ -269,7 +270,8 @@
                 ServerProcess process = start(jar, standIns, transports.get(transports.size() - 1), false, -1);
                 resources.add(process);
                 servers.add(process);
-                HolderProcess holder = new HolderProcess(process.port(0), connectionsPerServer, false, i * 200);
+                ConnectionHolderProcess holder =
+                        new ConnectionHolderProcess(process.port(0), connectionsPerServer, false, i * 200);
                 resources.add(holder);
                 holders.add(holder);
             }
@@ -277,12 +279,12 @@
                 if (command.equals("burst")) {
                     TimeUnit.SECONDS.sleep(6);
                 }
-                for (HolderProcess holder : holders) {
-                    holder.say(command);
+                for (ConnectionHolderProcess holder : holders) {
+                    holder.sendCommand(command);
                 }
                 List<JSONObject> results = new ArrayList<>();
-                for (HolderProcess holder : holders) {
-                    results.add(holder.hear());
+                for (ConnectionHolderProcess holder : holders) {
+                    results.add(holder.readReport());
                 }
                 figures.put(command, results);
             }
--- a/lab/src/main/java/wheatspread/lab/model/CapacitySweep.java
+++ b/lab/src/main/java/wheatspread/lab/model/CapacitySweep.java
@@ -116,7 +116,12 @@
                 case RESTARTS_X60 -> restarts(names, runMicros);
             };
             return new Scenario(
-                    zones, Math.min(SEEDS, size), 0, runMicros, faults, new Scenario.Expect(-1, -1, runMicros, null));
+                    zones,
+                    Math.min(SEEDS, size),
+                    0,
+                    runMicros,
+                    faults,
+                    new Scenario.Expectation(-1, -1, runMicros, null));
         }
     }
 
@@ -161,7 +166,9 @@
             figures.put("faults", new JSONArray(outcome.faults()))
                     .put("missed", removedMembers)
                     .put("run_s", situation.runMicros / MICROS_PER_SECOND)
-                    .put("waited_s", (situation.runMicros - scenario.faultsEnd()) / (double) MICROS_PER_SECOND);
+                    .put(
+                            "waited_s",
+                            (situation.runMicros - scenario.lastFaultEndMicros()) / (double) MICROS_PER_SECOND);
             report.put(part, figures);
             System.out.println(part + " " + figures);
             finished = outcome.finished();
--- a/lab/src/main/java/wheatspread/lab/model/ModelFleet.java
+++ b/lab/src/main/java/wheatspread/lab/model/ModelFleet.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import wheatspread.lab.faults.Links;
+import wheatspread.lab.faults.LinkModel;
 import wheatspread.membership.Departure;
 import wheatspread.membership.DetectorSettings;
 import wheatspread.membership.Member;
@@ -33,7 +33,7 @@
     private static final long CALENDAR_START_UNIX_MILLIS = 1_700_000_000_000L;
 
     private final VirtualTime time;
-    private final Links links;
+    private final LinkModel links;
     private final SplittableRandom random;
     private final DetectorSettings settings;
     private final List<String> seeds;
@@ -112,7 +112,7 @@
             }
             String receiver = names.get(to);
             if (receiver != null) {
-                for (long delayMicros : links.fate(name, receiver, time.nowMicros())) {
+                for (long delayMicros : links.deliveryDelays(name, receiver, time.nowMicros())) {
                     time.schedule(
                             time.nowMicros() + delayMicros + random.nextLong(MIN_LATENCY_MICROS, MAX_LATENCY_MICROS),
                             () -> {
@@ -147,7 +147,8 @@
         }
     }
 
-    ModelFleet(VirtualTime time, Links links, SplittableRandom random, DetectorSettings settings, List<String> seeds) {
+    ModelFleet(
+            VirtualTime time, LinkModel links, SplittableRandom random, DetectorSettings settings, List<String> seeds) {
         this.time = time;
         this.links = links;
         this.random = random;
--- a/lab/src/main/java/wheatspread/lab/model/ModelRun.java
+++ b/lab/src/main/java/wheatspread/lab/model/ModelRun.java
@@ -9,7 +9,7 @@
 import org.json.JSONArray;
 import org.json.JSONObject;
 import wheatspread.lab.faults.Fault;
-import wheatspread.lab.faults.Links;
+import wheatspread.lab.faults.LinkModel;
 import wheatspread.lab.faults.Scenario;
 import wheatspread.membership.DetectorSettings;
 import wheatspread.membership.Member;
@@ -27,7 +27,7 @@
     private final Scenario scenario;
     private final long seed;
     private final VirtualTime time = new VirtualTime(START_MICROS);
-    private final Links links;
+    private final LinkModel links;
     private final ModelFleet fleet;
     private final Set<String> endedMembers = new TreeSet<>();
     private final List<double[]> seconds = new ArrayList<>();
@@ -48,9 +48,9 @@
         this.scenario = scenario;
         this.seed = seed;
         SplittableRandom random = new SplittableRandom(seed);
-        links = new Links(random.split());
+        links = new LinkModel(random.split());
         fleet = new ModelFleet(
-                time, links, random.split(), settings, scenario.members().subList(0, scenario.seeds()));
+                time, links, random.split(), settings, scenario.members().subList(0, scenario.seedCount()));
     }
 
     /** Stops the run after {@code limit} of wall-clock time; returns this. */
@@ -71,11 +71,11 @@
         scenario.faults().forEach(fault -> schedule(fault, beginMicros));
         long messages = fleet.messages();
         long bytes = fleet.bytes();
-        long faultsEndMicros = beginMicros + scenario.faultsEnd();
+        long faultsEndMicros = beginMicros + scenario.lastFaultEndMicros();
         long convergedMicros = -1;
         boolean finished = true;
         for (long checkMicros = beginMicros + CHECK_INTERVAL_MICROS;
-                finished && checkMicros <= beginMicros + scenario.run();
+                finished && checkMicros <= beginMicros + scenario.runMicros();
                 checkMicros += CHECK_INTERVAL_MICROS) {
             time.runUntil(checkMicros);
             if (convergedMicros < 0 && checkMicros >= faultsEndMicros && fleet.hasCommonView(expectedSize())) {
@@ -94,21 +94,22 @@
     }
 
     private int expectedSize() {
-        return scenario.expect().members() >= 0
-                ? scenario.expect().members()
+        return scenario.expect().finalMembers() >= 0
+                ? scenario.expect().finalMembers()
                 : scenario.members().size() - endedMembers.size();
     }
 
     // ---- fault injection ----
 
     private void schedule(Fault fault, long beginMicros) {
-        if (fault.kind().isOfLinks()) {
-            time.schedule(beginMicros + fault.at(), () -> links.begin(fault));
-            time.schedule(beginMicros + fault.end(), () -> links.end(fault));
+        if (fault.kind().isLinkFault()) {
+            time.schedule(beginMicros + fault.beginMicros(), () -> links.begin(fault));
+            time.schedule(beginMicros + fault.endMicros(), () -> links.end(fault));
             return;
         }
         for (String name : fault.on()) {
-            time.schedule(beginMicros + fault.at(), () -> inject(fault, name, beginMicros + fault.end()));
+            time.schedule(
+                    beginMicros + fault.beginMicros(), () -> inject(fault, name, beginMicros + fault.endMicros()));
         }
     }
 
@@ -152,7 +153,7 @@
             if (fleet.viewCounts().keySet().stream().anyMatch(view -> !view.endsWith(" old"))) {
                 faults.add("quorum lost, but not every member reports it; members by view: " + fleet.viewCounts());
             }
-        } else if (convergedMicros < 0 || convergedMicros > scenario.expect().converged()) {
+        } else if (convergedMicros < 0 || convergedMicros > scenario.expect().convergenceMicros()) {
             faults.add("common view of " + expectedSize() + " members "
                     + (convergedMicros < 0
                             ? "not reached; members by view: " + fleet.viewCounts()
@@ -161,18 +162,18 @@
             faults.add("common view not kept until the end; members by view: " + fleet.viewCounts());
         }
         int views = fleet.viewCount() - 1;
-        if (scenario.expect().views() >= 0 && views > scenario.expect().views()) {
+        if (scenario.expect().maxViews() >= 0 && views > scenario.expect().maxViews()) {
             faults.add(views + " view changes; expected no more than "
-                    + scenario.expect().views());
+                    + scenario.expect().maxViews());
         }
         Set<String> removedNames = new TreeSet<>();
         fleet.removedMembers().forEach(removed -> removedNames.add(removed.name()));
-        Set<String> expectedNames = scenario.expect().gone();
+        Set<String> expectedNames = scenario.expect().missedMembers();
         if (expectedNames != null && !expectedNames.equals(removedNames)) {
             faults.add("members removed as down: " + removedNames + "; expected " + new TreeSet<>(expectedNames));
         }
         double memberSeconds = scenario.members().size() * (simulatedMicros / 1e6);
-        boolean finished = simulatedMicros >= scenario.run();
+        boolean finished = simulatedMicros >= scenario.runMicros();
         if (!finished) {
             faults.add("stopped at the limit of the wall clock after " + simulatedMicros / 1_000
                     + " ms of simulated time");
--- a/lab/src/main/java/wheatspread/lab/model/ModelSweep.java
+++ b/lab/src/main/java/wheatspread/lab/model/ModelSweep.java
@@ -127,7 +127,7 @@
                 0,
                 CRASH_RUN_MICROS,
                 List.of(crash),
-                new Scenario.Expect(1, -1, 5 * MICROS_PER_SECOND, Set.of("m" + size)));
+                new Scenario.Expectation(1, -1, 5 * MICROS_PER_SECOND, Set.of("m" + size)));
     }
 
     private static Scenario loss(double share) {
@@ -139,6 +139,6 @@
                 0,
                 LOSS_RUN_MICROS + 20 * MICROS_PER_SECOND,
                 List.of(loss),
-                new Scenario.Expect(-1, -1, 20 * MICROS_PER_SECOND, null));
+                new Scenario.Expectation(-1, -1, 20 * MICROS_PER_SECOND, null));
     }
 }
--- a/lab/src/main/java/wheatspread/lab/scale/RealServers.java
+++ b/lab/src/main/java/wheatspread/lab/scale/RealServers.java
@@ -43,7 +43,7 @@
                 IntStream.rangeClosed(1, count).mapToObj(i -> "m" + i).toList());
         Runtime.getRuntime().addShutdownHook(shutdownHook);
         for (int i = 0; i < count; i++) {
-            addresses.add(StandInAddress.text(rig.address()));
+            addresses.add(StandInAddress.format(rig.address()));
         }
     }
 
@@ -73,7 +73,7 @@
                     .put("listen", addresses.get(i))
                     .put("seeds", new JSONArray(seeds))
                     .put("zone", zones.get(i));
-            rig.members().get(i).operator(new JSONObject().put("membership", membership), rig.address());
+            rig.members().get(i).setOperatorConfig(new JSONObject().put("membership", membership), rig.address());
         }
     }
 
@@ -115,7 +115,7 @@
     /** The reason that the first server with a stale view reports for it; empty if no view is stale. */
     String staleViewReason() {
         return rig.members().stream()
-                .map(server -> ControlClient.members(server.door()))
+                .map(server -> ControlClient.members(server.controlAddress()))
                 .filter(members -> members != null && !members.getBoolean("stands"))
                 .map(members -> members.getString("name") + ": " + members.getString("why_not"))
                 .findFirst()
@@ -135,7 +135,8 @@
 
     /** Returns a variable from a server's control socket; -1 if the server does not answer or lacks the variable. */
     private static long value(RigServer member, String name) {
-        String vars = member.door() == null ? null : ControlClient.ask(member.door(), "GET /_vars");
+        String vars =
+                member.controlAddress() == null ? null : ControlClient.request(member.controlAddress(), "GET /_vars");
         return vars == null
                 ? -1
                 : vars.lines()
--- a/lab/src/main/java/wheatspread/lab/scale/ScaleStep.java
+++ b/lab/src/main/java/wheatspread/lab/scale/ScaleStep.java
@@ -58,7 +58,7 @@
             Map<String, Double> points = new LinkedHashMap<>();
             fleet.start();
             if (form(fleet, figures)) {
-                fleet.real().rig().world().ask(settings.rate());
+                fleet.real().rig().world().setRequestRate(settings.rate());
                 measureIdle(fleet, figures, points);
                 measureMemory(fleet, figures, points);
                 injectFaults(fleet, figures, points);
@@ -157,7 +157,7 @@
 
     private void reportLoad(ScaleFleet fleet, JSONObject figures) throws InterruptedException {
         int openRequests = fleet.real().rig().settle();
-        JSONObject phaseFigures = fleet.real().rig().world().ledger().figures().put("open_at_end", openRequests);
+        JSONObject phaseFigures = fleet.real().rig().world().checker().figures().put("open_at_end", openRequests);
         figures.put("load", phaseFigures);
         reportProgress("load", phaseFigures);
     }
--- a/lab/src/main/java/wheatspread/lab/settings/MeasuredServer.java
+++ b/lab/src/main/java/wheatspread/lab/settings/MeasuredServer.java
@@ -125,7 +125,7 @@
 
     /** Returns the reload counters, or null if the control port does not answer. */
     Reloads reloads() {
-        String vars = ControlClient.ask(control, "GET /_vars");
+        String vars = ControlClient.request(control, "GET /_vars");
         return vars == null ? null : new Reloads(value(vars, "reload_success"), value(vars, "reload_failure"));
     }
 
--- a/lab/src/test/java/wheatspread/lab/rig/ReloadRunTest.java
+++ b/lab/src/test/java/wheatspread/lab/rig/ReloadRunTest.java
@@ -9,40 +9,43 @@
 import org.junit.jupiter.api.Timeout;
 import wheatspread.lab.world.InvariantChecker;
 
-/** Six real processes whose parties move while each has its own trouble; and a fault the ledger must see. */
+/**
+ * Guards against lost, late and duplicated requests when six server processes reload changed service addresses
+ * under load, each with a different disturbance; and checks that the invariant checker reports lost requests.
+ */
 class ReloadRunTest {
     private static final Path JAR = Path.of("../server/target/wheatspread.jar");
     private static final List<String> FLAGS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx48m");
 
     @Test
     @Timeout(180)
-    void reloadsUnderLoadKeepEveryPromise() throws Exception {
-        ReloadRun.Outcome outcome = new ReloadRun(JAR, FLAGS, 40).play(1);
-        assertThat(outcome.faults()).isEmpty();
+    void keepsInvariantsDuringReloadsUnderLoad() throws Exception {
+        ReloadRun.Outcome outcome = new ReloadRun(JAR, FLAGS, 40).run(1);
+        assertThat(outcome.violations()).isEmpty();
         assertThat(outcome.figures().getInt("left_in_order")).isEqualTo(6);
         assertThat(outcome.figures().getLong("served")).isGreaterThan(300);
     }
 
     @Test
     @Timeout(120)
-    void theLedgerSeesWhatAProcessThatDiesUntoldLeavesUnanswered() throws Exception {
+    void checkerReportsUnansweredRequestsOfUnrecordedKill() throws Exception {
         try (Rig rig = new Rig(JAR, FLAGS, 1)) {
             rig.start();
-            rig.world().ask(30);
+            rig.world().setRequestRate(30);
             RigServer member = rig.members().get(0);
-            while (rig.world().served() < 3) {
+            while (rig.world().countServed() < 3) {
                 TimeUnit.MILLISECONDS.sleep(5);
             }
-            // stopped first, so that some of what it owes is older than a request that crosses a close
+            // stopped first, so that some pending requests are too old to be resent as racing with the close
             member.signal("STOP");
-            while (rig.world().open() < 12) {
+            while (rig.world().countPendingAttempts() < 12) {
                 TimeUnit.MILLISECONDS.sleep(5);
             }
             member.kill();
             rig.settle();
-            InvariantChecker ledger = rig.world().ledger();
-            assertThat(ledger.broken()).isPositive();
-            assertThat(ledger.faults()).anyMatch(fault -> fault.startsWith("unanswered"));
+            InvariantChecker checker = rig.world().checker();
+            assertThat(checker.countViolations()).isPositive();
+            assertThat(checker.violations()).anyMatch(violation -> violation.startsWith("unanswered"));
         }
     }
 }
--- a/lab/src/test/java/wheatspread/lab/scale/ScaleStepTest.java
+++ b/lab/src/test/java/wheatspread/lab/scale/ScaleStepTest.java
@@ -36,7 +36,7 @@
             assertThat(new ObservationWindow(fleet).awaitView(System.nanoTime(), FORM_SECONDS))
                     .as("seconds until all members hold the same view")
                     .isNotNaN();
-            fleet.real().rig().world().ask(SETTINGS.rate());
+            fleet.real().rig().world().setRequestRate(SETTINGS.rate());
             JSONObject rack = new FaultInjector(fleet, SETTINGS.seed()).run(FaultKind.RACK);
             assertThat(rack.has("view_s"))
                     .as("all members hold the same view: %s", rack)
@@ -48,16 +48,16 @@
             assertThat(fleet.real().rig().settle())
                     .as("requests without an answer")
                     .isZero();
-            JSONObject load = fleet.real().rig().world().ledger().figures();
+            JSONObject load = fleet.real().rig().world().checker().figures();
             assertThat(load.getLong("asked")).isPositive();
             assertThat(load.getLong("served")).as("%s", load).isEqualTo(load.getLong("asked"));
-            assertThat(fleet.real().rig().world().ledger().faults()).isEmpty();
+            assertThat(fleet.real().rig().world().checker().violations()).isEmpty();
         }
     }
 
     private static Set<String> membersOfARealServer(ScaleFleet fleet) {
         JSONObject answer =
-                ControlClient.members(fleet.real().rig().members().get(0).door());
+                ControlClient.members(fleet.real().rig().members().get(0).controlAddress());
         Set<String> names = new TreeSet<>();
         answer.getJSONArray("members").forEach(member -> names.add(((JSONObject) member).getString("name")));
         return names;
