--- a/server/src/main/java/wheatspread/connections/Connection.java
+++ b/server/src/main/java/wheatspread/connections/Connection.java
@@ -2,8 +2,8 @@
 
 /**
  * A connection in a {@link ConnectionTable}, and a node of the table's lists. It has no field that an idle
- * connection does not need, because thousands of connections may be idle. Only the table changes it, except
- * for the two flags that the transport sets. Used on the event loop only.
+ * connection does not need, because thousands of connections may be idle. Only the table changes a connection,
+ * except for the two flags that the transport sets. Used on the event loop only.
  */
 public final class Connection {
     /** The state that determines which time limit applies to a connection and whether it may be evicted. */
@@ -109,7 +109,7 @@
         return draining;
     }
 
-    /** Returns whether the connection may be closed in favour of another without losing a request. */
+    /** Returns whether the connection may be closed in favour of a new connection without losing a request. */
     boolean isEvictable() {
         return openRequests == 0 && !unread;
     }
--- a/server/src/main/java/wheatspread/connections/ConnectionActions.java
+++ b/server/src/main/java/wheatspread/connections/ConnectionActions.java
@@ -14,7 +14,10 @@
     /** Closes the channel immediately; data in transit in either direction is lost. */
     void close();
 
-    /** Returns whether a lingering client has read some of its pending answers since the last call. */
+    /**
+     * Returns whether a lingering client has read some of its pending answers since the last call, so that its time
+     * limit is restarted. The number of calls that return true is limited.
+     */
     boolean madeWriteProgress();
 
     /** Returns the number of bytes that wait to be written. */
--- a/server/src/main/java/wheatspread/connections/ConnectionTable.java
+++ b/server/src/main/java/wheatspread/connections/ConnectionTable.java
@@ -9,7 +9,7 @@
  * limit, and which are evicted in favour of new connections. It reads no clock and accesses no channel directly: it
  * acts on connections through {@link ConnectionActions}. Each state has a list ordered by time, and all
  * connections in a list have the same time limit, so only the heads of the lists have to be checked.
- * Therefore a connection needs no timer, and using it again only moves it to the end of a list.
+ * Therefore a connection needs no timer, and a use of the connection only moves it to the end of a list.
  * Used on the event loop only.
  */
 public final class ConnectionTable {
@@ -63,9 +63,9 @@
     // ---- admission and eviction ----
 
     /**
-     * Admits a connection, for which another may be evicted. Returns null if the connection is rejected; the
-     * transport then closes its socket as {@link ConnectionLimits#rejection} says. {@code sourceAddress}
-     * identifies the source, see {@code Listener.sourceOf}.
+     * Admits a connection, and evicts another connection for it if a limit is reached. Returns null if the
+     * connection is rejected; the transport then closes its socket as {@link ConnectionLimits#rejection} says.
+     * {@code sourceAddress} identifies the source, see {@code Listener.sourceOf}.
      */
     public Connection admit(ConnectionActions actions, long sourceAddress, long nowMicros) {
         if (limits.maxConnectionsPerSource() > 0
@@ -74,7 +74,7 @@
             counters.countRejectedSource();
             return null;
         }
-        if (size >= limits.maxConnections() && !evictOne(nowMicros)) {
+        if (size >= limits.maxConnections() && !evictConnection(nowMicros)) {
             counters.countRejectedFull();
             return null;
         }
@@ -86,7 +86,7 @@
         return connection;
     }
 
-    /** Returns the microseconds to wait after an accept before the next accept; 0 for no wait. */
+    /** Counts an accept against the rate limit; returns the microseconds to wait before the next accept, or 0. */
     public long pauseAfterAccept(long nowMicros) {
         long pauseMicros = acceptTokens.take(nowMicros);
         if (pauseMicros > 0) {
@@ -96,13 +96,13 @@
     }
 
     /**
-     * Evicts one connection and returns whether there was one to evict. A connection with an open request is
+     * Evicts a connection; returns false if no connection may be evicted. A connection with an open request is
      * never evicted, nor is a connection with unread bytes, since those may be a request. The order of
      * eviction is: lingering connections; connections that have sent nothing for longer than the grace;
      * connections whose message has been partial for longer than the grace; the longest idle connection of the
      * source with the most idle connections; new and partial connections within the grace.
      */
-    private boolean evictOne(long nowMicros) {
+    private boolean evictConnection(long nowMicros) {
         long graceStartMicros = nowMicros - limits.evictionGraceMicros();
         Connection lingering = lists.first(State.LINGERING);
         if (lingering != null) {
@@ -219,8 +219,8 @@
     }
 
     /**
-     * Records that no more requests are read from a connection. Its partial message is dropped, and it lingers
-     * once every open request is answered.
+     * Records that no more requests are read from a connection. Its partial message is dropped, and the connection
+     * lingers once every open request is answered.
      */
     public void drain(Connection connection, long nowMicros) {
         if (connection.state() != State.CLOSED && !connection.isDraining()) {
@@ -310,7 +310,7 @@
         return connection == null || timeoutMicros == 0 ? Long.MAX_VALUE : connection.sinceMicros() + timeoutMicros;
     }
 
-    /** Returns the time when the first time limit ends, in microseconds; {@link Long#MAX_VALUE} if none does. */
+    /** Returns the time when the first time limit ends, in microseconds; {@link Long#MAX_VALUE} if there is none. */
     public long nextExpiryMicros() {
         return Math.min(
                 Math.min(nextExpiryMicros(State.NEW), nextExpiryMicros(State.PARTIAL_MESSAGE)),
@@ -352,7 +352,7 @@
         }
     }
 
-    /** Closes and counts a connection whose client does not read its answers, to free their memory. */
+    /** Closes and counts a connection whose client does not read its answers, to free the memory of the answers. */
     public void closeStalled(Connection connection) {
         counters.countClosedStalled();
         close(connection);
--- a/server/src/main/java/wheatspread/connections/SourceAddressTable.java
+++ b/server/src/main/java/wheatspread/connections/SourceAddressTable.java
@@ -43,7 +43,7 @@
 
     private int maxIdleCount;
 
-    /** Returns the source with this address, or a new unregistered one if it has no connections. */
+    /** Returns the source with this address, or a new, unregistered source if the address has no connections. */
     Source of(long address) {
         Source source = byAddress.get(address);
         return source == null ? new Source(address) : source;
@@ -119,7 +119,7 @@
             }
             byIdleCount[source.idleCount] = source;
         }
-        // counts change by one, so if the top list became empty, its last source is now in the list below
+        // counts change by one, so if the top list became empty, its last source is now in the next lower list
         maxIdleCount = Math.max(maxIdleCount, source.idleCount);
         if (byIdleCount[maxIdleCount] == null && maxIdleCount > 0) {
             maxIdleCount--;
--- a/server/src/main/java/wheatspread/connections/TokenBucket.java
+++ b/server/src/main/java/wheatspread/connections/TokenBucket.java
@@ -2,8 +2,7 @@
 
 /**
  * A token bucket whose level may become negative: a connection that was accepted cannot be returned to the
- * accept queue, so the method's caller waits until the bucket holds a
- * token again.
+ * accept queue, so {@link #take} always takes a token, and its caller waits until the bucket holds a token again.
  */
 final class TokenBucket {
     private static final double MICROS_PER_SECOND = 1e6;
--- a/server/src/main/java/wheatspread/control/ControlFront.java
+++ b/server/src/main/java/wheatspread/control/ControlFront.java
@@ -11,15 +11,15 @@
 /**
  * The operators' endpoint: {@code GET /_ready} and {@code GET /_vars} over HTTP/1.1, with one request per connection.
  * The endpoint runs on the event loop of the recipe traffic, whose iterations are short, so that a client is answered
- * within the second that operators wait. A separate connection table limits the number and the duration of its
- * connections.
+ * within the second that operators wait. A separate connection table limits the number and the duration of
+ * the connections to the endpoint.
  */
 public final class ControlFront implements Front {
     /**
      * Maximum number of open connections: operators send a request every 1 to 2 s, and a few connections never finish.
      */
     public static final int MAX_CONNECTIONS = 64;
-    /** A connection whose request is incomplete after this time is closed to admit others. */
+    /** A connection whose request is incomplete after this time is closed to admit other connections. */
     public static final long REQUEST_TIMEOUT_MICROS = 2_000_000;
     /** Maximum size of the head of a request. */
     static final int MAX_HEAD_BYTES = 8 << 10;
--- a/server/src/main/java/wheatspread/control/MetricsPage.java
+++ b/server/src/main/java/wheatspread/control/MetricsPage.java
@@ -24,7 +24,7 @@
      * value 0 if it received no request.
      *
      * @param counters the final answers by class, and the number of runs dispatched to the kernel
-     * @param classes the names of the request classes, in the order of their numbers
+     * @param classes the names of the request classes, in the order of their indexes
      * @param openRequests the number of requests that are not answered yet
      * @param appliedReloads the number of configurations applied on SIGHUP
      * @param rejectedReloads the number of configurations rejected on SIGHUP
@@ -37,9 +37,9 @@
             long rejectedReloads) {
         StringBuilder text = new StringBuilder(256);
         Map<Integer, long[]> repliesByClass = counters.answersByClass();
-        for (int number = 0; number < classes.size(); number++) {
-            long[] replies = repliesByClass.getOrDefault(number, NO_REPLIES);
-            String name = PREFIX + "replies." + classes.get(number) + ".";
+        for (int index = 0; index < classes.size(); index++) {
+            long[] replies = repliesByClass.getOrDefault(index, NO_REPLIES);
+            String name = PREFIX + "replies." + classes.get(index) + ".";
             appendLine(text, name + "success", replies[SUCCESS]);
             appendLine(text, name + "overload", replies[OVERLOAD]);
             appendLine(text, name + "error", replies[ERROR]);
--- a/server/src/main/java/wheatspread/daemon/ConfigReloader.java
+++ b/server/src/main/java/wheatspread/daemon/ConfigReloader.java
@@ -18,7 +18,7 @@
  * <li>The counter of applied or that of rejected reloads, shown by the operators' endpoint, is incremented.
  * </ol>
  *
- * <p>A configuration that is invalid, or is read while the process is closing, changes nothing. Any thread may call.
+ * <p>A configuration that is invalid, or is read while the process is closing, changes nothing. Thread-safe.
  */
 final class ConfigReloader {
     private final ServerConfig startConfig;
--- a/server/src/main/java/wheatspread/daemon/CounterReporter.java
+++ b/server/src/main/java/wheatspread/daemon/CounterReporter.java
@@ -72,14 +72,17 @@
         });
         log.info(
                 "event_loop",
-                concatenate(scheduler.times().fields(), scheduler.burstLimiter().fields(), new Object[] {
-                    "exhausted",
-                    scheduler.readScheduler().exhaustedIterations(),
-                    "sleepers",
-                    scheduler.readScheduler().idleConnectionsQueued(),
-                    "timers",
-                    scheduler.timerWheel().size()
-                }));
+                concatenate(
+                        scheduler.times().takeLogFields(),
+                        scheduler.burstLimiter().fields(),
+                        new Object[] {
+                            "exhausted",
+                            scheduler.readScheduler().exhaustedIterations(),
+                            "sleepers",
+                            scheduler.readScheduler().idleConnectionsQueued(),
+                            "timers",
+                            scheduler.timerWheel().size()
+                        }));
     }
 
     private static Object[] concatenate(Object[]... fields) {
--- a/server/src/main/java/wheatspread/daemon/EventLoopClock.java
+++ b/server/src/main/java/wheatspread/daemon/EventLoopClock.java
@@ -32,9 +32,9 @@
     }
 
     @Override
-    public Timer schedule(long micros, Runnable task) {
+    public Timer schedule(long delayMicros, Runnable task) {
         WheelTimer timer = new WheelTimer(task);
-        scheduler.timerWheel().set(timer, EventLoopScheduler.monotonicMicros() + micros);
+        scheduler.timerWheel().set(timer, EventLoopScheduler.monotonicMicros() + delayMicros);
         return timer;
     }
 
--- a/server/src/main/java/wheatspread/daemon/GracefulShutdown.java
+++ b/server/src/main/java/wheatspread/daemon/GracefulShutdown.java
@@ -124,8 +124,8 @@
 
     /**
      * Closes all connections, including those of the operators' endpoint, and then runs {@code closed}. The process
-     * must not exit before: the operating system would reset connections with unread bytes, and answers that are not
-     * delivered yet would be lost.
+     * must not exit before {@code closed} runs: the operating system would reset connections with unread bytes, and
+     * answers that are not delivered yet would be lost.
      *
      * @param controlListener the listener of the operators' endpoint; null if there is none
      */
--- a/server/src/main/java/wheatspread/daemon/KernelReadiness.java
+++ b/server/src/main/java/wheatspread/daemon/KernelReadiness.java
@@ -22,7 +22,7 @@
     private final EventLog log;
     private final long startedAtMicros;
 
-    /** Starts the wait. {@code timedOut} runs after {@code timeoutMicros}; it never runs if that is 0. */
+    /** Starts the wait. {@code timedOut} runs after {@code timeoutMicros}, or never if {@code timeoutMicros} is 0. */
     KernelReadiness(
             Clock clock,
             long timeoutMicros,
--- a/server/src/main/java/wheatspread/daemon/MembershipService.java
+++ b/server/src/main/java/wheatspread/daemon/MembershipService.java
@@ -105,7 +105,7 @@
                 + (membership.isQuorumReachable(EventLoopScheduler.monotonicMicros()) ? 1 : 0) + "\n";
     }
 
-    /** Answers a request to the operators' endpoint; returns null for a path that is not the cluster's. */
+    /** Answers a request to the operators' endpoint; returns null for a path that does not belong to the cluster. */
     ControlFront.ControlResponse answer(String method, String path) {
         if (path.equals("/_members")) {
             return method.equals("GET")
--- a/server/src/main/java/wheatspread/daemon/ProcessMarkerFiles.java
+++ b/server/src/main/java/wheatspread/daemon/ProcessMarkerFiles.java
@@ -29,7 +29,7 @@
 public final class ProcessMarkerFiles implements AutoCloseable {
     /** How long the exit of the process waits for pending writes. */
     private static final int CLOSE_TIMEOUT_MILLIS = 300;
-    /** Several attempts are made, since a supervisor that checks whether the lock is held takes it briefly. */
+    /** Several attempts are made, since a supervisor that checks whether the lock is held takes the lock briefly. */
     private static final int MAX_LOCK_ATTEMPTS = 6;
 
     private static final int LOCK_RETRY_MILLIS = 40;
--- a/server/src/main/java/wheatspread/daemon/Server.java
+++ b/server/src/main/java/wheatspread/daemon/Server.java
@@ -60,7 +60,8 @@
     // ---- called by the main thread ----
 
     /**
-     * Takes the lock file, if one is configured; only one process can hold it. {@code mark} is written into it.
+     * Takes the lock file, if one is configured; only one process can hold the lock. {@code mark} is written into the
+     * file.
      *
      * @throws ProcessMarkerFiles.LockTakenException if another process holds the lock
      */
@@ -81,7 +82,7 @@
     /**
      * Binds the listeners. Returns whether the server listens; false if a drain signal was received before.
      *
-     * @throws IllegalStateException if an address cannot be bound; all bound listeners are closed before
+     * @throws IllegalStateException if an address cannot be bound; the listeners that were bound are closed first
      */
     public boolean start() {
         begin();
@@ -145,7 +146,7 @@
         return components.listeners().boundAddresses();
     }
 
-    /** Returns the current phase; any thread may call. */
+    /** Returns the current phase. Thread-safe. */
     public Phase phase() {
         return lifecycle.phase();
     }
@@ -164,7 +165,8 @@
     }
 
     /**
-     * Handles a signal: {@link Event#DRAIN} starts the drain, {@link Event#DRAIN_IMMEDIATELY} ends its grace period.
+     * Handles a signal: {@link Event#DRAIN} starts the drain, {@link Event#DRAIN_IMMEDIATELY} ends the grace
+     * period of the drain.
      */
     public void signal(Event signal) {
         long signalledAtMicros = eventLoop.clock().nowMicros();
--- a/server/src/main/java/wheatspread/daemon/ServerEventLoop.java
+++ b/server/src/main/java/wheatspread/daemon/ServerEventLoop.java
@@ -15,7 +15,7 @@
 import wheatspread.transport.EventLoopScheduler;
 import wheatspread.transport.Transport;
 
-/** The event loop of a server, with its thread, scheduler and clock. Any thread may call. */
+/** The event loop of a server, with its thread, scheduler and clock. Thread-safe. */
 final class ServerEventLoop {
     /** How often a thread that waits for a task checks whether the event loop has terminated. */
     private static final long LOOP_POLL_MILLIS = 500;
@@ -102,12 +102,15 @@
         done.syncUninterruptibly();
     }
 
-    /** Terminates the event loop after its connections are closed; returns without waiting. */
+    /**
+     * Closes the open connections and terminates the event loop, within {@value #CLOSE_TIMEOUT_MILLIS} ms; returns
+     * without waiting for the termination.
+     */
     void close() {
         group.shutdownGracefully(0, CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Terminates the event loop immediately, without a quiet period, and waits for its termination. */
+    /** Closes the open connections and terminates the event loop; returns after the event loop has terminated. */
     void kill() {
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
--- a/server/src/main/java/wheatspread/daemon/ServerFactory.java
+++ b/server/src/main/java/wheatspread/daemon/ServerFactory.java
@@ -110,7 +110,9 @@
                 log);
     }
 
-    /** Shares idempotency claims if a directory is configured; on failure it is logged, and claims are not shared. */
+    /**
+     * Shares idempotency claims if a directory is configured. A failure is logged, and the claims are then not shared.
+     */
     private void shareIdempotencyClaims(Core core) {
         if (config.sharedDirectory() == null) {
             return;
--- a/server/src/main/java/wheatspread/daemon/WarmUp.java
+++ b/server/src/main/java/wheatspread/daemon/WarmUp.java
@@ -42,7 +42,10 @@
     /** Limits the warm-up on a slow processor, since the server serves no requests during it. */
     static final long MAX_DURATION_NANOS = 1_500_000_000L;
 
-    /** The simulated duration of a run, of a dependency call and of its reply, and the interval between requests. */
+    /**
+     * The simulated duration of a dependency call, and of a run before and after its dependency call; also the interval
+     * between two requests.
+     */
     private static final long STEP_MICROS = 5_000;
 
     private static final long MICROS_PER_MILLI = 1_000;
@@ -159,8 +162,8 @@
     }
 
     @Override
-    public Timer schedule(long micros, Runnable task) {
-        ScheduledTask timer = new ScheduledTask(nowMicros + micros, ++lastTimerNumber, task);
+    public Timer schedule(long delayMicros, Runnable task) {
+        ScheduledTask timer = new ScheduledTask(nowMicros + delayMicros, ++lastTimerNumber, task);
         timers.add(timer);
         return () -> timers.remove(timer);
     }
@@ -173,11 +176,11 @@
     // ---- the simulated kernel: each run succeeds, after a dependency call if its class makes calls ----
 
     @Override
-    public void run(String job, String kind, byte[] body) {
+    public void run(String job, String requestClass, byte[] body) {
         boolean callsDependency = deployment
                 .settings()
                 .classes()
-                .get(deployment.classes().indexOf(kind))
+                .get(deployment.classes().indexOf(requestClass))
                 .callsDependency();
         schedule(STEP_MICROS, () -> {
             if (callsDependency) {
@@ -204,7 +207,7 @@
     }
 
     @Override
-    public void skipDependencyCall(String job, long notice) {
+    public void skipDependencyCall(String job, long noticeNumber) {
         completeDependencyCall(job, BODY);
     }
 
--- a/server/src/main/java/wheatspread/jsonrpc/InvalidParameterException.java
+++ b/server/src/main/java/wheatspread/jsonrpc/InvalidParameterException.java
@@ -6,7 +6,7 @@
 
     private final String parameter;
 
-    /** Creates an exception whose message is the parameter's name followed by {@code problem}, a predicate. */
+    /** Creates an exception whose message is the parameter's name followed by {@code problem}, such as "is missing". */
     InvalidParameterException(String parameter, String problem) {
         super(parameter + " " + problem);
         this.parameter = parameter;
--- a/server/src/main/java/wheatspread/jsonrpc/RequestReader.java
+++ b/server/src/main/java/wheatspread/jsonrpc/RequestReader.java
@@ -50,7 +50,7 @@
      */
     InboundRequest read(String method, JSONObject params, long nowMicros) {
         int classIndex = classIndexes.get(method);
-        String attemptId = text(params, RpcWireNames.ATTEMPT_ID);
+        String attemptId = readText(params, RpcWireNames.ATTEMPT_ID);
         if (!attemptId.matches("[0-9a-fA-F]{16}")) {
             throw new InvalidParameterException(RpcWireNames.ATTEMPT_ID, "is not 16 hex digits");
         }
@@ -58,30 +58,30 @@
         // values above the maxima would distort the service time estimates and the scheduler's virtual time
         double maxMillis = MAX_DEADLINE_MULTIPLE * requestClass.deadlineMicros() / MICROS_PER_MILLI;
         double maxArrivalMillis = nowMicros / MICROS_PER_MILLI + MAX_ARRIVAL_AHEAD_MS;
-        long arrivalMicros = Math.round(number(params, RpcWireNames.ARRIVAL_MS, 0, maxArrivalMillis)) * 1000;
+        long arrivalMicros = Math.round(readNumber(params, RpcWireNames.ARRIVAL_MS, 0, maxArrivalMillis)) * 1000;
         // a request without a client timeout is bounded by the deadline of its request class
         boolean hasClientTimeout = params.has(RpcWireNames.CLIENT_TIMEOUT_MS);
         long timeoutMicros = hasClientTimeout
-                ? micros(number(params, RpcWireNames.CLIENT_TIMEOUT_MS, 0, maxMillis))
+                ? micros(readNumber(params, RpcWireNames.CLIENT_TIMEOUT_MS, 0, maxMillis))
                 : requestClass.deadlineMicros();
-        boolean retry = optionalNumber(params, RpcWireNames.RETRY, 1) > 0;
-        double memoryKb = number(params, RpcWireNames.MEMORY_KB, 0, MAX_MEMORY_KB);
-        long expectedWorkMicros = micros(optionalNumber(params, RpcWireNames.EXPECTED_WORK_MS, maxMillis));
-        optionalNumber(params, RpcWireNames.BALANCER, MAX_BALANCER_NUMBER);
-        if (optionalNumber(params, RpcWireNames.PRIORITY_RANK, 1) >= 1) {
+        boolean retry = readOptionalNumber(params, RpcWireNames.RETRY, 1) > 0;
+        double memoryKb = readNumber(params, RpcWireNames.MEMORY_KB, 0, MAX_MEMORY_KB);
+        long expectedWorkMicros = micros(readOptionalNumber(params, RpcWireNames.EXPECTED_WORK_MS, maxMillis));
+        readOptionalNumber(params, RpcWireNames.BALANCER, MAX_BALANCER_NUMBER);
+        if (readOptionalNumber(params, RpcWireNames.PRIORITY_RANK, 1) >= 1) {
             throw new InvalidParameterException(RpcWireNames.PRIORITY_RANK, "is out of range");
         }
         String idempotencyKey = null;
         String cacheKey = null;
         if (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
-            idempotencyKey = key(params, RpcWireNames.IDEMPOTENCY_KEY);
+            idempotencyKey = readKey(params, RpcWireNames.IDEMPOTENCY_KEY);
         } else if (params.has(RpcWireNames.CACHE_KEY)) {
-            cacheKey = key(params, RpcWireNames.CACHE_KEY);
+            cacheKey = readKey(params, RpcWireNames.CACHE_KEY);
         }
         return new InboundRequest(
                 attemptId,
                 classIndex,
-                tenant(params),
+                readTenant(params),
                 arrivalMicros,
                 arrivalMicros + timeoutMicros,
                 hasClientTimeout,
@@ -90,41 +90,41 @@
                 expectedWorkMicros,
                 idempotencyKey,
                 cacheKey,
-                body(params));
+                readBody(params));
     }
 
     private static long micros(double millis) {
         return Math.round(millis * MICROS_PER_MILLI);
     }
 
-    private static double optionalNumber(JSONObject params, String name, double max) {
-        return params.has(name) ? number(params, name, 0, max) : 0;
+    private static double readOptionalNumber(JSONObject params, String name, double max) {
+        return params.has(name) ? readNumber(params, name, 0, max) : 0;
     }
 
     /** Reads an idempotency or cache key; its length is bounded because keys are retained after the request. */
-    private static String key(JSONObject params, String name) {
-        String key = text(params, name);
+    private static String readKey(JSONObject params, String name) {
+        String key = readText(params, name);
         if (key.isEmpty() || key.length() > MAX_KEY_CHARS) {
             throw new InvalidParameterException(name, "is empty or over " + MAX_KEY_CHARS + " characters");
         }
         return key;
     }
 
-    private int tenant(JSONObject params) {
+    private int readTenant(JSONObject params) {
         if (settings.tenants().isEmpty()) {
             return 0;
         }
-        int tenant = settings.tenants().indexOf(text(params, RpcWireNames.TENANT));
+        int tenant = settings.tenants().indexOf(readText(params, RpcWireNames.TENANT));
         if (tenant < 0) {
             throw new InvalidParameterException(RpcWireNames.TENANT, "is unknown");
         }
         return tenant;
     }
 
-    private static byte[] body(JSONObject params) {
+    private static byte[] readBody(JSONObject params) {
         byte[] body;
         try {
-            body = Base64.getDecoder().decode(text(params, RpcWireNames.BODY));
+            body = Base64.getDecoder().decode(readText(params, RpcWireNames.BODY));
         } catch (IllegalArgumentException e) {
             throw new InvalidParameterException(RpcWireNames.BODY, "is not base64");
         }
@@ -134,14 +134,14 @@
         return body;
     }
 
-    private static String text(JSONObject params, String name) {
+    private static String readText(JSONObject params, String name) {
         if (params.opt(name) instanceof String text) {
             return text;
         }
         throw new InvalidParameterException(name, "is missing or not a string");
     }
 
-    private static double number(JSONObject params, String name, double min, double max) {
+    private static double readNumber(JSONObject params, String name, double min, double max) {
         if (!(params.opt(name) instanceof Number number)) {
             throw new InvalidParameterException(name, "is missing or not a number");
         }
--- a/server/src/main/java/wheatspread/jsonrpc/RpcConnection.java
+++ b/server/src/main/java/wheatspread/jsonrpc/RpcConnection.java
@@ -24,7 +24,10 @@
     private static final String NULL_ID = "null";
 
     private final RpcFront front;
-    /** The open requests as a linked list, the newest first; at most {@value #MAX_OPEN_REQUESTS}, so not indexed. */
+    /**
+     * The newest open request, which is the head of a linked list. The list has at most {@value #MAX_OPEN_REQUESTS}
+     * entries, so it needs no index.
+     */
     private OpenRequest newest;
 
     private int openRequests;
@@ -35,15 +38,15 @@
         private final String id;
 
         private final String attemptId;
-        private final boolean burstAdmission;
+        private final boolean countedByBurstLimiter;
         private OpenRequest older;
         /** The core's ticket; null until {@code submit} has returned. */
         private Long ticket;
 
-        OpenRequest(String id, String attemptId, boolean burstAdmission, OpenRequest older) {
+        OpenRequest(String id, String attemptId, boolean countedByBurstLimiter, OpenRequest older) {
             this.id = id;
             this.attemptId = attemptId;
-            this.burstAdmission = burstAdmission;
+            this.countedByBurstLimiter = countedByBurstLimiter;
             this.older = older;
         }
     }
@@ -63,7 +66,7 @@
     @Override
     protected void clientDisconnected() {
         for (OpenRequest request = newest; request != null; request = request.older) {
-            requestEnded(request.burstAdmission, Answer.Kind.FAILED);
+            requestEnded(request.countedByBurstLimiter, Answer.Kind.FAILED);
             front.core().cancel(request.ticket);
         }
         newest = null;
@@ -71,13 +74,13 @@
     }
 
     /**
-     * Rejects the queued requests and lets the running ones finish. A client cancels requests explicitly, so the
-     * end of its output does not cancel running requests. Writing the draining notification twice detects a
-     * client that has closed completely: its system answers the first write with a reset, and the second write
-     * fails.
+     * Rejects the queued requests and lets the running requests finish. A client cancels a request by a message, so
+     * running requests are not cancelled when the client shuts its output. Writing the draining notification twice
+     * detects a client that has closed the connection completely: its operating system answers the first write with a
+     * reset, and the second write fails.
      */
     @Override
-    protected void clientInputEnded() {
+    protected void clientOutputShutDown() {
         notifyDraining();
         front.clock().schedule(RpcFront.HALF_CLOSE_REMINDER_MICROS, () -> {
             if (openRequests > 0) {
@@ -191,10 +194,10 @@
         try {
             InboundRequest inbound =
                     front.requestReader().read(method, params, front.clock().nowMicros());
-            if (rejectedByBurstLimiter(front.core(), inbound.requestClass(), answer -> writeAnswer(id, answer))) {
+            if (rejectIfBurst(front.core(), inbound.requestClass(), answer -> writeAnswer(id, answer))) {
                 return;
             }
-            OpenRequest request = new OpenRequest(id, inbound.job(), isBurstAdmission(), newest);
+            OpenRequest request = new OpenRequest(id, inbound.job(), isCountedByBurstLimiter(), newest);
             newest = request;
             openRequests++;
             request.ticket = front.core().submit(inbound, answer -> complete(request, answer));
@@ -205,7 +208,7 @@
 
     private void complete(OpenRequest request, Answer answer) {
         remove(request);
-        requestEnded(request.burstAdmission, answer.kind());
+        requestEnded(request.countedByBurstLimiter, answer.kind());
         writeAnswer(request.id, answer);
         answerWritten();
     }
@@ -250,9 +253,9 @@
     }
 
     /**
-     * Cancels an open request. The client's notification identifies it by the request's id, as in
-     * {@code "params":{"id":55}}, or by its attempt id. The protocol does not specify which of the two, so both
-     * are accepted. Unknown ids are ignored.
+     * Cancels an open request. The client's notification identifies the request by its JSON-RPC id, as in
+     * {@code "params":{"id":55}}, or by its attempt id. The protocol does not specify which of the two the client
+     * sends, so both are accepted. Unknown ids are ignored.
      */
     private void handleCancel(JSONObject message, JSONObject params) {
         Object attemptId = params == null ? null : params.opt(RpcWireNames.ATTEMPT_ID);
@@ -265,7 +268,7 @@
         }
         if (cancelled != null) {
             remove(cancelled);
-            requestEnded(cancelled.burstAdmission, Answer.Kind.FAILED);
+            requestEnded(cancelled.countedByBurstLimiter, Answer.Kind.FAILED);
             front.core().cancel(cancelled.ticket);
         }
     }
--- a/server/src/main/java/wheatspread/jsonrpc/RpcFront.java
+++ b/server/src/main/java/wheatspread/jsonrpc/RpcFront.java
@@ -17,7 +17,7 @@
     /** The maximum length of a line; a body of 2 KiB in base64 and the other fields take less than 4 KiB. */
     static final int MAX_LINE_BYTES = 16 * 1024;
 
-    /** The delay before a client that has shut its output is notified a second time that it is draining. */
+    /** The delay before a client that has shut its output is notified a second time that the connection is draining. */
     static final long HALF_CLOSE_REMINDER_MICROS = 50_000;
 
     private static final int CONNECTION_REJECTED_RETRY_AFTER_MS = 1_000;
@@ -77,7 +77,7 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Uses reloaded settings for the requests read from now. Event loop only. */
+    /** Uses reloaded settings for the requests that are read after this call. Event loop only. */
     public void applySettings(DeploymentSettings settings) {
         requestReader = new RequestReader(settings);
     }
--- a/server/src/main/java/wheatspread/lifecycle/DrainDeadlines.java
+++ b/server/src/main/java/wheatspread/lifecycle/DrainDeadlines.java
@@ -107,7 +107,8 @@
 
     /**
      * Returns whether connections that started to close at {@code closingAtMicros} may stay open. With unwritten bytes
-     * they may until the abort deadline, otherwise for {@link #LINGER_MICROS}, for the client to close its side.
+     * they may stay open until the abort deadline, otherwise for {@link #LINGER_MICROS}, in which the client closes its
+     * side.
      */
     public boolean mayLinger(long nowMicros, long closingAtMicros, long pendingBytes) {
         return nowMicros < abortConnectionsAtMicros
--- a/server/src/main/java/wheatspread/lifecycle/Lifecycle.java
+++ b/server/src/main/java/wheatspread/lifecycle/Lifecycle.java
@@ -17,7 +17,8 @@
  * <tr><td>{@code BINDING}</td><td>binds the listeners and connects to the kernel</td>
  *     <td>{@code BOUND} to {@code AWAITING_KERNEL}, or to {@code SERVING} if the kernel is ready already;
  *     {@code BIND_FAILED} to {@code STOPPED}; a drain signal to {@code CANCELLING_START}</td></tr>
- * <tr><td>{@code CANCELLING_START}</td><td>continues to bind, since a listener may have accepted connections</td>
+ * <tr><td>{@code CANCELLING_START}</td><td>finishes binding before it drains, because a listener that is
+ *     already open may have accepted connections</td>
  *     <td>{@code BOUND} to {@code DRAINING}; {@code BIND_FAILED} to {@code STOPPED}</td></tr>
  * <tr><td>{@code AWAITING_KERNEL}</td><td>listens, and rejects requests because the kernel is not ready</td>
  *     <td>{@code KERNEL_READY} to {@code SERVING}; {@code KERNEL_TIMED_OUT} or a drain signal to
@@ -72,7 +73,7 @@
         KERNEL_TIMED_OUT("KERNEL_GIVEN_UP"),
         /** SIGTERM or a first SIGINT starts the drain. */
         DRAIN("NOTICE"),
-        /** A second SIGINT ends the wait of the drain for further requests. */
+        /** After a second SIGINT, the drain no longer waits for requests that clients may still send. */
         DRAIN_IMMEDIATELY("HURRY"),
         /** SIGHUP requests a reload of the configuration. */
         RELOAD("RELOAD"),
@@ -150,7 +151,10 @@
         return table;
     }
 
-    /** Returns the phase after a drain signal. Without listeners no drain is needed; later signals change nothing. */
+    /**
+     * Returns the phase after a drain signal. A process without listeners stops at once. Further drain signals do not
+     * change the phase.
+     */
     private static Phase afterDrainSignal(Phase phase) {
         return switch (phase) {
             case NEW, WARMING_UP -> Phase.STOPPED;
@@ -180,7 +184,7 @@
         return phase == Phase.CANCELLING_START || phase.compareTo(Phase.DRAINING) >= 0;
     }
 
-    /** Returns whether the kernel was ever ready; before that no request can have run. */
+    /** Returns whether the kernel was ever ready; if it was not, no request can have run. */
     public boolean kernelWasReady() {
         return kernelWasReady;
     }
--- a/server/src/main/java/wheatspread/scheduling/ReadScheduler.java
+++ b/server/src/main/java/wheatspread/scheduling/ReadScheduler.java
@@ -4,7 +4,7 @@
  * Decides which connections are read in an event-loop iteration, in what order, and when the read budget of
  * the iteration is spent. Connections with open requests are read first, then recently used connections, then
  * idle connections, each group in the order in which they became ready. Idle connections are guaranteed one
- * in {@link IterationBudget#readsPerIdleRead} reads, whatever the load of the others. The scheduler does no
+ * in {@link IterationBudget#readsPerIdleRead} reads, whatever the load of the other connections. The scheduler does no
  * I/O and reads no clock. Used on the event loop only.
  */
 public final class ReadScheduler {
@@ -127,7 +127,7 @@
     }
 
     /** Returns the number of idle connections that wait to be read. */
-    public int idleWaiting() {
+    public int idleConnectionsWaiting() {
         return sizes[IDLE];
     }
 
--- a/server/src/main/java/wheatspread/scheduling/ReconnectBurstLimiter.java
+++ b/server/src/main/java/wheatspread/scheduling/ReconnectBurstLimiter.java
@@ -20,7 +20,7 @@
      * only after the requests in flight have ended.
      */
     private static final long DECREASE_INTERVAL_MICROS = 200_000;
-    /** The latest retry-after divided by this is the earliest. */
+    /** The earliest retry-after is the latest retry-after divided by this number. */
     private static final int MIN_RETRY_AFTER_DIVISOR = 4;
 
     private final int burstThreshold;
@@ -42,16 +42,16 @@
     }
 
     /**
-     * Decides whether a request read from an idle connection may be submitted to the core, while
-     * {@code idleWaiting} further idle connections wait to be read. For each admitted request {@link #completed}
-     * must be called once when it ends.
+     * Decides whether a request read from an idle connection may be submitted to the core, and counts it as in flight
+     * if so. {@code idleConnectionsWaiting} is the number of further idle connections that wait to be read. When an
+     * admitted request ends, {@link #completed} must be called once.
      */
-    public boolean tryAdmit(int idleWaiting) {
-        if (!inBurst && idleWaiting >= burstThreshold) {
+    public boolean tryAdmit(int idleConnectionsWaiting) {
+        if (!inBurst && idleConnectionsWaiting >= burstThreshold) {
             inBurst = true;
             bursts++;
             windowRequests = INITIAL_WINDOW_REQUESTS;
-        } else if (inBurst && idleWaiting == 0 && inFlight == 0) {
+        } else if (inBurst && idleConnectionsWaiting == 0 && inFlight == 0) {
             inBurst = false;
         }
         if (inBurst && inFlight >= (int) windowRequests) {
--- a/server/src/main/java/wheatspread/timers/TimerWheel.java
+++ b/server/src/main/java/wheatspread/timers/TimerWheel.java
@@ -21,7 +21,10 @@
 
     /** The binary logarithm of the width in ticks of a slot of each level. */
     private static final int[] SLOT_WIDTH_BITS = {0, 8, 14, 20};
-    /** Timers further ahead, about 18 hours, are put in the farthest slot and placed again when it is emptied. */
+    /**
+     * A timer that is due later, in more than about 18 hours, is put in the farthest slot, and placed again when that
+     * slot is emptied.
+     */
     private static final long MAX_TICKS_AHEAD = (1L << 26) - 1;
 
     /** The slot of a timer that has expired and whose {@link Timer#onExpiry} has not been called yet. */
@@ -91,8 +94,9 @@
     }
 
     /**
-     * Sets a timer to expire at {@code deadlineMicros}, or moves it there if it is set. A timer that moves to a later
-     * time stays in its slot and is placed again at its old deadline, so extending a deadline costs a single store.
+     * Sets a timer to expire at {@code deadlineMicros}, or moves the timer there if it is already set. A timer that
+     * moves to a later time stays in its slot and is placed again at its old deadline, so extending a deadline costs a
+     * single store.
      */
     public void set(Timer timer, long deadlineMicros) {
         if (timer.slot >= 0 && deadlineMicros >= timer.deadlineMicros) {
@@ -207,9 +211,9 @@
     /** Returns the next tick with timers in the first level, or at which a slot of the next level is emptied. */
     private long nextTickToProcess() {
         int slotCount = 1 << SLOT_BITS[0];
-        long wrap = (currentTick | slotCount - 1) + 1;
+        long wrapTick = (currentTick | slotCount - 1) + 1;
         int step = distance(0, (int) currentTick & slotCount - 1);
-        return step == 0 ? wrap : Math.min(currentTick + step, wrap);
+        return step == 0 ? wrapTick : Math.min(currentTick + step, wrapTick);
     }
 
     /** Moves the timers of a level's current slot to the levels below, after doing so for the levels above. */
--- a/server/src/main/java/wheatspread/transport/ClientChannelHandler.java
+++ b/server/src/main/java/wheatspread/transport/ClientChannelHandler.java
@@ -26,7 +26,7 @@
  * yet.
  *
  * <p>Used on the event loop only. The {@link Listener} registers the channel. The buffer is released when the
- * channel becomes inactive, whichever side closed it.
+ * channel becomes inactive, whichever side closed the channel.
  */
 public abstract class ClientChannelHandler extends ChannelInboundHandlerAdapter implements ConnectionActions {
     protected final Listener listener;
@@ -36,7 +36,7 @@
 
     private Connection connection;
     private Phase phase = Phase.OPEN;
-    /** Whether the client has shut its output; it may still read answers. */
+    /** Whether the client has shut its output; the client may still read answers. */
     private boolean inputShutdown;
     /** The state of the lingering close; null before it begins. */
     private LingeringClose lingeringClose;
@@ -59,9 +59,9 @@
         return connection;
     }
 
-    /** Sets the connection that the table admitted. Must be called before the channel is registered. */
-    final void attach(Connection admitted) {
-        connection = admitted;
+    /** Sets the connection of this channel in the connection table. Must be called before the channel is registered. */
+    final void attach(Connection admittedConnection) {
+        connection = admittedConnection;
     }
 
     /**
@@ -81,16 +81,17 @@
         return 0;
     }
 
-    /** Returns whether the protocol accepts more requests now; the channel is not read while it does not. */
+    /** Returns whether the protocol accepts more requests now; if it does not, the channel is not read. */
     protected boolean acceptsMoreRequests() {
         return true;
     }
 
     /**
-     * Called when the client shuts its output while requests are open. The default treats this as a disconnect;
-     * a protocol whose clients cancel requests explicitly overrides it and answers the requests.
+     * Called when the client shuts its output while requests are open. The default treats this as a disconnect.
+     * If the clients of a protocol cancel requests by a message, its subclass overrides this method, so that the
+     * requests are answered.
      */
-    protected void clientInputEnded() {
+    protected void clientOutputShutDown() {
         clientDisconnected();
     }
 
@@ -133,7 +134,7 @@
             closeIfDone();
         } else {
             if (openRequests() > 0) {
-                clientInputEnded();
+                clientOutputShutDown();
             }
             drain();
         }
@@ -162,7 +163,7 @@
         updateReading();
     }
 
-    /** Reads messages from the buffer again, after the protocol left whole messages in it. */
+    /** Reads the whole messages that the protocol left in the buffer while it accepted no more requests. */
     protected final void readBuffered() {
         if (buffered != null && phase == Phase.OPEN) {
             readBytes(Unpooled.EMPTY_BUFFER);
@@ -192,9 +193,8 @@
     }
 
     /**
-     * Pauses reads from a client that does not read its answers, because its pending answers would take up ever
-     * more memory, and resumes them when it does. Starts the lingering close of a draining connection once no
-     * request is open.
+     * Pauses reads from a client while the client does not read its answers; otherwise the pending answers would
+     * take up ever more memory. Starts the lingering close of a draining connection once no request is open.
      */
     protected final void updateReading() {
         if (phase != Phase.LINGERING) {
@@ -244,14 +244,14 @@
 
     private void discard(int bytes) {
         listener.recordRead(bytes, 0);
-        if (lingeringClose != null && !lingeringClose.mayDiscard(bytes)) {
+        if (lingeringClose != null && !lingeringClose.countDiscarded(bytes)) {
             ctx.close();
         }
     }
 
     @Override
     public final boolean madeWriteProgress() {
-        return lingeringClose.madeProgress(pendingWriteBytes());
+        return lingeringClose.checkProgress(pendingWriteBytes());
     }
 
     @Override
@@ -268,7 +268,7 @@
         if (cause instanceof IOException || phase != Phase.OPEN) {
             context.close();
         } else {
-            drain(); // an exception in one message must not lose the answers to other requests
+            drain(); // an exception at one message must not lose the answers to earlier requests
         }
     }
 
@@ -299,10 +299,10 @@
     }
 
     /**
-     * Returns whether the burst limiter rejects the request that was just read as part of a reconnect burst. A
-     * rejected request has been answered through {@code reply} with a retry-after.
+     * Rejects the request that was just read, if the burst limiter does not admit it during a reconnect burst:
+     * answers it through {@code reply} with a retry-after. Returns whether the request was rejected.
      */
-    protected final boolean rejectedByBurstLimiter(Core core, int requestClass, Reply reply) {
+    protected final boolean rejectIfBurst(Core core, int requestClass, Reply reply) {
         EventLoopScheduler scheduler = listener.scheduler();
         if (scheduler.tryAdmit()) {
             return false;
@@ -316,13 +316,13 @@
      * Returns whether the burst limiter counts the request being read; the result must be passed to
      * {@link #requestEnded} when the request ends.
      */
-    protected final boolean isBurstAdmission() {
+    protected final boolean isCountedByBurstLimiter() {
         return listener.scheduler().isReadingIdle();
     }
 
     /** Reports the end of a request that the burst limiter did not reject, to the limiter and the listener. */
-    protected final void requestEnded(boolean burstAdmission, Answer.Kind kind) {
-        if (burstAdmission) {
+    protected final void requestEnded(boolean countedByBurstLimiter, Answer.Kind kind) {
+        if (countedByBurstLimiter) {
             listener.scheduler().burstLimiter().completed(kind == Answer.Kind.SERVED);
         }
         if (kind == Answer.Kind.REJECTED) {
--- a/server/src/main/java/wheatspread/transport/EventLoopScheduler.java
+++ b/server/src/main/java/wheatspread/transport/EventLoopScheduler.java
@@ -56,7 +56,7 @@
     private final ReconnectBurstLimiter burstLimiter;
     /** The clock by which connections record their last use; by default Unix time. Microseconds. */
     private LongSupplier connectionClock = () -> System.currentTimeMillis() * MICROS_PER_MILLI;
-    /** The connection whose channel is being registered; null while no client's channel is. */
+    /** The connection whose channel is being registered; null while no channel of a client is being registered. */
     private Connection connectionBeingRegistered;
     /** Whether the connection being read counted as idle when it was queued. */
     private boolean readingIdle;
@@ -114,7 +114,7 @@
         endTasks.add(task);
     }
 
-    /** Runs the registration of a client's channel so that the read scheduler defers its reads. */
+    /** Runs the registration of a client's channel in such a way that the read scheduler defers the channel's reads. */
     void register(Connection connection, Runnable registration) {
         connectionBeingRegistered = connection;
         try {
@@ -142,7 +142,7 @@
      * idle connections; each request that it admits must be reported to {@link ReconnectBurstLimiter#completed}.
      */
     boolean tryAdmit() {
-        return !readingIdle || burstLimiter.tryAdmit(readScheduler.idleWaiting());
+        return !readingIdle || burstLimiter.tryAdmit(readScheduler.idleConnectionsWaiting());
     }
 
     public ReconnectBurstLimiter burstLimiter() {
--- a/server/src/main/java/wheatspread/transport/IterationTimes.java
+++ b/server/src/main/java/wheatspread/transport/IterationTimes.java
@@ -22,7 +22,7 @@
     }
 
     /** Returns the log fields as alternating names and values, and resets the longest duration. */
-    public Object[] fields() {
+    public Object[] takeLogFields() {
         return new Object[] {
             "count",
             iterations,
--- a/server/src/main/java/wheatspread/transport/LingeringClose.java
+++ b/server/src/main/java/wheatspread/transport/LingeringClose.java
@@ -2,7 +2,7 @@
 
 /** The state of the lingering close of one connection; allocated only when the close begins. */
 final class LingeringClose {
-    /** A client that sends more than this after the last answer is disconnected. */
+    /** A client that sends more bytes than this after the last answer is disconnected. */
     private static final int MAX_DISCARDED_BYTES = 256 * 1024;
     /** The time limit of a client that reads its answers slowly is restarted at most this many times. */
     private static final int MAX_TIMEOUT_EXTENSIONS = 4;
@@ -21,16 +21,16 @@
     }
 
     /** Counts discarded input and returns whether the client may send more. */
-    boolean mayDiscard(int bytes) {
+    boolean countDiscarded(int bytes) {
         discardedBytes += bytes;
         return discardedBytes <= MAX_DISCARDED_BYTES;
     }
 
     /**
-     * Returns whether fewer bytes are pending than at the last call, in which case the time limit is extended;
-     * false once the extensions are used up.
+     * Counts an extension of the time limit, and returns true, if fewer bytes are pending than at the last call.
+     * Returns false otherwise, and after {@link #MAX_TIMEOUT_EXTENSIONS} extensions.
      */
-    boolean madeProgress(long pendingBytes) {
+    boolean checkProgress(long pendingBytes) {
         boolean progress = pendingBytes > 0 && pendingBytes < lastPendingBytes && extensions++ < MAX_TIMEOUT_EXTENSIONS;
         lastPendingBytes = pendingBytes;
         return progress;
--- a/server/src/main/java/wheatspread/transport/Listener.java
+++ b/server/src/main/java/wheatspread/transport/Listener.java
@@ -283,7 +283,7 @@
         table.limitIdleTime(timeoutMicros);
     }
 
-    /** Sets the single timer of all connections to the end of the first time limit, unless it fires before. */
+    /** Sets the single timer of all connections to the end of the first time limit, unless the timer fires earlier. */
     private void startExpiryTimer() {
         long nextExpiryMicros = table == null ? Long.MAX_VALUE : table.nextExpiryMicros();
         if (nextExpiryMicros < expiryTimerMicros) {
--- a/server/src/main/java/wheatspread/transport/Transport.java
+++ b/server/src/main/java/wheatspread/transport/Transport.java
@@ -30,13 +30,16 @@
 
     /**
      * Accepts every connection in the operating system's accept queue and passes it to the channel's pipeline.
-     * Event loop only. Throws the exception of the first accept that fails.
+     * Event loop only. Stops at the first accept that fails, and throws the exception.
      */
     default void acceptAll(ServerChannel listening) throws IOException {
         throw new IOException("transport " + name() + " does not support listening sockets");
     }
 
-    /** Returns the shortest time in nanoseconds that the selector can wait; it returns at once for less. */
+    /**
+     * Returns the shortest time in nanoseconds that the selector can wait; for a shorter time the selector does not
+     * wait.
+     */
     long minWaitNanos();
 
     Class<? extends Channel> clientChannel();
@@ -87,7 +90,7 @@
             return NioListenSocket.class;
         }
 
-        /** Accepts descriptor 0 only: the JDK gives access to an inherited socket only there. */
+        /** Accepts descriptor 0 only: the JDK gives access to no other inherited socket. */
         @Override
         public ServerChannel adoptListeningSocket(int fd) throws IOException {
             if (fd != 0 || !(System.inheritedChannel() instanceof ServerSocketChannel inherited)) {
--- a/server/src/main/java/wheatspread/uwsgi/InvalidVarException.java
+++ b/server/src/main/java/wheatspread/uwsgi/InvalidVarException.java
@@ -6,7 +6,7 @@
 
     private final String varName;
 
-    /** Creates an exception whose message is the var's name followed by {@code problem}, a predicate. */
+    /** Creates an exception whose message is the var's name followed by {@code problem}, such as "is missing". */
     InvalidVarException(String varName, String problem) {
         super(varName + " " + problem);
         this.varName = varName;
--- a/server/src/main/java/wheatspread/uwsgi/Routes.java
+++ b/server/src/main/java/wheatspread/uwsgi/Routes.java
@@ -15,7 +15,7 @@
     private final List<Route> routes;
     private final Defaults defaults;
 
-    /** A match; not {@code isFinal} if it is a prefix over which a regular expression may take precedence. */
+    /** A match; {@code isFinal} is false for a prefix over which a regular expression may take precedence. */
     private record RouteMatch(Route route, boolean isFinal) {}
 
     Routes(List<Route> routes, Defaults defaults) {
@@ -29,9 +29,9 @@
         return match == null ? defaults : match.route.defaults();
     }
 
-    private static RouteMatch find(List<Route> level, String path) {
+    private static RouteMatch find(List<Route> siblings, String path) {
         Route longestPrefix = null;
-        for (Route route : level) {
+        for (Route route : siblings) {
             boolean prefix = route.match() == Match.PREFIX || route.match() == Match.PREFIX_FIRST;
             if (route.match() == Match.EXACT && path.equals(route.path())) {
                 return new RouteMatch(route, true);
@@ -43,18 +43,18 @@
                 longestPrefix = route;
             }
         }
-        RouteMatch nested = longestPrefix == null ? null : find(longestPrefix.routes(), path);
-        if (nested != null && nested.isFinal) {
-            return nested;
+        RouteMatch nestedMatch = longestPrefix == null ? null : find(longestPrefix.routes(), path);
+        if (nestedMatch != null && nestedMatch.isFinal) {
+            return nestedMatch;
         }
         if (longestPrefix == null || longestPrefix.match() != Match.PREFIX_FIRST) {
-            for (Route route : level) {
+            for (Route route : siblings) {
                 if (route.pattern() != null && route.pattern().matcher(path).find()) {
-                    RouteMatch inner = find(route.routes(), path);
-                    return new RouteMatch(inner == null ? route : inner.route, true);
+                    RouteMatch nestedInPattern = find(route.routes(), path);
+                    return new RouteMatch(nestedInPattern == null ? route : nestedInPattern.route, true);
                 }
             }
         }
-        return nested != null || longestPrefix == null ? nested : new RouteMatch(longestPrefix, false);
+        return nestedMatch != null || longestPrefix == null ? nestedMatch : new RouteMatch(longestPrefix, false);
     }
 }
--- a/server/src/main/java/wheatspread/uwsgi/UwsgiConnection.java
+++ b/server/src/main/java/wheatspread/uwsgi/UwsgiConnection.java
@@ -38,7 +38,7 @@
         /** The core's ticket; null until {@code submit} has returned, or if the request is not submitted. */
         private Long ticket;
 
-        private boolean burstAdmission;
+        private boolean countedByBurstLimiter;
         /** The encoded response; null until the request is answered. */
         private ByteBuf bytes;
 
@@ -72,7 +72,7 @@
             if (pending.bytes != null) {
                 pending.bytes.release();
             } else {
-                requestEnded(pending.burstAdmission, Answer.Kind.FAILED);
+                requestEnded(pending.countedByBurstLimiter, Answer.Kind.FAILED);
                 front.core().cancel(pending.ticket);
             }
         }
@@ -85,7 +85,7 @@
     }
 
     /**
-     * Drains the connection once it is idle while the server is draining. uwsgi cannot announce draining, so a
+     * Drains the connection if it is idle and the server is draining. uwsgi cannot announce draining, so a
      * client that connects during the drain still gets its first response.
      */
     private void drainIfIdle() {
@@ -160,10 +160,10 @@
             try {
                 InboundRequest inbound = front.varsReader()
                         .read(vars, request.body(), front.clock().nowMicros());
-                if (rejectedByBurstLimiter(front.core(), inbound.requestClass(), answer -> respond(pending, answer))) {
+                if (rejectIfBurst(front.core(), inbound.requestClass(), answer -> respond(pending, answer))) {
                     return;
                 }
-                pending.burstAdmission = isBurstAdmission();
+                pending.countedByBurstLimiter = isCountedByBurstLimiter();
                 pending.ticket = front.core().submit(inbound, answer -> complete(pending, answer));
             } catch (InvalidVarException e) {
                 respond(pending, "400 Bad Request", text(e.getMessage()), "");
@@ -172,7 +172,7 @@
     }
 
     private void complete(PendingResponse pending, Answer answer) {
-        requestEnded(pending.burstAdmission, answer.kind());
+        requestEnded(pending.countedByBurstLimiter, answer.kind());
         respond(pending, answer);
     }
 
--- a/server/src/main/java/wheatspread/uwsgi/UwsgiDecoder.java
+++ b/server/src/main/java/wheatspread/uwsgi/UwsgiDecoder.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 
 /**
- * Decodes a packet and the body of {@code CONTENT_LENGTH} bytes after it, if that var is present. The result is
- * a {@link Request} or {@link Malformed}. After a malformed packet the connection must not be read further,
- * because the start of the next request is unknown. A connection has a decoder only while a request is being
- * read.
+ * Decodes a packet and, if it has the var {@code CONTENT_LENGTH}, the body of that many bytes after the packet.
+ * The result is a {@link Request} or {@link Malformed}. After a malformed packet the connection must not be read
+ * further, because the start of the next request is unknown. A connection has a decoder only while a request is
+ * being read.
  */
 final class UwsgiDecoder {
     private final int maxVarsBytes;
--- a/server/src/main/java/wheatspread/uwsgi/UwsgiFront.java
+++ b/server/src/main/java/wheatspread/uwsgi/UwsgiFront.java
@@ -61,7 +61,7 @@
                 .getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    /** Uses reloaded settings for the requests read from now. Event loop only. */
+    /** Uses reloaded settings for the requests that are read after this call. Event loop only. */
     public void applySettings(DeploymentSettings settings) {
         varsReader = newVarsReader(settings);
     }
--- a/server/src/main/java/wheatspread/uwsgi/VarsReader.java
+++ b/server/src/main/java/wheatspread/uwsgi/VarsReader.java
@@ -38,34 +38,35 @@
     }
 
     /**
-     * Reads a request. {@code nowMicros} is Unix time; it is used as the arrival time because packets carry none.
-     * Throws an InvalidVarException if a var is missing or invalid.
+     * Reads a request. {@code nowMicros} is Unix time, and becomes the arrival time, because packets carry no
+     * arrival time. Throws an InvalidVarException if a var is missing or invalid.
      */
     InboundRequest read(Map<String, String> vars, byte[] body, long nowMicros) {
         Defaults defaults = routes.find(path(vars));
         UwsgiConfig.Vars names = config.vars();
-        int classIndex = index(vars, names.requestClass(), settings.classes(), defaults.requestClass());
-        int tenant =
-                settings.tenants().isEmpty() ? 0 : index(vars, names.tenant(), settings.tenants(), defaults.tenant());
+        int classIndex = readIndex(vars, names.requestClass(), settings.classes(), defaults.requestClass());
+        int tenant = settings.tenants().isEmpty()
+                ? 0
+                : readIndex(vars, names.tenant(), settings.tenants(), defaults.tenant());
         RequestClass requestClass = settings.settings().classes().get(classIndex);
-        long timeoutMicros = micros(vars, names.timeout(), defaults.timeoutMicros());
+        long timeoutMicros = readMicros(vars, names.timeout(), defaults.timeoutMicros());
         boolean hasClientTimeout = timeoutMicros > 0;
         if (!hasClientTimeout) {
             timeoutMicros = requestClass.deadlineMicros();
         }
-        double memoryKb = number(vars, names.memory(), defaults.memoryKb());
+        double memoryKb = readNumber(vars, names.memory(), defaults.memoryKb());
         if (memoryKb > MAX_MEMORY_KB) {
             throw new InvalidVarException(names.memory(), "is over " + MAX_MEMORY_KB);
         }
         String idempotencyKey = null;
         String cacheKey = null;
         if (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
-            idempotencyKey = text(vars, names.idempotencyKey());
+            idempotencyKey = readText(vars, names.idempotencyKey());
             if (idempotencyKey == null) {
                 throw new InvalidVarException(names.idempotencyKey(), "is missing, and this class needs it");
             }
         } else {
-            cacheKey = text(vars, names.cacheKey());
+            cacheKey = readText(vars, names.cacheKey());
         }
         return new InboundRequest(
                 jobIds.get(),
@@ -76,20 +77,20 @@
                 hasClientTimeout,
                 false,
                 memoryKb,
-                micros(vars, names.expectedWork(), defaults.expectedWorkMicros()),
+                readMicros(vars, names.expectedWork(), defaults.expectedWorkMicros()),
                 idempotencyKey,
                 cacheKey,
                 body);
     }
 
     /** Returns the value of a var; null if it is missing or empty. */
-    private static String text(Map<String, String> vars, String name) {
+    private static String readText(Map<String, String> vars, String name) {
         String value = vars.get(name);
         return value == null || value.isEmpty() ? null : value;
     }
 
-    private static int index(Map<String, String> vars, String name, List<String> knownValues, int defaultIndex) {
-        String value = text(vars, name);
+    private static int readIndex(Map<String, String> vars, String name, List<String> knownValues, int defaultIndex) {
+        String value = readText(vars, name);
         int index = value == null ? defaultIndex : knownValues.indexOf(value);
         if (index < 0) {
             throw new InvalidVarException(name, value == null ? "is missing and has no default" : "is unknown");
@@ -97,12 +98,12 @@
         return index;
     }
 
-    private static long micros(Map<String, String> vars, String name, long defaultMicros) {
-        return Math.round(number(vars, name, defaultMicros / MICROS_PER_MILLI) * MICROS_PER_MILLI);
+    private static long readMicros(Map<String, String> vars, String name, long defaultMicros) {
+        return Math.round(readNumber(vars, name, defaultMicros / MICROS_PER_MILLI) * MICROS_PER_MILLI);
     }
 
-    private static double number(Map<String, String> vars, String name, double defaultValue) {
-        String value = text(vars, name);
+    private static double readNumber(Map<String, String> vars, String name, double defaultValue) {
+        String value = readText(vars, name);
         if (value == null) {
             return defaultValue;
         }
--- a/server/src/test/java/wheatspread/daemon/CloseRaceTest.java
+++ b/server/src/test/java/wheatspread/daemon/CloseRaceTest.java
@@ -95,8 +95,8 @@
     }
 
     /**
-     * Asserts that every id from 1 to {@code count} has one answer, a result or an overload error, and at least one
-     * result.
+     * Asserts that every id from 1 to {@code count} has one answer, a result or an overload error, and that at least
+     * one of the answers is a result.
      */
     private static void assertAnsweredOnce(List<String> outcomes, int count) {
         List<Integer> ids = outcomes.stream()
@@ -141,7 +141,7 @@
                 return null;
             });
             assertThat(client.readToEnd(4096)).isEqualTo(StreamEnd.CLOSED);
-            assertThat(client.lines()).isEmpty();
+            assertThat(client.takeLines()).isEmpty();
             assertThat(kernel.runs).containsExactly("ok-1");
         }
     }
@@ -152,16 +152,16 @@
         try (ServerFixture fixture = startServer("{\"connections\":{\"whole_request_ms\":100}}", transport);
                 FaultyClient client = FaultyClient.connect(fixture.jsonrpc)) {
             client.write(requestLine(1, "call-1") + "{\"jsonrpc\":\"2.0\",\"id\":2,");
-            try (TestConnection records = new TestConnection(fixture.records.accept())) {
-                String job = records.readLine().split(" ")[1];
-                records.readLine();
+            try (TestConnection recordsConnection = new TestConnection(fixture.records.accept())) {
+                String job = recordsConnection.readLine().split(" ")[1];
+                recordsConnection.readLine();
                 fixture.clock().advance(100_000); // the incomplete line times out
                 client.write("\"method\":\"stew\"");
                 fixture.clock().advance(0);
-                records.write((job + " DONE 2\r\nok\r\n").getBytes(StandardCharsets.US_ASCII));
+                recordsConnection.write((job + " DONE 2\r\nok\r\n").getBytes(StandardCharsets.US_ASCII));
                 assertThat(client.readToEnd(1)).isEqualTo(StreamEnd.CLOSED);
             }
-            assertThat(outcomes(client.lines())).containsExactly("1 served");
+            assertThat(outcomes(client.takeLines())).containsExactly("1 served");
         }
     }
 
@@ -173,7 +173,7 @@
                 FaultyClient client = FaultyClient.connect(fixture.jsonrpc)) {
             client.write(requestLine(1, "ok-1") + "x".repeat(100_000));
             assertThat(client.readToEnd(1)).isEqualTo(StreamEnd.CLOSED);
-            assertThat(outcomes(client.lines())).containsExactly("1 served", "null -32700");
+            assertThat(outcomes(client.takeLines())).containsExactly("1 served", "null -32700");
             try (FaultyClient otherClient = FaultyClient.connect(fixture.jsonrpc)) {
                 otherClient.write("\u00ff\u0000{\"id\":\n" + requestLine(1, "ok-2"));
                 assertThat(outcomes(List.of(otherClient.readLine()))).containsExactly("null -32700");
@@ -182,7 +182,7 @@
         }
     }
 
-    /** A client that continues to send after the server's close is aborted at the limit. */
+    /** The server aborts the connection of a client that sends more after the close than the server discards. */
     @ParameterizedTest
     @MethodSource("transports")
     void abortsClientThatSendsAfterClose(String transport) throws Exception {
@@ -218,14 +218,14 @@
                             });
             client.write(",\"id\"");
             assertThat(client.readToEnd(512)).isEqualTo(StreamEnd.CLOSED);
-            assertAnsweredOnce(outcomes(client.lines()), count);
+            assertAnsweredOnce(outcomes(client.takeLines()), count);
             client.shutdownOutput();
             fixture.clock().advance(DrainDeadlines.LINGER_MICROS);
             assertThat(fixture.server.awaitStopped()).isZero();
         }
     }
 
-    /** The exit is delayed up to the time limit, and other clients are not affected. */
+    /** A client that never reads delays the exit until the stop timeout at most, and does not affect other clients. */
     @ParameterizedTest
     @MethodSource("transports")
     void clientThatNeverReadsDelaysExitUpToTheLimitOnly(String transport) throws Exception {
@@ -241,7 +241,7 @@
             fixture.server.drain();
             fixture.clock().advance(3_900_000);
             assertThat(otherClient.readToEnd(4096)).isEqualTo(StreamEnd.CLOSED);
-            assertAnsweredOnce(outcomes(otherClient.lines()), 1);
+            assertAnsweredOnce(outcomes(otherClient.takeLines()), 1);
             fixture.clock().advance(50_000); // stop_ms is 4000
             assertThat(fixture.server.awaitStopped()).isZero();
         }
@@ -269,7 +269,7 @@
             fixture.clock().advance(DrainDeadlines.LAST_ACCEPTED_READ_MICROS + 50_000);
             for (FaultyClient client : clients) {
                 assertThat(client.readToEnd(4096)).isEqualTo(StreamEnd.CLOSED);
-                assertThat(outcomes(client.lines())).containsExactly("1 -32066");
+                assertThat(outcomes(client.takeLines())).containsExactly("1 -32066");
                 client.close();
             }
             fixture.clock().advance(DrainDeadlines.LINGER_MICROS);
@@ -278,10 +278,13 @@
         }
     }
 
-    /** A connection accepted just before the listener closes, and silent until after it, must end without a reset. */
+    /**
+     * If a connection is accepted before the listener closes, and its first request arrives after the listener has
+     * closed, the connection must end without a reset.
+     */
     @ParameterizedTest
     @MethodSource("transports")
-    void requestDuringTheLastCloseIsNotReset(String transport) throws Exception {
+    void requestDuringFinalDrainCloseDoesNotResetConnection(String transport) throws Exception {
         try (ServerFixture fixture = startServer("{}", transport);
                 FaultyClient client = FaultyClient.connect(fixture.jsonrpc)) {
             fixture.clock().advance(0);
@@ -292,7 +295,7 @@
                 return null;
             });
             assertThat(client.readToEnd(4096)).isEqualTo(StreamEnd.CLOSED);
-            assertThat(outcomes(client.lines())).isEmpty();
+            assertThat(outcomes(client.takeLines())).isEmpty();
             assertThat(kernel.runs).isEmpty();
         }
     }
@@ -304,35 +307,38 @@
         try (ServerFixture fixture = startServer("{}", transport);
                 FaultyClient client = FaultyClient.connect(fixture.jsonrpc)) {
             client.write(requestLine(1, "call-1"));
-            try (TestConnection records = new TestConnection(fixture.records.accept())) {
-                String job = records.readLine().split(" ")[1];
-                records.readLine();
+            try (TestConnection recordsConnection = new TestConnection(fixture.records.accept())) {
+                String job = recordsConnection.readLine().split(" ")[1];
+                recordsConnection.readLine();
                 fixture.clock().advanceWithConcurrentInput(0, () -> {
                     client.writeByteByByte(requestLine(2, "ok-2") + "{\"half");
                     client.shutdownOutput();
                     return null;
                 });
                 fixture.clock().advance(60_000);
-                records.write((job + " DONE 2\r\nok\r\n").getBytes(StandardCharsets.US_ASCII));
+                recordsConnection.write((job + " DONE 2\r\nok\r\n").getBytes(StandardCharsets.US_ASCII));
                 assertThat(client.readToEnd(4096)).isEqualTo(StreamEnd.CLOSED);
             }
-            List<String> outcomes = outcomes(client.lines());
+            List<String> outcomes = outcomes(client.takeLines());
             assertThat(outcomes).hasSize(2).contains("1 served");
             assertThat(outcomes.get(1)).isIn("2 served", "2 -32066");
         }
     }
 
-    /** Three attempts in one iteration of the event loop, the first too late to run: the other two share one run. */
+    /**
+     * Three attempts are read in one event-loop iteration: the first is too late to run, and the second and the third
+     * share one run.
+     */
     @ParameterizedTest
     @MethodSource("transports")
-    void attemptsWithSameIdempotencyKeyReadTogetherRunOnce(String transport) throws Exception {
+    void simultaneousAttemptsWithOneIdempotencyKeyShareOneRun(String transport) throws Exception {
         try (ServerFixture fixture = startServer("{}", transport);
                 FaultyClient client = FaultyClient.connect(fixture.jsonrpc)) {
             client.write(idempotentRequestLine(1, 4_000) + idempotentRequestLine(2, 0) + idempotentRequestLine(3, 0));
             awaitAnswers(3);
             client.shutdownOutput();
             assertThat(client.readToEnd(4096)).isEqualTo(StreamEnd.CLOSED);
-            assertThat(outcomes(client.lines())).containsExactly("1 -32066", "2 served", "3 served");
+            assertThat(outcomes(client.takeLines())).containsExactly("1 -32066", "2 served", "3 served");
             assertThat(kernel.runs).hasSize(1);
         }
     }
@@ -346,16 +352,16 @@
                 FaultyClient otherClient = FaultyClient.connect(fixture.jsonrpc)) {
             client.write(requestLine(1, "hang-1"));
             otherClient.write(requestLine(1, "call-1"));
-            try (TestConnection records = new TestConnection(fixture.records.accept())) {
-                String job = records.readLine().split(" ")[1];
-                records.readLine();
+            try (TestConnection recordsConnection = new TestConnection(fixture.records.accept())) {
+                String job = recordsConnection.readLine().split(" ")[1];
+                recordsConnection.readLine();
                 fixture.clock().advanceWithConcurrentInput(10_000, () -> {
                     client.write("{\"half");
                     client.reset();
                     return null;
                 });
                 fixture.clock().advance(100_000);
-                records.write((job + " DONE 2\r\nok\r\n").getBytes(StandardCharsets.US_ASCII));
+                recordsConnection.write((job + " DONE 2\r\nok\r\n").getBytes(StandardCharsets.US_ASCII));
                 assertThat(outcomes(List.of(otherClient.readLine()))).containsExactly("1 served");
             }
             assertThat(fixture.server.requestCounters().toString()).contains("gone 1,");
--- a/server/src/test/java/wheatspread/daemon/FaultyClient.java
+++ b/server/src/test/java/wheatspread/daemon/FaultyClient.java
@@ -107,8 +107,8 @@
         }
     }
 
-    /** Returns the complete lines read so far that {@link #readLine} has not returned. */
-    List<String> lines() {
+    /** Removes and returns the complete lines that were read so far and that {@link #readLine} has not returned. */
+    List<String> takeLines() {
         List<String> lines = new ArrayList<>();
         for (int end = receivedText.indexOf("\n"); end >= 0; end = receivedText.indexOf("\n")) {
             lines.add(receivedText.substring(0, end));
--- a/server/src/test/java/wheatspread/daemon/GracefulShutdownTest.java
+++ b/server/src/test/java/wheatspread/daemon/GracefulShutdownTest.java
@@ -69,7 +69,7 @@
         assertThat(events).containsExactly(Event.DRAIN_TIMED_OUT);
     }
 
-    /** The deadlines are relative to the signal, even if the event loop handles it late. */
+    /** The deadlines are relative to the signal, even if the event loop handles the signal late. */
     @Test
     void drainDeadlinesRunFromTheSignal() {
         shutdown.begin(
--- a/server/src/test/java/wheatspread/daemon/ManualClock.java
+++ b/server/src/test/java/wheatspread/daemon/ManualClock.java
@@ -27,8 +27,8 @@
     }
 
     @Override
-    public Timer schedule(long micros, Runnable task) {
-        return clock.schedule(micros, task);
+    public Timer schedule(long delayMicros, Runnable task) {
+        return clock.schedule(delayMicros, task);
     }
 
     @Override
@@ -56,9 +56,9 @@
         settle();
         loop.submit(() -> {
                     input.call();
-                    boolean more = true;
-                    while (more) {
-                        more = clock.fireNext(untilMicros);
+                    boolean timersRemain = true;
+                    while (timersRemain) {
+                        timersRemain = clock.fireNext(untilMicros);
                     }
                     return null;
                 })
@@ -69,7 +69,7 @@
     /**
      * Waits until the server has read all earlier input and run the tasks that follow from it (a batch, then a
      * connection, then its rejection). The loopback interface delivers the round trip after all earlier input; without
-     * it, results differed on a machine short of processor time.
+     * the round trip, results differed on a machine short of processor time.
      */
     private void settle() {
         for (int round = 0; round < SETTLE_ROUNDS; round++) {
--- a/server/src/test/java/wheatspread/daemon/ReloadTest.java
+++ b/server/src/test/java/wheatspread/daemon/ReloadTest.java
@@ -61,8 +61,9 @@
     }
 
     /** Sends a request over both protocols and asserts that both are served. */
-    private static void assertServedOverBothProtocols(SimulatedProxy proxy, String kind, String body) throws Exception {
-        proxy.sendRequest(kind, "north", 5000, null, body);
+    private static void assertServedOverBothProtocols(SimulatedProxy proxy, String requestClass, String body)
+            throws Exception {
+        proxy.sendRequest(requestClass, "north", 5000, null, body);
         Map<String, String> served = Map.of(body, "served " + new StringBuilder(body).reverse());
         assertThat(proxy.readJsonRpcOutcomes()).isEqualTo(served);
         assertThat(proxy.readUwsgiOutcomes()).isEqualTo(served);
--- a/server/src/test/java/wheatspread/daemon/SceneTest.java
+++ b/server/src/test/java/wheatspread/daemon/SceneTest.java
@@ -29,7 +29,7 @@
  * JSON-RPC proxies ({@code p1}) and uwsgi clients ({@code u1}). The commands of a scene:
  *
  * <ul>
- * <li>{@code peer> text} sends a line to the server; {@code peer< text} expects a line from it, and
+ * <li>{@code peer> text} sends a line to the server; {@code peer< text} expects a line from the server, and
  *     {@code peer< closed} expects the end of the stream. {@code peer: hex} expects bytes.
  * <li>{@code kernel<job 1 text} and {@code kernel>job 1 text} expect and send a message about a job whose id the server
  *     chose; the scene refers to the job by number.
@@ -133,7 +133,7 @@
                 case "down" -> fixture.stopService(argument);
                 case "up" -> fixture.startService(argument);
                 case "cut" -> cut(argument);
-                default -> message(words[0], argument);
+                default -> exchangeMessage(words[0], argument);
             }
         }
 
@@ -165,10 +165,10 @@
         }
 
         /** Sends a line from a peer, or expects a line that the peer receives. */
-        private void message(String direction, String text) throws Exception {
+        private void exchangeMessage(String direction, String text) throws Exception {
             String peer = direction.substring(0, direction.length() - 1);
             if (direction.endsWith("job")) {
-                job(direction.charAt(direction.length() - 4) == '<', text.split(" ", 2));
+                exchangeJobMessage(direction.charAt(direction.length() - 4) == '<', text.split(" ", 2));
             } else if (direction.endsWith(":")) {
                 byte[] expected = ByteBufUtil.decodeHexDump(text);
                 assertThat(connection(peer).readBytes(expected.length)).isEqualTo(expected);
@@ -179,8 +179,8 @@
             }
         }
 
-        /** Sends or expects a kernel message about a job that the server named; the scene refers to it by number. */
-        private void job(boolean expected, String[] words) throws IOException {
+        /** Sends or expects a kernel message about a job that the server named; a scene refers to a job by number. */
+        private void exchangeJobMessage(boolean expected, String[] words) throws IOException {
             JSONObject message = new JSONObject(words[1]);
             if (expected) {
                 JSONObject actual = new JSONObject(kernelLine());
--- a/server/src/test/java/wheatspread/daemon/SimulatedProxy.java
+++ b/server/src/test/java/wheatspread/daemon/SimulatedProxy.java
@@ -39,7 +39,8 @@
     }
 
     /** Sends a request over both protocols; {@code idempotencyKey} is null in classes without keys. */
-    void sendRequest(String kind, String tenant, int limitMs, String idempotencyKey, String body) throws IOException {
+    void sendRequest(String requestClass, String tenant, int limitMs, String idempotencyKey, String body)
+            throws IOException {
         requestBodies.add(body);
         int id = ++lastId;
         bodiesById.put(Integer.toString(id), body);
@@ -55,7 +56,7 @@
                 .put("blob", SimulatedKernel.encode(body));
         Map<String, String> vars = new LinkedHashMap<>();
         vars.put("PATH_INFO", "/");
-        vars.put("RECIPE_CLASS", kind);
+        vars.put("RECIPE_CLASS", requestClass);
         vars.put("RECIPE_TENANT", tenant);
         vars.put("RECIPE_LIMIT_MS", Integer.toString(limitMs));
         vars.put("CONTENT_LENGTH", Integer.toString(body.length()));
@@ -69,7 +70,7 @@
         jsonrpc.writeLine(new JSONObject()
                 .put("jsonrpc", "2.0")
                 .put("id", id)
-                .put("method", kind)
+                .put("method", requestClass)
                 .put("params", params)
                 .toString());
     }
--- a/server/src/test/java/wheatspread/daemon/StartTest.java
+++ b/server/src/test/java/wheatspread/daemon/StartTest.java
@@ -56,8 +56,8 @@
 
     @Test
     void startFailsWithTheAddressThatIsInUse() throws Exception {
-        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            String address = "127.0.0.1:" + taken.getLocalPort();
+        try (ServerSocket occupiedSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            String address = "127.0.0.1:" + occupiedSocket.getLocalPort();
             Server server = server(address, LifeConfig.DEFAULT);
             assertThatThrownBy(server::start)
                     .isInstanceOf(IllegalStateException.class)
@@ -76,17 +76,17 @@
         server.warmUp();
         assertThat(server.start()).isFalse();
         assertThat(server.awaitStopped()).isZero();
-        Server other = server("127.0.0.1:0", LifeConfig.DEFAULT);
+        Server warmingServer = server("127.0.0.1:0", LifeConfig.DEFAULT);
         Thread signalThread = new Thread(() -> {
-            await(() -> other.phase() == Phase.WARMING_UP);
-            other.signal(Event.DRAIN);
+            await(() -> warmingServer.phase() == Phase.WARMING_UP);
+            warmingServer.signal(Event.DRAIN);
         });
         signalThread.start();
-        other.warmUp();
+        warmingServer.warmUp();
         signalThread.join();
-        await(() -> other.phase() == Phase.STOPPED);
-        assertThat(other.start()).isFalse();
-        assertThat(other.awaitStopped()).isZero();
+        await(() -> warmingServer.phase() == Phase.STOPPED);
+        assertThat(warmingServer.start()).isFalse();
+        assertThat(warmingServer.awaitStopped()).isZero();
         assertThat(logged).noneMatch(line -> line.startsWith("listening"));
     }
 
@@ -145,7 +145,7 @@
     @Test
     void onlyOneProcessTakesTheLockAndReadyFileExistsWhileServing() throws Exception {
         Path lock = dir.resolve("lock");
-        Path ready = Files.writeString(dir.resolve("ready"), "of one that was killed");
+        Path ready = Files.writeString(dir.resolve("ready"), "of a killed process");
         Path report = dir.resolve("report");
         String operatorOverrides = new JSONObject()
                 .put(
--- a/server/src/test/java/wheatspread/lifecycle/LifecycleTest.java
+++ b/server/src/test/java/wheatspread/lifecycle/LifecycleTest.java
@@ -119,13 +119,13 @@
         assertThat(lifecycle.phase()).isEqualTo(Phase.CANCELLING_START);
         lifecycle.handle(Event.BIND_FAILED);
         assertThat(lifecycle.exitCode()).isEqualTo(Lifecycle.EXIT_UNAVAILABLE);
-        Lifecycle other = new Lifecycle((from, to, by) -> {});
-        other.handle(Event.START);
-        other.handle(Event.WARMED_UP);
-        other.handle(Event.BOUND);
-        other.handle(Event.KERNEL_TIMED_OUT);
-        assertThat(other.phase()).isEqualTo(Phase.DRAINING);
-        assertThat(other.exitCode()).isEqualTo(Lifecycle.EXIT_UNAVAILABLE);
+        Lifecycle timedOutLifecycle = new Lifecycle((from, to, by) -> {});
+        timedOutLifecycle.handle(Event.START);
+        timedOutLifecycle.handle(Event.WARMED_UP);
+        timedOutLifecycle.handle(Event.BOUND);
+        timedOutLifecycle.handle(Event.KERNEL_TIMED_OUT);
+        assertThat(timedOutLifecycle.phase()).isEqualTo(Phase.DRAINING);
+        assertThat(timedOutLifecycle.exitCode()).isEqualTo(Lifecycle.EXIT_UNAVAILABLE);
     }
 
     @Test
--- a/server/src/test/java/wheatspread/scheduling/ReconnectBurstLimiterTest.java
+++ b/server/src/test/java/wheatspread/scheduling/ReconnectBurstLimiterTest.java
@@ -14,10 +14,10 @@
     private final ReconnectBurstLimiter limiter = new ReconnectBurstLimiter(64, 3);
 
     /** Submits requests from idle connections and returns the number admitted. */
-    private int countAdmitted(int requests, int idleWaiting) {
+    private int countAdmitted(int requests, int idleConnectionsWaiting) {
         int admitted = 0;
         for (int i = 0; i < requests; i++) {
-            admitted += limiter.tryAdmit(idleWaiting) ? 1 : 0;
+            admitted += limiter.tryAdmit(idleConnectionsWaiting) ? 1 : 0;
         }
         return admitted;
     }
@@ -37,7 +37,7 @@
             limiter.completed(false);
         }
         assertThat(countAdmitted(100, 0))
-                .as("the burst ended: none waits and none is in flight")
+                .as("the burst ended: no connection waits and no request is in flight")
                 .isEqualTo(100);
     }
 
--- a/server/src/test/java/wheatspread/timers/TimerWheelTest.java
+++ b/server/src/test/java/wheatspread/timers/TimerWheelTest.java
@@ -68,10 +68,10 @@
                             .mapToLong(timer -> timer.deadlineMicros)
                             .min()
                             .orElse(Long.MAX_VALUE);
-                    boolean none = earliestMicros == Long.MAX_VALUE;
+                    boolean noTimerSet = earliestMicros == Long.MAX_VALUE;
                     assertThat(wheel.nextAdvanceMicros())
                             .as("not later than the first timer expires")
-                            .isLessThanOrEqualTo(none ? earliestMicros : earliestMicros + TICK_MICROS);
+                            .isLessThanOrEqualTo(noTimerSet ? earliestMicros : earliestMicros + TICK_MICROS);
                     nowMicros += random.nextLong(maxDelayMicros);
                     wheel.expire(nowMicros, Integer.MAX_VALUE);
                     for (TestTimer timer : expired) {
