--- a/server/src/main/java/wheatspread/core/ActionExecutor.java
+++ b/server/src/main/java/wheatspread/core/ActionExecutor.java
@@ -8,11 +8,11 @@
 
 /**
  * Carries out the admission controller's actions. Ignores actions on attempts that have ended, and enforces two
- * invariants whatever the controller decides: at most one run for each idempotency key within its window, and no
- * run of a request that arrived after the drain grace.
+ * invariants whatever the controller decides: each idempotency key has at most one run within the idempotency window
+ * of its request class, and a request that arrived after the drain grace has none.
  */
 final class ActionExecutor implements AdmissionController.Actions {
-    /** An attempt that the controller fails within this time before its deadline counts as past its deadline. */
+    /** If the controller fails an attempt this close to its deadline, the answer is {@code DEADLINE_EXCEEDED}. */
     private static final long NEAR_DEADLINE_MICROS = 100_000;
 
     private final EventLog log;
@@ -71,9 +71,9 @@
 
     private void start(Attempt attempt) {
         if (idempotencyTable.isDuplicate(attempt, events.nowMicros())) {
-            // the key has run or is running: the attempt must neither run a second time nor be rejected
+            // another attempt with this key has run or is running: this attempt must neither run nor be rejected
             joinResult(attempt.id());
-        } else if (!mayRun(attempt)) {
+        } else if (!claimRun(attempt)) {
             reportIgnored(attempt.id());
             answers.finish(attempt, Answer.Kind.REJECTED);
         } else {
@@ -85,10 +85,11 @@
     }
 
     /**
-     * Returns false for a request that arrived after the drain grace, and for an idempotency key that the other
-     * process of an upgrade ran. The attempt is then rejected, which promises only that this attempt never ran.
+     * Claims the idempotency key, if any, for the run of an attempt, and returns whether the attempt may run. Returns
+     * false if the request arrived after the drain grace, or if during an upgrade the server's other process has
+     * claimed the key. The attempt is then rejected, which promises only that this attempt never ran.
      */
-    private boolean mayRun(Attempt attempt) {
+    private boolean claimRun(Attempt attempt) {
         return !attempt.receivedAfterGrace()
                 && !drain.isPastGrace(attempt.request().arrivalMicros())
                 && idempotencyTable.claim(attempt);
@@ -132,8 +133,8 @@
     @Override
     public void callDependency(long id, long timeoutMicros) {
         Attempt attempt = attempts.byId(id);
-        if (attempt == null || !attempt.dependencyCall().awaited() || attempt.answered()) {
-            return; // the attempt no longer needs an answer: the kernel ends the run at its call and reports the end
+        if (attempt == null || !attempt.dependencyCall().isAwaited() || attempt.answered()) {
+            return; // for an answered attempt the kernel ends the run that waits for this call, and reports the end
         }
         dependencyCalls.start(attempt, timeoutMicros);
     }
@@ -141,7 +142,7 @@
     @Override
     public void skipDependency(long id) {
         Attempt attempt = attempts.byId(id);
-        if (attempt != null && attempt.dependencyCall().awaited()) {
+        if (attempt != null && attempt.dependencyCall().isAwaited()) {
             dependencyCalls.skip(attempt);
         }
     }
--- a/server/src/main/java/wheatspread/core/Answer.java
+++ b/server/src/main/java/wheatspread/core/Answer.java
@@ -12,7 +12,8 @@
 public record Answer(Kind kind, byte[] body, long retryAfterMicros, boolean doNotRetry, double loadFeedback) {
     /**
      * How an attempt ended. Only {@code REJECTED} promises that the attempt never ran. {@code CONFLICT} answers an
-     * attempt that uses the job name of another attempt in flight, or its idempotency key with another body.
+     * attempt with the job name of another attempt in flight, or with the idempotency key of a request whose body is
+     * different.
      */
     public enum Kind {
         SERVED,
--- a/server/src/main/java/wheatspread/core/AttachedKernel.java
+++ b/server/src/main/java/wheatspread/core/AttachedKernel.java
@@ -2,7 +2,7 @@
 
 /**
  * Forwards commands to a kernel that is attached after the core is constructed. The link to the kernel needs the
- * core as its listener, so it cannot be constructed first.
+ * core as its listener, so the core is constructed before the link.
  */
 final class AttachedKernel implements Kernel {
     private Kernel target;
--- a/server/src/main/java/wheatspread/core/Attempt.java
+++ b/server/src/main/java/wheatspread/core/Attempt.java
@@ -40,7 +40,7 @@
     private IdempotencyTable.Entry keyEntry;
     private long joinedAtMicros;
 
-    /** Creates an attempt; one with {@code receivedAfterGrace} was read after the drain grace and must not run. */
+    /** Creates an attempt; if {@code receivedAfterGrace}, it was read after the drain grace and must not run. */
     Attempt(long id, InboundRequest request, Reply reply, boolean receivedAfterGrace) {
         this.id = id;
         this.request = request;
@@ -110,7 +110,7 @@
         return runState == RunState.RUNNING || runState == RunState.SUSPENDED;
     }
 
-    /** Returns whether the run was ever suspended; it has then begun, whatever the kernel reports later. */
+    /** Returns whether the run was ever suspended; such a run has begun, whatever the kernel reports later. */
     boolean everSuspended() {
         return everSuspended;
     }
@@ -124,7 +124,10 @@
         suspensionRequested = false;
     }
 
-    /** Returns whether to send the kernel a suspend command now; each suspension is requested only once. */
+    /**
+     * Marks the suspension of the run as requested. Returns whether a suspend command must be sent to the kernel: false
+     * if the run is not running, or if its suspension was requested before.
+     */
     boolean requestSuspension() {
         if (!running() || suspensionRequested) {
             return false;
@@ -203,7 +206,7 @@
         if (joined()) {
             return Phase.JOINED;
         }
-        if (dependencyCall.awaited()) {
+        if (dependencyCall.isAwaited()) {
             return Phase.AWAITING_DEPENDENCY;
         }
         return switch (runState) {
--- a/server/src/main/java/wheatspread/core/DependencyCalls.java
+++ b/server/src/main/java/wheatspread/core/DependencyCalls.java
@@ -21,7 +21,7 @@
         this.records = records;
     }
 
-    /** Starts the call that a run waits for, in place of any call in flight; cancels it after its timeout. */
+    /** Starts the call that a run waits for, in place of any call in flight; cancels the new call after the timeout. */
     void start(Attempt attempt, long timeoutMicros) {
         PendingDependencyCall pending = attempt.dependencyCall();
         pending.cancel();
@@ -31,10 +31,10 @@
             pending.cancel();
             reportEnd(attempt, Outcome.TIMED_OUT, startedAtMicros);
         }));
-        pending.started(records.call(attempt.job(), pending.body(), timeoutMicros, (outcome, reply) -> {
-            pending.ended();
+        pending.markStarted(records.call(attempt.job(), pending.body(), timeoutMicros, (outcome, reply) -> {
+            pending.markEnded();
             if (outcome == Outcome.OK) {
-                pending.resolved();
+                pending.markResolved();
                 kernel.completeDependencyCall(attempt.job(), reply);
             }
             reportEnd(attempt, outcome, startedAtMicros);
@@ -51,6 +51,6 @@
         PendingDependencyCall pending = attempt.dependencyCall();
         counters.dependencyCallSkipped();
         kernel.skipDependencyCall(attempt.job(), pending.noticeNumber());
-        pending.resolved();
+        pending.markResolved();
     }
 }
--- a/server/src/main/java/wheatspread/core/DrainState.java
+++ b/server/src/main/java/wheatspread/core/DrainState.java
@@ -3,7 +3,7 @@
 /**
  * Whether this server is draining, and when the drain started. A drain never ends before the process does. The grace
  * period starts at the signal. The admission controller keeps its own window, which starts at the batch that reports
- * the drain to it. Owned by the core's thread.
+ * the drain to the controller. Owned by the core's thread.
  */
 final class DrainState {
     private static final long NOT_DRAINING = Long.MAX_VALUE;
--- a/server/src/main/java/wheatspread/core/EventBatcher.java
+++ b/server/src/main/java/wheatspread/core/EventBatcher.java
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Passes all events to the controller and lets it decide; events that its actions cause join a later batch. */
+    /** Passes all events to the controller and lets it decide; events caused by its decisions join a later batch. */
     private void flush() {
         flushScheduled = false;
         List<Consumer<AdmissionController>> batch = events;
@@ -105,6 +105,7 @@
         }
     }
 
+    /** Removes the wakeup times that have passed; returns whether there were any. */
     private boolean removeExpiredWakeups() {
         boolean expired = false;
         while (!wakeupTimesMicros.isEmpty() && wakeupTimesMicros.peek() <= batchMicros) {
--- a/server/src/main/java/wheatspread/core/FinalAnswers.java
+++ b/server/src/main/java/wheatspread/core/FinalAnswers.java
@@ -5,8 +5,8 @@
 
 /**
  * Ends attempts: sends each attempt its single final answer, records how its run ended, passes the result to the
- * attempts that joined it, and removes the attempt once it is answered and has no open run. Owned by the core's
- * thread.
+ * attempts that joined the attempt, and removes the attempt once it is answered and has no open run. Owned by the
+ * core's thread.
  */
 final class FinalAnswers {
     private final AttemptTable attempts;
--- a/server/src/main/java/wheatspread/core/IdempotencyTable.java
+++ b/server/src/main/java/wheatspread/core/IdempotencyTable.java
@@ -15,8 +15,8 @@
  */
 final class IdempotencyTable {
     /**
-     * Duplicates are matched by their arrival time; a duplicate that arrived within the window may be read this much
-     * later.
+     * Duplicates are matched by their arrival time; a duplicate that arrived within the window may be read up to this
+     * long after the window has ended.
      */
     private static final long LATE_READ_ALLOWANCE_MICROS = 5_000_000;
     /** The platform adds this slack to every time limit if messages are sent over sockets. */
@@ -69,8 +69,8 @@
          * Returns whether a request has the body of the owner's request. All attempts of a request carry the same
          * body, so a different body means that another request uses the key.
          */
-        boolean hasSameBody(InboundRequest other) {
-            return Arrays.equals(owner.request().body(), other.body());
+        boolean hasSameBody(InboundRequest request) {
+            return Arrays.equals(owner.request().body(), request.body());
         }
     }
 
@@ -98,7 +98,10 @@
         claims = shared;
     }
 
-    /** Returns how long after the arrival of an attempt that ran no other one may run, in microseconds. */
+    /**
+     * Returns the time in microseconds after the arrival of an attempt that ran, during which no other attempt with the
+     * same key may run.
+     */
     private long windowMicros(int requestClass) {
         return windowMicrosByClass[requestClass] + SOCKET_SLACK_MICROS;
     }
@@ -119,11 +122,11 @@
         if (entry == null) {
             return null;
         }
-        boolean valid = request.idempotencyKey() == null ? isReadable(entry, nowMicros) : forbidsRun(entry, request);
+        boolean valid = request.idempotencyKey() == null ? canAnswerRead(entry, nowMicros) : forbidsRun(entry, request);
         return valid ? entry : null;
     }
 
-    private static boolean isReadable(Entry entry, long nowMicros) {
+    private static boolean canAnswerRead(Entry entry, long nowMicros) {
         if (entry.end == null) {
             return !entry.owner.answered();
         }
@@ -134,9 +137,10 @@
         if (!entry.owner.everRan()) {
             return true;
         }
-        InboundRequest first = entry.owner.request();
-        long window = Math.max(windowMicros(request.requestClass()), windowMicros(first.requestClass()));
-        return request.arrivalMicros() <= first.arrivalMicros() + window;
+        InboundRequest ownerRequest = entry.owner.request();
+        long longerWindowMicros =
+                Math.max(windowMicros(request.requestClass()), windowMicros(ownerRequest.requestClass()));
+        return request.arrivalMicros() <= ownerRequest.arrivalMicros() + longerWindowMicros;
     }
 
     /** Makes this attempt the owner of its key. */
@@ -182,7 +186,7 @@
         return !attempt.ownsKeyEntry();
     }
 
-    /** Claims an attempt's idempotency key for this process; returns false if another process has run the key. */
+    /** Claims an attempt's idempotency key for this process; returns false if another process has claimed it. */
     boolean claim(Attempt attempt) {
         InboundRequest request = attempt.request();
         return request.idempotencyKey() == null
--- a/server/src/main/java/wheatspread/core/Kernel.java
+++ b/server/src/main/java/wheatspread/core/Kernel.java
@@ -37,7 +37,7 @@
 
     /** Receives the kernel's reports, on the core's thread. */
     interface Listener {
-        /** The kernel is up, for the first time or after a reconnect; it started {@code ageMicros} us ago. */
+        /** The kernel is up, for the first time or after a reconnect; the kernel started {@code ageMicros} us ago. */
         void onBooted(boolean cold, long ageMicros);
 
         /** A run ended after {@code elapsedMicros}; {@code result} is null unless it ended {@link End#OK}. */
--- a/server/src/main/java/wheatspread/core/KernelEvents.java
+++ b/server/src/main/java/wheatspread/core/KernelEvents.java
@@ -25,7 +25,7 @@
     void dependencyCallRequested(String job, long noticeNumber, byte[] call) {
         Attempt attempt = attempts.byJob(job);
         if (attempt != null) {
-            attempt.dependencyCall().await(noticeNumber, call);
+            attempt.dependencyCall().markAwaited(noticeNumber, call);
             events.add(controller -> controller.onBlocked(attempt.id()));
         }
     }
@@ -39,13 +39,13 @@
         switch (end) {
             case OK -> answers.endRun(attempt, end, result, elapsedMicros);
             case ERROR -> answers.endRun(attempt, end, null, elapsedMicros);
-            case STOPPED -> stopped(attempt, elapsedMicros);
-            case IGNORED -> ignored(attempt);
+            case STOPPED -> handleStopped(attempt, elapsedMicros);
+            case IGNORED -> handleIgnored(attempt);
             default -> throw new IllegalArgumentException("unknown end of a run: " + end);
         }
     }
 
-    private void stopped(Attempt attempt, long elapsedMicros) {
+    private void handleStopped(Attempt attempt, long elapsedMicros) {
         attempt.runStopped();
         if (attempt.answered()) {
             answers.endRun(attempt, Kernel.End.STOPPED, null, elapsedMicros);
@@ -56,20 +56,21 @@
     }
 
     /** Ends an attempt after the kernel ignored the command to start or resume its run. */
-    private void ignored(Attempt attempt) {
+    private void handleIgnored(Attempt attempt) {
         if (attempt.everSuspended()) {
-            answers.endRun(attempt, Kernel.End.STOPPED, null, 0); // the attempt has run, so its key must not run again
+            // the attempt has run, so no other attempt with its key may run
+            answers.endRun(attempt, Kernel.End.STOPPED, null, 0);
         } else {
-            neverStarted(attempt);
+            failUnstarted(attempt);
         }
     }
 
     /**
      * Fails an attempt that the kernel did not run, and releases its key. The attempt is failed and not rejected,
      * because only the kernel's report shows that it never ran, and a rejection would be a promise to the client.
-     * Attempts that joined it were not sent to the kernel and are rejected.
+     * The attempts that joined this attempt were not sent to the kernel and are rejected.
      */
-    private void neverStarted(Attempt attempt) {
+    private void failUnstarted(Attempt attempt) {
         attempt.runNotStarted();
         events.add(controller -> controller.onCompletion(attempt.id(), Outcome.IGNORED, 0));
         answers.finish(attempt, Answer.Kind.FAILED);
@@ -80,7 +81,7 @@
         Attempt attempt = attempts.byJob(job);
         if (attempt != null && attempt.running()) {
             log.warn("kernel_not_started", "job", job);
-            ignored(attempt);
+            handleIgnored(attempt);
         }
     }
 
--- a/server/src/main/java/wheatspread/core/NameTable.java
+++ b/server/src/main/java/wheatspread/core/NameTable.java
@@ -22,7 +22,7 @@
     private byte[] bytes = new byte[128];
     /** The end offset of each name in {@link #bytes}, by index; a name starts at the end of the previous name. */
     private int[] ends = new int[8];
-    /** The index of each name, by its hash code or, after collisions, by a multiple of {@link #PROBE_STEP} more. */
+    /** The index of each name; the key is its hash code, plus a multiple of {@link #PROBE_STEP} after collisions. */
     private final Int2IntHashMap indexByKey = new Int2IntHashMap(ABSENT);
 
     private int size;
@@ -39,8 +39,8 @@
         }
 
         /**
-         * Adds a name under the next index; throws {@link IllegalArgumentException} if it was added before, or if
-         * {@value NameTable#MAX_NAMES_PER_HASH} names have its hash code already.
+         * Adds a name under the next index; throws {@link IllegalArgumentException} if the name was added before, or
+         * if {@value NameTable#MAX_NAMES_PER_HASH} names with the same hash code were added before.
          */
         public void add(String name) {
             table.append(name);
@@ -73,7 +73,7 @@
         if (index < 0 || index >= size) {
             throw new IndexOutOfBoundsException("index " + index + " out of bounds for " + size + " names");
         }
-        int start = start(index);
+        int start = startOf(index);
         return new String(bytes, start, ends[index] - start, StandardCharsets.UTF_8);
     }
 
@@ -103,12 +103,12 @@
     }
 
     /** Returns the start offset of the name with this index, which may be the index of the next name to add. */
-    private int start(int index) {
+    private int startOf(int index) {
         return index == 0 ? 0 : ends[index - 1];
     }
 
     private boolean hasName(int index, String name) {
-        int start = start(index);
+        int start = startOf(index);
         int length = ends[index] - start;
         for (int i = 0; i < name.length(); i++) {
             char c = name.charAt(i);
@@ -123,11 +123,11 @@
         return name.length() == length;
     }
 
-    private int freeKey(String name) {
+    private int findFreeKey(String name) {
         int key = name.hashCode();
-        int sameHash = 0;
+        int namesWithSameHash = 0;
         while (indexByKey.get(key) != ABSENT) {
-            if (++sameHash == MAX_NAMES_PER_HASH) {
+            if (++namesWithSameHash == MAX_NAMES_PER_HASH) {
                 throw new IllegalArgumentException(MAX_NAMES_PER_HASH + " names have the hash code of " + name);
             }
             key += PROBE_STEP;
@@ -139,9 +139,9 @@
         if (find(name) != ABSENT) {
             throw new IllegalArgumentException("name given twice: " + name);
         }
-        int key = freeKey(name);
+        int key = findFreeKey(name);
         byte[] encoded = name.getBytes(StandardCharsets.UTF_8);
-        int start = start(size);
+        int start = startOf(size);
         if (start + encoded.length > bytes.length) {
             bytes = Arrays.copyOf(bytes, Math.max(start + encoded.length, bytes.length + bytes.length / 2));
         }
@@ -154,7 +154,7 @@
     }
 
     private void trim() {
-        bytes = Arrays.copyOf(bytes, start(size));
+        bytes = Arrays.copyOf(bytes, startOf(size));
         ends = Arrays.copyOf(ends, size);
         indexByKey.compact();
     }
--- a/server/src/main/java/wheatspread/core/PendingDependencyCall.java
+++ b/server/src/main/java/wheatspread/core/PendingDependencyCall.java
@@ -2,8 +2,8 @@
 
 /**
  * The dependency call that an attempt's run waits for. A call is pending after the kernel's notice until its reply
- * is passed to the kernel, the call is skipped, or the run ends. An attempt uses one object for all its calls, since
- * they follow one after another.
+ * is passed to the kernel, the call is skipped, or the run ends. An attempt uses one object for all its calls,
+ * because it has at most one call at a time.
  */
 final class PendingDependencyCall {
     /** The number of the kernel's notice that requested the call; 0 if the run does not wait for a call. */
@@ -14,13 +14,13 @@
     private Clock.Timer timeout;
 
     /** Records that the run waits for a call. */
-    void await(long noticeNumber, byte[] body) {
+    void markAwaited(long noticeNumber, byte[] body) {
         this.noticeNumber = noticeNumber;
         this.body = body;
     }
 
     /** Returns whether the run waits for a call, whether or not the call was started. */
-    boolean awaited() {
+    boolean isAwaited() {
         return noticeNumber != 0;
     }
 
@@ -33,7 +33,7 @@
     }
 
     /** Records that the run continues, with the reply or without the call. */
-    void resolved() {
+    void markResolved() {
         noticeNumber = 0;
         body = null;
     }
@@ -42,12 +42,12 @@
         timeout = timer;
     }
 
-    void started(RecordsService.Call started) {
-        call = started;
+    void markStarted(RecordsService.Call startedCall) {
+        call = startedCall;
     }
 
     /** Cancels the timeout of a call that the service has ended. */
-    void ended() {
+    void markEnded() {
         timeout.cancel();
         call = null;
     }
--- a/server/src/main/java/wheatspread/core/RequestLifecycle.java
+++ b/server/src/main/java/wheatspread/core/RequestLifecycle.java
@@ -46,7 +46,7 @@
             answerImmediately(request.requestClass(), reply, answers.plainAnswer(Answer.Kind.CONFLICT));
             return null;
         }
-        // the last byte of the request has just arrived, whenever the first one did
+        // the grace applies to the last byte of the request, which has just arrived
         Attempt attempt = attempts.add(request, reply, drain.isPastGrace(clock.nowMicros()));
         attempt.setDeadlineTimer(clock.schedule(remainingMicros, () -> answers.failAtDeadline(attempt)));
         events.add(controller -> handleArrival(controller, attempt));
@@ -69,20 +69,20 @@
     private void handleArrival(AdmissionController controller, Attempt attempt) {
         InboundRequest request = attempt.request();
         boolean hasKey = request.idempotencyKey() != null;
-        IdempotencyTable.Entry duplicated = idempotencyTable.find(request, events.nowMicros());
-        attempt.setKeyEntry(duplicated == null && hasKey ? idempotencyTable.put(attempt) : duplicated);
+        IdempotencyTable.Entry duplicatedEntry = idempotencyTable.find(request, events.nowMicros());
+        attempt.setKeyEntry(duplicatedEntry == null && hasKey ? idempotencyTable.put(attempt) : duplicatedEntry);
         if (attempt.answered()) {
             // the client disconnected, or the deadline passed, before the batch reached the controller
             answers.releaseKeyIfNeverRan(attempt);
-        } else if (hasKey && duplicated != null && !duplicated.hasSameBody(request)) {
+        } else if (hasKey && duplicatedEntry != null && !duplicatedEntry.hasSameBody(request)) {
             // the key belongs to a request with another body, whose result must not go to this client
             answers.finish(attempt, Answer.Kind.CONFLICT);
         } else {
-            controller.onArrival(admissionRequest(attempt, duplicated));
+            controller.onArrival(admissionRequest(attempt, duplicatedEntry));
         }
     }
 
-    private AdmissionRequest admissionRequest(Attempt attempt, IdempotencyTable.Entry duplicated) {
+    private AdmissionRequest admissionRequest(Attempt attempt, IdempotencyTable.Entry duplicatedEntry) {
         InboundRequest request = attempt.request();
         long nowMicros = events.nowMicros();
         boolean write = settings.requestClass(request.requestClass()).idempotency() != Idempotency.IDEMPOTENT;
@@ -92,7 +92,7 @@
                 request.requestClass(),
                 Math.max(0, nowMicros - request.arrivalMicros()),
                 request.hasClientTimeout() ? Math.max(1, request.deadlineMicros() - nowMicros) : 0,
-                duplicated == null ? 0 : duplicated.owner().id(),
+                duplicatedEntry == null ? 0 : duplicatedEntry.owner().id(),
                 request.retry(),
                 request.cacheKey() != null,
                 write,
@@ -102,7 +102,7 @@
 
     /** See {@link Core#cancel}. */
     void cancel(Long id) {
-        Attempt attempt = unanswered(id);
+        Attempt attempt = findUnanswered(id);
         if (attempt == null) {
             return;
         }
@@ -114,14 +114,15 @@
 
     /** Rejects an attempt that never ran and joined no other attempt, after its client closed its sending side. */
     void rejectUnlessStarted(Long id) {
-        Attempt attempt = unanswered(id);
+        Attempt attempt = findUnanswered(id);
         if (attempt != null && !attempt.everRan() && !attempt.joined()) {
             events.add(controller -> controller.onCancellation(attempt.id()));
             answers.finish(attempt, Answer.Kind.REJECTED);
         }
     }
 
-    private Attempt unanswered(Long id) {
+    /** Returns the attempt in flight with this id; null if there is none or it has been answered. */
+    private Attempt findUnanswered(Long id) {
         Attempt attempt = id == null ? null : attempts.byId(id);
         return attempt == null || attempt.answered() ? null : attempt;
     }
--- a/server/src/main/java/wheatspread/handover/SharedIdempotencyClaims.java
+++ b/server/src/main/java/wheatspread/handover/SharedIdempotencyClaims.java
@@ -73,7 +73,7 @@
         return true;
     }
 
-    /** Writes a claim, unless another process holds the key for an arrival within the window. */
+    /** Writes a claim; returns false if another process holds the key for an arrival within the window. */
     private boolean write(Path file, long arrivalMicros, long windowMicros) throws IOException {
         byte[] content = (processId + ' ' + arrivalMicros + '\n').getBytes(StandardCharsets.US_ASCII);
         try {
--- a/server/src/test/java/wheatspread/core/CoreDrainTest.java
+++ b/server/src/test/java/wheatspread/core/CoreDrainTest.java
@@ -12,7 +12,7 @@
     private final Core core = harness.core;
 
     @Test
-    void answersAllAttemptsByWhetherTheyRan() {
+    void answerAllFailsAttemptsThatRanAndRejectsOthers() {
         harness.decide(actions -> actions.run(1));
         harness.submit("a", "k");
         harness.settle();
--- a/server/src/test/java/wheatspread/core/CoreIdempotencyTest.java
+++ b/server/src/test/java/wheatspread/core/CoreIdempotencyTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Tests that an idempotency key runs at most once within its window, whatever the controller decides. */
+/** Tests that of all attempts with one idempotency key at most one runs within the window of the key. */
 class CoreIdempotencyTest {
     private static final long SECOND = CoreHarness.SECOND;
 
     private final CoreHarness harness = new CoreHarness();
     private final Core core = harness.core;
 
-    /** Guards against a second run of a key whose first run the kernel suspended and then did not resume. */
+    /** Guards against a second run for a key whose first run the kernel suspended and then did not resume. */
     @Test
     void keepsTheKeyOfASuspendedRunThatIsNotResumed() {
         harness.decide(actions -> actions.run(1));
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void neitherRerunsNorRejectsARetryAfterItsKeyRan() {
+    void neitherRunsNorRejectsRetryAfterFirstAttemptRan() {
         harness.decide(actions -> actions.run(1));
         harness.submit("a", "k");
         harness.settle();
@@ -88,7 +88,7 @@
         harness.settle();
         assertThat(harness.kernelCommands).containsExactly("run a");
         assertThat(harness.answers)
-                .as("the key ran, so its duplicate is not rejected")
+                .as("an attempt with the key ran, so its duplicate is not rejected")
                 .isEmpty();
         harness.decide(actions -> actions.reject(1, 0, false));
         harness.submit("c", "k2");
@@ -102,7 +102,7 @@
 
     /** During an upgrade two processes of one server share their claims. */
     @Test
-    void rejectsAKeyThatTheOtherProcessRan() {
+    void rejectsAttemptWhoseKeyAnotherProcessClaimed() {
         List<String> claimed = new ArrayList<>();
         core.shareIdempotencyClaims((key, arrivalMicros, windowMicros) -> {
             claimed.add(key + " " + windowMicros);
@@ -121,7 +121,7 @@
 
     /** The socket slack extends the window by 50 ms; a retry in that time gets the first result. */
     @Test
-    void runsAKeyAgainOnlyAfterItsWindowAndTheSocketSlack() {
+    void runsSecondAttemptOnlyAfterWindowAndSocketSlack() {
         harness.decide(actions -> actions.run(1));
         harness.submit("a", "k");
         harness.settle();
