--- a/server/src/main/java/wheatspread/fleet/FleetController.java
+++ b/server/src/main/java/wheatspread/fleet/FleetController.java
@@ -365,7 +365,7 @@
         log.restored(saved.instances().size(), running.size(), rollout);
     }
 
-    /** Returns whether it is unknown if a start that an earlier supervisor recorded was carried out. */
+    /** Returns whether an earlier supervisor recorded, but may not have carried out, the last start of an instance. */
     public boolean isStartUnconfirmed(String name) {
         FleetInstance instance = instances.get(name);
         return instance != null && instance.startUnconfirmedUntilMicros > 0;
--- a/server/src/main/java/wheatspread/fleet/FleetInstance.java
+++ b/server/src/main/java/wheatspread/fleet/FleetInstance.java
@@ -14,7 +14,7 @@
      * <table>
      * <caption>States, and how an instance enters and leaves them</caption>
      * <tr><th>state</th><th>meaning</th><th>followed by</th></tr>
-     * <tr><td>{@code STOPPED}</td><td>it has no process: none is wanted, or the restart delay has not expired</td>
+     * <tr><td>{@code STOPPED}</td><td>it has no process: it should not run, or its restart delay has not expired</td>
      *     <td>{@code STARTING} when a process is started; {@code CRASH_LOOP} after too many exits</td></tr>
      * <tr><td>{@code STARTING}</td><td>a start was decided, and no health check has succeeded yet</td>
      *     <td>{@code HEALTHY}; {@code DRAINING}; {@code STOPPED} on its exit</td></tr>
--- a/server/src/main/java/wheatspread/fleet/FleetPlan.java
+++ b/server/src/main/java/wheatspread/fleet/FleetPlan.java
@@ -78,7 +78,7 @@
      * @param jitterShare each delay is changed at random by up to this share in either direction
      * @param resetAfterMicros after an instance ran for this long, its next delay is the initial one
      * @param crashLoopExits this many exits within {@code crashLoopWindowMicros} are a crash loop
-     * @param crashLoopHoldMicros how long an instance in a crash loop is held; 0 until an operator starts it
+     * @param crashLoopHoldMicros how long an instance in a crash loop is held; 0 if only an operator ends the hold
      */
     public record BackoffPolicy(
             long initialDelayMicros,
--- a/server/src/main/java/wheatspread/fleet/FleetRecovery.java
+++ b/server/src/main/java/wheatspread/fleet/FleetRecovery.java
@@ -7,8 +7,8 @@
  * Restores the instances that an earlier supervisor saved, and adopts the processes that it left running.
  *
  * <p>A running process is adopted with its generation. If no process was found, a recorded start remains unconfirmed
- * for {@link FleetPlan#startConfirmationMicros}, since the process may not have taken its lock yet; in any other state
- * with a process, the process has exited while no supervisor ran.
+ * for {@link FleetPlan#startConfirmationMicros}, since the process may not have taken its lock yet; an instance
+ * that was saved in any other state with a process has lost the process while no supervisor ran.
  */
 final class FleetRecovery {
     private final FleetPlan plan;
--- a/server/src/main/java/wheatspread/fleet/RestartBackoff.java
+++ b/server/src/main/java/wheatspread/fleet/RestartBackoff.java
@@ -48,6 +48,7 @@
         random = new SplittableRandom(seed);
     }
 
+    /** Returns the history of an instance, which is created if it does not exist. */
     ExitHistory historyOf(String name) {
         return histories.computeIfAbsent(name, key -> new ExitHistory());
     }
@@ -92,7 +93,8 @@
     }
 
     /**
-     * Returns whether an instance may be started. When a hold ends, the history is reset, since the hold was the delay.
+     * Returns whether an instance may be started. Deletes the history of an instance whose hold has ended, because the
+     * hold took the place of the restart delay.
      */
     boolean mayStart(String name, long nowMicros) {
         ExitHistory history = historyOf(name);
--- a/server/src/main/java/wheatspread/fleet/Rollout.java
+++ b/server/src/main/java/wheatspread/fleet/Rollout.java
@@ -297,7 +297,7 @@
         int replacing = countReplacing(instances);
         int unavailableOtherwise = countUnavailableOtherwise(instances, nowMicros);
         int unavailable = replacing + unavailableOtherwise;
-        boolean hasBlocked = false;
+        boolean limitReached = false;
         List<FleetInstance> toDrain = new ArrayList<>();
         for (Map.Entry<String, RolloutStep> entry : steps.entrySet()) {
             if (entry.getValue() != RolloutStep.PENDING) {
@@ -306,7 +306,7 @@
             FleetInstance instance = instances.get(entry.getKey());
             boolean alreadyUnavailable = instance.shouldRun && instance.state != State.HEALTHY;
             if (unavailable >= maxUnavailable && !alreadyUnavailable) {
-                hasBlocked = true;
+                limitReached = true;
                 continue;
             }
             unavailable += alreadyUnavailable ? 0 : 1;
@@ -315,7 +315,7 @@
                 toDrain.add(instance);
             }
         }
-        paused = hasBlocked && unavailableOtherwise > 0;
+        paused = limitReached && unavailableOtherwise > 0;
         return toDrain;
     }
 
--- a/server/src/main/java/wheatspread/fleet/RolloutStep.java
+++ b/server/src/main/java/wheatspread/fleet/RolloutStep.java
@@ -6,15 +6,18 @@
  * <table>
  * <caption>Steps and their transitions</caption>
  * <tr><th>step</th><th>meaning</th><th>followed by</th></tr>
- * <tr><td>{@code PENDING}</td><td>its replacement has not started</td>
- *     <td>{@code DRAINING} when its replacement starts; {@code STOPPED} if it has no process then</td></tr>
+ * <tr><td>{@code PENDING}</td><td>the rollout has not reached it</td>
+ *     <td>{@code DRAINING} when the rollout reaches it; {@code STOPPED} if it has no process at that time;
+ *     {@code DONE} if the rollout skips it</td></tr>
  * <tr><td>{@code DRAINING}</td><td>its process was sent SIGTERM</td><td>{@code STOPPED} on its exit</td></tr>
- * <tr><td>{@code STOPPED}</td><td>it has no process and will start with the other build</td>
+ * <tr><td>{@code STOPPED}</td><td>it has no process, and will start with the new build (in a
+ *     rollback, with the old build)</td>
  *     <td>{@code STARTING}</td></tr>
- * <tr><td>{@code STARTING}</td><td>its new process was started</td>
+ * <tr><td>{@code STARTING}</td><td>its process with the intended build was started</td>
  *     <td>{@code VERIFYING} once it is healthy; {@code DONE} at once in a rollback</td></tr>
  * <tr><td>{@code VERIFYING}</td><td>it is healthy, and the new build has not been verified yet</td>
- *     <td>{@code DONE}; {@code DRAINING} for another attempt; {@code STOPPED} on its exit</td></tr>
+ *     <td>{@code DONE}; {@code DRAINING} if it fails too many requests and the new build must be started again;
+ *     {@code STOPPED} on its exit</td></tr>
  * <tr><td>{@code DONE}</td><td>it runs the intended build, or the rollout skips it</td>
  *     <td>{@code PENDING} if a rollback begins; {@code STOPPED} on an unexpected exit</td></tr>
  * </table>
--- a/server/src/main/java/wheatspread/supervisor/CommandSpool.java
+++ b/server/src/main/java/wheatspread/supervisor/CommandSpool.java
@@ -34,7 +34,7 @@
     /** A pending command; {@code arguments} is null if the file holds no JSON object. */
     record Command(Path file, JSONObject arguments) {}
 
-    /** Submits a command and blocks until it is answered. Returns the answer; null if the timeout expires before it. */
+    /** Submits a command and blocks until it is answered. Returns the answer; null if the timeout expires first. */
     public JSONObject submit(JSONObject command, long timeoutMillis) throws IOException, InterruptedException {
         if (pendingFiles().size() >= MAX_PENDING_COMMANDS) {
             throw new IOException("command rejected: " + MAX_PENDING_COMMANDS + " commands are pending in " + directory
--- a/server/src/main/java/wheatspread/supervisor/FleetRunner.java
+++ b/server/src/main/java/wheatspread/supervisor/FleetRunner.java
@@ -54,12 +54,12 @@
         this.log = log;
     }
 
-    /** Requests the shutdown of the fleet (SIGTERM, SIGINT). Any thread may call. */
+    /** Requests the shutdown of the fleet (SIGTERM, SIGINT). Thread-safe. */
     public void requestShutDown() {
         shutDownRequested.set(true);
     }
 
-    /** Requests a reload of the fleet's file (SIGHUP). Any thread may call. */
+    /** Requests a reload of the fleet's file (SIGHUP). Thread-safe. */
     public void requestReload() {
         reloadRequested.set(true);
     }
--- a/server/src/main/java/wheatspread/supervisor/HostOperations.java
+++ b/server/src/main/java/wheatspread/supervisor/HostOperations.java
@@ -35,9 +35,9 @@
      * Returns the exit codes, by instance, of the started and watched processes that have exited since the last call.
      * The code of a watched process is {@link FleetInstance#UNKNOWN_EXIT_CODE}.
      */
-    Map<String, Integer> exitedProcesses();
+    Map<String, Integer> takeExitedProcesses();
 
-    /** Adds a process of an earlier supervisor to those that {@link #exitedProcesses} reports. */
+    /** Adds a process of an earlier supervisor to those that {@link #takeExitedProcesses} reports. */
     void watchProcess(String instance, long pid);
 
     /**
--- a/server/src/main/java/wheatspread/supervisor/LocalHost.java
+++ b/server/src/main/java/wheatspread/supervisor/LocalHost.java
@@ -53,8 +53,8 @@
         config = next;
     }
 
-    private Path instanceFile(String instance, String kind) {
-        return config.directory().resolve(instance + "." + kind);
+    private Path instanceFile(String instance, String extension) {
+        return config.directory().resolve(instance + "." + extension);
     }
 
     /** Returns the configuration of an instance; null if the fleet's file does not contain it. */
@@ -130,9 +130,9 @@
             return null;
         }
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.WRITE)) {
-            FileLock free = channel.tryLock();
-            if (free != null) {
-                free.release();
+            FileLock acquiredLock = channel.tryLock();
+            if (acquiredLock != null) {
+                acquiredLock.release();
                 return null;
             }
             JSONObject identity = new JSONObject(Files.readString(file));
@@ -143,7 +143,7 @@
     }
 
     @Override
-    public Map<String, Integer> exitedProcesses() {
+    public Map<String, Integer> takeExitedProcesses() {
         Map<String, Integer> exitCodes = new LinkedHashMap<>();
         children.forEach((name, process) -> {
             if (!process.isAlive()) {
--- a/server/src/main/java/wheatspread/supervisor/StatusFile.java
+++ b/server/src/main/java/wheatspread/supervisor/StatusFile.java
@@ -18,7 +18,7 @@
  * the fleet to the keys of the file, which must not change. Times in the file are milliseconds.
  */
 public final class StatusFile {
-    /** The supervisor of a status that is older than this has exited or hangs. */
+    /** If the status is older than this time, the supervisor that wrote it has exited or hangs. */
     public static final long STALE_AFTER_MILLIS = 3_000;
 
     private static final long MICROS_PER_MILLI = 1_000;
@@ -48,8 +48,8 @@
     static JSONObject toJson(FleetController fleet, long nowMicros) {
         JSONArray instances = new JSONArray();
         for (FleetInstance instance : fleet.instances().all()) {
-            boolean stale = fleet.instances().isStale(instance, nowMicros);
-            instances.put(instanceToJson(instance, stale, nowMicros));
+            boolean healthIsStale = fleet.instances().isStale(instance, nowMicros);
+            instances.put(instanceToJson(instance, healthIsStale, nowMicros));
         }
         JSONObject status = new JSONObject()
                 .put("at", nowMicros / MICROS_PER_MILLI)
@@ -62,12 +62,12 @@
         return status;
     }
 
-    private static JSONObject instanceToJson(FleetInstance instance, boolean stale, long nowMicros) {
+    private static JSONObject instanceToJson(FleetInstance instance, boolean healthIsStale, long nowMicros) {
         long sinceLastCheckMicros = instance.sinceLastCheckMicros(nowMicros);
         JSONObject json = new JSONObject()
                 .put("name", instance.name())
                 .put("state", instance.state().storedName())
-                .put("stale", stale)
+                .put("stale", healthIsStale)
                 .put("wanted", instance.shouldRun())
                 .put("build", instance.build())
                 .put("generation", instance.generation())
--- a/server/src/main/java/wheatspread/supervisor/Supervisor.java
+++ b/server/src/main/java/wheatspread/supervisor/Supervisor.java
@@ -73,7 +73,7 @@
     }
 
     private void reportExits(long nowMicros) {
-        for (Map.Entry<String, Integer> exit : host.exitedProcesses().entrySet()) {
+        for (Map.Entry<String, Integer> exit : host.takeExitedProcesses().entrySet()) {
             int generation = fleet.instances().get(exit.getKey()).generation();
             fleet.processExited(exit.getKey(), generation, exit.getValue(), nowMicros);
         }
--- a/server/src/test/java/wheatspread/supervisor/SimulatedHost.java
+++ b/server/src/test/java/wheatspread/supervisor/SimulatedHost.java
@@ -140,7 +140,7 @@
         if (previous != null && previous.running && lockHolder(name) != null) {
             violations.add(name + " was started while its previous process holds the lock");
         } else if (previous != null && previous.running) {
-            lockLosers.add(name); // the first process takes the lock, and this one exits
+            lockLosers.add(name); // the earlier process takes the lock, and the new process exits
             startedGenerations.add(name + "." + generation);
             return ++lastPid;
         }
@@ -191,7 +191,7 @@
     }
 
     @Override
-    public Map<String, Integer> exitedProcesses() {
+    public Map<String, Integer> takeExitedProcesses() {
         Map<String, Integer> exitCodes = new LinkedHashMap<>();
         watched.forEach((name, child) -> {
             if (!processes.get(name).running) {
--- a/server/src/test/java/wheatspread/supervisor/SupervisorFilesCompatibilityTest.java
+++ b/server/src/test/java/wheatspread/supervisor/SupervisorFilesCompatibilityTest.java
@@ -29,19 +29,19 @@
     @TempDir
     private Path dir;
 
-    private static FleetState stateOf(String kind) throws IOException {
-        return new StateFile(FILES.resolve("state-" + kind + ".json")).load();
+    private static FleetState stateOf(String fileSuffix) throws IOException {
+        return new StateFile(FILES.resolve("state-" + fileSuffix + ".json")).load();
     }
 
     @ParameterizedTest
     @CsvSource({"running", "rolling-back", "done", "stopped", "rolled-back", "no-roll"})
-    void writesStateFileOfEarlierReleaseUnchanged(String kind) throws IOException {
-        FleetState state = stateOf(kind);
+    void writesStateFileOfEarlierReleaseUnchanged(String fileSuffix) throws IOException {
+        FleetState state = stateOf(fileSuffix);
         assertThat(state.instances().stream().map(member -> member.state().storedName()))
                 .containsExactly("ABSENT", "STARTING", "UP", "UNWELL", "LEAVING", "HELD");
         Path copy = dir.resolve("state.json");
         new StateFile(copy).save(state);
-        assertThat(Files.readString(copy)).isEqualTo(Files.readString(FILES.resolve("state-" + kind + ".json")));
+        assertThat(Files.readString(copy)).isEqualTo(Files.readString(FILES.resolve("state-" + fileSuffix + ".json")));
     }
 
     @Test
@@ -51,25 +51,25 @@
         assertThat(stateOf("stopped").shuttingDown()).isTrue();
         assertThat(stateOf("no-roll").rollout()).isNull();
 
-        FleetState.InstanceRecord up = state.instances().get(2);
-        assertThat(up.name()).isEqualTo("n3");
-        assertThat(up.shouldRun()).isTrue();
-        assertThat(up.build()).isEqualTo("v1");
-        assertThat(up.generation()).isEqualTo(3);
-        assertThat(up.pid()).isEqualTo(103);
-        assertThat(up.stateSinceMicros()).isEqualTo(SAVED_AT_MICROS - 5_000_000);
-        assertThat(up.startedAtMicros()).isEqualTo(SAVED_AT_MICROS - 9_000_000);
-        assertThat(up.firstHealthyAtMicros()).isEqualTo(SAVED_AT_MICROS - 8_000_000);
-        assertThat(up.heldUntilMicros()).isEqualTo(-1);
+        FleetState.InstanceRecord healthyInstance = state.instances().get(2);
+        assertThat(healthyInstance.name()).isEqualTo("n3");
+        assertThat(healthyInstance.shouldRun()).isTrue();
+        assertThat(healthyInstance.build()).isEqualTo("v1");
+        assertThat(healthyInstance.generation()).isEqualTo(3);
+        assertThat(healthyInstance.pid()).isEqualTo(103);
+        assertThat(healthyInstance.stateSinceMicros()).isEqualTo(SAVED_AT_MICROS - 5_000_000);
+        assertThat(healthyInstance.startedAtMicros()).isEqualTo(SAVED_AT_MICROS - 9_000_000);
+        assertThat(healthyInstance.firstHealthyAtMicros()).isEqualTo(SAVED_AT_MICROS - 8_000_000);
+        assertThat(healthyInstance.heldUntilMicros()).isEqualTo(-1);
         assertThat(state.instances().get(4).shouldRun()).isFalse();
 
-        FleetState.InstanceRecord held = state.instances().get(5);
-        assertThat(held.exitTimesMicros())
+        FleetState.InstanceRecord heldInstance = state.instances().get(5);
+        assertThat(heldInstance.exitTimesMicros())
                 .containsExactly(
                         SAVED_AT_MICROS - 30_000_000, SAVED_AT_MICROS - 20_000_000, SAVED_AT_MICROS - 5_000_000);
-        assertThat(held.consecutiveExits()).isEqualTo(3);
-        assertThat(held.nextStartMicros()).isEqualTo(SAVED_AT_MICROS - 4_000_000);
-        assertThat(held.heldUntilMicros()).isEqualTo(SAVED_AT_MICROS + 60_000_000);
+        assertThat(heldInstance.consecutiveExits()).isEqualTo(3);
+        assertThat(heldInstance.nextStartMicros()).isEqualTo(SAVED_AT_MICROS - 4_000_000);
+        assertThat(heldInstance.heldUntilMicros()).isEqualTo(SAVED_AT_MICROS + 60_000_000);
 
         FleetState.RolloutRecord rollout = state.rollout();
         assertThat(rollout.fromBuild()).isEqualTo("v1");
@@ -101,7 +101,7 @@
     /** Compares all fields and values except the pid of the supervisor itself. */
     @ParameterizedTest
     @CsvSource({"running", "rolling-back", "done", "stopped", "rolled-back", "no-roll"})
-    void writesSameStatusAsEarlierReleaseForRestoredFleet(String kind) throws IOException {
+    void writesSameStatusAsEarlierReleaseForRestoredFleet(String fileSuffix) throws IOException {
         FleetPlan plan = new FleetPlan(
                 List.of("n1", "n2", "n3", "n4", "n5", "n6"),
                 "v1",
@@ -115,7 +115,7 @@
                 new FleetPlan.RolloutPolicy(0.34, 0, 5, 1_000_000, 8_000_000, 0.5, 1, true),
                 new FleetPlan.BackoffPolicy(200_000, 2, 5_000_000, 0.2, 60_000_000, 3, 60_000_000, 0));
         FleetController fleet = new FleetController(plan, 7, EventLog.NONE);
-        FleetState state = stateOf(kind);
+        FleetState state = stateOf(fileSuffix);
         Map<String, FleetState.RunningProcess> running = new LinkedHashMap<>();
         for (FleetState.InstanceRecord member : state.instances().subList(1, 5)) {
             running.put(member.name(), new FleetState.RunningProcess(member.pid(), member.generation()));
@@ -123,7 +123,7 @@
         fleet.restore(state, running, SAVED_AT_MICROS);
         fleet.healthCheckAnswered("n3", 3, new Health(true, 40, 2, 1, 250_000), SAVED_AT_MICROS + 100_000);
 
-        JSONObject expected = new JSONObject(Files.readString(FILES.resolve("status-" + kind + ".json")));
+        JSONObject expected = new JSONObject(Files.readString(FILES.resolve("status-" + fileSuffix + ".json")));
         JSONObject written = StatusFile.toJson(fleet, SAVED_AT_MICROS + 400_000).put("pid", expected.get("pid"));
         Files.writeString(dir.resolve("status.json"), written.toString());
         assertThat(new StatusFile(dir).read().toMap()).isEqualTo(expected.toMap());
--- a/server/src/test/java/wheatspread/supervisor/SupervisorTest.java
+++ b/server/src/test/java/wheatspread/supervisor/SupervisorTest.java
@@ -19,7 +19,7 @@
 import wheatspread.logging.EventLog;
 import wheatspread.supervisor.SimulatedHost.Behaviour;
 
-/** Tests the supervisor on a {@link SimulatedHost}, which can crash it at every step. */
+/** Tests the supervisor on a {@link SimulatedHost}, which can crash the supervisor at every step. */
 class SupervisorTest {
     private static final long MICROS_PER_MILLI = SimulatedHost.MICROS_PER_MILLI;
     private static final long TURN_MICROS = 50 * MICROS_PER_MILLI;
