--- a/server/src/main/java/wheatspread/kernel/KernelConnection.java
+++ b/server/src/main/java/wheatspread/kernel/KernelConnection.java
@@ -14,9 +14,9 @@
 import wheatspread.logging.EventLog;
 
 /**
- * A TCP connection to the kernel, which carries lines of text in both directions. It does not interpret the lines;
- * its {@link Owner} does, and decides when to close the connection or replace it by another one. Confined to the
- * event loop.
+ * A TCP connection to the kernel, which carries lines of text in both directions. The connection does not
+ * interpret the lines; its {@link Owner} interprets them, and decides when to close or replace the connection.
+ * Confined to the event loop.
  */
 final class KernelConnection extends SimpleChannelInboundHandler<String> {
     private static final int MAX_LINE_BYTES = 256 * 1024;
--- a/server/src/main/java/wheatspread/kernel/KernelLink.java
+++ b/server/src/main/java/wheatspread/kernel/KernelLink.java
@@ -24,7 +24,7 @@
     /** The longest wait for missed notices, if the kernel does not answer the catch-up request. */
     private static final long CATCH_UP_TIMEOUT_MS = 1_000;
 
-    /** The longest wait for the old connection to confirm its commands before a new connection replaces it. */
+    /** The longest wait for the kernel to confirm the commands of a connection before that connection is replaced. */
     private static final long CONFIRM_TIMEOUT_MS = 200;
     /**
      * A connection is closed if it receives no line during more than this number of gauge requests, of which there
@@ -109,8 +109,9 @@
     private void retryLater() {
         loop.schedule(
                 () -> {
-                    // a connection to an old address is usable only until its kernel closes it, so it does not
-                    // prevent a retry; a replacement that waits for confirmations must not be replaced in turn
+                    // a connection to an old address is usable only until the old kernel closes it, so a retry is
+                    // made in spite of that connection; a replacement that waits for confirmations must not be
+                    // replaced in turn
                     if (connecting == null
                             && replacement == null
                             && (current == null || !current.address().equals(address))) {
--- a/server/src/main/java/wheatspread/kernel/NoticeReader.java
+++ b/server/src/main/java/wheatspread/kernel/NoticeReader.java
@@ -51,8 +51,8 @@
     }
 
     /**
-     * Reads a line. Returns false if the line is unreadable and a new connection should replay it, since it may
-     * contain a notice. A replay is requested only once, because the kernel may send the same line again.
+     * Reads a line. Returns false if the line is unreadable and a new connection should replay it, since the line may
+     * contain a notice. A replay is requested only once, because the kernel may send the same unreadable line again.
      */
     boolean read(String line) {
         try {
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Reads a notice. Marks it as read only after parsing all of it, since a read notice is not replayed. */
+    /** Reads a notice, and marks it as read only after parsing it, because a notice marked as read is not replayed. */
     private void readNumbered(String type, long sequenceNumber, JSONObject notice) {
         String job = notice.optString(KernelWireNames.JOB);
         if (type.equals(KernelWireNames.COMPLETION)) {
--- a/server/src/main/java/wheatspread/kernel/UnconfirmedCommands.java
+++ b/server/src/main/java/wheatspread/kernel/UnconfirmedCommands.java
@@ -15,7 +15,7 @@
     private final Deque<Command> commands = new ArrayDeque<>();
     private long lastSequenceNumber;
     /** The sequence number of the last command sent on the connection in use; 0 if none was sent. */
-    private long lastSent;
+    private long lastSentSequenceNumber;
 
     void add(String type, String job, String line) {
         commands.add(new Command(++lastSequenceNumber, type, job, line));
@@ -33,14 +33,14 @@
     /** Sends every command that has not been sent on the connection in use. */
     void sendUnsent(Consumer<String> connection) {
         commands.stream()
-                .filter(command -> command.sequenceNumber() > lastSent)
+                .filter(command -> command.sequenceNumber() > lastSentSequenceNumber)
                 .forEach(command -> connection.accept(command.line()));
-        lastSent = lastSequenceNumber;
+        lastSentSequenceNumber = lastSequenceNumber;
     }
 
     /** Marks all commands as unsent, for a new connection. */
     void markAllUnsent() {
-        lastSent = 0;
+        lastSentSequenceNumber = 0;
     }
 
     /**
@@ -51,7 +51,7 @@
         while (!commands.isEmpty() && commands.peek().sequenceNumber() <= sequenceNumber) {
             commands.poll();
         }
-        return sequenceNumber >= lastSent;
+        return sequenceNumber >= lastSentSequenceNumber;
     }
 
     /** Removes the commands of a run that has ended, since the kernel has read all of them. */
@@ -61,7 +61,7 @@
 
     /**
      * Removes the commands of a run that waits for a dependency call, since the kernel has read them. A suspend
-     * command is kept, since the kernel may have sent its notice before it read that command.
+     * command is kept, since the kernel may have sent the notice before it read the suspend command.
      */
     void confirmWaitingForCall(String job) {
         commands.removeIf(
--- a/server/src/main/java/wheatspread/records/RecordsClient.java
+++ b/server/src/main/java/wheatspread/records/RecordsClient.java
@@ -20,7 +20,7 @@
  * with {@link Outcome#RESET}.
  */
 public final class RecordsClient implements RecordsService {
-    /** The service may close or drop a connection that is idle for longer, and a call on it would be lost. */
+    /** The service may close or drop a connection that is idle for longer than this, which would lose a call on it. */
     private static final long MAX_IDLE_MICROS = 1_000_000;
 
     private static final long IDLE_CHECK_INTERVAL_MICROS = 500_000;
@@ -79,9 +79,9 @@
     }
 
     /**
-     * Selects the most recently used connection without pending calls, so that the others become idle and close. If
-     * every connection has a pending call, opens a new connection, or selects the connection with the fewest pending
-     * calls if the pool has reached its maximum size.
+     * Selects the most recently used connection without pending calls, so that the other connections become idle and
+     * close. If every connection has a pending call, opens a new connection, or selects the connection with the fewest
+     * pending calls if the pool has reached its maximum size.
      */
     private RecordsConnection select(String job) {
         RecordsConnection best = null;
--- a/server/src/main/java/wheatspread/records/RecordsConnection.java
+++ b/server/src/main/java/wheatspread/records/RecordsConnection.java
@@ -48,7 +48,7 @@
     private final EventLog log;
     private final Map<String, PendingCall> pending = new LinkedHashMap<>();
     /**
-     * The jobs that had a call on this connection. A job must not get a second call on it, since a late or duplicate
+     * The jobs that had a call on this connection. A job must not get a second call, since a late or duplicate
      * reply to the first call would be taken for the reply to the second.
      */
     private final Set<String> seenJobs = new HashSet<>();
--- a/server/src/main/java/wheatspread/records/ReplyDecoder.java
+++ b/server/src/main/java/wheatspread/records/ReplyDecoder.java
@@ -44,7 +44,7 @@
             byte[] body = new byte[bodyLength];
             in.readBytes(body);
             if (in.readByte() != '\r' || in.readByte() != '\n') {
-                throw corrupted("no CRLF after the body of " + bodyLength + " bytes of a reply");
+                throw markCorrupted("no CRLF after the body of " + bodyLength + " bytes of a reply");
             }
             out.add(new Reply(job, outcome, body));
             job = null;
@@ -56,29 +56,30 @@
         int end = in.indexOf(in.readerIndex(), in.writerIndex(), (byte) '\n');
         if (end < 0) {
             if (in.readableBytes() > MAX_LINE_BYTES) {
-                throw corrupted("line of a reply longer than " + MAX_LINE_BYTES + " bytes");
+                throw markCorrupted("line of a reply longer than " + MAX_LINE_BYTES + " bytes");
             }
             return false;
         }
         String line = in.readCharSequence(end - in.readerIndex() + 1, StandardCharsets.US_ASCII)
                 .toString();
         String[] words = line.trim().split(" ");
-        Outcome known = words.length < 2 ? null : RecordsWireNames.outcome(words[1]);
-        if (known == null) {
-            throw corrupted("line of a reply without a known status");
+        Outcome knownOutcome = words.length < 2 ? null : RecordsWireNames.outcome(words[1]);
+        if (knownOutcome == null) {
+            throw markCorrupted("line of a reply without a known status");
         }
-        if (known == Outcome.OK) {
+        if (knownOutcome == Outcome.OK) {
             bodyLength = words.length == 3 && words[2].matches("\\d{1,6}") ? Integer.parseInt(words[2]) : -1;
             if (bodyLength < 0 || bodyLength > MAX_BODY_BYTES) {
-                throw corrupted("length of a reply's body missing or above " + MAX_BODY_BYTES + " bytes");
+                throw markCorrupted("length of a reply's body missing or above " + MAX_BODY_BYTES + " bytes");
             }
         }
         job = words[0];
-        outcome = known;
+        outcome = knownOutcome;
         return true;
     }
 
-    private CorruptedFrameException corrupted(String problem) {
+    /** Marks all further input as corrupted; returns the exception to throw. */
+    private CorruptedFrameException markCorrupted(String problem) {
         corrupted = true;
         return new CorruptedFrameException(problem);
     }
--- a/server/src/test/java/wheatspread/kernel/KernelLinkTest.java
+++ b/server/src/test/java/wheatspread/kernel/KernelLinkTest.java
@@ -82,7 +82,7 @@
         public void onRunNotStarted(String job) {}
     }
 
-    /** Guards against a leaked connection when the address changes twice before the old connection has confirmed. */
+    /** Guards against a leaked connection if the address changes twice before the kernel confirms the commands. */
     @Test
     @Timeout(30)
     void opensOnlyOneConnectionOnSecondMoveDuringConfirmation() throws Exception {
@@ -111,7 +111,7 @@
             intermediate.accept();
             assertThat(readType(firstReader)).isEqualTo("SYSINFO"); // the old connection never confirms its commands
             loop.submit(() -> link.moveTo(last.address())).sync();
-            Socket moved = last.accept(); // a third connection would replace this one and leave it open
+            Socket moved = last.accept(); // a third connection would replace this connection and leave it open
             assertThat(readType(reader(moved))).isEqualTo("OPEN");
             loop.submit(link::close).sync();
         } finally {
