--- a/server/src/main/java/wheatspread/fleet/FleetController.java
+++ b/server/src/main/java/wheatspread/fleet/FleetController.java
@@ -324,7 +324,9 @@
                 leaveCrashLoop(instance, nowMicros);
             }
             boolean allowed = replacing || instance.shouldRun && starting < plan.maxConcurrentStarts();
-            if (instance.state == State.STOPPED && allowed && backoff.mayStart(instance.name, nowMicros)) {
+            if (instance.state == State.STOPPED
+                    && allowed
+                    && backoff.endExpiredHoldAndCheckStart(instance.name, nowMicros)) {
                 startInstance(instance, nowMicros);
                 starting++;
             }
--- a/server/src/main/java/wheatspread/fleet/RestartBackoff.java
+++ b/server/src/main/java/wheatspread/fleet/RestartBackoff.java
@@ -93,10 +93,10 @@
     }
 
     /**
-     * Returns whether an instance may be started. Deletes the history of an instance whose hold has ended, because the
-     * hold took the place of the restart delay.
+     * Deletes the history of an instance whose hold has ended, because the hold took the place of the restart delay.
+     * Returns whether the instance may be started.
      */
-    boolean mayStart(String name, long nowMicros) {
+    boolean endExpiredHoldAndCheckStart(String name, long nowMicros) {
         ExitHistory history = historyOf(name);
         if (history.heldUntilMicros < 0) {
             return nowMicros >= history.nextStartMicros;
