--- a/server/src/main/java/wheatspread/fleet/FleetController.java
+++ b/server/src/main/java/wheatspread/fleet/FleetController.java
@@ -324,7 +324,9 @@
                 leaveCrashLoop(instance, nowMicros);
             }
             boolean allowed = replacing || instance.shouldRun && starting < plan.maxConcurrentStarts();
-            if (instance.state == State.STOPPED && allowed && backoff.mayStart(instance.name, nowMicros)) {
+            if (instance.state == State.STOPPED
+                    && allowed
+                    && backoff.endExpiredHoldAndCheckStart(instance.name, nowMicros)) {
                 startInstance(instance, nowMicros);
                 starting++;
             }
@@ -365,7 +367,7 @@
         log.restored(saved.instances().size(), running.size(), rollout);
     }
 
-    /** Returns whether it is unknown if a start that an earlier supervisor recorded was carried out. */
+    /** Returns whether an earlier supervisor recorded, but may not have carried out, the last start of an instance. */
     public boolean isStartUnconfirmed(String name) {
         FleetInstance instance = instances.get(name);
         return instance != null && instance.startUnconfirmedUntilMicros > 0;
