--- a/server/src/main/java/wheatspread/admission/ClientSettings.java
+++ b/server/src/main/java/wheatspread/admission/ClientSettings.java
@@ -10,7 +10,7 @@
  * @param healthChecksSteerTraffic whether an unhealthy answer keeps requests away from the server
  * @param idleTimeoutMicros time after which clients close an idle connection; 0 if unknown
  * @param connectionOpenCost cost of opening connections, per new connection and first attempt
- * @param idleConnectionsCost cost of a mean of a hundred open connections
+ * @param idleConnectionsCost cost of an average of 100 open connections
  */
 public record ClientSettings(
         int clientCount,
--- a/server/src/main/java/wheatspread/admission/sfq/ArrivalPolicy.java
+++ b/server/src/main/java/wheatspread/admission/sfq/ArrivalPolicy.java
@@ -41,7 +41,7 @@
         } else if (!keyRetention.retainOnArrival(tracked, actions)) {
             shedder.reject(tracked, false, actions);
         } else {
-            fairQueue.enqueue(tracked, serviceTimes.cost(tracked), clock.nowMicros());
+            fairQueue.enqueue(tracked, serviceTimes.recordHintAndEstimateCost(tracked), clock.nowMicros());
         }
     }
 }
--- a/server/src/main/java/wheatspread/admission/sfq/BatchArrivals.java
+++ b/server/src/main/java/wheatspread/admission/sfq/BatchArrivals.java
@@ -5,8 +5,8 @@
 import wheatspread.admission.AdmissionController.Actions;
 
 /**
- * The requests of a batch that await their first decision, in the order of their events: arrivals, and suspended runs
- * whose request is unanswered. Schedules a wakeup if a request must be answered before the next tick.
+ * The requests that await a decision in this batch, in the order of their events: arrivals, and unanswered requests
+ * whose run was suspended. Schedules a wakeup if an arrival must be answered before the next tick.
  */
 final class BatchArrivals {
     private final ReloadableSettings settings;
@@ -34,21 +34,21 @@
     }
 
     void decide(Actions actions) {
-        long firstAnswerMicros = Long.MAX_VALUE;
+        long earliestAnswerMicros = Long.MAX_VALUE;
         for (TrackedRequest tracked : pending) {
             if (tracked.state == RequestState.DONE && inFlight.contains(tracked)) {
                 suspendedRuns.resumeOrFail(tracked, actions);
             } else if (tracked.state == RequestState.HELD) {
                 arrivalPolicy.admit(tracked, actions);
                 if (tracked.state != RequestState.DONE) {
-                    firstAnswerMicros =
-                            Math.min(firstAnswerMicros, tracked.deadlineMicros - settings.answerMarginMicros());
+                    earliestAnswerMicros =
+                            Math.min(earliestAnswerMicros, tracked.deadlineMicros - settings.answerMarginMicros());
                 }
             }
         }
         pending.clear();
-        if (firstAnswerMicros < clock.nextTickMicros()) {
-            actions.scheduleWakeup(Math.max(1, firstAnswerMicros - clock.nowMicros()));
+        if (earliestAnswerMicros < clock.nextTickMicros()) {
+            actions.scheduleWakeup(Math.max(1, earliestAnswerMicros - clock.nowMicros()));
         }
     }
 }
--- a/server/src/main/java/wheatspread/admission/sfq/ClientWaitEstimator.java
+++ b/server/src/main/java/wheatspread/admission/sfq/ClientWaitEstimator.java
@@ -9,9 +9,9 @@
  * counts from the first attempt. Running requests whose client's objective has already passed would feed retry storms.
  *
  * <p>The estimator assumes that all first attempts of a class have the same timeout, as a share of the class's
- * deadline. The wait of a retry is known if the retry has more time left than that, or if first attempts get the whole
- * deadline. Every other retry gets the mean of the known waits. The wait of clients that retry quickly may be
- * overestimated.
+ * deadline. If the timeout of a retry is longer than that timeout, or if first attempts get the whole deadline, the
+ * retry's wait is the deadline minus the retry's timeout. For every other retry the estimator returns the mean of these
+ * waits. The wait of clients that retry quickly may be overestimated.
  */
 final class ClientWaitEstimator {
     /** Wait assumed for a retry without a timeout, as a share of its class's latency objective. */
@@ -62,9 +62,9 @@
 
     private long retryWaitMicros(int index, double timeoutShare, long deadlineMicros) {
         double maxWaitMicros = deadlineMicros * Math.max(0, 1 - timeoutShare);
-        double meanFirst = meanFirstTimeoutShare[index];
-        boolean longerThanFirst = meanFirst > 0 && timeoutShare > maxFirstTimeoutShare[index] + SHARE_TOLERANCE;
-        if (longerThanFirst || meanFirst > 1 - SHARE_TOLERANCE) {
+        double meanFirstShare = meanFirstTimeoutShare[index];
+        boolean longerThanFirst = meanFirstShare > 0 && timeoutShare > maxFirstTimeoutShare[index] + SHARE_TOLERANCE;
+        if (longerThanFirst || meanFirstShare > 1 - SHARE_TOLERANCE) {
             meanWaitMicros = RunningMean.update(meanWaitMicros, maxWaitMicros);
             return (long) maxWaitMicros;
         }
--- a/server/src/main/java/wheatspread/admission/sfq/ConcurrencyLimit.java
+++ b/server/src/main/java/wheatspread/admission/sfq/ConcurrencyLimit.java
@@ -4,8 +4,8 @@
 
 /**
  * The concurrency limit D of SFQ(D): the number of requests that may run at the same time. D starts at the core count.
- * It grows by one per tick while requests are held, all D slots are used and cores are idle. It shrinks by one after
- * every {@value #CROWDED_TICKS} consecutive ticks with a crowded run queue. It never falls below the core count, nor
+ * D grows by one per tick while requests are held, all D slots are used and cores are idle. D shrinks by one after
+ * every {@value #CROWDED_TICKS} consecutive ticks with a crowded run queue. D never falls below the core count, nor
  * rises above a share of the requests that the server can run without overload. When the gauges are stuck, D is the
  * core count. Requests that wait for a dependency call do not count against D, but the number of all started requests
  * has a separate bound, since all calls may return at the same time.
@@ -72,8 +72,8 @@
     }
 
     private boolean canGrow(double tasksPerCore, double coreUtilization) {
-        boolean needed = inFlight.heldCount() > 0 && inFlight.runningCount() >= depth;
+        boolean slotsNeeded = inFlight.heldCount() > 0 && inFlight.runningCount() >= depth;
         boolean coresIdle = tasksPerCore < 1 || coreUtilization < IDLE_UTILIZATION;
-        return needed && tasksPerCore < CROWDED_TASKS_PER_CORE && coresIdle;
+        return slotsNeeded && tasksPerCore < CROWDED_TASKS_PER_CORE && coresIdle;
     }
 }
--- a/server/src/main/java/wheatspread/admission/sfq/DependencyCallGate.java
+++ b/server/src/main/java/wheatspread/admission/sfq/DependencyCallGate.java
@@ -6,16 +6,17 @@
 import wheatspread.admission.Outcome;
 
 /**
- * Decides when the dependency call of a run is made, skipped or abandoned. Runs that can still meet their latency
- * objective come first, then those with the smallest start tag. A call that is optional for its class is skipped after
- * a waiting time. A call that may have taken effect is not repeated unless the request is idempotent.
+ * Decides when the dependency call of a run is made or skipped, and when its request is abandoned instead. Runs that
+ * can still meet their latency objective have priority over late runs; within both sets the smallest start tag has
+ * priority. A call that is optional for its class is skipped after a waiting time. A call that may have taken effect is
+ * not repeated unless the request is idempotent.
  */
 final class DependencyCallGate {
     /** Maximum wait for the reply to an optional call, as a share of the class's latency objective. */
     private static final double MAX_OPTIONAL_CALL_TIMEOUT_SHARE = 0.3;
     /** Wait before an optional call is skipped, as a share of the class's latency objective. */
     private static final double SKIP_DELAY_SHARE = 0.1;
-    /** Maximum number of attempts for one call before it is abandoned. The backoff grows by one tick per attempt. */
+    /** Maximum number of attempts to make one call. The backoff between attempts grows by one tick per attempt. */
     private static final int MAX_CALL_ATTEMPTS = 5;
 
     private final ReloadableSettings settings;
@@ -54,8 +55,8 @@
     }
 
     /**
-     * Handles the end of a call: resumes the run after a success, and otherwise leaves it waiting for another attempt,
-     * a skip or its abandonment.
+     * Handles the end of a call: resumes the run after a success. Otherwise the run waits until the call is repeated or
+     * skipped, or the request is abandoned.
      */
     void onCallCompleted(TrackedRequest tracked, Outcome outcome, long elapsedMicros) {
         boolean neverReceived = outcome == Outcome.QUEUE_FULL || outcome == Outcome.CONNECT_ERROR;
@@ -77,13 +78,16 @@
         inFlight.transition(tracked, RequestState.AWAITING_CALL);
     }
 
-    /** Accounts for the call of a run that ended before its reply. */
+    /** Accounts for a call whose run ended before the reply arrived. */
     void onRunEndedDuringCall() {
         limit.onCallAbandoned();
         limit.onCallEnded();
     }
 
-    /** Makes, skips or abandons the calls that runs wait for, in order of priority. */
+    /**
+     * Makes or skips the calls that runs wait for, in order of priority, and abandons requests whose call can be
+     * neither repeated nor skipped.
+     */
     void makeCalls(Actions actions) {
         limit.updateMean();
         for (TrackedRequest tracked : awaitingCallByPriority()) {
--- a/server/src/main/java/wheatspread/admission/sfq/Dispatcher.java
+++ b/server/src/main/java/wheatspread/admission/sfq/Dispatcher.java
@@ -36,7 +36,7 @@
     }
 
     void startRequests(Actions actions) {
-        TrackedRequest next = fairQueue.next();
+        TrackedRequest next = fairQueue.peek();
         while (next != null && concurrency.hasFreeSlot()) {
             if (forecast.isExpectedToMiss(next)) {
                 shedder.reject(next, true, actions);
@@ -45,7 +45,7 @@
             } else {
                 return;
             }
-            next = fairQueue.next();
+            next = fairQueue.peek();
         }
     }
 
--- a/server/src/main/java/wheatspread/admission/sfq/DuplicatePolicy.java
+++ b/server/src/main/java/wheatspread/admission/sfq/DuplicatePolicy.java
@@ -4,8 +4,8 @@
 import wheatspread.admission.Idempotency;
 
 /**
- * Decides whether a duplicate joins the original request instead of running: it does if the original may have run and
- * the class allows duplicates. A duplicate that cannot wait for lack of memory is failed, not rejected, since the work
+ * Lets a duplicate join the original request instead of running, if the original may have run and the class allows
+ * duplicates. If the memory budget is used up, the duplicate is failed and not rejected, since the work of the original
  * may have been done.
  */
 final class DuplicatePolicy {
--- a/server/src/main/java/wheatspread/admission/sfq/FairQueue.java
+++ b/server/src/main/java/wheatspread/admission/sfq/FairQueue.java
@@ -6,10 +6,10 @@
 
 /**
  * Start-time fair queuing, which chooses the held request that starts next. Each tenant is a {@link Flow} with the
- * weight phi: its share of all quotas times the number of tenants, or 1 unless every tenant has a quota. The held
- * request with the smallest start tag is dispatched, and the virtual time v becomes its start tag. When the server is
- * idle, v becomes the largest finish tag served. Two heaps order the flows that hold requests, so that a decision takes
- * logarithmic time.
+ * weight phi, which is the tenant's share of the sum of all quotas times the number of tenants, or 1 if any tenant has
+ * no quota. The held request with the smallest start tag is dispatched, and the virtual time v becomes its start tag.
+ * When the server is idle, v becomes the largest finish tag served. Two heaps order the flows that hold requests, so
+ * that a decision takes logarithmic time.
  */
 final class FairQueue {
     private final double totalQuotaPerSecond;
@@ -60,18 +60,21 @@
     }
 
     /** Returns the held request with the smallest start tag, or null if none is held. */
-    TrackedRequest next() {
+    TrackedRequest peek() {
         return byStartTag.size() == 0 ? null : flows[byStartTag.first()].head();
     }
 
-    /** Removes the request that {@link #next} returned from its queue; v becomes its start tag. */
+    /**
+     * Removes the request that {@link #peek} returned from the queue of its flow; v becomes the start tag of the
+     * request.
+     */
     void dispatch(TrackedRequest tracked, long nowMicros) {
         tracked.flow.dispatchHead(nowMicros);
         virtualTime = tracked.startTag;
         reorder(tracked.flow, nowMicros);
     }
 
-    /** Removes a request that never ran from its queue; does nothing if it is not queued. */
+    /** Removes a request that never ran from the queue of its flow; does nothing if the request is not queued. */
     void remove(TrackedRequest tracked, long nowMicros) {
         tracked.flow.remove(tracked);
         reorder(tracked.flow, nowMicros);
@@ -92,8 +95,9 @@
     }
 
     /**
-     * Returns the flow with the largest lead among those that hold requests; there must be at least one. A lead only
-     * decays until its flow changes, so a flow that is still first after its lead is recomputed is ahead of all others.
+     * Returns the flow with the largest lead among those that hold requests; there must be at least one. Between
+     * changes of a flow its lead only decays, so the stored leads are upper bounds: a flow that stays first after its
+     * lead is recomputed has the largest lead.
      */
     Flow flowWithLargestLead(long nowMicros) {
         Flow flow = flows[byNegatedLead.first()];
--- a/server/src/main/java/wheatspread/admission/sfq/Flow.java
+++ b/server/src/main/java/wheatspread/admission/sfq/Flow.java
@@ -11,7 +11,7 @@
     /** Time constant of the exponential decay of charges for dispatched requests; it spans some tens of runs. */
     private static final double CHARGE_DECAY_MICROS = 2_000_000;
 
-    /** The queue that all flows without held requests share to save memory. Never added to. */
+    /** An empty queue that all flows without held requests share to save memory; no request is added to it. */
     private static final ArrayDeque<TrackedRequest> EMPTY = new ArrayDeque<>(0);
 
     final int tenant;
@@ -73,9 +73,9 @@
      * Returns the lead of this flow in virtual time: the distance from its oldest to its newest start tag plus its
      * recent charges. The queue must not be empty.
      *
-     * <p>The last finish tag alone would mislead when few requests are held, since it includes the charge of the newest
-     * request but not how little the flow used before. With many held requests the two measures agree. A flow that has
-     * just begun to flood the server may therefore keep its requests at first.
+     * <p>The finish tag of the newest request alone would be misleading when few requests are held: it includes the
+     * charge of that request, but does not show how little the flow used before. With many held requests the two
+     * measures agree. A flow that has just begun to flood the server may therefore keep its requests at first.
      */
     double lead(long nowMicros) {
         return recentCharge(nowMicros) + queue.peekLast().startTag - queue.peek().startTag;
--- a/server/src/main/java/wheatspread/admission/sfq/GaugeMonitor.java
+++ b/server/src/main/java/wheatspread/admission/sfq/GaugeMonitor.java
@@ -28,15 +28,15 @@
     /**
      * Checks the reading of this batch.
      *
-     * @param working whether any request is started, so that the gauges should change
+     * @param requestsStarted whether any request is started, so that the gauges should change
      * @return the reading, or null if there is none or the gauges are stuck
      */
-    LoadGauges check(boolean working) {
+    LoadGauges check(boolean requestsStarted) {
         if (current == null) {
             return null;
         }
         boolean readable = current.coreUtilization() >= 0 && current.runnableTasks() >= 0;
-        boolean unchanged = current.equals(lastChecked) && working;
+        boolean unchanged = current.equals(lastChecked) && requestsStarted;
         if (!readable) {
             stuckReadings += STUCK_READINGS;
         } else {
--- a/server/src/main/java/wheatspread/admission/sfq/HealthReporter.java
+++ b/server/src/main/java/wheatspread/admission/sfq/HealthReporter.java
@@ -3,8 +3,9 @@
 import wheatspread.admission.AdmissionController.Actions;
 
 /**
- * Sets the answer to health checks: unhealthy while draining, and while overloaded unless the whole fleet is. During an
- * overload of the whole fleet each server that the load balancer takes out would overload the next.
+ * Sets the answer to health checks: the answer is unhealthy while the server drains, and while this server is
+ * overloaded but the fleet as a whole is not. During an overload of the whole fleet, each server that the load balancer
+ * takes out would overload the remaining servers further.
  */
 final class HealthReporter {
     /**
--- a/server/src/main/java/wheatspread/admission/sfq/IdleConnectionPolicy.java
+++ b/server/src/main/java/wheatspread/admission/sfq/IdleConnectionPolicy.java
@@ -7,11 +7,11 @@
 /**
  * Decides when idle connections are closed early. Open connections take core time, and when the server's capacity for
  * connections is used up, clients cannot connect. Idle connections are closed after a share of the shortest latency
- * objective if clients return only after a large part of their idle timeout, or if keeping connections costs more than
- * the connection set-ups that it saves. That time is long compared with a burst and short compared with the time to the
- * client's next request. While the read delay is elevated, the timeout is the whole objective, since connection set-up
- * takes core time too. Without a usable gauge the server closes no connections early. The policy assumes that all
- * clients send about equally often.
+ * objective if clients return only after a large part of their idle timeout, or if open connections cost more than the
+ * connection set-ups that they save. This early timeout is long compared with a burst and short compared with the time
+ * to the client's next request. While the read delay is elevated, the early timeout is the whole objective, since
+ * connection set-up takes core time too. Without a usable gauge the server closes no connections early. The policy
+ * assumes that all clients send about equally often.
  */
 final class IdleConnectionPolicy {
     /**
--- a/server/src/main/java/wheatspread/admission/sfq/LoadFeedback.java
+++ b/server/src/main/java/wheatspread/admission/sfq/LoadFeedback.java
@@ -7,9 +7,9 @@
 /**
  * Computes the load feedback that is sent to clients. The share of their load that clients should withhold rises slowly
  * while the pressure is above 1 and falls while it is below 1; an elevated read delay raises it at once. In window mode
- * the server offers its clients up to a multiple of twice D, divided among them. The multiple shrinks under pressure
- * and recovers once the overload is over, so that clients do not keep avoiding an idle server. A cold server scales its
- * offer by its proven speed.
+ * the server offers a window of outstanding requests, a multiple of twice D, which is divided among its clients. The
+ * multiple shrinks under pressure and recovers once the overload is over, so that clients do not keep avoiding an idle
+ * server. A cold server scales its offer by its proven speed.
  */
 final class LoadFeedback {
     /** Change of the withheld share per tick and unit of pressure; small, since all clients follow it. */
@@ -21,7 +21,8 @@
     /** Minimum change of the withheld share that is reported. */
     private static final double MIN_REPORTED_CHANGE = 0.02;
     /**
-     * Upper bound on the outstanding requests of clients, as a multiple of the base window; requests come in bursts.
+     * Upper bound on the outstanding requests of clients, as a multiple of the base window; above 1, since requests
+     * arrive in bursts.
      */
     private static final double MAX_WINDOW_MULTIPLE = 4;
     /**
--- a/server/src/main/java/wheatspread/admission/sfq/LoadShedder.java
+++ b/server/src/main/java/wheatspread/admission/sfq/LoadShedder.java
@@ -16,7 +16,7 @@
     private final DecisionClock clock;
     private final FairQueue fairQueue;
     private final RetainedKeys keys;
-    private final UnstartedRequests unstarted;
+    private final UnstartedRequestRemover unstartedRemover;
     private final LoadPressure pressure;
     private final SplittableRandom random;
     private final Set<Long> rejectedInBatch = new HashSet<>();
@@ -26,33 +26,33 @@
             DecisionClock clock,
             FairQueue fairQueue,
             RetainedKeys keys,
-            UnstartedRequests unstarted,
+            UnstartedRequestRemover unstartedRemover,
             LoadPressure pressure,
             long seed) {
         this.settings = settings;
         this.clock = clock;
         this.fairQueue = fairQueue;
         this.keys = keys;
-        this.unstarted = unstarted;
+        this.unstartedRemover = unstartedRemover;
         this.pressure = pressure;
         random = new SplittableRandom(seed);
     }
 
-    /** Sheds held requests until starting the others fits in memory. */
+    /** Sheds held requests until the memory suffices to start a held request on every core that has no run. */
     void shedForMemory(MemoryBudget memory, Actions actions) {
-        while (fairQueue.next() != null && memory.isHeldMemoryExceeded()) {
-            shedOne(actions);
+        while (fairQueue.peek() != null && memory.isHeldMemoryExceeded()) {
+            shedRequest(actions);
         }
     }
 
     /** Sheds held requests until their expected waiting time is within its bound. */
     void shedForDelay(HeldQueueBound heldQueueBound, Actions actions) {
-        while (fairQueue.next() != null && heldQueueBound.isExceeded()) {
-            shedOne(actions);
+        while (fairQueue.peek() != null && heldQueueBound.isExceeded()) {
+            shedRequest(actions);
         }
     }
 
-    private void shedOne(Actions actions) {
+    private void shedRequest(Actions actions) {
         reject(fairQueue.flowWithLargestLead(clock.nowMicros()).lowestWeightRequest(), false, actions);
     }
 
@@ -64,7 +64,7 @@
         actions.reject(tracked.id(), retryAfterMicros, doNotRetry || underPressure);
         rejectedInBatch.add(tracked.id());
         keys.release(tracked, actions);
-        unstarted.forget(tracked);
+        unstartedRemover.remove(tracked);
     }
 
     private long randomRetryAfterMicros() {
@@ -72,7 +72,7 @@
         return (long) (maxMicros * (1 + random.nextDouble()) / 3);
     }
 
-    /** Returns whether this request was rejected in the current batch, so that a duplicate of it cannot join it. */
+    /** Returns whether this request was rejected in the current batch, so that a duplicate cannot join the request. */
     boolean wasRejectedInBatch(long id) {
         return rejectedInBatch.contains(id);
     }
--- a/server/src/main/java/wheatspread/admission/sfq/MemoryBudget.java
+++ b/server/src/main/java/wheatspread/admission/sfq/MemoryBudget.java
@@ -27,12 +27,15 @@
         this.keys = keys;
     }
 
-    /** Returns whether one more idempotency key fits, which is needed to run its request. */
+    /**
+     * Returns whether one more idempotency key fits; a request with an idempotency key must not run unless the key is
+     * retained.
+     */
     boolean hasRoomForRequiredKey() {
         return hasRoomForKey(MAX_MEMORY_SHARE);
     }
 
-    /** Returns whether one more key of a cacheable read fits, which only saves work. */
+    /** Returns whether one more key of a cacheable read fits; retaining such a key is optional and only saves work. */
     boolean hasRoomForOptionalKey() {
         return hasRoomForKey(MAX_RUN_MEMORY_SHARE);
     }
--- a/server/src/main/java/wheatspread/admission/sfq/OverloadDetector.java
+++ b/server/src/main/java/wheatspread/admission/sfq/OverloadDetector.java
@@ -3,10 +3,10 @@
 import wheatspread.admission.AdmissionController.Actions;
 
 /**
- * Detects that the server reads requests too late. It is overloaded once the read delay, the mean age of requests when
- * they are read as a share of their class's latency objective, rises above a high watermark, and until it falls below a
- * low one. During an overload the cores work for requests whose clients soon give up and retry, which keeps the backlog
- * of unread requests from shrinking.
+ * Detects that the server reads requests too late. The read delay is the mean age of requests when they are read, as a
+ * share of their class's latency objective. An overload begins when the read delay rises above a high watermark, and
+ * ends when the read delay has fallen to a low watermark. During an overload the cores work for requests whose clients
+ * soon give up and retry, which keeps the backlog of unread requests from shrinking.
  */
 final class OverloadDetector {
     /** Read delay, as a share of the latency objective, above which the server counts as slowed down. */
--- a/server/src/main/java/wheatspread/admission/sfq/RequestExpiry.java
+++ b/server/src/main/java/wheatspread/admission/sfq/RequestExpiry.java
@@ -4,10 +4,10 @@
 import wheatspread.admission.AdmissionController.Actions;
 
 /**
- * Ends requests at each tick whose deadline falls before the next tick or whose answer would have no value any more. A
- * held request is rejected once its latency objective has passed. A started or joining request is failed at its
- * deadline, or once its answer is useless unless it has an idempotency key. Runs whose request is already answered are
- * stopped.
+ * At each tick, ends the requests whose deadline falls before the next tick or whose answer would no longer have a
+ * value. A held request is rejected once its latency objective has passed. A started or joining request is failed at
+ * its deadline, or once its answer is useless unless it has an idempotency key. Runs whose request is already answered
+ * are stopped.
  */
 final class RequestExpiry {
     private final ReloadableSettings settings;
--- a/server/src/main/java/wheatspread/admission/sfq/RequestState.java
+++ b/server/src/main/java/wheatspread/admission/sfq/RequestState.java
@@ -10,7 +10,7 @@
     AWAITING_CALL,
     /** Started, and waiting for the reply to its dependency call. */
     CALLING,
-    /** Waiting for the result of the original request that it duplicates. */
+    /** Waiting, as a duplicate, for the result of the original request. */
     JOINING,
     /** No longer tracked, or suspended and not yet resumed. */
     DONE;
--- a/server/src/main/java/wheatspread/admission/sfq/RunTermination.java
+++ b/server/src/main/java/wheatspread/admission/sfq/RunTermination.java
@@ -7,17 +7,17 @@
 final class RunTermination {
     private final ReloadableSettings settings;
     private final InFlightRequests inFlight;
-    private final UnstartedRequests unstarted;
+    private final UnstartedRequestRemover unstartedRemover;
     private final ServiceTimeEstimator serviceTimes;
 
     RunTermination(
             ReloadableSettings settings,
             InFlightRequests inFlight,
-            UnstartedRequests unstarted,
+            UnstartedRequestRemover unstartedRemover,
             ServiceTimeEstimator serviceTimes) {
         this.settings = settings;
         this.inFlight = inFlight;
-        this.unstarted = unstarted;
+        this.unstartedRemover = unstartedRemover;
         this.serviceTimes = serviceTimes;
     }
 
@@ -26,7 +26,7 @@
         actions.fail(tracked.id());
         tracked.markAnswered();
         if (tracked.state == RequestState.JOINING) {
-            unstarted.forget(tracked);
+            unstartedRemover.remove(tracked);
         } else if (stop(tracked, actions)) {
             serviceTimes.recordAbandonment(tracked);
         }
@@ -47,7 +47,7 @@
         return stoppable;
     }
 
-    /** Fails a suspended request that will not be resumed. It has no work to stop. */
+    /** Fails a request whose suspended run will not be resumed; the kernel has no work to stop. */
     void failSuspended(TrackedRequest tracked, Actions actions) {
         actions.fail(tracked.id());
         inFlight.remove(tracked);
--- a/server/src/main/java/wheatspread/admission/sfq/ServiceTimeEstimator.java
+++ b/server/src/main/java/wheatspread/admission/sfq/ServiceTimeEstimator.java
@@ -49,10 +49,11 @@
     }
 
     /**
-     * Returns the cost c of a request for the fair queue: its work hint over the mean hint if it has one, otherwise the
-     * mean core time of its class over that of all classes, otherwise 1. Updates the mean hint.
+     * Updates the mean hint with the work hint of a request, if it has one, and returns the cost c of the request for
+     * the fair queue: the work hint over the mean hint; without a hint, the mean core time of the class over that of
+     * all classes, or 1 before a run of the class has ended.
      */
-    double cost(TrackedRequest tracked) {
+    double recordHintAndEstimateCost(TrackedRequest tracked) {
         double hintMicros = tracked.request.expectedWorkMicros();
         if (hintMicros > 0) {
             meanHintMicros = RunningMean.update(meanHintMicros, hintMicros);
@@ -74,8 +75,8 @@
     }
 
     /**
-     * Updates the estimates with a run that is being abandoned. Its core time so far is a lower bound and is counted as
-     * if it were complete.
+     * Updates the estimates with a run that is being abandoned. The core time so far is a lower bound of the core time
+     * of the whole run, and is counted as if the run were complete.
      */
     void recordAbandonment(TrackedRequest tracked) {
         abandonedShare += ABANDONED_GAIN * (1 - abandonedShare);
--- a/server/src/main/java/wheatspread/admission/sfq/SfqAdmissionController.java
+++ b/server/src/main/java/wheatspread/admission/sfq/SfqAdmissionController.java
@@ -30,7 +30,7 @@
     private final ArrivalRate arrivalRate = new ArrivalRate();
     private final OverloadDetector overload;
     private final LoadShedder shedder;
-    private final UnstartedRequests unstarted;
+    private final UnstartedRequestRemover unstartedRemover;
     private final RequestExpiry expiry;
     private final DependencyCallLimit callLimit;
     private final DependencyCallGate calls;
@@ -53,7 +53,7 @@
         keys = new RetainedKeys(settings, clock);
         memory = new MemoryBudget(settings, inFlight, keys);
         fairQueue = new FairQueue(initial.tenants());
-        unstarted = new UnstartedRequests(clock, inFlight, fairQueue);
+        unstartedRemover = new UnstartedRequestRemover(clock, inFlight, fairQueue);
 
         SlowStart slowStart = new SlowStart(settings, clock);
         clientWaits = new ClientWaitEstimator(settings);
@@ -63,8 +63,8 @@
         overload = new OverloadDetector(clock);
         LoadPressure pressure = new LoadPressure(settings, heldQueueBound, overload);
 
-        shedder = new LoadShedder(settings, clock, fairQueue, keys, unstarted, pressure, seed);
-        RunTermination termination = new RunTermination(settings, inFlight, unstarted, serviceTimes);
+        shedder = new LoadShedder(settings, clock, fairQueue, keys, unstartedRemover, pressure, seed);
+        RunTermination termination = new RunTermination(settings, inFlight, unstartedRemover, serviceTimes);
         expiry = new RequestExpiry(settings, clock, drain, inFlight, shedder, termination);
         callLimit = new DependencyCallLimit(settings, clock, inFlight);
         calls = new DependencyCallGate(settings, clock, drain, inFlight, callLimit, termination);
@@ -155,7 +155,7 @@
         }
         tracked.markAnswered();
         if (tracked.state == RequestState.HELD || tracked.state == RequestState.JOINING) {
-            unstarted.forget(tracked);
+            unstartedRemover.remove(tracked);
         }
     }
 
--- a/server/src/main/java/wheatspread/admission/sfq/SlowStart.java
+++ b/server/src/main/java/wheatspread/admission/sfq/SlowStart.java
@@ -3,9 +3,9 @@
 import wheatspread.admission.ServerLimits;
 
 /**
- * The guaranteed speed of a server during its warm-up, as a share of its full speed, and the number of requests that it
- * can run without overload at that speed. The speed rises linearly from the configured floor to 1 over the configured
- * warm-up time.
+ * The guaranteed speed of a server during its warm-up, as a share of its full speed, and the number of requests that
+ * the server can run without overload at that speed. The speed rises linearly from the configured floor to 1 over the
+ * configured warm-up time.
  */
 final class SlowStart {
     /** Lower bound on the speed; keeps divisions by the speed finite if the configured floor is 0. */
--- a/server/src/main/java/wheatspread/admission/sfq/UnstartedRequests.java
+++ b/server/src/main/java/wheatspread/admission/sfq/UnstartedRequestRemover.java
@@ -1,18 +1,21 @@
 package wheatspread.admission.sfq;
 
-/** Ends the tracking of held and joining requests, which never ran in this server. */
-final class UnstartedRequests {
+/**
+ * Ends the tracking of requests that never ran in this server: held requests, and duplicates that wait for the result
+ * of their original request.
+ */
+final class UnstartedRequestRemover {
     private final DecisionClock clock;
     private final InFlightRequests inFlight;
     private final FairQueue fairQueue;
 
-    UnstartedRequests(DecisionClock clock, InFlightRequests inFlight, FairQueue fairQueue) {
+    UnstartedRequestRemover(DecisionClock clock, InFlightRequests inFlight, FairQueue fairQueue) {
         this.clock = clock;
         this.inFlight = inFlight;
         this.fairQueue = fairQueue;
     }
 
-    void forget(TrackedRequest tracked) {
+    void remove(TrackedRequest tracked) {
         fairQueue.remove(tracked, clock.nowMicros());
         inFlight.transition(tracked, RequestState.DONE);
         inFlight.remove(tracked);
--- a/server/src/test/java/wheatspread/admission/sfq/DependencyCallsTest.java
+++ b/server/src/test/java/wheatspread/admission/sfq/DependencyCallsTest.java
@@ -6,7 +6,7 @@
 import wheatspread.admission.Idempotency;
 import wheatspread.admission.Outcome;
 
-/** Tests when dependency calls are made, skipped or abandoned. */
+/** Tests when dependency calls are made or skipped, and when their requests are abandoned. */
 class DependencyCallsTest {
     @Test
     void boundsCallsAndSkipsOptionalAndFailsUnsafeCalls() {
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void hangingCallsLowerBoundBeforeAnyEnds() {
+    void hangingCallsLowerBoundBeforeAnyCallEnds() {
         ControllerHarness harness = new ControllerHarness(TestSettings.settings(
                 false,
                 100_000,
--- a/server/src/test/java/wheatspread/admission/sfq/FairQueueTest.java
+++ b/server/src/test/java/wheatspread/admission/sfq/FairQueueTest.java
@@ -108,7 +108,8 @@
     }
 
     /**
-     * Reference implementation: every decision scans the flows of all tenants, and the first of equal ones is chosen.
+     * Reference implementation: every decision scans the flows of all tenants, and the first of several equal flows is
+     * chosen.
      */
     private static final class ReferenceQueue {
         private final ReferenceFlow[] flows;
@@ -204,7 +205,7 @@
 
         private void dispatch() {
             ReferenceRequest expected = reference.smallestStart();
-            TrackedRequest tracked = queue.next();
+            TrackedRequest tracked = queue.peek();
             assertThat(tracked).as("smallest start tag").isSameAs(expected == null ? null : expected.counterpart);
             if (tracked != null) {
                 queue.dispatch(tracked, nowMicros);
@@ -215,14 +216,14 @@
             }
         }
 
-        private void reject(boolean remove) {
+        private void compareLargestLead(boolean remove) {
             ReferenceFlow expected = reference.flowWithLargestLead(nowMicros);
-            assertThat(queue.next() == null).isEqualTo(expected == null);
+            assertThat(queue.peek() == null).isEqualTo(expected == null);
             if (expected == null) {
                 return;
             }
             Flow flow = queue.flowWithLargestLead(nowMicros);
-            assertThat(flow.tenant).as("furthest ahead").isEqualTo(expected.tenant);
+            assertThat(flow.tenant).as("tenant with the largest lead").isEqualTo(expected.tenant);
             assertThat(flow.lead(nowMicros)).isEqualTo(expected.lead(nowMicros));
             assertThat(flow.lowestWeightRequest()).isSameAs(expected.leastWeight().counterpart);
             if (remove) {
@@ -250,8 +251,8 @@
             switch (random.nextInt(10)) {
                 case 0, 1, 2, 3 -> arrive();
                 case 4, 5 -> dispatch();
-                case 6 -> reject(true);
-                case 7 -> reject(false);
+                case 6 -> compareLargestLead(true);
+                case 7 -> compareLargestLead(false);
                 case 8 -> {
                     if (!held.isEmpty()) {
                         removeFromBoth(held.get(random.nextInt(held.size())));
@@ -272,12 +273,12 @@
         /** Empties both queues by rejections and then by dispatches, which compares the whole order of the rest. */
         private void drain() {
             for (int remaining = held.size() / 2; remaining > 0; remaining--) {
-                reject(true);
+                compareLargestLead(true);
             }
             while (!held.isEmpty()) {
                 dispatch();
             }
-            reject(false);
+            compareLargestLead(false);
             dispatch();
         }
     }
@@ -312,7 +313,7 @@
                 comparison.nowMicros += 500;
             }
             for (int i = 0; i < 400; i++) {
-                comparison.reject(true);
+                comparison.compareLargestLead(true);
                 comparison.nowMicros += i % 3 * 700;
             }
             comparison.compareTags();
@@ -337,12 +338,12 @@
         comparison.queue.enqueue(tracked, 1, comparison.nowMicros);
         assertThat(flows.get(3).queue()).containsExactly(tracked);
         assertThat(flows.get(4).queue()).isEmpty();
-        comparison.queue.dispatch(comparison.queue.next(), comparison.nowMicros);
+        comparison.queue.dispatch(comparison.queue.peek(), comparison.nowMicros);
         assertThat(flows.get(3).queue()).isSameAs(flows.get(4).queue()).isEmpty();
         comparison.queue.enqueue(tracked, 1, comparison.nowMicros);
         comparison.queue.remove(tracked, comparison.nowMicros);
         comparison.queue.remove(tracked, comparison.nowMicros);
         assertThat(flows.get(3).queue()).isSameAs(flows.get(4).queue()).isEmpty();
-        assertThat(comparison.queue.next()).isNull();
+        assertThat(comparison.queue.peek()).isNull();
     }
 }
--- a/server/src/test/java/wheatspread/admission/sfq/FairSchedulingTest.java
+++ b/server/src/test/java/wheatspread/admission/sfq/FairSchedulingTest.java
@@ -10,7 +10,7 @@
 import wheatspread.admission.RequestClass;
 import wheatspread.admission.Tenant;
 
-/** Tests which held request starts next and which one is shed. */
+/** Tests which held request starts next and which held request is shed. */
 class FairSchedulingTest {
     @Test
     void startsSmallestStartTagWhileSlotsAreFree() {
@@ -43,7 +43,7 @@
         harness.advanceTo(1030).complete(20, Outcome.FAILED, 0).decide();
         harness.advanceTo(1040).complete(11, Outcome.FAILED, 0).decide();
         assertThat(harness.actions)
-                .as("the third request of the heavier flow starts before the second of the lighter one")
+                .as("the third request of the heavier flow starts before the second of the lighter flow")
                 .containsExactly("run 13");
     }
 
--- a/server/src/test/java/wheatspread/admission/sfq/KeyRetentionTest.java
+++ b/server/src/test/java/wheatspread/admission/sfq/KeyRetentionTest.java
@@ -7,7 +7,7 @@
 import wheatspread.admission.Idempotency;
 import wheatspread.admission.Outcome;
 
-/** Tests which keys are retained, which requests join others, and the bound on their memory. */
+/** Tests which keys are retained, which requests join the original request, and the bound on the memory of both. */
 class KeyRetentionTest {
     @Test
     void coalescesReadsWithSameCacheKey() {
