--- a/server/src/main/java/wheatspread/membership/BootstrapProtocol.java
+++ b/server/src/main/java/wheatspread/membership/BootstrapProtocol.java
@@ -35,10 +35,10 @@
             return null;
         }
         if (bootstrap.isOrderedByOperator() && state.isQuorumReachable(nowMicros)) {
-            bootstrap.onEnteredView(); // cancels the order: the quorum became reachable again before the cluster was
-            // formed
+            // the quorum became reachable again before the cluster was formed, so the order is cancelled
+            bootstrap.onEnteredView();
         }
-        return switch (bootstrap.nextStep(state.self(), nowMicros, unixMillis)) {
+        return switch (bootstrap.advance(state.self(), nowMicros, unixMillis)) {
             case NOTHING -> null;
             case REQUEST_CONSENT -> {
                 requestConsent(nowMicros);
--- a/server/src/main/java/wheatspread/membership/ClusterBootstrap.java
+++ b/server/src/main/java/wheatspread/membership/ClusterBootstrap.java
@@ -15,8 +15,8 @@
  * With the consent of more than half of the seeds the founder creates the first view in an epoch that no other founder
  * can use.
  *
- * <p>Therefore no view number is used twice. Two clusters can be formed only if consent expired while its founder was
- * partitioned; the cluster formed later then yields ({@link ViewPrecedence}).
+ * <p>Therefore no view number is used twice. Two clusters can be formed only if a consent expired while the founder to
+ * which it was given was partitioned; the cluster formed later then yields ({@link ViewPrecedence}).
  *
  * <p>On an operator's order a seed forms a cluster with all servers that consent, including members of a view without a
  * reachable quorum.
@@ -46,7 +46,10 @@
      * cluster started times this number, plus the founder's rank.
      */
     static final int MAX_SEEDS = 32;
-    /** A seed waits for this time without a sign of a reachable quorum; the loss of a quorum is detected sooner. */
+    /**
+     * How long a seed waits for messages from members of a view with a reachable quorum; the loss of a quorum is
+     * detected sooner.
+     */
     static final long QUIET_WAIT_MICROS = 5_000_000;
     /** The validity of a consent. */
     static final long CONSENT_VALIDITY_MICROS = 4_000_000;
@@ -104,7 +107,7 @@
         return rank >= 0;
     }
 
-    /** Starts the waiting phase of a seed that is in no view, or restarts it. */
+    /** Starts or restarts the waiting phase of a seed that is in no view. */
     void onLeftView(long nowMicros) {
         phase = isSeed() ? Phase.QUIET : Phase.IDLE;
         orderedByOperator = false;
@@ -152,9 +155,9 @@
      *     quorum
      */
     boolean grantConsent(MemberId founder, boolean canConsent, long nowMicros) {
-        boolean consentedToAnother =
+        boolean consentedToOtherFounder =
                 consentGivenTo != null && !consentGivenTo.equals(founder) && nowMicros < consentUntilMicros;
-        if (!canConsent || phase == Phase.REQUESTING || consentedToAnother) {
+        if (!canConsent || phase == Phase.REQUESTING || consentedToOtherFounder) {
             return false;
         }
         consentGivenTo = founder;
@@ -171,7 +174,7 @@
         }
     }
 
-    /** Returns the next time at which {@link #nextStep} has a step to take; {@link Long#MAX_VALUE} if there is none. */
+    /** Returns the next time at which {@link #advance} has a step to take; {@link Long#MAX_VALUE} if there is none. */
     long nextStepMicros() {
         return switch (phase) {
             case IDLE -> Long.MAX_VALUE;
@@ -180,8 +183,11 @@
         };
     }
 
-    /** Returns the next step at this time; the epoch is derived from {@code unixMillis}, the wall-clock time. */
-    Step nextStep(Member self, long nowMicros, long unixMillis) {
+    /**
+     * Advances to this time and returns the step that the caller must take; the epoch is derived from {@code
+     * unixMillis}, the wall-clock time.
+     */
+    Step advance(Member self, long nowMicros, long unixMillis) {
         if (phase == Phase.QUIET && nowMicros >= quietUntilMicros) {
             if (consentGivenTo != null && nowMicros < consentUntilMicros) {
                 quietUntilMicros = consentUntilMicros + random.nextLong(CONSENT_VALIDITY_MICROS);
@@ -189,16 +195,16 @@
             }
             startRequesting(self, nowMicros, unixMillis);
         }
-        return phase == Phase.REQUESTING ? nextRequestStep(nowMicros) : Step.NOTHING;
+        return phase == Phase.REQUESTING ? advanceRequest(nowMicros) : Step.NOTHING;
     }
 
-    private Step nextRequestStep(long nowMicros) {
+    private Step advanceRequest(long nowMicros) {
         if (isReadyToForm(nowMicros)) {
             addFreshJoiners(nowMicros);
             return Step.FORM_CLUSTER;
         }
         if (nowMicros >= requestingSinceMicros + CONSENT_VALIDITY_MICROS) {
-            // all consents have expired, so another founder may try now, and this one again after a wait
+            // all consents have expired, so another founder may request consent now, and this server after a wait
             phase = Phase.QUIET;
             quietUntilMicros = nowMicros + random.nextLong(CONSENT_VALIDITY_MICROS);
             return Step.NOTHING;
@@ -263,7 +269,8 @@
     }
 
     /**
-     * Returns the first view, after {@link Step#FORM_CLUSTER}; of two incarnations of a server it has the later one.
+     * Returns the first view, after {@link Step#FORM_CLUSTER}; of two incarnations of a server, the view contains the
+     * later one.
      */
     View firstView() {
         Map<String, Member> byName = new LinkedHashMap<>();
--- a/server/src/main/java/wheatspread/membership/CutDetector.java
+++ b/server/src/main/java/wheatspread/membership/CutDetector.java
@@ -15,8 +15,8 @@
  * "reachable" for a joiner. The larger counter takes precedence, so reports can be withdrawn and may arrive late,
  * duplicated or in any order; members with equal counters find equal changes. A member is removed, or a joiner
  * admitted, if the number of reports reaches the high watermark. A subject between the low and the high watermark is
- * unstable, and the change waits for it, so that crashes at about the same time become one change on all members. With
- * two observers or more, a single report never removes a member or admits a joiner.
+ * unstable, and the change waits until the subject is stable, so that crashes at about the same time become one change
+ * on all members. With two observers or more, a single report never removes a member or admits a joiner.
  */
 final class CutDetector {
     private static final int DIGEST_FACTOR = 31;
@@ -33,7 +33,8 @@
     private final Map<MemberId, Joiner> joiners = new TreeMap<>();
     private final int maxJoiners;
     /**
-     * Cached result derived from the fields above; null after one of them changed. Most messages change none of them.
+     * Cached result derived from the fields above; null after one of these fields changed. Most messages change none of
+     * them.
      */
     private Summary summary;
 
@@ -99,12 +100,12 @@
         if (joiners.containsKey(joiner.id()) || joiners.size() >= maxJoiners || isOutdated) {
             return false;
         }
-        for (MemberId other : List.copyOf(joiners.keySet())) {
-            if (other.name().equals(name)) {
-                if (other.incarnation() > joiner.id().incarnation()) {
+        for (MemberId known : List.copyOf(joiners.keySet())) {
+            if (known.name().equals(name)) {
+                if (known.incarnation() > joiner.id().incarnation()) {
                     return false;
                 }
-                joiners.remove(other);
+                joiners.remove(known);
             }
         }
         int excluded = predecessor == null ? View.NO_MEMBER : view.indexOf(predecessor.id());
@@ -183,7 +184,7 @@
 
     /**
      * Returns a digest of the reports, leaving members and joiners, but not of suspicions. Detectors with different
-     * knowledge very likely differ in it.
+     * knowledge very likely have different digests.
      */
     long digest() {
         return summary().digest;
@@ -292,8 +293,9 @@
     }
 
     /**
-     * Counts the reports on an unstable member, and one for each of its observers that is unstable and has not
-     * reported: an observer that crashed together with its subject can't report it (Rapid's implicit alerts).
+     * Counts the reports on an unstable member, plus one for each observer of the member that is unstable itself and
+     * has not reported: an observer that crashed together with its subject cannot report the subject (Rapid's implicit
+     * alerts).
      */
     private int effectiveReports(int member, BitSet unstable) {
         int reports = downReports(member);
--- a/server/src/main/java/wheatspread/membership/Departure.java
+++ b/server/src/main/java/wheatspread/membership/Departure.java
@@ -5,7 +5,7 @@
 /**
  * A member of a view that is not in the next view, with the cause as far as this server knows it.
  *
- * @param witnesses the names of the observers that reported it down; empty if there are none
+ * @param witnesses the names of the observers that reported the member down; empty if there are none
  */
 public record Departure(MemberId member, Cause cause, List<String> witnesses) {
     /** The reason for which a member departed. */
--- a/server/src/main/java/wheatspread/membership/FailureDetector.java
+++ b/server/src/main/java/wheatspread/membership/FailureDetector.java
@@ -2,9 +2,10 @@
 
 /**
  * The failure detector of one observer for one subject, after SWIM with Lifeguard's suspicion timeouts. A probe that is
- * not answered in time is repeated through helpers. If that also fails, a suspicion starts, whose timeout is shorter
- * the more other observers share it. When the timeout expires, the subject is reported down. Any answer ends a
- * suspicion and withdraws a report. Probes continue in every state, so that a subject that is down can recover.
+ * not answered in time is repeated through helpers. If the repeated probe also fails, a suspicion starts; the more
+ * other observers share the suspicion, the shorter is its timeout. When the timeout expires, the subject is reported
+ * down. Any answer ends a suspicion and withdraws a report. Probes continue in every state, so that a subject that is
+ * down can recover.
  */
 final class FailureDetector {
     /** The state of the subject. */
@@ -13,7 +14,7 @@
         HEALTHY,
         /** The first probe since the last answer is in progress. */
         PROBING,
-        /** Helpers repeat that probe. */
+        /** Helpers repeat the first probe since the last answer. */
         PROBING_INDIRECTLY,
         /** A probe failed, and the suspicion timeout is running. */
         SUSPECT,
@@ -76,7 +77,7 @@
         requiredConfirmations = Math.min(settings.requiredConfirmations(), otherObservers);
     }
 
-    /** Returns the next time at which {@link #nextStep} returns a step. */
+    /** Returns the next time at which {@link #advance} returns a step. */
     long nextStepMicros() {
         long next = probeMicros;
         if (probing) {
@@ -105,8 +106,11 @@
         return (long) (settings.maxSuspicionMicros() - rangeMicros * confirmedShare) * health.multiplier();
     }
 
-    /** Returns the next step at this time; the caller repeats the call until it returns {@link Step#NOTHING}. */
-    Step nextStep(long nowMicros) {
+    /**
+     * Advances to this time and returns the step that the observer must take; the caller repeats the call until the
+     * result is {@link Step#NOTHING}.
+     */
+    Step advance(long nowMicros) {
         if (state == State.SUSPECT && nowMicros >= suspectedSinceMicros + suspicionTimeoutMicros()) {
             state = State.DOWN;
             return Step.REPORT;
--- a/server/src/main/java/wheatspread/membership/FlapDamping.java
+++ b/server/src/main/java/wheatspread/membership/FlapDamping.java
@@ -6,9 +6,9 @@
 /**
  * Flap damping, as BGP has for routes: delays the readmission of servers that repeatedly join and fail, so that a
  * flapping link or a server that crashes at each start does not change the view repeatedly. Each eviction adds a
- * penalty point to the server's name, which decays with a half-life. A joiner with more than one point must be
- * reachable without a gap for a time before its observers report it reachable; that time grows with the points. An
- * announced departure adds no points.
+ * penalty point to the server's name; the points of a name decay with a half-life. A joiner with more than one point
+ * must be reachable without a gap for a time before its observers report it reachable; that time grows with the points.
+ * An announced departure adds no points.
  */
 final class FlapDamping {
     /** The time in which penalty points halve. */
@@ -23,7 +23,7 @@
     private static final double MAX_POINTS = 12;
     /** A joiner that did not answer for this time must wait again from the start. */
     private static final long MAX_ANSWER_GAP_MICROS = 3_000_000;
-    /** The maximum number of entries; evicting the oldest one costs at most one additional view change. */
+    /** The maximum number of entries; evicting the oldest entry costs at most one additional view change. */
     private static final int MAX_ENTRIES = 4_096;
 
     private static final double DECAY_PER_HALF_LIFE = 0.5;
--- a/server/src/main/java/wheatspread/membership/GossipDissemination.java
+++ b/server/src/main/java/wheatspread/membership/GossipDissemination.java
@@ -11,7 +11,8 @@
     /** The number of members to which a round of gossip is sent. */
     private static final int FAN_OUT = 3;
     /**
-     * The number of rounds after a view change even with an empty queue, which tell members of the old view about it.
+     * The number of rounds that are sent after a view change even if the queue is empty, so that members with the old
+     * view learn of the change.
      */
     private static final int NEW_VIEW_ROUNDS = 10;
 
@@ -64,7 +65,7 @@
         return category == GossipUpdate.Category.EVIDENCE;
     }
 
-    /** Queues the known votes, ballot and own promise, which supersede those that were queued before. */
+    /** Queues the known votes, the ballot and the promise of this member, which supersede the ones queued before. */
     void queueAgreement() {
         knownUpdates.agreementUpdates(member -> member == state.ownIndex()).forEach(queue::add);
     }
--- a/server/src/main/java/wheatspread/membership/GossipQueue.java
+++ b/server/src/main/java/wheatspread/membership/GossipQueue.java
@@ -14,16 +14,24 @@
  * while messages are lost.
  */
 final class GossipQueue {
-    /** Each update is sent this number times the binary logarithm of the view size, which very likely reaches all. */
+    /**
+     * Each update is sent this many times for each unit of the binary logarithm of the view size, so that it very
+     * likely reaches all members.
+     */
     private static final int SENDS_PER_LOG_SIZE = 4;
-    /** Superseded entries are removed when the queue is longer than this factor times its valid entries, */
+    /**
+     * Superseded entries are removed when the queue is longer than this multiple of its valid entries plus {@link
+     * #LENGTH_ALLOWANCE}.
+     */
     private static final int MAX_LENGTH_RATIO = 2;
-    /** plus this number of entries, so that short queues are not cleaned up repeatedly. */
+    /** Number of entries that keeps short queues from being cleaned up repeatedly. */
     private static final int LENGTH_ALLOWANCE = 256;
 
     /** The valid entries by supersession key. */
     private final Map<Object, Entry> entries = new HashMap<>();
-    /** Queued entries, at index n those with n + 1 remaining sends; superseded entries are skipped on removal. */
+    /**
+     * The queue at index n contains the entries with n + 1 remaining sends; superseded entries are skipped on removal.
+     */
     private final List<Deque<Entry>> queuesByRemainingSends = new ArrayList<>();
 
     private int queuedEntries;
--- a/server/src/main/java/wheatspread/membership/GossipUpdate.java
+++ b/server/src/main/java/wheatspread/membership/GossipUpdate.java
@@ -28,9 +28,15 @@
         EVIDENCE,
         /** The update shortens the suspicions of other observers, changes no view, and is passed on as received. */
         SUSPICION,
-        /** The update is a promise of a classic round, and is passed on as received, with the votes known here. */
+        /**
+         * The update is a promise of a classic round, and is passed on as received, with the votes known to this
+         * member.
+         */
         PROMISE,
-        /** The update has votes or a ballot; they are merged with those known here, and the result is passed on. */
+        /**
+         * The update has votes or a ballot, which are merged with the votes and the ballot known to this member; the
+         * result is passed on.
+         */
         VOTES
     }
 
@@ -69,7 +75,8 @@
     }
 
     /**
-     * An observer's suspicion of a member: the counter is odd while it lasts. It confirms other observers' suspicions.
+     * An observer's suspicion of a member: the counter is odd while the suspicion lasts. It confirms the suspicions of
+     * other observers.
      */
     record Suspicion(int subject, int observerIndex, int counter) implements GossipUpdate {
         @Override
--- a/server/src/main/java/wheatspread/membership/JoinProtocol.java
+++ b/server/src/main/java/wheatspread/membership/JoinProtocol.java
@@ -24,7 +24,7 @@
         this.sender = sender;
     }
 
-    /** Schedules the first requests for now. */
+    /** Schedules the first requests for {@code nowMicros}. */
     void start(long nowMicros) {
         nextRequestMicros = nowMicros;
     }
--- a/server/src/main/java/wheatspread/membership/LocalHealth.java
+++ b/server/src/main/java/wheatspread/membership/LocalHealth.java
@@ -34,7 +34,7 @@
     }
 
     /**
-     * Records a failed probe. If helpers were requested and none sent a nack, this member may be the unreachable one.
+     * Records a failed probe. If helpers were requested and none sent a nack, this member itself may be unreachable.
      * Lifeguard counts each silent helper. Here all silent helpers count as one, since a member outside of a
      * partitioned zone uses many helpers in that zone, and would report their failures much too late.
      */
--- a/server/src/main/java/wheatspread/membership/Member.java
+++ b/server/src/main/java/wheatspread/membership/Member.java
@@ -1,9 +1,9 @@
 package wheatspread.membership;
 
 /**
- * A member of the cluster, with the attributes that it sends to the other members. The result of {@link #toString} is
- * part of the hash of a view in the log, so the components must not be renamed: servers of two versions must log equal
- * hashes for equal views.
+ * A member of the cluster, with the attributes that it sends to the other members. The log contains a hash of each
+ * view, which is computed from the results of {@link #toString}. The components must not be renamed, since servers of
+ * two versions must log equal hashes for equal views.
  *
  * @param address the address to which messages for the member are sent, as {@code host:port}
  * @param zone the failure domain of the member; empty if none is configured
--- a/server/src/main/java/wheatspread/membership/Membership.java
+++ b/server/src/main/java/wheatspread/membership/Membership.java
@@ -6,9 +6,9 @@
 /**
  * The membership protocol of one server: detects failures of other members, disseminates gossip, and agrees with the
  * other members on the next view. This class creates the parts of the protocol and runs each of them in a turn. The
- * caller passes in messages, the time and the random generator; messages and views are passed to {@link Actions}. It
- * does no I/O and reads no clock. Times are microseconds of one monotonic clock. Not thread-safe: all calls must come
- * from one thread.
+ * caller passes in messages, the time and the random generator; messages and views are passed to {@link Actions}. The
+ * class does no I/O and reads no clock. Times are microseconds of one monotonic clock. Not thread-safe: all calls must
+ * come from one thread.
  */
 public final class Membership {
     /** The maximum number of entries in a list of seeds. */
@@ -153,7 +153,7 @@
     }
 
     /**
-     * Announces that this member leaves. It keeps taking part in the protocol until the other members have agreed on
+     * Announces that this member leaves. The member takes part in the protocol until the other members have agreed on
      * its removal, and does not rejoin.
      */
     public void leave() {
@@ -232,7 +232,7 @@
         return reports.suspecting(member);
     }
 
-    /** Returns how long this member has suspected another one, in microseconds; 0 if it does not suspect it. */
+    /** Returns how long this member has suspected another member, in microseconds; 0 if there is no suspicion. */
     public long suspectedForMicros(MemberId other, long nowMicros) {
         MonitoredSubject subject = subjects.get(other);
         if (subject == null || !subject.detector().isSuspectOrDown()) {
--- a/server/src/main/java/wheatspread/membership/MembershipState.java
+++ b/server/src/main/java/wheatspread/membership/MembershipState.java
@@ -100,7 +100,7 @@
         self = new Member(next, self.address(), self.zone(), self.build(), self.config());
     }
 
-    /** Replaces the installed view and discards the reports and votes that belong to the previous one. */
+    /** Replaces the installed view and discards the reports and votes that belong to the previous view. */
     void installView(View next, long nowMicros) {
         view = next;
         ownIndex = next.indexOf(self.id());
--- a/server/src/main/java/wheatspread/membership/Message.java
+++ b/server/src/main/java/wheatspread/membership/Message.java
@@ -6,7 +6,7 @@
  * A message from one member to another.
  *
  * @param from the identity of the sender
- * @param view the number of the sender's view; {@link ViewId#NONE} before it has one
+ * @param view the number of the sender's view; {@link ViewId#NONE} before the sender has a view
  * @param quorumReachable whether the sender is in that view and appears to reach a quorum of it
  * @param digest a digest of the reports and votes that the sender knows for that view; two members with different
  *     digests synchronize
--- a/server/src/main/java/wheatspread/membership/MessageSender.java
+++ b/server/src/main/java/wheatspread/membership/MessageSender.java
@@ -5,7 +5,7 @@
 
 /**
  * Completes and sends this member's messages: each carries the number of the sender's view and a digest of the reports
- * and votes that the sender knows for it.
+ * and votes that the sender knows for that view.
  */
 final class MessageSender {
     /** The maximum number of gossip updates on one message, with which the message still fits in one datagram. */
--- a/server/src/main/java/wheatspread/membership/PeerRateLimit.java
+++ b/server/src/main/java/wheatspread/membership/PeerRateLimit.java
@@ -5,9 +5,15 @@
 
 /** Limits how often this member sends a view, a view request or its full state to one peer, to bound reply traffic. */
 final class PeerRateLimit {
-    /** The minimum interval between two of these messages to a peer; a peer that is still behind then gets another. */
+    /**
+     * The minimum interval between two such messages to a peer; a peer that is still outdated after it gets the next
+     * message.
+     */
     private static final long INTERVAL_MICROS = 300_000;
-    /** The maximum number of entries; above it all are removed, which costs one additional message per peer. */
+    /**
+     * The maximum number of entries; if it is exceeded, all entries are removed, which costs one additional message per
+     * peer.
+     */
     private static final int MAX_PEERS = 4_096;
 
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
--- a/server/src/main/java/wheatspread/membership/PeerSelector.java
+++ b/server/src/main/java/wheatspread/membership/PeerSelector.java
@@ -12,7 +12,7 @@
         this.random = random;
     }
 
-    /** Returns a random member of the view other than this one; requires a view of at least two members. */
+    /** Returns a random member of the view other than this member; requires a view of at least two members. */
     Member randomOther() {
         int randomIndex = random.nextInt(state.view().size() - 1);
         int index = randomIndex < state.ownIndex() ? randomIndex : randomIndex + 1;
--- a/server/src/main/java/wheatspread/membership/ProbeScheduler.java
+++ b/server/src/main/java/wheatspread/membership/ProbeScheduler.java
@@ -53,10 +53,10 @@
     /** Takes all steps that are due. */
     void run(long nowMicros) {
         for (MonitoredSubject subject : subjects.snapshot()) {
-            FailureDetector.Step step = subject.detector().nextStep(nowMicros);
+            FailureDetector.Step step = subject.detector().advance(nowMicros);
             while (step != FailureDetector.Step.NOTHING) {
                 takeStep(step, subject, nowMicros);
-                step = subject.detector().nextStep(nowMicros);
+                step = subject.detector().advance(nowMicros);
             }
         }
         relayedProbes.expire(nowMicros);
--- a/server/src/main/java/wheatspread/membership/QuorumReachability.java
+++ b/server/src/main/java/wheatspread/membership/QuorumReachability.java
@@ -5,24 +5,24 @@
 
 /**
  * Estimates whether a quorum of one member's view is reachable. Members on the smaller side of a partition keep their
- * view and use this estimate to treat it as outdated. A quorum counts as unreachable if any of three conditions holds,
- * since none of them detects every case:
+ * view, and use this estimate to treat that view as outdated. A quorum counts as unreachable if any of three conditions
+ * holds, since none of them detects every case:
  *
  * <ul>
- * <li>Fewer members than a quorum remain without those that observers on this side report or suspect. This is exact on
- *     a side with a third of the fleet or more; a smaller side has too few observers.
+ * <li>The members that observers on this side of a partition neither report nor suspect are fewer than a quorum. This
+ *     is exact on a side with a third of the fleet or more; a smaller side has too few observers.
  * <li>Messages arrived recently from less than half of this member's observers and subjects. This is a sample, which
  *     works on a small side and on a member that was suspended.
  * <li>An agreement has been in progress for longer than {@link #AGREEMENT_LIMIT_MICROS} without a decision.
  * </ul>
  *
  * <p>The estimate may be wrong for short times in either direction. A decision that two sides of a partition must not
- * make differently must not depend on it: such a decision requires an agreed view.
+ * make differently must not depend on this estimate: such a decision requires an agreed view.
  */
 final class QuorumReachability {
     /** A member without a message for this time, about four probe periods, counts as silent. */
     static final long SILENCE_LIMIT_MICROS = 4_000_000;
-    /** An agreement that takes longer counts as blocked; an undisturbed one ends within 2 s. */
+    /** An agreement that takes longer counts as blocked; an undisturbed agreement ends within 2 s. */
     static final long AGREEMENT_LIMIT_MICROS = 6_000_000;
 
     private static final long MICROS_PER_MILLI = 1_000;
--- a/server/src/main/java/wheatspread/membership/SeedNotifier.java
+++ b/server/src/main/java/wheatspread/membership/SeedNotifier.java
@@ -6,8 +6,9 @@
 import wheatspread.membership.Message.Body;
 
 /**
- * Notifies seeds that are not in this view that this cluster exists. Such a seed is in no view or in another cluster.
- * The notices keep restarted seeds from forming a second cluster, and let two clusters discover each other.
+ * Notifies the seeds that are missing from this view that this cluster exists; a missing seed is in no view or in
+ * another cluster. The notices keep restarted seeds from forming a second cluster, and let two clusters discover each
+ * other.
  */
 final class SeedNotifier {
     /** The interval between notices of the whole fleet, so that the load on a seed does not grow with the fleet. */
--- a/server/src/main/java/wheatspread/membership/StateSynchronizer.java
+++ b/server/src/main/java/wheatspread/membership/StateSynchronizer.java
@@ -25,7 +25,8 @@
     }
 
     /**
-     * Sends the full state to the sender of a message of this view if its digest differs and the rate limit allows it.
+     * Sends the full state to the sender of a message of this view if the digest of the message differs from that of
+     * this member and the rate limits allow it.
      */
     void onMessage(String address, Message message, long nowMicros) {
         if (message.digest() != state.digest()
--- a/server/src/main/java/wheatspread/membership/View.java
+++ b/server/src/main/java/wheatspread/membership/View.java
@@ -103,8 +103,8 @@
 
     /**
      * Returns the indexes of the observers of a member or joiner with this name, which are the members with the highest
-     * scores for the name (rendezvous hashing). With this choice each member observes about as many members as observe
-     * it, the sets of observers differ, and few pairs change when one member joins or departs.
+     * scores for the name (rendezvous hashing). With this choice each member observes about as many members as it has
+     * observers, the sets of observers differ, and few pairs change when one member joins or departs.
      *
      * @param excluded the index of a member that must not be an observer; -1 for none
      */
@@ -174,7 +174,7 @@
         return (2 * members.size() - classicQuorum()) / 2 + 1;
     }
 
-    /** Returns the next view, which is the result of applying a change to this one. */
+    /** Returns the next view, which is the result of applying a change to this view. */
     public View withChange(ViewChange change) {
         List<Member> next = new ArrayList<>();
         for (Member member : members) {
--- a/server/src/main/java/wheatspread/membership/ViewAgreement.java
+++ b/server/src/main/java/wheatspread/membership/ViewAgreement.java
@@ -12,8 +12,8 @@
  * The agreement of the members of one view on the next view change: Fast Paxos with one instance per view (L. Lamport,
  * "Fast Paxos", 2006). In the fast round each member votes once, for the change that its own cut detector found; equal
  * votes of a fast quorum decide. If votes split or are lost, a member starts a classic round with a higher ballot: it
- * collects promises (phase 1), proposes the only change that may have been decided, or its own change if none can have
- * been decided, and the votes of a classic quorum decide (phase 2).
+ * collects promises (phase 1), proposes the only change that may have been decided, or its own change if no change can
+ * have been decided, and the votes of a classic quorum decide (phase 2).
  *
  * <p>This class sends no messages. A member's knowledge of a round only grows, independent of the senders and the order
  * of messages, so votes and promises can spread by gossip and acceptors need not reach the coordinator directly. Safety
@@ -76,7 +76,7 @@
         this.fastQuorum = fastQuorum;
     }
 
-    /** Creates a copy of the current state. */
+    /** Creates a copy of an agreement in its current state. */
     ViewAgreement(ViewAgreement other) {
         this(other.view, other.ownIndex, other.classicQuorum, other.fastQuorum);
         promisedBallot = other.promisedBallot;
@@ -161,7 +161,7 @@
         return acceptors.cardinality() > knownBefore && advance() || isNewProposal;
     }
 
-    /** Records a decision that another member knows; from then on this member takes no further steps in rounds. */
+    /** Records a decision that another member knows, after which this member takes no further steps in rounds. */
     boolean onDecided(ViewChange change) {
         boolean isNew = decided == null;
         decided = isNew ? change : decided;
@@ -228,7 +228,10 @@
         });
     }
 
-    /** Returns the only change that may have been decided in a lower ballot; the preferred change if there is none. */
+    /**
+     * Returns the only change that may have been decided in a lower ballot; if no change can have been decided, the
+     * preferred change or, without a preference, the change with the most fast votes.
+     */
     private ViewChange chooseProposal() {
         long highestVote =
                 promises.values().stream().mapToLong(Promise::votedBallot).max().orElse(NOT_VOTED);
@@ -302,7 +305,10 @@
         return acceptors;
     }
 
-    /** Returns a digest of the known votes and rounds; members with different knowledge very likely differ in it. */
+    /**
+     * Returns a digest of the known votes and rounds; members with different knowledge very likely have different
+     * digests.
+     */
     long digest() {
         return fastVotes.hashCode() * DIGEST_FACTOR * DIGEST_FACTOR
                 + promises.hashCode() * DIGEST_FACTOR
--- a/server/src/main/java/wheatspread/membership/ViewChangeCoordinator.java
+++ b/server/src/main/java/wheatspread/membership/ViewChangeCoordinator.java
@@ -14,9 +14,11 @@
      * leaves that member in the view. Suspicion timeouts differ between observers, so their reports are spread in time.
      */
     private static final long UNSTABLE_WAIT_MICROS = 5_000_000;
-    /** A member waits one to three times this for the fast round; a random wait avoids simultaneous classic rounds. */
+    /**
+     * A member waits one to three times this time for the fast round; a random wait avoids simultaneous classic rounds.
+     */
     private static final long FAST_ROUND_TIMEOUT_MICROS = 250_000;
-    /** A member waits one to three times this for a classic round before it starts the next one. */
+    /** A member waits one to three times this time for a classic round before it starts the next round. */
     private static final long CLASSIC_ROUND_TIMEOUT_MICROS = 1_000_000;
     /**
      * Bounds the cost of counting, which visits all members: under message loss, suspicions arrive with every message.
@@ -41,7 +43,7 @@
         this.random = random;
     }
 
-    /** Records new evidence about members, which delays a change that is not proposed yet until it has settled. */
+    /** Records new evidence about members. A change that is not proposed yet waits until the evidence has settled. */
     void onEvidence(long nowMicros) {
         lastEvidenceMicros = nowMicros;
     }
--- a/server/src/main/java/wheatspread/membership/ViewExchange.java
+++ b/server/src/main/java/wheatspread/membership/ViewExchange.java
@@ -3,8 +3,8 @@
 import wheatspread.membership.Message.Body;
 
 /**
- * Brings members with different views to the same view: requests a view that takes precedence over this member's view,
- * and sends this member's view to a member whose view it takes precedence over.
+ * Brings members with different views to the same view: if the view of another member takes precedence over this
+ * member's view, this member requests it; otherwise this member sends its own view to the other member.
  */
 final class ViewExchange {
     private final MembershipState state;
--- a/server/src/main/java/wheatspread/membership/ViewInstaller.java
+++ b/server/src/main/java/wheatspread/membership/ViewInstaller.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Replaces the installed view, resets the state that belongs to the previous one, and reports departed members. */
+/** Replaces the installed view, resets the state that belongs to the previous view, and reports departed members. */
 final class ViewInstaller {
     private final MembershipState state;
     private final FlapDamping damping;
@@ -55,9 +55,9 @@
         install(state.view().withChange(change), Departure.Cause.REPORTED_DOWN, nowMicros);
     }
 
-    private void install(View next, Departure.Cause unannounced, long nowMicros) {
+    private void install(View next, Departure.Cause unannouncedCause, long nowMicros) {
         View previous = state.view();
-        List<Departure> departures = departures(previous, next, unannounced, nowMicros);
+        List<Departure> departures = departures(previous, next, unannouncedCause, nowMicros);
         advanceIncarnationIfReturning(next);
         state.installView(next, nowMicros);
         viewChanges.onViewInstalled(nowMicros);
@@ -77,8 +77,9 @@
     }
 
     /**
-     * Increments the incarnation of a member that returns to a cluster which it had left. It may have voted in views of
-     * that epoch and no longer has its votes, and a second vote would break the quorum intersection of the agreement.
+     * Increments the incarnation of a member that returns to a cluster which it had left. The member may have voted in
+     * views of that epoch and no longer knows its votes, and a second vote would break the quorum intersection of the
+     * agreement.
      */
     private void advanceIncarnationIfReturning(View next) {
         long epoch = next.id().epoch();
@@ -89,7 +90,7 @@
     }
 
     /** Returns the departed members with the causes. Unannounced departures are recorded for flap damping. */
-    private List<Departure> departures(View previous, View next, Departure.Cause unannounced, long nowMicros) {
+    private List<Departure> departures(View previous, View next, Departure.Cause unannouncedCause, long nowMicros) {
         List<Departure> departures = new ArrayList<>();
         if (previous == null) {
             return departures;
@@ -103,7 +104,7 @@
             boolean announced =
                     state.isMember() && state.cutDetector().leavingMembers().get(index);
             List<String> witnesses = state.isMember() ? reports.reporting(index) : List.of();
-            departures.add(new Departure(member, cause(member, announced, next, unannounced), witnesses));
+            departures.add(new Departure(member, cause(member, announced, next, unannouncedCause), witnesses));
             if (!announced && sameCluster) {
                 damping.recordEviction(member.name(), nowMicros);
             }
@@ -111,10 +112,11 @@
         return departures;
     }
 
-    private static Departure.Cause cause(MemberId member, boolean announced, View next, Departure.Cause unannounced) {
+    private static Departure.Cause cause(
+            MemberId member, boolean announced, View next, Departure.Cause unannouncedCause) {
         if (announced) {
             return Departure.Cause.LEFT;
         }
-        return next.memberNamed(member.name()) != null ? Departure.Cause.RESTARTED : unannounced;
+        return next.memberNamed(member.name()) != null ? Departure.Cause.RESTARTED : unannouncedCause;
     }
 }
--- a/server/src/test/java/wheatspread/membership/ClusterBootstrapTest.java
+++ b/server/src/test/java/wheatspread/membership/ClusterBootstrapTest.java
@@ -252,14 +252,15 @@
     void twoClustersNeverYieldToEachOther() {
         List<ViewId> ids = List.of(new ViewId(1, 1), new ViewId(1, 2), new ViewId(2, 1), new ViewId(2, 2));
         boolean[] reachability = {false, true};
-        for (ViewId own : ids) {
-            for (ViewId other : ids) {
-                for (boolean reachable : reachability) {
-                    for (boolean otherReachable : reachability) {
-                        assertThat(ViewPrecedence.takesPrecedence(own, reachable, other, otherReachable)
-                                        && ViewPrecedence.takesPrecedence(other, otherReachable, own, reachable))
+        for (ViewId first : ids) {
+            for (ViewId second : ids) {
+                for (boolean firstReachable : reachability) {
+                    for (boolean secondReachable : reachability) {
+                        assertThat(ViewPrecedence.takesPrecedence(first, firstReachable, second, secondReachable)
+                                        && ViewPrecedence.takesPrecedence(
+                                                second, secondReachable, first, firstReachable))
                                 .isFalse();
-                        assertThat(ViewPrecedence.takesPrecedence(own, reachable, own, otherReachable))
+                        assertThat(ViewPrecedence.takesPrecedence(first, firstReachable, first, secondReachable))
                                 .isFalse();
                     }
                 }
--- a/server/src/test/java/wheatspread/membership/CutDetectorTest.java
+++ b/server/src/test/java/wheatspread/membership/CutDetectorTest.java
@@ -68,7 +68,7 @@
                 .containsExactly(view.members().get(1).id());
     }
 
-    /** Guards against a crashed zone becoming several changes: observers in the zone crashed too and can't report. */
+    /** Guards against several changes for a crashed zone: the observers in the zone crashed too and cannot report. */
     @Test
     void crashedZoneIsOneChange() {
         View view = view(30);
--- a/server/src/test/java/wheatspread/membership/FailureDetectorTest.java
+++ b/server/src/test/java/wheatspread/membership/FailureDetectorTest.java
@@ -18,9 +18,9 @@
         for (long nowMicros = startMicros;
                 nowMicros <= endMicros;
                 nowMicros = Math.max(nowMicros, detector.nextStepMicros())) {
-            for (FailureDetector.Step step = detector.nextStep(nowMicros);
+            for (FailureDetector.Step step = detector.advance(nowMicros);
                     step != FailureDetector.Step.NOTHING;
-                    step = detector.nextStep(nowMicros)) {
+                    step = detector.advance(nowMicros)) {
                 steps.add(step + "@" + nowMicros / 1_000);
             }
         }
--- a/server/src/test/java/wheatspread/membership/GossipQueueTest.java
+++ b/server/src/test/java/wheatspread/membership/GossipQueueTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void newerUpdateSupersedesAnOlderOneWithAnEqualKey() {
+    void newerUpdateSupersedesOlderUpdateWithEqualKey() {
         GossipQueue queue = newQueue();
         queue.add(new GossipUpdate.Report(1, 2, 1));
         queue.add(new GossipUpdate.Report(1, 2, 2));
@@ -40,7 +40,10 @@
                 .containsExactlyInAnyOrder(new GossipUpdate.Report(1, 2, 2), new GossipUpdate.Report(1, 3, 1));
     }
 
-    /** Guards against unbounded growth: a steady flow of new updates is sent first, so superseded ones stay queued. */
+    /**
+     * Guards against unbounded growth: new updates are sent first, so superseded updates stay queued while new ones
+     * keep arriving.
+     */
     @Test
     void supersededUpdatesDoNotAccumulate() {
         GossipQueue queue = newQueue();
