--- a/server/src/main/java/wheatspread/commands/CompletionCommand.java
+++ b/server/src/main/java/wheatspread/commands/CompletionCommand.java
@@ -19,7 +19,7 @@
 
     @Override
     public Integer call() {
-        spec.commandLine().getOut().println(AutoComplete.bash("wheatspread", Wheatspread.commands()));
+        spec.commandLine().getOut().println(AutoComplete.bash("wheatspread", Wheatspread.fullCommandLine()));
         spec.commandLine().getOut().flush();
         return ExitCodes.OK;
     }
--- a/server/src/main/java/wheatspread/commands/FleetCommand.java
+++ b/server/src/main/java/wheatspread/commands/FleetCommand.java
@@ -156,7 +156,7 @@
             })
     static final class Roll extends FleetFileCommand {
         @Option(names = "--to", required = true, paramLabel = "BUILD", description = "The label of the build.")
-        private String to;
+        private String buildLabel;
 
         @Option(
                 names = "--member",
@@ -186,7 +186,7 @@
                             config,
                             new JSONObject()
                                     .put("do", "roll")
-                                    .put("to", to)
+                                    .put("to", buildLabel)
                                     .put("names", instanceNames)
                                     .put("count", count))
                     .getLong("at");
@@ -217,7 +217,7 @@
                             throw new ExitCodes.Failure(
                                     ExitCodes.UNAVAILABLE,
                                     "the rollout of build "
-                                            + to + " "
+                                            + buildLabel + " "
                                             + (roll.getString("status").equals("STOPPED")
                                                     ? "stopped"
                                                     : "was rolled back")
--- a/server/src/main/java/wheatspread/commands/ImportNginxCommand.java
+++ b/server/src/main/java/wheatspread/commands/ImportNginxCommand.java
@@ -37,7 +37,7 @@
         if (!Files.isReadable(conf)) {
             throw new ExitCodes.Failure(ExitCodes.NO_INPUT, conf + " is missing or not readable");
         }
-        Importer.Result result = Importer.read(conf, listen);
+        Importer.Result result = Importer.convert(conf, listen);
         result.report().forEach(System.err::println);
         try {
             Files.writeString(file, result.file().toString(2) + "\n");
--- a/server/src/main/java/wheatspread/commands/StoreCommand.java
+++ b/server/src/main/java/wheatspread/commands/StoreCommand.java
@@ -106,11 +106,11 @@
                 inspection.findings().forEach(out::println);
                 out.println(inspection.files().size() + " files, "
                         + inspection.stats().keys() + " keys, "
-                        + (inspection.damages() == 0
+                        + (inspection.damageCount() == 0
                                 ? "no damage found"
-                                : inspection.damages() + " places are damaged"));
+                                : inspection.damageCount() + " places are damaged"));
             }
-            return inspection.damages() == 0 ? CommandLine.ExitCode.OK : ExitCodes.DATA;
+            return inspection.damageCount() == 0 ? CommandLine.ExitCode.OK : ExitCodes.DATA;
         }
     }
 
@@ -245,7 +245,7 @@
                 .put("doubtful_keys", inspection.stats().suspectedKeys())
                 .put("all_in_doubt", inspection.stats().allKeysSuspected())
                 .put("mode", inspection.stats().mode() == WriteState.Mode.OPEN ? "open" : "full")
-                .put("damages", inspection.damages())
+                .put("damages", inspection.damageCount())
                 .put("cut_bytes", inspection.cutBytes())
                 .put("findings", new JSONArray(inspection.findings()));
     }
--- a/server/src/main/java/wheatspread/commands/Wheatspread.java
+++ b/server/src/main/java/wheatspread/commands/Wheatspread.java
@@ -39,14 +39,15 @@
     /** Runs the command that the first argument names, and exits with its code. */
     public static void main(String[] args) {
         // registering the other commands would slow the start of a server
-        CommandLine line = args.length > 0 && args[0].equals("serve") ? commandLine(new ServeCommand()) : commands();
+        CommandLine line =
+                args.length > 0 && args[0].equals("serve") ? commandLine(new ServeCommand()) : fullCommandLine();
         String[] commandArgs =
                 line.getCommand() instanceof ServeCommand ? java.util.Arrays.copyOfRange(args, 1, args.length) : args;
         System.exit(line.execute(commandArgs));
     }
 
     /** Returns the command line with all commands. */
-    static CommandLine commands() {
+    static CommandLine fullCommandLine() {
         return commandLine(new Wheatspread());
     }
 
--- a/server/src/main/java/wheatspread/store/AuxiliaryFiles.java
+++ b/server/src/main/java/wheatspread/store/AuxiliaryFiles.java
@@ -39,7 +39,7 @@
     }
 
     /** Schedules files for deletion before any other job runs. A file that does not exist is skipped. */
-    void delete(Collection<String> names) {
+    void scheduleDeletion(Collection<String> names) {
         toDelete.addAll(names);
     }
 
@@ -65,8 +65,11 @@
         return new DeleteJob(disk, scheduled, toRename);
     }
 
-    /** Removes the files of a completed job of {@link #createDeleteJob} from the schedule, and updates the sizes. */
-    void completed(DeleteJob deletion) {
+    /**
+     * Handles the completion of a job that {@link #createDeleteJob} created: removes its files from the schedule, and
+     * updates the sizes.
+     */
+    void onCompleted(DeleteJob deletion) {
         toDelete.removeAll(deletion.names());
         toRename.removeAll(deletion.damagedFiles());
         for (String name : deletion.names()) {
--- a/server/src/main/java/wheatspread/store/CheckpointJob.java
+++ b/server/src/main/java/wheatspread/store/CheckpointJob.java
@@ -7,9 +7,9 @@
 import wheatspread.disk.DiskFile;
 
 /**
- * Writes a checkpoint of the index, one table at a time, while writes continue (a fuzzy checkpoint): an entry
- * may be older or newer than the log position that the checkpoint records, and replaying the log from that
- * position corrects it. The background thread calls {@link #step}, the writer thread all other methods.
+ * Writes a checkpoint of the index, one table at a time, while writes continue (a fuzzy checkpoint): an entry may be
+ * older or newer than the log position that the checkpoint records, and replaying the log from that position corrects
+ * the entry. The background thread calls {@link #step}, the writer thread all other methods.
  */
 final class CheckpointJob extends MaintenanceJob {
     private static final int MAX_FRAME_ENTRIES = 4_096;
@@ -31,7 +31,8 @@
     /**
      * Creates a job that has written nothing yet.
      *
-     * @param segment the index contains all of the log before this segment number and {@code offset}
+     * @param segment the number of the segment at which replay starts; the index contains all of the log before {@code
+     *     offset} in this segment
      * @param requiresWriterSync whether the writer must sync and then call {@link #publish}
      */
     CheckpointJob(
--- a/server/src/main/java/wheatspread/store/Checkpoints.java
+++ b/server/src/main/java/wheatspread/store/Checkpoints.java
@@ -224,8 +224,8 @@
         }
 
         /**
-         * Points a stale entry with this hash to the location to which compaction moved its record. If several
-         * entries are stale, any of them may be chosen: each is moved, or removed in the end.
+         * Points a stale entry with this hash to the location to which compaction moved its record. If several entries
+         * are stale, any of them may be chosen, since each stale entry is eventually moved or removed.
          *
          * @return whether there was a stale entry
          */
--- a/server/src/main/java/wheatspread/store/CompactionJob.java
+++ b/server/src/main/java/wheatspread/store/CompactionJob.java
@@ -12,13 +12,13 @@
 import wheatspread.disk.DiskFile;
 
 /**
- * Compacts a run of segments: copies their live records into a new segment that replaces them. The new file is
- * renamed to its final name only after it is synced completely, and the old files are kept until every index entry
- * points to the new file. After a crash at any point the folder contains the old files, the new file, or both, and
- * each alternative has the same content.
+ * Compacts a run of segments: copies their live records into a new segment that replaces them. The new file is renamed
+ * to its final name only after it is synced completely, and the old files are kept until every index entry points to
+ * the new file. After a crash at any point the folder contains the old files, the new file, or both, and in all three
+ * cases the content is the same.
  *
- * <p>The background thread calls {@link #step}, the writer thread all other methods. The job keeps the old
- * segments open from its creation until {@link #releaseRun}, or {@link #abort} after a failure.
+ * <p>The background thread calls {@link #step}, the writer thread all other methods. The job keeps the old segments
+ * open from its creation until {@link #releaseRun}, or {@link #abort} after a failure.
  */
 final class CompactionJob extends MaintenanceJob {
     private static final int TARGET_GROUP_BYTES = 64 << 10;
@@ -177,10 +177,10 @@
         segment.markDamaged();
         LongArrayList lostHashes = new LongArrayList();
         scan.lostHashes().forEachOrderedLong(lostHashes::addLong);
-        int groupOffset =
-                group.add(0, GroupEncoder.suspectedLoss(lostHashes, scan.lostAll(), parameters.lossUntilMillis()));
-        pendingLosses.add(
-                new Loss(lostHashes, scan.lostAll(), groupOffset, Index.location(segment.id(), (int) scan.offset())));
+        int groupOffset = group.add(
+                0, GroupEncoder.suspectedLoss(lostHashes, scan.lostUnknownKeys(), parameters.lossUntilMillis()));
+        pendingLosses.add(new Loss(
+                lostHashes, scan.lostUnknownKeys(), groupOffset, Index.location(segment.id(), (int) scan.offset())));
     }
 
     private void flushGroup() throws IOException {
--- a/server/src/main/java/wheatspread/store/CompactionPlanner.java
+++ b/server/src/main/java/wheatspread/store/CompactionPlanner.java
@@ -48,7 +48,7 @@
                     .toList();
             CompactionPolicy.Run run = policy.choose(candidates, nowMillis, underPressure);
             if (run != null) {
-                return compaction(sealed.subList(run.from(), run.to() + 1), nowMillis);
+                return createJob(sealed.subList(run.from(), run.to() + 1), nowMillis);
             }
         }
         return null;
@@ -93,7 +93,7 @@
     }
 
     /** Creates a job that compacts a run of neighbouring segments into a single segment. */
-    CompactionJob compaction(List<Segment> run, long nowMillis) {
+    CompactionJob createJob(List<Segment> run, long nowMillis) {
         int first = run.get(0).name().first();
         int last = run.get(run.size() - 1).name().last();
         int generation = run.stream()
--- a/server/src/main/java/wheatspread/store/FileHeader.java
+++ b/server/src/main/java/wheatspread/store/FileHeader.java
@@ -22,7 +22,7 @@
 
     private FileHeader() {}
 
-    /** Draws a mark for a new file, which is repeated in each of its groups; never 0, which stands for no mark. */
+    /** Draws the mark of a new file, which each group of the file repeats; never 0, which stands for no mark. */
     static long newMark(LongSupplier random) {
         long drawn = random.getAsLong();
         return drawn == 0 ? 1 : drawn;
--- a/server/src/main/java/wheatspread/store/GroupCommit.java
+++ b/server/src/main/java/wheatspread/store/GroupCommit.java
@@ -11,7 +11,7 @@
  * Database Systems", SIGMOD 1984). After a failed disk operation the segment is abandoned, since a later successful
  * sync of the same file does not prove that the data is durable (A. Rebello et al., "Can Applications Recover from
  * fsync Failures?", USENIX ATC 2020), and writes are rejected until a new segment exists that records where the failed
- * segment ends; {@link WriteState} delays the attempts to create it. Confined to the writer thread.
+ * segment ends; {@link WriteState} delays the attempts to create this segment. Confined to the writer thread.
  */
 final class GroupCommit {
     private final StoreSettings settings;
@@ -62,7 +62,7 @@
         writes.forEach(write -> write.complete(outcome, "disk I/O failed: " + e.getMessage()));
     }
 
-    /** Returns the admitted writes and completes all others as rejected. */
+    /** Returns the admitted writes, and completes all rejected writes. */
     private List<Write> admit(List<Write> writes) {
         List<Write> admitted = new ArrayList<>(writes.size());
         long used = space.usedBytes();
--- a/server/src/main/java/wheatspread/store/GroupEncoder.java
+++ b/server/src/main/java/wheatspread/store/GroupEncoder.java
@@ -46,7 +46,7 @@
         return hashes.size();
     }
 
-    /** Creates a single record for all cuts, so that either all of them are stored or none. */
+    /** Creates a single record for all cuts, so that either all cuts are stored or none is. */
     static Format.Record cuts(Map<Integer, Integer> cuts) {
         Format.Record.Builder record = Format.Record.newBuilder().setKind(Format.Record.Kind.CUT);
         cuts.forEach((segment, length) ->
@@ -66,14 +66,17 @@
     /**
      * Adds a record.
      *
-     * @param hash the hash of its key, or 0 if it has no key
-     * @return the offset of its frame, relative to the end of the descriptor frame
+     * @param hash the hash of the key of the record; 0 if the record has no key
+     * @return the offset of the frame of the record, relative to the end of the descriptor frame
      */
     int add(long hash, Format.Record record) {
         return frame(hash, record.getSerializedSize(), record::writeTo);
     }
 
-    /** Adds a PUT, or a DELETE if the value is null. Encodes field by field, which is several times as fast. */
+    /**
+     * Adds a PUT, or a DELETE if the value is null. Encodes field by field, which is several times as fast as building
+     * a protobuf message.
+     */
     int add(long hash, byte[] key, byte[] value, long expiresMs) {
         int kind = value == null ? Format.Record.Kind.DELETE_VALUE : Format.Record.Kind.PUT_VALUE;
         boolean hasValue = value != null && value.length > 0;
@@ -106,7 +109,7 @@
      * Ends the group.
      *
      * @param fileOffset the offset in the file at which the group is appended
-     * @param syncedBytes the length of the file that was synced before
+     * @param syncedBytes the length up to which the file has been synced
      */
     ByteBuffer end(long mark, int fileOffset, int syncedBytes) {
         int hashBytes = Long.BYTES * hashes.size();
--- a/server/src/main/java/wheatspread/store/Index.java
+++ b/server/src/main/java/wheatspread/store/Index.java
@@ -4,15 +4,15 @@
 
 /**
  * Maps the hash of a key to the location of its record. Several keys may have the same hash; the caller compares the
- * keys in the log. The implementation is an ordered hash table with open addressing (O. Amble and D. E. Knuth,
- * "Ordered hash tables", The Computer Journal 17, 1974): the home cell increases with the hash, so that the
- * entries of a table are sorted, a search ends at the first greater hash, and a deletion closes its gap. An entry
- * is three longs in an array; nothing else is stored for a key.
+ * keys in the log. The implementation is an ordered hash table with open addressing (O. Amble and D. E. Knuth, "Ordered
+ * hash tables", The Computer Journal 17, 1974): the home cell increases with the hash, so that the entries of a table
+ * are sorted, a search ends at the first greater hash, and a deletion closes its gap. An entry is three longs in an
+ * array; nothing else is stored for a key.
  *
- * <p>The index is split into 64 tables by the upper bits of the hash; each grows by a quarter when it is four
- * fifths full. So growing never needs much more memory than the entries, which take between 30 and 39 bytes each.
- * Every method holds the lock of the object. The time it is held does not grow with the number of entries, except
- * in {@link #copy}, which copies one of the 64 tables at a time.
+ * <p>The index is split into 64 tables by the upper bits of the hash; each table grows by a quarter when it is four
+ * fifths full. Therefore growing never needs much more memory than the entries, which take between 30 and 39 bytes
+ * each. Every method holds the lock of the object. The time for which the lock is held does not grow with the number of
+ * entries, except in {@link #copy}, which copies one of the 64 tables at a time.
  */
 public final class Index {
     /** The number of tables, which {@link #copy} and {@link #sweep} process separately. */
@@ -73,15 +73,15 @@
     }
 
     /**
-     * Allocates space for a number of entries in an empty index. Without it, entries that are added in sorted order
-     * would cluster in the lower part of each table as it grows.
+     * Allocates space for a number of entries in an empty index. Without this reservation, entries that are added in
+     * sorted order would cluster in the lower part of each table as it grows.
      */
     public synchronized void reserve(int entries) {
         double mean = entries / (double) TABLES;
-        int each = (int) Math.ceil((mean + 4 * Math.sqrt(mean)) / MAX_LOAD_FACTOR);
+        int tableCapacity = (int) Math.ceil((mean + 4 * Math.sqrt(mean)) / MAX_LOAD_FACTOR);
         for (Table table : tables) {
-            if (each > table.capacity) {
-                table.allocate(each);
+            if (tableCapacity > table.capacity) {
+                table.allocate(tableCapacity);
             }
         }
     }
@@ -92,7 +92,7 @@
         size++;
     }
 
-    /** Moves the entry of this hash and location to another location; returns whether it existed. */
+    /** Moves the entry with this hash and location to another location; returns whether the entry existed. */
     public synchronized boolean move(long hash, long from, long to, int length, int expiry) {
         Table table = table(hash);
         int cell = table.find(hash, from);
@@ -104,7 +104,7 @@
         return true;
     }
 
-    /** Removes the entry of this hash and location; returns whether it existed. */
+    /** Removes the entry with this hash and location; returns whether the entry existed. */
     public synchronized boolean remove(long hash, long location) {
         Table table = table(hash);
         int cell = table.find(hash, location);
--- a/server/src/main/java/wheatspread/store/IndexUpdate.java
+++ b/server/src/main/java/wheatspread/store/IndexUpdate.java
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Returns the location of a key's entry, or 0 if it has none. Keys with equal hashes are distinguished by
-     * reading their records.
+     * Returns the location of the entry of a key, or 0 if the key has no entry. Keys with equal hashes are
+     * distinguished by reading their records.
      */
     private long entryOf(long hash, byte[] key) throws IOException {
         LongArrayList found = new LongArrayList(2, 0);
--- a/server/src/main/java/wheatspread/store/LogStructuredStore.java
+++ b/server/src/main/java/wheatspread/store/LogStructuredStore.java
@@ -13,7 +13,7 @@
  * reads, {@link MaintenanceJobs} runs checkpoints, compactions and deletions.
  *
  * <p>Threads: the writer thread calls {@link #commit}, {@link #tick} and the methods that complete a job; another
- * thread runs the steps of the job that {@link #nextJob} returned; any thread may call {@link #get} and {@link
+ * thread runs the steps of the job that {@link #startNextJob} returned; any thread may call {@link #get} and {@link
  * #stats}. The class reads no clock: the caller passes the time. The owner calls {@link #close}, or {@link
  * #closeFiles} to leave the files unchanged.
  */
@@ -92,7 +92,7 @@
         if (!found.isEmpty()) {
             checkpoints.restore(found.get(0));
             files.measure(found.get(0));
-            files.delete(found.subList(1, found.size()));
+            files.scheduleDeletion(found.subList(1, found.size()));
         }
     }
 
@@ -143,12 +143,12 @@
     }
 
     /** Starts the next maintenance job, or returns null if none is due or a job is running. */
-    MaintenanceJob nextJob(long nowMillis) {
-        return jobs.next(nowMillis, space::usedBytes, !state.mustRecover());
+    MaintenanceJob startNextJob(long nowMillis) {
+        return jobs.startNext(nowMillis, space::usedBytes, !state.mustRecover());
     }
 
     /** Records that all steps of the job are done, so that its result can be installed. */
-    void jobDone() throws IOException {
+    void markJobDone() throws IOException {
         jobs.startInstalling();
     }
 
@@ -158,7 +158,7 @@
     }
 
     /** Records that the job failed. Its incomplete files are deleted before another job starts. */
-    void jobFailed(IOException e, long nowMillis) {
+    void markJobFailed(IOException e, long nowMillis) {
         jobs.handleFailure(e, nowMillis);
     }
 
--- a/server/src/main/java/wheatspread/store/MaintenanceJob.java
+++ b/server/src/main/java/wheatspread/store/MaintenanceJob.java
@@ -3,8 +3,9 @@
 import java.io.IOException;
 
 /**
- * Maintenance work whose steps run on the background thread ({@link #step}) and whose result is installed by the
- * writer thread ({@link #install}). Only one thread uses a job at any time; {@link WriterQueue} transfers it.
+ * Maintenance work whose steps run on the background thread ({@link #step}) and whose result is installed by the writer
+ * thread ({@link #install}). Only one thread uses a job at any time; {@link WriterQueue} transfers the job between
+ * them.
  */
 abstract class MaintenanceJob {
     private long bytesMoved;
--- a/server/src/main/java/wheatspread/store/MaintenanceJobs.java
+++ b/server/src/main/java/wheatspread/store/MaintenanceJobs.java
@@ -7,10 +7,10 @@
 import wheatspread.logging.EventLog;
 
 /**
- * Schedules maintenance jobs, one at a time: deletions first, then a checkpoint if one is due, then
- * compactions. Confined to the writer thread, which starts a job and installs its result; another thread runs
- * the steps. After a failure the next job is delayed with exponential backoff, and incomplete files of the failed
- * job are deleted before it starts.
+ * Schedules maintenance jobs, one at a time: deletions first, then a checkpoint if one is due, then compactions.
+ * Confined to the writer thread, which starts a job and installs its result; another thread runs the steps. After a
+ * failure the next job is delayed with exponential backoff, and incomplete files of the failed job are deleted before
+ * the next job starts.
  */
 final class MaintenanceJobs {
     private static final long MIN_RETRY_DELAY_MILLIS = 500;
@@ -53,7 +53,7 @@
     // ---- scheduling ----
 
     /** Starts the job that is due; returns null if none is due or a job is running. */
-    MaintenanceJob next(long nowMillis, LongSupplier usedBytes, boolean mayCheckpoint) {
+    MaintenanceJob startNext(long nowMillis, LongSupplier usedBytes, boolean mayCheckpoint) {
         if (currentJob != null || nowMillis < retryAtMillis) {
             return null;
         }
@@ -95,7 +95,7 @@
 
     /** Compacts a damaged segment synchronously; records of suspected losses replace the lost records. */
     void salvage(Segment damaged, long nowMillis) throws IOException {
-        currentJob = compactions.compaction(List.of(damaged), nowMillis);
+        currentJob = compactions.createJob(List.of(damaged), nowMillis);
         runNow(nowMillis);
     }
 
@@ -108,7 +108,7 @@
         List<Segment> run = compactions.nextRun(from);
         while (!run.isEmpty()) {
             from = run.get(run.size() - 1).name().last() + 1;
-            CompactionJob compaction = compactions.compaction(run, nowMillis);
+            CompactionJob compaction = compactions.createJob(run, nowMillis);
             compaction.dropSuspectedLosses(acceptLoss);
             currentJob = compaction;
             runNow(nowMillis);
@@ -126,7 +126,7 @@
             }
             DeleteJob deletion = files.createDeleteJob();
             runSteps(deletion);
-            files.completed(deletion);
+            files.onCompleted(deletion);
         } catch (IOException e) {
             if (currentJob != null) {
                 handleFailure(e, nowMillis);
@@ -166,14 +166,14 @@
         } else if (currentJob instanceof CheckpointJob checkpoint) {
             completeCheckpoint(checkpoint);
         } else {
-            files.completed((DeleteJob) currentJob);
+            files.onCompleted((DeleteJob) currentJob);
         }
         currentJob = null;
     }
 
     private void completeCheckpoint(CheckpointJob checkpoint) {
         if (checkpoints.newest() != null) {
-            files.delete(List.of(checkpoints.newest()));
+            files.scheduleDeletion(List.of(checkpoints.newest()));
         }
         checkpoints.markCompleted(checkpoint.name());
         files.add(checkpoint.name(), checkpoint.outputBytes());
@@ -234,7 +234,7 @@
                 "retry_ms",
                 retryDelayMillis);
         if (!(currentJob instanceof DeleteJob)) {
-            files.delete(currentJob.abort());
+            files.scheduleDeletion(currentJob.abort());
         }
         if (currentJob instanceof CheckpointJob) {
             checkpoints.markFailed(settings);
--- a/server/src/main/java/wheatspread/store/OfflineTools.java
+++ b/server/src/main/java/wheatspread/store/OfflineTools.java
@@ -20,7 +20,8 @@
     /**
      * The state of a segment.
      *
-     * @param cutOffset the offset in bytes at which a later segment states that this one ends, or -1
+     * @param cutOffset the offset in bytes at which this segment ends according to a later segment; -1 if none states
+     *     the end
      */
     public record SegmentInspection(
             String name, long bytes, long liveBytes, long records, long latestExpiryMillis, int cutOffset) {}
@@ -29,11 +30,11 @@
      * The state of a store.
      *
      * @param findings the log lines of the inspection, one per problem; empty if there is none
-     * @param damages the number of places at which acknowledged writes are lost
+     * @param damageCount the number of places at which acknowledged writes are lost
      * @param cutBytes the bytes of torn writes that were never acknowledged
      */
     public record Inspection(
-            List<SegmentInspection> files, StoreStats stats, List<String> findings, long damages, long cutBytes) {}
+            List<SegmentInspection> files, StoreStats stats, List<String> findings, long damageCount, long cutBytes) {}
 
     /** An unexpired entry; {@code expiresMillis} is 0 if it never expires. */
     public record Entry(byte[] key, byte[] value, long expiresMillis) {}
@@ -78,7 +79,7 @@
         LogStructuredStore store = LogStructuredStore.open(
                 disk, StoreSettings.DEFAULT, EventLog.NONE, RANDOM::nextLong, nowMillis, Recovery.Purpose.READ_ONLY);
         try {
-            long[] unread = new long[1];
+            long[] unreadable = new long[1];
             for (int table = 0; table < Index.TABLES; table++) {
                 List<long[]> entries = new ArrayList<>();
                 store.catalog()
@@ -88,14 +89,14 @@
                     Format.Record record = SegmentCatalog.read(
                             store.catalog().byId(Index.file(entry[0])), Index.offset(entry[0]), (int) entry[1]);
                     if (record == null) {
-                        unread[0]++;
+                        unreadable[0]++;
                     } else if (!SegmentCatalog.hasExpired(record.getExpiresMs(), nowMillis)) {
                         consumer.accept(new Entry(
                                 record.getKey().toByteArray(), record.getValue().toByteArray(), record.getExpiresMs()));
                     }
                 }
             }
-            return unread[0];
+            return unreadable[0];
         } finally {
             store.closeFiles();
         }
@@ -104,8 +105,8 @@
     /**
      * Rewrites the log without dead records, and writes a new checkpoint.
      *
-     * @param acceptLoss whether to drop the suspected losses: a key whose newest write was lost to damage is then
-     *     absent, or has its older value again
+     * @param acceptLoss whether to accept the suspected losses and to stop reporting them: a key whose newest write was
+     *     lost to damage is then absent or has an older value
      */
     public static Inspection compact(
             Disk disk, StoreSettings settings, long nowMillis, boolean acceptLoss, EventLog events) throws IOException {
--- a/server/src/main/java/wheatspread/store/OverlappingSegmentsException.java
+++ b/server/src/main/java/wheatspread/store/OverlappingSegmentsException.java
@@ -14,7 +14,7 @@
         earlierFile = earlier.toString();
     }
 
-    /** Returns the name of the other file, which precedes {@link #file} in the log. */
+    /** Returns the name of the file that precedes {@link #file} in the log. */
     public String earlierFile() {
         return earlierFile;
     }
--- a/server/src/main/java/wheatspread/store/RecordFraming.java
+++ b/server/src/main/java/wheatspread/store/RecordFraming.java
@@ -30,13 +30,13 @@
     }
 
     /** Writes a frame around the remaining bytes of {@code body}, which are consumed. */
-    public static void write(ByteBuffer body, ByteBuffer to) {
+    public static void write(ByteBuffer body, ByteBuffer target) {
         int length = body.remaining();
         if (length > MAX_BODY_BYTES) {
             throw new IllegalArgumentException(
                     "record of " + length + " bytes exceeds the limit of " + MAX_BODY_BYTES + " bytes");
         }
-        to.putInt(length).putInt(checksum(length, body.duplicate())).put(body);
+        target.putInt(length).putInt(checksum(length, body.duplicate())).put(body);
     }
 
     /**
@@ -80,8 +80,8 @@
     }
 
     /**
-     * Computes the checksum of a frame. It includes the length, because a damaged length could otherwise frame
-     * other bytes that happen to match the checksum.
+     * Computes the checksum of a frame. It includes the length, because otherwise a frame with a damaged length could
+     * enclose different bytes that happen to match the checksum.
      */
     private static int checksum(int length, ByteBuffer body) {
         CRC32C crc = new CRC32C();
--- a/server/src/main/java/wheatspread/store/RecordReader.java
+++ b/server/src/main/java/wheatspread/store/RecordReader.java
@@ -6,8 +6,8 @@
 import wheatspread.logging.EventLog;
 
 /**
- * Looks up keys. Any thread may call it: the index is locked only while the locations of a key are collected, and
- * their segments are kept open until the records have been read.
+ * Looks up keys. Any thread may call {@link #get}: the index is locked only while the locations of a key are collected,
+ * and their segments are kept open until the records have been read.
  */
 final class RecordReader {
     private final SegmentCatalog catalog;
--- a/server/src/main/java/wheatspread/store/Recovery.java
+++ b/server/src/main/java/wheatspread/store/Recovery.java
@@ -107,7 +107,7 @@
         replay();
         countLiveBytes();
         if (newest != null && purpose == Purpose.READ_WRITE) {
-            newest.file().sync(); // readers may see its records, and its seal is trusted from now on
+            newest.file().sync(); // readers may see the records of this segment, and later starts trust its seal
         }
     }
 
@@ -148,7 +148,7 @@
         for (int gap : layout.gaps()) {
             log.error("store_file_lost", "before", gap);
             damages++;
-            catalog.suspectedLosses().addAll(settings.lossUntilMillis(nowMillis), gap, 0);
+            catalog.suspectedLosses().addUnknownKeys(settings.lossUntilMillis(nowMillis), gap, 0);
         }
         for (int i = 0; i <= last; i++) {
             replay(chain.get(i), i == last);
@@ -253,11 +253,11 @@
                 "at",
                 scan.offset(),
                 "keys",
-                scan.lostAll() ? "unknown" : scan.lostHashes().size());
+                scan.lostUnknownKeys() ? "unknown" : scan.lostHashes().size());
         int offset = (int) scan.offset();
         catalog.recordLoss(
                 scan.lostHashes(),
-                scan.lostAll(),
+                scan.lostUnknownKeys(),
                 settings.lossUntilMillis(nowMillis),
                 Index.location(segment.id(), offset),
                 segment.name().first(),
@@ -301,7 +301,7 @@
         }
     }
 
-    /** Applies a write of a key: it replaces an older entry, and is ignored if there is a newer entry. */
+    /** Applies a write of a key: the write replaces an older entry, and is ignored if there is a newer entry. */
     private void applyWrite(long hash, byte[] key, long recordLocation, int length, int expiry, boolean isLive)
             throws IOException {
         long existing = 0;
--- a/server/src/main/java/wheatspread/store/Segment.java
+++ b/server/src/main/java/wheatspread/store/Segment.java
@@ -8,8 +8,8 @@
  *
  * <p>Owner: the writer thread, or during recovery the thread that opens the store. Only the owner calls the methods
  * that change the counters. Any thread may {@link #acquire} and {@link #release} the file; those methods and {@link
- * #retire} hold the object's lock. The owner retires a segment, and the file is closed with the release of the last
- * reader. Invariant: an acquired file is open.
+ * #retire} hold the object's lock. The owner retires a segment, and the file is closed when the last reader has
+ * released it. Invariant: an acquired file is open.
  */
 final class Segment {
     /** The value of {@link #latestExpiryMillis} if some record never expires. */
@@ -47,7 +47,7 @@
         return file;
     }
 
-    /** Returns the offset at which this segment ends according to a later one, or {@link SegmentScan#NO_CUT}. */
+    /** Returns the offset at which this segment ends according to a later segment, or {@link SegmentScan#NO_CUT}. */
     int cutOffset() {
         return cutOffset;
     }
@@ -77,14 +77,14 @@
         liveBytes += bytes;
     }
 
-    /** Returns the number of records written to the file, including replaced ones. */
+    /** Returns the number of records written to the file, including replaced records. */
     long recordCount() {
         return recordCount;
     }
 
     /**
-     * Returns the latest expiry of its records, including replaced ones, in milliseconds since 1970; 0 if it has no
-     * records.
+     * Returns the latest expiry of the records in this segment, including replaced records, in milliseconds since 1970;
+     * 0 if the segment has no records.
      */
     long latestExpiryMillis() {
         return latestExpiryMillis;
@@ -96,7 +96,7 @@
         latestExpiryMillis = latestExpiry;
     }
 
-    /** Counts a written record; {@code expiresMillis} is 0 if it never expires. */
+    /** Counts a written record; {@code expiresMillis} is 0 if the record never expires. */
     void countRecord(long expiresMillis) {
         recordCount++;
         latestExpiryMillis = Math.max(latestExpiryMillis, expiresMillis == 0 ? NEVER_EXPIRES_MILLIS : expiresMillis);
@@ -107,7 +107,7 @@
         recordCount++;
     }
 
-    /** Returns whether all of its records have expired. */
+    /** Returns whether all records of this segment have expired. */
     boolean isExpired(long nowMillis) {
         return latestExpiryMillis <= nowMillis;
     }
--- a/server/src/main/java/wheatspread/store/SegmentCatalog.java
+++ b/server/src/main/java/wheatspread/store/SegmentCatalog.java
@@ -13,7 +13,7 @@
 
 /**
  * Contains the segments of the log in order, the index over them, and the suspected losses. Only the writer thread
- * changes it; state that other threads read is guarded by the lock of {@link #index()}. The owner of the store
+ * changes the catalog; state that other threads read is guarded by the lock of {@link #index()}. The owner of the store
  * closes the segments. Invariant: the segments of the chain do not overlap and are ordered by their numbers.
  */
 final class SegmentCatalog {
@@ -145,13 +145,13 @@
         return length + Long.BYTES;
     }
 
-    /** Returns whether a log location precedes another; the segments of both must be registered. */
-    boolean isBefore(long location, long other) {
+    /** Returns whether a log location precedes a second location; the segments of both must be registered. */
+    boolean isBefore(long location, long secondLocation) {
         return SuspectedLosses.compareLocations(
                         byId.get(Index.file(location)).name().first(),
                         Index.offset(location),
-                        byId.get(Index.file(other)).name().first(),
-                        Index.offset(other))
+                        byId.get(Index.file(secondLocation)).name().first(),
+                        Index.offset(secondLocation))
                 < 0;
     }
 
@@ -203,8 +203,8 @@
     }
 
     /**
-     * Returns whether an entry has a key. A damaged record is treated as a match, because its value is lost
-     * whatever its key was.
+     * Returns whether the record of an entry has this key. A damaged record is treated as a match, because its value is
+     * lost, whichever key it had.
      */
     boolean hasKey(long location, int length, byte[] key) throws IOException {
         Format.Record record = read(byId.get(Index.file(location)), Index.offset(location), length);
--- a/server/src/main/java/wheatspread/store/SegmentScan.java
+++ b/server/src/main/java/wheatspread/store/SegmentScan.java
@@ -23,7 +23,10 @@
          * bytes.
          */
         RECORD,
-        /** Damage at {@link #offset()}: lost records of {@link #lostHashes()}, or of any key if {@link #lostAll()}. */
+        /**
+         * Damage at {@link #offset()}: records were lost, whose keys have the hashes {@link #lostHashes()}, or whose
+         * keys are unknown if {@link #lostUnknownKeys()}.
+         */
         DAMAGE,
         /** The end of the segment; {@link #end()} states how it ends. */
         END
@@ -43,24 +46,32 @@
         EMPTY
     }
 
-    /** The cut of a segment whose end no later segment states. */
+    /** The value of {@code cutOffset} if no later segment states where this segment ends. */
     static final int NO_CUT = -1;
 
     private static final int SEAL_BYTES = GroupEncoder.seal(1, 1).remaining();
     /**
-     * The maximum number of wrong bits in an accepted seal. A seal contains no data that could be lost, and other bytes
-     * do not match it this closely.
+     * The maximum number of wrong bits in an accepted seal. A damaged seal may be accepted, since it contains no
+     * records, and bytes that are not a seal differ from it in more bits.
      */
     private static final int MAX_WRONG_SEAL_BITS = 8;
-    /** A lower bound of the length of a group's frame: header, kind, tag and length, and tagged fields. */
+    /**
+     * A lower bound of the length of a group's descriptor frame: the frame header, and at least 25 bytes for the kind,
+     * the tag and length of the group field, and the fixed-length fields of the group.
+     */
     private static final int MIN_GROUP_FRAME_BYTES = RecordFraming.HEADER_BYTES + 25;
 
     private final DiskFile file;
     private final ReadWindow window;
-    private final boolean durable;
+    /** Whether the whole segment was synced, so that an invalid frame in it is damage and not a torn write. */
+    private final boolean fullySynced;
+
     private final boolean sealed;
-    private final boolean cut;
+    /** Whether a later segment states where this segment ends. */
+    private final boolean hasCut;
+    /** The random number that identifies this segment in its groups and its seal. */
     private final long mark;
+
     private long nextOffset;
     private long groupEnd;
     private LongArrayList hashes = new LongArrayList();
@@ -75,36 +86,36 @@
     private long hash;
     private Format.Record record;
     private final LongArrayList lostHashes = new LongArrayList();
-    private boolean lostAll;
+    private boolean lostUnknownKeys;
     private End end;
 
     /**
      * Reads the header and checks whether the segment is sealed.
      *
      * @param from the offset of a group at which to start, or 0
-     * @param cut the offset at which the segment ends according to a later segment, or {@link #NO_CUT}
+     * @param cutOffset the offset at which the segment ends according to a later segment, or {@link #NO_CUT}
      * @param newest whether this is the last segment of the log; only then can its end be torn
      * @throws StoreException if the format version is not supported or the header names another file
      */
-    SegmentScan(DiskFile file, SegmentName name, long from, int cut, boolean newest) throws IOException {
+    SegmentScan(DiskFile file, SegmentName name, long from, int cutOffset, boolean newest) throws IOException {
         this.file = file;
         long size = file.size();
-        this.cut = cut != NO_CUT;
-        Format.SegmentHeader header = cut == 0 ? null : FileHeader.read(file, name);
+        hasCut = cutOffset != NO_CUT;
+        Format.SegmentHeader header = cutOffset == 0 ? null : FileHeader.read(file, name);
         mark = header == null ? 0 : header.getMark();
-        sealed = header != null && !this.cut && isSealed(size);
-        long limit = sealed ? size - SEAL_BYTES : this.cut ? Math.min(cut, size) : size;
+        sealed = header != null && !hasCut && isSealed(size);
+        long limit = sealed ? size - SEAL_BYTES : hasCut ? Math.min(cutOffset, size) : size;
         window = new ReadWindow(file, limit);
         // a compacted segment is synced before it is renamed to its final name
-        durable = sealed || this.cut || !newest || !name.isOriginal();
+        fullySynced = sealed || hasCut || !newest || !name.isOriginal();
         nextOffset = Math.max(from, FileHeader.HEADER_BYTES);
         groupEnd = nextOffset;
-        tailLost = this.cut && size < cut; // acknowledged bytes are missing
-        if (header == null && cut != 0) {
+        tailLost = hasCut && size < cutOffset; // acknowledged bytes are missing
+        if (header == null && cutOffset != 0) {
             ended = true;
             end = End.EMPTY;
             offset = 0;
-            tailLost = size > FileHeader.HEADER_BYTES || cut > FileHeader.HEADER_BYTES || !newest && !this.cut;
+            tailLost = size > FileHeader.HEADER_BYTES || cutOffset > FileHeader.HEADER_BYTES || !newest && !hasCut;
         }
     }
 
@@ -125,17 +136,17 @@
         ByteBuffer bytes = ByteBuffer.allocate(SEAL_BYTES);
         file.read(bytes, from);
         ByteBuffer expected = GroupEncoder.seal(mark, (int) from);
-        int wrong = 0;
+        int wrongBits = 0;
         for (int i = 0; i < SEAL_BYTES; i++) {
-            wrong += Integer.bitCount((bytes.get(i) ^ expected.get(i)) & 0xFF);
+            wrongBits += Integer.bitCount((bytes.get(i) ^ expected.get(i)) & 0xFF);
         }
-        return wrong <= MAX_WRONG_SEAL_BITS;
+        return wrongBits <= MAX_WRONG_SEAL_BITS;
     }
 
     /** Advances to the next group, record, damage or end; after END, returns END again. */
     Step advance() throws IOException {
         if (ended) {
-            return endOrLoss();
+            return reportLostTailOrEnd();
         }
         if (nextOffset >= window.endOffset()) {
             return reachEnd();
@@ -178,8 +189,8 @@
     }
 
     /** Returns whether records of unknown keys were lost. */
-    boolean lostAll() {
-        return lostAll;
+    boolean lostUnknownKeys() {
+        return lostUnknownKeys;
     }
 
     /** Returns how the segment ends; null before {@link Step#END}. */
@@ -210,28 +221,28 @@
     private Step reachEnd() {
         ended = true;
         offset = window.endOffset();
-        boolean endsWithinGroup = nextOffset < groupEnd && !cut;
-        end = sealed ? End.SEALED : cut ? End.CUT : endsWithinGroup && !durable ? End.TORN : End.UNSEALED;
-        if (!cut && durable && (endsWithinGroup || !sealed)) {
+        boolean endsWithinGroup = nextOffset < groupEnd && !hasCut;
+        end = sealed ? End.SEALED : hasCut ? End.CUT : endsWithinGroup && !fullySynced ? End.TORN : End.UNSEALED;
+        if (!hasCut && fullySynced && (endsWithinGroup || !sealed)) {
             tailLost = true; // the end of the file is missing
         }
-        return endOrLoss();
+        return reportLostTailOrEnd();
     }
 
-    private Step endOrLoss() {
+    private Step reportLostTailOrEnd() {
         lostHashes.clear();
-        lostAll = tailLost;
+        lostUnknownKeys = tailLost;
         tailLost = false;
-        return lostAll ? Step.DAMAGE : Step.END;
+        return lostUnknownKeys ? Step.DAMAGE : Step.END;
     }
 
     /** Handles an invalid frame within a group; the frames after it may be intact. */
     private Step skipBadRecord() throws IOException {
-        if (!wasDurable(nextOffset)) {
-            return endTorn();
+        if (!wasSynced(nextOffset)) {
+            return stopAtTornWrite();
         }
         lostHashes.clear();
-        lostAll = !hashesKnown;
+        lostUnknownKeys = !hashesKnown;
         offset = nextOffset;
         ByteBuffer head = window.bytesAt(nextOffset, RecordFraming.HEADER_BYTES);
         int bodyLength = head.remaining() < RecordFraming.HEADER_BYTES ? -1 : head.getInt(0);
@@ -260,31 +271,31 @@
      * hashes are unknown.
      */
     private Step skipBadGroup() throws IOException {
-        if (!wasDurable(nextOffset)) {
-            return endTorn();
+        if (!wasSynced(nextOffset)) {
+            return stopAtTornWrite();
         }
         offset = nextOffset;
         lostHashes.clear();
         ByteBuffer head = window.bytesAt(nextOffset, RecordFraming.HEADER_BYTES);
         int bodyLength = head.remaining() < RecordFraming.HEADER_BYTES ? -1 : head.getInt(0);
-        long until = findNextGroup(nextOffset + 1);
-        long first = nextOffset + RecordFraming.HEADER_BYTES + bodyLength;
+        long nextGroup = findNextGroup(nextOffset + 1);
+        long firstRecord = nextOffset + RecordFraming.HEADER_BYTES + bodyLength;
         if (bodyLength >= 0
                 && bodyLength <= RecordFraming.MAX_BODY_BYTES
-                && first < until
-                && isFrameSequence(first, until)) {
-            nextOffset = first;
-            groupEnd = until;
+                && firstRecord < nextGroup
+                && isFrameSequence(firstRecord, nextGroup)) {
+            nextOffset = firstRecord;
+            groupEnd = nextGroup;
             hashesKnown = false;
             return advance();
         }
-        lostAll = true;
-        nextOffset = until;
-        groupEnd = until;
+        lostUnknownKeys = true;
+        nextOffset = nextGroup;
+        groupEnd = nextGroup;
         return Step.DAMAGE;
     }
 
-    private Step endTorn() {
+    private Step stopAtTornWrite() {
         ended = true;
         end = End.TORN;
         offset = nextOffset;
@@ -292,21 +303,21 @@
     }
 
     /** Returns whether the bytes between two offsets are complete frames, none of which describes a group. */
-    private boolean isFrameSequence(long from, long to) throws IOException {
-        long position = from;
-        while (position < to) {
+    private boolean isFrameSequence(long start, long endOffset) throws IOException {
+        long position = start;
+        while (position < endOffset) {
             Format.Record found = readFrame(position);
             if (found == null || found.getKind() == Format.Record.Kind.GROUP) {
                 return false;
             }
             position += frameBytes;
         }
-        return position == to;
+        return position == endOffset;
     }
 
     /** Returns whether the bytes at an offset were synced before a later group was written. */
-    private boolean wasDurable(long position) throws IOException {
-        if (durable) {
+    private boolean wasSynced(long position) throws IOException {
+        if (fullySynced) {
             return true;
         }
         if (syncedTo < 0) {
--- a/server/src/main/java/wheatspread/store/SegmentWriter.java
+++ b/server/src/main/java/wheatspread/store/SegmentWriter.java
@@ -54,7 +54,7 @@
         return active;
     }
 
-    /** Returns the number of the active segment, or of the next one if none is active. */
+    /** Returns the number of the active segment, or of the next segment if none is active. */
     int currentNumber() {
         return active != null ? active.name().first() : nextNumber;
     }
--- a/server/src/main/java/wheatspread/store/Store.java
+++ b/server/src/main/java/wheatspread/store/Store.java
@@ -28,7 +28,10 @@
         HELD,
         /** The write is certainly not stored. */
         REFUSED,
-        /** The disk failed during the write: reads do not return it now, but may after a crash in the near future. */
+        /**
+         * The disk failed during the write: reads do not return the write now, but may return it after a crash in the
+         * near future.
+         */
         IN_DOUBT
     }
 
@@ -48,7 +51,7 @@
         CLOSED
     }
 
-    /** Receives the outcome of a write; {@code reason} is null unless it failed. */
+    /** Receives the outcome of a write; {@code reason} is null unless the write failed. */
     @FunctionalInterface
     public interface WriteCallback {
         void ended(Outcome outcome, String reason);
@@ -176,7 +179,10 @@
         return batch().put(key, value, expiresMillis, callback).send();
     }
 
-    /** Deletes a key, like {@link #put}. A full store accepts deletions, because they free space. */
+    /**
+     * Deletes a key; the parameters and the result are those of {@link #put}. A full store accepts deletions, because
+     * they free space.
+     */
     public Rejection delete(byte[] key, WriteCallback callback) {
         return batch().delete(key, callback).send();
     }
@@ -258,7 +264,7 @@
 
     /**
      * Completes all accepted writes and reads, writes a checkpoint and closes the files. Blocks, so it must not be
-     * called on an event loop. Callbacks may run after it returns.
+     * called on an event loop. Callbacks may run after this method returns.
      *
      * @throws IOException if the active segment could not be sealed; acknowledged writes are kept nevertheless
      */
--- a/server/src/main/java/wheatspread/store/SuspectedLosses.java
+++ b/server/src/main/java/wheatspread/store/SuspectedLosses.java
@@ -12,7 +12,7 @@
  * <p>Guarded by the lock of {@link SegmentCatalog#index()}. No I/O, no clock. Bounded by {@link #MAX_KEYS}.
  */
 final class SuspectedLosses {
-    /** The maximum number of tracked keys; beyond it, every older key is suspected. */
+    /** The maximum number of tracked keys; if it is exceeded, every key with an older entry is suspected. */
     static final int MAX_KEYS = 100_000;
 
     private static final long NEVER_ENDS_MILLIS = Long.MAX_VALUE;
@@ -20,47 +20,50 @@
     private final Long2LongHashMap keys = new Long2LongHashMap(0);
     private int lossSegment;
     private int lossOffset;
-    private long allUntilMillis;
+    private long unknownKeysUntilMillis;
 
-    /** Adds a key whose newest write may be lost. The suspicion ends at {@code untilMillis}, or never if it is 0. */
+    /**
+     * Adds a key whose newest write may be lost. The suspicion ends at {@code untilMillis}; a value of 0 means that it
+     * never ends.
+     */
     void add(long hash, long untilMillis, int segment, int offset) {
         if (keys.size() >= MAX_KEYS && !keys.containsKey(hash)) {
-            addAll(untilMillis, segment, offset);
+            addUnknownKeys(untilMillis, segment, offset);
         } else {
             keys.merge(hash, untilMillis == 0 ? NEVER_ENDS_MILLIS : untilMillis, Math::max);
         }
     }
 
     /** Records that writes of unknown keys may be lost at a log location. */
-    void addAll(long untilMillis, int segment, int offset) {
-        if (compareLocations(segment, offset, lossSegment, lossOffset) > 0 || allUntilMillis == 0) {
+    void addUnknownKeys(long untilMillis, int segment, int offset) {
+        if (compareLocations(segment, offset, lossSegment, lossOffset) > 0 || unknownKeysUntilMillis == 0) {
             lossSegment = segment;
             lossOffset = offset;
         }
-        allUntilMillis = Math.max(allUntilMillis, untilMillis == 0 ? NEVER_ENDS_MILLIS : untilMillis);
+        unknownKeysUntilMillis = Math.max(unknownKeysUntilMillis, untilMillis == 0 ? NEVER_ENDS_MILLIS : untilMillis);
     }
 
     /** Returns whether a key without an entry may have had a write that was lost. */
     boolean suspectsAbsentKey(long hash, long nowMillis) {
-        return allUntilMillis > nowMillis || keys.get(hash) > nowMillis;
+        return unknownKeysUntilMillis > nowMillis || keys.get(hash) > nowMillis;
     }
 
     /** Returns whether a key whose entry is at a log location may have had a newer write that was lost. */
     boolean suspectsEntry(int segment, int offset, long nowMillis) {
-        return allUntilMillis > nowMillis && compareLocations(segment, offset, lossSegment, lossOffset) < 0;
+        return unknownKeysUntilMillis > nowMillis && compareLocations(segment, offset, lossSegment, lossOffset) < 0;
     }
 
     /** Removes suspicions that have ended. */
     void removeExpired(long nowMillis) {
         keys.values().removeIf(until -> until <= nowMillis);
-        if (allUntilMillis <= nowMillis) {
-            allUntilMillis = 0;
+        if (unknownKeysUntilMillis <= nowMillis) {
+            unknownKeysUntilMillis = 0;
         }
     }
 
     void clear() {
         keys.clear();
-        allUntilMillis = 0;
+        unknownKeysUntilMillis = 0;
     }
 
     int size() {
@@ -68,7 +71,7 @@
     }
 
     boolean suspectsAllKeys() {
-        return allUntilMillis != 0;
+        return unknownKeysUntilMillis != 0;
     }
 
     /** Adds the suspected losses to the end of a checkpoint. */
@@ -78,10 +81,10 @@
                     .addHashes(entry.getKey())
                     .setUntilMs(entry.getValue() == NEVER_ENDS_MILLIS ? 0 : entry.getValue()));
         }
-        if (allUntilMillis != 0) {
+        if (unknownKeysUntilMillis != 0) {
             end.addDoubts(Format.Doubt.newBuilder()
                     .setAll(true)
-                    .setUntilMs(allUntilMillis == NEVER_ENDS_MILLIS ? 0 : allUntilMillis));
+                    .setUntilMs(unknownKeysUntilMillis == NEVER_ENDS_MILLIS ? 0 : unknownKeysUntilMillis));
             end.addDoubtSegments(lossSegment);
             end.addDoubtOffsets(lossOffset);
         }
@@ -91,7 +94,7 @@
         int lossIndex = 0;
         for (Format.Doubt doubt : end.getDoubtsList()) {
             if (doubt.getAll()) {
-                addAll(doubt.getUntilMs(), end.getDoubtSegments(lossIndex), end.getDoubtOffsets(lossIndex));
+                addUnknownKeys(doubt.getUntilMs(), end.getDoubtSegments(lossIndex), end.getDoubtOffsets(lossIndex));
                 lossIndex++;
             }
             for (long hash : doubt.getHashesList()) {
@@ -108,7 +111,7 @@
             }
         }
         if (allKeys) {
-            addAll(untilMillis, segment, offset);
+            addUnknownKeys(untilMillis, segment, offset);
         }
     }
 
--- a/server/src/main/java/wheatspread/store/Write.java
+++ b/server/src/main/java/wheatspread/store/Write.java
@@ -3,9 +3,9 @@
 /**
  * A pending put or deletion of a key.
  *
- * <p>{@link WriterQueue} transfers it from the caller's thread to the writer thread, which passes it to the thread of
- * the callback; only one thread uses it at any time. The writer calls {@link #resolve}, {@link #setLocation} and
- * {@link #complete} in this order.
+ * <p>{@link WriterQueue} transfers the write from the caller's thread to the writer thread, which passes it to the
+ * thread of the callback; only one thread uses the write at any time. The writer calls {@link #resolve}, {@link
+ * #setLocation} and {@link #complete} in this order.
  */
 final class Write {
     /** An upper bound of the overhead of a record: its frame header, its fields and its hash in the group frame. */
--- a/server/src/main/java/wheatspread/store/WriteState.java
+++ b/server/src/main/java/wheatspread/store/WriteState.java
@@ -2,8 +2,8 @@
 
 /**
  * Tracks whether the store accepts writes. After a failure nothing is written until a new segment records where the
- * failed segment ends; attempts to create it are delayed with exponential backoff. Confined to the writer thread. No
- * I/O, no clock; times are milliseconds.
+ * failed segment ends; attempts to create this segment are delayed with exponential backoff. Confined to the writer
+ * thread. No I/O, no clock; times are milliseconds.
  */
 public final class WriteState {
     static final long MIN_RETRY_DELAY_MILLIS = 50;
@@ -19,14 +19,17 @@
     }
 
     private boolean failed;
-    private boolean diskFull;
-    private boolean full;
+    /** Whether the last failure was a lack of disk space. */
+    private boolean failedForSpace;
+    /** Whether the last check found no space for writes. */
+    private boolean noRoom;
+
     private long retryDelayMillis;
     private long retryAtMillis;
     private long failures;
 
     Mode mode() {
-        return failed && !diskFull ? Mode.FAILED : failed || full ? Mode.FULL : Mode.OPEN;
+        return failed && !failedForSpace ? Mode.FAILED : failed || noRoom ? Mode.FULL : Mode.OPEN;
     }
 
     /** Returns whether the end of a failed segment has not been recorded yet. */
@@ -41,7 +44,7 @@
     void markFailed(long nowMillis, boolean isDiskFull) {
         failures++;
         failed = true;
-        diskFull = isDiskFull;
+        failedForSpace = isDiskFull;
         retryDelayMillis =
                 retryDelayMillis == 0 ? MIN_RETRY_DELAY_MILLIS : Math.min(MAX_RETRY_DELAY_MILLIS, retryDelayMillis * 2);
         retryAtMillis = nowMillis + retryDelayMillis;
@@ -58,12 +61,12 @@
 
     void markRecovered() {
         failed = false;
-        diskFull = false;
+        failedForSpace = false;
         retryDelayMillis = 0;
     }
 
     /** Sets whether the last check found space for writes. */
     void setHasRoom(boolean hasRoom) {
-        full = !hasRoom;
+        noRoom = !hasRoom;
     }
 }
--- a/server/src/main/java/wheatspread/store/WriterLoop.java
+++ b/server/src/main/java/wheatspread/store/WriterLoop.java
@@ -70,7 +70,7 @@
 
     private void offerNextJob() {
         if (queue.acceptsJob()) {
-            MaintenanceJob next = store.nextJob(clock.nowMillis());
+            MaintenanceJob next = store.startNextJob(clock.nowMillis());
             if (next != null) {
                 queue.offerJob(next);
             }
@@ -86,9 +86,9 @@
             if (finished.failure() != null) {
                 throw finished.failure();
             }
-            store.jobDone();
+            store.markJobDone();
         } catch (IOException e) {
-            store.jobFailed(e, clock.nowMillis());
+            store.markJobFailed(e, clock.nowMillis());
         }
     }
 }
--- a/server/src/main/java/wheatspread/store/WriterQueue.java
+++ b/server/src/main/java/wheatspread/store/WriterQueue.java
@@ -7,8 +7,8 @@
 
 /**
  * The queue between the threads of a store: pending writes, and the maintenance job that the writer offers to the
- * background thread and receives back when its steps are done. The object's lock guards both, because the writer
- * waits for either; it is never held during I/O. Any thread may call {@link #add}. The queue is bounded by {@link
+ * background thread and receives back when its steps are done. The object's lock guards both, because the writer waits
+ * for either; the lock is never held during I/O. Any thread may call {@link #add}. The queue is bounded by {@link
  * StoreSettings#maxQueuedRecords} and {@link StoreSettings#maxQueuedBytes}.
  */
 final class WriterQueue {
--- a/server/src/test/java/wheatspread/commands/CommandsTest.java
+++ b/server/src/test/java/wheatspread/commands/CommandsTest.java
@@ -26,7 +26,7 @@
     private int run(String... args) {
         StringWriter output = new StringWriter();
         StringWriter errors = new StringWriter();
-        CommandLine line = Wheatspread.commands();
+        CommandLine line = Wheatspread.fullCommandLine();
         line.setOut(new PrintWriter(output)).setErr(new PrintWriter(errors));
         int code = line.execute(args);
         out = output.toString();
--- a/server/src/test/java/wheatspread/commands/StoreCommandTest.java
+++ b/server/src/test/java/wheatspread/commands/StoreCommandTest.java
@@ -48,7 +48,7 @@
         StringWriter output = new StringWriter();
         StringWriter errors = new StringWriter();
         CommandLine line =
-                Wheatspread.commands().setOut(new PrintWriter(output)).setErr(new PrintWriter(errors));
+                Wheatspread.fullCommandLine().setOut(new PrintWriter(output)).setErr(new PrintWriter(errors));
         int code =
                 line.execute(Stream.concat(Stream.of("store"), Stream.of(args)).toArray(String[]::new));
         out = output.toString();
--- a/server/src/test/java/wheatspread/store/CrashTest.java
+++ b/server/src/test/java/wheatspread/store/CrashTest.java
@@ -9,7 +9,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import wheatspread.disk.Disk;
 
-/** Crashes, and failures of disk operations, at every point of a fixed history: no acknowledged write is lost. */
+/**
+ * Tests that no acknowledged write is lost if a crash or a failed disk operation occurs at any point of a fixed
+ * history.
+ */
 class CrashTest {
     private static final int HISTORY_ACTIONS = 130;
     private static final long HISTORY_SEED = 11;
@@ -37,9 +40,9 @@
         };
     }
 
-    private static StoreHarness recoverAfterCrash(StoreHarness harness, FaultyDisk.Unsynced how, long seed)
+    private static StoreHarness recoverAfterCrash(StoreHarness harness, FaultyDisk.Unsynced unsynced, long seed)
             throws IOException {
-        StoreHarness recovered = harness.afterCrash(how, seed);
+        StoreHarness recovered = harness.afterCrash(unsynced, seed);
         recovered.open();
         recovered.assertExpectedValues(true);
         return recovered;
@@ -80,12 +83,12 @@
 
     @ParameterizedTest
     @EnumSource
-    void crashAtEveryDiskOperationKeepsAcknowledgedWrites(FaultyDisk.Unsynced how) throws IOException {
+    void crashAtEveryDiskOperationKeepsAcknowledgedWrites(FaultyDisk.Unsynced unsynced) throws IOException {
         StoreHarness harness = new StoreHarness(StoreHarness.smallSettings(), 1);
-        int seeds = how == FaultyDisk.Unsynced.REORDERED || how == FaultyDisk.Unsynced.PROCESS ? 4 : 1;
+        int seeds = unsynced == FaultyDisk.Unsynced.REORDERED || unsynced == FaultyDisk.Unsynced.PROCESS ? 4 : 1;
         harness.disk.atStep = atEachPoint(crashPoint -> {
             for (int seed = 0; seed < seeds; seed++) {
-                assertStillUsable(recoverAfterCrash(harness, how, seed), crashPoint);
+                assertStillUsable(recoverAfterCrash(harness, unsynced, seed), crashPoint);
             }
         });
         harness.runHistory(new Random(HISTORY_SEED), HISTORY_ACTIONS);
--- a/server/src/test/java/wheatspread/store/DamageTest.java
+++ b/server/src/test/java/wheatspread/store/DamageTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import wheatspread.disk.Disk;
 
-/** Files that were damaged, truncated, deleted or replaced: the store never returns a wrong value. */
+/** Tests that the store never returns a wrong value after files were damaged, truncated, deleted or replaced. */
 class DamageTest {
     /** Creates a small store, closed regularly (with a checkpoint) or left as after a crash. */
     private static StoreHarness createStore(boolean closed) throws IOException {
@@ -50,7 +50,7 @@
                 byte[] damaged = bytes.clone();
                 damaged[offset] ^= (byte) (1 << offset % 8);
                 StoreHarness harness = openWithReplacedFile(healthy, name, damaged);
-                // the last group before a crash cannot be distinguished from one that was never acknowledged
+                // the last group before a crash cannot be distinguished from a group that was never acknowledged
                 harness.assertNoWrongValues(isReported(harness)
                         && harness.events.stream().anyMatch(line -> line.startsWith("store_torn_tail")));
                 reported += isReported(harness) ? 1 : 0;
@@ -159,13 +159,15 @@
                     assertThat(e.version()).isEqualTo(2);
                     assertThat(e.supportedVersion()).isEqualTo(1);
                 });
-        StoreHarness other = new StoreHarness(StoreHarness.smallSettings(), 1);
-        other.open();
-        other.log.closeFiles();
-        other.disk = healthy.disk.restarted(FaultyDisk.Unsynced.KEPT, 1);
-        SegmentName next = SegmentName.original(Layout.of(other.disk.list()).nextNumber());
-        other.disk.replace(next.toString(), FileHeader.write(next, 77, 5, 0).array());
-        assertThatThrownBy(other::open)
+        StoreHarness mixedStores = new StoreHarness(StoreHarness.smallSettings(), 1);
+        mixedStores.open();
+        mixedStores.log.closeFiles();
+        mixedStores.disk = healthy.disk.restarted(FaultyDisk.Unsynced.KEPT, 1);
+        SegmentName next =
+                SegmentName.original(Layout.of(mixedStores.disk.list()).nextNumber());
+        mixedStores.disk.replace(
+                next.toString(), FileHeader.write(next, 77, 5, 0).array());
+        assertThatThrownBy(mixedStores::open)
                 .isInstanceOf(StoreException.class)
                 .hasMessageContaining("belongs to another store")
                 .isInstanceOfSatisfying(
--- a/server/src/test/java/wheatspread/store/FaultyDisk.java
+++ b/server/src/test/java/wheatspread/store/FaultyDisk.java
@@ -16,11 +16,11 @@
 import wheatspread.disk.DiskFile;
 
 /**
- * An in-memory disk that counts each operation, and can fail, tear a write, run full, stall or crash at any of them.
+ * An in-memory disk that counts its operations, and can fail, tear a write, run full, stall or crash at any operation.
  * A crash keeps unsynced changes, loses them, or keeps a part of them out of order.
  */
 final class FaultyDisk implements Disk {
-    /** The effect of a crash on unsynced changes; in PROCESS only the process crashes, so they stay unsynced. */
+    /** The effect of a crash on unsynced changes; in PROCESS only the process crashes, so the changes stay unsynced. */
     enum Unsynced {
         KEPT,
         LOST,
@@ -73,7 +73,7 @@
     /** Runs before each operation. */
     Runnable atStep = NO_HOOK;
 
-    /** Runs between any two appended bytes, with the bytes before it on the disk. */
+    /** Runs between any two appended bytes, when the bytes up to that point are on the disk. */
     Runnable atByte = NO_HOOK;
     /** Runs before each sync of a file. */
     Runnable beforeSync = NO_HOOK;
--- a/server/src/test/java/wheatspread/store/IndexTest.java
+++ b/server/src/test/java/wheatspread/store/IndexTest.java
@@ -13,7 +13,7 @@
 
 /** Compares the index with a map of lists. */
 class IndexTest {
-    /** Returns a hash that collides often: with few home cells, and sometimes with an equal hash. */
+    /** Returns a hash that collides often: it has one of few home cells, and is sometimes equal to an earlier hash. */
     private static long collidingHash(Random random, int spread) {
         return random.nextInt(spread) * 0x0101_0101_0101L << random.nextInt(3) * 8 | random.nextInt(3);
     }
--- a/server/src/test/java/wheatspread/store/StoreHarness.java
+++ b/server/src/test/java/wheatspread/store/StoreHarness.java
@@ -13,7 +13,7 @@
 
 /**
  * Runs a store without threads on a faulty disk, together with a model of its content: for each key the acknowledged
- * value, and the values that may be there instead after a crash.
+ * value, and the values that the key may have instead after a crash.
  */
 final class StoreHarness {
     /** The absence of a value. */
@@ -71,7 +71,7 @@
             possible.computeIfAbsent((String) triples[i], k -> new ArrayList<>())
                     .add(new StoredValue((String) triples[i + 1], expires));
         }
-        log.commit(group, nowMillis); // if the disk crashes here, each of them stays possible
+        log.commit(group, nowMillis); // if the disk crashes here, each of the writes stays possible
         for (int i = 0; i < triples.length; i += 3) {
             Write write = group.get(i / 3);
             String key = (String) triples[i];
@@ -80,7 +80,7 @@
                 case HELD -> {
                     heldWrites++;
                     acknowledged.put(key, written);
-                    possible.remove(key); // supersedes earlier writes in doubt
+                    possible.remove(key); // this write supersedes earlier writes in doubt
                 }
                 case REFUSED -> {
                     refusedWrites++;
@@ -103,7 +103,7 @@
 
     void runJobs() {
         for (int i = 0; i < 20; i++) {
-            MaintenanceJob job = log.nextJob(nowMillis);
+            MaintenanceJob job = log.startNextJob(nowMillis);
             if (job == null) {
                 return;
             }
@@ -116,23 +116,26 @@
             while (job.step()) {
                 continue;
             }
-            log.jobDone();
+            log.markJobDone();
             while (log.isBusy()) {
                 log.install();
             }
         } catch (IOException e) {
-            log.jobFailed(e, nowMillis);
+            log.markJobFailed(e, nowMillis);
         }
     }
 
-    /** Returns a harness, not opened yet, on the disk as a crash at this point would leave it. */
+    /**
+     * Returns a harness whose store is not open yet, on a copy of the disk with the content that a crash at this point
+     * leaves.
+     */
     StoreHarness afterCrash(FaultyDisk.Unsynced how, long seed) {
-        StoreHarness other = new StoreHarness(settings, seed);
-        other.disk = disk.restarted(how, seed);
-        other.nowMillis = nowMillis;
-        other.acknowledged.putAll(acknowledged);
-        possible.forEach((key, values) -> other.possible.put(key, new ArrayList<>(values)));
-        return other;
+        StoreHarness restarted = new StoreHarness(settings, seed);
+        restarted.disk = disk.restarted(how, seed);
+        restarted.nowMillis = nowMillis;
+        restarted.acknowledged.putAll(acknowledged);
+        possible.forEach((key, values) -> restarted.possible.put(key, new ArrayList<>(values)));
+        return restarted;
     }
 
     /** Simulates a crash and opens the store again on the remaining disk content. */
--- a/server/src/test/java/wheatspread/store/StoredFormatCompatibilityTest.java
+++ b/server/src/test/java/wheatspread/store/StoredFormatCompatibilityTest.java
@@ -132,7 +132,7 @@
     void checksStoredFolderAndLoadsItsCheckpoint() throws IOException {
         OfflineTools.Inspection inspection = OfflineTools.check(FolderDisk.of(folder), NOW_MILLIS);
         assertThat(inspection.findings()).isEmpty();
-        assertThat(inspection.damages()).isZero();
+        assertThat(inspection.damageCount()).isZero();
         assertThat(inspection.files())
                 .extracting(OfflineTools.SegmentInspection::name)
                 .containsExactlyElementsOf(STORED_NAMES.subList(1, STORED_NAMES.size()));
@@ -147,13 +147,13 @@
     void compactsAndDumpsStoredFolderWithoutLoss() throws IOException {
         OfflineTools.compact(FolderDisk.of(folder), SETTINGS, NOW_MILLIS, false, EventLog.NONE);
         Map<String, String> dumped = new TreeMap<>();
-        long unread = OfflineTools.dump(
+        long unreadable = OfflineTools.dump(
                 FolderDisk.of(folder),
                 NOW_MILLIS,
                 entry -> dumped.put(
                         new String(entry.key(), StandardCharsets.UTF_8),
                         new String(entry.value(), StandardCharsets.UTF_8)));
-        assertThat(unread).isZero();
+        assertThat(unreadable).isZero();
         assertThat(dumped).isEqualTo(expectedValues());
     }
 
