--- a/server/src/main/java/wheatspread/config/ConfigProblems.java
+++ b/server/src/main/java/wheatspread/config/ConfigProblems.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Faults in the settings, in the order in which they were found. The first {@link #MAX_KEPT} are kept and the others
- * only counted, which bounds the memory for a file with a fault in every line.
+ * Faults in the settings, in the order in which they were found. The first {@link #MAX_KEPT} faults are kept and
+ * further faults are only counted, which bounds the memory for a file with a fault in every line.
  */
 public final class ConfigProblems {
     /** The maximum number of faults that are kept. */
@@ -48,7 +48,7 @@
         return kept.stream().map(ConfigProblem::message).toList();
     }
 
-    /** Returns the message of the first fault and the number of the others; there must be at least one. */
+    /** Returns the message of the first fault and the number of further faults; there must be at least one fault. */
     String summary() {
         String first = kept.get(0).message();
         if (count() == 1) {
--- a/server/src/main/java/wheatspread/config/Configuration.java
+++ b/server/src/main/java/wheatspread/config/Configuration.java
@@ -64,7 +64,7 @@
         List<SettingsSource> sources = new ArrayList<>();
         ServerConfig server = null;
         String file = environment.get("GW_CONFIG");
-        DeploymentSettings site = null;
+        DeploymentSettings deployment = null;
         if (file == null) {
             problems.add(
                     "GW_CONFIG is missing from the environment; expected the path of the platform's settings file");
@@ -74,18 +74,18 @@
                 fields = ServerConfig.fields(Path.of(file), environment);
                 sources.add(fields.source());
                 server = ServerConfig.read(fields);
-                site = server.site();
+                deployment = server.site();
             } catch (JsonFields.InvalidValueException e) {
                 problems.addAll(e);
-                site = fields == null ? null : ServerConfig.siteOf(fields);
+                deployment = fields == null ? null : ServerConfig.deploymentOf(fields);
             }
         }
         OperatorConfig operator = OperatorConfig.DEFAULT;
         if (operatorFile != null) {
             try {
-                JsonFields fields = OperatorConfig.fields(operatorFile, site);
+                JsonFields fields = OperatorConfig.fields(operatorFile, deployment);
                 sources.add(fields.source());
-                operator = OperatorConfig.read(fields, site);
+                operator = OperatorConfig.read(fields, deployment);
             } catch (JsonFields.InvalidValueException e) {
                 problems.addAll(e);
             }
--- a/server/src/main/java/wheatspread/config/JsonFields.java
+++ b/server/src/main/java/wheatspread/config/JsonFields.java
@@ -49,7 +49,7 @@
                     + (Runtime.getRuntime().maxMemory() >> 20) + " MiB");
         }
 
-        /** Creates an exception with several faults; the message is that of the first and the number of the others. */
+        /** Creates an exception with several faults; the message states the first fault and the number of the rest. */
         InvalidValueException(ConfigProblems found) {
             super(found.summary());
             problems = found.problems();
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Returns the fields of an object in a message; {@code path} is its name in errors. */
+    /** Returns the fields of an object in a message; {@code path} names the object in errors. */
     public static JsonFields of(Object value, String path) {
         JsonFields object = of(value, path, null);
         if (object == null) {
@@ -110,7 +110,7 @@
         }
     }
 
-    /** Reports a fault of a key; throws it for a message, returns the substitute value for a file. */
+    /** Throws a fault of a key of a message; collects a fault of a file and returns the substitute value. */
     <T> T report(String name, String problem, T substitute) {
         return report(name, problem, null, substitute);
     }
@@ -341,8 +341,8 @@
     }
 
     /**
-     * Returns the reader that has read the large list of a key: either the reader that read it while the file was
-     * parsed, or a new reader that reads it here, if the list is in memory.
+     * Returns the reader that has read the large list of a key: either the reader that read the list while the file was
+     * parsed or, if the list is in memory, a new reader that reads it now.
      */
     <R extends ListReader> R largeList(String name, Class<R> type, Supplier<R> newReader) {
         if (type.isInstance(map.get(name))) {
@@ -379,7 +379,7 @@
         return invalidValue(name, problem, null);
     }
 
-    /** Reports every other key, since a misspelt optional key would otherwise be ignored. */
+    /** Reports every key that is not in {@code keys}, since a misspelt optional key would otherwise be ignored. */
     public void requireKnownKeys(Set<String> keys) {
         for (String name : keys()) {
             if (!keys.contains(name)) {
--- a/server/src/main/java/wheatspread/config/JsonFile.java
+++ b/server/src/main/java/wheatspread/config/JsonFile.java
@@ -121,7 +121,7 @@
             if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw new JsonFields.InvalidValueException(name + ":1: is not a JSON object");
             }
-            Map<String, Object> map = new JsonFile(parser, source, lists).object("");
+            Map<String, Object> map = new JsonFile(parser, source, lists).readObject("");
             if (parser.nextToken() != null) {
                 throw new JsonFields.InvalidValueException(name + ":"
                         + parser.currentTokenLocation().getLineNr() + ": unexpected text after the JSON object");
@@ -134,23 +134,23 @@
         }
     }
 
-    private Map<String, Object> object(String path) throws IOException {
+    private Map<String, Object> readObject(String path) throws IOException {
         Map<String, Object> map = new LinkedHashMap<>();
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             String name = parser.currentName();
             String key = path.isEmpty() ? name : path + "." + name;
             recordKey(key);
             parser.nextToken();
-            map.put(name, value(key));
+            map.put(name, readValue(key));
         }
         return map;
     }
 
-    private Object value(String path) throws IOException {
+    private Object readValue(String path) throws IOException {
         return switch (parser.currentToken()) {
-            case START_OBJECT -> object(path);
-            case START_ARRAY -> lists.containsKey(path) ? largeList(path) : list(path);
-            case VALUE_STRING -> text();
+            case START_OBJECT -> readObject(path);
+            case START_ARRAY -> lists.containsKey(path) ? readLargeList(path) : readList(path);
+            case VALUE_STRING -> readText();
             case VALUE_TRUE -> Boolean.TRUE;
             case VALUE_FALSE -> Boolean.FALSE;
             case VALUE_NULL -> null;
@@ -158,17 +158,17 @@
         };
     }
 
-    private List<Object> list(String path) throws IOException {
+    private List<Object> readList(String path) throws IOException {
         List<Object> list = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             String key = path + "[" + list.size() + "]";
             recordKey(key);
-            list.add(value(key));
+            list.add(readValue(key));
         }
         return list;
     }
 
-    private ListReader largeList(String path) throws IOException {
+    private ListReader readLargeList(String path) throws IOException {
         ListReader reader = lists.get(path).get();
         int treeBytesOutside = treeBytes;
         for (int index = 0; parser.nextToken() != JsonToken.END_ARRAY; index++) {
@@ -180,14 +180,14 @@
             source.beginElement(index);
             String key = path + "[" + index + "]";
             recordKey(key);
-            JsonFields.read(value(key), key, source, index, reader);
+            JsonFields.read(readValue(key), key, source, index, reader);
         }
         source.endElements();
         treeBytes = treeBytesOutside;
         return reader;
     }
 
-    private String text() throws IOException {
+    private String readText() throws IOException {
         String text = parser.getText();
         addTreeBytes(text.length());
         return text;
--- a/server/src/main/java/wheatspread/config/OperatorConfig.java
+++ b/server/src/main/java/wheatspread/config/OperatorConfig.java
@@ -51,20 +51,20 @@
             Map.of("close", Rejection.CLOSE, "reset", Rejection.RESET, "answer", Rejection.ANSWER);
     private static final Map<String, String> TRANSPORTS = Map.of("nio", "nio", "epoll", "epoll", "auto", "auto");
 
-    /** Reads and checks a file; {@code site} is the deployment that defines its request classes and tenants. */
-    public static OperatorConfig readFile(Path file, DeploymentSettings site) {
-        return read(fields(file, site), site);
+    /** Reads and checks a file; {@code deployment} is the deployment that defines its request classes and tenants. */
+    public static OperatorConfig readFile(Path file, DeploymentSettings deployment) {
+        return read(fields(file, deployment), deployment);
     }
 
-    /** Returns the fields of the file; {@code site} may be null, so that names are not checked. */
-    static JsonFields fields(Path file, DeploymentSettings site) {
-        return JsonFile.read(file, Map.of("uwsgi.routes", () -> new RouteReader(site)));
+    /** Returns the fields of the file; {@code deployment} may be null, so that names are not checked. */
+    static JsonFields fields(Path file, DeploymentSettings deployment) {
+        return JsonFile.read(file, Map.of("uwsgi.routes", () -> new RouteReader(deployment)));
     }
 
-    static OperatorConfig read(JsonFields fields, DeploymentSettings site) {
+    static OperatorConfig read(JsonFields fields, DeploymentSettings deployment) {
         fields.requireKnownKeys(
                 Set.of("uwsgi", "connections", "turns", "transport", "report_s", "log", "life", "stats", "membership"));
-        UwsgiConfig uwsgi = fields.has("uwsgi") ? UwsgiConfig.read(fields.object("uwsgi", false), site) : null;
+        UwsgiConfig uwsgi = fields.has("uwsgi") ? UwsgiConfig.read(fields.object("uwsgi", false), deployment) : null;
         JsonFields connections = fields.object("connections", true);
         OperatorConfig config = new OperatorConfig(
                 uwsgi,
--- a/server/src/main/java/wheatspread/config/RouteReader.java
+++ b/server/src/main/java/wheatspread/config/RouteReader.java
@@ -36,12 +36,12 @@
 
     private static final Defaults ALL_INHERITED = new Defaults(INHERITED, INHERITED, INHERITED, INHERITED, INHERITED);
 
-    private final DeploymentSettings site;
+    private final DeploymentSettings deployment;
     private final List<Route> routes = new ArrayList<>();
 
-    /** If {@code site} is null, names of request classes and tenants are not checked. */
-    RouteReader(DeploymentSettings site) {
-        this.site = site;
+    /** If {@code deployment} is null, names of request classes and tenants are not checked. */
+    RouteReader(DeploymentSettings deployment) {
+        this.deployment = deployment;
     }
 
     @Override
@@ -58,12 +58,12 @@
                 match,
                 path,
                 pattern(element, match, path),
-                defaults(element, ALL_INHERITED, site),
+                defaults(element, ALL_INHERITED, deployment),
                 nested(element).routes));
     }
 
     private RouteReader nested(JsonFields element) {
-        return element.largeList("routes", RouteReader.class, () -> new RouteReader(site));
+        return element.largeList("routes", RouteReader.class, () -> new RouteReader(deployment));
     }
 
     private static Pattern pattern(JsonFields fields, Match match, String path) {
@@ -112,10 +112,10 @@
     }
 
     /** Reads the defaults of absent request parameters; absent keys are inherited. */
-    static Defaults defaults(JsonFields fields, Defaults inherited, DeploymentSettings site) {
+    static Defaults defaults(JsonFields fields, Defaults inherited, DeploymentSettings deployment) {
         return new Defaults(
-                index(fields, "class", site == null ? null : site.classes(), inherited.requestClass()),
-                index(fields, "tenant", site == null ? null : site.tenants(), inherited.tenant()),
+                index(fields, "class", deployment == null ? null : deployment.classes(), inherited.requestClass()),
+                index(fields, "tenant", deployment == null ? null : deployment.tenants(), inherited.tenant()),
                 fields.has("limit_ms")
                         ? fields.integer("limit_ms", 0, 0, 3_600_000) * 1000L
                         : inherited.timeoutMicros(),
--- a/server/src/main/java/wheatspread/config/ServerConfig.java
+++ b/server/src/main/java/wheatspread/config/ServerConfig.java
@@ -106,17 +106,17 @@
     /** Reads and checks the fields of a file. */
     public static ServerConfig read(JsonFields fields) {
         JsonFields limits = fields.object("limits", true);
-        DeploymentSettings site = site(fields.object("settings", false));
+        DeploymentSettings deployment = readDeployment(fields.object("settings", false));
         ServerConfig config = new ServerConfig(
                 fields.text("name"),
                 address(fields, "listen"),
                 address(fields, "kernel"),
-                records(fields, site),
+                records(fields, deployment),
                 addressOrNone(fields, "announce"),
                 seed(fields),
                 fields.integer("stop_ms", DEFAULT_STOP_MS, 100, 600_000) * 1000L,
                 limits.integer("sockets", DEFAULT_MAX_SOCKETS, 64, 1 << 20),
-                site,
+                deployment,
                 addressOrNone(fields, "control"),
                 fields.integer(INHERITED_DESCRIPTOR_KEY, -1, -1, 1 << 20),
                 fields.has("shared") ? Path.of(fields.text("shared")) : null);
@@ -125,27 +125,27 @@
     }
 
     /** Returns only the deployment's settings, for the checks of the operator's file; null if they have a fault. */
-    static DeploymentSettings siteOf(JsonFields fields) {
+    static DeploymentSettings deploymentOf(JsonFields fields) {
         try {
-            return fields.has("settings") ? site(fields.object("settings", false)) : null;
+            return fields.has("settings") ? readDeployment(fields.object("settings", false)) : null;
         } catch (IllegalArgumentException e) {
             return null; // the caller has the faults from reading the whole file
         }
     }
 
-    private static DeploymentSettings site(JsonFields settings) {
+    private static DeploymentSettings readDeployment(JsonFields settings) {
         TenantReader tenants =
                 settings.largeList(SettingsReader.TENANTS, TenantReader.class, () -> new TenantReader(true));
         settings.recordSummary(SettingsReader.TENANTS, tenants.summary());
-        DeploymentSettings site = new DeploymentSettings(
+        DeploymentSettings deployment = new DeploymentSettings(
                 SettingsReader.read(settings, tenants),
                 SettingsReader.names(settings, "Lanes"),
                 tenants.names(),
                 SettingsReader.gauges(settings));
-        if (site.classes().isEmpty()) {
+        if (deployment.classes().isEmpty()) {
             settings.report("Lanes", "is empty; expected at least one request class", null);
         }
-        return site;
+        return deployment;
     }
 
     private static long seed(JsonFields fields) {
@@ -157,9 +157,9 @@
     }
 
     /** Returns the address of the records service, which is required if a class of the deployment calls it. */
-    private static InetSocketAddress records(JsonFields fields, DeploymentSettings site) {
-        boolean calls = site.settings().dependency().kind() != DependencyKind.NONE
-                && site.settings().classes().stream().anyMatch(RequestClass::callsDependency);
+    private static InetSocketAddress records(JsonFields fields, DeploymentSettings deployment) {
+        boolean calls = deployment.settings().dependency().kind() != DependencyKind.NONE
+                && deployment.settings().classes().stream().anyMatch(RequestClass::callsDependency);
         return calls ? address(fields, "records") : addressOrNone(fields, "records");
     }
 
--- a/server/src/main/java/wheatspread/config/UwsgiConfig.java
+++ b/server/src/main/java/wheatspread/config/UwsgiConfig.java
@@ -32,7 +32,7 @@
             "vars",
             "defaults",
             "routes");
-    private static final Set<String> DEFAULT_KEYS = Set.of("class", "tenant", "limit_ms", "cpu_ms", "ram_kb");
+    private static final Set<String> KEYS_OF_DEFAULTS = Set.of("class", "tenant", "limit_ms", "cpu_ms", "ram_kb");
 
     /** The names of the vars with a request's parameters. */
     public record Vars(
@@ -54,7 +54,10 @@
                 "RECIPE_ITEM");
     }
 
-    /** The defaults of absent parameters; an index of -1 and a timeout of 0 mean that there is no default. */
+    /**
+     * The defaults of absent parameters. A request class or tenant index of -1 and a timeout of 0 mean that there is no
+     * default; an expected work of 0 means that the work is unknown.
+     */
     public record Defaults(
             int requestClass, int tenant, long timeoutMicros, long expectedWorkMicros, double memoryKb) {}
 
@@ -68,12 +71,13 @@
     }
 
     /**
-     * The defaults of requests whose path matches; {@code pattern} is null unless it is a regular expression.
-     * Nested routes are searched if this route matches; they inherit nothing from it.
+     * The defaults of requests whose path matches. {@code pattern} is the compiled path of a REGEX or REGEX_ANY_CASE
+     * route, and null for every other route. Nested routes are searched if this route matches; they inherit no defaults
+     * from this route.
      */
     public record Route(Match match, String path, Pattern pattern, Defaults defaults, List<Route> routes) {}
 
-    static UwsgiConfig read(JsonFields fields, DeploymentSettings site) {
+    static UwsgiConfig read(JsonFields fields, DeploymentSettings deployment) {
         fields.requireKnownKeys(KEYS);
         JsonFields names = fields.object("vars", true);
         names.requireKnownKeys(Set.of("class", "tenant", "limit_ms", "cpu_ms", "ram_kb", "unique", "item"));
@@ -86,12 +90,12 @@
                 names.text("ram_kb", defaultNames.memory),
                 names.text("unique", defaultNames.idempotencyKey),
                 names.text("item", defaultNames.cacheKey));
-        Defaults none = new Defaults(-1, -1, 0, 0, 24);
+        Defaults builtInDefaults = new Defaults(-1, -1, 0, 0, 24);
         JsonFields defaultFields = fields.object("defaults", true);
-        defaultFields.requireKnownKeys(DEFAULT_KEYS);
-        Defaults defaults = RouteReader.defaults(defaultFields, none, site);
-        RouteReader routes = fields.largeList("routes", RouteReader.class, () -> new RouteReader(site));
-        fields.recordSummary("routes", routes.size() + " routes");
+        defaultFields.requireKnownKeys(KEYS_OF_DEFAULTS);
+        Defaults defaults = RouteReader.defaults(defaultFields, builtInDefaults, deployment);
+        RouteReader routeReader = fields.largeList("routes", RouteReader.class, () -> new RouteReader(deployment));
+        fields.recordSummary("routes", routeReader.size() + " routes");
         return new UwsgiConfig(
                 ServerConfig.address(fields, "listen"),
                 fields.integer("max_connections", 256, 1, 1 << 20),
@@ -102,6 +106,6 @@
                 fields.text("health_path", ""),
                 vars,
                 defaults,
-                routes.routes(defaults));
+                routeReader.routes(defaults));
     }
 }
--- a/server/src/main/java/wheatspread/nginx/ConfParser.java
+++ b/server/src/main/java/wheatspread/nginx/ConfParser.java
@@ -54,14 +54,14 @@
         try {
             String text = Files.readString(file, StandardCharsets.UTF_8);
             Path folder = file.getParent() == null ? Path.of("") : file.getParent();
-            return new ConfParser(file.toString(), folder, text, depth).block(null);
+            return new ConfParser(file.toString(), folder, text, depth).parseBlock(null);
         } catch (IOException e) {
             throw new InvalidConfException(file + ":1: cannot be read: " + e.getMessage());
         }
     }
 
     /** Parses directives up to the end of the block, or of the file if {@code opening} is null. */
-    private List<Directive> block(Token opening) {
+    private List<Directive> parseBlock(Token opening) {
         List<Directive> directives = new ArrayList<>();
         for (Token token = next(); token != null; token = next()) {
             if (token.is("}") && opening != null) {
@@ -70,7 +70,7 @@
             if (token.isDelimiter()) {
                 throw invalid(token.line(), "unexpected \"" + token.text() + "\", expected a directive");
             }
-            directive(token, directives);
+            parseDirective(token, directives);
         }
         if (opening != null) {
             throw invalid(opening.line(), "block is not closed by \"}\"");
@@ -78,7 +78,7 @@
         return directives;
     }
 
-    private void directive(Token name, List<Directive> directives) {
+    private void parseDirective(Token name, List<Directive> directives) {
         List<String> args = new ArrayList<>();
         Token token = next();
         while (token != null && !token.isDelimiter()) {
@@ -88,7 +88,7 @@
         if (token == null || token.is("}")) {
             throw invalid(name.line(), "\"" + name.text() + "\" is not followed by \";\" or a block");
         }
-        List<Directive> block = token.is("{") ? block(token) : null;
+        List<Directive> block = token.is("{") ? parseBlock(token) : null;
         if (name.text().equals("include") && block == null && args.size() == 1) {
             include(name, args.get(0), directives);
         } else {
@@ -181,8 +181,8 @@
         StringBuilder word = new StringBuilder();
         while (position < text.length()) {
             char c = text.charAt(position);
-            boolean variable = c == '{' && word.length() > 0 && word.charAt(word.length() - 1) == '$';
-            if (variable) {
+            boolean startsBracedVariable = c == '{' && word.length() > 0 && word.charAt(word.length() - 1) == '$';
+            if (startsBracedVariable) {
                 int end = text.indexOf('}', position);
                 if (end < 0) {
                     throw invalid(line, "name of a variable is not closed by \"}\"");
--- a/server/src/main/java/wheatspread/nginx/Importer.java
+++ b/server/src/main/java/wheatspread/nginx/Importer.java
@@ -54,8 +54,11 @@
     private final List<String> report = new ArrayList<>();
     private final Map<String, Directive> upstreams = new LinkedHashMap<>();
     private final JSONArray routes = new JSONArray();
-    /** Directives that have been handled or reported, by a key that identifies the report. */
-    private final Map<String, Directive> seen = new HashMap<>();
+    /**
+     * The directives whose problems were reported, by location and problem, and the upstreams that were converted, by
+     * {@code upstream NAME}.
+     */
+    private final Map<String, Directive> reportedOrConverted = new HashMap<>();
 
     private String listen;
     private Directive selectedServer;
@@ -64,7 +67,10 @@
     private long keepaliveMillis;
     private long maxConnections;
 
-    /** The directives that a location inherits from its enclosing block, and the list of its routes. */
+    /**
+     * The directives that the locations of a block inherit, and the list to which the routes of these locations are
+     * added.
+     */
     private record Scope(Map<String, Directive> inherited, List<Directive> params, JSONArray routes) {}
 
     private Importer(String listen) {
@@ -77,10 +83,10 @@
     /**
      * Converts a configuration.
      *
-     * @param listen the address of the server in the upstream blocks; null for the first one that is not down
+     * @param listen the address of the upstream server to convert; null for the first server that is not down
      * @throws IllegalArgumentException if the file is invalid or no location passes requests to that server
      */
-    public static Result read(Path file, String listen) {
+    public static Result convert(Path file, String listen) {
         try {
             Importer importer = new Importer(listen);
             List<Directive> directives = ConfParser.parse(file);
@@ -111,9 +117,9 @@
         return new JSONObject().put("uwsgi", uwsgi);
     }
 
-    private static void putPositive(JSONObject to, String key, long value) {
+    private static void putPositive(JSONObject target, String key, long value) {
         if (value > 0) {
-            to.put(key, value);
+            target.put(key, value);
         }
     }
 
@@ -129,7 +135,7 @@
         }
     }
 
-    /** Returns whether a pass leads to the selected server; selects a server if none is selected yet. */
+    /** Returns whether a uwsgi_pass directive names the selected server; selects a server if none is selected yet. */
     private boolean passesToSelectedServer(Directive pass) {
         String target = pass.arg(0);
         if (target.contains("$") || target.startsWith("unix:") || target.contains("://")) {
@@ -140,7 +146,7 @@
         if (upstream == null) {
             boolean selected = selectServer(pass, target, List.of());
             if (!selected && !target.equals(listen)) {
-                report(pass, target + " is not the converted server " + listen);
+                report(pass, target + " is another server than " + listen + "; it is not converted");
             }
             return selected;
         }
@@ -155,10 +161,10 @@
         return false;
     }
 
-    private boolean selectServer(Directive from, String address, List<String> options) {
+    private boolean selectServer(Directive directive, String address, List<String> options) {
         if (!address.matches("[^:]+:\\d{1,5}|\\[[0-9a-fA-F:]+\\]:\\d{1,5}")) {
             if (listen == null || listen.equals(address)) {
-                report(from, address + " is not a TCP address; expected host:port");
+                report(directive, address + " is not a TCP address; expected host:port");
             }
             return false;
         }
@@ -166,9 +172,9 @@
             return false;
         }
         listen = address;
-        if (selectedServer != from) {
-            selectedServer = from;
-            options.stream().skip(1).forEach(option -> convertServerOption(from, option));
+        if (selectedServer != directive) {
+            selectedServer = directive;
+            options.stream().skip(1).forEach(option -> convertServerOption(directive, option));
         }
         return true;
     }
@@ -182,7 +188,7 @@
     }
 
     private void convertUpstream(Directive upstream) {
-        if (seen.put("upstream " + upstream.arg(0), upstream) != null) {
+        if (reportedOrConverted.put("upstream " + upstream.arg(0), upstream) != null) {
             return;
         }
         for (Directive directive : upstream.block()) {
@@ -225,7 +231,10 @@
         return new Scope(inherited, params.isEmpty() ? outer.params() : params, routes);
     }
 
-    /** Converts a location, even one that passes to another server, since it takes part in the precedence. */
+    /**
+     * Converts a location, even if it passes to another server, because its path still decides which location matches a
+     * request.
+     */
     private void convertLocation(Directive location, Scope outer) {
         JSONObject route = addRoute(location, outer.routes());
         if (route == null) {
@@ -251,8 +260,8 @@
         }
     }
 
-    /** Adds the route of a location to its level; returns null if the location is reported instead. */
-    private JSONObject addRoute(Directive location, JSONArray level) {
+    /** Adds the route of a location to the routes of its block; returns null if the location is reported instead. */
+    private JSONObject addRoute(Directive location, JSONArray siblings) {
         boolean hasModifier = location.args().size() == 2;
         String path = location.arg(hasModifier ? 1 : 0);
         String match = hasModifier ? MATCH_BY_MODIFIER.get(location.arg(0)) : "prefix";
@@ -267,15 +276,15 @@
             report(location, path + " is a named location, which only internal redirects of the proxy reach");
             return null;
         }
-        for (Object other : level) {
-            JSONObject earlier = (JSONObject) other;
+        for (Object sibling : siblings) {
+            JSONObject earlier = (JSONObject) sibling;
             if (earlier.get("match").equals(match) && earlier.get("path").equals(path)) {
                 report(location, "duplicates an earlier location; it is not converted");
                 return null;
             }
         }
         JSONObject route = new JSONObject().put("match", match).put("path", path);
-        level.put(route);
+        siblings.put(route);
         return route;
     }
 
@@ -325,7 +334,7 @@
 
     /** Reports a problem only once for a directive that several locations inherit. */
     private void reportOnce(Directive directive, String problem) {
-        if (seen.putIfAbsent(directive.location() + " " + problem, directive) == null) {
+        if (reportedOrConverted.putIfAbsent(directive.location() + " " + problem, directive) == null) {
             report(directive, problem);
         }
     }
--- a/server/src/test/java/wheatspread/nginx/ImporterTest.java
+++ b/server/src/test/java/wheatspread/nginx/ImporterTest.java
@@ -22,7 +22,7 @@
 
     @Test
     void convertsLocationsToRoutesAndReportsOtherDirectives() throws IOException {
-        Importer.Result result = Importer.read(FOLDER.resolve("site.conf"), "10.0.0.2:3031");
+        Importer.Result result = Importer.convert(FOLDER.resolve("site.conf"), "10.0.0.2:3031");
         JSONObject expected = new JSONObject(Files.readString(FOLDER.resolve("site.json")));
         assertThat(result.file().similar(expected))
                 .as(result.file().toString(1))
@@ -37,7 +37,8 @@
     void writesAValidOperatorFile() throws IOException {
         Path written = folder.resolve("operator.json");
         Files.writeString(
-                written, Importer.read(FOLDER.resolve("site.conf"), null).file().toString());
+                written,
+                Importer.convert(FOLDER.resolve("site.conf"), null).file().toString());
         DeploymentSettings site =
                 new DeploymentSettings(null, List.of("search", "save-plan"), List.of("school-feeding"), List.of());
         UwsgiConfig config = OperatorConfig.readFile(written, site).uwsgi();
@@ -49,7 +50,7 @@
 
     @Test
     void selectsFirstServerThatIsNotDownWithoutAnAddress() {
-        JSONObject file = Importer.read(FOLDER.resolve("site.conf"), null).file();
+        JSONObject file = Importer.convert(FOLDER.resolve("site.conf"), null).file();
         assertThat(file.getJSONObject("uwsgi").get("listen")).isEqualTo("10.0.0.2:3031");
     }
 
@@ -66,6 +67,6 @@
     private void assertInvalid(String text, String message) throws IOException {
         Path file = folder.resolve("x.conf");
         Files.writeString(file, text);
-        assertThatThrownBy(() -> Importer.read(file, null)).hasMessageContaining("x.conf" + message);
+        assertThatThrownBy(() -> Importer.convert(file, null)).hasMessageContaining("x.conf" + message);
     }
 }
