--- a/server/src/main/java/wheatspread/heap/IndexedHeap.java
+++ b/server/src/main/java/wheatspread/heap/IndexedHeap.java
@@ -5,12 +5,13 @@
 /**
  * An indexed binary min-heap (R. Sedgewick and K. Wayne, "Algorithms", 4th edition, section 2.4, index priority queue).
  * Its elements are indexes from 0 to a bound, each with a key. The element with the smallest key is the first; among
- * equal keys it is the one with the smallest index. Since the position of each element is stored, changing its key and
- * removing it take logarithmic time; a plain heap would have to search for the element.
+ * elements with equal keys, the element with the smallest index is the first. Since the position of each element is
+ * stored, changing the key of an element and removing an element take logarithmic time; a plain heap would have to
+ * search for the element.
  *
  * <p>Keys are compared by {@link Double#compare}, so NaN is the largest key, except that both zeros are equal. The heap
- * takes 4 bytes for each possible index and 12 bytes for each element of the largest size that it has had. Not safe for
- * use by several threads.
+ * takes 4 bytes for each possible index and 12 bytes for each element of the largest size that the heap has had. Not
+ * safe for use by several threads.
  */
 public final class IndexedHeap {
     private static final int INITIAL_CAPACITY = 16;
--- a/server/src/main/java/wheatspread/logging/RepeatLimit.java
+++ b/server/src/main/java/wheatspread/logging/RepeatLimit.java
@@ -9,7 +9,9 @@
  * fills the disk nor hides other events. This class reads no clock and is not thread-safe.
  */
 public final class RepeatLimit {
-    /** The maximum number of names with a separate count. Others share a count, since peers may influence names. */
+    /**
+     * The maximum number of names with a separate count. Further names share a count, since peers may influence names.
+     */
     private static final int MAX_NAMES = 256;
 
     /** The name under which events beyond {@link #MAX_NAMES} are counted. */
@@ -34,8 +36,8 @@
     }
 
     /**
-     * Decides whether to log an event. Returns -1 to suppress it, else the number of events of its name that have been
-     * suppressed since the last logged one.
+     * Decides whether to log an event. Returns -1 if the event is suppressed, and otherwise the number of events with
+     * the same name that were suppressed since the last logged event.
      */
     public long admit(String event, long nowMicros) {
         if (maxEvents == 0) {
--- a/server/src/main/java/wheatspread/peers/MessageCodec.java
+++ b/server/src/main/java/wheatspread/peers/MessageCodec.java
@@ -15,7 +15,10 @@
  * another major version are rejected.
  */
 public final class MessageCodec {
-    /** The major format version, incremented by incompatible changes; older programs drop such messages. */
+    /**
+     * The major format version, incremented by incompatible changes; programs drop messages of a different major
+     * version.
+     */
     public static final int MAJOR_VERSION = 1;
     /** The minor format version, incremented by additions that older programs can skip. */
     public static final int MINOR_VERSION = 0;
--- a/server/src/main/java/wheatspread/peers/PeerTransport.java
+++ b/server/src/main/java/wheatspread/peers/PeerTransport.java
@@ -74,7 +74,7 @@
         linkFilter = filter;
     }
 
-    /** Binds both sockets and starts membership; if one socket can't be bound, the other one is closed. */
+    /** Binds both sockets and starts membership; if either socket cannot be bound, no socket stays open. */
     public Future<Void> open() {
         Promise<Void> opened = loop.newPromise();
         datagrams.bind(listen).addListener(bound -> {
--- a/server/src/main/java/wheatspread/sim/BenchLink.java
+++ b/server/src/main/java/wheatspread/sim/BenchLink.java
@@ -12,8 +12,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The connection to the simulator. Each line read is a batch of events, and each line written holds the actions decided
- * on it.
+ * The connection to the simulator. Each line read is a batch of events, and each line written contains the actions
+ * decided in that batch.
  */
 public final class BenchLink {
     private static final int BUFFER_BYTES = 1 << 16;
--- a/server/src/main/java/wheatspread/sim/WireNames.java
+++ b/server/src/main/java/wheatspread/sim/WireNames.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import wheatspread.admission.Outcome;
 
-/** The names on the simulator's wire, each assigned to a constant that has the server's term for it. */
+/** The names on the simulator's wire. Each constant is named by the server's term for the name in its value. */
 final class WireNames {
     // A batch of events, and the reply with the actions of each instance.
 
