--- a/server/src/test/java/wheatspread/WithdrawnWordsTest.java
+++ b/server/src/test/java/wheatspread/WithdrawnWordsTest.java
@@ -19,7 +19,13 @@
 /** Checks that identifiers and file names contain no word that {@code docs/GLOSSARY.md} lists as withdrawn. */
 class WithdrawnWordsTest {
     private static final Path GLOSSARY = Path.of("../docs/GLOSSARY.md");
-    private static final Path ROOT = Path.of("src/main/java/wheatspread");
+    private static final List<Path> ROOTS = Stream.of(
+                    "src/main/java/wheatspread",
+                    "src/test/java/wheatspread",
+                    "../lab/src/main/java/wheatspread",
+                    "../lab/src/test/java/wheatspread")
+            .map(Path::of)
+            .toList();
     private static final Pattern TABLE_ROW = Pattern.compile("(?m)^\\| `?([a-z.]+)`? \\|");
     private static final Pattern NOT_CODE = Pattern.compile(
             "(?s)/\\*.*?\\*/|//[^\\n]*|\"\"\".*?\"\"\"|\"(?:\\\\.|[^\"\\\\\\n])*\"|'(?:\\\\.|[^'\\\\])+'");
@@ -30,12 +36,15 @@
     private static final Pattern WORD = Pattern.compile("[A-Z]?[a-z]+|[A-Z]+(?![a-z])");
 
     @Test
-    void finishedPackagesContainNoWithdrawnWord() throws IOException {
+    void sourcesAndTestsContainNoWithdrawnWord() throws IOException {
         Set<String> withdrawn = firstColumn("## Withdrawn words");
         assertThat(withdrawn).contains("told", "door", "knock");
-        Set<String> excluded = firstColumn("## Packages that are not finished");
-        excluded.addAll(firstColumn("## Files that map names"));
-        assertThat(violations(withdrawn, excluded)).isEmpty();
+        Set<String> excluded = firstColumn("## Files that map names");
+        List<String> violations = new ArrayList<>();
+        for (Path root : ROOTS) {
+            violations.addAll(violations(root, withdrawn, excluded));
+        }
+        assertThat(violations).isEmpty();
     }
 
     @Test
@@ -46,25 +55,26 @@
                 .doesNotContain("door", "knock", "crowd");
     }
 
-    private static List<String> violations(Set<String> withdrawn, Set<String> excluded) throws IOException {
+    private static List<String> violations(Path root, Set<String> withdrawn, Set<String> excluded) throws IOException {
         List<String> violations = new ArrayList<>();
-        for (Path file : sources()) {
-            String packageName = ROOT.relativize(file.getParent()).toString().replace('/', '.');
-            String fileName = ROOT.relativize(file).toString().replace('/', '.').replace(".java", "");
-            if (excluded.contains(packageName) || excluded.contains(fileName.toLowerCase(Locale.ROOT))) {
+        List<Path> files = sources(root);
+        assertThat(files).as("sources below %s", root).isNotEmpty();
+        for (Path file : files) {
+            String fileName = root.relativize(file).toString().replace('/', '.').replace(".java", "");
+            if (excluded.contains(fileName.toLowerCase(Locale.ROOT))) {
                 continue;
             }
             Set<String> found = words(file.getFileName().toString() + " " + Files.readString(file));
             found.retainAll(withdrawn);
             if (!found.isEmpty()) {
-                violations.add(ROOT.relativize(file) + " " + found);
+                violations.add(file + " " + found);
             }
         }
         return violations;
     }
 
-    private static List<Path> sources() throws IOException {
-        try (Stream<Path> files = Files.walk(ROOT)) {
+    private static List<Path> sources(Path root) throws IOException {
+        try (Stream<Path> files = Files.walk(root)) {
             return files.filter(file -> file.toString().endsWith(".java"))
                     .sorted()
                     .toList();
@@ -99,7 +109,7 @@
                 .matcher(section)
                 .results()
                 .map(row -> row.group(1))
-                .filter(word -> !Set.of("word", "package", "file").contains(word))
+                .filter(word -> !Set.of("word", "file").contains(word))
                 .collect(Collectors.toSet());
     }
 }
--- a/server/src/test/java/wheatspread/admission/sfq/FairQueueTest.java
+++ b/server/src/test/java/wheatspread/admission/sfq/FairQueueTest.java
@@ -93,7 +93,7 @@
             return recentCharge(nowMicros) + queue.peekLast().startTag - queue.peek().startTag;
         }
 
-        private ReferenceRequest leastWeight() {
+        private ReferenceRequest lowestWeight() {
             return queue.stream()
                     .reduce((a, b) -> b.counterpart.totalWeight() <= a.counterpart.totalWeight() ? b : a)
                     .orElseThrow();
@@ -224,9 +224,9 @@
             Flow flow = queue.flowWithLargestLead(nowMicros);
             assertThat(flow.tenant).as("furthest ahead").isEqualTo(expected.tenant);
             assertThat(flow.lead(nowMicros)).isEqualTo(expected.lead(nowMicros));
-            assertThat(flow.lowestWeightRequest()).isSameAs(expected.leastWeight().counterpart);
+            assertThat(flow.lowestWeightRequest()).isSameAs(expected.lowestWeight().counterpart);
             if (remove) {
-                removeFromBoth(expected.leastWeight());
+                removeFromBoth(expected.lowestWeight());
                 rejected++;
             }
         }
--- a/server/src/test/java/wheatspread/daemon/StartTest.java
+++ b/server/src/test/java/wheatspread/daemon/StartTest.java
@@ -106,13 +106,13 @@
             Thread kernel = new Thread(() -> bootEveryLink(kernels, links), "kernel");
             kernel.setDaemon(true);
             kernel.start();
-            Thread hangup = new Thread(() -> {
+            Thread reload = new Thread(() -> {
                 await(() -> server.phase() == Phase.WARMING_UP);
                 server.reload(() -> ServerConfig.read(JsonFields.of(json.toMap(), "")));
             });
-            hangup.start();
+            reload.start();
             server.warmUp();
-            hangup.join();
+            reload.join();
             await(() -> logged.stream().anyMatch(line -> line.startsWith("classes_reloaded")));
             assertThat(server.start()).isTrue();
             await(() -> server.phase() == Phase.SERVING);
--- a/server/src/test/java/wheatspread/store/FaultyDisk.java
+++ b/server/src/test/java/wheatspread/store/FaultyDisk.java
@@ -100,7 +100,7 @@
         if (how == Unsynced.PROCESS) {
             syncedNames.forEach((name, node) -> disk.syncedNames.put(name, copies.apply(node)));
             unsyncedNames.forEach(change -> disk.unsyncedNames.add(
-                    (names, further) -> change.apply(names, node -> further.apply(copies.apply(node)))));
+                    (names, operation) -> change.apply(names, node -> operation.apply(copies.apply(node)))));
         } else {
             disk.syncedNames = new TreeMap<>(remaining);
         }
