--- a/lab/src/main/java/wheatspread/lab/HoldCommand.java
+++ b/lab/src/main/java/wheatspread/lab/HoldCommand.java
@@ -14,7 +14,7 @@
         name = "hold",
         hidden = true,
         mixinStandardHelpOptions = true,
-        description = "Holds idle connections on commands from standard input: open, burst, closing.")
+        description = "Holds idle connections and executes the commands open, burst and closing from standard input.")
 final class HoldCommand implements Callable<Integer> {
     @Option(names = "--port", required = true)
     private int port;
@@ -26,12 +26,12 @@
     private boolean uwsgi;
 
     @Option(names = "--first-source")
-    private int firstSource;
+    private int firstSourceIndex;
 
     @Override
     public Integer call() throws Exception {
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
-        try (ConnectionHolder holder = new ConnectionHolder(port, uwsgi, firstSource)) {
+        try (ConnectionHolder holder = new ConnectionHolder(port, uwsgi, firstSourceIndex)) {
             for (String command = in.readLine(); command != null; command = in.readLine()) {
                 JSONObject figures = switch (command) {
                     case "open" -> holder.open(count);
--- a/lab/src/main/java/wheatspread/lab/load/ConnectionHolder.java
+++ b/lab/src/main/java/wheatspread/lab/load/ConnectionHolder.java
@@ -36,7 +36,7 @@
     private final EventLoop loop = group.next();
     private final InetSocketAddress target;
     private final boolean uwsgi;
-    private final int firstSource;
+    private final int firstSourceIndex;
     private final List<HeldConnection> connections = new ArrayList<>();
     private int connecting;
     private int attempted;
@@ -51,11 +51,11 @@
     private long lastClosedNanos;
     private long lastResponseNanos;
 
-    /** Creates a holder of connections to a loopback port, whose source addresses begin at {@code firstSource}. */
-    public ConnectionHolder(int port, boolean uwsgi, int firstSource) {
+    /** Creates a holder of connections to a loopback port, whose source addresses begin at {@code firstSourceIndex}. */
+    public ConnectionHolder(int port, boolean uwsgi, int firstSourceIndex) {
         target = new InetSocketAddress("127.0.0.1", port);
         this.uwsgi = uwsgi;
-        this.firstSource = firstSource;
+        this.firstSourceIndex = firstSourceIndex;
     }
 
     private final class HeldConnection extends SimpleChannelInboundHandler<ByteBuf> {
@@ -110,7 +110,7 @@
     private void connect(int count) {
         while (attempted < count && connecting < MAX_CONNECTING) {
             connecting++;
-            int source = firstSource + attempted++ / MAX_CONNECTIONS_PER_SOURCE;
+            int source = firstSourceIndex + attempted++ / MAX_CONNECTIONS_PER_SOURCE;
             HeldConnection held = new HeldConnection();
             InetSocketAddress from = new InetSocketAddress(address(source), 0);
             new Bootstrap()
@@ -155,7 +155,7 @@
                         2,
                         search,
                         "barangay-kitchens",
-                        String.format("%016x", 0x5EEDL << 40 | (long) firstSource << 20 | i),
+                        String.format("%016x", 0x5EEDL << 40 | (long) firstSourceIndex << 20 | i),
                         nowMillis)));
     }
 
--- a/lab/src/main/java/wheatspread/lab/load/ConnectionHolderProcess.java
+++ b/lab/src/main/java/wheatspread/lab/load/ConnectionHolderProcess.java
@@ -16,8 +16,8 @@
     private final BufferedReader in;
     private final Writer out;
 
-    /** Starts the process without waiting for it; source addresses of its connections begin at {@code firstSource}. */
-    public ConnectionHolderProcess(int port, int count, boolean uwsgi, int firstSource) throws IOException {
+    /** Starts the process without waiting for it; its source addresses begin at {@code firstSourceIndex}. */
+    public ConnectionHolderProcess(int port, int count, boolean uwsgi, int firstSourceIndex) throws IOException {
         Path java = Path.of(System.getProperty("java.home"), "bin", "java");
         process = new ProcessBuilder(List.of(
                         java.toString(),
@@ -31,7 +31,7 @@
                         "--count",
                         Integer.toString(count),
                         "--first-source",
-                        Integer.toString(firstSource),
+                        Integer.toString(firstSourceIndex),
                         uwsgi ? "--uwsgi" : "--uwsgi=false"))
                 .redirectError(ProcessBuilder.Redirect.INHERIT)
                 .start();
--- a/lab/src/main/java/wheatspread/lab/scale/Observation.java
+++ b/lab/src/main/java/wheatspread/lab/scale/Observation.java
@@ -13,7 +13,7 @@
  * @param raisedLocalHealth number of live hollow members whose local health multiplier is raised
  * @param messages number of messages that hollow members have sent since the start of the fleet
  * @param bytes number of bytes in these messages
- * @param overRate number of received messages that hollow members dropped because they exceeded the permitted rate
+ * @param droppedOverRate number of received messages that hollow members dropped because of the permitted rate
  * @param agreed whether all live members hold the same view, which contains exactly the live members, and none reports
  *     it as stale
  */
@@ -26,5 +26,5 @@
         int raisedLocalHealth,
         long messages,
         long bytes,
-        long overRate,
+        long droppedOverRate,
         boolean agreed) {}
--- a/lab/src/main/java/wheatspread/lab/scale/ObservationWindow.java
+++ b/lab/src/main/java/wheatspread/lab/scale/ObservationWindow.java
@@ -94,7 +94,7 @@
                 .put("bytes_per_s", (last.bytes() - first.bytes()) / seconds / hollow)
                 .put("messages_per_s", (last.messages() - first.messages()) / seconds / hollow)
                 .put("bytes_per_s_worst_10s", worstBytesPerSecond() / hollow)
-                .put("over_rate_dropped", last.overRate() - first.overRate())
+                .put("over_rate_dropped", last.droppedOverRate() - first.droppedOverRate())
                 .put("wrongly_removed", wronglyRemoved.size())
                 .put("most_old", maxStaleViews)
                 .put("old_at_end", last.staleViews())
--- a/lab/src/main/java/wheatspread/lab/scale/ScaleFleet.java
+++ b/lab/src/main/java/wheatspread/lab/scale/ScaleFleet.java
@@ -256,7 +256,7 @@
         int raisedLocalHealth = 0;
         long messages = 0;
         long bytes = 0;
-        long overRate = 0;
+        long droppedOverRate = 0;
         for (HollowReport report : reports) {
             report.views().forEach((key, count) -> views.merge(ViewKey.parse(key), count, Integer::sum));
             hollow += report.alive();
@@ -265,7 +265,7 @@
             raisedLocalHealth += report.raisedLocalHealth();
             messages += report.sent();
             bytes += report.sentBytes();
-            overRate += report.overRate();
+            droppedOverRate += report.overRate();
         }
         int live = members();
         boolean agreed = hollow == alive.size()
@@ -283,7 +283,7 @@
                 raisedLocalHealth,
                 messages,
                 bytes,
-                overRate,
+                droppedOverRate,
                 agreed);
     }
 
--- a/lab/src/main/java/wheatspread/lab/settings/AnswerTimes.java
+++ b/lab/src/main/java/wheatspread/lab/settings/AnswerTimes.java
@@ -8,10 +8,13 @@
 /** Outcomes of the requests of one measurement interval, and the time the server added to the run time of each. */
 final class AnswerTimes {
     private static final long MAX_MICROS = TimeUnit.MINUTES.toMicros(1);
-    /** The generated site accepts answers up to this long after a request's deadline. */
+    /**
+     * A request is late if its answer arrives more than this time after its deadline; equals {@code AnswerSlack} of the
+     * configuration that {@link Sites} generates.
+     */
     private static final long ANSWER_SLACK_MS = 60;
 
-    private final Histogram added = new Histogram(1, MAX_MICROS, 3);
+    private final Histogram addedMicros = new Histogram(1, MAX_MICROS, 3);
     private final Histogram afterRun = new Histogram(1, MAX_MICROS, 3);
     private long requests;
     private long served;
@@ -35,12 +38,15 @@
                 ? 1
                 : 0;
         if (outcome == LoadClients.Outcome.SERVED && run != null) {
-            added.recordValue(Math.max(1, (answeredNanos - sentNanos - run.nanos()) / 1_000));
+            addedMicros.recordValue(Math.max(1, (answeredNanos - sentNanos - run.nanos()) / 1_000));
             afterRun.recordValue(Math.max(1, (answeredNanos - run.endedNanos()) / 1_000));
         }
     }
 
-    /** Returns the requests with a late or no answer; valid once the clients have stopped and awaited their answers. */
+    /**
+     * Returns the number of requests that were answered late or not at all; valid once the clients have stopped and
+     * awaited their answers.
+     */
     synchronized long lateOrLost() {
         return late + requests - served - refused - failed;
     }
@@ -55,7 +61,7 @@
 
     /** Returns a quantile of the time from sending to answer, less the run time, in milliseconds. */
     synchronized double addedMillis(double percent) {
-        return added.getValueAtPercentile(percent) / 1e3;
+        return addedMicros.getValueAtPercentile(percent) / 1e3;
     }
 
     /** Returns a quantile of the time from the end of the run to the answer, in milliseconds. */
@@ -73,6 +79,6 @@
                 .put("unanswered", requests - served - refused - failed)
                 .put("added_ms_p50", addedMillis(50))
                 .put("added_ms_p99", addedMillis(99))
-                .put("added_ms_max", added.getMaxValue() / 1e3);
+                .put("added_ms_max", addedMicros.getMaxValue() / 1e3);
     }
 }
--- a/lab/src/main/java/wheatspread/lab/settings/HeldMeasurement.java
+++ b/lab/src/main/java/wheatspread/lab/settings/HeldMeasurement.java
@@ -27,13 +27,13 @@
         TimeUnit.MILLISECONDS.sleep(Math.min(WARM_UP_MS, millis));
         AnswerTimes answers = clients.begin();
         probe.reset();
-        kernel.beginDispatches();
+        kernel.resetDispatchTimes();
         double held = measureMeanHeld(clients, kernel, millis);
-        Histogram dispatches = kernel.dispatches();
+        Histogram dispatchMicros = kernel.dispatchMicros();
         JSONObject checks = probe.figures();
         JSONObject figures = new JSONObject().put("open", open).put("held", held);
         for (int percent : List.of(MEDIAN_PERCENT, HIGH_PERCENT)) {
-            double dispatch = dispatches.getValueAtPercentile(percent) / 1e3;
+            double dispatch = dispatchMicros.getValueAtPercentile(percent) / 1e3;
             double afterRun = answers.afterRunMillis(percent);
             double check = probe.millis(percent);
             figures.put("dispatch_ms_p" + percent, dispatch)
--- a/lab/src/main/java/wheatspread/lab/settings/MeasuredServer.java
+++ b/lab/src/main/java/wheatspread/lab/settings/MeasuredServer.java
@@ -35,13 +35,16 @@
         }
     }
 
-    /** {@code command} is the command line up to {@code serve}; {@code control} is the configured control port. */
-    MeasuredServer(List<String> command, JSONObject settings, JSONObject operator, InetSocketAddress control)
+    /**
+     * {@code command} is the command line up to and including {@code serve}; the path of the operator's file is
+     * appended to it; {@code control} is the configured control port.
+     */
+    MeasuredServer(List<String> command, JSONObject settings, JSONObject operatorSettings, InetSocketAddress control)
             throws IOException {
         this.control = control;
         configure(settings);
         List<String> commandLine = new ArrayList<>(command);
-        commandLine.add(Files.writeString(folder.resolve("operator.json"), operator.toString())
+        commandLine.add(Files.writeString(folder.resolve("operator.json"), operatorSettings.toString())
                 .toString());
         ProcessBuilder builder = new ProcessBuilder(commandLine).redirectErrorStream(true);
         builder.environment().put("GW_CONFIG", configuration.toString());
@@ -97,7 +100,7 @@
         return log.lines().stream().map(line -> line.replace(parent, "")).toList();
     }
 
-    /** Returns the last log line that names an error, else the last line, or an empty string without any. */
+    /** Returns the last log line that names an error, else the last line, or an empty string if the log is empty. */
     String lastErrorLine() {
         List<String> lines = log();
         Pattern error = Pattern.compile("ERROR|Error|Exception");
--- a/lab/src/main/java/wheatspread/lab/settings/TimedKernel.java
+++ b/lab/src/main/java/wheatspread/lab/settings/TimedKernel.java
@@ -30,7 +30,7 @@
     private final StandInEndpoint endpoint;
     private final Map<Long, Run> endedRuns = new ConcurrentHashMap<>();
     private final Map<String, Running> running = new HashMap<>();
-    private Histogram dispatches = newHistogram();
+    private Histogram dispatchMicros = newHistogram();
     private volatile int runningCount;
     private long lastEndNanos;
 
@@ -63,14 +63,14 @@
     }
 
     /** Discards the measured dispatch times. */
-    void beginDispatches() {
-        group.next().submit(() -> dispatches = newHistogram()).syncUninterruptibly();
+    void resetDispatchTimes() {
+        group.next().submit(() -> dispatchMicros = newHistogram()).syncUninterruptibly();
     }
 
     /** Returns the microseconds from the last end of a run to the start of the next run. */
-    Histogram dispatches() {
+    Histogram dispatchMicros() {
         return group.next()
-                .submit(() -> dispatches.copy())
+                .submit(() -> dispatchMicros.copy())
                 .syncUninterruptibly()
                 .getNow();
     }
@@ -111,7 +111,7 @@
         private void begin(ChannelHandlerContext context, String job, String data, long beganNanos) {
             long request = Long.parseLong(new String(Base64.getDecoder().decode(data), StandardCharsets.US_ASCII));
             if (lastEndNanos != 0) {
-                dispatches.recordValue(Math.max(1, (beganNanos - lastEndNanos) / 1_000));
+                dispatchMicros.recordValue(Math.max(1, (beganNanos - lastEndNanos) / 1_000));
             }
             running.put(job, new Running(request, beganNanos));
             runningCount = running.size();
--- a/lab/src/main/java/wheatspread/lab/world/SimulatedAnnounceService.java
+++ b/lab/src/main/java/wheatspread/lab/world/SimulatedAnnounceService.java
@@ -73,10 +73,10 @@
         protected void channelRead0(ChannelHandlerContext context, String line) {
             int put = line.indexOf("PUT /announce/");
             if (put >= 0) { // the previous report's body precedes it on the same line
-                requireReportHead(line.substring(0, put));
+                requireRequestLineBefore(line.substring(0, put));
                 name = line.substring(put + 14).split(" ")[0];
             } else if (line.startsWith("{")) {
-                requireReportHead(line);
+                requireRequestLineBefore(line);
             } else if (line.toLowerCase().startsWith("content-length:")) {
                 // {"accepting":"true"} has 20 bytes and false 21, so the value is known before the body arrives
                 int length = Integer.parseInt(line.substring(15).trim());
@@ -91,9 +91,9 @@
             context.close(); // a killed server resets its connection
         }
 
-        private void requireReportHead(String text) {
-            if (!text.isEmpty() && name == null) {
-                throw new IllegalStateException("report body without a request line: " + text);
+        private void requireRequestLineBefore(String body) {
+            if (!body.isEmpty() && name == null) {
+                throw new IllegalStateException("report body without a request line: " + body);
             }
         }
 
--- a/server/src/main/java/wheatspread/admission/AdmissionController.java
+++ b/server/src/main/java/wheatspread/admission/AdmissionController.java
@@ -17,7 +17,10 @@
     /** Reports a request that was read. It is held until a decision. */
     void onArrival(AdmissionRequest request);
 
-    /** Reports the end of a run, or of the wait of a joining request, after {@code elapsedMicros}. */
+    /**
+     * Reports the end of a run, or of a duplicate's wait for the original result ({@link Actions#joinResult}), after
+     * {@code elapsedMicros}.
+     */
     void onCompletion(long id, Outcome outcome, long elapsedMicros);
 
     /** Reports that a run cannot continue without a dependency call. */
@@ -91,7 +94,7 @@
          */
         void setLoadFeedback(double value);
 
-        /** Sets the time after which idle connections are closed; 0 stands for the maximum allowed. */
+        /** Sets the time after which idle connections are closed; 0 restores the configured limit. */
         void setIdleTimeout(long timeoutMicros);
 
         /** Requests an {@link #onTimer} event after {@code delayMicros}, which is positive. */
--- a/server/src/main/java/wheatspread/admission/AdmissionRequest.java
+++ b/server/src/main/java/wheatspread/admission/AdmissionRequest.java
@@ -13,7 +13,7 @@
  * @param cacheable whether the request has a cache key
  * @param write whether the request changes data
  * @param heldKb memory of the request while it is held, in kilobytes
- * @param expectedWorkMicros expected time on a core of the usual speed; 0 if unknown
+ * @param expectedWorkMicros expected processor time of the run on a server at full speed (after warm-up); 0 if unknown
  */
 public record AdmissionRequest(
         long id,
--- a/server/src/main/java/wheatspread/admission/sfq/RequestExpiry.java
+++ b/server/src/main/java/wheatspread/admission/sfq/RequestExpiry.java
@@ -6,8 +6,8 @@
 /**
  * At each tick, ends the requests whose deadline falls before the next tick or whose answer would no longer have a
  * value. A held request is rejected once its latency objective has passed. A started or joining request is failed at
- * its deadline, or once its answer is useless unless it has an idempotency key. Runs whose request is already answered
- * are stopped.
+ * its deadline; if it has no idempotency key, it is failed earlier if its answer becomes useless before that. Runs
+ * whose request is already answered are stopped.
  */
 final class RequestExpiry {
     private final ReloadableSettings settings;
--- a/server/src/main/java/wheatspread/admission/sfq/SfqAdmissionController.java
+++ b/server/src/main/java/wheatspread/admission/sfq/SfqAdmissionController.java
@@ -9,10 +9,11 @@
 
 /**
  * Admission controller by SFQ(D), start-time fair queuing with a concurrency limit D. Tenants are flows with FIFO
- * queues. A request gets the start tag S = max(v, F_prev) and the finish tag F = S + c/phi. While fewer than D requests
- * run, the held request with the smallest start tag is dispatched, and the virtual time v becomes its start tag. This
- * class passes events to the classes that each implement one rule, and calls them in a fixed order to make the
- * decisions of a batch.
+ * queues. A request gets the start tag S = max(v, F_prev) and the finish tag F = S + c/phi, with F_prev the finish tag
+ * of the flow's previous request, c the cost of the request and phi the weight of the flow. While fewer than D
+ * requests run, the held request with the smallest start tag is dispatched, and the virtual time v becomes its start
+ * tag. This class passes events to the classes that each implement one rule, and calls them in a fixed order to make
+ * the decisions of a batch.
  */
 public final class SfqAdmissionController implements AdmissionController {
     private final ReloadableSettings settings;
@@ -196,14 +197,14 @@
         dispatcher.startRequests(actions);
         shedder.shedForDelay(heldQueueBound, actions);
         if (tick) {
-            sendFeedback(actions);
+            endTick(actions);
             clock.scheduleNextTick();
             actions.scheduleWakeup(DecisionClock.TICK_MICROS);
         }
         endBatch();
     }
 
-    private void sendFeedback(Actions actions) {
+    private void endTick(Actions actions) {
         if (!arrivalRate.hasArrivalsSinceTick()) {
             overload.onIdleTick();
         }
--- a/server/src/main/java/wheatspread/commands/BenchlinkCommand.java
+++ b/server/src/main/java/wheatspread/commands/BenchlinkCommand.java
@@ -10,7 +10,8 @@
         name = "benchlink",
         mixinStandardHelpOptions = true,
         description =
-                "Speaks the simulator's protocol on standard input and output, with a server's admission control.")
+                "Reads the simulator's events from standard input and writes the admission controller's actions to "
+                        + "standard output.")
 final class BenchlinkCommand implements Callable<Integer> {
     @Override
     public Integer call() throws IOException {
--- a/server/src/main/java/wheatspread/connections/ConnectionCounters.java
+++ b/server/src/main/java/wheatspread/connections/ConnectionCounters.java
@@ -12,7 +12,7 @@
     private long evictedSilent;
     private long evictedPartial;
     private long evictedIdle;
-    private long evictedYoung;
+    private long evictedWithinGrace;
     private long expiredSilent;
     private long expiredPartial;
     private long expiredIdle;
@@ -27,7 +27,7 @@
 
     /** Returns the number of connections evicted in favour of others, over all reasons. */
     public long evicted() {
-        return evictedLingering + evictedSilent + evictedPartial + evictedIdle + evictedYoung;
+        return evictedLingering + evictedSilent + evictedPartial + evictedIdle + evictedWithinGrace;
     }
 
     void countAccepted() {
@@ -62,8 +62,8 @@
         evictedIdle++;
     }
 
-    void countEvictedYoung() {
-        evictedYoung++;
+    void countEvictedWithinGrace() {
+        evictedWithinGrace++;
     }
 
     /** Counts a connection that exceeded the time limit of {@code state}. */
@@ -106,7 +106,7 @@
             "room_resting",
             evictedIdle,
             "room_young",
-            evictedYoung,
+            evictedWithinGrace,
             "closed_silent",
             expiredSilent,
             "closed_half",
--- a/server/src/main/java/wheatspread/connections/ConnectionTable.java
+++ b/server/src/main/java/wheatspread/connections/ConnectionTable.java
@@ -126,11 +126,11 @@
         }
         // A connection flood can fill the table within the grace. The newest connection may carry a request or a
         // health check, while the older connections have sent nothing yet.
-        Connection young = firstEvictable(State.NEW);
-        young = young == null ? firstEvictable(State.PARTIAL_MESSAGE) : young;
-        if (young != null) {
-            counters.countEvictedYoung();
-            return close(young);
+        Connection withinGrace = firstEvictable(State.NEW);
+        withinGrace = withinGrace == null ? firstEvictable(State.PARTIAL_MESSAGE) : withinGrace;
+        if (withinGrace != null) {
+            counters.countEvictedWithinGrace();
+            return close(withinGrace);
         }
         return false;
     }
--- a/server/src/main/java/wheatspread/kernel/KernelLink.java
+++ b/server/src/main/java/wheatspread/kernel/KernelLink.java
@@ -21,14 +21,17 @@
 public final class KernelLink implements Kernel {
     private static final long MIN_RETRY_DELAY_MS = 20;
     private static final long MAX_RETRY_DELAY_MS = 400;
-    /** The longest wait for missed notices, if the kernel does not answer the catch-up request. */
+    /**
+     * The longest wait for missed notices on a new connection, if the kernel does not answer the gauge request that is
+     * sent first on that connection.
+     */
     private static final long CATCH_UP_TIMEOUT_MS = 1_000;
 
     /** The longest wait for the kernel to confirm the commands of a connection before that connection is replaced. */
     private static final long CONFIRM_TIMEOUT_MS = 200;
     /**
-     * A connection is closed if it receives no line during more than this number of gauge requests, of which there
-     * is one per tick of the admission controller.
+     * A connection is closed after more than this number of gauge requests without a received line. A request is sent
+     * at each tick of the admission controller.
      */
     private static final int MAX_UNANSWERED_REQUESTS = 100;
 
--- a/server/src/main/java/wheatspread/membership/FailureDetector.java
+++ b/server/src/main/java/wheatspread/membership/FailureDetector.java
@@ -40,7 +40,7 @@
     private final LocalHealth health;
     private State state = State.HEALTHY;
     /** The start time of the current probe or, between probes, of the next one. */
-    private long probeMicros;
+    private long probeStartMicros;
 
     private boolean probing;
     private boolean helpersRequested;
@@ -51,7 +51,7 @@
     FailureDetector(DetectorSettings settings, LocalHealth health, long firstProbeMicros) {
         this.settings = settings;
         this.health = health;
-        probeMicros = firstProbeMicros;
+        probeStartMicros = firstProbeMicros;
     }
 
     State state() {
@@ -79,7 +79,7 @@
 
     /** Returns the next time at which {@link #advance} returns a step. */
     long nextStepMicros() {
-        long next = probeMicros;
+        long next = probeStartMicros;
         if (probing) {
             next += helpersRequested ? probeTimeoutMicros() : directTimeoutMicros();
         }
@@ -116,14 +116,14 @@
             return Step.REPORT;
         }
         if (!probing) {
-            return nowMicros < probeMicros ? Step.NOTHING : startProbe(nowMicros);
+            return nowMicros < probeStartMicros ? Step.NOTHING : startProbe(nowMicros);
         }
-        if (!helpersRequested && nowMicros >= probeMicros + directTimeoutMicros()) {
+        if (!helpersRequested && nowMicros >= probeStartMicros + directTimeoutMicros()) {
             helpersRequested = true;
             state = state == State.PROBING ? State.PROBING_INDIRECTLY : state;
             return Step.PROBE_INDIRECTLY;
         }
-        if (nowMicros >= probeMicros + probeTimeoutMicros()) {
+        if (nowMicros >= probeStartMicros + probeTimeoutMicros()) {
             return failProbe(nowMicros);
         }
         return Step.NOTHING;
@@ -132,14 +132,14 @@
     private Step startProbe(long nowMicros) {
         probing = true;
         helpersRequested = false;
-        probeMicros = nowMicros;
+        probeStartMicros = nowMicros;
         state = state == State.HEALTHY ? State.PROBING : state;
         return Step.PROBE;
     }
 
     private Step failProbe(long nowMicros) {
         probing = false;
-        probeMicros += settings.probePeriodMicros() * health.multiplier();
+        probeStartMicros += settings.probePeriodMicros() * health.multiplier();
         if (state != State.PROBING_INDIRECTLY) {
             return Step.NOTHING;
         }
@@ -155,7 +155,7 @@
         confirmations = 0;
         if (probing) {
             probing = false;
-            probeMicros += settings.probePeriodMicros();
+            probeStartMicros += settings.probePeriodMicros();
         }
         return withdraw;
     }
@@ -165,7 +165,7 @@
      * the suspended time must not count towards the timeouts of probes and suspicions.
      */
     void extendDeadlines(long suspendedMicros) {
-        probeMicros += suspendedMicros;
+        probeStartMicros += suspendedMicros;
         suspectedSinceMicros += suspendedMicros;
     }
 }
--- a/server/src/main/java/wheatspread/membership/GossipQueue.java
+++ b/server/src/main/java/wheatspread/membership/GossipQueue.java
@@ -15,16 +15,16 @@
  */
 final class GossipQueue {
     /**
-     * Each update is sent this many times for each unit of the binary logarithm of the view size, so that it very
+     * The number of sends of an update is this factor times the bit length of the view size, so that the update very
      * likely reaches all members.
      */
-    private static final int SENDS_PER_LOG_SIZE = 4;
+    private static final int SENDS_PER_VIEW_SIZE_BIT = 4;
     /**
      * Superseded entries are removed when the queue is longer than this multiple of its valid entries plus {@link
      * #LENGTH_ALLOWANCE}.
      */
     private static final int MAX_LENGTH_RATIO = 2;
-    /** Number of entries that keeps short queues from being cleaned up repeatedly. */
+    /** Added to the length limit, so that a short queue is not cleaned up after almost every added update. */
     private static final int LENGTH_ALLOWANCE = 256;
 
     /** The valid entries by supersession key. */
@@ -51,8 +51,8 @@
         entries.clear();
         queuesByRemainingSends.clear();
         queuedEntries = 0;
-        int logSize = Integer.SIZE - Integer.numberOfLeadingZeros(viewSize);
-        for (int sends = SENDS_PER_LOG_SIZE * logSize; sends > 0; sends--) {
+        int viewSizeBits = Integer.SIZE - Integer.numberOfLeadingZeros(viewSize);
+        for (int sends = SENDS_PER_VIEW_SIZE_BIT * viewSizeBits; sends > 0; sends--) {
             queuesByRemainingSends.add(new ArrayDeque<>());
         }
     }
--- a/server/src/main/java/wheatspread/membership/JoinProtocol.java
+++ b/server/src/main/java/wheatspread/membership/JoinProtocol.java
@@ -9,7 +9,7 @@
 final class JoinProtocol {
     private static final long JOIN_REQUEST_INTERVAL_MICROS = 500_000;
     /** The maximum number of seeds per round of join requests, so that a long list of seeds costs no more. */
-    private static final int MAX_SEEDS_PER_REQUEST = 3;
+    private static final int MAX_SEEDS_PER_ROUND = 3;
 
     private final MembershipState state;
     private final List<String> seeds;
@@ -50,7 +50,7 @@
         String ownAddress = state.self().address();
         List<String> recipients = new ArrayList<>(seeds);
         recipients.remove(ownAddress);
-        while (recipients.size() > MAX_SEEDS_PER_REQUEST) {
+        while (recipients.size() > MAX_SEEDS_PER_ROUND) {
             recipients.remove(random.nextInt(recipients.size()));
         }
         View view = state.view();
--- a/server/src/main/java/wheatspread/peers/GossipUpdateCodec.java
+++ b/server/src/main/java/wheatspread/peers/GossipUpdateCodec.java
@@ -7,8 +7,11 @@
 
 /** Encodes and decodes gossip updates in their protobuf form, {@code Piece}. */
 final class GossipUpdateCodec {
-    /** The ballot field of the fast round's votes, whose ballot is always {@link ViewAgreement#FAST_BALLOT}. */
-    private static final long NO_BALLOT_FIELD = 0;
+    /**
+     * Leaves the ballot field unset: votes of the fast round do not carry their ballot, which is always {@link
+     * ViewAgreement#FAST_BALLOT}.
+     */
+    private static final long OMITTED_BALLOT = 0;
 
     private static final Encoder ENCODER = new Encoder();
 
@@ -117,7 +120,7 @@
 
         @Override
         public Format.Piece.Builder visitFastVotes(GossipUpdate.FastVotes update) {
-            return Format.Piece.newBuilder().setFastVotes(votes(NO_BALLOT_FIELD, update.change(), update.voters()));
+            return Format.Piece.newBuilder().setFastVotes(votes(OMITTED_BALLOT, update.change(), update.voters()));
         }
 
         @Override
--- a/server/src/main/java/wheatspread/records/RecordsConnection.java
+++ b/server/src/main/java/wheatspread/records/RecordsConnection.java
@@ -164,7 +164,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ReplyDecoder.Reply reply) {
         usedAtMicros = clock.nowMicros();
-        PendingCall call = pending.remove(reply.job());
+        PendingCall call = pending.remove(reply.callId());
         if (call != null) {
             call.listener().onCallEnded(reply.outcome(), reply.body());
             closeIfDrained();
--- a/server/src/main/java/wheatspread/records/ReplyDecoder.java
+++ b/server/src/main/java/wheatspread/records/ReplyDecoder.java
@@ -19,10 +19,10 @@
     private static final int LINE_END_BYTES = 2;
 
     /** A reply; {@code body} is null unless the outcome is OK. */
-    record Reply(String job, Outcome outcome, byte[] body) {}
+    record Reply(String callId, Outcome outcome, byte[] body) {}
 
     /** The id of the call whose reply is being decoded; null between replies. */
-    private String job;
+    private String callId;
 
     private Outcome outcome;
     private int bodyLength;
@@ -34,20 +34,20 @@
             in.skipBytes(in.readableBytes()); // even input that resembles a reply may belong to a corrupt body
             return;
         }
-        if (job == null && !readLine(in)) {
+        if (callId == null && !readLine(in)) {
             return;
         }
         if (outcome != Outcome.OK) {
-            out.add(new Reply(job, outcome, null));
-            job = null;
+            out.add(new Reply(callId, outcome, null));
+            callId = null;
         } else if (in.readableBytes() >= bodyLength + LINE_END_BYTES) {
             byte[] body = new byte[bodyLength];
             in.readBytes(body);
             if (in.readByte() != '\r' || in.readByte() != '\n') {
                 throw markCorrupted("no CRLF after the body of " + bodyLength + " bytes of a reply");
             }
-            out.add(new Reply(job, outcome, body));
-            job = null;
+            out.add(new Reply(callId, outcome, body));
+            callId = null;
         }
     }
 
@@ -73,7 +73,7 @@
                 throw markCorrupted("length of a reply's body missing or above " + MAX_BODY_BYTES + " bytes");
             }
         }
-        job = words[0];
+        callId = words[0];
         outcome = knownOutcome;
         return true;
     }
--- a/server/src/main/java/wheatspread/sim/ActionEncoder.java
+++ b/server/src/main/java/wheatspread/sim/ActionEncoder.java
@@ -8,7 +8,7 @@
 /** Encodes the actions of one instance. The first action opens the instance's part of the reply. */
 final class ActionEncoder implements AdmissionController.Actions {
     private static final double MICROS_PER_MILLI = 1000.0;
-    /** Label of timers, which the wire requires; there is only one kind of timer. */
+    /** The label that the simulator's protocol requires for a timer; there is only one kind of timer. */
     private static final String TICK_LABEL = "tick";
 
     private final JsonGenerator json;
--- a/server/src/test/java/wheatspread/connections/ConnectionTableTest.java
+++ b/server/src/test/java/wheatspread/connections/ConnectionTableTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void eachStateHasATimeLimitThatUseRestarts() {
+    void useRestartsTheTimeLimitOfAState() {
         table = table(100, 0, 10 * SECOND_MICROS);
         admit("silent", 1);
         Connection partial = admit("partial", 1);
@@ -52,7 +52,9 @@
         assertThat(expire(SECOND_MICROS))
                 .as("the limit counts from the first byte of the message")
                 .containsExactly("partial drained", "silent closed");
-        assertThat(expire(SECOND_MICROS)).as("the client does not close").containsExactly("partial closed");
+        assertThat(expire(SECOND_MICROS))
+                .as("a client that does not close its drained connection is disconnected")
+                .containsExactly("partial closed");
         assertThat(expire(6 * SECOND_MICROS)).containsExactly("idle drained");
         assertThat(expire(2 * SECOND_MICROS)).containsExactly("used drained", "idle closed");
         assertThat(expire(SECOND_MICROS)).containsExactly("used closed");
@@ -162,7 +164,7 @@
 
     /** The time limits of 19,000 connections end at once; each call of expire handles at most 100 of them. */
     @Test
-    void expiryIsBoundedPerIteration() {
+    void expireHandlesABoundedNumberOfConnectionsPerCall() {
         table = table(19_000, 0, SECOND_MICROS);
         for (int i = 0; i < 19_000; i++) {
             admitIdle("c", i % 50);
--- a/server/src/test/java/wheatspread/daemon/SceneTest.java
+++ b/server/src/test/java/wheatspread/daemon/SceneTest.java
@@ -113,7 +113,7 @@
                 case "logged" -> {
                     awaitInputRead();
                     assertThat(fixture.logged)
-                            .contains(argument.replace("$kernel", "/127.0.0.1:" + fixture.kernels.getLocalPort()));
+                            .contains(argument.replace("$kernel", "/127.0.0.1:" + fixture.kernelSocket.getLocalPort()));
                 }
                 case "mute" -> fixture.announceUnanswered = true;
                 case "bytes" -> {
@@ -204,7 +204,7 @@
             TestConnection connection = connections.get(peer);
             if (connection == null) {
                 connection = peer.equals("kernel")
-                        ? new TestConnection(fixture.kernels.accept())
+                        ? new TestConnection(fixture.kernelSocket.accept())
                         : peer.startsWith("records")
                                 ? new TestConnection(fixture.records.accept())
                                 : TestConnection.connect(peer.startsWith("u") ? fixture.uwsgi : fixture.jsonrpc);
--- a/server/src/test/java/wheatspread/daemon/ServerFixture.java
+++ b/server/src/test/java/wheatspread/daemon/ServerFixture.java
@@ -19,7 +19,7 @@
 
 /** A server with a {@link ManualClock}, and simulated services and clients on ephemeral ports. */
 final class ServerFixture implements AutoCloseable {
-    volatile ServerSocket kernels = socket(0);
+    volatile ServerSocket kernelSocket = socket(0);
     volatile ServerSocket records = socket(0);
     private volatile ServerSocket announce = socket(0);
     private volatile TestConnection announceConnection;
@@ -68,7 +68,7 @@
 
     private JSONObject configuration() throws IOException {
         return new JSONObject(Files.readString(Path.of("src/test/resources/config.json")))
-                .put("kernel", "127.0.0.1:" + kernels.getLocalPort())
+                .put("kernel", "127.0.0.1:" + kernelSocket.getLocalPort())
                 .put("records", "127.0.0.1:" + records.getLocalPort())
                 .put("announce", "127.0.0.1:" + announce.getLocalPort())
                 .put("control", "127.0.0.1:0");
@@ -82,16 +82,16 @@
     void reload(String key, String value) throws IOException {
         JSONObject json = configuration();
         if (key.isEmpty() || key.equals("late")) {
-            kernels.close();
+            kernelSocket.close();
             records.close();
             announce.close();
-            kernels = socket(0);
+            kernelSocket = socket(0);
             records = socket(0);
             announce = socket(0);
             lastAnnouncement = "";
             json = configuration();
             if (key.equals("late")) {
-                kernels.close();
+                kernelSocket.close();
             }
         } else {
             json.put(key, value);
@@ -184,7 +184,7 @@
         if (service.equals("records")) {
             records = socket(records.getLocalPort());
         } else if (service.equals("kernel")) {
-            kernels = socket(kernels.getLocalPort());
+            kernelSocket = socket(kernelSocket.getLocalPort());
         } else {
             announce = socket(announce.getLocalPort());
         }
@@ -203,7 +203,7 @@
         closed = true;
         healthCheckConnection.close();
         server.kill();
-        kernels.close();
+        kernelSocket.close();
         records.close();
         announce.close();
     }
--- a/server/src/test/java/wheatspread/daemon/SimulatedKernel.java
+++ b/server/src/test/java/wheatspread/daemon/SimulatedKernel.java
@@ -13,18 +13,20 @@
 
 /**
  * Simulates a kernel whose runs depend on the body: {@code ok} ends with the reversed body, {@code call} ends with the
- * reply to a dependency call, {@code error} fails, and {@code hang} never ends. Every run is recorded in {@link #runs}.
+ * reply to a dependency call, {@code error} fails, and {@code hang} never ends. Every run is recorded in
+ * {@link #runs}.
  *
- * <p>Links follow the protocol: a new link replaces the previous one, runs and message numbers continue, and messages
+ * <p>Connections follow the protocol: a new connection replaces the previous one, runs and message numbers continue,
+ * and messages
  * that the server has not received according to its {@code OPEN} are sent again. After the fixture changes the kernel's
- * address, links are accepted on the new socket.
+ * address, connections are accepted on the new socket.
  */
 final class SimulatedKernel implements Runnable {
     final List<String> runs = Collections.synchronizedList(new ArrayList<>());
     private final ServerFixture fixture;
     private final Map<String, String> bodies = new HashMap<>();
     private final List<JSONObject> notices = new ArrayList<>();
-    private TestConnection link;
+    private TestConnection currentConnection;
 
     SimulatedKernel(ServerFixture fixture) {
         this.fixture = fixture;
@@ -33,9 +35,9 @@
     @Override
     public void run() {
         while (!fixture.isClosed()) {
-            ServerSocket kernels = fixture.kernels;
+            ServerSocket kernelSocket = fixture.kernelSocket;
             try {
-                TestConnection connection = new TestConnection(kernels.accept());
+                TestConnection connection = new TestConnection(kernelSocket.accept());
                 Thread thread = new Thread(() -> serve(connection), "kernel link");
                 thread.setDaemon(true);
                 thread.start();
@@ -51,7 +53,7 @@
                 handleCommand(connection, new JSONObject(line));
             }
         } catch (IOException e) {
-            // the link was replaced, or the fixture was closed
+            // the connection was replaced, or the fixture was closed
         }
     }
 
@@ -59,16 +61,16 @@
         String job = command.optString("job");
         if (command.getString("type").equals("OPEN")) {
             open(connection, command.getLong("n"));
-        } else if (connection == link) {
+        } else if (connection == currentConnection) {
             execute(command, job);
         }
     }
 
     private void open(TestConnection connection, long receivedCount) throws IOException {
-        TestConnection previousLink = link;
-        link = connection;
-        if (previousLink != null) {
-            previousLink.close();
+        TestConnection previousConnection = currentConnection;
+        currentConnection = connection;
+        if (previousConnection != null) {
+            previousConnection.close();
         }
         connection.writeLine("{\"type\":\"BOOTED\",\"state\":\"WARM\",\"took\":5}");
         for (JSONObject missed : notices.subList((int) receivedCount, notices.size())) {
@@ -79,7 +81,7 @@
     private void execute(JSONObject command, String job) throws IOException {
         switch (command.getString("type")) {
             case "SYSINFO" ->
-                link.writeLine(
+                currentConnection.writeLine(
                         "{\"type\":\"INFO\",\"gauges\":[0.2,1,0.1,2],\"ref\":\"" + command.getString("ref") + "\"}");
             case "SCHED" -> {
                 if (!bodies.containsKey(job)) {
@@ -110,11 +112,11 @@
                 "REAP", job, new JSONObject().put("state", state).put("took", 3).put("data", encode(result)));
     }
 
-    /** Records a message before it is sent, so that a message lost with its link is sent again on the next link. */
+    /** Records a message before it is sent, so that it is sent again if its connection is lost. */
     private void sendNotice(String type, String job, JSONObject fields) throws IOException {
         fields.put("type", type).put("n", notices.size() + 1).put("job", job);
         notices.add(fields);
-        link.writeLine(fields.toString());
+        currentConnection.writeLine(fields.toString());
     }
 
     static String encode(String text) {
--- a/server/src/test/java/wheatspread/daemon/StartTest.java
+++ b/server/src/test/java/wheatspread/daemon/StartTest.java
@@ -153,7 +153,7 @@
                         new JSONObject().put("ready_file", ready.toString()).put("report_file", report.toString()))
                 .toString();
         try (ServerFixture fixture = new ServerFixture(operatorOverrides, "nio");
-                TestConnection kernel = new TestConnection(fixture.kernels.accept())) {
+                TestConnection kernel = new TestConnection(fixture.kernelSocket.accept())) {
             kernel.readLine();
             kernel.writeLine("{\"type\":\"BOOTED\",\"state\":\"WARM\",\"took\":10}");
             await(() -> fixture.logged.stream().anyMatch(line -> line.contains("to=SERVING")));
--- a/server/src/test/java/wheatspread/membership/ClusterBootstrapTest.java
+++ b/server/src/test/java/wheatspread/membership/ClusterBootstrapTest.java
@@ -73,7 +73,7 @@
 
     @Test
     @Timeout(60)
-    void simultaneousRestartOfAllFormsOneClusterInALaterEpoch() {
+    void simultaneousRestartOfAllServersLeadsToOneClusterInALaterEpoch() {
         for (int seed = 0; seed < 10; seed++) {
             SimulatedNetwork network = formCluster(seed, 12, 0);
             View previous = network.assertAgreedView(12);
@@ -203,7 +203,8 @@
     }
 
     /**
-     * Guards against two views with the same number, which SimulatedNetwork asserts, and against different final views.
+     * SimulatedNetwork asserts that no two views have the same number; this test also asserts that all members end in
+     * the same view.
      */
     @Test
     @Timeout(100)
